--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -1,5 +1,4 @@
-//! One attempt: a request is sent to one engine, and the head of its answer
-//! read.
+//! One attempt: sends a request to one engine and reads the head of its answer.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -20,35 +19,36 @@
 use crate::race::{Link, link};
 use crate::state::{GatewayState, Occupied};
 
-/// Longest head of an answer.
+/// Maximum size of an answer's head, in bytes.
 const HEAD_BYTES: usize = 64 << 10;
-/// Late answers to earlier requests that are passed over on one connection.
+/// Maximum number of late answers to earlier requests that are skipped on one connection.
 const MOST_LATE_ANSWERS: usize = 3;
-/// Longest late answer that is passed over.
+/// Maximum size of a late answer that is skipped, in bytes.
 const LATE_ANSWER_BYTES: u64 = 1 << 20;
 
-/// A request as it goes to engines.
+/// A request as it is sent to engines.
 #[derive(Clone, Debug)]
 pub(crate) struct Outbound {
-    /// Its identifier.
+    /// Identifier of the request.
     pub id: String,
-    /// Whose it is, where there are tenants.
+    /// Tenant of the request; `None` if there are no tenants or the request is anonymous.
     pub tenant: Option<Rc<str>>,
-    /// Host that its caller names.
+    /// Host named by the caller.
     pub host: String,
     pub method: String,
     pub target: String,
-    /// Headers that are not of one connection alone.
+    /// End-to-end headers.
     pub headers: Headers,
     pub body: Vec<u8>,
     pub class: WorkClass,
-    /// What names it when it comes again, once that was asked for: it costs a look at
-    /// every byte, and most requests never need it.
+    /// Digest of the request, computed on first use: it hashes the whole body, and most
+    /// requests never need it.
     pub digest: OnceCell<RequestDigest>,
 }
 
 impl Outbound {
-    /// What names the request when it comes again under another identifier.
+    /// Returns the digest that identifies the request when it is sent again under another
+    /// identifier.
     pub fn digest(&self) -> RequestDigest {
         *self.digest.get_or_init(|| {
             RequestDigest::of(&RequestParts {
@@ -70,20 +70,20 @@
 }
 
 impl EngineReply {
-    /// Whether the engine has no room for the request now, and may have some later.
+    /// Whether the engine has no capacity for the request now but may have some later.
     pub fn has_no_room(&self) -> bool {
         let says_so = matches!(self.head.status, 429 | 503);
         self.facts.not_run && !self.facts.displaced && says_so
     }
 }
 
-/// The rest of an answer.
+/// The body of an answer.
 pub(crate) struct EngineBody {
     pub engine: String,
     pub connection: Connection,
     pub reader: BodyReader,
     pub framing: Framing,
-    /// Whether the connection may be used again.
+    /// Whether the connection may be reused.
     reusable: bool,
     keep_alive: Option<Duration>,
     occupied: Occupied,
@@ -91,10 +91,11 @@
 }
 
 impl EngineBody {
-    /// The next piece, or `None` at the end.
+    /// Returns the next piece, or `None` at the end.
     ///
     /// # Errors
-    /// When the engine breaks off.
+    /// When the engine closes or resets the connection before the end, or sends an invalid
+    /// body.
     pub async fn next(&mut self) -> Result<Option<Vec<u8>>, BodyError> {
         self.times.waits(self.occupied.now());
         let piece = self.reader.next(&mut self.connection).await?;
@@ -108,7 +109,7 @@
         Ok(piece)
     }
 
-    /// Gives the connection back if the answer was read to its end.
+    /// Returns the connection to the pool if the answer was read to its end.
     pub fn finish(self, state: &GatewayState) {
         if self.reusable && self.reader.has_ended() {
             let now = state.now();
@@ -125,13 +126,14 @@
     /// The engine could not be reached; nothing was sent.
     #[display("unreachable")]
     Unreachable,
-    /// A batch item that may have been withdrawn meanwhile; nothing was sent.
+    /// A batch item whose job may have been ended in the meantime; nothing was sent.
     #[display("withheld")]
     Withheld,
-    /// The engine broke off; it may have run the request.
+    /// The exchange failed before a valid head of the answer was read; the engine may have run
+    /// the request.
     #[display("broken off")]
     Broken,
-    /// The engine was silent for too long; it may have run the request.
+    /// The engine did not answer in time; it may have run the request.
     #[display("silent")]
     Silent,
 }
@@ -142,7 +144,7 @@
         !matches!(self, Self::Unreachable | Self::Withheld)
     }
 
-    /// What it says of the engine, if it does.
+    /// Returns the failure to record for the engine, if the engine is at fault.
     fn as_engine_failure(self) -> Option<Failure> {
         match self {
             Self::Unreachable => Some(Failure::Unreachable),
@@ -153,24 +155,25 @@
     }
 }
 
-/// Bounds of an attempt.
+/// Time limits of an attempt, and the position from which a stream continues.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptLimits {
-    /// When the request's time is over.
+    /// When the request's time ends.
     pub ends: Timestamp,
-    /// Longest silence before the head of the answer; none where nothing would
-    /// be gained by going elsewhere.
+    /// Maximum time to wait for the head of the answer; `None` if another engine would not
+    /// help.
     pub silence: Option<Duration>,
-    /// How long a connect may take before another engine is tried beside it; none where
-    /// none is tried.
+    /// Connect time after which another engine is tried in parallel; `None` to try only
+    /// one.
     pub slow: Option<Duration>,
-    /// Last event that is there already.
+    /// Last event that was already received.
     pub after_event: Option<u64>,
 }
 
-/// Sends a request to the engine that was picked, and reads the head of the answer. Where
-/// no connection is up soon, the one that `another` picks may have it in its place, and
-/// `picked` is that one then.
+/// Sends a request to the picked engine and reads the head of the answer.
+///
+/// If no connection is established soon, an engine picked by `another` is tried in
+/// parallel. If that one connects first, it replaces `picked`.
 pub(crate) async fn attempt<D: GatewayDialect>(
     state: &Rc<GatewayState>,
     dialect: &D,
@@ -180,7 +183,7 @@
     limits: AttemptLimits,
 ) -> Result<EngineReply, AttemptFailure> {
     let link = link(state, picked, another, outbound.class, limits).await;
-    // It is noted by now which engines could not be reached.
+    // `link` has already recorded which engines could not be reached.
     let link = link.ok_or(AttemptFailure::Unreachable)?;
     let engine = &picked.facts;
     let began = state.now();
@@ -224,8 +227,8 @@
     }
 }
 
-/// Whether an engine failed a request by its own fault. A 504 is the fault of too
-/// little time, and a batch item may be one that no engine can do.
+/// Whether the status is a failure caused by the engine. A 504 means that the request had
+/// too little time, and a batch item may be one that no engine can run.
 fn is_failure(status: u16) -> bool {
     matches!(status, 500 | 502)
 }
@@ -266,7 +269,7 @@
         mut connection,
         occupied,
     } = link;
-    // The engine may have left while the connection came up.
+    // The engine may have left while the connection was established.
     if !state.engines.borrow().is_present(&engine.id) {
         return Err(AttemptFailure::Unreachable);
     }
@@ -331,8 +334,8 @@
     message
 }
 
-/// Sends the message while reading, since an engine may answer before it has
-/// read all of it. `sent` tells whether all of it was sent by then.
+/// Sends the message and reads the answer concurrently, since an engine may answer before
+/// it has read the whole message. Sets `sent` once the whole message was written.
 async fn exchange<D: GatewayDialect>(
     dialect: &D,
     outbound: &Outbound,
@@ -345,7 +348,8 @@
         if h1::write(&stream, message).await.is_ok() {
             *sent = true;
         }
-        // What the engine answered before it broke off still counts.
+        // A failed write is not an error here: the engine may have answered before it broke
+        // off.
         future::pending().await
     };
     let receive = async {
--- a/crates/proxy/src/bars.rs
+++ b/crates/proxy/src/bars.rs
@@ -1,4 +1,4 @@
-//! Keeping requests from engines that end under them.
+//! Barring requests that cause engines to end.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,21 +17,21 @@
 use crate::attempt::Outbound;
 use crate::state::GatewayState;
 
-/// Time between two looks for requests that have become guilty.
+/// Interval between checks for requests to bar.
 const ASK_AGAIN: Duration = Duration::from_millis(250);
-/// Words on bars that are remembered: twice as many as the control group keeps, so that
-/// none of its own is taken for new again.
+/// Maximum number of bars remembered: twice as many as the control group keeps, so that a
+/// bar the group still keeps is never evicted here and then taken for new.
 const MOST_WORDS: usize = 2_048;
-/// Time between two looks whether an engine that broke a request off has ended.
+/// Interval between checks whether an engine that broke a request off has ended.
 const LOOK_PAUSE: Duration = Duration::from_millis(20);
-/// Time for a bar to be committed, before it is asked for again.
+/// Timeout for committing a bar, after which the bar is requested again.
 const ASK_DEADLINE: Duration = Duration::from_secs(2);
 
-/// What the control group says of guilty requests.
+/// The bars of the control group.
 pub(crate) struct Bars {
-    /// Newest word on each; control nodes tell at different times.
+    /// The newest bar of each request; control nodes report changes at different times.
     newest: RefCell<BTreeMap<RequestDigest, Bar>>,
-    /// Told when a request may have become guilty.
+    /// Signalled when a request may have to be barred.
     suspected: (Sender<()>, Receiver<()>),
 }
 
@@ -50,12 +50,12 @@
 }
 
 impl Bars {
-    /// Whether a request is guilty is to be seen to.
+    /// Requests a check for requests to bar.
     pub fn look_soon(&self) {
         let _told_already = self.suspected.0.try_send(());
     }
 
-    /// Takes a word in; says whether it is newer than what was known.
+    /// Stores a bar and returns whether it is newer than the stored one.
     fn take(&self, request: RequestDigest, bar: Bar) -> bool {
         let mut newest = self.newest.borrow_mut();
         let known = newest.get(&request);
@@ -76,15 +76,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Permit {
     Granted,
-    /// That shows a moment later.
+    /// Decided later; ask again at this time.
     Later(Timestamp),
     Denied,
 }
 
-/// Engines that may have ended under a request, that is, those that did and those that
-/// are being looked at, from which on it waits for the looks: an online request that
-/// its engine broke off goes on at another one at once, so that its caller sees no
-/// pause, but not twice; batch work has the time.
+/// Number of engines that may have ended under a request from which on the request waits
+/// for the open checks. It counts engines that did end and engines being checked. An online
+/// request whose engine broke off is retried at another one at once, so that its caller
+/// sees no pause, but only once; batch work has the time to wait.
 fn at_once(class: WorkClass) -> usize {
     match class {
         WorkClass::Online => 2,
@@ -93,7 +93,8 @@
 }
 
 impl GatewayState {
-    /// Whether a request may be sent to an engine now, with a line if it may not.
+    /// Returns whether a request may be sent to an engine now, and logs it if the request
+    /// is barred.
     pub fn permit(&self, request: &Outbound) -> Permit {
         let suspects = self.suspects.borrow();
         let open = self.breaks.open_looks(request);
@@ -128,12 +129,12 @@
         }
     }
 
-    /// Whether engines ended under a request before.
+    /// Whether engines have ended while they ran this request.
     pub fn is_suspect(&self, request: &Outbound) -> bool {
         self.crashes(&self.suspects.borrow(), request) > 0
     }
 
-    /// A control node tells of a bar.
+    /// Applies a bar reported by a control node.
     pub fn take_bar(&self, request: RequestDigest, bar: Bar) {
         if !self.bars.take(request, bar) {
             return;
@@ -148,12 +149,13 @@
         }
     }
 
-    /// Waits until it shows whether a request may be sent.
+    /// Waits until a permit can be decided.
     pub async fn settle(&self, until: Timestamp) {
         self.clock.wait_until(until).await;
     }
 
-    /// An engine answered a request whole: no crash before was its fault.
+    /// Records that an engine answered a request completely, which clears it of earlier
+    /// crashes.
     pub fn note_whole(&self, request: &Outbound) {
         if self.suspects.borrow().is_empty() {
             return;
@@ -166,8 +168,8 @@
     }
 }
 
-/// Has guilty requests barred by the control group, so that a restart of all gateways
-/// forgets none, for as long as it is polled.
+/// Asks the control group to bar guilty requests, so that the bars survive a restart of all
+/// gateways. Runs until dropped.
 pub(crate) async fn ask_for_bars(state: Rc<GatewayState>) {
     loop {
         let _told = state.bars.suspected.1.recv().await;
@@ -188,7 +190,9 @@
         crashes: crashes as u32,
     };
     match state.control.change_declared(command, ASK_DEADLINE).await {
-        Ok(_) => info!(state.logger, "bar asked for"; "digest" => %request, "crashes" => crashes),
+        Ok(_) => {
+            info!(state.logger, "asked the control group for a bar"; "digest" => %request, "crashes" => crashes)
+        }
         Err(error) => warn!(state.logger, "bar not committed"; "digest" => %request,
             "crashes" => crashes, "error" => %error),
     }
--- a/crates/proxy/src/batch/api.rs
+++ b/crates/proxy/src/batch/api.rs
@@ -1,4 +1,4 @@
-//! Callers' calls on batch jobs.
+//! Calls of callers on batch jobs.
 
 use std::time::Duration;
 
@@ -19,26 +19,27 @@
 use crate::state::GatewayState;
 use crate::work_shares::MOST_DIRECT;
 
-/// Longest time for a job to be committed.
+/// Timeout for committing a job.
 const SUBMIT_DEADLINE: Duration = Duration::from_millis(1_500);
-/// Time between two looks whether other nodes are heard while a job is handed in.
+/// Interval between checks whether other nodes are still heard from while a job is
+/// submitted.
 const HEARING_LOOK: Duration = Duration::from_millis(50);
-/// Longest time for a read or an end.
+/// Timeout for reading or ending a job.
 const CALL_DEADLINE: Duration = Duration::from_millis(900);
-/// Bytes of results in one answer, unless the first one is longer. Each answer is
-/// in memory several times on its way, at a leader that many ask at once.
+/// Maximum bytes of results in one answer, unless the first result is longer. Each answer
+/// is in memory several times on its way, at a leader that serves many callers at once.
 const MAX_PAGE_BYTES: u64 = 256 << 10;
 
-/// An election takes about as long.
+/// An election takes about as long as this delay.
 const UNAVAILABLE: BatchOutcome = BatchOutcome::Unavailable {
     retry_after: Duration::from_millis(200),
 };
-/// By then some items are done.
+/// Some items are done after this delay.
 const QUEUE_FULL: BatchOutcome = BatchOutcome::QueueFull {
     retry_after: Duration::from_secs(1),
 };
 
-/// Takes a job.
+/// Submits a job.
 pub(crate) async fn submit<D: GatewayDialect>(
     state: &GatewayState,
     dialect: &D,
@@ -49,7 +50,7 @@
     let (id, items) = match dialect.submission(&request.head, &request.body) {
         Ok(submission) => submission,
         Err(problems) => {
-            info!(state.logger, "job refused"; "problems" => problems.join("; "));
+            info!(state.logger, "malformed job refused"; "problems" => problems.join("; "));
             return dialect.batch_answer(BatchOutcome::Malformed);
         }
     };
@@ -69,7 +70,7 @@
         max_queued_tokens: route.max_queued_tokens,
     }));
     let outcome = future::or(keep(state, &command), cut_off(state, route)).await;
-    info!(state.logger, "job"; "job" => id, "items" => count, "outcome" => name(&outcome));
+    info!(state.logger, "job submitted"; "job" => id, "items" => count, "outcome" => name(&outcome));
     dialect.batch_answer(outcome)
 }
 
@@ -82,9 +83,9 @@
     }
 }
 
-/// Ends once this gateway takes itself for cut off. The job may have been sent; whoever
-/// hands it in again elsewhere finds it, or has it kept there. Among few gateways too
-/// little is heard to tell.
+/// Completes once this gateway considers itself cut off from the other nodes. The job may
+/// have been sent; a caller that submits it again elsewhere finds it there or has it
+/// stored. With few gateways there is too little traffic to tell, so this never completes.
 async fn cut_off(state: &GatewayState, route: &Route) -> BatchOutcome {
     let target = Duration::from_millis(u64::from(route.target_latency_ms));
     let began = state.now();
@@ -97,8 +98,8 @@
     }
 }
 
-/// Names the queue whose waiting tokens are counted together. No header, and so no
-/// host, has a line feed in it.
+/// Returns the name of the queue whose waiting tokens are counted together. The line feed
+/// is an unambiguous separator: no header, and so no host, contains one.
 fn queue(route: &Route, tenant: Option<&str>) -> String {
     let route = format!("{}{}", route.host, route.path_prefix);
     match tenant {
@@ -107,7 +108,7 @@
     }
 }
 
-/// Carries out a call of a tenant that names one of its jobs.
+/// Carries out a tenant's call on one of its jobs.
 pub(crate) async fn call<D: GatewayDialect>(
     state: &GatewayState,
     dialect: &D,
@@ -142,7 +143,7 @@
             results,
         },
         None => {
-            warn!(state.logger, "a result cannot be unpacked"; "job" => id);
+            warn!(state.logger, "cannot decompress a batch result"; "job" => id);
             UNAVAILABLE
         }
     }
@@ -179,16 +180,17 @@
         Ok(_) => UNAVAILABLE,
         Err(error) => failed(&error),
     };
-    info!(state.logger, "job ended"; "job" => id, "outcome" => name(&outcome));
+    info!(state.logger, "caller asked for the job to be ended"; "job" => id, "outcome" => name(&outcome));
     outcome
 }
 
 fn unreadable(state: &GatewayState, error: &ClusterError) -> BatchOutcome {
-    warn!(state.logger, "job not readable"; "error" => %error);
+    warn!(state.logger, "cannot read job"; "error" => %error);
     UNAVAILABLE
 }
 
-/// A change that may have been committed must not be called undone.
+/// Maps an error of a change; a change that may have been committed must not be reported as
+/// not done.
 fn failed(error: &ClusterError) -> BatchOutcome {
     match error {
         ClusterError::Unavailable {
--- a/crates/proxy/src/batch/item.rs
+++ b/crates/proxy/src/batch/item.rs
@@ -1,4 +1,4 @@
-//! Running one batch item to its outcome.
+//! Running one batch item until it has an outcome.
 
 use std::cell::{OnceCell, RefCell};
 use std::rc::Rc;
@@ -21,32 +21,32 @@
 use crate::silence::Silence;
 use crate::state::GatewayState;
 
-/// Longest time of one run; far beyond what an item takes.
+/// Maximum time of one run, far longer than an item takes.
 const RUN_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longest silence within a run before another engine goes on.
+/// Time without data within a run after which the run is ended and the item goes to another
+/// engine.
 const SILENCE: Duration = Duration::from_secs(3);
-/// Pause before another try when engines turned an item away or failed.
+/// Pause before a retry after engines rejected an item or failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// How much longer than the route says an item is kept, for clocks that
-/// differ.
+/// Time added to the route's retention, in milliseconds, to allow for clock differences.
 const CLOCK_SLACK_MS: u64 = 4_000;
 
-/// The output of an item, for keeping it while it runs.
+/// The output of an item, shared with the checkpoint task while the item runs.
 pub(super) type SharedOutput = Rc<RefCell<Output>>;
 
 /// How one attempt ended.
 enum Run {
     Whole,
     Broken,
-    /// An engine ran it and it failed.
+    /// An engine ran the item and it failed.
     Failed,
-    /// No engine ever can do it.
+    /// No engine can ever run the item.
     Impossible,
-    /// No engine has room yet, or it gave way to online work.
+    /// No engine has capacity yet, or the run was preempted by online work.
     Waits,
-    /// Engines turned it away.
+    /// Engines rejected the item.
     TurnedAway,
-    /// Engines end under it.
+    /// Engines end when they run the item.
     Barred,
 }
 
@@ -70,7 +70,7 @@
             return given_up(state, item, "its route is gone");
         };
         if is_too_old(route, item) {
-            return given_up(state, item, "it is too old");
+            return given_up(state, item, "its retention expired");
         }
         let run = run_once(state, dialect, route, service, item, output).await;
         match run {
@@ -78,12 +78,12 @@
                 let text = output.borrow().text();
                 return ItemOutcome::Completed { text };
             }
-            Run::Impossible => return given_up(state, item, "no engine can do it"),
+            Run::Impossible => return given_up(state, item, "no engine can run it"),
             Run::Barred => return given_up(state, item, "engines end under it"),
             Run::Failed => {
                 failures += 1;
                 if failures >= route.max_attempts.max(1) {
-                    return given_up(state, item, "it failed too often");
+                    return given_up(state, item, "it failed the maximum number of times");
                 }
             }
             Run::Broken | Run::Waits => {}
@@ -95,7 +95,7 @@
 }
 
 fn given_up(state: &GatewayState, item: &ItemToRun, reason: &str) -> ItemOutcome {
-    info!(state.logger, "item given up"; "item" => &item.item.id, "reason" => reason);
+    info!(state.logger, "item dead-lettered"; "item" => &item.item.id, "reason" => reason);
     ItemOutcome::DeadLettered
 }
 
@@ -157,7 +157,7 @@
         }
         if matches!(run, Run::Broken) {
             state.look_into(&engine, &dispatch.outbound);
-            info!(state.logger, "run of an item broken off"; "item" => &item.item.id,
+            info!(state.logger, "run of an item was broken off by its engine"; "item" => &item.item.id,
                 "digest" => %dispatch.outbound.digest(), "engine" => engine);
         }
         run
@@ -169,7 +169,7 @@
     future::or(running, cut).await
 }
 
-/// Takes in the answer of an engine.
+/// Processes the answer of an engine.
 async fn finish_run(state: &GatewayState, reply: EngineReply, output: &SharedOutput) -> Run {
     if reply.facts.impossible {
         return Run::Impossible;
--- a/crates/proxy/src/batch/mod.rs
+++ b/crates/proxy/src/batch/mod.rs
@@ -1,4 +1,4 @@
-//! Batch jobs: taken and read for callers, and run on idle engines.
+//! Batch jobs: submission and reading for callers, and running their items on idle engines.
 
 mod api;
 mod item;
--- a/crates/proxy/src/batch/preemption.rs
+++ b/crates/proxy/src/batch/preemption.rs
@@ -1,4 +1,4 @@
-//! Batch work that gives way to online work.
+//! Preemption of batch work by online work.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,22 +12,23 @@
 use super::item::SharedOutput;
 use crate::state::GatewayState;
 
-/// A run of a batch item that may be told to give way.
+/// A run of a batch item that may be preempted.
 #[derive(Debug)]
 struct Run {
-    /// Where it runs; empty before it was sent.
+    /// Engine of the run; empty until the engine has begun to answer.
     engine: String,
-    /// Milliseconds since 1970 by which its item is to be done.
+    /// Deadline of the item, in milliseconds since 1970.
     due_ms: Option<u64>,
-    /// Tokens of its prompt.
+    /// Number of prompt tokens.
     prompt_tokens: u64,
-    /// What its item has made so far.
+    /// Output of the item so far.
     output: SharedOutput,
     cut: Sender<()>,
 }
 
 impl Run {
-    /// What is lost when it gives way. An event is a token at the least.
+    /// Returns the cost of preempting this run. Each event counts as one token, its
+    /// minimum.
     fn loss(&self, number: u64, now_ms: u64) -> Loss {
         let made = self.output.borrow().last_event().unwrap_or_default();
         let read_again = self.prompt_tokens.saturating_add(made);
@@ -36,7 +37,7 @@
     }
 }
 
-/// The runs of batch items here, in the order of their starts.
+/// The batch runs of this gateway, in the order of their starts.
 #[derive(Debug, Default)]
 pub(crate) struct BatchRuns {
     runs: RefCell<BTreeMap<u64, Run>>,
@@ -44,7 +45,7 @@
 }
 
 impl BatchRuns {
-    /// Runs that an engine has begun to answer.
+    /// Returns the number of runs that an engine has begun to answer.
     pub fn at_engines(&self) -> u32 {
         let runs = self.runs.borrow();
         let begun = runs.values().filter(|run| !run.engine.is_empty());
@@ -52,7 +53,7 @@
     }
 }
 
-/// One run while it lasts.
+/// Registration of one run, removed on drop.
 pub(crate) struct RunGuard {
     state: Rc<GatewayState>,
     number: u64,
@@ -60,7 +61,7 @@
 }
 
 impl RunGuard {
-    /// Begins a run that has no engine yet.
+    /// Registers a run that has no engine yet.
     pub fn begin(
         state: &Rc<GatewayState>,
         due_ms: Option<u64>,
@@ -86,7 +87,7 @@
         }
     }
 
-    /// It runs at `engine` now.
+    /// Records that the run is now at `engine`.
     pub fn at(&self, engine: &str) {
         let mut runs = self.state.batch_runs.runs.borrow_mut();
         if let Some(run) = runs.get_mut(&self.number) {
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Waits until it is to give way.
+    /// Waits until the run is preempted.
     pub async fn cut(&self) {
         let _closed = self.cut.recv().await;
     }
@@ -106,8 +107,8 @@
     }
 }
 
-/// Cuts own batch runs at engines where online work wants their slots, those first that
-/// lose the least.
+/// Preempts own batch runs at engines where online work needs their slots, in ascending
+/// order of cost.
 pub(crate) fn give_way(state: &GatewayState) {
     let cuts = state.engines.borrow_mut().batch_to_cut(state.now());
     if cuts.is_empty() {
@@ -129,7 +130,7 @@
         }
         state.metrics.batch.cut(cut);
         if cut > 0 {
-            info!(state.logger, "batch gives way"; "engine" => engine, "runs" => cut);
+            info!(state.logger, "batch runs preempted"; "engine" => engine, "runs" => cut);
         }
     }
 }
--- a/crates/proxy/src/batch/runner.rs
+++ b/crates/proxy/src/batch/runner.rs
@@ -1,4 +1,4 @@
-//! Taking batch items while engines have room, and recording their outcomes.
+//! Taking batch items while engines have capacity, and recording their outcomes.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,37 +20,39 @@
 use crate::dialect::GatewayDialect;
 use crate::state::GatewayState;
 
-/// Longest time that the leader holds a call for items of a gateway that runs none.
+/// Maximum time that the leader may hold a call for items while no items run here.
 const WAIT: Duration = Duration::from_millis(900);
-/// The same while some run here. A lost leader is noticed 300 ms behind that, and
-/// the next one listens for 700 ms, an election behind, before it hands anything
-/// out: by then it has to know what runs here.
+/// The same while items run here. The loss of a leader is noticed up to 300 ms after this
+/// time, and after an election the next leader listens for 700 ms before it hands out
+/// items; by then it must know what runs here.
 const WAIT_WHILE_RUNNING: Duration = Duration::from_millis(500);
-/// Longest time without a call while there is no room: the lease of what runs here
-/// is 2.5 s at the leader, and two calls may be lost within it.
+/// Maximum time between calls while there is no capacity: the leader's lease on running
+/// items is 2.5 s, and two calls may be lost within it.
 const RENEWED_AFTER: Duration = Duration::from_millis(800);
-/// Time for such a call.
+/// Timeout for a call for items.
 const TAKE_DEADLINE: Duration = Duration::from_millis(1_900);
-/// Without a renewal for longer, another gateway surely runs the items by now.
-/// Shorter outages of the batch group must not cost what runs at engines; what does
-/// not is held back long before.
+/// Time without a renewal after which all items are stopped, because another gateway surely
+/// runs them by then. Shorter outages of the batch group must not lose work at engines;
+/// items not yet at an engine are held back long before.
 const LEASE: Duration = Duration::from_secs(10);
-/// Time for the hand-over of a planned stop.
+/// Timeout for each call of the hand-over in a planned stop.
 const HAND_OVER_DEADLINE: Duration = Duration::from_millis(1_500);
-/// Pause after a call that failed.
+/// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Shortest time between two calls.
+/// Minimum time between two calls.
 const SHORTEST_ROUND: Duration = Duration::from_millis(50);
-/// Items taken at once at the most, so that a heap spreads over the gateways.
+/// Maximum number of items taken at once, so that a large backlog spreads over the
+/// gateways.
 const MOST_AT_ONCE: u32 = 4;
-/// Time between two checkpoints: what is lost when a gateway or all power is, at
-/// the most. Shorter ones cost more commits and bytes between zones.
+/// Interval between checkpoints, and so the most work that is lost with a gateway or in a
+/// power failure of all nodes. Shorter intervals cost more commits and traffic between
+/// zones.
 const CHECKPOINT_EVERY: Duration = Duration::from_millis(1_200);
-/// Time for a checkpoint to be kept.
+/// Timeout for storing a checkpoint.
 const CHECKPOINT_DEADLINE: Duration = Duration::from_millis(900);
-/// Time between two lines on the batch work here.
+/// Interval between log lines about batch work.
 const TOLD_EVERY: Duration = Duration::from_secs(1);
-/// Time for an outcome to be recorded, before it is tried again.
+/// Timeout for recording an outcome, after which it is retried.
 const RECORD_DEADLINE: Duration = Duration::from_secs(3);
 
 struct Runner<D> {
@@ -58,19 +60,20 @@
     dialect: Rc<D>,
     local: Rc<LocalExecutor<'static>>,
     running: RefCell<BTreeMap<ItemReference, RunningItem>>,
-    /// Drawn at the start, so that calls of an earlier process are told apart.
+    /// Random value drawn at the start, which distinguishes the calls of this process from
+    /// those of an earlier one.
     life: u64,
     /// Number of the latest call for items.
     calls: Cell<u64>,
 }
 
-/// An item that runs.
+/// An item that runs here.
 struct RunningItem {
     task: Task<()>,
     output: SharedOutput,
 }
 
-/// Takes and runs items for as long as it is polled.
+/// Takes and runs items until dropped or a planned stop.
 pub(crate) async fn run<D: GatewayDialect>(
     state: Rc<GatewayState>,
     dialect: Rc<D>,
@@ -121,7 +124,7 @@
     }
 }
 
-/// Services that batch work goes to.
+/// Returns the services that batch routes lead to.
 fn batch_services(model: &ServingModel) -> BTreeSet<&str> {
     let routes = model.routes.iter();
     let batch = routes.filter(|route| route.kind == RouteKind::Batch);
@@ -140,8 +143,8 @@
         })
     }
 
-    /// Items that this gateway may take now: engines must have room, and no
-    /// gateway takes more than its part of it.
+    /// Returns the number of items that this gateway may take now, limited by the engines'
+    /// capacity and by this gateway's share of it.
     fn capacity(&self) -> u32 {
         let Some(in_force) = self.state.in_force().filter(|_| !self.state.is_stopping()) else {
             return 0;
@@ -153,9 +156,8 @@
             .iter()
             .map(|one| engines.batch_headroom(one, now))
             .sum();
-        // What waits here for an engine comes first. Less than one item is
-        // rounded by chance, so that all gateways together take what there is
-        // room for.
+        // Items waiting here for an engine come first. The fraction is rounded randomly, so
+        // that all gateways together take as many items as there is capacity for.
         let running = self.running.borrow().len() as u32;
         let waiting = running.saturating_sub(self.state.batch_runs.at_engines());
         let headroom = (headroom - f64::from(waiting) + rand::random::<f64>()).max(0.0) as u32;
@@ -164,8 +166,8 @@
         headroom.min(left).min(MOST_AT_ONCE)
     }
 
-    /// Waits until there is room, or until what runs here is to be renewed: to wait
-    /// at the leader would cost it the most when all gateways are full.
+    /// Waits until there is capacity or the running items need a renewal. Waiting at the
+    /// leader instead would load it most when all gateways are full.
     async fn room(&self) -> u32 {
         let renewed_after = RENEWED_AFTER.min(self.state.renewal.get().longest_silence());
         let ends = Instant::now() + renewed_after;
@@ -178,7 +180,8 @@
         }
     }
 
-    /// Writes what runs here, and what all engines have, while there are items.
+    /// Logs and exports the batch work here and the occupancy of all engines, while there
+    /// are items.
     fn tell(&self) {
         let items = self.running.borrow().len();
         if items == 0 {
@@ -193,7 +196,7 @@
             "occupancy" => format!("{occupancy:.2}"), "kept" => format!("{kept:.1}"));
     }
 
-    /// Slots that batch work leaves free at the services that it uses.
+    /// Returns the slots that batch work leaves free at the services it uses.
     fn kept_for_online(&self, now: Timestamp) -> f64 {
         let Some(in_force) = self.state.in_force() else {
             return 0.0;
@@ -203,7 +206,7 @@
         services.map(|one| engines.kept_for_online(one, now)).sum()
     }
 
-    /// The next call for items.
+    /// Returns the next call for items.
     fn call(&self, capacity: u32, held: Vec<(u64, u32)>, wait: Duration) -> TakeItems {
         let number = self.calls.get() + 1;
         self.calls.set(number);
@@ -217,8 +220,8 @@
         }
     }
 
-    /// One call to the leader, which `answered` the last one or is being looked for.
-    /// Says whether it was answered.
+    /// Makes one call to the leader and returns whether it was answered. `answered` is the
+    /// result of the previous call; if it is `false`, a leader is still being searched for.
     async fn round(self: &Rc<Self>, answered: bool) -> bool {
         let capacity = match answered {
             true => self.room().await,
@@ -231,7 +234,8 @@
         let wait = match (capacity, held.is_empty()) {
             (0, true) => return true,
             (0, false) => Duration::ZERO,
-            // A node that does not answer costs as much more as it may hold a call.
+            // While the leader is unknown, a node that does not answer would cost the hold
+            // time as well.
             _ if !answered => Duration::ZERO,
             (_, true) => WAIT,
             (_, false) => WAIT_WHILE_RUNNING,
@@ -242,14 +246,14 @@
         let handed = match self.state.batch.take_items(&ask, TAKE_DEADLINE).await {
             Ok(handed) => handed,
             Err(error) => {
-                warn!(self.state.logger, "no batch items"; "error" => %error);
+                warn!(self.state.logger, "call for batch items failed"; "error" => %error);
                 return false;
             }
         };
         for (job, place) in handed.stop {
             let item = ItemReference { job, place };
             if self.running.borrow_mut().remove(&item).is_some() {
-                info!(self.state.logger, "item stopped"; "job" => job, "place" => place);
+                info!(self.state.logger, "item stopped on request of the batch group"; "job" => job, "place" => place);
             }
         }
         self.state.renewed(asked);
@@ -278,7 +282,7 @@
         self.running.borrow_mut().insert(reference, running);
     }
 
-    /// Records an outcome, for as long as it takes.
+    /// Records an outcome, retrying until it succeeds.
     async fn record(&self, item: ItemReference, outcome: ItemOutcome) {
         let records = vec![ItemRecord { item, outcome }];
         let command = BatchCommand::Record(RecordOutcome { records });
@@ -299,7 +303,7 @@
         }
     }
 
-    /// The outputs of the items here, as they are and will be.
+    /// Returns the outputs of the running items, shared with their runs.
     fn outputs(&self) -> Vec<(ItemReference, SharedOutput)> {
         let running = self.running.borrow();
         let outputs = running.iter();
@@ -308,8 +312,8 @@
             .collect()
     }
 
-    /// Keeps in the batch group what these items have made, so that others can go
-    /// on behind it if this gateway is lost. Says whether that is done.
+    /// Stores the output of these items in the batch group, so that another gateway can
+    /// continue after it if this one is lost. Returns whether it was stored.
     async fn checkpoint(
         &self,
         outputs: &[(ItemReference, SharedOutput)],
@@ -335,9 +339,9 @@
                 true
             }
             other => {
-                info!(self.state.logger, "progress not kept"; "items" => sent.len(),
+                info!(self.state.logger, "checkpoint not kept by the batch group"; "items" => sent.len(),
                     "answer" => ?other.err());
-                // It may have been, or may yet be.
+                // The checkpoint may have been stored or may still be.
                 for (output, _) in sent {
                     output.borrow_mut().forget_kept();
                 }
@@ -346,7 +350,8 @@
         }
     }
 
-    /// Ends a planned stop's batch work: others go on behind the last events.
+    /// Ends the batch work for a planned stop; other gateways continue after the last
+    /// stored events.
     async fn hand_over(&self) {
         let outputs = self.outputs();
         let count = outputs.len();
@@ -354,8 +359,8 @@
             return;
         }
         drop(std::mem::take(&mut *self.running.borrow_mut()));
-        // The second one sends only what an earlier checkpoint, still on its way,
-        // kept from following.
+        // The second call resends only items whose first checkpoint did not follow the
+        // stored state because an earlier checkpoint was still in flight.
         let noted = self.checkpoint(&outputs, HAND_OVER_DEADLINE).await
             && self.checkpoint(&outputs, HAND_OVER_DEADLINE).await;
         let release = self.call(0, Vec::new(), Duration::ZERO);
@@ -368,11 +373,11 @@
             "noted" => noted, "released" => released.is_ok());
     }
 
-    /// Stops everything: another gateway may run it by now.
+    /// Stops all items, since other gateways may run them by now.
     fn stop_all(&self) {
         let running = std::mem::take(&mut *self.running.borrow_mut());
         if !running.is_empty() {
-            info!(self.state.logger, "items stopped, no renewal"; "items" => running.len());
+            info!(self.state.logger, "items stopped without a renewal"; "items" => running.len());
         }
         drop(running);
     }
--- a/crates/proxy/src/batch/turn.rs
+++ b/crates/proxy/src/batch/turn.rs
@@ -1,6 +1,6 @@
-//! Whose turn it is to look for an engine: of the batch items that wait here,
-//! the most urgent one looks and the others rest. All of them looking at once
-//! would start in an order of chance, and cost time for each look.
+//! Turns of waiting batch items: only the most urgent one tries to pick an engine while the
+//! others wait. If all tried at once, they would start in random order, and each attempt
+//! would cost time.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,19 +14,19 @@
 #[derive(Debug, Default)]
 pub(crate) struct Turns {
     queue: RefCell<TurnQueue>,
-    /// Closed when a place has the turn.
+    /// Wake-up channels, closed when the place has the turn.
     wakes: RefCell<BTreeMap<Place, Sender<()>>>,
 }
 
-/// The turn, until it is dropped.
+/// The turn, held until it is dropped.
 pub(crate) struct Turn(Rc<Turns>);
 
-/// One that waits, until it has the turn or gives up.
+/// An item that waits until it has the turn or gives up.
 struct Waiter {
     turns: Rc<Turns>,
     place: Place,
     woken: Receiver<()>,
-    /// Set once it has the turn and no longer waits.
+    /// Whether the item has received the turn.
     done: bool,
 }
 
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Waits for the turn, which the caller has then.
+    /// Waits for the turn; the caller holds it afterwards.
     async fn turn(mut self) {
         let _closed = self.woken.recv().await;
         self.done = true;
@@ -76,7 +76,8 @@
 }
 
 impl Drop for Waiter {
-    /// Whoever gives up waiting leaves, and passes on a turn that came meanwhile.
+    /// Leaves the queue if the wait was given up, and passes on a turn that was granted in
+    /// the meantime.
     fn drop(&mut self) {
         if self.done {
             return;
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection, request after request.
+//! A caller's connection, which carries requests one after the other.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use crate::request::{After, CallerRequest, check_key, serve};
 use crate::state::GatewayState;
 
-/// Longest time for a body to arrive.
+/// Timeout for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Body of a request up to which it is read before a request without a valid key
-/// is refused, so that the connection can be used again. A longer one is not
-/// waited for.
+/// Maximum body size, in bytes, that is read before a request without a valid key is
+/// refused, so that the connection can be reused. Longer bodies are refused without
+/// reading.
 const SHORT_BODY: u64 = 64 << 10;
-/// Time for which what a refused caller still sends is read and dropped: closing
-/// before would reset the connection, and the answer could be lost with it.
+/// Time for which data from a refused caller is still read and discarded: closing at once
+/// would reset the connection, and the answer could be lost.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// What came of waiting for a request.
+/// Result of waiting for a request.
 enum Arrival {
     Request(CallerRequest),
     Refused(Refusal),
@@ -62,7 +62,7 @@
     }
 }
 
-/// Waits for the next request and reads it whole.
+/// Waits for the next request and reads it completely.
 async fn arrival<D: GatewayDialect>(
     state: &GatewayState,
     dialect: &D,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Closes a connection whose other side may still be sending.
+/// Closes a connection whose peer may still be sending.
 async fn linger(mut connection: Connection) {
     let late = async {
         Timer::after(LINGER).await;
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -1,5 +1,5 @@
-//! What the interface of callers and engines must tell the gateway, whatever
-//! its names and formats are.
+//! The information that the gateway needs from the interface of callers and engines,
+//! independent of its names and formats.
 
 use std::time::Duration;
 
@@ -8,112 +8,112 @@
 use molespan_state::batch::BatchItem;
 use molespan_state::declared::KeyDigest;
 
-/// What a request says of itself.
+/// Facts that a request states about itself.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RequestFacts {
-    /// Its identifier; empty when it has none.
+    /// Identifier of the request; empty if it has none.
     pub id: String,
     /// How long the caller waits.
     pub patience: Option<Duration>,
-    /// Parts of its prompt, in order.
+    /// Parts of the prompt, in order.
     pub prompt: Vec<PromptPart>,
-    /// Tokens that its answer is expected to have.
+    /// Expected number of answer tokens.
     pub answer_tokens: Option<u64>,
 }
 
-/// The API key that a request carries.
+/// The API key of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Credential {
-    /// None.
+    /// The request has no key.
     Missing,
-    /// One key.
+    /// The request has one key.
     Key(KeyDigest),
-    /// What is no single key; it belongs to nobody.
+    /// The header is not a single valid key and so belongs to no tenant.
     Malformed,
 }
 
-/// What an engine must be told beside the request itself.
+/// What an engine must be told in addition to the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineCall<'a> {
-    /// Time left.
+    /// Time left for the request.
     pub time_left: Duration,
-    /// What the only engine that may run it calls itself.
+    /// The name of the only engine that may run the request, as the engine itself uses it.
     pub engine: &'a str,
-    /// Last event that is there already, when a stream goes on.
+    /// Last event already received, when a stream is continued.
     pub after_event: Option<u64>,
 }
 
-/// What the head of an engine's answer says beside the answer itself.
+/// Facts from the head of an engine's answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct EngineAnswer {
-    /// Identifier of the request that it answers, if it says.
+    /// Identifier of the request that is answered, if stated.
     pub request: Option<String>,
-    /// The engine says that it did not run the request.
+    /// Whether the engine states that it did not run the request.
     pub not_run: bool,
-    /// Another incarnation has the address.
+    /// Whether another incarnation now has the address.
     pub displaced: bool,
-    /// It never can run the request.
+    /// Whether the engine can never run the request.
     pub impossible: bool,
-    /// Load that it tells, where it does.
+    /// Load reported by the engine, if any.
     pub load: LoadReport,
-    /// How long an idle connection lives.
+    /// How long the engine keeps an idle connection.
     pub keep_alive: Option<Duration>,
 }
 
-/// Why the gateway itself answers.
+/// Why the gateway answers a request itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No configuration is known yet. Not run.
+    /// No configuration is known yet, or the keys cannot be confirmed. Not run.
     NoConfiguration {
-        /// When to come back.
+        /// Delay before a retry.
         retry_after: Duration,
     },
-    /// No route fits.
+    /// No route matches.
     NoRoute,
-    /// It has no key of any tenant.
+    /// The request has no key of any tenant.
     UnknownKey,
-    /// Its tenant sends more than it may. Not run.
+    /// The tenant exceeds its limit. Not run.
     OverLimit {
-        /// When to come back.
+        /// Delay before a retry.
         retry_after: Duration,
     },
-    /// No engine can take it now. Not run.
+    /// No engine can take the request now. Not run.
     Busy {
-        /// When to come back.
+        /// Delay before a retry.
         retry_after: Duration,
     },
-    /// Engines ended under it, and none gets it any more. Not run.
+    /// Engines ended while they ran the request, and no engine gets it any more. Not run.
     Barred {
-        /// When to come back: before, the answer would be the same.
+        /// Delay before a retry; an earlier one would get the same answer.
         retry_after: Duration,
     },
-    /// Its time ran out before any engine ran it. Not run.
+    /// The request's time ended before any engine ran it. Not run.
     TooLate,
-    /// Its time ran out and it may have run.
+    /// The request's time ended, and it may have run.
     TimedOut,
-    /// It may have run, and its answer is lost.
+    /// The request may have run, and its answer is lost.
     AnswerLost,
     /// The request is malformed.
     Malformed,
-    /// Its head is too long.
+    /// The head is too long.
     HeadTooLong,
-    /// Its body is too long.
+    /// The body is too long.
     BodyTooLong,
-    /// Its head or body did not come in time.
+    /// The head or body did not arrive in time.
     Slow,
 }
 
-/// A call on batch jobs that names one.
+/// A call on one batch job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BatchCall {
-    /// Asks for results from a position on.
+    /// Reads results from a position on.
     Results {
         /// Identifier of the job.
         id: String,
         /// First position.
         after: u32,
     },
-    /// Asks for the body of an item.
+    /// Reads the body of an item.
     Body {
         /// Identifier of the job.
         id: String,
@@ -127,32 +127,32 @@
     },
 }
 
-/// The outcome of an item, for its caller.
+/// The outcome of an item, as returned to its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobResult {
     /// Identifier of the item.
     pub item: String,
-    /// Its whole output; `None` when it was given up.
+    /// The complete output; `None` if the item was dead-lettered.
     pub output: Option<String>,
 }
 
-/// What became of a call on batch jobs.
+/// The outcome of a call on batch jobs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BatchOutcome {
-    /// The job is kept from now on.
+    /// The job is stored.
     Kept,
-    /// Too many tokens would wait with it; none of it runs.
+    /// The job would exceed the limit of waiting tokens; none of it runs.
     QueueFull {
-        /// When to come back.
+        /// Delay before a retry.
         retry_after: Duration,
     },
     /// Results from a position on.
     Results {
-        /// That position.
+        /// The first position.
         after: u32,
-        /// Items of the job.
+        /// Number of items of the job.
         total: u32,
-        /// Results, the first at that position.
+        /// Results, beginning at that position.
         results: Vec<JobResult>,
     },
     /// The body of an item.
@@ -163,55 +163,55 @@
     Unknown,
     /// The call is malformed.
     Malformed,
-    /// Nothing was done for sure; the same call may come again.
+    /// Nothing was done; the same call may be retried.
     Unavailable {
-        /// When to come back.
+        /// Delay before a retry.
         retry_after: Duration,
     },
-    /// It may have been done; the same call may come again.
+    /// The call may have been carried out; the same call may be retried.
     Uncertain,
 }
 
 /// Names and formats of requests, answers and calls.
 pub trait GatewayDialect: 'static {
-    /// What a request says of itself.
+    /// Returns the facts that a request states about itself.
     fn facts(&self, headers: &Headers) -> RequestFacts;
 
-    /// The API key of a request.
+    /// Returns the API key of a request.
     fn credential(&self, headers: &Headers) -> Credential;
 
-    /// Takes the API key, and any tenant that the caller named, out of the headers
-    /// of a request, and puts its tenant in.
+    /// Removes the API key and any tenant named by the caller from the headers of a
+    /// request, and sets its tenant.
     fn name_tenant(&self, headers: &mut Headers, tenant: Option<&str>);
 
-    /// Puts into the headers of a request what its engine must be told.
+    /// Adds to the headers of a request what its engine must be told.
     fn address_engine(&self, headers: &mut Headers, call: &EngineCall<'_>);
 
-    /// Headers that name the request of a batch item.
+    /// Sets the headers that identify the request of a batch item.
     fn item_headers(&self, headers: &mut Headers, item: &BatchItem);
 
-    /// What the head of an engine's answer says.
+    /// Returns the facts from the head of an engine's answer.
     fn engine_answer(&self, head: &ResponseHead) -> EngineAnswer;
 
-    /// The gateway's own answer.
+    /// Returns the gateway's own answer for a refusal.
     fn refusal(&self, refusal: Refusal) -> Answer;
 
-    /// The call on batch jobs that a request is, if it is one.
+    /// Returns the call on a batch job that a request stands for, if it is one.
     fn batch_call(&self, head: &RequestHead) -> Option<BatchCall>;
 
-    /// Identifier and items of a job that is handed in.
+    /// Returns the identifier and items of a submitted job.
     ///
     /// # Errors
-    /// Everything that is wrong with it.
+    /// All problems of the submission.
     fn submission(
         &self,
         head: &RequestHead,
         body: &[u8],
     ) -> Result<(String, Vec<BatchItem>), Vec<String>>;
 
-    /// Puts an outcome into words.
+    /// Returns the answer for the outcome of a batch call.
     fn batch_answer(&self, outcome: BatchOutcome) -> Answer;
 
-    /// Whether a call asks if the gateway is ready.
+    /// Whether a request is a readiness check.
     fn is_readiness_call(&self, head: &RequestHead) -> bool;
 }
--- a/crates/proxy/src/dispatch.rs
+++ b/crates/proxy/src/dispatch.rs
@@ -20,28 +20,27 @@
 use crate::request::CallerRequest;
 use crate::state::GatewayState;
 
-/// Attempts at engines that were of no use before a request is refused; those without
-/// room do not count where they soon have some.
+/// Maximum number of attempts that did not run the request before it is refused. Answers
+/// without capacity do not count for services whose slots free up soon.
 const MOST_TURNED_AWAY: u32 = 6;
-/// Time between two looks of the batch item whose turn it is.
+/// Interval at which the batch item that has the turn tries to pick an engine.
 const LOOK_AGAIN_IN_TURN: Duration = Duration::from_millis(20);
-/// How long the turn of a batch item lasts at the most: then its route is looked
-/// up anew, and another item may be the most urgent one.
+/// Maximum length of a batch item's turn; afterwards its route is looked up again, and
+/// another item may be more urgent.
 const TURN: Duration = Duration::from_secs(1);
-/// When a caller should come back whose request engines end under: a bar holds for
-/// hours unless an operator lifts it, which one who waits for that sees within this.
+/// Retry delay for a caller whose request engines end under. A bar lasts for hours unless
+/// an operator lifts it, and a waiting caller notices that within this time.
 const BARRED_RETRY_AFTER: Duration = Duration::from_secs(600);
-/// Part of the target latency within which an engine has to begin with a request:
-/// the rest is for its first answer to be made and passed on.
+/// Share of the target latency within which an engine has to begin a request; the rest is
+/// for producing and passing on its first output.
 const BEGINS_WITHIN: f64 = 0.8;
-/// Part of a caller's patience for which a late request waits for a slot: there is
-/// time for its answer behind it.
+/// Share of the caller's patience for which a late request waits for a slot; the rest is
+/// for its answer.
 const WAITS_SHARE: f64 = 0.7;
-/// Least time for which a request looks that comes back from an engine, also later than
-/// that.
+/// Minimum time for which a request that returns from an engine tries to pick another one,
+/// even beyond [`WAITS_SHARE`].
 const LAST_LOOK: Duration = Duration::from_millis(50);
-/// Shortest silence of an engine after which a repeatable request goes
-/// elsewhere.
+/// Minimum time without an answer after which a repeatable request goes to another engine.
 const SHORTEST_SILENCE: Duration = Duration::from_millis(250);
 
 /// The attempts of one request.
@@ -52,29 +51,29 @@
     pub service: String,
     pub outbound: Outbound,
     pub facts: RequestFacts,
-    /// When its time is over.
+    /// When the request's time ends.
     pub ends: Timestamp,
-    /// Milliseconds since 1970 by which a batch item is to be done.
+    /// Deadline of a batch item, in milliseconds since 1970.
     pub due_ms: Option<u64>,
     pub arrived: Timestamp,
-    /// Whether it counts against its tenant's limit.
+    /// Whether the request was counted against its tenant's limit.
     pub counts: bool,
-    /// How urgent it is among the online requests that wait.
+    /// Priority among the waiting online requests.
     pub rank: Rank,
-    /// Engines that ran it, failed it, or will not run it.
+    /// Engines that ran or failed the request, or will not run it.
     tried: BTreeSet<String>,
-    /// Engines that may have run it.
+    /// Number of engines that may have run the request.
     pub runs: u32,
-    /// Attempts that did not run it: turned away, or not connected.
+    /// Number of attempts that did not run the request: rejected, or not connected.
     pub turned_away: u32,
-    /// How many of them had no room.
+    /// How many of these were rejected for lack of capacity.
     without_room: u32,
-    /// Answers without room that do not count towards [`MOST_TURNED_AWAY`].
+    /// Rejections for lack of capacity that do not count towards [`MOST_TURNED_AWAY`].
     excused: u32,
 }
 
 impl<'a, D: GatewayDialect> Dispatch<'a, D> {
-    /// Attempts of a caller's request.
+    /// Creates the attempts of a caller's request.
     pub fn online(
         state: &'a Rc<GatewayState>,
         dialect: &'a D,
@@ -105,7 +104,7 @@
         Self::new(state, dialect, route, service, outbound, facts, ends)
     }
 
-    /// Attempts of a request that goes to `service`.
+    /// Creates the attempts of a request to `service`.
     pub fn new(
         state: &'a Rc<GatewayState>,
         dialect: &'a D,
@@ -135,31 +134,31 @@
         }
     }
 
-    /// How long ago it arrived.
+    /// Returns the time since the request arrived.
     pub fn age(&self) -> Duration {
         self.state.now().since(self.arrived)
     }
 
-    /// Whether another engine may run it.
+    /// Whether another engine may run the request.
     pub fn may_run_again(&self) -> bool {
         let batch = self.outbound.class == WorkClass::Batch;
         batch || (self.route.is_repeatable() && self.runs < self.route.max_attempts)
     }
 
-    /// An engine that had begun broke off.
+    /// Records that an engine broke off an answer that it had begun.
     pub fn note_broken(&mut self, engine: &str) {
         self.tried.insert(engine.to_owned());
         self.state.note_broken(engine);
         self.state.look_into(engine, &self.outbound);
-        info!(self.state.logger, "answer broken off";
+        info!(self.state.logger, "answer broken off by its engine";
             "request" => &self.outbound.id, "digest" => %self.outbound.digest(),
             "engine" => engine, "runs" => self.runs);
     }
 
-    /// Brings the request to engines until one answers.
+    /// Sends the request to engines until one answers.
     ///
     /// # Errors
-    /// Why none does, as the caller should hear it.
+    /// The refusal for the caller, if none does.
     pub async fn next_reply(&mut self, after_event: Option<u64>) -> Result<EngineReply, Refusal> {
         loop {
             self.permitted().await?;
@@ -170,7 +169,8 @@
                 WorkClass::Online => self.pick().await?,
                 WorkClass::Batch => self.pick_in_turn().await?,
             };
-            // Engines may have ended under it elsewhere while it waited for its turn.
+            // Engines elsewhere may have ended under the request while it waited for its
+            // turn.
             if self.state.permit(&self.outbound) != Permit::Granted {
                 continue;
             }
@@ -212,7 +212,7 @@
                     }
                     return Ok(reply);
                 }
-                // It waits for its turn again; the engine has nothing to do with it.
+                // The item waits for its turn again; the engine is not at fault.
                 Err(AttemptFailure::Withheld) => {}
                 Err(failure) => {
                     self.tried.insert(engine.id.clone());
@@ -222,14 +222,15 @@
         }
     }
 
-    /// An engine did not run it. One without room may have some soon, so that it is asked
-    /// again as long as there is time; whoever else did not run it is not.
+    /// Records that an engine did not run the request. An engine without capacity may have
+    /// some soon and is asked again while there is time; any other engine is not.
     fn note_turned_away(&mut self, engine: &str, reply: &EngineReply) -> Result<(), Refusal> {
         self.turned_away += 1;
         if reply.has_no_room() && self.outbound.class == WorkClass::Online {
             self.state.note_turned_away(&self.service);
             self.without_room += 1;
-            // Where slots are held for long, so are those of the engines asked next.
+            // Where slots are held for long, the next engines asked are full for as long,
+            // so the rejection counts.
             if self.state.is_short(&self.service) {
                 self.excused += 1;
             }
@@ -239,7 +240,7 @@
         self.give_up_if_unusable()
     }
 
-    /// An engine took it.
+    /// Records that an engine accepted the request.
     fn note_taken(&self) {
         if self.outbound.class != WorkClass::Online {
             return;
@@ -250,7 +251,7 @@
         }
     }
 
-    /// Gives up once too many engines turned out to be of no use to it.
+    /// Returns an error once too many attempts did not run the request.
     fn give_up_if_unusable(&self) -> Result<(), Refusal> {
         match self.turned_away - self.excused >= MOST_TURNED_AWAY {
             true => Err(self.give_up()),
@@ -258,7 +259,7 @@
         }
     }
 
-    /// Waits until it shows whether engines may have it, if that is open.
+    /// Waits until it is decided whether engines may get the request.
     async fn permitted(&self) -> Result<(), Refusal> {
         loop {
             match self.state.permit(&self.outbound) {
@@ -274,7 +275,7 @@
         }
     }
 
-    /// The engine read the prompt, and holds what of it is shared.
+    /// Records that the engine has read the prompt and caches its shared part.
     fn note_held(&self, engine: &str) {
         if let Some(shared) = PromptCost::of(&self.facts.prompt).shared {
             let now = self.state.now();
@@ -305,13 +306,14 @@
         }
     }
 
-    /// No engine takes it. It may be said not to have run only if none did.
+    /// Returns the refusal when no engine takes the request. It may be reported as not run
+    /// only if no engine may have run it.
     fn give_up(&self) -> Refusal {
         let room_in = self.state.queue(&self.service).room_in();
         self.not_now(room_in)
     }
 
-    /// The same where it is known when room returns.
+    /// The same, where it is known when capacity returns.
     fn not_now(&self, room_in: Option<Duration>) -> Refusal {
         let left = self.ends.since(self.state.now());
         match self.runs {
@@ -322,11 +324,11 @@
         }
     }
 
-    /// Its turn cannot come.
+    /// Logs and returns the refusal of a request whose turn cannot come.
     fn no_turn(&self, refused: Refused) -> Refusal {
         self.state.metrics.queue.refused(refused.reason);
         let refusal = self.not_now(refused.room_in);
-        info!(self.state.logger, "no turn"; "request" => &self.outbound.id,
+        info!(self.state.logger, "queue refused the request"; "request" => &self.outbound.id,
             "service" => &self.service, "reason" => %refused.reason,
             "ahead" => refused.ahead,
             "begin_per_s" => format!("{:.1}", refused.rates.begin),
@@ -345,10 +347,10 @@
         }
     }
 
-    /// Waits for its turn and chooses an engine: one that begins in time, as long as
-    /// there can be one, and then whichever has a slot that no request wants that can
-    /// be in time. Who waits in an engine's queue cannot let others go before it; here
-    /// it does.
+    /// Waits for the request's turn and chooses an engine: while the target can be met, one
+    /// that begins in time, and afterwards any with a slot that no request still in time
+    /// needs. The request waits here, because in an engine's queue it could not let more
+    /// urgent ones pass.
     async fn pick(&mut self) -> Result<Picked, Refusal> {
         let target = Duration::from_millis(u64::from(self.route.target_latency_ms));
         let begins_by = self.arrived + target.mul_f64(BEGINS_WITHIN);
@@ -363,7 +365,8 @@
                 Woken::Looks(_) => self.standing(begins_by),
             };
             if standing == Standing::Late {
-                // Late ones want what is left, and no part of the room.
+                // A late request only takes spare slots and claims no share of the
+                // capacity.
                 drop(waiting.take());
             }
             match self.pick_now(standing) {
@@ -384,12 +387,13 @@
         self.state.engines.borrow().has_left(&self.service)
     }
 
-    /// When another engine comes nobody knows: the caller hears it at once, and comes back
-    /// as late as leaves time for an answer.
+    /// Refuses a request for a service whose last engine is leaving. It is unknown when
+    /// another engine comes, so the caller is told at once, with a retry delay that still
+    /// leaves time for an answer.
     fn no_engine_left(&self) -> Refusal {
         let left = self.ends.since(self.state.now());
         let refusal = self.not_now(Some(left / 2));
-        info!(self.state.logger, "no engine is left"; "request" => &self.outbound.id,
+        info!(self.state.logger, "no engine of the service is left"; "request" => &self.outbound.id,
             "service" => &self.service, "left_ms" => left.as_millis() as u64,
             "runs" => self.runs, "refusal" => ?refusal);
         refusal
@@ -424,8 +428,8 @@
         }
     }
 
-    /// Chooses an engine when this is the most urgent batch item that waits
-    /// here, and waits with it for room.
+    /// Waits until this is the most urgent waiting batch item, and then until an engine has
+    /// capacity.
     async fn pick_in_turn(&mut self) -> Result<Picked, Refusal> {
         let _turn = self.state.batch_turns.take(self.due_ms).await;
         let looks_until = self.state.now() + TURN;
@@ -457,8 +461,8 @@
         self.state.engines.borrow_mut().pick(&pick, now)
     }
 
-    /// Another engine for an online request whose connection to the first one does not
-    /// come up.
+    /// Chooses a second engine for an online request whose connection to the first one is
+    /// slow.
     fn pick_beside(&self, first: &Picked) -> Option<Picked> {
         let target = Duration::from_millis(u64::from(self.route.target_latency_ms));
         let now = self.state.now();
@@ -482,8 +486,8 @@
         engines.pick_beside(&pick, first, now)
     }
 
-    /// How long a connect may take before another engine is tried beside it. Batch work
-    /// has time.
+    /// Returns the connect time after which another engine is tried in parallel; `None` for
+    /// batch work, which has time, and for routes without a target latency.
     fn slow(&self, picked: &Picked) -> Option<Duration> {
         let target = Duration::from_millis(u64::from(self.route.target_latency_ms));
         if self.outbound.class == WorkClass::Batch || target.is_zero() {
@@ -493,8 +497,8 @@
         Some(engines.connect_is_slow_after(&picked.facts.id, target))
     }
 
-    /// Longest silence before the head of the answer. Without another attempt
-    /// left, only the request's time counts: a silent engine may yet answer.
+    /// Returns the maximum time to wait for the head of the answer. If no other attempt is
+    /// left, only the request's time counts: a silent engine may still answer.
     fn silence(&self) -> Option<Duration> {
         let another = self.route.is_repeatable() && self.runs + 1 < self.route.max_attempts;
         let target = Duration::from_millis(u64::from(self.route.target_latency_ms));
--- a/crates/proxy/src/engine_ends.rs
+++ b/crates/proxy/src/engine_ends.rs
@@ -1,10 +1,12 @@
-//! Whether an engine that broke a request off has ended, and what it ended under.
+//! Detects whether an engine that broke a request off has ended, and which requests it was
+//! running.
 //!
 //! A connection that ends without an answer may have been reset, cut, or closed by an
-//! engine that lost the answer. An engine has ended when its port is dead, twice, or
-//! when the control nodes know another one at its address or none at all. One that said
-//! it leaves ends as planned, and one that answers anything lives. A machine that falls
-//! silent breaks nothing off, and its requests are blamed for nothing.
+//! engine that lost the answer. An engine counts as ended if its port refuses connections
+//! twice, or if the control nodes report another engine at its address or none. An engine
+//! that announced its departure ends as planned, and one that still answers is alive. A
+//! machine that stops responding does not break connections off, so its requests are not
+//! blamed.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -25,9 +27,9 @@
 use crate::attempt::Outbound;
 use crate::state::GatewayState;
 
-/// Pauses before the looks at an engine's port. Two that find it dead say that the
-/// engine ended: one alone may be an engine that has all the connections it takes.
-/// Later ones are for what a cut hides at first.
+/// Pauses before the checks of an engine's port. Two refused connections mean that the
+/// engine ended: a single one may come from an engine at its connection limit. The later
+/// checks cover a network cut that hides the port at first.
 const LOOKS: [Duration; 5] = [
     Duration::from_millis(20),
     Duration::from_millis(100),
@@ -35,37 +37,37 @@
     Duration::from_millis(500),
     Duration::from_millis(1_000),
 ];
-/// Looks that have to find the port dead.
+/// Number of checks that must find the port refusing connections.
 const DEAD_LOOKS: u32 = 2;
-/// Longest time for a connection.
+/// Timeout for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Answers that were on their way when the engine broke off come within this.
+/// Time within which answers arrive that were in flight when the engine broke off.
 const ON_THE_WAY: Duration = Duration::from_millis(50);
-/// How long a request that breaks off later counts as having been there too: longer
-/// than a gateway without processor time takes to read the end of a connection.
+/// How long after the end of an engine a request that breaks off is still blamed for it:
+/// longer than a gateway starved of processor time takes to read the end of a connection.
 const SAME_END: Duration = Duration::from_secs(10);
 
-/// Requests that broke off and wait to be looked into; several times as many as all
-/// engines of a service run.
+/// Maximum number of broken-off requests that wait for a check; several times as many as
+/// all engines of a service run.
 const MOST_WAITING: usize = 4_096;
 
 /// A request that an engine broke off.
 #[derive(Clone, Debug)]
 struct Broken {
-    /// Incarnation of the engine.
+    /// Identifier of the engine's incarnation.
     engine: String,
-    /// Where it serves, if it is still known.
+    /// Address of the engine, if still known.
     address: Option<SocketAddr>,
-    /// What names the request when it comes again.
+    /// Digest that identifies the request when it is sent again.
     digest: RequestDigest,
-    /// Its identifier, this time.
+    /// Identifier of the request in this attempt.
     id: String,
 }
 
-/// Requests that engines broke off, until it shows whether these have ended.
+/// Requests that engines broke off, until it is known whether the engines ended.
 pub(crate) struct Breaks {
     waiting: (Sender<Broken>, Receiver<Broken>),
-    /// Looks at engines that go on, by the request that broke off.
+    /// Number of open checks by the request that broke off.
     looks: RefCell<BTreeMap<RequestDigest, usize>>,
 }
 
@@ -79,7 +81,7 @@
 }
 
 impl Breaks {
-    /// Looks that go on at engines that broke a request off.
+    /// Returns the number of open checks of engines that broke the request off.
     pub fn open_looks(&self, request: &Outbound) -> usize {
         let looks = self.looks.borrow();
         match looks.is_empty() {
@@ -88,7 +90,7 @@
         }
     }
 
-    /// A look has ended.
+    /// Records that a check has ended.
     fn looked(&self, request: &RequestDigest) {
         let mut looks = self.looks.borrow_mut();
         let Some(open) = looks.get_mut(request) else {
@@ -102,7 +104,7 @@
 }
 
 impl GatewayState {
-    /// An engine broke a request off: whether it ended is looked into.
+    /// Starts a check whether an engine that broke a request off has ended.
     pub fn look_into(&self, engine: &str, request: &Outbound) {
         let digest = request.digest();
         let broken = Broken {
@@ -112,7 +114,7 @@
             id: request.id.clone(),
         };
         if self.breaks.waiting.0.try_send(broken).is_err() {
-            warn!(self.logger, "too many requests break off to look into";
+            warn!(self.logger, "too many broken-off requests; skipping the check of an engine";
                 "request" => &request.id, "engine" => engine);
             return;
         }
@@ -121,32 +123,31 @@
     }
 }
 
-/// What a look at an engine tells.
+/// Result of one check of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Look {
-    /// Its port is dead.
+    /// The port refuses connections.
     Dead,
-    /// It has ended for sure.
+    /// The engine has certainly ended.
     Ended,
-    /// It answered since, or ended as planned.
+    /// The engine has answered since, or ended as planned.
     Innocent,
-    /// Its port takes connections.
+    /// The port accepts connections.
     Reached,
-    /// Nothing.
+    /// The check is inconclusive.
     Silent,
 }
 
-/// Engines that broke requests off lately.
+/// Engines that recently broke requests off.
 #[derive(Default)]
 struct Ends {
-    /// Requests by the engine that is being looked at.
+    /// Broken-off requests by the engine being checked.
     open: RefCell<BTreeMap<String, Vec<Broken>>>,
     /// When engines were found to have ended.
     ended: RefCell<BTreeMap<String, Timestamp>>,
 }
 
-/// Finds out whether engines that broke requests off have ended, for as long as it is
-/// polled.
+/// Checks whether engines that broke requests off have ended. Runs until dropped.
 pub(crate) async fn watch_ends(state: Rc<GatewayState>, local: Rc<LocalExecutor<'static>>) {
     let ends = Rc::new(Ends::default());
     while let Ok(broken) = state.breaks.waiting.1.recv().await {
@@ -184,7 +185,7 @@
         .iter()
         .for_each(|one| state.breaks.looked(&one.digest));
     if !ended {
-        info!(state.logger, "engine broke off and did not end"; "engine" => engine,
+        info!(state.logger, "engine broke requests off but did not end"; "engine" => engine,
             "requests" => broken.len());
         return;
     }
@@ -202,7 +203,8 @@
             Look::Ended => return true,
             Look::Innocent => return false,
             Look::Reached if dead == 0 => return false,
-            // Dead before: another incarnation is there, and control nodes say so soon.
+            // If the port refused before, another incarnation is there now, and the control
+            // nodes report it soon.
             Look::Reached | Look::Silent => {}
         }
         if dead >= DEAD_LOOKS {
@@ -239,7 +241,7 @@
     }
 }
 
-/// Blames what an engine ended under.
+/// Blames the requests that an engine was running when it ended.
 fn blame(state: &GatewayState, broken: &[Broken]) {
     let now = state.now();
     for one in broken {
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/events.rs
@@ -1,34 +1,33 @@
-//! Events of a stream, cut out of its bytes.
+//! Parsing of server-sent events.
 
-/// A whole event.
+/// A complete event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Event {
-    /// Its bytes, the empty line behind it included.
+    /// Its bytes, including the terminating empty line.
     pub bytes: Vec<u8>,
     /// Its number.
     pub id: Option<u64>,
-    /// Its data, lines joined.
+    /// Its data lines, joined.
     pub data: String,
 }
 
-/// Longest event.
+/// Maximum length of an event, in bytes.
 const MAX_EVENT_BYTES: usize = 1 << 20;
 
-/// Cuts events out of a stream. What is left of an event that never ends is
-/// dropped with this.
+/// Splits a stream into events. An incomplete event at the end is dropped with the cutter.
 #[derive(Debug, Default)]
 pub(crate) struct EventCutter {
     buffer: Vec<u8>,
 }
 
 impl EventCutter {
-    /// Takes bytes in; `false` when an event is too long.
+    /// Appends bytes and returns `false` if an event is too long.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
         self.buffer.len() <= MAX_EVENT_BYTES
     }
 
-    /// The next whole event.
+    /// Returns the next complete event.
     pub fn next(&mut self) -> Option<Event> {
         let length = event_length(&self.buffer)?;
         let bytes: Vec<u8> = self.buffer.drain(..length).collect();
@@ -36,7 +35,7 @@
     }
 }
 
-/// Bytes up to and with the empty line that ends the first event.
+/// Returns the length of the first event, including the empty line that ends it.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (place, byte) in bytes.iter().enumerate() {
--- a/crates/proxy/src/gateway.rs
+++ b/crates/proxy/src/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway put together.
+//! Assembly of a gateway.
 
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
@@ -30,37 +30,37 @@
 
 /// Pause after an error of the listener.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
-/// Share of the time of a planned stop that is used; the rest is for ending.
+/// Share of the stop time that is used; the rest is for exiting.
 const STOP_SHARE: f64 = 0.97;
-/// Time between two looks at what is still in flight.
+/// Interval between checks for requests still in flight.
 const STOP_POLL: Duration = Duration::from_millis(50);
 
-/// Where a gateway tells its metrics, beside its readiness.
+/// Path of the metrics, on the readiness listener.
 const METRICS_PATH: &str = "/metrics";
 
-/// What a gateway is started with.
+/// Options of a gateway.
 #[derive(Clone, Debug)]
 pub struct GatewayOptions {
-    /// Where the nodes are.
+    /// Addresses of the nodes.
     pub addresses: ClusterAddresses,
-    /// Where this one stands.
+    /// Zone of this gateway.
     pub zone: ZoneName,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub caller_address: SocketAddr,
-    /// Where it is asked whether it is ready.
+    /// Listen address for readiness checks and metrics.
     pub readiness_address: SocketAddr,
-    /// Time between turning unready and closing idle connections, for balancers
-    /// to notice.
+    /// Time between becoming unready and closing idle connections, so that load balancers
+    /// notice.
     pub unready_wait: Duration,
-    /// Longest time of a planned stop.
+    /// Maximum time of a planned stop.
     pub stop_within: Duration,
-    /// A gateway that did not hear from most control nodes for this long refuses
-    /// requests that need a key; none where it goes by the keys that it knows.
+    /// A gateway that has not heard from most control nodes for this long refuses requests
+    /// that need a key; `None` to keep using the keys it knows.
     pub keys_hold_for: Option<Duration>,
-    /// Time behind the acknowledged end of a job from which on none of its items reaches
-    /// an engine.
+    /// Time after the acknowledged end of a job from which on none of its items reaches an
+    /// engine.
     pub withdrawn_within: Duration,
-    /// Its clock.
+    /// Clock of the gateway.
     pub clock: BootClock,
 }
 
@@ -73,7 +73,7 @@
     handed_over: Receiver<()>,
 }
 
-/// Tells whether the gateway is ready, and its metrics.
+/// Serves the readiness check and the metrics.
 struct Readiness<D> {
     state: Rc<GatewayState>,
     dialect: Rc<D>,
@@ -97,7 +97,7 @@
 }
 
 impl Gateway {
-    /// Starts a gateway; its work is done on `executor` and `local`.
+    /// Starts a gateway, which runs on `executor` and `local`.
     ///
     /// # Errors
     /// When an address cannot be used.
@@ -161,8 +161,8 @@
         }))
     }
 
-    /// Stops as planned: unready at once, then no new and no idle connections,
-    /// and the end when nothing is in flight or the time is nearly over.
+    /// Stops as planned: reports unready at once, then closes the listener and idle
+    /// connections, and returns when nothing is in flight or the time is nearly over.
     pub async fn stop(&self) {
         let begun = Instant::now();
         info!(self.logger, "stopping"; "in_flight" => self.state.requests_in_flight(),
@@ -186,8 +186,8 @@
     h1::listen(address).map_err(DaemonError::Listen)
 }
 
-/// Takes connections until a planned stop closes the idle ones: the listener
-/// is closed with this, so that callers who come all the same go elsewhere.
+/// Accepts connections until a planned stop closes the idle ones. The listener is then
+/// closed, so that callers that still connect go elsewhere.
 async fn accept<D: GatewayDialect>(
     state: Rc<GatewayState>,
     dialect: Rc<D>,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,16 +1,15 @@
 //! The gateway of declared configurations.
 //!
-//! A request goes through these steps, each a module: [`dialect`] makes it
-//! typed, `request` finds its route and answers, `dispatch` makes the attempts,
-//! [`queue`] lets those that wait look for engines in turn, `attempt` brings it to one
-//! engine over a connection of `pool` or of `race`, `relay` passes
-//! the answer back, `resume` lets another engine go on with a stream. Batch jobs
-//! are taken and read by `batch::api`, and their items run by `batch::runner`.
-//! What the gateway knows of the cluster is in `state`, and whose a request is and
-//! what its tenant may send in `tenants`. `engine_ends` finds out which engines ended
-//! under requests, `bars` keeps guilty requests from all engines, and `reach` finds out which
-//! zones are out of reach. What operators see
-//! of it in figures is in `metrics`.
+//! A request passes through these modules: [`dialect`] parses it into typed facts,
+//! `request` finds its route and writes the answer, `dispatch` makes the attempts,
+//! [`queue`] decides when a waiting request may pick an engine, `attempt` sends it to
+//! one engine over a connection from `pool` or `race`, `relay` passes the answer to the
+//! caller, and `resume` continues a broken stream at another engine. `batch::api` accepts
+//! and reads batch jobs, and `batch::runner` runs their items. `state` holds the gateway's
+//! view of the cluster; `tenants` identifies the tenant of a request and applies its rate
+//! limit. `engine_ends` detects engines that ended while they ran requests, `bars` keeps
+//! the requests that cause this away from all engines, and `reach` detects unreachable
+//! zones. `metrics` exports the figures for operators.
 
 mod attempt;
 mod bars;
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,6 +1,6 @@
-//! What a gateway counts for operators, in the Prometheus text format.
+//! Metrics of a gateway for operators, in the Prometheus text format.
 //!
-//! Each part of the gateway that decides has a group of its own here.
+//! Each decision-making part of the gateway has its own group.
 
 mod batch;
 mod pace;
@@ -22,13 +22,13 @@
 use self::room::RoomMetrics;
 use crate::dialect::Refusal;
 
-/// Upper bounds of the buckets of waits, in seconds.
+/// Upper bounds of the wait histograms' buckets, in seconds.
 const WAIT_BOUNDS: [f64; 10] = [0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.3, 0.5, 1.0, 2.0];
 
 /// One label of a counter.
 type Label = [(&'static str, &'static str); 1];
 
-/// What a gateway counts.
+/// Metrics of a gateway.
 #[derive(Clone, Debug)]
 pub(crate) struct GatewayMetrics {
     registry: Metrics,
@@ -36,13 +36,13 @@
     waits: Histogram,
     held_back: Counter,
     unusable_engines: Counter,
-    /// Of room at engines.
+    /// Capacity of engines.
     pub room: RoomMetrics,
-    /// Figures of batch work.
+    /// Batch work.
     pub batch: BatchMetrics,
-    /// Figures of engines' paces.
+    /// Work times at engines.
     pub pace: PaceMetrics,
-    /// Of what is out of reach.
+    /// Reachability of zones.
     pub reach: ReachMetrics,
     /// Requests that wait for an engine.
     pub queue: QueueMetrics,
@@ -84,29 +84,29 @@
 }
 
 impl GatewayMetrics {
-    /// All of them as text.
+    /// Returns all metrics as text.
     pub fn encode(&self) -> String {
         self.registry.encode()
     }
 
-    /// The gateway answered a request itself.
+    /// Counts a request that the gateway answered itself.
     pub fn refused(&self, refusal: Refusal) {
         self.refusals
             .get_or_create(&[("reason", reason(refusal))])
             .inc();
     }
 
-    /// The stores are silent, and batch items do not go to engines.
+    /// Counts that batch items were held back because the stores were silent.
     pub fn batch_held_back(&self) {
         self.held_back.inc();
     }
 
-    /// An engine was told that has no usable address.
+    /// Counts a reported engine without a usable address.
     pub fn unusable_engine(&self) {
         self.unusable_engines.inc();
     }
 
-    /// An engine was chosen for the first attempt of a request.
+    /// Records the wait until an engine was chosen for a request's first attempt.
     pub fn waited(&self, wait: Duration) {
         self.waits.observe(wait.as_secs_f64());
     }
--- a/crates/proxy/src/metrics/batch.rs
+++ b/crates/proxy/src/metrics/batch.rs
@@ -1,10 +1,10 @@
-//! Batch work beside online work.
+//! Metrics of batch work that runs beside online work.
 
 use molespan_telemetry::Metrics;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 
-/// Figures of batch work.
+/// Batch metrics.
 #[derive(Clone, Debug)]
 pub(crate) struct BatchMetrics {
     cuts: Counter,
@@ -25,12 +25,12 @@
         }
     }
 
-    /// Runs gave way.
+    /// Counts preempted runs.
     pub fn cut(&self, runs: u64) {
         self.cuts.inc_by(runs);
     }
 
-    /// Slots that are left free now.
+    /// Sets the number of slots that batch work leaves free.
     pub fn kept(&self, slots: f64) {
         self.kept.set(slots.round() as i64);
     }
--- a/crates/proxy/src/metrics/pace.rs
+++ b/crates/proxy/src/metrics/pace.rs
@@ -1,4 +1,4 @@
-//! How long work takes at engines.
+//! Metrics of work times at engines.
 
 use molespan_routing::dispatch::{LoadFault, PaceFigures};
 use molespan_telemetry::Metrics;
@@ -8,7 +8,7 @@
 
 use super::Label;
 
-/// Figures of engines' paces.
+/// Work time metrics; a pace is an engine's work time relative to the usual one.
 #[derive(Clone, Debug)]
 pub(crate) struct PaceMetrics {
     median: Gauge,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Paces of all engines now.
+    /// Sets the current paces of all engines.
     pub fn set(&self, figures: PaceFigures) {
         let percent = |pace: f64| (pace * 100.0).round() as i64;
         self.median.set(percent(figures.median));
@@ -48,7 +48,7 @@
         self.slow.set(i64::from(figures.slow));
     }
 
-    /// A load report made no sense.
+    /// Counts an implausible load report.
     pub fn fault(&self, fault: LoadFault) {
         let part = match fault {
             LoadFault::Load => "load",
--- a/crates/proxy/src/metrics/queue.rs
+++ b/crates/proxy/src/metrics/queue.rs
@@ -1,4 +1,4 @@
-//! What is counted of requests that wait for an engine.
+//! Metrics of requests that wait for an engine.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use super::{Label, WAIT_BOUNDS};
 
-/// Of the queues of all services.
+/// Metrics of the queues of all services.
 #[derive(Clone, Debug)]
 pub(crate) struct QueueMetrics {
     waits: Family<Label, Histogram, fn() -> Histogram>,
@@ -48,7 +48,8 @@
         }
     }
 
-    /// An engine was chosen for a request that came so long ago.
+    /// Records that an engine was chosen for a request of age `age`; `error` is the error
+    /// of the forecast wait.
     pub fn began(&self, in_time: bool, age: Duration, error: Option<Duration>) {
         let waits = self.waits.get_or_create(&standing(in_time));
         waits.observe(age.as_secs_f64());
@@ -57,7 +58,7 @@
         }
     }
 
-    /// A request was refused.
+    /// Counts a refused request.
     pub fn refused(&self, reason: Reason) {
         let reason = match reason {
             Reason::Full => "full",
@@ -68,7 +69,7 @@
         self.refusals.get_or_create(&[("reason", reason)]).inc();
     }
 
-    /// So many wait now, and so many of them can be in time.
+    /// Sets the number of waiting requests and how many of them can still be in time.
     pub fn lengths(&self, waiting: usize, in_time: usize) {
         for (standing, count) in [
             (standing(true), in_time),
--- a/crates/proxy/src/metrics/reach.rs
+++ b/crates/proxy/src/metrics/reach.rs
@@ -1,4 +1,4 @@
-//! Figures of what is out of reach.
+//! Metrics of zone reachability.
 
 use molespan_telemetry::Metrics;
 use prometheus_client::metrics::counter::Counter;
@@ -7,7 +7,7 @@
 
 use super::Label;
 
-/// What a gateway counts of zones out of reach and of slow connects.
+/// Metrics of unreachable zones and slow connects.
 #[derive(Clone, Debug)]
 pub(crate) struct ReachMetrics {
     zones_out: Gauge,
@@ -17,7 +17,7 @@
 }
 
 impl ReachMetrics {
-    /// None counted yet.
+    /// Registers the metrics.
     pub fn new(registry: &Metrics) -> Self {
         Self {
             zones_out: registry.gauge(
@@ -42,17 +42,17 @@
         }
     }
 
-    /// So many zones are out of reach.
+    /// Sets the number of unreachable zones.
     pub fn out(&self, zones: usize) {
         self.zones_out.set(zones as i64);
     }
 
-    /// A zone went out of reach, or came back.
+    /// Counts a zone that became unreachable or reachable again.
     pub fn changed(&self, to: &'static str) {
         self.changes.get_or_create(&[("to", to)]).inc();
     }
 
-    /// A connect without a request came up or did not.
+    /// Counts a probe connect and whether it succeeded.
     pub fn probed(&self, up: bool) {
         let outcome = match up {
             true => "up",
@@ -61,7 +61,8 @@
         self.probes.get_or_create(&[("outcome", outcome)]).inc();
     }
 
-    /// Two connects were raced; `won` says which was up first, if any.
+    /// Counts a race of two connects; `won` is the index of the first to connect, if any
+    /// did.
     pub fn raced(&self, won: Option<usize>) {
         let won = match won {
             Some(0) => "first",
--- a/crates/proxy/src/metrics/room.rs
+++ b/crates/proxy/src/metrics/room.rs
@@ -1,4 +1,5 @@
-//! Room at engines: who wants it, which part of it is this gateway's, and who found none.
+//! Metrics of engine capacity: the demand for it, this gateway's share, and rejected
+//! attempts.
 
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
@@ -12,17 +13,17 @@
 
 use super::WAIT_BOUNDS;
 
-/// Seconds that told requests came in.
+/// Period over which [`ServiceDemand`] counts requests, in seconds.
 const ASKED_SECONDS: f64 = 1_000.0;
 
-/// The service of a counter.
+/// Label with the service.
 type ServiceLabel = [(&'static str, String); 1];
-/// The service of a gauge, and what it tells of it.
+/// Labels with the service and the kind of demand.
 type DemandLabels = [(&'static str, String); 2];
-/// A gauge of a part.
+/// A gauge with a fractional value.
 type Level = Gauge<f64, AtomicU64>;
 
-/// What is counted of room at engines.
+/// Capacity metrics.
 #[derive(Clone, Debug)]
 pub(crate) struct RoomMetrics {
     turned_away: Family<ServiceLabel, Counter>,
@@ -57,8 +58,8 @@
         }
     }
 
-    /// This gateway tells its demand for a service, and has such a part of the room; `None`
-    /// while parts go by what runs.
+    /// Sets the demand that this gateway reports for a service, and its share of the
+    /// capacity; `None` while shares are not by demand.
     pub fn tells(&self, demand: &ServiceDemand, part: Option<f64>) {
         let of = |what: &str| {
             let labels = [
@@ -80,19 +81,20 @@
         }
     }
 
-    /// Other services are served from now on.
+    /// Removes the metrics of services that may no longer be served.
     pub fn forget_services(&self) {
         self.demand.clear();
         self.parts.clear();
     }
 
-    /// An engine of the service had no room for a request.
+    /// Counts an attempt that an engine of the service had no capacity for.
     pub fn turned_away(&self, service: &str) {
         let label = [("service", service.to_owned())];
         self.turned_away.get_or_create(&label).inc();
     }
 
-    /// An engine answered a request that was turned away before, so long after it came.
+    /// Records the time from arrival until an engine accepted a request that had been
+    /// rejected before.
     pub fn waited(&self, wait: Duration) {
         self.waits.observe(wait.as_secs_f64());
     }
--- a/crates/proxy/src/pace.rs
+++ b/crates/proxy/src/pace.rs
@@ -1,4 +1,4 @@
-//! How long work takes at engines: measured in answers that pass here, and told to
+//! Work times at engines: measured from the answers that pass through, and reported to
 //! operators.
 
 use std::cell::{Cell, RefCell};
@@ -10,13 +10,13 @@
 
 use crate::state::GatewayState;
 
-/// Time between two lines on load reports that make no sense.
+/// Interval between log lines about implausible load reports.
 const FAULTS_TOLD_EVERY: Duration = Duration::from_secs(10);
-/// Time behind an event until the next one is waited for, beyond which the time between
-/// them says how fast the caller reads.
+/// If a piece is awaited only after this time has passed since the last event, the interval
+/// between the two measures how fast the caller reads.
 const CALLER_HOLDS_UP: Duration = Duration::from_millis(5);
 
-/// Events of one answer, and the time between them.
+/// Measures the time between events of one answer.
 #[derive(Debug, Default)]
 pub(crate) struct EventTimes {
     last: Option<Timestamp>,
@@ -24,13 +24,14 @@
 }
 
 impl EventTimes {
-    /// The next piece is waited for from now on.
+    /// Records that the next piece is awaited from now on.
     pub fn waits(&mut self, now: Timestamp) {
         let last = self.last;
         self.held_up = last.is_some_and(|last| now.since(last) > CALLER_HOLDS_UP);
     }
 
-    /// A piece came: how many events end in it, and the time that they took.
+    /// Records a piece; returns how many events end in it and the time they took, or `None`
+    /// if the time is unknown or measures the caller.
     pub fn came(&mut self, piece: &[u8], now: Timestamp) -> Option<(u32, Duration)> {
         let events = event_ends(piece);
         if events == 0 {
@@ -41,8 +42,8 @@
     }
 }
 
-/// Empty lines in a piece of a stream. One that is cut in two is not seen; its time is
-/// part of the next one's.
+/// Counts the empty lines in a piece of a stream. One that is split across two pieces is
+/// missed, and its time is counted for the next event.
 fn event_ends(piece: &[u8]) -> u32 {
     let mut ends = 0;
     let mut line_is_empty = false;
@@ -60,7 +61,7 @@
     ends
 }
 
-/// What operators were told of engines' paces.
+/// What was reported to operators about engines' paces.
 #[derive(Debug, Default)]
 pub(crate) struct PaceWatch {
     slow: RefCell<SlowWatch>,
@@ -68,7 +69,7 @@
     faults_told: Cell<Option<Timestamp>>,
 }
 
-/// Tells operators what is new of engines' paces.
+/// Reports changes of engines' paces to operators.
 pub(crate) fn look(state: &GatewayState) {
     let now = state.now();
     let engines = state.engines.borrow();
@@ -87,13 +88,13 @@
                 info!(state.logger, "engine no longer slow"; "engine" => engine);
             }
             SlowChange::More(more) => {
-                info!(state.logger, "more engines slow or no longer"; "engines" => more);
+                info!(state.logger, "further engines became slow or normal"; "engines" => more);
             }
         }
     }
 }
 
-/// An engine's load report made no sense.
+/// Records an implausible load report of an engine.
 pub(crate) fn note_fault(state: &GatewayState, engine: &str, fault: LoadFault) {
     state.metrics.pace.fault(fault);
     let watch = &state.pace;
@@ -106,6 +107,6 @@
     }
     watch.faults_told.set(Some(now));
     watch.faults.set(0);
-    warn!(state.logger, "load report makes no sense"; "engine" => engine,
+    warn!(state.logger, "implausible load report"; "engine" => engine,
         "fault" => ?fault, "reports" => faults);
 }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to engines.
+//! Pool of idle connections to engines.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -8,16 +8,16 @@
 use molespan_http::h1::{Connection, Presence};
 use molespan_types::{EngineLife, Timestamp};
 
-/// How long a connection is kept where the engine does not say how long it
-/// does.
+/// How long an idle connection is kept if the engine does not state its own keep-alive
+/// time.
 const DEFAULT_IDLE: Duration = Duration::from_secs(3);
-/// Share of the time that an engine keeps an idle connection during which it
-/// is used again; a request that crosses the engine's close may be lost.
+/// Share of the engine's keep-alive time during which a connection is reused; a request
+/// that crosses the engine's close may be lost.
 const USED_SHARE: f64 = 0.6;
-/// Most idle connections to one engine.
+/// Maximum number of idle connections to one engine.
 const MOST_IDLE: usize = 32;
-/// Time between two looks for connections that are not used again: an engine that gets no
-/// other request from this gateway would else hold a descriptor here for good.
+/// Interval between sweeps for expired connections: an engine that gets no other request
+/// from this gateway would otherwise hold a descriptor here forever.
 const SWEPT_EVERY: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
@@ -34,7 +34,7 @@
 }
 
 impl Pool {
-    /// A connection on which nothing is under way.
+    /// Returns a usable idle connection to an engine.
     pub async fn take(&self, engine: &str, clock: &BootClock) -> Option<Connection> {
         loop {
             let idle = self.idle.borrow_mut().get_mut(engine)?.pop()?;
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Closes the idle connections to an engine that left, in that life and before.
+    /// Closes the idle connections to an engine that left, in this and earlier
+    /// incarnations.
     pub fn forget_departed(&self, departed: &str) {
         let departed = EngineLife::of(departed);
         let mut idle = self.idle.borrow_mut();
--- a/crates/proxy/src/queue.rs
+++ b/crates/proxy/src/queue.rs
@@ -1,4 +1,5 @@
-//! Online requests that wait for an engine, woken when it is their turn to look.
+//! Queue of online requests that wait for an engine; each is woken when it has the turn to
+//! pick one.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,22 +13,22 @@
 use molespan_routing::queue::{Limits, Place, Queue, Refused, Turn, Want};
 use molespan_types::Timestamp;
 
-/// Time between two looks of a request that can still be in time.
+/// Interval at which a request that can still be in time tries to pick an engine.
 const LOOK_AGAIN: Duration = Duration::from_millis(8);
-/// The same for a late one, which has more time.
+/// The same for a late request, which is less urgent.
 const LOOK_AGAIN_LATE: Duration = Duration::from_millis(20);
 
-/// The queue of one service, and those who wait in it.
+/// The queue of one service and its waiting requests.
 #[derive(Debug)]
 pub struct ServiceQueue {
     queue: RefCell<Queue>,
     seats: RefCell<BTreeMap<Place, Seat>>,
-    /// Who has the turn.
+    /// Requests that have the turn.
     lookers: RefCell<Vec<Place>>,
     clock: BootClock,
 }
 
-/// Where one that waits is woken.
+/// Wake-up state of a waiting request.
 #[derive(Debug)]
 struct Seat {
     wake: Sender<()>,
@@ -35,30 +36,30 @@
     refused: Option<Refused>,
 }
 
-/// What the wait of a request came to.
+/// Result of waiting.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Woken {
-    /// It may look for an engine.
+    /// The request may pick an engine.
     Looks(Turn),
-    /// Its turn cannot come.
+    /// The request's turn cannot come.
     Refused(Refused),
 }
 
-/// A request that waits, until it is dropped.
+/// A waiting request; it leaves the queue when dropped.
 #[derive(Debug)]
 pub struct Waiter {
     queue: Rc<ServiceQueue>,
     place: Place,
     wake: Receiver<()>,
-    /// Whether it looked since it was woken.
+    /// Whether it has been allowed to pick since it was woken.
     looked: Cell<bool>,
-    /// Since when it waits, and how long that was expected to take.
+    /// When the wait began, and how long it was expected to take.
     since: Timestamp,
     expected: Option<Duration>,
 }
 
 impl ServiceQueue {
-    /// An empty one.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new(limits: Limits, clock: BootClock) -> Rc<Self> {
         Rc::new(Self {
@@ -69,7 +70,7 @@
         })
     }
 
-    /// A request wants an engine.
+    /// Adds a request that needs an engine.
     ///
     /// # Errors
     /// When its turn cannot come.
@@ -96,7 +97,7 @@
         Ok(waiter)
     }
 
-    /// There may be room: whoever has the turn looks at once.
+    /// Wakes all requests that have the turn, since an engine may have capacity.
     pub fn look(&self) {
         self.update();
         let seats = self.seats.borrow();
@@ -107,37 +108,38 @@
         }
     }
 
-    /// A request takes a slot of an engine.
+    /// Records that a request starts to use a slot of an engine.
     pub fn started(&self) {
         self.queue.borrow_mut().started();
     }
 
-    /// One leaves it, and held it for so long if it began. Whoever has the turn looks.
+    /// Records that a request leaves an engine, and how long it held a slot if it began.
+    /// Wakes the requests that have the turn.
     pub fn ended(&self, held: Option<Duration>) {
         self.queue.borrow_mut().ended(held);
         self.look();
     }
 
-    /// Requests that wait, and how many of them can still be in time.
+    /// Returns the number of waiting requests and how many of them can still be in time.
     #[must_use]
     pub fn lengths(&self) -> (usize, usize) {
         let queue = self.queue.borrow();
         (queue.len(), queue.in_time())
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.queue.borrow().is_empty()
     }
 
-    /// When a request that comes now would have its turn at the latest.
+    /// Returns the longest time after which a request that arrives now would have its turn.
     #[must_use]
     pub fn room_in(&self) -> Option<Duration> {
         self.queue.borrow().room_in(self.clock.now())
     }
 
-    /// Gives out turns and refusals as they stand now.
+    /// Updates turns and refusals to the current time.
     fn update(&self) {
         let now = self.clock.now();
         let refused = self.queue.borrow_mut().sweep(now);
@@ -176,7 +178,7 @@
 }
 
 impl Waiter {
-    /// Waits until it is to look again, or is refused.
+    /// Waits until the request may pick an engine (again) or is refused.
     pub async fn woken(&self) -> Woken {
         loop {
             let (turn, refused) = self.state();
@@ -185,7 +187,7 @@
             }
             match turn {
                 Some(turn) if !self.looked.replace(true) => {
-                    // This look is what it was woken for.
+                    // Consumes the wake-up that is answered here.
                     let _woken = self.wake.try_recv();
                     return Woken::Looks(turn);
                 }
@@ -202,8 +204,7 @@
         }
     }
 
-    /// An engine was found. Says whether it was in time, and how far the wait was from
-    /// what was expected.
+    /// Ends the wait because an engine was found.
     #[must_use]
     pub fn begins(self) -> Begun {
         let now = self.queue.clock.now();
@@ -221,7 +222,7 @@
         seat.map_or((None, None), |seat| (seat.turn, seat.refused))
     }
 
-    /// Waits for the next look of one that has the turn.
+    /// Waits until a request that has the turn may pick again.
     async fn rest(&self, turn: Turn) {
         let again = match turn.in_time {
             true => LOOK_AGAIN,
@@ -238,7 +239,7 @@
 }
 
 impl Drop for Waiter {
-    /// Whoever no longer waits makes room for the next one.
+    /// Leaves the queue and updates the turns, so that the next request gets one.
     fn drop(&mut self) {
         self.queue.seats.borrow_mut().remove(&self.place);
         let now = self.queue.clock.now();
@@ -247,11 +248,11 @@
     }
 }
 
-/// The end of a wait.
+/// The result of a successful wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Begun {
-    /// Whether it can be in time.
+    /// Whether the request can be in time.
     pub in_time: bool,
-    /// How far the wait was from what was expected of it.
+    /// Absolute difference between the actual and the expected wait.
     pub error: Option<Duration>,
 }
--- a/crates/proxy/src/race.rs
+++ b/crates/proxy/src/race.rs
@@ -1,6 +1,6 @@
-//! A connection to an engine, raced with one to another engine where the first is slow.
+//! Connects to an engine, and to a second one in parallel if the first is slow.
 //!
-//! A connect writes nothing, so that the request runs at one of them only.
+//! Connecting writes no data, so the request runs at only one of them.
 
 use std::future::{Future, poll_fn};
 use std::pin::{Pin, pin};
@@ -19,18 +19,17 @@
 use crate::batch::give_way;
 use crate::state::{GatewayState, Occupied};
 
-/// Longest time for a new connection to an engine.
+/// Timeout for a new connection to an engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A connection to an engine at which a request is counted.
+/// A connection to an engine at which the request is counted.
 pub(crate) struct Link {
     pub connection: Connection,
     pub occupied: Occupied,
 }
 
-/// A connection to the engine that was picked, or to the one that `another` picks where
-/// that is up sooner: `picked` is the engine of the connection then. `None` where no
-/// engine could be reached.
+/// Returns a connection to the picked engine, or to one picked by `another` if that
+/// connects first; `picked` is then replaced. Returns `None` if no engine could be reached.
 pub(crate) async fn link(
     state: &Rc<GatewayState>,
     picked: &mut Picked,
@@ -80,13 +79,13 @@
 fn occupy(state: &Rc<GatewayState>, picked: &Picked, class: WorkClass) -> Occupied {
     let occupied = state.occupy(picked, class);
     if class == WorkClass::Online {
-        // This request is counted by now, so that it finds a slot.
+        // This request is already counted, so that preemption frees a slot for it.
         give_way(state);
     }
     occupied
 }
 
-/// What a connect comes to unless it is slow.
+/// Returns the result of a connect, or `None` if it takes longer than `slow`.
 async fn before<F: Future + Unpin>(connect: &mut F, slow: Option<Duration>) -> Option<F::Output> {
     let connected = async { Some(connect.await) };
     let Some(slow) = slow else {
@@ -99,7 +98,7 @@
     future::or(connected, late).await
 }
 
-/// The connection that is up first, and its place.
+/// Returns the first connection that succeeds, and its index.
 async fn first_up<F>(connects: [Pin<Box<F>>; 2]) -> Option<(usize, Connection)>
 where
     F: Future<Output = Option<Connection>>,
@@ -127,7 +126,7 @@
     .await
 }
 
-/// A connection to an engine, kept from before or new. That none came up is noted.
+/// Returns a pooled or new connection to an engine, and records a failed connect.
 async fn open(
     state: &Rc<GatewayState>,
     engine: EngineFacts,
--- a/crates/proxy/src/reach.rs
+++ b/crates/proxy/src/reach.rs
@@ -1,7 +1,7 @@
-//! Finding out which zones are out of reach, and when they are back.
+//! Detects which zones are unreachable and when they are reachable again.
 //!
-//! What requests see of engines is noted here, and connects that write nothing are made
-//! where the decisions ask for them.
+//! Records what requests observe of engines, and makes probe connects, which write no data,
+//! where the routing table asks for them.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -19,20 +19,20 @@
 
 use crate::state::GatewayState;
 
-/// Looks that wait to be made; at most one a zone is asked for at a time.
+/// Maximum number of queued probe requests; at most one per zone is made at a time.
 const MOST_WAITING: usize = 64;
-/// Time between two questions what to connect to while a zone is out of reach: a part of
-/// the time between two connects.
+/// Interval at which due probes are collected while a zone is unreachable; a fraction of
+/// the interval between probes.
 const TICK: Duration = Duration::from_millis(20);
 
 type Wakeup = (Sender<()>, Receiver<()>);
 
-/// What is to be looked at, and who waits for changes.
+/// Queued probes, and the wake-up of requests that wait for reachability changes.
 pub(crate) struct Reach {
     looks: (Sender<Vec<Probe>>, Receiver<Vec<Probe>>),
-    /// Closed when a zone goes out of reach, and replaced.
+    /// Closed and replaced when a zone becomes unreachable.
     went_out: RefCell<Wakeup>,
-    /// What others tell where gateways tell each other directly.
+    /// Reports of other gateways, where gateways report to each other directly.
     told: RefCell<ReachRelay>,
 }
 
@@ -47,7 +47,7 @@
 }
 
 impl GatewayState {
-    /// An engine may be out of reach: whether its zone is, is looked into.
+    /// Checks whether the zone of an engine that may be unreachable is unreachable.
     pub fn doubt(&self, engine: &str, doubt: Doubt) {
         let now = self.now();
         let probes = self.engines.borrow_mut().doubt(engine, doubt, now);
@@ -58,11 +58,14 @@
 
     fn look_at(&self, probes: Vec<Probe>) {
         if self.reach.looks.0.try_send(probes).is_err() {
-            warn!(self.logger, "too many engines to look at");
+            warn!(
+                self.logger,
+                "too many queued probes of engines; dropping a request"
+            );
         }
     }
 
-    /// An attempt that `began` then did not reach an engine.
+    /// Records that an attempt that started at `began` did not reach an engine.
     pub fn note_unreached(&self, engine: &str, began: Timestamp) {
         let now = self.now();
         self.engines.borrow_mut().unreached(engine, began, now);
@@ -70,14 +73,15 @@
         self.doubt(engine, Doubt::Failed);
     }
 
-    /// An attempt that `began` then reached an engine.
+    /// Records that an attempt that started at `began` reached an engine.
     pub fn note_reached(&self, engine: &str, began: Timestamp, by: Sign) {
         let now = self.now();
         self.engines.borrow_mut().reached(engine, began, by, now);
         self.note_reach_changes();
     }
 
-    /// Another gateway, or a relay for all others, tells of zones out of reach.
+    /// Records a report of unreachable zones from another gateway, or from a relay for all
+    /// others.
     pub fn note_reach_told(&self, from: NodeId, relayed: bool, told: Vec<ReachTelling>) {
         let now = self.now();
         let told = match relayed {
@@ -99,7 +103,7 @@
         }
     }
 
-    /// Waits until the zone of an engine is found out of reach here.
+    /// Waits until this gateway finds the zone of an engine unreachable.
     pub async fn out_of_reach(&self, engine: &str) {
         while !self.engines.borrow().was_found_out_of_reach(engine) {
             let went_out = self.reach.went_out.borrow().1.clone();
@@ -126,12 +130,13 @@
                 self.write_out_of_reach(zone.as_str(), evidence);
                 self.metrics.reach.changed("out");
                 self.wake_waiting();
-                // Wakes the one who connects there from now on, and the one who tells.
+                // Wakes the prober, which probes the zone from now on, and then the sender
+                // of reports.
                 self.look_at(Vec::new());
                 self.tell_soon();
             }
             Change::Confirmed { zone, after } => {
-                info!(self.logger, "zone out of reach, seen here too"; "zone" => zone.as_str(),
+                info!(self.logger, "zone out of reach, confirmed here"; "zone" => zone.as_str(),
                     "after_ms" => after.as_millis() as u64);
                 self.wake_waiting();
                 self.tell_soon();
@@ -146,7 +151,7 @@
 }
 
 impl GatewayState {
-    /// Wakes those who wait for an answer from a zone that is out of reach.
+    /// Wakes the requests that wait for an answer from an unreachable zone.
     fn wake_waiting(&self) {
         let next = async_channel::bounded(1);
         let (woken, _) = self.reach.went_out.replace(next);
@@ -167,7 +172,7 @@
     }
 }
 
-/// Connects to engines as asked, for as long as it is polled.
+/// Makes the requested and due probe connects. Runs until dropped.
 pub(crate) async fn watch_reach(state: Rc<GatewayState>, local: Rc<LocalExecutor<'static>>) {
     loop {
         let asked = async { state.reach.looks.1.recv().await.unwrap_or_default() };
@@ -182,7 +187,7 @@
     }
 }
 
-/// What is to be connected to since its zone is out of reach.
+/// Returns the due probes of unreachable zones.
 async fn due(state: &GatewayState) -> Vec<Probe> {
     Timer::after(TICK).await;
     let now = state.now();
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -1,4 +1,4 @@
-//! Passing an engine's answer on to the caller.
+//! Relays an engine's answer to the caller.
 
 use std::future::Future;
 use std::pin::pin;
@@ -12,12 +12,12 @@
 use crate::attempt::{EngineBody, EngineReply};
 use crate::state::GatewayState;
 
-/// How passing an answer on ended.
+/// How relaying an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Relayed {
     /// The caller has the whole answer.
     Whole,
-    /// The caller left.
+    /// The caller disconnected.
     CallerGone,
     /// The engine broke off; the caller's connection must be closed.
     EngineBroke,
@@ -25,25 +25,25 @@
     TimeOver,
 }
 
-/// What happened first.
+/// The first event while waiting for a piece.
 pub(crate) enum Next {
     /// A piece of the body, or its end.
     Piece(Result<Option<Vec<u8>>, BodyError>),
     TimeOver,
 }
 
-/// How the body goes to the caller.
+/// How the body is framed for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallerFraming {
-    /// As it is, for a body whose length the head tells or that is empty.
+    /// Unchanged, for a body that is empty or whose length the head states.
     Plain,
     /// In chunks.
     Chunked,
-    /// Until the connection closes, for a caller of HTTP/1.0.
+    /// Until the connection closes, for an HTTP/1.0 caller.
     UntilClose,
 }
 
-/// The head for the caller, and how the body follows.
+/// Returns the head for the caller and the framing of the body.
 pub(crate) fn caller_head(
     head: &ResponseHead,
     framing: Framing,
@@ -78,8 +78,8 @@
     )
 }
 
-/// The next piece of an answer, unless the time is over. A caller that leaves
-/// ends the whole request, which watches it.
+/// Returns the next piece of an answer, unless the request's time is over. Disconnects of
+/// the caller are detected for the request as a whole, not here.
 pub(crate) async fn next_piece(
     body: &mut EngineBody,
     time: &mut (impl Future<Output = ()> + Unpin),
@@ -92,7 +92,7 @@
     future::or(piece, late).await
 }
 
-/// Writes to the caller, within the request's time.
+/// Writes to the caller within the request's time.
 pub(crate) async fn write(
     state: &GatewayState,
     caller: &Connection,
@@ -107,7 +107,7 @@
     future::or(writing, late).await
 }
 
-/// Passes a whole answer on, byte for byte.
+/// Relays a whole answer unchanged.
 pub(crate) async fn relay(
     state: &Rc<GatewayState>,
     reply: EngineReply,
@@ -121,7 +121,7 @@
     let mut waiting = bytes;
     let mut time = pin!(state.clock.wait_until(ends));
     loop {
-        // A piece that is there already goes out with the head.
+        // A piece that is already available is sent together with the head.
         let piece = match next_piece(&mut body, &mut time).await {
             Next::Piece(Ok(piece)) => piece,
             Next::Piece(Err(_)) => {
@@ -151,7 +151,7 @@
     }
 }
 
-/// Adds a piece of the body in the caller's framing.
+/// Appends a piece of the body in the caller's framing.
 pub(crate) fn append(target: &mut Vec<u8>, piece: &[u8], framing: CallerFraming) {
     match framing {
         CallerFraming::Chunked if piece.is_empty() => {}
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request: its route, and the answer to it.
+//! Serving a caller's request: routing and answering.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,18 +17,18 @@
 use crate::resume::relay_resumable;
 use crate::state::{GatewayState, InForce};
 
-/// When a caller should come back to a gateway that knows too little: an election
-/// and a watch take about as long.
+/// Retry delay for a caller of a gateway without current configuration; an election and a
+/// watch take about as long.
 pub(crate) const KNOWS_SOON: Duration = Duration::from_millis(1_200);
-/// An answer in whole is held up to this length, so that a request that may be
-/// repeated can be when its engine breaks off.
+/// Maximum size, in bytes, of an answer that is buffered completely before it is relayed,
+/// so that a repeatable request can be retried if its engine breaks off.
 const HELD_BYTES: u64 = 256 << 10;
 
-/// A request of a caller that was read whole.
+/// A completely read request of a caller.
 pub(crate) struct CallerRequest {
     pub head: RequestHead,
     pub body: Vec<u8>,
-    /// When its head was there.
+    /// When the head had arrived.
     pub arrived: Timestamp,
 }
 
@@ -70,7 +70,7 @@
     let tenant = match state.tenant(&in_force, credential, route.anonymous) {
         Ok(tenant) => tenant,
         Err(refusal) => {
-            info!(state.logger, "key refused"; "route" => &route.name, "refusal" => ?refusal,
+            info!(state.logger, "key refused by the tenant check"; "route" => &route.name, "refusal" => ?refusal,
                 "version" => in_force.version);
             return refuse(state, dialect, caller, refusal, keep_alive).await;
         }
@@ -90,14 +90,14 @@
         caller.gone().await;
         After::Close
     };
-    // The answer goes first: while it is written the caller is watched too.
+    // The answer is polled first; the caller is also watched while it is written.
     future::or(served, gone).await
 }
 
-/// The attempts of a request that its tenant may send.
+/// Prepares the attempts of a request, if its tenant may send it.
 ///
 /// # Errors
-/// When it may not, or no service is left for it.
+/// When the tenant may not, or no service is left for the request.
 fn dispatch<'a, D: GatewayDialect>(
     state: &'a Rc<GatewayState>,
     dialect: &'a D,
@@ -119,10 +119,10 @@
     Ok(dispatch)
 }
 
-/// Whether a request carries the key that it needs, as far as its head tells.
+/// Checks the key of a request as far as its head allows.
 ///
 /// # Errors
-/// When it does not.
+/// When the request lacks a key that it needs.
 pub(crate) fn check_key<D: GatewayDialect>(
     state: &GatewayState,
     dialect: &D,
@@ -187,7 +187,7 @@
                 self.state.note_whole(&self.outbound);
             }
             if ended != Relayed::Whole {
-                info!(self.state.logger, "answer not whole";
+                info!(self.state.logger, "answer not relayed completely";
                     "request" => &self.outbound.id, "digest" => %self.outbound.digest(),
                     "ended" => ?ended, "runs" => self.runs);
             }
@@ -198,8 +198,8 @@
         }
     }
 
-    /// Reads a short answer whole before passing it on; `None` when its engine
-    /// broke off and another one may run the request.
+    /// Reads a short answer completely before relaying it; `None` if its engine broke off
+    /// and another one may run the request.
     async fn relay_held(
         &mut self,
         reply: EngineReply,
@@ -247,7 +247,7 @@
             let now = self.state.now();
             self.state.tenants.borrow_mut().give_back(tenant, now);
         }
-        info!(self.state.logger, "refused"; "request" => &self.outbound.id,
+        info!(self.state.logger, "request refused"; "request" => &self.outbound.id,
             "refusal" => ?refusal, "runs" => self.runs, "turned_away" => self.turned_away,
             "after_ms" => self.age().as_millis() as u64);
         refuse(self.state, self.dialect, caller, refusal, keep_alive).await
--- a/crates/proxy/src/resume.rs
+++ b/crates/proxy/src/resume.rs
@@ -1,8 +1,8 @@
-//! Passing on a stream that another engine may go on with.
+//! Relays a stream that another engine may continue.
 //!
-//! Only whole events go to the caller. When the engine breaks off, the next one
-//! is asked to go on behind the last event that was passed on; the head and the
-//! signature stay those of the first engine.
+//! Only complete events are sent to the caller. If the engine breaks off, the next one is
+//! asked to continue after the last event sent; the head and the signature remain those of
+//! the first engine.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -19,35 +19,35 @@
 use crate::silence::Silence;
 use crate::state::GatewayState;
 
-/// Silences between events, as a multiple of the longest pause in time, after
-/// which another engine goes on.
+/// Multiple of the route's target gap between events after which a silent engine is
+/// replaced.
 const SILENT_PAUSES: u32 = 3;
-/// Longest pause between events where the route does not say.
+/// Target gap between events if the route states none.
 const DEFAULT_PAUSE: Duration = Duration::from_millis(500);
 
-/// What became of one engine's part of a stream.
+/// Result of one engine's part of a stream.
 enum Part {
-    /// It reached its end.
+    /// The stream is complete.
     Whole,
-    /// The engine broke off or fell silent.
+    /// The engine broke off or stopped sending.
     Broken,
-    /// The stream ends here.
+    /// Relaying ended here.
     Ended(Relayed),
 }
 
-/// What was passed on so far.
+/// Progress of the relayed stream.
 struct Progress<'a> {
     state: &'a GatewayState,
     caller: &'a Connection,
     framing: CallerFraming,
     ends: Timestamp,
-    /// The head, until the first event goes with it.
+    /// Bytes not yet sent; at first the head, which is sent with the first event.
     waiting: Vec<u8>,
     last_event: Option<u64>,
     silence: Option<Duration>,
 }
 
-/// Passes a stream on, from several engines if need be.
+/// Relays a stream, from several engines if necessary.
 pub(crate) async fn relay_resumable<D: GatewayDialect>(
     dispatch: &mut Dispatch<'_, D>,
     reply: EngineReply,
@@ -84,7 +84,7 @@
             Part::Ended(ended) => return ended,
             Part::Broken => dispatch.note_broken(&engine),
         }
-        // Closing the connection ends the work at the first engine.
+        // Closing the connection stops the work at the first engine.
         drop(body);
         if !dispatch.may_run_again() {
             return Relayed::EngineBroke;
@@ -97,14 +97,14 @@
 }
 
 impl<D: GatewayDialect> Dispatch<'_, D> {
-    /// The last event that the caller has from an earlier answer.
+    /// Returns the last event that the caller has from an earlier answer.
     fn first_event(&self) -> Option<u64> {
         self.outbound.headers.number("last-event-id")
     }
 }
 
 impl Progress<'_> {
-    /// Passes the events of one engine on.
+    /// Relays the events of one engine.
     async fn pass(&mut self, body: &mut EngineBody) -> Part {
         let mut cutter = EventCutter::default();
         let mut time = pin!(self.state.clock.wait_until(self.ends));
--- a/crates/proxy/src/room.rs
+++ b/crates/proxy/src/room.rs
@@ -1,4 +1,4 @@
-//! Services whose engines have no room, as operators hear of it.
+//! Services whose engines lack capacity, as reported to operators.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,31 +8,31 @@
 
 use crate::state::GatewayState;
 
-/// Shortage of room by service.
+/// Capacity shortage by service.
 #[derive(Debug, Default)]
 pub(crate) struct Shortages(RefCell<BTreeMap<String, Shortage>>);
 
 impl Shortages {
-    /// Services may be gone.
+    /// Removes all services, since some may be gone.
     pub fn clear(&self) {
         self.0.borrow_mut().clear();
     }
 }
 
 impl GatewayState {
-    /// An engine of a service had no room for an online request.
+    /// Records that an engine of a service had no capacity for an online request.
     pub fn note_turned_away(&self, service: &str) {
         self.metrics.room.turned_away(service);
         self.note_room(service, true);
     }
 
-    /// Whether requests keep slots of a service for so short a time that one without room
-    /// soon has some.
+    /// Whether requests hold slots of a service for so short a time that a full engine soon
+    /// has a free one.
     pub fn is_short(&self, service: &str) -> bool {
         self.engines.borrow().short_work_time(service).is_some()
     }
 
-    /// An engine of a service took one.
+    /// Records that an engine of a service accepted an online request.
     pub fn note_taken(&self, service: &str) {
         self.note_room(service, false);
     }
@@ -50,10 +50,12 @@
         match change {
             Some(true) => {
                 let work_time = self.engines.borrow().short_work_time(service);
-                info!(self.logger, "service short of room"; "service" => service,
+                info!(self.logger, "engines of the service lack capacity"; "service" => service,
                     "work_ms" => work_time.map(|time| time.as_millis() as u64));
             }
-            Some(false) => info!(self.logger, "service has room again"; "service" => service),
+            Some(false) => {
+                info!(self.logger, "engines of the service have capacity again"; "service" => service)
+            }
             None => {}
         }
     }
--- a/crates/proxy/src/silence.rs
+++ b/crates/proxy/src/silence.rs
@@ -1,4 +1,4 @@
-//! Bounds on time that cost nothing while things go on.
+//! Inactivity timeouts that are cheap while there is activity.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -7,8 +7,8 @@
 
 use async_io::Timer;
 
-/// Ready once nothing was heard for a while. Hearing something only notes the
-/// time; the timer is set anew when it fires, not at each event.
+/// Future that completes after a period without activity. Activity only records the time;
+/// the timer is reset when it fires, not at each event.
 #[derive(Debug)]
 pub(crate) struct Silence {
     limit: Option<Duration>,
@@ -17,7 +17,7 @@
 }
 
 impl Silence {
-    /// Silence for `limit` from now on; never without a limit.
+    /// Creates a timeout of `limit` that starts now; without a limit it never completes.
     pub fn new(limit: Option<Duration>) -> Self {
         Self {
             limit,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Something was heard.
+    /// Records activity.
     pub fn heard(&mut self) {
         self.heard = Instant::now();
     }
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows and counts. One thread owns it.
+//! State and counters of a gateway, owned by one thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,14 +37,14 @@
 use crate::room::Shortages;
 use crate::tenants::{Keys, limits};
 
-/// The configuration in force here.
+/// The configuration in force.
 #[derive(Debug)]
 pub(crate) struct InForce {
     pub version: u64,
     pub model: ServingModel,
-    /// Splits of the routes, in their order.
+    /// Weighted splits of the routes, in the order of the routes.
     splits: Vec<RefCell<WeightedSplit>>,
-    /// Whose each key is, where there are tenants.
+    /// Keys and ranks of tenants; `None` if there are no tenants.
     pub keys: Option<Keys>,
 }
 
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The service that the next request of a route goes to.
+    /// Returns the service that gets the next request of a route.
     pub fn service(&self, route: &Route) -> Option<String> {
         let place = self
             .model
@@ -74,60 +74,61 @@
     }
 }
 
-/// Unread prompt tokens of a request from which on the other gateways hear of it
-/// at once: an engine reads them for longer than a short request may wait.
+/// Number of unread prompt tokens of a request from which on the other gateways are
+/// informed at once: an engine takes longer to read them than a short request may wait.
 const TOLD_AT_ONCE_TOKENS: u64 = 2_000;
 
-/// What a gateway knows and counts.
+/// State and counters of a gateway.
 pub(crate) struct GatewayState {
     pub own: NodeId,
     zone: ZoneName,
     keys_hold_for: Option<Duration>,
     pub engines: RefCell<EngineTable>,
-    /// What tenants may still send.
+    /// Rate limits of tenants.
     pub tenants: RefCell<TenantTable>,
-    /// Requests that ran at engines as they ended.
+    /// Requests that ran at engines when these ended.
     pub suspects: RefCell<SuspectTable>,
     /// Requests that engines broke off.
     pub breaks: Breaks,
-    /// What the control group says of guilty ones.
+    /// Bars of the control group.
     pub bars: Bars,
     /// Client of the control group.
     pub control: Arc<Cluster>,
-    /// Who passes on what this gateway has at engines, where there are many.
+    /// Choice of the relay that forwards this gateway's reports where there are many
+    /// gateways.
     pub relay: RefCell<RelayChoice>,
     pub pool: Pool,
-    /// What is looked at to find out which zones are out of reach.
+    /// Probes and reports of zone reachability.
     pub reach: Reach,
     /// Batch items that run here.
     pub batch_runs: BatchRuns,
-    /// Whose turn it is among those that wait for an engine.
+    /// Turns of the batch items that wait for an engine.
     pub batch_turns: Rc<Turns>,
-    /// Online requests of each service that wait for an engine.
+    /// Waiting online requests by service.
     queues: RefCell<BTreeMap<String, Rc<ServiceQueue>>>,
-    /// Services short of room at engines.
+    /// Services that lack engine capacity.
     pub shortages: Shortages,
     /// Client of the batch group.
     pub batch: Arc<Cluster>,
-    /// When that group last said which items here are to stop.
+    /// Age of the batch group's last answer about which items here are to stop.
     pub renewal: Cell<Renewal>,
     pub logger: Logger,
-    /// What it counts for operators.
+    /// Metrics for operators.
     pub metrics: GatewayMetrics,
-    /// What operators were told of engines' paces.
+    /// What was reported to operators about engines' paces.
     pub pace: PaceWatch,
-    /// Counts on while the machine is suspended.
+    /// Clock that keeps running while the machine is suspended.
     pub clock: BootClock,
     in_force: RefCell<Option<Rc<InForce>>>,
-    /// Engines that were told and cannot be used.
+    /// Reported engines that cannot be used.
     unusable: RefCell<Refusals>,
     topology: RefCell<Topology>,
     topology_view: RefCell<TopologyView>,
-    /// What it hears of the other nodes.
+    /// When other nodes were last heard from.
     pub hearing: Cell<Hearing>,
-    /// Wakes the telling of what this gateway has at engines and saw of them.
+    /// Requests an early report to the other gateways.
     told_soon: (Sender<()>, Receiver<()>),
-    /// Set when a planned stop began.
+    /// Whether a planned stop has begun.
     stopping: Cell<bool>,
     /// Closed when idle connections are to be closed.
     closing_idle: (Sender<()>, Receiver<()>),
@@ -179,13 +180,13 @@
         }
     }
 
-    /// Now, on the clock of the engine table.
+    /// Returns the current time, on the clock of the engine table.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// The online requests of a service that wait: one that has no engine must hold up
-    /// no other.
+    /// Returns the queue of a service. Each service has its own, so that one without an
+    /// engine does not block the others.
     pub fn queue(&self, service: &str) -> Rc<ServiceQueue> {
         let mut queues = self.queues.borrow_mut();
         if let Some(queue) = queues.get(service) {
@@ -196,7 +197,7 @@
         queue
     }
 
-    /// There may be room at engines of a service.
+    /// Wakes the queue of a service whose engines may have capacity.
     pub fn room_at(&self, service: &str) {
         let queue = self.queues.borrow().get(service).cloned();
         if let Some(queue) = queue {
@@ -204,7 +205,7 @@
         }
     }
 
-    /// There may be room at engines of any service.
+    /// Wakes the queues of all services, since any engine may have capacity.
     pub fn room_anywhere(&self) {
         let queues: Vec<Rc<ServiceQueue>> = self.queues.borrow().values().cloned().collect();
         for queue in queues.iter().filter(|queue| !queue.is_empty()) {
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Counts those who wait for operators.
+    /// Updates the metrics of waiting requests.
     pub fn count_waiting(&self) {
         let queues = self.queues.borrow();
         let lengths = queues.values().map(|queue| queue.lengths());
@@ -222,13 +223,13 @@
         self.metrics.queue.lengths(waiting, in_time);
     }
 
-    /// The configuration in force here, if any is known.
+    /// Returns the configuration in force, if any is known.
     pub fn in_force(&self) -> Option<Rc<InForce>> {
         self.in_force.borrow().clone()
     }
 
-    /// Whether no key was taken away that this gateway should know of, as far as it
-    /// is to make sure.
+    /// Whether the keys are recent enough to exclude a missed revocation; always true if
+    /// the gateway need not make sure.
     pub fn knows_keys(&self) -> bool {
         let view = self.topology_view.borrow();
         let now = self.now();
@@ -236,8 +237,8 @@
             .is_none_or(|limit| view.is_current(limit, now))
     }
 
-    /// Whether a request of this class may go to an engine now: a batch item not once
-    /// its job may have been ended unheard.
+    /// Whether a request of this class may be sent to an engine now. A batch item may not
+    /// if its job may have been ended without this gateway knowing.
     pub fn may_start(&self, class: WorkClass) -> bool {
         if class == WorkClass::Online {
             return true;
@@ -246,7 +247,7 @@
         self.renewal.get().may_start(self.now())
     }
 
-    /// The batch group answered a call that began at `asked`.
+    /// Records that the batch group answered a call that began at `asked`.
     pub fn renewed(&self, asked: Timestamp) {
         let mut renewal = self.renewal.get();
         renewal.note(asked);
@@ -254,7 +255,7 @@
         self.note_renewal();
     }
 
-    /// Says so if batch items are held back from now on, or go on.
+    /// Logs when batch items begin or cease to be held back.
     fn note_renewal(&self) {
         let mut renewal = self.renewal.get();
         let change = renewal.change(self.now());
@@ -270,30 +271,30 @@
         }
     }
 
-    /// Whether there are tenants, whose use the gateways tell each other.
+    /// Whether there are tenants, whose usage the gateways report to each other.
     pub fn limits_tenants(&self) -> bool {
         let in_force = self.in_force.borrow();
         in_force.as_ref().is_some_and(|held| held.keys.is_some())
     }
 
-    /// Where this gateway stands.
+    /// Returns the zone of this gateway.
     pub fn zone(&self) -> &ZoneName {
         &self.zone
     }
 
-    /// How many gateways there are, this one included.
+    /// Returns the number of gateways, including this one.
     pub fn gateways(&self) -> u32 {
         self.topology.borrow().gateway_count().max(1)
     }
 
-    /// The other gateways.
+    /// Returns the other gateways.
     pub fn other_gateways(&self) -> Vec<NodeId> {
         let topology = self.topology.borrow();
         let others = topology.gateways.iter().filter(|&&node| node != self.own);
         others.copied().collect()
     }
 
-    /// The relay that this gateway uses now, if any is known.
+    /// Returns the relay in use, if any is known.
     pub fn relay_in_use(&self) -> Option<NodeId> {
         let control = &self.topology.borrow().control;
         let near = self.topology_view.borrow().control_in(&self.zone);
@@ -309,12 +310,12 @@
         self.stopping.set(true);
     }
 
-    /// Connections on which no request is under way are closed from now on.
+    /// Closes connections without a request in progress from now on.
     pub fn close_idle_connections(&self) {
         self.closing_idle.0.close();
     }
 
-    /// Whether a planned stop closes idle connections by now.
+    /// Whether a planned stop is closing idle connections.
     pub fn closes_idle(&self) -> bool {
         self.closing_idle.0.is_closed()
     }
@@ -324,7 +325,7 @@
         let _closed = self.closing_idle.1.recv().await;
     }
 
-    /// Whether new connections should come here.
+    /// Whether new connections should be sent here.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.in_force.borrow().is_some()
     }
@@ -347,8 +348,7 @@
         Counted::new(self.clone(), |state| &state.connections)
     }
 
-    /// Counts a request as one that waits for an engine of a service until the guard is
-    /// dropped.
+    /// Counts a request as waiting for an engine of a service until the guard is dropped.
     pub fn begin_to_wait(self: &Rc<Self>, service: &str) -> Waiting {
         self.engines.borrow_mut().begins_to_wait(service);
         Waiting {
@@ -387,25 +387,25 @@
         }
     }
 
-    /// An engine broke off an answer that it had begun.
+    /// Records that an engine broke off an answer that it had begun.
     pub fn note_broken(&self, engine: &str) {
         let now = self.now();
         self.engines.borrow_mut().answered(engine, true, now);
     }
 
-    /// Another node said something.
+    /// Records that another node was heard from.
     pub fn note_heard(&self) {
         let mut hearing = self.hearing.get();
         hearing.note(self.now());
         self.hearing.set(hearing);
     }
 
-    /// Other gateways are to hear at once of what is new here.
+    /// Requests that changes here are reported to other gateways at once.
     pub fn tell_soon(&self) {
         let _told_already = self.told_soon.0.try_send(());
     }
 
-    /// Waits until there is something that other gateways are to hear at once.
+    /// Waits until a report to other gateways is requested.
     pub async fn to_tell_soon(&self) {
         let _told = self.told_soon.1.recv().await;
     }
@@ -422,7 +422,8 @@
         self.engines.borrow_mut().serve(services(&model));
         self.metrics.room.forget_services();
         self.shortages.clear();
-        // Services may be gone. What is measured of those that stay holds.
+        // Queues of removed services go unless requests wait in them. Remaining services
+        // keep their measurements.
         let services = model.services.iter().map(|service| service.name.as_str());
         let services: BTreeSet<&str> = services.collect();
         self.queues
@@ -468,7 +469,8 @@
         self.engines.borrow_mut().learn(from, facts, now);
     }
 
-    /// A control node of an older release takes what it cannot use itself.
+    /// Counts an engine record without a usable address; control nodes of an older release
+    /// accept such records.
     fn note_unusable(&self, record: &EngineRecord) {
         self.metrics.unusable_engine();
         let mut refusals = self.unusable.borrow_mut();
@@ -482,14 +484,14 @@
         let engines: Option<BTreeSet<String>> = part.engines.map(|ids| ids.into_iter().collect());
         let mut table = self.engines.borrow_mut();
         table.use_part(from, &part.service, part.users, engines.as_ref());
-        info!(self.logger, "part of a service"; "service" => part.service,
+        info!(self.logger, "assigned part of a service"; "service" => part.service,
             "users" => part.users, "told" => engines.map(|ids| ids.len()), "from" => from.0,
             "engines_known" => table.len());
     }
 
     fn depart(&self, engine: &str) {
         if self.engines.borrow_mut().depart(engine) {
-            info!(self.logger, "engine leaves"; "engine" => engine);
+            info!(self.logger, "engine is leaving"; "engine" => engine);
             self.pool.forget_departed(engine);
         }
     }
@@ -533,15 +535,15 @@
     }
 }
 
-/// The stores in an order of this gateway's own. All gateways ask along it for a leader
-/// that they lost, so that not all of them begin at the same one, nor go through the
-/// stores of one zone first.
+/// Sorts the stores in an order specific to this gateway, in which it searches for a lost
+/// leader. Gateways therefore neither all start at the same store nor all try the stores of
+/// one zone first.
 fn in_own_order(own: NodeId, mut stores: Vec<NodeId>) -> Vec<NodeId> {
     stores.sort_by_key(|store| xxh3_64_with_seed(&store.0.to_be_bytes(), u64::from(own.0)));
     stores
 }
 
-/// Something that is counted while this lives.
+/// Guard that counts something until it is dropped.
 pub(crate) struct Counted {
     state: Rc<GatewayState>,
     counter: fn(&GatewayState) -> &Cell<u32>,
@@ -562,7 +564,7 @@
     }
 }
 
-/// A request that waits for an engine.
+/// Guard of a request that waits for an engine.
 pub(crate) struct Waiting {
     state: Rc<GatewayState>,
     service: String,
@@ -575,10 +577,10 @@
     }
 }
 
-/// A request at an engine.
+/// Guard of a request at an engine.
 pub(crate) struct Occupied {
     state: Rc<GatewayState>,
-    /// The queue that an online request came through.
+    /// Queue that an online request came through.
     queue: Option<Rc<ServiceQueue>>,
     engine: String,
     service: String,
@@ -586,32 +588,33 @@
     /// Prompt tokens that the engine has not read yet.
     unread_tokens: Cell<u64>,
     started: Timestamp,
-    /// When it began to answer, and so held a slot.
+    /// When the engine began to answer, and so the request held a slot.
     began: Cell<Option<Timestamp>>,
-    /// Whether the engine works on it, as its answer says.
+    /// Whether the engine's answer shows that it is working on the request.
     serves: Cell<bool>,
 }
 
 impl Occupied {
-    /// The request began to answer.
+    /// Records that the engine began to answer.
     pub fn began(&self) {
         self.began.set(Some(self.state.now()));
         self.has_read();
     }
 
-    /// The engine works on it: how long it is there says how long such work takes.
+    /// Records that the engine works on the request, so that its time there is a
+    /// measurement of such work.
     pub fn serves(&self) {
         self.serves.set(true);
     }
 
-    /// So many events of the answer came within a time.
+    /// Records that `events` events of the answer arrived within `took`.
     pub fn heard(&self, events: u32, took: Duration) {
         let now = self.state.now();
         let mut engines = self.state.engines.borrow_mut();
         engines.heard(&self.engine, events, took, now);
     }
 
-    /// Now, on the clock of the engine table.
+    /// Returns the current time, on the clock of the engine table.
     pub fn now(&self) -> Timestamp {
         self.state.now()
     }
@@ -647,7 +650,7 @@
     }
 }
 
-/// Services that online requests go to.
+/// Returns the services that online routes lead to.
 fn services(model: &ServingModel) -> impl Iterator<Item = String> {
     let online = model.routes.iter();
     let online = online.filter(|route| route.kind != RouteKind::Batch);
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Whose request it is, and whether its tenant may send it.
+//! Identifies the tenant of a request and checks its limit.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -12,7 +12,7 @@
 use crate::request::KNOWS_SOON;
 use crate::state::{GatewayState, InForce};
 
-/// Whose each key is, and how urgent its holder.
+/// Tenants by key, and their ranks.
 #[derive(Debug)]
 pub(crate) struct Keys {
     holders: HashMap<KeyDigest, Rc<str>>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Limits of all tenants that have one.
+/// Returns the limits of all tenants that have one.
 pub(crate) fn limits(model: &ServingModel) -> impl Iterator<Item = (&str, Limit)> {
     let tenants = model.tenants.iter().flatten();
     tenants.filter_map(|tenant| {
@@ -55,18 +55,18 @@
 }
 
 impl InForce {
-    /// How urgent the requests of a tenant are on a route.
+    /// Returns the rank of a tenant's requests on a route.
     pub fn rank(&self, route: &Route, tenant: Option<&str>) -> Rank {
         let keys = self.keys.as_ref().zip(tenant);
         let own = keys.and_then(|(keys, tenant)| keys.rank(tenant));
         Rank::new(own, route.priority)
     }
 
-    /// The tenant of a request that carries `credential`; none where there are no
-    /// tenants, or for a request without a key that needs none.
+    /// Returns the tenant of a request that carries `credential`; `None` if there are no
+    /// tenants, or for a request without a key on an anonymous route.
     ///
     /// # Errors
-    /// When its key is nobody's, or is missing.
+    /// When the key is unknown, malformed or missing.
     fn tenant(&self, credential: Credential, anonymous: bool) -> Result<Option<Rc<str>>, Refusal> {
         let Some(keys) = &self.keys else {
             return Ok(None);
@@ -83,10 +83,10 @@
 }
 
 impl GatewayState {
-    /// The tenant of a request; see [`InForce::tenant`].
+    /// Returns the tenant of a request; see [`InForce::tenant`].
     ///
     /// # Errors
-    /// Also when this gateway may have missed that the key was taken away.
+    /// Also when this gateway may have missed the revocation of the key.
     pub fn tenant(
         &self,
         in_force: &InForce,
@@ -102,14 +102,14 @@
         }
     }
 
-    /// Counts a request of a tenant for which an engine is to be found.
+    /// Counts a tenant's request against its limit.
     ///
     /// # Errors
-    /// When the tenant sends more than it may.
+    /// When the tenant exceeds its limit.
     pub fn admit(&self, request: &str, tenant: &str) -> Result<(), Refusal> {
         let admitted = self.tenants.borrow_mut().admit(tenant, self.now());
         admitted.map_err(|refused| {
-            info!(self.logger, "over the limit"; "request" => request, "tenant" => tenant,
+            info!(self.logger, "tenant over its limit"; "request" => request, "tenant" => tenant,
                 "left" => format!("{:.1}", refused.left),
                 "others_asked" => format!("{:.1}", refused.others_asked),
                 "told_ago_ms" => refused.told_ago.map(|ago| ago.as_millis() as u64),
--- a/crates/proxy/src/work_shares.rs
+++ b/crates/proxy/src/work_shares.rs
@@ -1,6 +1,6 @@
-//! Gateways tell each other what they have at engines and of tenants, directly or
-//! through a relay where there are many of them. An engine's own reports come with
-//! answers only, and too late for a burst.
+//! Exchange of reports between gateways: their work at engines and their use of tenant
+//! limits, sent directly, or through a relay where there are many gateways. An engine's own
+//! load reports come only with answers, which is too late for a burst.
 
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -27,26 +27,26 @@
 use crate::pace::look;
 use crate::state::GatewayState;
 
-/// Time between two tellings while there is little to tell.
+/// Interval between reports while the gateway is not busy.
 const CALM_INTERVAL: Duration = Duration::from_millis(150);
-/// The same in a burst, when what others sent a moment ago decides.
+/// Interval between reports in a burst, when recent reports of other gateways matter.
 const BUSY_INTERVAL: Duration = Duration::from_millis(50);
-/// Own requests at engines from which on a gateway is busy.
+/// Number of own requests at engines from which on a gateway is busy.
 const BUSY_REQUESTS: u32 = 12;
-/// Share of all slots in use from which on every gateway is busy: its next
-/// request may find no slot.
+/// Share of all slots in use from which on every gateway is busy: its next request may find
+/// no slot.
 const BUSY_OCCUPANCY: f64 = 0.4;
-/// Gateways that tell each other directly at the most. The messages grow with
-/// the square of their number; through relays they do not.
+/// Maximum number of gateways that report to each other directly. The number of messages
+/// grows with the square of theirs; through relays it does not.
 pub(crate) const MOST_DIRECT: u32 = MOST_NAMED as u32;
-/// What did not change is told again after this many intervals.
+/// Unchanged work is reported again after this many intervals.
 const REPEATED_AFTER: u32 = 6;
-/// Shortest time between two tellings of what tenants use while they have plenty.
+/// Minimum interval between reports of tenant usage while no tenant is close to its limit.
 const USAGE_INTERVAL: Duration = Duration::from_millis(150);
-/// Tellings that wait to be taken in; further ones are dropped.
+/// Maximum number of queued incoming reports; further ones are dropped.
 const QUEUED: usize = 1_024;
 
-/// What another gateway or a relay told.
+/// A report from another gateway or a relay.
 struct Told {
     from: NodeId,
     shares: Vec<WorkShare>,
@@ -57,7 +57,7 @@
     relayed: bool,
 }
 
-/// Takes in what other gateways tell.
+/// Receives the reports of other gateways.
 struct Listener {
     told: Sender<Told>,
     logger: Logger,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Begins to tell the other gateways, and to listen to them.
+/// Starts sending reports to the other gateways and receiving theirs.
 pub(crate) fn exchange_work(
     addresses: &ClusterAddresses,
     state: &Rc<GatewayState>,
@@ -166,23 +166,23 @@
     }
 }
 
-/// Writes by what room is shared, if that changed.
+/// Logs a change of whether capacity is shared by demand, and returns the new value.
 fn note_parts(state: &GatewayState, before: bool) -> bool {
     let by_demand = state.engines.borrow().hears_demand(state.now());
     if by_demand != before {
-        info!(state.logger, "parts of room"; "by_demand" => by_demand);
+        info!(state.logger, "sharing of engine capacity changed"; "by_demand" => by_demand);
     }
     by_demand
 }
 
-/// Writes which engines are avoided from now on since they fail for others, and
-/// which no longer are.
+/// Logs which engines are newly avoided because they fail for other gateways, and which no
+/// longer are.
 fn note_failing(state: &GatewayState, before: &BTreeSet<String>, now: &BTreeSet<String>) {
     for engine in now.difference(before) {
-        info!(state.logger, "engine fails for others"; "engine" => engine);
+        info!(state.logger, "engine fails for other gateways"; "engine" => engine);
     }
     for engine in before.difference(now) {
-        info!(state.logger, "engine no longer fails for others"; "engine" => engine);
+        info!(state.logger, "engine no longer fails for other gateways"; "engine" => engine);
     }
 }
 
@@ -244,7 +244,7 @@
     }
 }
 
-/// What is to be told of requests that ran at engines as they ended, encoded.
+/// Returns the encoded report of requests that ran at engines when these ended.
 fn blames(state: &GatewayState) -> Option<Vec<u8>> {
     let now = state.now();
     let mut suspects = state.suspects.borrow_mut();
@@ -253,7 +253,7 @@
     (!blames.is_empty()).then(|| molespan_state::encode(&blames))
 }
 
-/// Shows operators what is told of demand.
+/// Exports the reported demand as metrics.
 fn note_demand(state: &GatewayState, demands: &[ServiceDemand], now: Timestamp) {
     let engines = state.engines.borrow();
     for demand in demands {
@@ -267,7 +267,8 @@
     own >= BUSY_REQUESTS || state.engines.borrow().occupancy(state.now()) >= BUSY_OCCUPANCY
 }
 
-/// Whom this gateway tells: the others, or the relay that speaks for them.
+/// Returns the nodes that this gateway reports to: the other gateways, or the relay for
+/// them.
 fn audience(state: &GatewayState, relay: &mut Option<NodeId>) -> Vec<NodeId> {
     let through = match state.gateways() > MOST_DIRECT {
         true => state.relay_in_use(),
