--- a/crates/proxy/tests/queue.rs
+++ b/crates/proxy/tests/queue.rs
@@ -1,4 +1,5 @@
-//! Waiting for a turn: whoever leaves at whatever moment, the next one is woken.
+//! Turns in a service queue: a request that leaves at any moment must not keep the next one
+//! from being woken.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -8,10 +9,10 @@
 use molespan_proxy::queue::{ServiceQueue, Waiter, Woken};
 use molespan_routing::queue::{Limits, Rank, Reason, Want};
 
-/// Time for which a request can be in time, and for which it waits.
+/// Time within which a request can be in time, and time for which it waits.
 const IN_TIME: Duration = Duration::from_secs(30);
 const WAITS: Duration = Duration::from_secs(60);
-/// How many look at the same time.
+/// Number of requests that have the turn at the same time.
 const LOOKERS: usize = 3;
 
 fn queue() -> (Rc<ServiceQueue>, BootClock) {
@@ -31,10 +32,10 @@
         leaves_at: now + waits,
         again: false,
     };
-    queue.ask(&want).expect("there is room to wait")
+    queue.ask(&want).expect("the queue is not full")
 }
 
-/// Whether it is to look, without waiting for it.
+/// Whether the waiter may pick an engine now, without waiting.
 fn looks(waiter: &Waiter) -> bool {
     let woken = block_on(poll_once(waiter.woken()));
     matches!(woken, Some(Woken::Looks(turn)) if turn.in_time)
@@ -48,7 +49,7 @@
     assert_eq!(looked, LOOKERS);
     assert!(
         waiters[..LOOKERS].iter().all(|one| !looks(one)),
-        "not twice at once"
+        "a second pick has to wait"
     );
     queue.look();
     assert_eq!(queue.lengths(), (10, 10));
@@ -82,7 +83,8 @@
 fn whoever_leaves_passes_its_turn_on() {
     let (queue, clock) = queue();
     let mut waiters: Vec<Waiter> = (0..12).map(|_| ask(&queue, &clock, WAITS)).collect();
-    // Before it was woken, after it looked, while it rests, and from the middle.
+    // Waiters leave before being woken, after a turn to pick, while waiting for the next
+    // turn, and from the middle of the queue.
     drop(waiters.remove(0));
     assert!(looks(&waiters[0]));
     drop(waiters.remove(0));
@@ -91,7 +93,7 @@
         let rest = waiters[0].woken();
         assert!(
             poll_once(Box::pin(rest)).await.is_none(),
-            "dropped with its rest"
+            "the waiter is dropped while it has to rest"
         );
     });
     drop(waiters.remove(0));
@@ -106,7 +108,7 @@
             }
         }
         for waiter in on {
-            assert!(looks(&waiter), "it has the turn");
+            assert!(looks(&waiter), "the waiter has the turn");
             assert!(waiter.begins().in_time);
             served += 1;
         }
@@ -145,7 +147,7 @@
         leaves_at: now + WAITS,
         again: false,
     };
-    let refused = queue.ask(&want).expect_err("as many wait as may");
+    let refused = queue.ask(&want).expect_err("the queue is full");
     assert_eq!(refused.reason, Reason::Full);
     drop(waiters);
     assert!(queue.is_empty());
