--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -20,11 +20,11 @@
 use crate::state::{GatewayState, Occupied};
 
 /// Maximum size of an answer's head, in bytes.
-const HEAD_BYTES: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 /// Maximum number of late answers to earlier requests that are skipped on one connection.
-const MOST_LATE_ANSWERS: usize = 3;
+const MAX_LATE_ANSWERS: usize = 3;
 /// Maximum size of a late answer that is skipped, in bytes.
-const LATE_ANSWER_BYTES: u64 = 1 << 20;
+const MAX_LATE_ANSWER_BYTES: u64 = 1 << 20;
 
 /// A request as it is sent to engines.
 #[derive(Clone, Debug)]
@@ -353,9 +353,9 @@
         future::pending().await
     };
     let receive = async {
-        for _ in 0..=MOST_LATE_ANSWERS {
+        for _ in 0..=MAX_LATE_ANSWERS {
             let head = connection
-                .response_head(HEAD_BYTES)
+                .response_head(MAX_HEAD_BYTES)
                 .await
                 .map_err(failure_of)?;
             if (100..200).contains(&head.status) {
@@ -384,6 +384,6 @@
 ) -> Result<(), AttemptFailure> {
     let framing = Framing::of_response(head, method).filter(|one| *one != Framing::UntilClose);
     let mut reader = BodyReader::new(framing.ok_or(AttemptFailure::Broken)?);
-    let body = reader.collect(connection, LATE_ANSWER_BYTES).await;
+    let body = reader.collect(connection, MAX_LATE_ANSWER_BYTES).await;
     body.map(drop).map_err(|_| AttemptFailure::Broken)
 }
--- a/crates/proxy/src/bars.rs
+++ b/crates/proxy/src/bars.rs
@@ -18,14 +18,14 @@
 use crate::state::GatewayState;
 
 /// Interval between checks for requests to bar.
-const ASK_AGAIN: Duration = Duration::from_millis(250);
+const BAR_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum number of bars remembered: twice as many as the control group keeps, so that a
 /// bar the group still keeps is never evicted here and then taken for new.
-const MOST_WORDS: usize = 2_048;
+const MAX_BARS: usize = 2_048;
 /// Interval between checks whether an engine that broke a request off has ended.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
+const ENGINE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Timeout for committing a bar, after which the bar is requested again.
-const ASK_DEADLINE: Duration = Duration::from_secs(2);
+const BAR_COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The bars of the control group.
 pub(crate) struct Bars {
@@ -63,7 +63,7 @@
             return false;
         }
         newest.insert(request, bar);
-        while newest.len() > MOST_WORDS
+        while newest.len() > MAX_BARS
             && let Some(oldest) = oldest(&newest)
         {
             newest.remove(&oldest);
@@ -99,7 +99,7 @@
         let suspects = self.suspects.borrow();
         let open = self.breaks.open_looks(request);
         if open > 0 && open + self.crashes(&suspects, request) >= at_once(request.class) {
-            return Permit::Later(self.now() + LOOK_PAUSE);
+            return Permit::Later(self.now() + ENGINE_CHECK_INTERVAL);
         }
         if suspects.is_empty() {
             return Permit::Granted;
@@ -178,7 +178,7 @@
             for (request, crashes) in guilty {
                 ask_for_bar(&state, request, crashes).await;
             }
-            Timer::after(ASK_AGAIN).await;
+            Timer::after(BAR_CHECK_INTERVAL).await;
         }
     }
 }
@@ -189,7 +189,11 @@
         since_ms: unix_millis(),
         crashes: crashes as u32,
     };
-    match state.control.change_declared(command, ASK_DEADLINE).await {
+    match state
+        .control
+        .change_declared(command, BAR_COMMIT_TIMEOUT)
+        .await
+    {
         Ok(_) => {
             info!(state.logger, "asked the control group for a bar"; "digest" => %request, "crashes" => crashes)
         }
--- a/crates/proxy/src/batch/api.rs
+++ b/crates/proxy/src/batch/api.rs
@@ -17,15 +17,15 @@
 use crate::dialect::{BatchCall, BatchOutcome, GatewayDialect, JobResult};
 use crate::request::CallerRequest;
 use crate::state::GatewayState;
-use crate::work_shares::MOST_DIRECT;
+use crate::work_shares::MAX_DIRECT_GATEWAYS;
 
 /// Timeout for committing a job.
-const SUBMIT_DEADLINE: Duration = Duration::from_millis(1_500);
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Interval between checks whether other nodes are still heard from while a job is
 /// submitted.
-const HEARING_LOOK: Duration = Duration::from_millis(50);
+const HEARING_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Timeout for reading or ending a job.
-const CALL_DEADLINE: Duration = Duration::from_millis(900);
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Maximum bytes of results in one answer, unless the first result is longer. Each answer
 /// is in memory several times on its way, at a leader that serves many callers at once.
 const MAX_PAGE_BYTES: u64 = 256 << 10;
@@ -75,7 +75,7 @@
 }
 
 async fn keep(state: &GatewayState, command: &BatchCommand) -> BatchOutcome {
-    match state.batch.change_batch(command, SUBMIT_DEADLINE).await {
+    match state.batch.change_batch(command, SUBMIT_TIMEOUT).await {
         Ok(BatchReply::Kept) => BatchOutcome::Kept,
         Ok(BatchReply::QueueFull) => QUEUE_FULL,
         Ok(_) => UNAVAILABLE,
@@ -90,9 +90,9 @@
     let target = Duration::from_millis(u64::from(route.target_latency_ms));
     let began = state.now();
     loop {
-        Timer::after(HEARING_LOOK).await;
+        Timer::after(HEARING_CHECK_INTERVAL).await;
         let hearing = state.hearing.get();
-        if state.gateways() > MOST_DIRECT && hearing.gives_up(began, target, state.now()) {
+        if state.gateways() > MAX_DIRECT_GATEWAYS && hearing.gives_up(began, target, state.now()) {
             return BatchOutcome::Uncertain;
         }
     }
@@ -126,7 +126,7 @@
 async fn results(state: &GatewayState, tenant: Option<&str>, id: &str, after: u32) -> BatchOutcome {
     let page = state
         .batch
-        .batch_results(tenant, id, after, MAX_PAGE_BYTES, CALL_DEADLINE);
+        .batch_results(tenant, id, after, MAX_PAGE_BYTES, CALL_TIMEOUT);
     match page.await {
         Ok(Some(page)) => unpacked(state, id, after, page),
         Ok(None) => BatchOutcome::Unknown,
@@ -161,7 +161,7 @@
 }
 
 async fn body(state: &GatewayState, tenant: Option<&str>, id: &str, item: &str) -> BatchOutcome {
-    let body = state.batch.batch_body(tenant, id, item, CALL_DEADLINE);
+    let body = state.batch.batch_body(tenant, id, item, CALL_TIMEOUT);
     match body.await {
         Ok(Some(body)) => BatchOutcome::Body(body),
         Ok(None) => BatchOutcome::Unknown,
@@ -174,7 +174,7 @@
         id: id.clone(),
         tenant: tenant.map(str::to_owned),
     };
-    let outcome = match state.batch.change_batch(&command, CALL_DEADLINE).await {
+    let outcome = match state.batch.change_batch(&command, CALL_TIMEOUT).await {
         Ok(BatchReply::Ended) => BatchOutcome::Ended,
         Ok(BatchReply::Unknown) => BatchOutcome::Unknown,
         Ok(_) => UNAVAILABLE,
--- a/crates/proxy/src/batch/item.rs
+++ b/crates/proxy/src/batch/item.rs
@@ -25,7 +25,7 @@
 const RUN_TIMEOUT: Duration = Duration::from_secs(60);
 /// Time without data within a run after which the run is ended and the item goes to another
 /// engine.
-const SILENCE: Duration = Duration::from_secs(3);
+const INACTIVITY_TIMEOUT: Duration = Duration::from_secs(3);
 /// Pause before a retry after engines rejected an item or failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 /// Time added to the route's retention, in milliseconds, to allow for clock differences.
@@ -183,7 +183,7 @@
 /// Reads events until the stream ends.
 async fn read_events(state: &GatewayState, mut body: EngineBody, output: &SharedOutput) -> Run {
     let mut cutter = EventCutter::default();
-    let mut silence = Silence::new(Some(SILENCE));
+    let mut silence = Silence::new(Some(INACTIVITY_TIMEOUT));
     loop {
         let piece = async { body.next().await.ok() };
         let silent = async {
--- a/crates/proxy/src/batch/runner.rs
+++ b/crates/proxy/src/batch/runner.rs
@@ -21,39 +21,39 @@
 use crate::state::GatewayState;
 
 /// Maximum time that the leader may hold a call for items while no items run here.
-const WAIT: Duration = Duration::from_millis(900);
+const MAX_IDLE_HOLD: Duration = Duration::from_millis(900);
 /// The same while items run here. The loss of a leader is noticed up to 300 ms after this
 /// time, and after an election the next leader listens for 700 ms before it hands out
 /// items; by then it must know what runs here.
-const WAIT_WHILE_RUNNING: Duration = Duration::from_millis(500);
+const MAX_RUNNING_HOLD: Duration = Duration::from_millis(500);
 /// Maximum time between calls while there is no capacity: the leader's lease on running
 /// items is 2.5 s, and two calls may be lost within it.
-const RENEWED_AFTER: Duration = Duration::from_millis(800);
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(800);
 /// Timeout for a call for items.
-const TAKE_DEADLINE: Duration = Duration::from_millis(1_900);
+const TAKE_TIMEOUT: Duration = Duration::from_millis(1_900);
 /// Time without a renewal after which all items are stopped, because another gateway surely
 /// runs them by then. Shorter outages of the batch group must not lose work at engines;
 /// items not yet at an engine are held back long before.
 const LEASE: Duration = Duration::from_secs(10);
 /// Timeout for each call of the hand-over in a planned stop.
-const HAND_OVER_DEADLINE: Duration = Duration::from_millis(1_500);
+const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Pause after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
 /// Minimum time between two calls.
-const SHORTEST_ROUND: Duration = Duration::from_millis(50);
+const MIN_CALL_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum number of items taken at once, so that a large backlog spreads over the
 /// gateways.
-const MOST_AT_ONCE: u32 = 4;
+const MAX_ITEMS_PER_CALL: u32 = 4;
 /// Interval between checkpoints, and so the most work that is lost with a gateway or in a
 /// power failure of all nodes. Shorter intervals cost more commits and traffic between
 /// zones.
-const CHECKPOINT_EVERY: Duration = Duration::from_millis(1_200);
+const CHECKPOINT_INTERVAL: Duration = Duration::from_millis(1_200);
 /// Timeout for storing a checkpoint.
-const CHECKPOINT_DEADLINE: Duration = Duration::from_millis(900);
+const CHECKPOINT_TIMEOUT: Duration = Duration::from_millis(900);
 /// Interval between log lines about batch work.
-const TOLD_EVERY: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 /// Timeout for recording an outcome, after which it is retried.
-const RECORD_DEADLINE: Duration = Duration::from_secs(3);
+const RECORD_TIMEOUT: Duration = Duration::from_secs(3);
 
 struct Runner<D> {
     state: Rc<GatewayState>,
@@ -93,14 +93,14 @@
     let checkpoints = runner.clone();
     let _keeping = runner.local.spawn(async move {
         loop {
-            Timer::after(CHECKPOINT_EVERY).await;
+            Timer::after(CHECKPOINT_INTERVAL).await;
             let outputs = checkpoints.outputs();
-            checkpoints.checkpoint(&outputs, CHECKPOINT_DEADLINE).await;
+            checkpoints.checkpoint(&outputs, CHECKPOINT_TIMEOUT).await;
         }
     });
     loop {
         let begun = Instant::now();
-        if told.elapsed() >= TOLD_EVERY {
+        if told.elapsed() >= LOG_INTERVAL {
             runner.tell();
             told = begun;
         }
@@ -119,7 +119,7 @@
         if runner.state.now().since(renewed) > LEASE {
             runner.stop_all();
         }
-        let left = SHORTEST_ROUND.saturating_sub(begun.elapsed());
+        let left = MIN_CALL_INTERVAL.saturating_sub(begun.elapsed());
         Timer::after(left).await;
     }
 }
@@ -163,20 +163,20 @@
         let headroom = (headroom - f64::from(waiting) + rand::random::<f64>()).max(0.0) as u32;
         let part: f64 = services.iter().map(|one| engines.fair_slots(one)).sum();
         let left = (part.ceil() as u32).saturating_sub(running);
-        headroom.min(left).min(MOST_AT_ONCE)
+        headroom.min(left).min(MAX_ITEMS_PER_CALL)
     }
 
     /// Waits until there is capacity or the running items need a renewal. Waiting at the
     /// leader instead would load it most when all gateways are full.
     async fn room(&self) -> u32 {
-        let renewed_after = RENEWED_AFTER.min(self.state.renewal.get().longest_silence());
+        let renewed_after = RENEWAL_INTERVAL.min(self.state.renewal.get().longest_silence());
         let ends = Instant::now() + renewed_after;
         loop {
             let capacity = self.capacity();
             if capacity > 0 || Instant::now() >= ends || self.state.closes_idle() {
                 return capacity;
             }
-            Timer::after(SHORTEST_ROUND).await;
+            Timer::after(MIN_CALL_INTERVAL).await;
         }
     }
 
@@ -237,13 +237,13 @@
             // While the leader is unknown, a node that does not answer would cost the hold
             // time as well.
             _ if !answered => Duration::ZERO,
-            (_, true) => WAIT,
-            (_, false) => WAIT_WHILE_RUNNING,
+            (_, true) => MAX_IDLE_HOLD,
+            (_, false) => MAX_RUNNING_HOLD,
         };
         let wait = wait.min(self.state.renewal.get().longest_silence());
         let ask = self.call(capacity, held, wait);
         let asked = self.state.now();
-        let handed = match self.state.batch.take_items(&ask, TAKE_DEADLINE).await {
+        let handed = match self.state.batch.take_items(&ask, TAKE_TIMEOUT).await {
             Ok(handed) => handed,
             Err(error) => {
                 warn!(self.state.logger, "call for batch items failed"; "error" => %error);
@@ -290,7 +290,7 @@
             match self
                 .state
                 .batch
-                .change_batch(&command, RECORD_DEADLINE)
+                .change_batch(&command, RECORD_TIMEOUT)
                 .await
             {
                 Ok(BatchReply::Recorded) => return,
@@ -361,13 +361,13 @@
         drop(std::mem::take(&mut *self.running.borrow_mut()));
         // The second call resends only items whose first checkpoint did not follow the
         // stored state because an earlier checkpoint was still in flight.
-        let noted = self.checkpoint(&outputs, HAND_OVER_DEADLINE).await
-            && self.checkpoint(&outputs, HAND_OVER_DEADLINE).await;
+        let noted = self.checkpoint(&outputs, HAND_OVER_TIMEOUT).await
+            && self.checkpoint(&outputs, HAND_OVER_TIMEOUT).await;
         let release = self.call(0, Vec::new(), Duration::ZERO);
         let released = self
             .state
             .batch
-            .take_items(&release, HAND_OVER_DEADLINE)
+            .take_items(&release, HAND_OVER_TIMEOUT)
             .await;
         info!(self.state.logger, "items handed over"; "items" => count,
             "noted" => noted, "released" => released.is_ok());
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -18,7 +18,7 @@
 /// Maximum body size, in bytes, that is read before a request without a valid key is
 /// refused, so that the connection can be reused. Longer bodies are refused without
 /// reading.
-const SHORT_BODY: u64 = 64 << 10;
+const MAX_UNAUTHENTICATED_BODY: u64 = 64 << 10;
 /// Time for which data from a refused caller is still read and discarded: closing at once
 /// would reset the connection, and the answer could be lost.
 const LINGER: Duration = Duration::from_millis(500);
@@ -77,8 +77,10 @@
     let Some(framing) = Framing::of_request(&head) else {
         return Arrival::Refused(Refusal::Malformed);
     };
-    if !matches!(framing, Framing::Empty | Framing::Length(0..=SHORT_BODY))
-        && let Err(refusal) = check_key(state, dialect, &head)
+    if !matches!(
+        framing,
+        Framing::Empty | Framing::Length(0..=MAX_UNAUTHENTICATED_BODY)
+    ) && let Err(refusal) = check_key(state, dialect, &head)
     {
         return Arrival::Refused(refusal);
     }
--- a/crates/proxy/src/dispatch.rs
+++ b/crates/proxy/src/dispatch.rs
@@ -22,26 +22,26 @@
 
 /// Maximum number of attempts that did not run the request before it is refused. Answers
 /// without capacity do not count for services whose slots free up soon.
-const MOST_TURNED_AWAY: u32 = 6;
+const MAX_REJECTIONS: u32 = 6;
 /// Interval at which the batch item that has the turn tries to pick an engine.
-const LOOK_AGAIN_IN_TURN: Duration = Duration::from_millis(20);
+const BATCH_PICK_INTERVAL: Duration = Duration::from_millis(20);
 /// Maximum length of a batch item's turn; afterwards its route is looked up again, and
 /// another item may be more urgent.
-const TURN: Duration = Duration::from_secs(1);
+const MAX_TURN: Duration = Duration::from_secs(1);
 /// Retry delay for a caller whose request engines end under. A bar lasts for hours unless
 /// an operator lifts it, and a waiting caller notices that within this time.
 const BARRED_RETRY_AFTER: Duration = Duration::from_secs(600);
 /// Share of the target latency within which an engine has to begin a request; the rest is
 /// for producing and passing on its first output.
-const BEGINS_WITHIN: f64 = 0.8;
+const BEGIN_SHARE: f64 = 0.8;
 /// Share of the caller's patience for which a late request waits for a slot; the rest is
 /// for its answer.
-const WAITS_SHARE: f64 = 0.7;
+const WAIT_SHARE: f64 = 0.7;
 /// Minimum time for which a request that returns from an engine tries to pick another one,
-/// even beyond [`WAITS_SHARE`].
-const LAST_LOOK: Duration = Duration::from_millis(50);
+/// even beyond [`WAIT_SHARE`].
+const MIN_REPICK_TIME: Duration = Duration::from_millis(50);
 /// Minimum time without an answer after which a repeatable request goes to another engine.
-const SHORTEST_SILENCE: Duration = Duration::from_millis(250);
+const MIN_HEAD_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The attempts of one request.
 pub(crate) struct Dispatch<'a, D> {
@@ -68,7 +68,7 @@
     pub turned_away: u32,
     /// How many of these were rejected for lack of capacity.
     without_room: u32,
-    /// Rejections for lack of capacity that do not count towards [`MOST_TURNED_AWAY`].
+    /// Rejections for lack of capacity that do not count towards [`MAX_REJECTIONS`].
     excused: u32,
 }
 
@@ -253,7 +253,7 @@
 
     /// Returns an error once too many attempts did not run the request.
     fn give_up_if_unusable(&self) -> Result<(), Refusal> {
-        match self.turned_away - self.excused >= MOST_TURNED_AWAY {
+        match self.turned_away - self.excused >= MAX_REJECTIONS {
             true => Err(self.give_up()),
             false => Ok(()),
         }
@@ -353,7 +353,7 @@
     /// urgent ones pass.
     async fn pick(&mut self) -> Result<Picked, Refusal> {
         let target = Duration::from_millis(u64::from(self.route.target_latency_ms));
-        let begins_by = self.arrived + target.mul_f64(BEGINS_WITHIN);
+        let begins_by = self.arrived + target.mul_f64(BEGIN_SHARE);
         if self.has_left() {
             return Err(self.no_engine_left());
         }
@@ -402,8 +402,8 @@
     fn wait_for_turn(&self, begins_by: Timestamp) -> Result<Waiter, Refusal> {
         let again = self.runs + self.turned_away > 0;
         let patience = self.ends.since(self.arrived);
-        let waits_until = self.arrived + patience.mul_f64(WAITS_SHARE);
-        let last_look = self.state.now() + LAST_LOOK;
+        let waits_until = self.arrived + patience.mul_f64(WAIT_SHARE);
+        let last_look = self.state.now() + MIN_REPICK_TIME;
         let want = Want {
             tenant: self.outbound.tenant.as_deref(),
             weight: 1,
@@ -432,7 +432,7 @@
     /// capacity.
     async fn pick_in_turn(&mut self) -> Result<Picked, Refusal> {
         let _turn = self.state.batch_turns.take(self.due_ms).await;
-        let looks_until = self.state.now() + TURN;
+        let looks_until = self.state.now() + MAX_TURN;
         loop {
             let picked = match self.state.may_start(WorkClass::Batch) {
                 true => self.pick_now(Standing::Late),
@@ -441,7 +441,7 @@
             match picked {
                 Ok(picked) => return Ok(picked),
                 Err(_) if self.state.now() < looks_until => {
-                    Timer::after(LOOK_AGAIN_IN_TURN).await;
+                    Timer::after(BATCH_PICK_INTERVAL).await;
                 }
                 Err(_) => return Err(self.give_up()),
             }
@@ -466,7 +466,7 @@
     fn pick_beside(&self, first: &Picked) -> Option<Picked> {
         let target = Duration::from_millis(u64::from(self.route.target_latency_ms));
         let now = self.state.now();
-        let left = (self.arrived + target.mul_f64(BEGINS_WITHIN)).since(now);
+        let left = (self.arrived + target.mul_f64(BEGIN_SHARE)).since(now);
         let standing = match left.is_zero() {
             true => Standing::Late,
             false => Standing::InTime { left },
@@ -503,7 +503,7 @@
         let another = self.route.is_repeatable() && self.runs + 1 < self.route.max_attempts;
         let target = Duration::from_millis(u64::from(self.route.target_latency_ms));
         another.then(|| match self.route.kind {
-            RouteKind::Safe => (target * 3 / 2).max(SHORTEST_SILENCE),
+            RouteKind::Safe => (target * 3 / 2).max(MIN_HEAD_TIMEOUT),
             _ => target * 4,
         })
     }
--- a/crates/proxy/src/engine_ends.rs
+++ b/crates/proxy/src/engine_ends.rs
@@ -30,7 +30,7 @@
 /// Pauses before the checks of an engine's port. Two refused connections mean that the
 /// engine ended: a single one may come from an engine at its connection limit. The later
 /// checks cover a network cut that hides the port at first.
-const LOOKS: [Duration; 5] = [
+const CHECK_DELAYS: [Duration; 5] = [
     Duration::from_millis(20),
     Duration::from_millis(100),
     Duration::from_millis(250),
@@ -38,18 +38,18 @@
     Duration::from_millis(1_000),
 ];
 /// Number of checks that must find the port refusing connections.
-const DEAD_LOOKS: u32 = 2;
+const DEAD_CHECKS: u32 = 2;
 /// Timeout for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
 /// Time within which answers arrive that were in flight when the engine broke off.
-const ON_THE_WAY: Duration = Duration::from_millis(50);
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(50);
 /// How long after the end of an engine a request that breaks off is still blamed for it:
 /// longer than a gateway starved of processor time takes to read the end of a connection.
-const SAME_END: Duration = Duration::from_secs(10);
+const BLAME_PERIOD: Duration = Duration::from_secs(10);
 
 /// Maximum number of broken-off requests that wait for a check; several times as many as
 /// all engines of a service run.
-const MOST_WAITING: usize = 4_096;
+const MAX_WAITING: usize = 4_096;
 
 /// A request that an engine broke off.
 #[derive(Clone, Debug)]
@@ -74,7 +74,7 @@
 impl Default for Breaks {
     fn default() -> Self {
         Self {
-            waiting: async_channel::bounded(MOST_WAITING),
+            waiting: async_channel::bounded(MAX_WAITING),
             looks: RefCell::default(),
         }
     }
@@ -153,7 +153,7 @@
     while let Ok(broken) = state.breaks.waiting.1.recv().await {
         let now = state.now();
         let mut ended = ends.ended.borrow_mut();
-        ended.retain(|_, at| now.since(*at) < SAME_END);
+        ended.retain(|_, at| now.since(*at) < BLAME_PERIOD);
         if ended.contains_key(&broken.engine) {
             state.breaks.looked(&broken.digest);
             blame(&state, &[broken]);
@@ -196,7 +196,7 @@
 async fn has_ended(state: &GatewayState, engine: &str, address: Option<SocketAddr>) -> bool {
     let broke_at = state.now();
     let mut dead = 0;
-    for pause in LOOKS {
+    for pause in CHECK_DELAYS {
         Timer::after(pause).await;
         match look(state, engine, address, broke_at).await {
             Look::Dead => dead += 1,
@@ -207,7 +207,7 @@
             // nodes report it soon.
             Look::Reached | Look::Silent => {}
         }
-        if dead >= DEAD_LOOKS {
+        if dead >= DEAD_CHECKS {
             return true;
         }
     }
@@ -222,7 +222,7 @@
 ) -> Look {
     {
         let engines = state.engines.borrow();
-        let answered = engines.answered_after(engine, broke_at + ON_THE_WAY);
+        let answered = engines.answered_after(engine, broke_at + IN_FLIGHT_TIME);
         if answered || engines.has_departed(engine) {
             return Look::Innocent;
         }
--- a/crates/proxy/src/metrics/room.rs
+++ b/crates/proxy/src/metrics/room.rs
@@ -14,7 +14,7 @@
 use super::WAIT_BOUNDS;
 
 /// Period over which [`ServiceDemand`] counts requests, in seconds.
-const ASKED_SECONDS: f64 = 1_000.0;
+const DEMAND_PERIOD_SECONDS: f64 = 1_000.0;
 
 /// Label with the service.
 type ServiceLabel = [(&'static str, String); 1];
@@ -69,7 +69,7 @@
             self.demand.get_or_create_owned(&labels)
         };
         of("waiting").set(f64::from(demand.waiting));
-        of("asked").set(demand.asked as f64 / ASKED_SECONDS);
+        of("asked").set(demand.asked as f64 / DEMAND_PERIOD_SECONDS);
         let label = [("service", demand.service.clone())];
         match part {
             Some(part) => {
--- a/crates/proxy/src/pace.rs
+++ b/crates/proxy/src/pace.rs
@@ -11,10 +11,10 @@
 use crate::state::GatewayState;
 
 /// Interval between log lines about implausible load reports.
-const FAULTS_TOLD_EVERY: Duration = Duration::from_secs(10);
+const FAULT_LOG_INTERVAL: Duration = Duration::from_secs(10);
 /// If a piece is awaited only after this time has passed since the last event, the interval
 /// between the two measures how fast the caller reads.
-const CALLER_HOLDS_UP: Duration = Duration::from_millis(5);
+const SLOW_CALLER_AFTER: Duration = Duration::from_millis(5);
 
 /// Measures the time between events of one answer.
 #[derive(Debug, Default)]
@@ -27,7 +27,7 @@
     /// Records that the next piece is awaited from now on.
     pub fn waits(&mut self, now: Timestamp) {
         let last = self.last;
-        self.held_up = last.is_some_and(|last| now.since(last) > CALLER_HOLDS_UP);
+        self.held_up = last.is_some_and(|last| now.since(last) > SLOW_CALLER_AFTER);
     }
 
     /// Records a piece; returns how many events end in it and the time they took, or `None`
@@ -102,7 +102,7 @@
     watch.faults.set(faults);
     let now = state.now();
     let told = watch.faults_told.get();
-    if told.is_some_and(|told| now.since(told) < FAULTS_TOLD_EVERY) {
+    if told.is_some_and(|told| now.since(told) < FAULT_LOG_INTERVAL) {
         return;
     }
     watch.faults_told.set(Some(now));
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -13,12 +13,12 @@
 const DEFAULT_IDLE: Duration = Duration::from_secs(3);
 /// Share of the engine's keep-alive time during which a connection is reused; a request
 /// that crosses the engine's close may be lost.
-const USED_SHARE: f64 = 0.6;
+const REUSE_SHARE: f64 = 0.6;
 /// Maximum number of idle connections to one engine.
-const MOST_IDLE: usize = 32;
+const MAX_IDLE: usize = 32;
 /// Interval between sweeps for expired connections: an engine that gets no other request
 /// from this gateway would otherwise hold a descriptor here forever.
-const SWEPT_EVERY: Duration = Duration::from_secs(1);
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
 struct Idle {
@@ -53,12 +53,12 @@
         keep_alive: Option<Duration>,
         now: Timestamp,
     ) {
-        let lives = keep_alive.map_or(DEFAULT_IDLE, |lives| lives.mul_f64(USED_SHARE));
+        let lives = keep_alive.map_or(DEFAULT_IDLE, |lives| lives.mul_f64(REUSE_SHARE));
         if !connection.buffered().is_empty() || lives.is_zero() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        if now.since(self.swept.get()) >= SWEPT_EVERY {
+        if now.since(self.swept.get()) >= SWEEP_INTERVAL {
             self.swept.set(now);
             idle.retain(|_, of_engine| {
                 of_engine.retain(|idle| idle.until > now);
@@ -66,7 +66,7 @@
             });
         }
         let of_engine = idle.entry(engine.to_owned()).or_default();
-        if of_engine.len() < MOST_IDLE {
+        if of_engine.len() < MAX_IDLE {
             let until = now + lives;
             of_engine.push(Idle { connection, until });
         }
--- a/crates/proxy/src/queue.rs
+++ b/crates/proxy/src/queue.rs
@@ -14,9 +14,9 @@
 use molespan_types::Timestamp;
 
 /// Interval at which a request that can still be in time tries to pick an engine.
-const LOOK_AGAIN: Duration = Duration::from_millis(8);
+const PICK_INTERVAL: Duration = Duration::from_millis(8);
 /// The same for a late request, which is less urgent.
-const LOOK_AGAIN_LATE: Duration = Duration::from_millis(20);
+const LATE_PICK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// The queue of one service and its waiting requests.
 #[derive(Debug)]
@@ -225,8 +225,8 @@
     /// Waits until a request that has the turn may pick again.
     async fn rest(&self, turn: Turn) {
         let again = match turn.in_time {
-            true => LOOK_AGAIN,
-            false => LOOK_AGAIN_LATE,
+            true => PICK_INTERVAL,
+            false => LATE_PICK_INTERVAL,
         };
         let woken = async {
             let _woken = self.wake.recv().await;
--- a/crates/proxy/src/reach.rs
+++ b/crates/proxy/src/reach.rs
@@ -20,10 +20,10 @@
 use crate::state::GatewayState;
 
 /// Maximum number of queued probe requests; at most one per zone is made at a time.
-const MOST_WAITING: usize = 64;
+const MAX_QUEUED_PROBES: usize = 64;
 /// Interval at which due probes are collected while a zone is unreachable; a fraction of
 /// the interval between probes.
-const TICK: Duration = Duration::from_millis(20);
+const PROBE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 type Wakeup = (Sender<()>, Receiver<()>);
 
@@ -39,7 +39,7 @@
 impl Default for Reach {
     fn default() -> Self {
         Self {
-            looks: async_channel::bounded(MOST_WAITING),
+            looks: async_channel::bounded(MAX_QUEUED_PROBES),
             went_out: RefCell::new(async_channel::bounded(1)),
             told: RefCell::default(),
         }
@@ -189,7 +189,7 @@
 
 /// Returns the due probes of unreachable zones.
 async fn due(state: &GatewayState) -> Vec<Probe> {
-    Timer::after(TICK).await;
+    Timer::after(PROBE_POLL_INTERVAL).await;
     let now = state.now();
     let probes = state.engines.borrow_mut().probes(now);
     state.note_reach_changes();
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -19,10 +19,10 @@
 
 /// Retry delay for a caller of a gateway without current configuration; an election and a
 /// watch take about as long.
-pub(crate) const KNOWS_SOON: Duration = Duration::from_millis(1_200);
+pub(crate) const CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(1_200);
 /// Maximum size, in bytes, of an answer that is buffered completely before it is relayed,
 /// so that a repeatable request can be retried if its engine breaks off.
-const HELD_BYTES: u64 = 256 << 10;
+const MAX_BUFFERED_ANSWER_BYTES: u64 = 256 << 10;
 
 /// A completely read request of a caller.
 pub(crate) struct CallerRequest {
@@ -49,7 +49,7 @@
 ) -> After {
     let Some(in_force) = state.in_force() else {
         let refusal = Refusal::NoConfiguration {
-            retry_after: KNOWS_SOON,
+            retry_after: CONFIGURATION_RETRY_AFTER,
         };
         return refuse(state, dialect, caller, refusal, keep_alive).await;
     };
@@ -208,7 +208,13 @@
     ) -> Option<After> {
         let EngineReply { head, mut body, .. } = reply;
         let mut reader = std::mem::replace(&mut body.reader, BodyReader::new(body.framing));
-        let reading = async { Some(reader.collect(&mut body.connection, HELD_BYTES).await) };
+        let reading = async {
+            Some(
+                reader
+                    .collect(&mut body.connection, MAX_BUFFERED_ANSWER_BYTES)
+                    .await,
+            )
+        };
         let late = async {
             self.state.clock.wait_until(self.ends).await;
             None
--- a/crates/proxy/src/resume.rs
+++ b/crates/proxy/src/resume.rs
@@ -21,9 +21,9 @@
 
 /// Multiple of the route's target gap between events after which a silent engine is
 /// replaced.
-const SILENT_PAUSES: u32 = 3;
+const SILENT_GAPS: u32 = 3;
 /// Target gap between events if the route states none.
-const DEFAULT_PAUSE: Duration = Duration::from_millis(500);
+const DEFAULT_GAP: Duration = Duration::from_millis(500);
 
 /// Result of one engine's part of a stream.
 enum Part {
@@ -74,7 +74,7 @@
     let mut body = reply.body;
     loop {
         let again = dispatch.may_run_again();
-        progress.silence = again.then(|| pause.unwrap_or(DEFAULT_PAUSE) * SILENT_PAUSES);
+        progress.silence = again.then(|| pause.unwrap_or(DEFAULT_GAP) * SILENT_GAPS);
         let engine = body.engine.clone();
         match progress.pass(&mut body).await {
             Part::Whole => {
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -76,7 +76,7 @@
 
 /// Number of unread prompt tokens of a request from which on the other gateways are
 /// informed at once: an engine takes longer to read them than a short request may wait.
-const TOLD_AT_ONCE_TOKENS: u64 = 2_000;
+const REPORT_AT_ONCE_TOKENS: u64 = 2_000;
 
 /// State and counters of a gateway.
 pub(crate) struct GatewayState {
@@ -367,7 +367,7 @@
             false => engines.started(engine, class, unread_tokens, self.now()),
         }
         drop(engines);
-        if unread_tokens >= TOLD_AT_ONCE_TOKENS {
+        if unread_tokens >= REPORT_AT_ONCE_TOKENS {
             self.tell_soon();
         }
         let queue = (class == WorkClass::Online).then(|| self.queue(&picked.facts.service));
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -9,7 +9,7 @@
 use slog::info;
 
 use crate::dialect::{Credential, Refusal};
-use crate::request::KNOWS_SOON;
+use crate::request::CONFIGURATION_RETRY_AFTER;
 use crate::state::{GatewayState, InForce};
 
 /// Tenants by key, and their ranks.
@@ -97,7 +97,7 @@
         match tenant.is_none() || self.knows_keys() {
             true => Ok(tenant),
             false => Err(Refusal::NoConfiguration {
-                retry_after: KNOWS_SOON,
+                retry_after: CONFIGURATION_RETRY_AFTER,
             }),
         }
     }
--- a/crates/proxy/src/work_shares.rs
+++ b/crates/proxy/src/work_shares.rs
@@ -38,13 +38,13 @@
 const BUSY_OCCUPANCY: f64 = 0.4;
 /// Maximum number of gateways that report to each other directly. The number of messages
 /// grows with the square of theirs; through relays it does not.
-pub(crate) const MOST_DIRECT: u32 = MOST_NAMED as u32;
+pub(crate) const MAX_DIRECT_GATEWAYS: u32 = MOST_NAMED as u32;
 /// Unchanged work is reported again after this many intervals.
-const REPEATED_AFTER: u32 = 6;
+const REPEAT_INTERVALS: u32 = 6;
 /// Minimum interval between reports of tenant usage while no tenant is close to its limit.
 const USAGE_INTERVAL: Duration = Duration::from_millis(150);
 /// Maximum number of queued incoming reports; further ones are dropped.
-const QUEUED: usize = 1_024;
+const MAX_QUEUED_REPORTS: usize = 1_024;
 
 /// A report from another gateway or a relay.
 struct Told {
@@ -115,7 +115,7 @@
     executor: &Arc<Executor<'static>>,
     local: &Rc<LocalExecutor<'static>>,
 ) -> Result<(), DaemonError> {
-    let (told, telling) = async_channel::bounded(QUEUED);
+    let (told, telling) = async_channel::bounded(MAX_QUEUED_REPORTS);
     let server = Server::bind(addresses.own_address(), ServerLimits::default())?;
     let listener = Arc::new(Listener {
         told,
@@ -211,7 +211,7 @@
         let reach = state.engines.borrow().reach_telling();
         let reach_news = reach != told_reach;
         let news = usage || reach_news || state.suspects.borrow().has_news();
-        if unchanged % REPEATED_AFTER != 0 && !news {
+        if unchanged % REPEAT_INTERVALS != 0 && !news {
             continue;
         }
         let bytes = molespan_state::encode(&shares);
@@ -270,7 +270,7 @@
 /// Returns the nodes that this gateway reports to: the other gateways, or the relay for
 /// them.
 fn audience(state: &GatewayState, relay: &mut Option<NodeId>) -> Vec<NodeId> {
-    let through = match state.gateways() > MOST_DIRECT {
+    let through = match state.gateways() > MAX_DIRECT_GATEWAYS {
         true => state.relay_in_use(),
         false => None,
     };
--- a/crates/proxy/tests/queue.rs
+++ b/crates/proxy/tests/queue.rs
@@ -11,9 +11,9 @@
 
 /// Time within which a request can be in time, and time for which it waits.
 const IN_TIME: Duration = Duration::from_secs(30);
-const WAITS: Duration = Duration::from_secs(60);
+const MAX_WAIT: Duration = Duration::from_secs(60);
 /// Number of requests that have the turn at the same time.
-const LOOKERS: usize = 3;
+const TURN_HOLDERS: usize = 3;
 
 fn queue() -> (Rc<ServiceQueue>, BootClock) {
     let clock = BootClock::start();
@@ -44,11 +44,11 @@
 #[test]
 fn the_first_look_and_the_others_rest() {
     let (queue, clock) = queue();
-    let mut waiters: Vec<Waiter> = (0..10).map(|_| ask(&queue, &clock, WAITS)).collect();
+    let mut waiters: Vec<Waiter> = (0..10).map(|_| ask(&queue, &clock, MAX_WAIT)).collect();
     let looked = waiters.iter().map(looks).filter(|&looks| looks).count();
-    assert_eq!(looked, LOOKERS);
+    assert_eq!(looked, TURN_HOLDERS);
     assert!(
-        waiters[..LOOKERS].iter().all(|one| !looks(one)),
+        waiters[..TURN_HOLDERS].iter().all(|one| !looks(one)),
         "a second pick has to wait"
     );
     queue.look();
@@ -61,7 +61,7 @@
 #[test]
 fn a_freed_slot_wakes_those_that_have_the_turn_and_no_others() {
     let (queue, clock) = queue();
-    let waiters: Vec<Waiter> = (0..6).map(|_| ask(&queue, &clock, WAITS)).collect();
+    let waiters: Vec<Waiter> = (0..6).map(|_| ask(&queue, &clock, MAX_WAIT)).collect();
     waiters.iter().for_each(|one| {
         looks(one);
     });
@@ -75,14 +75,14 @@
         for rest in &mut rests {
             woken += usize::from(poll_once(rest).await.is_some());
         }
-        assert_eq!(woken, LOOKERS);
+        assert_eq!(woken, TURN_HOLDERS);
     });
 }
 
 #[test]
 fn whoever_leaves_passes_its_turn_on() {
     let (queue, clock) = queue();
-    let mut waiters: Vec<Waiter> = (0..12).map(|_| ask(&queue, &clock, WAITS)).collect();
+    let mut waiters: Vec<Waiter> = (0..12).map(|_| ask(&queue, &clock, MAX_WAIT)).collect();
     // Waiters leave before being woken, after a turn to pick, while waiting for the next
     // turn, and from the middle of the queue.
     drop(waiters.remove(0));
@@ -102,7 +102,7 @@
     while !waiters.is_empty() {
         let (mut on, mut rest) = (Vec::new(), Vec::new());
         for (number, waiter) in waiters.into_iter().enumerate() {
-            match number < LOOKERS {
+            match number < TURN_HOLDERS {
                 true => on.push(waiter),
                 false => rest.push(waiter),
             }
@@ -136,7 +136,7 @@
 #[test]
 fn beyond_the_bound_one_is_refused_at_once() {
     let (queue, clock) = queue();
-    let waiters: Vec<Waiter> = (0..100).map(|_| ask(&queue, &clock, WAITS)).collect();
+    let waiters: Vec<Waiter> = (0..100).map(|_| ask(&queue, &clock, MAX_WAIT)).collect();
     let now = clock.now();
     let want = Want {
         tenant: None,
@@ -144,7 +144,7 @@
         rank: Rank::new(None, 0),
         size: None,
         begins_by: now + IN_TIME,
-        leaves_at: now + WAITS,
+        leaves_at: now + MAX_WAIT,
         again: false,
     };
     let refused = queue.ask(&want).expect_err("the queue is full");
