--- a/crates/proxy/src/batch/preemption.rs
+++ b/crates/proxy/src/batch/preemption.rs
@@ -128,7 +128,7 @@
             run.cut.close();
             cut += 1;
         }
-        state.metrics.batch.cut(cut);
+        state.metrics.batch.count_preempted(cut);
         if cut > 0 {
             info!(state.logger, "batch runs preempted"; "engine" => engine, "runs" => cut);
         }
--- a/crates/proxy/src/batch/runner.rs
+++ b/crates/proxy/src/batch/runner.rs
@@ -190,7 +190,7 @@
         let now = self.state.now();
         let occupancy = self.state.engines.borrow().occupancy(now);
         let kept = self.kept_for_online(now);
-        self.state.metrics.batch.kept(kept);
+        self.state.metrics.batch.set_reserved_slots(kept);
         info!(self.state.logger, "batch work"; "items" => items,
             "at_engines" => self.state.batch_runs.at_engines(),
             "occupancy" => format!("{occupancy:.2}"), "kept" => format!("{kept:.1}"));
--- a/crates/proxy/src/dispatch.rs
+++ b/crates/proxy/src/dispatch.rs
@@ -181,7 +181,7 @@
                 after_event,
             };
             if self.runs + self.turned_away == 0 && self.outbound.class == WorkClass::Online {
-                self.state.metrics.waited(self.age());
+                self.state.metrics.observe_engine_wait(self.age());
             }
             let engine = &picked.facts;
             debug!(self.state.logger, "attempt"; "request" => &self.outbound.id,
@@ -247,7 +247,10 @@
         }
         self.state.note_taken(&self.service);
         if self.without_room > 0 {
-            self.state.metrics.room.waited(self.age());
+            self.state
+                .metrics
+                .capacity
+                .observe_capacity_wait(self.age());
         }
     }
 
@@ -326,7 +329,7 @@
 
     /// Logs and returns the refusal of a request whose turn cannot come.
     fn no_turn(&self, refused: Refused) -> Refusal {
-        self.state.metrics.queue.refused(refused.reason);
+        self.state.metrics.queue.count_refusal(refused.reason);
         let refusal = self.not_now(refused.room_in);
         info!(self.state.logger, "queue refused the request"; "request" => &self.outbound.id,
             "service" => &self.service, "reason" => %refused.reason,
@@ -373,7 +376,7 @@
                 Ok(picked) => {
                     let begun = waiter.begins();
                     let queue = &self.state.metrics.queue;
-                    queue.began(begun.in_time, self.age(), begun.error);
+                    queue.observe_wait(begun.in_time, self.age(), begun.error);
                     return Ok(picked);
                 }
                 Err(NoEngine::Tried) => return Err(self.give_up()),
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -19,7 +19,7 @@
 use self::pace::PaceMetrics;
 use self::queue::QueueMetrics;
 use self::reach::ReachMetrics;
-use self::room::RoomMetrics;
+use self::room::CapacityMetrics;
 use crate::dialect::Refusal;
 
 /// Upper bounds of the wait histograms' buckets, in seconds.
@@ -37,7 +37,7 @@
     held_back: Counter,
     unusable_engines: Counter,
     /// Capacity of engines.
-    pub room: RoomMetrics,
+    pub capacity: CapacityMetrics,
     /// Batch work.
     pub batch: BatchMetrics,
     /// Work times at engines.
@@ -77,7 +77,7 @@
                 "Engines that were told without a usable address",
                 Counter::default(),
             ),
-            room: RoomMetrics::new(&registry),
+            capacity: CapacityMetrics::new(&registry),
             registry,
         }
     }
@@ -90,7 +90,7 @@
     }
 
     /// Counts a request that the gateway answered itself.
-    pub fn refused(&self, refusal: Refusal) {
+    pub fn count_refusal(&self, refusal: Refusal) {
         self.refusals
             .get_or_create(&[("reason", reason(refusal))])
             .inc();
@@ -107,7 +107,7 @@
     }
 
     /// Records the wait until an engine was chosen for a request's first attempt.
-    pub fn waited(&self, wait: Duration) {
+    pub fn observe_engine_wait(&self, wait: Duration) {
         self.waits.observe(wait.as_secs_f64());
     }
 }
--- a/crates/proxy/src/metrics/batch.rs
+++ b/crates/proxy/src/metrics/batch.rs
@@ -7,18 +7,18 @@
 /// Batch metrics.
 #[derive(Clone, Debug)]
 pub(crate) struct BatchMetrics {
-    cuts: Counter,
-    kept: Gauge,
+    preempted: Counter,
+    reserved_slots: Gauge,
 }
 
 impl BatchMetrics {
     pub fn new(registry: &Metrics) -> Self {
         Self {
-            cuts: registry.counter(
+            preempted: registry.counter(
                 "gateway_batch_runs_cut",
                 "Runs of batch items here that gave way to online requests",
             ),
-            kept: registry.gauge(
+            reserved_slots: registry.gauge(
                 "gateway_batch_slots_kept",
                 "Slots that batch work leaves free for online requests that come next",
             ),
@@ -26,12 +26,12 @@
     }
 
     /// Counts preempted runs.
-    pub fn cut(&self, runs: u64) {
-        self.cuts.inc_by(runs);
+    pub fn count_preempted(&self, runs: u64) {
+        self.preempted.inc_by(runs);
     }
 
     /// Sets the number of slots that batch work leaves free.
-    pub fn kept(&self, slots: f64) {
-        self.kept.set(slots.round() as i64);
+    pub fn set_reserved_slots(&self, slots: f64) {
+        self.reserved_slots.set(slots.round() as i64);
     }
 }
--- a/crates/proxy/src/metrics/queue.rs
+++ b/crates/proxy/src/metrics/queue.rs
@@ -50,7 +50,7 @@
 
     /// Records that an engine was chosen for a request of age `age`; `error` is the error
     /// of the forecast wait.
-    pub fn began(&self, in_time: bool, age: Duration, error: Option<Duration>) {
+    pub fn observe_wait(&self, in_time: bool, age: Duration, error: Option<Duration>) {
         let waits = self.waits.get_or_create(&standing(in_time));
         waits.observe(age.as_secs_f64());
         if let Some(error) = error {
@@ -59,7 +59,7 @@
     }
 
     /// Counts a refused request.
-    pub fn refused(&self, reason: Reason) {
+    pub fn count_refusal(&self, reason: Reason) {
         let reason = match reason {
             Reason::Full => "full",
             Reason::TenantFull => "tenant_full",
@@ -70,7 +70,7 @@
     }
 
     /// Sets the number of waiting requests and how many of them can still be in time.
-    pub fn lengths(&self, waiting: usize, in_time: usize) {
+    pub fn set_lengths(&self, waiting: usize, in_time: usize) {
         for (standing, count) in [
             (standing(true), in_time),
             (standing(false), waiting.saturating_sub(in_time)),
--- a/crates/proxy/src/metrics/reach.rs
+++ b/crates/proxy/src/metrics/reach.rs
@@ -10,7 +10,7 @@
 /// Metrics of unreachable zones and slow connects.
 #[derive(Clone, Debug)]
 pub(crate) struct ReachMetrics {
-    zones_out: Gauge,
+    unreachable_zones: Gauge,
     changes: Family<Label, Counter>,
     probes: Family<Label, Counter>,
     races: Family<Label, Counter>,
@@ -20,7 +20,7 @@
     /// Registers the metrics.
     pub fn new(registry: &Metrics) -> Self {
         Self {
-            zones_out: registry.gauge(
+            unreachable_zones: registry.gauge(
                 "gateway_zones_out_of_reach",
                 "Zones whose engines this gateway cannot reach",
             ),
@@ -43,17 +43,17 @@
     }
 
     /// Sets the number of unreachable zones.
-    pub fn out(&self, zones: usize) {
-        self.zones_out.set(zones as i64);
+    pub fn set_unreachable_zones(&self, zones: usize) {
+        self.unreachable_zones.set(zones as i64);
     }
 
     /// Counts a zone that became unreachable or reachable again.
-    pub fn changed(&self, to: &'static str) {
+    pub fn count_change(&self, to: &'static str) {
         self.changes.get_or_create(&[("to", to)]).inc();
     }
 
     /// Counts a probe connect and whether it succeeded.
-    pub fn probed(&self, up: bool) {
+    pub fn count_probe(&self, up: bool) {
         let outcome = match up {
             true => "up",
             false => "failed",
@@ -63,7 +63,7 @@
 
     /// Counts a race of two connects; `won` is the index of the first to connect, if any
     /// did.
-    pub fn raced(&self, won: Option<usize>) {
+    pub fn count_race(&self, won: Option<usize>) {
         let won = match won {
             Some(0) => "first",
             Some(_) => "second",
--- a/crates/proxy/src/metrics/room.rs
+++ b/crates/proxy/src/metrics/room.rs
@@ -21,21 +21,21 @@
 /// Labels with the service and the kind of demand.
 type DemandLabels = [(&'static str, String); 2];
 /// A gauge with a fractional value.
-type Level = Gauge<f64, AtomicU64>;
+type FloatGauge = Gauge<f64, AtomicU64>;
 
 /// Capacity metrics.
 #[derive(Clone, Debug)]
-pub(crate) struct RoomMetrics {
-    turned_away: Family<ServiceLabel, Counter>,
+pub(crate) struct CapacityMetrics {
+    rejections: Family<ServiceLabel, Counter>,
     waits: Histogram,
-    demand: Family<DemandLabels, Level>,
-    parts: Family<ServiceLabel, Level>,
+    demand: Family<DemandLabels, FloatGauge>,
+    shares: Family<ServiceLabel, FloatGauge>,
 }
 
-impl RoomMetrics {
+impl CapacityMetrics {
     pub fn new(registry: &Metrics) -> Self {
         Self {
-            turned_away: registry.register(
+            rejections: registry.register(
                 "gateway_turned_away",
                 "Attempts of online requests that an engine had no room for, by service",
                 Family::default(),
@@ -50,7 +50,7 @@
                 "Online requests of this gateway for a service: waiting, and asked a second",
                 Family::default(),
             ),
-            parts: registry.register(
+            shares: registry.register(
                 "gateway_room_part",
                 "Part of the room at a service's engines that is this gateway's, by demand",
                 Family::default(),
@@ -60,7 +60,7 @@
 
     /// Sets the demand that this gateway reports for a service, and its share of the
     /// capacity; `None` while shares are not by demand.
-    pub fn tells(&self, demand: &ServiceDemand, part: Option<f64>) {
+    pub fn set_demand(&self, demand: &ServiceDemand, share: Option<f64>) {
         let of = |what: &str| {
             let labels = [
                 ("service", demand.service.clone()),
@@ -71,31 +71,31 @@
         of("waiting").set(f64::from(demand.waiting));
         of("asked").set(demand.asked as f64 / DEMAND_PERIOD_SECONDS);
         let label = [("service", demand.service.clone())];
-        match part {
-            Some(part) => {
-                self.parts.get_or_create(&label).set(part);
+        match share {
+            Some(share) => {
+                self.shares.get_or_create(&label).set(share);
             }
             None => {
-                self.parts.remove(&label);
+                self.shares.remove(&label);
             }
         }
     }
 
     /// Removes the metrics of services that may no longer be served.
-    pub fn forget_services(&self) {
+    pub fn clear_services(&self) {
         self.demand.clear();
-        self.parts.clear();
+        self.shares.clear();
     }
 
     /// Counts an attempt that an engine of the service had no capacity for.
-    pub fn turned_away(&self, service: &str) {
+    pub fn count_rejection(&self, service: &str) {
         let label = [("service", service.to_owned())];
-        self.turned_away.get_or_create(&label).inc();
+        self.rejections.get_or_create(&label).inc();
     }
 
     /// Records the time from arrival until an engine accepted a request that had been
     /// rejected before.
-    pub fn waited(&self, wait: Duration) {
+    pub fn observe_capacity_wait(&self, wait: Duration) {
         self.waits.observe(wait.as_secs_f64());
     }
 }
--- a/crates/proxy/src/race.rs
+++ b/crates/proxy/src/race.rs
@@ -61,7 +61,7 @@
     state
         .metrics
         .reach
-        .raced(up.as_ref().map(|(place, _)| *place));
+        .count_race(up.as_ref().map(|(place, _)| *place));
     let (place, connection) = up?;
     if place == 0 {
         return Some(Link {
--- a/crates/proxy/src/reach.rs
+++ b/crates/proxy/src/reach.rs
@@ -121,14 +121,14 @@
             self.note_reach_change(change);
         }
         let out = self.engines.borrow().zones_out_of_reach();
-        self.metrics.reach.out(out.len());
+        self.metrics.reach.set_unreachable_zones(out.len());
     }
 
     fn note_reach_change(&self, change: Change) {
         match change {
             Change::Out { zone, evidence } => {
                 self.write_out_of_reach(zone.as_str(), evidence);
-                self.metrics.reach.changed("out");
+                self.metrics.reach.count_change("out");
                 self.wake_waiting();
                 // Wakes the prober, which probes the zone from now on, and then the sender
                 // of reports.
@@ -144,7 +144,7 @@
             Change::Back { zone, after, by } => {
                 info!(self.logger, "zone back"; "zone" => zone.as_str(),
                     "after_ms" => after.as_millis() as u64, "by" => by.name());
-                self.metrics.reach.changed("back");
+                self.metrics.reach.count_change("back");
             }
         }
     }
@@ -205,7 +205,7 @@
     let began = state.now();
     let connected = h1::connect(address, timeout, SocketOptions::default()).await;
     let now = state.now();
-    state.metrics.reach.probed(connected.is_ok());
+    state.metrics.reach.count_probe(connected.is_ok());
     match connected {
         Ok(_closed_again) => {
             let took = now.since(began);
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -144,7 +144,7 @@
     refusal: Refusal,
     keep_alive: bool,
 ) -> After {
-    state.metrics.refused(refusal);
+    state.metrics.count_refusal(refusal);
     let answer = dialect.refusal(refusal).encode(keep_alive);
     finish(caller, &answer, keep_alive).await
 }
--- a/crates/proxy/src/room.rs
+++ b/crates/proxy/src/room.rs
@@ -22,7 +22,7 @@
 impl GatewayState {
     /// Records that an engine of a service had no capacity for an online request.
     pub fn note_turned_away(&self, service: &str) {
-        self.metrics.room.turned_away(service);
+        self.metrics.capacity.count_rejection(service);
         self.note_room(service, true);
     }
 
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -220,7 +220,7 @@
         let (waiting, in_time) = lengths.fold((0, 0), |(waiting, in_time), one| {
             (waiting + one.0, in_time + one.1)
         });
-        self.metrics.queue.lengths(waiting, in_time);
+        self.metrics.queue.set_lengths(waiting, in_time);
     }
 
     /// Returns the configuration in force, if any is known.
@@ -420,7 +420,7 @@
         let now = self.now();
         self.tenants.borrow_mut().set_limits(limits(&model), now);
         self.engines.borrow_mut().serve(services(&model));
-        self.metrics.room.forget_services();
+        self.metrics.capacity.clear_services();
         self.shortages.clear();
         // Queues of removed services go unless requests wait in them. Remaining services
         // keep their measurements.
--- a/crates/proxy/src/work_shares.rs
+++ b/crates/proxy/src/work_shares.rs
@@ -258,7 +258,7 @@
     let engines = state.engines.borrow();
     for demand in demands {
         let part = engines.part_by_demand(&demand.service, now);
-        state.metrics.room.tells(demand, part);
+        state.metrics.capacity.set_demand(demand, part);
     }
 }
 
