--- a/crates/proxy/src/bars.rs
+++ b/crates/proxy/src/bars.rs
@@ -32,31 +32,31 @@
     /// The newest bar of each request; control nodes report changes at different times.
     newest: RefCell<BTreeMap<RequestDigest, Bar>>,
     /// Signalled when a request may have to be barred.
-    suspected: (Sender<()>, Receiver<()>),
+    check_requests: (Sender<()>, Receiver<()>),
 }
 
 impl Default for Bars {
     fn default() -> Self {
         Self {
             newest: RefCell::default(),
-            suspected: async_channel::bounded(1),
+            check_requests: async_channel::bounded(1),
         }
     }
 }
 
-fn oldest(words: &BTreeMap<RequestDigest, Bar>) -> Option<RequestDigest> {
-    let oldest = words.iter().min_by_key(|(_, bar)| bar.change);
+fn oldest(bars: &BTreeMap<RequestDigest, Bar>) -> Option<RequestDigest> {
+    let oldest = bars.iter().min_by_key(|(_, bar)| bar.change);
     oldest.map(|(request, _)| *request)
 }
 
 impl Bars {
     /// Requests a check for requests to bar.
-    pub fn look_soon(&self) {
-        let _told_already = self.suspected.0.try_send(());
+    pub fn request_check(&self) {
+        let _already_requested = self.check_requests.0.try_send(());
     }
 
     /// Stores a bar and returns whether it is newer than the stored one.
-    fn take(&self, request: RequestDigest, bar: Bar) -> bool {
+    fn store(&self, request: RequestDigest, bar: Bar) -> bool {
         let mut newest = self.newest.borrow_mut();
         let known = newest.get(&request);
         if known.is_some_and(|known| known.change >= bar.change) {
@@ -85,7 +85,7 @@
 /// for the open checks. It counts engines that did end and engines being checked. An online
 /// request whose engine broke off is retried at another one at once, so that its caller
 /// sees no pause, but only once; batch work has the time to wait.
-fn at_once(class: WorkClass) -> usize {
+fn wait_threshold(class: WorkClass) -> usize {
     match class {
         WorkClass::Online => 2,
         WorkClass::Batch => 1,
@@ -97,8 +97,8 @@
     /// is barred.
     pub fn permit(&self, request: &Outbound) -> Permit {
         let suspects = self.suspects.borrow();
-        let open = self.breaks.open_looks(request);
-        if open > 0 && open + self.crashes(&suspects, request) >= at_once(request.class) {
+        let open = self.broken_requests.open_checks(request);
+        if open > 0 && open + self.crashes(&suspects, request) >= wait_threshold(request.class) {
             return Permit::Later(self.now() + ENGINE_CHECK_INTERVAL);
         }
         if suspects.is_empty() {
@@ -135,8 +135,8 @@
     }
 
     /// Applies a bar reported by a control node.
-    pub fn take_bar(&self, request: RequestDigest, bar: Bar) {
-        if !self.bars.take(request, bar) {
+    pub fn apply_bar(&self, request: RequestDigest, bar: Bar) {
+        if !self.bars.store(request, bar) {
             return;
         }
         let left = bar.holds_for(unix_millis());
@@ -150,13 +150,13 @@
     }
 
     /// Waits until a permit can be decided.
-    pub async fn settle(&self, until: Timestamp) {
+    pub async fn wait_until_settled(&self, until: Timestamp) {
         self.clock.wait_until(until).await;
     }
 
     /// Records that an engine answered a request completely, which clears it of earlier
     /// crashes.
-    pub fn note_whole(&self, request: &Outbound) {
+    pub fn note_complete(&self, request: &Outbound) {
         if self.suspects.borrow().is_empty() {
             return;
         }
@@ -170,20 +170,20 @@
 
 /// Asks the control group to bar guilty requests, so that the bars survive a restart of all
 /// gateways. Runs until dropped.
-pub(crate) async fn ask_for_bars(state: Rc<GatewayState>) {
+pub(crate) async fn request_bars(state: Rc<GatewayState>) {
     loop {
-        let _told = state.bars.suspected.1.recv().await;
+        let _requested = state.bars.check_requests.1.recv().await;
         while state.suspects.borrow().has_candidates(state.now()) {
             let guilty = state.suspects.borrow().to_bar(state.now());
             for (request, crashes) in guilty {
-                ask_for_bar(&state, request, crashes).await;
+                request_bar(&state, request, crashes).await;
             }
             Timer::after(BAR_CHECK_INTERVAL).await;
         }
     }
 }
 
-async fn ask_for_bar(state: &GatewayState, request: RequestDigest, crashes: usize) {
+async fn request_bar(state: &GatewayState, request: RequestDigest, crashes: usize) {
     let command = DeclaredCommand::Bar {
         request,
         since_ms: unix_millis(),
--- a/crates/proxy/src/batch/item.rs
+++ b/crates/proxy/src/batch/item.rs
@@ -153,10 +153,10 @@
         guard.at(&engine);
         let run = finish_run(state, reply, output).await;
         if matches!(run, Run::Whole | Run::Failed | Run::Impossible) {
-            state.note_whole(&dispatch.outbound);
+            state.note_complete(&dispatch.outbound);
         }
         if matches!(run, Run::Broken) {
-            state.look_into(&engine, &dispatch.outbound);
+            state.check_engine(&engine, &dispatch.outbound);
             info!(state.logger, "run of an item was broken off by its engine"; "item" => &item.item.id,
                 "digest" => %dispatch.outbound.digest(), "engine" => engine);
         }
--- a/crates/proxy/src/dispatch.rs
+++ b/crates/proxy/src/dispatch.rs
@@ -149,7 +149,7 @@
     pub fn note_broken(&mut self, engine: &str) {
         self.tried.insert(engine.to_owned());
         self.state.note_broken(engine);
-        self.state.look_into(engine, &self.outbound);
+        self.state.check_engine(engine, &self.outbound);
         info!(self.state.logger, "answer broken off by its engine";
             "request" => &self.outbound.id, "digest" => %self.outbound.digest(),
             "engine" => engine, "runs" => self.runs);
@@ -207,7 +207,7 @@
                         "after_ms" => self.age().as_millis() as u64);
                     let failed = matches!(reply.head.status, 500 | 502 | 504);
                     if failed && self.route.kind == RouteKind::Safe && self.may_run_again() {
-                        self.state.note_whole(&self.outbound);
+                        self.state.note_complete(&self.outbound);
                         continue;
                     }
                     return Ok(reply);
@@ -267,7 +267,7 @@
         loop {
             match self.state.permit(&self.outbound) {
                 Permit::Granted => return Ok(()),
-                Permit::Later(until) => self.state.settle(until).await,
+                Permit::Later(until) => self.state.wait_until_settled(until).await,
                 Permit::Denied if self.runs > 0 => return Err(Refusal::AnswerLost),
                 Permit::Denied => {
                     return Err(Refusal::Barred {
@@ -298,7 +298,7 @@
         }
         self.runs += 1;
         if failure == AttemptFailure::Broken {
-            self.state.look_into(engine, &self.outbound);
+            self.state.check_engine(engine, &self.outbound);
         }
         if self.state.now() >= self.ends {
             return Err(Refusal::TimedOut);
--- a/crates/proxy/src/engine_ends.rs
+++ b/crates/proxy/src/engine_ends.rs
@@ -53,7 +53,7 @@
 
 /// A request that an engine broke off.
 #[derive(Clone, Debug)]
-struct Broken {
+struct BrokenRequest {
     /// Identifier of the engine's incarnation.
     engine: String,
     /// Address of the engine, if still known.
@@ -65,97 +65,97 @@
 }
 
 /// Requests that engines broke off, until it is known whether the engines ended.
-pub(crate) struct Breaks {
-    waiting: (Sender<Broken>, Receiver<Broken>),
+pub(crate) struct BrokenRequests {
+    waiting: (Sender<BrokenRequest>, Receiver<BrokenRequest>),
     /// Number of open checks by the request that broke off.
-    looks: RefCell<BTreeMap<RequestDigest, usize>>,
+    checks: RefCell<BTreeMap<RequestDigest, usize>>,
 }
 
-impl Default for Breaks {
+impl Default for BrokenRequests {
     fn default() -> Self {
         Self {
             waiting: async_channel::bounded(MAX_WAITING),
-            looks: RefCell::default(),
+            checks: RefCell::default(),
         }
     }
 }
 
-impl Breaks {
+impl BrokenRequests {
     /// Returns the number of open checks of engines that broke the request off.
-    pub fn open_looks(&self, request: &Outbound) -> usize {
-        let looks = self.looks.borrow();
-        match looks.is_empty() {
+    pub fn open_checks(&self, request: &Outbound) -> usize {
+        let checks = self.checks.borrow();
+        match checks.is_empty() {
             true => 0,
-            false => looks.get(&request.digest()).copied().unwrap_or_default(),
+            false => checks.get(&request.digest()).copied().unwrap_or_default(),
         }
     }
 
     /// Records that a check has ended.
-    fn looked(&self, request: &RequestDigest) {
-        let mut looks = self.looks.borrow_mut();
-        let Some(open) = looks.get_mut(request) else {
+    fn end_check(&self, request: &RequestDigest) {
+        let mut checks = self.checks.borrow_mut();
+        let Some(open) = checks.get_mut(request) else {
             return;
         };
         *open -= 1;
         if *open == 0 {
-            looks.remove(request);
+            checks.remove(request);
         }
     }
 }
 
 impl GatewayState {
     /// Starts a check whether an engine that broke a request off has ended.
-    pub fn look_into(&self, engine: &str, request: &Outbound) {
+    pub fn check_engine(&self, engine: &str, request: &Outbound) {
         let digest = request.digest();
-        let broken = Broken {
+        let broken = BrokenRequest {
             engine: engine.to_owned(),
             address: self.engines.borrow().address(engine),
             digest,
             id: request.id.clone(),
         };
-        if self.breaks.waiting.0.try_send(broken).is_err() {
+        if self.broken_requests.waiting.0.try_send(broken).is_err() {
             warn!(self.logger, "too many broken-off requests; skipping the check of an engine";
                 "request" => &request.id, "engine" => engine);
             return;
         }
-        let mut looks = self.breaks.looks.borrow_mut();
-        *looks.entry(digest).or_default() += 1;
+        let mut checks = self.broken_requests.checks.borrow_mut();
+        *checks.entry(digest).or_default() += 1;
     }
 }
 
 /// Result of one check of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Look {
+enum CheckResult {
     /// The port refuses connections.
     Dead,
     /// The engine has certainly ended.
     Ended,
     /// The engine has answered since, or ended as planned.
-    Innocent,
+    NotCrashed,
     /// The port accepts connections.
     Reached,
     /// The check is inconclusive.
-    Silent,
+    Inconclusive,
 }
 
 /// Engines that recently broke requests off.
 #[derive(Default)]
-struct Ends {
+struct EngineEnds {
     /// Broken-off requests by the engine being checked.
-    open: RefCell<BTreeMap<String, Vec<Broken>>>,
+    open: RefCell<BTreeMap<String, Vec<BrokenRequest>>>,
     /// When engines were found to have ended.
     ended: RefCell<BTreeMap<String, Timestamp>>,
 }
 
 /// Checks whether engines that broke requests off have ended. Runs until dropped.
-pub(crate) async fn watch_ends(state: Rc<GatewayState>, local: Rc<LocalExecutor<'static>>) {
-    let ends = Rc::new(Ends::default());
-    while let Ok(broken) = state.breaks.waiting.1.recv().await {
+pub(crate) async fn watch_engine_ends(state: Rc<GatewayState>, local: Rc<LocalExecutor<'static>>) {
+    let ends = Rc::new(EngineEnds::default());
+    while let Ok(broken) = state.broken_requests.waiting.1.recv().await {
         let now = state.now();
         let mut ended = ends.ended.borrow_mut();
         ended.retain(|_, at| now.since(*at) < BLAME_PERIOD);
         if ended.contains_key(&broken.engine) {
-            state.breaks.looked(&broken.digest);
+            state.broken_requests.end_check(&broken.digest);
             blame(&state, &[broken]);
             continue;
         }
@@ -168,14 +168,14 @@
         let engine = broken.engine.clone();
         let address = broken.address;
         open.insert(engine.clone(), vec![broken]);
-        let look = find_out(state.clone(), ends.clone(), engine, address);
-        local.spawn(look).detach();
+        let check = check_and_blame(state.clone(), ends.clone(), engine, address);
+        local.spawn(check).detach();
     }
 }
 
-async fn find_out(
+async fn check_and_blame(
     state: Rc<GatewayState>,
-    ends: Rc<Ends>,
+    ends: Rc<EngineEnds>,
     engine: String,
     address: Option<SocketAddr>,
 ) {
@@ -183,7 +183,7 @@
     let broken = ends.open.borrow_mut().remove(&engine).unwrap_or_default();
     broken
         .iter()
-        .for_each(|one| state.breaks.looked(&one.digest));
+        .for_each(|one| state.broken_requests.end_check(&one.digest));
     if !ended {
         info!(state.logger, "engine broke requests off but did not end"; "engine" => engine,
             "requests" => broken.len());
@@ -198,14 +198,14 @@
     let mut dead = 0;
     for pause in CHECK_DELAYS {
         Timer::after(pause).await;
-        match look(state, engine, address, broke_at).await {
-            Look::Dead => dead += 1,
-            Look::Ended => return true,
-            Look::Innocent => return false,
-            Look::Reached if dead == 0 => return false,
+        match check(state, engine, address, broke_at).await {
+            CheckResult::Dead => dead += 1,
+            CheckResult::Ended => return true,
+            CheckResult::NotCrashed => return false,
+            CheckResult::Reached if dead == 0 => return false,
             // If the port refused before, another incarnation is there now, and the control
             // nodes report it soon.
-            Look::Reached | Look::Silent => {}
+            CheckResult::Reached | CheckResult::Inconclusive => {}
         }
         if dead >= DEAD_CHECKS {
             return true;
@@ -214,35 +214,35 @@
     false
 }
 
-async fn look(
+async fn check(
     state: &GatewayState,
     engine: &str,
     address: Option<SocketAddr>,
     broke_at: Timestamp,
-) -> Look {
+) -> CheckResult {
     {
         let engines = state.engines.borrow();
         let answered = engines.answered_after(engine, broke_at + IN_FLIGHT_TIME);
         if answered || engines.has_departed(engine) {
-            return Look::Innocent;
+            return CheckResult::NotCrashed;
         }
         if !engines.is_present(engine) {
-            return Look::Ended;
+            return CheckResult::Ended;
         }
     }
     let Some(address) = address else {
-        return Look::Silent;
+        return CheckResult::Inconclusive;
     };
     let connected = h1::connect(address, CONNECT_TIMEOUT, SocketOptions::default()).await;
     match connected.map_err(|error| error.kind()) {
-        Ok(_) => Look::Reached,
-        Err(ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset) => Look::Dead,
-        Err(_) => Look::Silent,
+        Ok(_) => CheckResult::Reached,
+        Err(ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset) => CheckResult::Dead,
+        Err(_) => CheckResult::Inconclusive,
     }
 }
 
 /// Blames the requests that an engine was running when it ended.
-fn blame(state: &GatewayState, broken: &[Broken]) {
+fn blame(state: &GatewayState, broken: &[BrokenRequest]) {
     let now = state.now();
     for one in broken {
         let engine = engine_key(&one.engine);
@@ -255,5 +255,5 @@
             "requests_there" => broken.len());
     }
     state.tell_soon();
-    state.bars.look_soon();
+    state.bars.request_check();
 }
--- a/crates/proxy/src/gateway.rs
+++ b/crates/proxy/src/gateway.rs
@@ -19,11 +19,11 @@
 use molespan_wire::WatcherKind;
 use slog::{Logger, info};
 
-use crate::bars::ask_for_bars;
+use crate::bars::request_bars;
 use crate::batch;
 use crate::connection::serve_connection;
 use crate::dialect::GatewayDialect;
-use crate::engine_ends::watch_ends;
+use crate::engine_ends::watch_engine_ends;
 use crate::reach::watch_reach;
 use crate::state::GatewayState;
 use crate::work_shares::exchange_work;
@@ -127,12 +127,12 @@
         let _watcher = ViewWatcher::start(asker, seeds, watching, local, logger.clone(), sink);
         exchange_work(&options.addresses, &state, wire, executor, local)?;
         local
-            .spawn(watch_ends(state.clone(), local.clone()))
+            .spawn(watch_engine_ends(state.clone(), local.clone()))
             .detach();
         local
             .spawn(watch_reach(state.clone(), local.clone()))
             .detach();
-        local.spawn(ask_for_bars(state.clone())).detach();
+        local.spawn(request_bars(state.clone())).detach();
         let dialect = Rc::new(dialect);
         let callers = listen(options.caller_address)?;
         let readiness = listen(options.readiness_address)?;
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -179,12 +179,12 @@
                 let ends = self.ends;
                 let ended = relay(self.state, reply, caller, minor, keep_alive, ends).await;
                 if ended == Relayed::EngineBroke {
-                    self.state.look_into(&engine, &self.outbound);
+                    self.state.check_engine(&engine, &self.outbound);
                 }
                 ended
             };
             if ended == Relayed::Whole {
-                self.state.note_whole(&self.outbound);
+                self.state.note_complete(&self.outbound);
             }
             if ended != Relayed::Whole {
                 info!(self.state.logger, "answer not relayed completely";
@@ -229,7 +229,7 @@
         };
         body.reader = reader;
         body.finish(self.state);
-        self.state.note_whole(&self.outbound);
+        self.state.note_complete(&self.outbound);
         let mut headers = Headers::new();
         headers.extend_end_to_end(&head.headers);
         headers.push("Content-Length", whole.len().to_string());
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -27,7 +27,7 @@
 
 use crate::bars::Bars;
 use crate::batch::{BatchRuns, Turns};
-use crate::engine_ends::Breaks;
+use crate::engine_ends::BrokenRequests;
 use crate::gateway::GatewayOptions;
 use crate::metrics::GatewayMetrics;
 use crate::pace::PaceWatch;
@@ -89,7 +89,7 @@
     /// Requests that ran at engines when these ended.
     pub suspects: RefCell<SuspectTable>,
     /// Requests that engines broke off.
-    pub breaks: Breaks,
+    pub broken_requests: BrokenRequests,
     /// Bars of the control group.
     pub bars: Bars,
     /// Client of the control group.
@@ -151,7 +151,7 @@
             tenants: RefCell::new(TenantTable::new(Timestamp::ZERO)),
             zone,
             suspects: RefCell::default(),
-            breaks: Breaks::default(),
+            broken_requests: BrokenRequests::default(),
             bars: Bars::default(),
             control,
             relay: RefCell::default(),
@@ -516,7 +516,7 @@
             self.use_part(from, part);
         }
         for (request, bar) in update.bars {
-            self.take_bar(request, bar);
+            self.apply_bar(request, bar);
         }
         self.take_topology(from, update.topology);
     }
--- a/crates/proxy/src/work_shares.rs
+++ b/crates/proxy/src/work_shares.rs
@@ -146,7 +146,7 @@
             }
         }
         if state.suspects.borrow_mut().note(&told.blames, now) {
-            state.bars.look_soon();
+            state.bars.request_check();
         }
         state
             .engines
