--- a/crates/proxy/src/batch/api.rs
+++ b/crates/proxy/src/batch/api.rs
@@ -65,28 +65,28 @@
             .completion_target_ms
             .map(|target| submitted_ms + u64::from(target)),
         items,
-        queue: queue(route, tenant),
+        queue: queue_name(route, tenant),
         tenant: tenant.map(str::to_owned),
         max_queued_tokens: route.max_queued_tokens,
     }));
-    let outcome = future::or(keep(state, &command), cut_off(state, route)).await;
-    info!(state.logger, "job submitted"; "job" => id, "items" => count, "outcome" => name(&outcome));
+    let outcome = future::or(store(state, &command), wait_until_cut_off(state, route)).await;
+    info!(state.logger, "job submitted"; "job" => id, "items" => count, "outcome" => outcome_name(&outcome));
     dialect.batch_answer(outcome)
 }
 
-async fn keep(state: &GatewayState, command: &BatchCommand) -> BatchOutcome {
+async fn store(state: &GatewayState, command: &BatchCommand) -> BatchOutcome {
     match state.batch.change_batch(command, SUBMIT_TIMEOUT).await {
         Ok(BatchReply::Kept) => BatchOutcome::Kept,
         Ok(BatchReply::QueueFull) => QUEUE_FULL,
         Ok(_) => UNAVAILABLE,
-        Err(error) => failed(&error),
+        Err(error) => change_failed(&error),
     }
 }
 
 /// Completes once this gateway considers itself cut off from the other nodes. The job may
 /// have been sent; a caller that submits it again elsewhere finds it there or has it
 /// stored. With few gateways there is too little traffic to tell, so this never completes.
-async fn cut_off(state: &GatewayState, route: &Route) -> BatchOutcome {
+async fn wait_until_cut_off(state: &GatewayState, route: &Route) -> BatchOutcome {
     let target = Duration::from_millis(u64::from(route.target_latency_ms));
     let began = state.now();
     loop {
@@ -100,7 +100,7 @@
 
 /// Returns the name of the queue whose waiting tokens are counted together. The line feed
 /// is an unambiguous separator: no header, and so no host, contains one.
-fn queue(route: &Route, tenant: Option<&str>) -> String {
+fn queue_name(route: &Route, tenant: Option<&str>) -> String {
     let route = format!("{}{}", route.host, route.path_prefix);
     match tenant {
         Some(tenant) => format!("{tenant}\n{route}"),
@@ -128,13 +128,13 @@
         .batch
         .batch_results(tenant, id, after, MAX_PAGE_BYTES, CALL_TIMEOUT);
     match page.await {
-        Ok(Some(page)) => unpacked(state, id, after, page),
+        Ok(Some(page)) => results_outcome(state, id, after, page),
         Ok(None) => BatchOutcome::Unknown,
-        Err(error) => unreadable(state, &error),
+        Err(error) => read_failed(state, &error),
     }
 }
 
-fn unpacked(state: &GatewayState, id: &str, after: u32, page: ResultPage) -> BatchOutcome {
+fn results_outcome(state: &GatewayState, id: &str, after: u32, page: ResultPage) -> BatchOutcome {
     let results: Option<Vec<JobResult>> = page.results.into_iter().map(unpack).collect();
     match results {
         Some(results) => BatchOutcome::Results {
@@ -165,7 +165,7 @@
     match body.await {
         Ok(Some(body)) => BatchOutcome::Body(body),
         Ok(None) => BatchOutcome::Unknown,
-        Err(error) => unreadable(state, &error),
+        Err(error) => read_failed(state, &error),
     }
 }
 
@@ -178,20 +178,20 @@
         Ok(BatchReply::Ended) => BatchOutcome::Ended,
         Ok(BatchReply::Unknown) => BatchOutcome::Unknown,
         Ok(_) => UNAVAILABLE,
-        Err(error) => failed(&error),
+        Err(error) => change_failed(&error),
     };
-    info!(state.logger, "caller asked for the job to be ended"; "job" => id, "outcome" => name(&outcome));
+    info!(state.logger, "caller asked for the job to be ended"; "job" => id, "outcome" => outcome_name(&outcome));
     outcome
 }
 
-fn unreadable(state: &GatewayState, error: &ClusterError) -> BatchOutcome {
+fn read_failed(state: &GatewayState, error: &ClusterError) -> BatchOutcome {
     warn!(state.logger, "cannot read job"; "error" => %error);
     UNAVAILABLE
 }
 
 /// Maps an error of a change; a change that may have been committed must not be reported as
 /// not done.
-fn failed(error: &ClusterError) -> BatchOutcome {
+fn change_failed(error: &ClusterError) -> BatchOutcome {
     match error {
         ClusterError::Unavailable {
             outcome: RunOutcome::NotRun,
@@ -201,7 +201,7 @@
     }
 }
 
-fn name(outcome: &BatchOutcome) -> &'static str {
+fn outcome_name(outcome: &BatchOutcome) -> &'static str {
     match outcome {
         BatchOutcome::Kept => "kept",
         BatchOutcome::QueueFull { .. } => "queue full",
--- a/crates/proxy/src/batch/item.rs
+++ b/crates/proxy/src/batch/item.rs
@@ -35,17 +35,17 @@
 pub(super) type SharedOutput = Rc<RefCell<Output>>;
 
 /// How one attempt ended.
-enum Run {
-    Whole,
+enum RunResult {
+    Complete,
     Broken,
     /// An engine ran the item and it failed.
     Failed,
     /// No engine can ever run the item.
     Impossible,
     /// No engine has capacity yet, or the run was preempted by online work.
-    Waits,
+    Deferred,
     /// Engines rejected the item.
-    TurnedAway,
+    Rejected,
     /// Engines end when they run the item.
     Barred,
 }
@@ -64,42 +64,42 @@
             continue;
         };
         let Some(route) = in_force.model.route(&item.host, &item.item.path) else {
-            return given_up(state, item, "its route is gone");
+            return dead_letter(state, item, "its route is gone");
         };
         let Some(service) = in_force.service(route) else {
-            return given_up(state, item, "its route is gone");
+            return dead_letter(state, item, "its route is gone");
         };
-        if is_too_old(route, item) {
-            return given_up(state, item, "its retention expired");
+        if is_expired(route, item) {
+            return dead_letter(state, item, "its retention expired");
         }
         let run = run_once(state, dialect, route, service, item, output).await;
         match run {
-            Run::Whole => {
+            RunResult::Complete => {
                 let text = output.borrow().text();
                 return ItemOutcome::Completed { text };
             }
-            Run::Impossible => return given_up(state, item, "no engine can run it"),
-            Run::Barred => return given_up(state, item, "engines end under it"),
-            Run::Failed => {
+            RunResult::Impossible => return dead_letter(state, item, "no engine can run it"),
+            RunResult::Barred => return dead_letter(state, item, "engines end under it"),
+            RunResult::Failed => {
                 failures += 1;
                 if failures >= route.max_attempts.max(1) {
-                    return given_up(state, item, "it failed the maximum number of times");
+                    return dead_letter(state, item, "it failed the maximum number of times");
                 }
             }
-            Run::Broken | Run::Waits => {}
-            Run::TurnedAway => {
+            RunResult::Broken | RunResult::Deferred => {}
+            RunResult::Rejected => {
                 Timer::after(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-fn given_up(state: &GatewayState, item: &ItemToRun, reason: &str) -> ItemOutcome {
+fn dead_letter(state: &GatewayState, item: &ItemToRun, reason: &str) -> ItemOutcome {
     info!(state.logger, "item dead-lettered"; "item" => &item.item.id, "reason" => reason);
     ItemOutcome::DeadLettered
 }
 
-fn is_too_old(route: &Route, item: &ItemToRun) -> bool {
+fn is_expired(route: &Route, item: &ItemToRun) -> bool {
     let Some(retention) = route.retention_ms else {
         return false;
     };
@@ -114,7 +114,7 @@
     service: String,
     item: &ItemToRun,
     output: &SharedOutput,
-) -> Run {
+) -> RunResult {
     let mut headers = Headers::new();
     for (name, value) in &item.item.headers {
         headers.push(name, value.as_bytes());
@@ -145,43 +145,50 @@
     let running = async {
         let reply = match dispatch.next_reply(after_event).await {
             Ok(reply) => reply,
-            Err(Refusal::Barred { .. }) => return Run::Barred,
-            Err(_) if dispatch.turned_away + dispatch.runs == 0 => return Run::Waits,
-            Err(_) => return Run::TurnedAway,
+            Err(Refusal::Barred { .. }) => return RunResult::Barred,
+            Err(_) if dispatch.turned_away + dispatch.runs == 0 => return RunResult::Deferred,
+            Err(_) => return RunResult::Rejected,
         };
         let engine = reply.body.engine.clone();
-        guard.at(&engine);
+        guard.set_engine(&engine);
         let run = finish_run(state, reply, output).await;
-        if matches!(run, Run::Whole | Run::Failed | Run::Impossible) {
+        if matches!(
+            run,
+            RunResult::Complete | RunResult::Failed | RunResult::Impossible
+        ) {
             state.note_complete(&dispatch.outbound);
         }
-        if matches!(run, Run::Broken) {
+        if matches!(run, RunResult::Broken) {
             state.check_engine(&engine, &dispatch.outbound);
             info!(state.logger, "run of an item was broken off by its engine"; "item" => &item.item.id,
                 "digest" => %dispatch.outbound.digest(), "engine" => engine);
         }
         run
     };
-    let cut = async {
-        guard.cut().await;
-        Run::Waits
+    let preempted = async {
+        guard.preempted().await;
+        RunResult::Deferred
     };
-    future::or(running, cut).await
+    future::or(running, preempted).await
 }
 
 /// Processes the answer of an engine.
-async fn finish_run(state: &GatewayState, reply: EngineReply, output: &SharedOutput) -> Run {
+async fn finish_run(state: &GatewayState, reply: EngineReply, output: &SharedOutput) -> RunResult {
     if reply.facts.impossible {
-        return Run::Impossible;
+        return RunResult::Impossible;
     }
     if reply.head.status != 200 {
-        return Run::Failed;
+        return RunResult::Failed;
     }
     read_events(state, reply.body, output).await
 }
 
 /// Reads events until the stream ends.
-async fn read_events(state: &GatewayState, mut body: EngineBody, output: &SharedOutput) -> Run {
+async fn read_events(
+    state: &GatewayState,
+    mut body: EngineBody,
+    output: &SharedOutput,
+) -> RunResult {
     let mut cutter = EventCutter::default();
     let mut silence = Silence::new(Some(INACTIVITY_TIMEOUT));
     loop {
@@ -191,12 +198,12 @@
             None
         };
         let Some(piece) = future::or(piece, silent).await else {
-            return Run::Broken;
+            return RunResult::Broken;
         };
         silence.heard();
         if let Some(piece) = piece {
             if !cutter.push(&piece) {
-                return Run::Broken;
+                return RunResult::Broken;
             }
             let mut output = output.borrow_mut();
             while let Some(event) = cutter.next() {
@@ -204,11 +211,11 @@
             }
         } else {
             body.finish(state);
-            return Run::Whole;
+            return RunResult::Complete;
         }
         if body.reader.has_ended() {
             body.finish(state);
-            return Run::Whole;
+            return RunResult::Complete;
         }
     }
 }
--- a/crates/proxy/src/batch/mod.rs
+++ b/crates/proxy/src/batch/mod.rs
@@ -7,6 +7,6 @@
 mod turn;
 
 pub(crate) use api::{call, submit};
-pub(crate) use preemption::{BatchRuns, give_way};
+pub(crate) use preemption::{BatchRuns, preempt_batch_runs};
 pub(crate) use runner::run;
 pub(crate) use turn::Turns;
--- a/crates/proxy/src/batch/preemption.rs
+++ b/crates/proxy/src/batch/preemption.rs
@@ -23,7 +23,7 @@
     prompt_tokens: u64,
     /// Output of the item so far.
     output: SharedOutput,
-    cut: Sender<()>,
+    preempt: Sender<()>,
 }
 
 impl Run {
@@ -46,7 +46,7 @@
 
 impl BatchRuns {
     /// Returns the number of runs that an engine has begun to answer.
-    pub fn at_engines(&self) -> u32 {
+    pub fn count_at_engines(&self) -> u32 {
         let runs = self.runs.borrow();
         let begun = runs.values().filter(|run| !run.engine.is_empty());
         begun.count() as u32
@@ -57,7 +57,7 @@
 pub(crate) struct RunGuard {
     state: Rc<GatewayState>,
     number: u64,
-    cut: Receiver<()>,
+    preempted: Receiver<()>,
 }
 
 impl RunGuard {
@@ -68,7 +68,7 @@
         prompt_tokens: u64,
         output: &SharedOutput,
     ) -> Self {
-        let (sender, cut) = async_channel::bounded(1);
+        let (sender, preempted) = async_channel::bounded(1);
         let runs = &state.batch_runs;
         let number = runs.last.get() + 1;
         runs.last.set(number);
@@ -77,18 +77,18 @@
             due_ms,
             prompt_tokens,
             output: output.clone(),
-            cut: sender,
+            preempt: sender,
         };
         runs.runs.borrow_mut().insert(number, run);
         Self {
             state: state.clone(),
             number,
-            cut,
+            preempted,
         }
     }
 
     /// Records that the run is now at `engine`.
-    pub fn at(&self, engine: &str) {
+    pub fn set_engine(&self, engine: &str) {
         let mut runs = self.state.batch_runs.runs.borrow_mut();
         if let Some(run) = runs.get_mut(&self.number) {
             engine.clone_into(&mut run.engine);
@@ -96,8 +96,8 @@
     }
 
     /// Waits until the run is preempted.
-    pub async fn cut(&self) {
-        let _closed = self.cut.recv().await;
+    pub async fn preempted(&self) {
+        let _closed = self.preempted.recv().await;
     }
 }
 
@@ -109,28 +109,28 @@
 
 /// Preempts own batch runs at engines where online work needs their slots, in ascending
 /// order of cost.
-pub(crate) fn give_way(state: &GatewayState) {
-    let cuts = state.engines.borrow_mut().batch_to_cut(state.now());
-    if cuts.is_empty() {
+pub(crate) fn preempt_batch_runs(state: &GatewayState) {
+    let preemptions = state.engines.borrow_mut().batch_to_cut(state.now());
+    if preemptions.is_empty() {
         return;
     }
     let runs = state.batch_runs.runs.borrow();
     let now_ms = unix_millis();
-    for (engine, count) in cuts {
+    for (engine, count) in preemptions {
         let mut running: Vec<(Loss, &Run)> = runs
             .iter()
-            .filter(|(_, run)| run.engine == engine && !run.cut.is_closed())
+            .filter(|(_, run)| run.engine == engine && !run.preempt.is_closed())
             .map(|(number, run)| (run.loss(*number, now_ms), run))
             .collect();
         running.sort_unstable_by_key(|(loss, _)| *loss);
-        let mut cut = 0;
+        let mut preempted = 0;
         for (_, run) in running.iter().take(count as usize) {
-            run.cut.close();
-            cut += 1;
+            run.preempt.close();
+            preempted += 1;
         }
-        state.metrics.batch.count_preempted(cut);
-        if cut > 0 {
-            info!(state.logger, "batch runs preempted"; "engine" => engine, "runs" => cut);
+        state.metrics.batch.count_preempted(preempted);
+        if preempted > 0 {
+            info!(state.logger, "batch runs preempted"; "engine" => engine, "runs" => preempted);
         }
     }
 }
--- a/crates/proxy/src/batch/runner.rs
+++ b/crates/proxy/src/batch/runner.rs
@@ -89,7 +89,7 @@
     });
     let mut renewed = runner.state.now();
     let mut answered = true;
-    let mut told = Instant::now();
+    let mut logged = Instant::now();
     let checkpoints = runner.clone();
     let _keeping = runner.local.spawn(async move {
         loop {
@@ -100,16 +100,16 @@
     });
     loop {
         let begun = Instant::now();
-        if told.elapsed() >= LOG_INTERVAL {
-            runner.tell();
-            told = begun;
+        if logged.elapsed() >= LOG_INTERVAL {
+            runner.log_progress();
+            logged = begun;
         }
         if runner.state.closes_idle() {
             runner.hand_over().await;
             return;
         }
         if runner.has_batch_routes() {
-            answered = runner.round(answered).await;
+            answered = runner.call_leader(answered).await;
             if answered {
                 renewed = runner.state.now();
             } else {
@@ -159,7 +159,7 @@
         // Items waiting here for an engine come first. The fraction is rounded randomly, so
         // that all gateways together take as many items as there is capacity for.
         let running = self.running.borrow().len() as u32;
-        let waiting = running.saturating_sub(self.state.batch_runs.at_engines());
+        let waiting = running.saturating_sub(self.state.batch_runs.count_at_engines());
         let headroom = (headroom - f64::from(waiting) + rand::random::<f64>()).max(0.0) as u32;
         let part: f64 = services.iter().map(|one| engines.fair_slots(one)).sum();
         let left = (part.ceil() as u32).saturating_sub(running);
@@ -168,7 +168,7 @@
 
     /// Waits until there is capacity or the running items need a renewal. Waiting at the
     /// leader instead would load it most when all gateways are full.
-    async fn room(&self) -> u32 {
+    async fn wait_for_capacity(&self) -> u32 {
         let renewed_after = RENEWAL_INTERVAL.min(self.state.renewal.get().longest_silence());
         let ends = Instant::now() + renewed_after;
         loop {
@@ -182,7 +182,7 @@
 
     /// Logs and exports the batch work here and the occupancy of all engines, while there
     /// are items.
-    fn tell(&self) {
+    fn log_progress(&self) {
         let items = self.running.borrow().len();
         if items == 0 {
             return;
@@ -192,7 +192,7 @@
         let kept = self.kept_for_online(now);
         self.state.metrics.batch.set_reserved_slots(kept);
         info!(self.state.logger, "batch work"; "items" => items,
-            "at_engines" => self.state.batch_runs.at_engines(),
+            "at_engines" => self.state.batch_runs.count_at_engines(),
             "occupancy" => format!("{occupancy:.2}"), "kept" => format!("{kept:.1}"));
     }
 
@@ -207,7 +207,7 @@
     }
 
     /// Returns the next call for items.
-    fn call(&self, capacity: u32, held: Vec<(u64, u32)>, wait: Duration) -> TakeItems {
+    fn next_call(&self, capacity: u32, held: Vec<(u64, u32)>, wait: Duration) -> TakeItems {
         let number = self.calls.get() + 1;
         self.calls.set(number);
         TakeItems {
@@ -222,9 +222,9 @@
 
     /// Makes one call to the leader and returns whether it was answered. `answered` is the
     /// result of the previous call; if it is `false`, a leader is still being searched for.
-    async fn round(self: &Rc<Self>, answered: bool) -> bool {
+    async fn call_leader(self: &Rc<Self>, answered: bool) -> bool {
         let capacity = match answered {
-            true => self.room().await,
+            true => self.wait_for_capacity().await,
             false => self.capacity(),
         };
         let held: Vec<(u64, u32)> = {
@@ -241,23 +241,23 @@
             (_, false) => MAX_RUNNING_HOLD,
         };
         let wait = wait.min(self.state.renewal.get().longest_silence());
-        let ask = self.call(capacity, held, wait);
+        let ask = self.next_call(capacity, held, wait);
         let asked = self.state.now();
-        let handed = match self.state.batch.take_items(&ask, TAKE_TIMEOUT).await {
-            Ok(handed) => handed,
+        let taken = match self.state.batch.take_items(&ask, TAKE_TIMEOUT).await {
+            Ok(taken) => taken,
             Err(error) => {
                 warn!(self.state.logger, "call for batch items failed"; "error" => %error);
                 return false;
             }
         };
-        for (job, place) in handed.stop {
+        for (job, place) in taken.stop {
             let item = ItemReference { job, place };
             if self.running.borrow_mut().remove(&item).is_some() {
                 info!(self.state.logger, "item stopped on request of the batch group"; "job" => job, "place" => place);
             }
         }
         self.state.renewed(asked);
-        for item in handed.items {
+        for item in taken.items {
             self.start(item);
         }
         true
@@ -363,7 +363,7 @@
         // stored state because an earlier checkpoint was still in flight.
         let noted = self.checkpoint(&outputs, HAND_OVER_TIMEOUT).await
             && self.checkpoint(&outputs, HAND_OVER_TIMEOUT).await;
-        let release = self.call(0, Vec::new(), Duration::ZERO);
+        let release = self.next_call(0, Vec::new(), Duration::ZERO);
         let released = self
             .state
             .batch
--- a/crates/proxy/src/batch/turn.rs
+++ b/crates/proxy/src/batch/turn.rs
@@ -27,12 +27,12 @@
     place: Place,
     woken: Receiver<()>,
     /// Whether the item has received the turn.
-    done: bool,
+    granted: bool,
 }
 
 impl Turns {
     /// Waits for the turn of an item that is due at `due_ms`.
-    pub async fn take(self: &Rc<Self>, due_ms: Option<u64>) -> Turn {
+    pub async fn acquire(self: &Rc<Self>, due_ms: Option<u64>) -> Turn {
         let asked = self.queue.borrow_mut().ask(due_ms);
         if let Asked::Waits(place) = asked {
             Waiter::new(self, place).turn().await;
@@ -64,14 +64,14 @@
             turns: turns.clone(),
             place,
             woken,
-            done: false,
+            granted: false,
         }
     }
 
     /// Waits for the turn; the caller holds it afterwards.
     async fn turn(mut self) {
         let _closed = self.woken.recv().await;
-        self.done = true;
+        self.granted = true;
     }
 }
 
@@ -79,7 +79,7 @@
     /// Leaves the queue if the wait was given up, and passes on a turn that was granted in
     /// the meantime.
     fn drop(&mut self) {
-        if self.done {
+        if self.granted {
             return;
         }
         self.turns.wakes.borrow_mut().remove(&self.place);
--- a/crates/proxy/src/dispatch.rs
+++ b/crates/proxy/src/dispatch.rs
@@ -434,7 +434,7 @@
     /// Waits until this is the most urgent waiting batch item, and then until an engine has
     /// capacity.
     async fn pick_in_turn(&mut self) -> Result<Picked, Refusal> {
-        let _turn = self.state.batch_turns.take(self.due_ms).await;
+        let _turn = self.state.batch_turns.acquire(self.due_ms).await;
         let looks_until = self.state.now() + MAX_TURN;
         loop {
             let picked = match self.state.may_start(WorkClass::Batch) {
--- a/crates/proxy/src/race.rs
+++ b/crates/proxy/src/race.rs
@@ -16,7 +16,7 @@
 use molespan_types::Timestamp;
 
 use crate::attempt::AttemptLimits;
-use crate::batch::give_way;
+use crate::batch::preempt_batch_runs;
 use crate::state::{GatewayState, Occupied};
 
 /// Timeout for a new connection to an engine.
@@ -80,7 +80,7 @@
     let occupied = state.occupy(picked, class);
     if class == WorkClass::Online {
         // This request is already counted, so that preemption frees a slot for it.
-        give_way(state);
+        preempt_batch_runs(state);
     }
     occupied
 }
--- a/crates/proxy/src/work_shares.rs
+++ b/crates/proxy/src/work_shares.rs
@@ -23,7 +23,7 @@
 use molespan_wire::{Handler, Request, Response, Server, ServerLimits};
 use slog::{Logger, info};
 
-use crate::batch::give_way;
+use crate::batch::preempt_batch_runs;
 use crate::pace::look;
 use crate::state::GatewayState;
 
@@ -159,7 +159,7 @@
             engines.note_demands(told.from, demand, now);
         }
         by_demand = note_parts(&state, by_demand);
-        give_way(&state);
+        preempt_batch_runs(&state);
         let failing_now = state.engines.borrow().failing_for_others(now);
         note_failing(&state, &failing, &failing_now);
         failing = failing_now;
