--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -17,7 +17,7 @@
 use crate::dialect::{EngineAnswer, EngineCall, GatewayDialect};
 use crate::pace::{EventTimes, note_fault};
 use crate::race::{Link, link};
-use crate::state::{GatewayState, Occupied};
+use crate::state::{GatewayState, InFlightGuard};
 
 /// Maximum size of an answer's head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 << 10;
@@ -71,7 +71,7 @@
 
 impl EngineReply {
     /// Whether the engine has no capacity for the request now but may have some later.
-    pub fn has_no_room(&self) -> bool {
+    pub fn lacks_capacity(&self) -> bool {
         let says_so = matches!(self.head.status, 429 | 503);
         self.facts.not_run && !self.facts.displaced && says_so
     }
@@ -86,7 +86,7 @@
     /// Whether the connection may be reused.
     reusable: bool,
     keep_alive: Option<Duration>,
-    occupied: Occupied,
+    in_flight: InFlightGuard,
     times: EventTimes,
 }
 
@@ -97,14 +97,14 @@
     /// When the engine closes or resets the connection before the end, or sends an invalid
     /// body.
     pub async fn next(&mut self) -> Result<Option<Vec<u8>>, BodyError> {
-        self.times.waits(self.occupied.now());
+        self.times.wait_started(self.in_flight.now());
         let piece = self.reader.next(&mut self.connection).await?;
-        let came = piece.as_deref().and_then(|piece| {
-            let now = self.occupied.now();
-            self.times.came(piece, now)
+        let measured = piece.as_deref().and_then(|piece| {
+            let now = self.in_flight.now();
+            self.times.piece_arrived(piece, now)
         });
-        if let Some((events, took)) = came {
-            self.occupied.heard(events, took);
+        if let Some((events, took)) = measured {
+            self.in_flight.note_events(events, took);
         }
         Ok(piece)
     }
@@ -159,13 +159,13 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct AttemptLimits {
     /// When the request's time ends.
-    pub ends: Timestamp,
+    pub deadline: Timestamp,
     /// Maximum time to wait for the head of the answer; `None` if another engine would not
     /// help.
-    pub silence: Option<Duration>,
+    pub head_timeout: Option<Duration>,
     /// Connect time after which another engine is tried in parallel; `None` to try only
     /// one.
-    pub slow: Option<Duration>,
+    pub slow_after: Option<Duration>,
     /// Last event that was already received.
     pub after_event: Option<u64>,
 }
@@ -253,7 +253,7 @@
         engines.failed(engine, Failure::Full, now);
     } else if reply.head.status < 500 {
         engines.succeeded(engine, now);
-        reply.body.occupied.serves();
+        reply.body.in_flight.note_serving();
     }
 }
 
@@ -267,7 +267,7 @@
 ) -> Result<EngineReply, AttemptFailure> {
     let Link {
         mut connection,
-        occupied,
+        in_flight,
     } = link;
     // The engine may have left while the connection was established.
     if !state.engines.borrow().is_present(&engine.id) {
@@ -276,18 +276,20 @@
     if !state.may_start(outbound.class) {
         return Err(AttemptFailure::Withheld);
     }
-    let left = limits.ends.since(state.now());
+    let left = limits.deadline.since(state.now());
     let message = message(dialect, engine, outbound, limits.after_event, left);
     let mut sent = false;
     let exchange = exchange(dialect, outbound, &mut connection, &message, &mut sent);
     let late = async {
-        let silent = limits.silence.map(|silence| state.now() + silence);
-        let until = silent.map_or(limits.ends, |silent| silent.min(limits.ends));
+        let silent = limits
+            .head_timeout
+            .map(|head_timeout| state.now() + head_timeout);
+        let until = silent.map_or(limits.deadline, |silent| silent.min(limits.deadline));
         state.clock.wait_until(until).await;
         Err(AttemptFailure::Silent)
     };
     let cut_off = async {
-        match limits.silence {
+        match limits.head_timeout {
             Some(_) => state.out_of_reach(&engine.id).await,
             None => future::pending().await,
         }
@@ -296,7 +298,7 @@
     let given_up = future::or(late, cut_off);
     let (head, facts) = future::or(exchange, given_up).await?;
     if !facts.not_run {
-        occupied.began();
+        in_flight.note_answer_begun();
     }
     let Some(framing) = Framing::of_response(&head, &outbound.method) else {
         return Err(AttemptFailure::Broken);
@@ -308,7 +310,7 @@
         reusable: sent && head.keeps_alive() && framing != Framing::UntilClose,
         keep_alive: facts.keep_alive,
         connection,
-        occupied,
+        in_flight,
         times: EventTimes::default(),
     };
     Ok(EngineReply { head, facts, body })
@@ -365,7 +367,7 @@
             if facts.request.as_ref().is_none_or(|id| *id == outbound.id) {
                 return Ok((head, facts));
             }
-            pass_over(connection, &head, &outbound.method).await?;
+            skip_late_answer(connection, &head, &outbound.method).await?;
         }
         Err(AttemptFailure::Broken)
     };
@@ -377,7 +379,7 @@
 }
 
 /// Reads a late answer to an earlier request to its end.
-async fn pass_over(
+async fn skip_late_answer(
     connection: &mut Connection,
     head: &ResponseHead,
     method: &str,
--- a/crates/proxy/src/batch/item.rs
+++ b/crates/proxy/src/batch/item.rs
@@ -103,8 +103,8 @@
     let Some(retention) = route.retention_ms else {
         return false;
     };
-    let ends = item.submitted_ms + u64::from(retention) + CLOCK_SLACK_MS;
-    unix_millis() > ends
+    let deadline = item.submitted_ms + u64::from(retention) + CLOCK_SLACK_MS;
+    unix_millis() > deadline
 }
 
 async fn run_once<D: GatewayDialect>(
@@ -136,8 +136,8 @@
         class: WorkClass::Batch,
         digest: OnceCell::new(),
     };
-    let ends = state.now() + RUN_TIMEOUT;
-    let mut dispatch = Dispatch::new(state, dialect, route, service, outbound, facts, ends);
+    let deadline = state.now() + RUN_TIMEOUT;
+    let mut dispatch = Dispatch::new(state, dialect, route, service, outbound, facts, deadline);
     let prompt_tokens = PromptCost::of(&dispatch.facts.prompt).tokens;
     let guard = RunGuard::begin(state, item.due_ms, prompt_tokens, output);
     let after_event = output.borrow().last_event();
@@ -146,7 +146,7 @@
         let reply = match dispatch.next_reply(after_event).await {
             Ok(reply) => reply,
             Err(Refusal::Barred { .. }) => return RunResult::Barred,
-            Err(_) if dispatch.turned_away + dispatch.runs == 0 => return RunResult::Deferred,
+            Err(_) if dispatch.rejections + dispatch.runs == 0 => return RunResult::Deferred,
             Err(_) => return RunResult::Rejected,
         };
         let engine = reply.body.engine.clone();
--- a/crates/proxy/src/dispatch.rs
+++ b/crates/proxy/src/dispatch.rs
@@ -52,12 +52,12 @@
     pub outbound: Outbound,
     pub facts: RequestFacts,
     /// When the request's time ends.
-    pub ends: Timestamp,
+    pub deadline: Timestamp,
     /// Deadline of a batch item, in milliseconds since 1970.
     pub due_ms: Option<u64>,
     pub arrived: Timestamp,
     /// Whether the request was counted against its tenant's limit.
-    pub counts: bool,
+    pub counted: bool,
     /// Priority among the waiting online requests.
     pub rank: Rank,
     /// Engines that ran or failed the request, or will not run it.
@@ -65,11 +65,11 @@
     /// Number of engines that may have run the request.
     pub runs: u32,
     /// Number of attempts that did not run the request: rejected, or not connected.
-    pub turned_away: u32,
+    pub rejections: u32,
     /// How many of these were rejected for lack of capacity.
-    without_room: u32,
+    capacity_rejections: u32,
     /// Rejections for lack of capacity that do not count towards [`MAX_REJECTIONS`].
-    excused: u32,
+    uncounted_rejections: u32,
 }
 
 impl<'a, D: GatewayDialect> Dispatch<'a, D> {
@@ -99,9 +99,9 @@
             class: WorkClass::Online,
             digest: OnceCell::new(),
         };
-        let ends = request.arrived + patience;
+        let deadline = request.arrived + patience;
         state.engines.borrow_mut().asked(&service, request.arrived);
-        Self::new(state, dialect, route, service, outbound, facts, ends)
+        Self::new(state, dialect, route, service, outbound, facts, deadline)
     }
 
     /// Creates the attempts of a request to `service`.
@@ -112,7 +112,7 @@
         service: String,
         outbound: Outbound,
         facts: RequestFacts,
-        ends: Timestamp,
+        deadline: Timestamp,
     ) -> Self {
         Self {
             state,
@@ -121,16 +121,16 @@
             service,
             outbound,
             facts,
-            ends,
+            deadline,
             due_ms: None,
             arrived: state.now(),
-            counts: false,
+            counted: false,
             rank: Rank::new(None, route.priority),
             tried: BTreeSet::new(),
             runs: 0,
-            turned_away: 0,
-            without_room: 0,
-            excused: 0,
+            rejections: 0,
+            capacity_rejections: 0,
+            uncounted_rejections: 0,
         }
     }
 
@@ -161,8 +161,8 @@
     /// The refusal for the caller, if none does.
     pub async fn next_reply(&mut self, after_event: Option<u64>) -> Result<EngineReply, Refusal> {
         loop {
-            self.permitted().await?;
-            if self.state.now() >= self.ends {
+            self.wait_until_permitted().await?;
+            if self.state.now() >= self.deadline {
                 return Err(self.out_of_time());
             }
             let mut picked = match self.outbound.class {
@@ -175,12 +175,12 @@
                 continue;
             }
             let limits = AttemptLimits {
-                ends: self.ends,
-                silence: self.silence(),
-                slow: self.slow(&picked),
+                deadline: self.deadline,
+                head_timeout: self.head_timeout(),
+                slow_after: self.slow_connect_after(&picked),
                 after_event,
             };
-            if self.runs + self.turned_away == 0 && self.outbound.class == WorkClass::Online {
+            if self.runs + self.rejections == 0 && self.outbound.class == WorkClass::Online {
                 self.state.metrics.observe_engine_wait(self.age());
             }
             let engine = &picked.facts;
@@ -195,13 +195,13 @@
             let engine = &picked.facts;
             match result {
                 Ok(reply) if reply.facts.not_run || reply.facts.displaced => {
-                    self.note_turned_away(&engine.id, &reply)?;
+                    self.note_rejection(&engine.id, &reply)?;
                 }
                 Ok(reply) => {
                     self.tried.insert(engine.id.clone());
                     self.runs += 1;
-                    self.note_taken();
-                    self.note_held(&engine.id);
+                    self.note_accepted();
+                    self.note_cached_prompt(&engine.id);
                     debug!(self.state.logger, "answer begins"; "request" => &self.outbound.id,
                         "engine" => &engine.id, "status" => reply.head.status,
                         "after_ms" => self.age().as_millis() as u64);
@@ -224,29 +224,29 @@
 
     /// Records that an engine did not run the request. An engine without capacity may have
     /// some soon and is asked again while there is time; any other engine is not.
-    fn note_turned_away(&mut self, engine: &str, reply: &EngineReply) -> Result<(), Refusal> {
-        self.turned_away += 1;
-        if reply.has_no_room() && self.outbound.class == WorkClass::Online {
-            self.state.note_turned_away(&self.service);
-            self.without_room += 1;
+    fn note_rejection(&mut self, engine: &str, reply: &EngineReply) -> Result<(), Refusal> {
+        self.rejections += 1;
+        if reply.lacks_capacity() && self.outbound.class == WorkClass::Online {
+            self.state.note_rejection(&self.service);
+            self.capacity_rejections += 1;
             // Where slots are held for long, the next engines asked are full for as long,
             // so the rejection counts.
-            if self.state.is_short(&self.service) {
-                self.excused += 1;
+            if self.state.has_short_requests(&self.service) {
+                self.uncounted_rejections += 1;
             }
-            return self.give_up_if_unusable();
+            return self.give_up_if_rejected_too_often();
         }
         self.tried.insert(engine.to_owned());
-        self.give_up_if_unusable()
+        self.give_up_if_rejected_too_often()
     }
 
     /// Records that an engine accepted the request.
-    fn note_taken(&self) {
+    fn note_accepted(&self) {
         if self.outbound.class != WorkClass::Online {
             return;
         }
-        self.state.note_taken(&self.service);
-        if self.without_room > 0 {
+        self.state.note_accepted(&self.service);
+        if self.capacity_rejections > 0 {
             self.state
                 .metrics
                 .capacity
@@ -255,15 +255,15 @@
     }
 
     /// Returns an error once too many attempts did not run the request.
-    fn give_up_if_unusable(&self) -> Result<(), Refusal> {
-        match self.turned_away - self.excused >= MAX_REJECTIONS {
+    fn give_up_if_rejected_too_often(&self) -> Result<(), Refusal> {
+        match self.rejections - self.uncounted_rejections >= MAX_REJECTIONS {
             true => Err(self.give_up()),
             false => Ok(()),
         }
     }
 
     /// Waits until it is decided whether engines may get the request.
-    async fn permitted(&self) -> Result<(), Refusal> {
+    async fn wait_until_permitted(&self) -> Result<(), Refusal> {
         loop {
             match self.state.permit(&self.outbound) {
                 Permit::Granted => return Ok(()),
@@ -279,7 +279,7 @@
     }
 
     /// Records that the engine has read the prompt and caches its shared part.
-    fn note_held(&self, engine: &str) {
+    fn note_cached_prompt(&self, engine: &str) {
         if let Some(shared) = PromptCost::of(&self.facts.prompt).shared {
             let now = self.state.now();
             self.state
@@ -293,14 +293,14 @@
         info!(self.state.logger, "attempt failed"; "request" => &self.outbound.id,
             "digest" => %self.outbound.digest(), "engine" => engine, "failure" => %failure, "runs" => self.runs);
         if !failure.may_have_run() {
-            self.turned_away += 1;
-            return self.give_up_if_unusable();
+            self.rejections += 1;
+            return self.give_up_if_rejected_too_often();
         }
         self.runs += 1;
         if failure == AttemptFailure::Broken {
             self.state.check_engine(engine, &self.outbound);
         }
-        if self.state.now() >= self.ends {
+        if self.state.now() >= self.deadline {
             return Err(Refusal::TimedOut);
         }
         match self.may_run_again() {
@@ -313,12 +313,12 @@
     /// only if no engine may have run it.
     fn give_up(&self) -> Refusal {
         let room_in = self.state.queue(&self.service).room_in();
-        self.not_now(room_in)
+        self.no_engine_refusal(room_in)
     }
 
     /// The same, where it is known when capacity returns.
-    fn not_now(&self, room_in: Option<Duration>) -> Refusal {
-        let left = self.ends.since(self.state.now());
+    fn no_engine_refusal(&self, room_in: Option<Duration>) -> Refusal {
+        let left = self.deadline.since(self.state.now());
         match self.runs {
             0 => Refusal::Busy {
                 retry_after: retry_after(room_in, left, rand::random()),
@@ -328,16 +328,16 @@
     }
 
     /// Logs and returns the refusal of a request whose turn cannot come.
-    fn no_turn(&self, refused: Refused) -> Refusal {
+    fn refused_by_queue(&self, refused: Refused) -> Refusal {
         self.state.metrics.queue.count_refusal(refused.reason);
-        let refusal = self.not_now(refused.room_in);
+        let refusal = self.no_engine_refusal(refused.room_in);
         info!(self.state.logger, "queue refused the request"; "request" => &self.outbound.id,
             "service" => &self.service, "reason" => %refused.reason,
             "ahead" => refused.ahead,
             "begin_per_s" => format!("{:.1}", refused.rates.begin),
             "come_per_s" => format!("{:.1}", refused.rates.come),
             "room_in_ms" => refused.room_in.map(|room_in| room_in.as_millis() as u64),
-            "left_ms" => self.ends.since(self.state.now()).as_millis() as u64,
+            "left_ms" => self.deadline.since(self.state.now()).as_millis() as u64,
             "tried" => self.tried.len(), "runs" => self.runs,
             "after_ms" => self.age().as_millis() as u64, "refusal" => ?refusal);
         refusal
@@ -360,11 +360,11 @@
         if self.has_left() {
             return Err(self.no_engine_left());
         }
-        let waiter = self.wait_for_turn(begins_by)?;
-        let mut waiting = Some(self.state.begin_to_wait(&self.service));
+        let waiter = self.enqueue(begins_by)?;
+        let mut waiting = Some(self.state.count_waiting_request(&self.service));
         loop {
             let standing = match waiter.woken().await {
-                Woken::Refused(refused) => return Err(self.no_turn(refused)),
+                Woken::Refused(refused) => return Err(self.refused_by_queue(refused)),
                 Woken::Looks(_) => self.standing(begins_by),
             };
             if standing == Standing::Late {
@@ -394,19 +394,19 @@
     /// another engine comes, so the caller is told at once, with a retry delay that still
     /// leaves time for an answer.
     fn no_engine_left(&self) -> Refusal {
-        let left = self.ends.since(self.state.now());
-        let refusal = self.not_now(Some(left / 2));
+        let left = self.deadline.since(self.state.now());
+        let refusal = self.no_engine_refusal(Some(left / 2));
         info!(self.state.logger, "no engine of the service is left"; "request" => &self.outbound.id,
             "service" => &self.service, "left_ms" => left.as_millis() as u64,
             "runs" => self.runs, "refusal" => ?refusal);
         refusal
     }
 
-    fn wait_for_turn(&self, begins_by: Timestamp) -> Result<Waiter, Refusal> {
-        let again = self.runs + self.turned_away > 0;
-        let patience = self.ends.since(self.arrived);
+    fn enqueue(&self, begins_by: Timestamp) -> Result<Waiter, Refusal> {
+        let again = self.runs + self.rejections > 0;
+        let patience = self.deadline.since(self.arrived);
         let waits_until = self.arrived + patience.mul_f64(WAIT_SHARE);
-        let last_look = self.state.now() + MIN_REPICK_TIME;
+        let min_pick_until = self.state.now() + MIN_REPICK_TIME;
         let want = Want {
             tenant: self.outbound.tenant.as_deref(),
             weight: 1,
@@ -414,13 +414,15 @@
             size: self.facts.answer_tokens,
             begins_by,
             leaves_at: match again {
-                true => waits_until.max(last_look),
+                true => waits_until.max(min_pick_until),
                 false => waits_until,
             },
             again,
         };
         let queue = self.state.queue(&self.service);
-        queue.ask(&want).map_err(|refused| self.no_turn(refused))
+        queue
+            .ask(&want)
+            .map_err(|refused| self.refused_by_queue(refused))
     }
 
     fn standing(&self, begins_by: Timestamp) -> Standing {
@@ -435,7 +437,7 @@
     /// capacity.
     async fn pick_in_turn(&mut self) -> Result<Picked, Refusal> {
         let _turn = self.state.batch_turns.acquire(self.due_ms).await;
-        let looks_until = self.state.now() + MAX_TURN;
+        let turn_ends = self.state.now() + MAX_TURN;
         loop {
             let picked = match self.state.may_start(WorkClass::Batch) {
                 true => self.pick_now(Standing::Late),
@@ -443,7 +445,7 @@
             };
             match picked {
                 Ok(picked) => return Ok(picked),
-                Err(_) if self.state.now() < looks_until => {
+                Err(_) if self.state.now() < turn_ends => {
                     Timer::after(BATCH_PICK_INTERVAL).await;
                 }
                 Err(_) => return Err(self.give_up()),
@@ -491,7 +493,7 @@
 
     /// Returns the connect time after which another engine is tried in parallel; `None` for
     /// batch work, which has time, and for routes without a target latency.
-    fn slow(&self, picked: &Picked) -> Option<Duration> {
+    fn slow_connect_after(&self, picked: &Picked) -> Option<Duration> {
         let target = Duration::from_millis(u64::from(self.route.target_latency_ms));
         if self.outbound.class == WorkClass::Batch || target.is_zero() {
             return None;
@@ -502,7 +504,7 @@
 
     /// Returns the maximum time to wait for the head of the answer. If no other attempt is
     /// left, only the request's time counts: a silent engine may still answer.
-    fn silence(&self) -> Option<Duration> {
+    fn head_timeout(&self) -> Option<Duration> {
         let another = self.route.is_repeatable() && self.runs + 1 < self.route.max_attempts;
         let target = Duration::from_millis(u64::from(self.route.target_latency_ms));
         another.then(|| match self.route.kind {
--- a/crates/proxy/src/pace.rs
+++ b/crates/proxy/src/pace.rs
@@ -20,25 +20,25 @@
 #[derive(Debug, Default)]
 pub(crate) struct EventTimes {
     last: Option<Timestamp>,
-    held_up: bool,
+    slow_caller: bool,
 }
 
 impl EventTimes {
     /// Records that the next piece is awaited from now on.
-    pub fn waits(&mut self, now: Timestamp) {
+    pub fn wait_started(&mut self, now: Timestamp) {
         let last = self.last;
-        self.held_up = last.is_some_and(|last| now.since(last) > SLOW_CALLER_AFTER);
+        self.slow_caller = last.is_some_and(|last| now.since(last) > SLOW_CALLER_AFTER);
     }
 
     /// Records a piece; returns how many events end in it and the time they took, or `None`
     /// if the time is unknown or measures the caller.
-    pub fn came(&mut self, piece: &[u8], now: Timestamp) -> Option<(u32, Duration)> {
+    pub fn piece_arrived(&mut self, piece: &[u8], now: Timestamp) -> Option<(u32, Duration)> {
         let events = event_ends(piece);
         if events == 0 {
             return None;
         }
         let last = self.last.replace(now)?;
-        (!self.held_up).then(|| (events, now.since(last)))
+        (!self.slow_caller).then(|| (events, now.since(last)))
     }
 }
 
--- a/crates/proxy/src/race.rs
+++ b/crates/proxy/src/race.rs
@@ -17,7 +17,7 @@
 
 use crate::attempt::AttemptLimits;
 use crate::batch::preempt_batch_runs;
-use crate::state::{GatewayState, Occupied};
+use crate::state::{GatewayState, InFlightGuard};
 
 /// Timeout for a new connection to an engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
@@ -25,7 +25,7 @@
 /// A connection to an engine at which the request is counted.
 pub(crate) struct Link {
     pub connection: Connection,
-    pub occupied: Occupied,
+    pub in_flight: InFlightGuard,
 }
 
 /// Returns a connection to the picked engine, or to one picked by `another` if that
@@ -37,14 +37,14 @@
     class: WorkClass,
     limits: AttemptLimits,
 ) -> Option<Link> {
-    let occupied = occupy(state, picked, class);
+    let in_flight = count_in_flight(state, picked, class);
     let engine = picked.facts.clone();
-    let mut first = Box::pin(open(state, engine.clone(), limits.ends));
-    if let Some(opened) = before(&mut first, limits.slow).await {
+    let mut first = Box::pin(open(state, engine.clone(), limits.deadline));
+    if let Some(opened) = before(&mut first, limits.slow_after).await {
         let connection = opened?;
         return Some(Link {
             connection,
-            occupied,
+            in_flight,
         });
     }
     state.doubt(&engine.id, Doubt::Slow);
@@ -52,11 +52,11 @@
         let connection = first.await?;
         return Some(Link {
             connection,
-            occupied,
+            in_flight,
         });
     };
-    let occupied_beside = occupy(state, &beside, class);
-    let second = Box::pin(open(state, beside.facts.clone(), limits.ends));
+    let in_flight_beside = count_in_flight(state, &beside, class);
+    let second = Box::pin(open(state, beside.facts.clone(), limits.deadline));
     let up = first_up([first, second]).await;
     state
         .metrics
@@ -66,33 +66,36 @@
     if place == 0 {
         return Some(Link {
             connection,
-            occupied,
+            in_flight,
         });
     }
     *picked = beside;
     Some(Link {
         connection,
-        occupied: occupied_beside,
+        in_flight: in_flight_beside,
     })
 }
 
-fn occupy(state: &Rc<GatewayState>, picked: &Picked, class: WorkClass) -> Occupied {
-    let occupied = state.occupy(picked, class);
+fn count_in_flight(state: &Rc<GatewayState>, picked: &Picked, class: WorkClass) -> InFlightGuard {
+    let in_flight = state.count_in_flight(picked, class);
     if class == WorkClass::Online {
         // This request is already counted, so that preemption frees a slot for it.
         preempt_batch_runs(state);
     }
-    occupied
+    in_flight
 }
 
-/// Returns the result of a connect, or `None` if it takes longer than `slow`.
-async fn before<F: Future + Unpin>(connect: &mut F, slow: Option<Duration>) -> Option<F::Output> {
+/// Returns the result of a connect, or `None` if it takes longer than `slow_after`.
+async fn before<F: Future + Unpin>(
+    connect: &mut F,
+    slow_after: Option<Duration>,
+) -> Option<F::Output> {
     let connected = async { Some(connect.await) };
-    let Some(slow) = slow else {
+    let Some(slow_after) = slow_after else {
         return connected.await;
     };
     let late = async {
-        Timer::after(slow).await;
+        Timer::after(slow_after).await;
         None
     };
     future::or(connected, late).await
@@ -130,13 +133,13 @@
 async fn open(
     state: &Rc<GatewayState>,
     engine: EngineFacts,
-    ends: Timestamp,
+    deadline: Timestamp,
 ) -> Option<Connection> {
     if let Some(connection) = state.pool.take(&engine.id, &state.clock).await {
         return Some(connection);
     }
     let began = state.now();
-    let timeout = CONNECT_TIMEOUT.min(ends.since(began));
+    let timeout = CONNECT_TIMEOUT.min(deadline.since(began));
     let connect = async {
         let connecting = h1::connect(engine.address, timeout, SocketOptions::default());
         Some(connecting.await)
--- a/crates/proxy/src/relay.rs
+++ b/crates/proxy/src/relay.rs
@@ -97,11 +97,11 @@
     state: &GatewayState,
     caller: &Connection,
     bytes: &[u8],
-    ends: Timestamp,
+    deadline: Timestamp,
 ) -> Result<(), Relayed> {
     let writing = async { caller.write(bytes).await.map_err(|_| Relayed::CallerGone) };
     let late = async {
-        state.clock.wait_until(ends).await;
+        state.clock.wait_until(deadline).await;
         Err(Relayed::TimeOver)
     };
     future::or(writing, late).await
@@ -114,12 +114,12 @@
     caller: &Connection,
     caller_minor: u8,
     keep_alive: bool,
-    ends: Timestamp,
+    deadline: Timestamp,
 ) -> Relayed {
     let EngineReply { head, mut body, .. } = reply;
     let (bytes, framing) = caller_head(&head, body.framing, caller_minor, keep_alive);
     let mut waiting = bytes;
-    let mut time = pin!(state.clock.wait_until(ends));
+    let mut time = pin!(state.clock.wait_until(deadline));
     loop {
         // A piece that is already available is sent together with the head.
         let piece = match next_piece(&mut body, &mut time).await {
@@ -139,12 +139,12 @@
         }
         if ended {
             body.finish(state);
-            return match write(state, caller, &waiting, ends).await {
+            return match write(state, caller, &waiting, deadline).await {
                 Ok(()) => Relayed::Whole,
                 Err(ended) => ended,
             };
         }
-        if let Err(ended) = write(state, caller, &waiting, ends).await {
+        if let Err(ended) = write(state, caller, &waiting, deadline).await {
             return ended;
         }
         waiting.clear();
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -114,7 +114,7 @@
     }
     if let Some(tenant) = &tenant {
         state.admit(&dispatch.facts.id, tenant)?;
-        dispatch.counts = true;
+        dispatch.counted = true;
     }
     Ok(dispatch)
 }
@@ -176,8 +176,8 @@
             let ended = if resumable && reply.head.status == 200 {
                 relay_resumable(self, reply, caller, minor, keep_alive).await
             } else {
-                let ends = self.ends;
-                let ended = relay(self.state, reply, caller, minor, keep_alive, ends).await;
+                let deadline = self.deadline;
+                let ended = relay(self.state, reply, caller, minor, keep_alive, deadline).await;
                 if ended == Relayed::EngineBroke {
                     self.state.check_engine(&engine, &self.outbound);
                 }
@@ -216,7 +216,7 @@
             )
         };
         let late = async {
-            self.state.clock.wait_until(self.ends).await;
+            self.state.clock.wait_until(self.deadline).await;
             None
         };
         let whole = match future::or(reading, late).await {
@@ -238,7 +238,7 @@
         }
         let mut bytes = molespan_http::h1::encode_response(head.status, &head.reason, &headers);
         bytes.extend_from_slice(&whole);
-        let written = write(self.state, caller, &bytes, self.ends).await;
+        let written = write(self.state, caller, &bytes, self.deadline).await;
         Some(match written {
             Ok(()) if keep_alive => After::KeepAlive,
             _ => After::Close,
@@ -247,14 +247,14 @@
 
     async fn refuse(&self, caller: &Connection, refusal: Refusal, keep_alive: bool) -> After {
         if self.runs == 0
-            && self.counts
+            && self.counted
             && let Some(tenant) = &self.outbound.tenant
         {
             let now = self.state.now();
             self.state.tenants.borrow_mut().give_back(tenant, now);
         }
         info!(self.state.logger, "request refused"; "request" => &self.outbound.id,
-            "refusal" => ?refusal, "runs" => self.runs, "turned_away" => self.turned_away,
+            "refusal" => ?refusal, "runs" => self.runs, "turned_away" => self.rejections,
             "after_ms" => self.age().as_millis() as u64);
         refuse(self.state, self.dialect, caller, refusal, keep_alive).await
     }
--- a/crates/proxy/src/resume.rs
+++ b/crates/proxy/src/resume.rs
@@ -40,7 +40,7 @@
     state: &'a GatewayState,
     caller: &'a Connection,
     framing: CallerFraming,
-    ends: Timestamp,
+    deadline: Timestamp,
     /// Bytes not yet sent; at first the head, which is sent with the first event.
     waiting: Vec<u8>,
     last_event: Option<u64>,
@@ -66,7 +66,7 @@
         state: dispatch.state,
         caller,
         framing,
-        ends: dispatch.ends,
+        deadline: dispatch.deadline,
         waiting: head,
         last_event: dispatch.first_event(),
         silence: None,
@@ -107,7 +107,7 @@
     /// Relays the events of one engine.
     async fn pass(&mut self, body: &mut EngineBody) -> Part {
         let mut cutter = EventCutter::default();
-        let mut time = pin!(self.state.clock.wait_until(self.ends));
+        let mut time = pin!(self.state.clock.wait_until(self.deadline));
         let mut silence = Silence::new(self.silence);
         loop {
             let next = next_piece(body, &mut time);
@@ -146,7 +146,7 @@
             return Ok(());
         }
         let bytes = std::mem::take(&mut self.waiting);
-        write(self.state, self.caller, &bytes, self.ends).await
+        write(self.state, self.caller, &bytes, self.deadline).await
     }
 
     async fn close(&mut self) -> Relayed {
--- a/crates/proxy/src/room.rs
+++ b/crates/proxy/src/room.rs
@@ -21,30 +21,30 @@
 
 impl GatewayState {
     /// Records that an engine of a service had no capacity for an online request.
-    pub fn note_turned_away(&self, service: &str) {
+    pub fn note_rejection(&self, service: &str) {
         self.metrics.capacity.count_rejection(service);
-        self.note_room(service, true);
+        self.note_capacity(service, true);
     }
 
     /// Whether requests hold slots of a service for so short a time that a full engine soon
     /// has a free one.
-    pub fn is_short(&self, service: &str) -> bool {
+    pub fn has_short_requests(&self, service: &str) -> bool {
         self.engines.borrow().short_work_time(service).is_some()
     }
 
     /// Records that an engine of a service accepted an online request.
-    pub fn note_taken(&self, service: &str) {
-        self.note_room(service, false);
+    pub fn note_accepted(&self, service: &str) {
+        self.note_capacity(service, false);
     }
 
-    fn note_room(&self, service: &str, turned_away: bool) {
+    fn note_capacity(&self, service: &str, rejected: bool) {
         let mut shortages = self.shortages.0.borrow_mut();
         let change = match shortages.get_mut(service) {
-            Some(shortage) => shortage.note(turned_away, self.now()),
-            None if !turned_away => None,
+            Some(shortage) => shortage.note(rejected, self.now()),
+            None if !rejected => None,
             None => {
                 let shortage = shortages.entry(service.to_owned()).or_default();
-                shortage.note(turned_away, self.now())
+                shortage.note(rejected, self.now())
             }
         };
         match change {
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -339,26 +339,26 @@
     }
 
     /// Counts a request until the guard is dropped.
-    pub fn count_request(self: &Rc<Self>) -> Counted {
-        Counted::new(self.clone(), |state| &state.requests)
+    pub fn count_request(self: &Rc<Self>) -> CountGuard {
+        CountGuard::new(self.clone(), |state| &state.requests)
     }
 
     /// Counts a connection until the guard is dropped.
-    pub fn count_connection(self: &Rc<Self>) -> Counted {
-        Counted::new(self.clone(), |state| &state.connections)
+    pub fn count_connection(self: &Rc<Self>) -> CountGuard {
+        CountGuard::new(self.clone(), |state| &state.connections)
     }
 
     /// Counts a request as waiting for an engine of a service until the guard is dropped.
-    pub fn begin_to_wait(self: &Rc<Self>, service: &str) -> Waiting {
+    pub fn count_waiting_request(self: &Rc<Self>, service: &str) -> WaitingGuard {
         self.engines.borrow_mut().begins_to_wait(service);
-        Waiting {
+        WaitingGuard {
             state: self.clone(),
             service: service.to_owned(),
         }
     }
 
     /// Counts a request at an engine until the guard is dropped.
-    pub fn occupy(self: &Rc<Self>, picked: &Picked, class: WorkClass) -> Occupied {
+    pub fn count_in_flight(self: &Rc<Self>, picked: &Picked, class: WorkClass) -> InFlightGuard {
         let engine = &picked.facts.id;
         let unread_tokens = picked.unread_tokens;
         let mut engines = self.engines.borrow_mut();
@@ -374,7 +374,7 @@
         if let Some(queue) = &queue {
             queue.started();
         }
-        Occupied {
+        InFlightGuard {
             state: self.clone(),
             queue,
             engine: engine.clone(),
@@ -383,7 +383,7 @@
             unread_tokens: Cell::new(unread_tokens),
             started: self.now(),
             began: Cell::new(None),
-            serves: Cell::new(false),
+            is_serving: Cell::new(false),
         }
     }
 
@@ -544,12 +544,12 @@
 }
 
 /// Guard that counts something until it is dropped.
-pub(crate) struct Counted {
+pub(crate) struct CountGuard {
     state: Rc<GatewayState>,
     counter: fn(&GatewayState) -> &Cell<u32>,
 }
 
-impl Counted {
+impl CountGuard {
     fn new(state: Rc<GatewayState>, counter: fn(&GatewayState) -> &Cell<u32>) -> Self {
         let count = counter(&state);
         count.set(count.get() + 1);
@@ -557,7 +557,7 @@
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         let count = (self.counter)(&self.state);
         count.set(count.get() - 1);
@@ -565,12 +565,12 @@
 }
 
 /// Guard of a request that waits for an engine.
-pub(crate) struct Waiting {
+pub(crate) struct WaitingGuard {
     state: Rc<GatewayState>,
     service: String,
 }
 
-impl Drop for Waiting {
+impl Drop for WaitingGuard {
     fn drop(&mut self) {
         let mut engines = self.state.engines.borrow_mut();
         engines.ends_to_wait(&self.service);
@@ -578,7 +578,7 @@
 }
 
 /// Guard of a request at an engine.
-pub(crate) struct Occupied {
+pub(crate) struct InFlightGuard {
     state: Rc<GatewayState>,
     /// Queue that an online request came through.
     queue: Option<Rc<ServiceQueue>>,
@@ -591,24 +591,24 @@
     /// When the engine began to answer, and so the request held a slot.
     began: Cell<Option<Timestamp>>,
     /// Whether the engine's answer shows that it is working on the request.
-    serves: Cell<bool>,
+    is_serving: Cell<bool>,
 }
 
-impl Occupied {
+impl InFlightGuard {
     /// Records that the engine began to answer.
-    pub fn began(&self) {
+    pub fn note_answer_begun(&self) {
         self.began.set(Some(self.state.now()));
-        self.has_read();
+        self.clear_unread_tokens();
     }
 
     /// Records that the engine works on the request, so that its time there is a
     /// measurement of such work.
-    pub fn serves(&self) {
-        self.serves.set(true);
+    pub fn note_serving(&self) {
+        self.is_serving.set(true);
     }
 
     /// Records that `events` events of the answer arrived within `took`.
-    pub fn heard(&self, events: u32, took: Duration) {
+    pub fn note_events(&self, events: u32, took: Duration) {
         let now = self.state.now();
         let mut engines = self.state.engines.borrow_mut();
         engines.heard(&self.engine, events, took, now);
@@ -619,15 +619,15 @@
         self.state.now()
     }
 
-    fn has_read(&self) {
+    fn clear_unread_tokens(&self) {
         let read = self.unread_tokens.replace(0);
         self.state.engines.borrow_mut().read(&self.engine, read);
     }
 }
 
-impl Drop for Occupied {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.has_read();
+        self.clear_unread_tokens();
         let mut engines = self.state.engines.borrow_mut();
         engines.ended(&self.engine, self.class);
         let now = self.state.now();
@@ -638,7 +638,7 @@
         if let Some(held) = held.filter(|_| self.class == WorkClass::Online) {
             engines.note_slot_time(&self.service, held);
         }
-        if self.class == WorkClass::Online && self.serves.get() {
+        if self.class == WorkClass::Online && self.is_serving.get() {
             engines.note_time_at(&self.engine, now.since(self.started), now);
         }
         drop(engines);
