--- a/crates/proxy/src/bars.rs
+++ b/crates/proxy/src/bars.rs
@@ -163,7 +163,7 @@
         if self.suspects.borrow_mut().answered(&request.digest()) {
             info!(self.logger, "request cleared"; "request" => &request.id,
                 "digest" => %request.digest());
-            self.tell_soon();
+            self.request_report();
         }
     }
 }
--- a/crates/proxy/src/batch/runner.rs
+++ b/crates/proxy/src/batch/runner.rs
@@ -104,7 +104,7 @@
             runner.log_progress();
             logged = begun;
         }
-        if runner.state.closes_idle() {
+        if runner.state.is_closing_idle() {
             runner.hand_over().await;
             return;
         }
@@ -173,7 +173,7 @@
         let ends = Instant::now() + renewed_after;
         loop {
             let capacity = self.capacity();
-            if capacity > 0 || Instant::now() >= ends || self.state.closes_idle() {
+            if capacity > 0 || Instant::now() >= ends || self.state.is_closing_idle() {
                 return capacity;
             }
             Timer::after(MIN_CALL_INTERVAL).await;
--- a/crates/proxy/src/engine_ends.rs
+++ b/crates/proxy/src/engine_ends.rs
@@ -254,6 +254,6 @@
             "digest" => %one.digest, "engine" => &one.engine, "crashes" => crashes,
             "requests_there" => broken.len());
     }
-    state.tell_soon();
+    state.request_report();
     state.bars.request_check();
 }
--- a/crates/proxy/src/gateway.rs
+++ b/crates/proxy/src/gateway.rs
@@ -82,7 +82,7 @@
 impl<D: GatewayDialect> Service for Readiness<D> {
     async fn call(&self, head: RequestHead, _body: Vec<u8>) -> Answer {
         if head.method == "GET" && head.path() == METRICS_PATH {
-            self.state.count_waiting();
+            self.state.update_queue_metrics();
             let mut answer = Answer::empty(200);
             answer.headers.set("Content-Type", METRICS_CONTENT_TYPE);
             answer.body = self.state.metrics.encode().into_bytes();
--- a/crates/proxy/src/pace.rs
+++ b/crates/proxy/src/pace.rs
@@ -66,11 +66,11 @@
 pub(crate) struct PaceWatch {
     slow: RefCell<SlowWatch>,
     faults: Cell<u32>,
-    faults_told: Cell<Option<Timestamp>>,
+    faults_logged: Cell<Option<Timestamp>>,
 }
 
 /// Reports changes of engines' paces to operators.
-pub(crate) fn look(state: &GatewayState) {
+pub(crate) fn report_paces(state: &GatewayState) {
     let now = state.now();
     let engines = state.engines.borrow();
     if let Some(figures) = engines.pace_figures(now) {
@@ -101,11 +101,11 @@
     let faults = watch.faults.get() + 1;
     watch.faults.set(faults);
     let now = state.now();
-    let told = watch.faults_told.get();
-    if told.is_some_and(|told| now.since(told) < FAULT_LOG_INTERVAL) {
+    let logged = watch.faults_logged.get();
+    if logged.is_some_and(|logged| now.since(logged) < FAULT_LOG_INTERVAL) {
         return;
     }
-    watch.faults_told.set(Some(now));
+    watch.faults_logged.set(Some(now));
     watch.faults.set(0);
     warn!(state.logger, "implausible load report"; "engine" => engine,
         "fault" => ?fault, "reports" => faults);
--- a/crates/proxy/src/reach.rs
+++ b/crates/proxy/src/reach.rs
@@ -133,13 +133,13 @@
                 // Wakes the prober, which probes the zone from now on, and then the sender
                 // of reports.
                 self.look_at(Vec::new());
-                self.tell_soon();
+                self.request_report();
             }
             Change::Confirmed { zone, after } => {
                 info!(self.logger, "zone out of reach, confirmed here"; "zone" => zone.as_str(),
                     "after_ms" => after.as_millis() as u64);
                 self.wake_waiting();
-                self.tell_soon();
+                self.request_report();
             }
             Change::Back { zone, after, by } => {
                 info!(self.logger, "zone back"; "zone" => zone.as_str(),
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -127,7 +127,7 @@
     /// When other nodes were last heard from.
     pub hearing: Cell<Hearing>,
     /// Requests an early report to the other gateways.
-    told_soon: (Sender<()>, Receiver<()>),
+    report_requests: (Sender<()>, Receiver<()>),
     /// Whether a planned stop has begun.
     stopping: Cell<bool>,
     /// Closed when idle connections are to be closed.
@@ -172,7 +172,7 @@
             topology: RefCell::default(),
             topology_view: RefCell::default(),
             hearing: Cell::default(),
-            told_soon: async_channel::bounded(1),
+            report_requests: async_channel::bounded(1),
             stopping: Cell::new(false),
             closing_idle: async_channel::bounded(1),
             requests: Cell::new(0),
@@ -198,7 +198,7 @@
     }
 
     /// Wakes the queue of a service whose engines may have capacity.
-    pub fn room_at(&self, service: &str) {
+    pub fn wake_queue(&self, service: &str) {
         let queue = self.queues.borrow().get(service).cloned();
         if let Some(queue) = queue {
             queue.look();
@@ -206,7 +206,7 @@
     }
 
     /// Wakes the queues of all services, since any engine may have capacity.
-    pub fn room_anywhere(&self) {
+    pub fn wake_all_queues(&self) {
         let queues: Vec<Rc<ServiceQueue>> = self.queues.borrow().values().cloned().collect();
         for queue in queues.iter().filter(|queue| !queue.is_empty()) {
             queue.look();
@@ -214,7 +214,7 @@
     }
 
     /// Updates the metrics of waiting requests.
-    pub fn count_waiting(&self) {
+    pub fn update_queue_metrics(&self) {
         let queues = self.queues.borrow();
         let lengths = queues.values().map(|queue| queue.lengths());
         let (waiting, in_time) = lengths.fold((0, 0), |(waiting, in_time), one| {
@@ -230,7 +230,7 @@
 
     /// Whether the keys are recent enough to exclude a missed revocation; always true if
     /// the gateway need not make sure.
-    pub fn knows_keys(&self) -> bool {
+    pub fn has_current_keys(&self) -> bool {
         let view = self.topology_view.borrow();
         let now = self.now();
         self.keys_hold_for
@@ -243,7 +243,7 @@
         if class == WorkClass::Online {
             return true;
         }
-        self.note_renewal();
+        self.log_renewal_change();
         self.renewal.get().may_start(self.now())
     }
 
@@ -252,11 +252,11 @@
         let mut renewal = self.renewal.get();
         renewal.note(asked);
         self.renewal.set(renewal);
-        self.note_renewal();
+        self.log_renewal_change();
     }
 
     /// Logs when batch items begin or cease to be held back.
-    fn note_renewal(&self) {
+    fn log_renewal_change(&self) {
         let mut renewal = self.renewal.get();
         let change = renewal.change(self.now());
         self.renewal.set(renewal);
@@ -272,7 +272,7 @@
     }
 
     /// Whether there are tenants, whose usage the gateways report to each other.
-    pub fn limits_tenants(&self) -> bool {
+    pub fn has_tenants(&self) -> bool {
         let in_force = self.in_force.borrow();
         in_force.as_ref().is_some_and(|held| held.keys.is_some())
     }
@@ -316,7 +316,7 @@
     }
 
     /// Whether a planned stop is closing idle connections.
-    pub fn closes_idle(&self) -> bool {
+    pub fn is_closing_idle(&self) -> bool {
         self.closing_idle.0.is_closed()
     }
 
@@ -368,7 +368,7 @@
         }
         drop(engines);
         if unread_tokens >= REPORT_AT_ONCE_TOKENS {
-            self.tell_soon();
+            self.request_report();
         }
         let queue = (class == WorkClass::Online).then(|| self.queue(&picked.facts.service));
         if let Some(queue) = &queue {
@@ -401,16 +401,16 @@
     }
 
     /// Requests that changes here are reported to other gateways at once.
-    pub fn tell_soon(&self) {
-        let _told_already = self.told_soon.0.try_send(());
+    pub fn request_report(&self) {
+        let _already_requested = self.report_requests.0.try_send(());
     }
 
     /// Waits until a report to other gateways is requested.
-    pub async fn to_tell_soon(&self) {
-        let _told = self.told_soon.1.recv().await;
+    pub async fn report_requested(&self) {
+        let _requested = self.report_requests.1.recv().await;
     }
 
-    fn take_configuration(&self, version: u64, model: ServingModel) {
+    fn apply_configuration(&self, version: u64, model: ServingModel) {
         let held = self.in_force.borrow().as_ref().map(|held| held.version);
         if held.is_some_and(|held| held >= version) {
             return;
@@ -432,16 +432,16 @@
         *self.in_force.borrow_mut() = Some(Rc::new(InForce::new(version, model)));
     }
 
-    fn take_topology(&self, from: NodeId, told: Option<Topology>) {
+    fn apply_topology(&self, from: NodeId, reported: Option<Topology>) {
         let now = self.now();
         let mut view = self.topology_view.borrow_mut();
-        view.note(from, told, now);
+        view.note(from, reported, now);
         let topology = view.current(now);
         if *self.topology.borrow() == topology {
             return;
         }
         let stores = topology.stores.difference(&topology.retiring);
-        let stores = in_own_order(self.own, stores.copied().collect());
+        let stores = in_search_order(self.own, stores.copied().collect());
         self.batch.set_replicas(stores);
         if !topology.control.is_empty() {
             let control = topology.control.iter().copied().collect();
@@ -501,7 +501,7 @@
     fn update(&self, from: NodeId, update: ViewUpdate) {
         self.note_heard();
         if let Some(configuration) = update.configuration {
-            self.take_configuration(configuration.version, configuration.model);
+            self.apply_configuration(configuration.version, configuration.model);
         }
         for (engine, _) in update.departures {
             self.depart(&engine);
@@ -518,7 +518,7 @@
         for (request, bar) in update.bars {
             self.apply_bar(request, bar);
         }
-        self.take_topology(from, update.topology);
+        self.apply_topology(from, update.topology);
     }
 
     fn unwatched(&self, node: NodeId) {
@@ -538,7 +538,7 @@
 /// Sorts the stores in an order specific to this gateway, in which it searches for a lost
 /// leader. Gateways therefore neither all start at the same store nor all try the stores of
 /// one zone first.
-fn in_own_order(own: NodeId, mut stores: Vec<NodeId>) -> Vec<NodeId> {
+fn in_search_order(own: NodeId, mut stores: Vec<NodeId>) -> Vec<NodeId> {
     stores.sort_by_key(|store| xxh3_64_with_seed(&store.0.to_be_bytes(), u64::from(own.0)));
     stores
 }
@@ -644,7 +644,7 @@
         drop(engines);
         match (&self.queue, held) {
             (Some(queue), held) => queue.ended(held),
-            (None, Some(_)) => self.state.room_at(&self.service),
+            (None, Some(_)) => self.state.wake_queue(&self.service),
             (None, None) => {}
         }
     }
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -94,7 +94,7 @@
         anonymous: bool,
     ) -> Result<Option<Rc<str>>, Refusal> {
         let tenant = in_force.tenant(credential, anonymous)?;
-        match tenant.is_none() || self.knows_keys() {
+        match tenant.is_none() || self.has_current_keys() {
             true => Ok(tenant),
             false => Err(Refusal::NoConfiguration {
                 retry_after: CONFIGURATION_RETRY_AFTER,
--- a/crates/proxy/src/work_shares.rs
+++ b/crates/proxy/src/work_shares.rs
@@ -24,7 +24,7 @@
 use slog::{Logger, info};
 
 use crate::batch::preempt_batch_runs;
-use crate::pace::look;
+use crate::pace::report_paces;
 use crate::state::GatewayState;
 
 /// Interval between reports while the gateway is not busy.
@@ -47,7 +47,7 @@
 const MAX_QUEUED_REPORTS: usize = 1_024;
 
 /// A report from another gateway or a relay.
-struct Told {
+struct PeerReport {
     from: NodeId,
     shares: Vec<WorkShare>,
     usage: Option<Usage>,
@@ -58,12 +58,12 @@
 }
 
 /// Receives the reports of other gateways.
-struct Listener {
-    told: Sender<Told>,
+struct ReportListener {
+    reports: Sender<PeerReport>,
     logger: Logger,
 }
 
-impl Handler for Listener {
+impl Handler for ReportListener {
     async fn call(&self, _request: Request) -> Response {
         Response::Refused {
             outcome: RunOutcome::NotRun,
@@ -93,7 +93,7 @@
                 .and_then(|reach| telling::read(&self.logger, from, "zones out of reach", &reach));
             let demand =
                 demand.and_then(|demand| telling::read(&self.logger, from, "demand", &demand));
-            let told = Told {
+            let report = PeerReport {
                 from,
                 shares,
                 usage,
@@ -102,7 +102,7 @@
                 reach: reach.unwrap_or_default(),
                 relayed,
             };
-            let _dropped = self.told.try_send(told);
+            let _dropped = self.reports.try_send(report);
         }
     }
 }
@@ -115,59 +115,61 @@
     executor: &Arc<Executor<'static>>,
     local: &Rc<LocalExecutor<'static>>,
 ) -> Result<(), DaemonError> {
-    let (told, telling) = async_channel::bounded(MAX_QUEUED_REPORTS);
+    let (reports, received) = async_channel::bounded(MAX_QUEUED_REPORTS);
     let server = Server::bind(addresses.own_address(), ServerLimits::default())?;
-    let listener = Arc::new(Listener {
-        told,
+    let listener = Arc::new(ReportListener {
+        reports,
         logger: state.logger.clone(),
     });
     executor
         .spawn(server.serve(executor.clone(), listener))
         .detach();
-    local.spawn(listen(state.clone(), telling)).detach();
-    local.spawn(tell(state.clone(), wire)).detach();
+    local
+        .spawn(receive_reports(state.clone(), received))
+        .detach();
+    local.spawn(send_reports(state.clone(), wire)).detach();
     Ok(())
 }
 
-async fn listen(state: Rc<GatewayState>, telling: Receiver<Told>) {
+async fn receive_reports(state: Rc<GatewayState>, reports: Receiver<PeerReport>) {
     let mut failing = BTreeSet::new();
     let mut by_demand = false;
-    while let Ok(told) = telling.recv().await {
+    while let Ok(report) = reports.recv().await {
         let now = state.now();
         state.note_heard();
-        if told.relayed {
-            state.relay.borrow_mut().heard(told.from, now);
+        if report.relayed {
+            state.relay.borrow_mut().heard(report.from, now);
         }
-        if let Some(usage) = told.usage {
+        if let Some(usage) = report.usage {
             let mut tenants = state.tenants.borrow_mut();
-            match told.relayed {
-                true => tenants.note_relay(told.from, usage, now),
-                false => tenants.note_gateway(told.from, usage, now),
+            match report.relayed {
+                true => tenants.note_relay(report.from, usage, now),
+                false => tenants.note_gateway(report.from, usage, now),
             }
         }
-        if state.suspects.borrow_mut().note(&told.blames, now) {
+        if state.suspects.borrow_mut().note(&report.blames, now) {
             state.bars.request_check();
         }
         state
             .engines
             .borrow_mut()
-            .note_shares(told.from, &told.shares, now);
-        state.note_reach_told(told.from, told.relayed, told.reach);
-        state.room_anywhere();
-        if let Some(demand) = told.demand {
+            .note_shares(report.from, &report.shares, now);
+        state.note_reach_told(report.from, report.relayed, report.reach);
+        state.wake_all_queues();
+        if let Some(demand) = report.demand {
             let mut engines = state.engines.borrow_mut();
-            engines.note_demands(told.from, demand, now);
+            engines.note_demands(report.from, demand, now);
         }
-        by_demand = note_parts(&state, by_demand);
+        by_demand = log_sharing_change(&state, by_demand);
         preempt_batch_runs(&state);
         let failing_now = state.engines.borrow().failing_for_others(now);
-        note_failing(&state, &failing, &failing_now);
+        log_failing_engines(&state, &failing, &failing_now);
         failing = failing_now;
     }
 }
 
 /// Logs a change of whether capacity is shared by demand, and returns the new value.
-fn note_parts(state: &GatewayState, before: bool) -> bool {
+fn log_sharing_change(state: &GatewayState, before: bool) -> bool {
     let by_demand = state.engines.borrow().hears_demand(state.now());
     if by_demand != before {
         info!(state.logger, "sharing of engine capacity changed"; "by_demand" => by_demand);
@@ -177,7 +179,7 @@
 
 /// Logs which engines are newly avoided because they fail for other gateways, and which no
 /// longer are.
-fn note_failing(state: &GatewayState, before: &BTreeSet<String>, now: &BTreeSet<String>) {
+fn log_failing_engines(state: &GatewayState, before: &BTreeSet<String>, now: &BTreeSet<String>) {
     for engine in now.difference(before) {
         info!(state.logger, "engine fails for other gateways"; "engine" => engine);
     }
@@ -186,19 +188,19 @@
     }
 }
 
-async fn tell(state: Rc<GatewayState>, wire: Arc<WireTransport>) {
+async fn send_reports(state: Rc<GatewayState>, wire: Arc<WireTransport>) {
     let mut before = Vec::new();
     let mut unchanged = 0;
     let mut interval = CALM_INTERVAL;
     let mut relay = None;
-    let mut told_usage = state.now();
-    let mut told_reach = None;
+    let mut usage_reported = state.now();
+    let mut reported_reach = None;
     loop {
         let due = async {
             Timer::after(interval).await;
         };
-        future::or(due, state.to_tell_soon()).await;
-        look(&state);
+        future::or(due, state.report_requested()).await;
+        report_paces(&state);
         let shares = state.engines.borrow().shares(state.now());
         let short = state.tenants.borrow().is_short(state.now());
         interval = match short || is_busy(&state, &shares) {
@@ -207,26 +209,26 @@
         };
         unchanged = if shares == before { unchanged + 1 } else { 0 };
         let now = state.now();
-        let usage = state.limits_tenants() && (short || now.since(told_usage) >= USAGE_INTERVAL);
+        let usage = state.has_tenants() && (short || now.since(usage_reported) >= USAGE_INTERVAL);
         let reach = state.engines.borrow().reach_telling();
-        let reach_news = reach != told_reach;
-        let news = usage || reach_news || state.suspects.borrow().has_news();
-        if unchanged % REPEAT_INTERVALS != 0 && !news {
+        let reach_changed = reach != reported_reach;
+        let has_news = usage || reach_changed || state.suspects.borrow().has_news();
+        if unchanged % REPEAT_INTERVALS != 0 && !has_news {
             continue;
         }
         let bytes = molespan_state::encode(&shares);
         let usage = usage.then(|| {
-            told_usage = now;
+            usage_reported = now;
             molespan_state::encode(&state.tenants.borrow_mut().usage(now))
         });
         let blames = blames(&state);
         let reach_bytes = reach
             .as_ref()
-            .map(|told| molespan_state::encode(&vec![told]));
+            .map(|reach| molespan_state::encode(&vec![reach]));
         let demand = state.engines.borrow().demands(now);
-        note_demand(&state, &demand, now);
+        export_demand(&state, &demand, now);
         let demand = (!demand.is_empty()).then(|| molespan_state::encode(&demand));
-        for node in audience(&state, &mut relay) {
+        for node in report_targets(&state, &mut relay) {
             let request = Request::EngineWork {
                 from: state.own,
                 shares: bytes.clone().into(),
@@ -240,7 +242,7 @@
             wire.send(node, request);
         }
         before = shares;
-        told_reach = reach;
+        reported_reach = reach;
     }
 }
 
@@ -254,7 +256,7 @@
 }
 
 /// Exports the reported demand as metrics.
-fn note_demand(state: &GatewayState, demands: &[ServiceDemand], now: Timestamp) {
+fn export_demand(state: &GatewayState, demands: &[ServiceDemand], now: Timestamp) {
     let engines = state.engines.borrow();
     for demand in demands {
         let part = engines.part_by_demand(&demand.service, now);
@@ -269,16 +271,16 @@
 
 /// Returns the nodes that this gateway reports to: the other gateways, or the relay for
 /// them.
-fn audience(state: &GatewayState, relay: &mut Option<NodeId>) -> Vec<NodeId> {
-    let through = match state.gateways() > MAX_DIRECT_GATEWAYS {
+fn report_targets(state: &GatewayState, relay: &mut Option<NodeId>) -> Vec<NodeId> {
+    let new_relay = match state.gateways() > MAX_DIRECT_GATEWAYS {
         true => state.relay_in_use(),
         false => None,
     };
-    let before = std::mem::replace(relay, through);
-    if let Some(left) = before.filter(|_| before != through) {
+    let before = std::mem::replace(relay, new_relay);
+    if let Some(left) = before.filter(|_| before != new_relay) {
         state.engines.borrow_mut().forget_shares(left);
     }
-    match through {
+    match new_relay {
         Some(relay) => vec![relay],
         None => state.other_gateways(),
     }
