--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -16,7 +16,7 @@
 
 use crate::dialect::{EngineAnswer, EngineCall, GatewayDialect};
 use crate::pace::{EventTimes, note_fault};
-use crate::race::{Link, link};
+use crate::race::{CountedConnection, connect_engine};
 use crate::state::{GatewayState, InFlightGuard};
 
 /// Maximum size of an answer's head, in bytes.
@@ -182,12 +182,12 @@
     outbound: &Outbound,
     limits: AttemptLimits,
 ) -> Result<EngineReply, AttemptFailure> {
-    let link = link(state, picked, another, outbound.class, limits).await;
-    // `link` has already recorded which engines could not be reached.
-    let link = link.ok_or(AttemptFailure::Unreachable)?;
+    let counted = connect_engine(state, picked, another, outbound.class, limits).await;
+    // `connect_engine` has already recorded which engines could not be reached.
+    let counted = counted.ok_or(AttemptFailure::Unreachable)?;
     let engine = &picked.facts;
     let began = state.now();
-    let result = try_attempt(state, dialect, engine, outbound, limits, link).await;
+    let result = try_attempt(state, dialect, engine, outbound, limits, counted).await;
     match &result {
         Ok(reply) => {
             let mut engines = state.engines.borrow_mut();
@@ -222,7 +222,7 @@
     drop(engines);
     match failure {
         AttemptFailure::Silent => state.note_unreached(engine, began),
-        AttemptFailure::Broken => state.doubt(engine, Doubt::Failed),
+        AttemptFailure::Broken => state.check_reach(engine, Doubt::Failed),
         AttemptFailure::Unreachable | AttemptFailure::Withheld => {}
     }
 }
@@ -263,12 +263,12 @@
     engine: &EngineFacts,
     outbound: &Outbound,
     limits: AttemptLimits,
-    link: Link,
+    counted: CountedConnection,
 ) -> Result<EngineReply, AttemptFailure> {
-    let Link {
+    let CountedConnection {
         mut connection,
         in_flight,
-    } = link;
+    } = counted;
     // The engine may have left while the connection was established.
     if !state.engines.borrow().is_present(&engine.id) {
         return Err(AttemptFailure::Unreachable);
@@ -290,7 +290,7 @@
     };
     let cut_off = async {
         match limits.head_timeout {
-            Some(_) => state.out_of_reach(&engine.id).await,
+            Some(_) => state.wait_until_unreachable(&engine.id).await,
             None => future::pending().await,
         }
         Err(AttemptFailure::Silent)
--- a/crates/proxy/src/batch/item.rs
+++ b/crates/proxy/src/batch/item.rs
@@ -17,8 +17,8 @@
 use crate::attempt::{EngineBody, EngineReply, Outbound};
 use crate::dialect::{GatewayDialect, Refusal};
 use crate::dispatch::Dispatch;
-use crate::events::EventCutter;
-use crate::silence::Silence;
+use crate::events::EventParser;
+use crate::silence::InactivityTimer;
 use crate::state::GatewayState;
 
 /// Maximum time of one run, far longer than an item takes.
@@ -189,24 +189,24 @@
     mut body: EngineBody,
     output: &SharedOutput,
 ) -> RunResult {
-    let mut cutter = EventCutter::default();
-    let mut silence = Silence::new(Some(INACTIVITY_TIMEOUT));
+    let mut parser = EventParser::default();
+    let mut inactivity = InactivityTimer::new(Some(INACTIVITY_TIMEOUT));
     loop {
         let piece = async { body.next().await.ok() };
         let silent = async {
-            (&mut silence).await;
+            (&mut inactivity).await;
             None
         };
         let Some(piece) = future::or(piece, silent).await else {
             return RunResult::Broken;
         };
-        silence.heard();
+        inactivity.reset();
         if let Some(piece) = piece {
-            if !cutter.push(&piece) {
+            if !parser.push(&piece) {
                 return RunResult::Broken;
             }
             let mut output = output.borrow_mut();
-            while let Some(event) = cutter.next() {
+            while let Some(event) = parser.next() {
                 output.push(event.id, event.data);
             }
         } else {
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -9,7 +9,7 @@
 use molespan_state::declared::CallerLimits;
 
 use crate::dialect::{GatewayDialect, Refusal};
-use crate::request::{After, CallerRequest, check_key, serve};
+use crate::request::{CallerRequest, ConnectionAction, check_key, serve};
 use crate::state::GatewayState;
 
 /// Timeout for receiving a request body.
@@ -56,7 +56,9 @@
         };
         let _counted = state.count_request();
         let keep_alive = request.head.keeps_alive() && !state.is_stopping();
-        if serve(&state, &*dialect, &connection, request, keep_alive).await == After::Close {
+        if serve(&state, &*dialect, &connection, request, keep_alive).await
+            == ConnectionAction::Close
+        {
             return;
         }
     }
--- a/crates/proxy/src/dispatch.rs
+++ b/crates/proxy/src/dispatch.rs
@@ -365,7 +365,7 @@
         loop {
             let standing = match waiter.woken().await {
                 Woken::Refused(refused) => return Err(self.refused_by_queue(refused)),
-                Woken::Looks(_) => self.standing(begins_by),
+                Woken::MayPick(_) => self.standing(begins_by),
             };
             if standing == Standing::Late {
                 // A late request only takes spare slots and claims no share of the
@@ -374,9 +374,9 @@
             }
             match self.pick_now(standing) {
                 Ok(picked) => {
-                    let begun = waiter.begins();
+                    let wait = waiter.finish();
                     let queue = &self.state.metrics.queue;
-                    queue.observe_wait(begun.in_time, self.age(), begun.error);
+                    queue.observe_wait(wait.in_time, self.age(), wait.forecast_error);
                     return Ok(picked);
                 }
                 Err(NoEngine::Tried) => return Err(self.give_up()),
@@ -421,7 +421,7 @@
         };
         let queue = self.state.queue(&self.service);
         queue
-            .ask(&want)
+            .enqueue(&want)
             .map_err(|refused| self.refused_by_queue(refused))
     }
 
--- a/crates/proxy/src/events.rs
+++ b/crates/proxy/src/events.rs
@@ -16,11 +16,11 @@
 
 /// Splits a stream into events. An incomplete event at the end is dropped with the cutter.
 #[derive(Debug, Default)]
-pub(crate) struct EventCutter {
+pub(crate) struct EventParser {
     buffer: Vec<u8>,
 }
 
-impl EventCutter {
+impl EventParser {
     /// Appends bytes and returns `false` if an event is too long.
     pub fn push(&mut self, bytes: &[u8]) -> bool {
         self.buffer.extend_from_slice(bytes);
--- a/crates/proxy/src/queue.rs
+++ b/crates/proxy/src/queue.rs
@@ -22,15 +22,15 @@
 #[derive(Debug)]
 pub struct ServiceQueue {
     queue: RefCell<Queue>,
-    seats: RefCell<BTreeMap<Place, Seat>>,
+    entries: RefCell<BTreeMap<Place, WaiterEntry>>,
     /// Requests that have the turn.
-    lookers: RefCell<Vec<Place>>,
+    turn_holders: RefCell<Vec<Place>>,
     clock: BootClock,
 }
 
 /// Wake-up state of a waiting request.
 #[derive(Debug)]
-struct Seat {
+struct WaiterEntry {
     wake: Sender<()>,
     turn: Option<Turn>,
     refused: Option<Refused>,
@@ -40,7 +40,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Woken {
     /// The request may pick an engine.
-    Looks(Turn),
+    MayPick(Turn),
     /// The request's turn cannot come.
     Refused(Refused),
 }
@@ -52,7 +52,7 @@
     place: Place,
     wake: Receiver<()>,
     /// Whether it has been allowed to pick since it was woken.
-    looked: Cell<bool>,
+    has_picked: Cell<bool>,
     /// When the wait began, and how long it was expected to take.
     since: Timestamp,
     expected: Option<Duration>,
@@ -64,8 +64,8 @@
     pub fn new(limits: Limits, clock: BootClock) -> Rc<Self> {
         Rc::new(Self {
             queue: RefCell::new(Queue::new(limits)),
-            seats: RefCell::default(),
-            lookers: RefCell::default(),
+            entries: RefCell::default(),
+            turn_holders: RefCell::default(),
             clock,
         })
     }
@@ -74,22 +74,22 @@
     ///
     /// # Errors
     /// When its turn cannot come.
-    pub fn ask(self: &Rc<Self>, want: &Want<'_>) -> Result<Waiter, Refused> {
+    pub fn enqueue(self: &Rc<Self>, want: &Want<'_>) -> Result<Waiter, Refused> {
         let now = self.clock.now();
         let place = self.queue.borrow_mut().ask(want, now)?;
         let expected = self.queue.borrow().expected_wait(place, now);
         let (sender, wake) = async_channel::bounded(1);
-        let seat = Seat {
+        let entry = WaiterEntry {
             wake: sender,
             turn: None,
             refused: None,
         };
-        self.seats.borrow_mut().insert(place, seat);
+        self.entries.borrow_mut().insert(place, entry);
         let waiter = Waiter {
             queue: self.clone(),
             place,
             wake,
-            looked: Cell::new(false),
+            has_picked: Cell::new(false),
             since: now,
             expected,
         };
@@ -98,12 +98,12 @@
     }
 
     /// Wakes all requests that have the turn, since an engine may have capacity.
-    pub fn look(&self) {
+    pub fn wake_turn_holders(&self) {
         self.update();
-        let seats = self.seats.borrow();
-        for place in self.lookers.borrow().iter() {
-            if let Some(seat) = seats.get(place) {
-                seat.wake();
+        let entries = self.entries.borrow();
+        for place in self.turn_holders.borrow().iter() {
+            if let Some(entry) = entries.get(place) {
+                entry.wake();
             }
         }
     }
@@ -117,7 +117,7 @@
     /// Wakes the requests that have the turn.
     pub fn ended(&self, held: Option<Duration>) {
         self.queue.borrow_mut().ended(held);
-        self.look();
+        self.wake_turn_holders();
     }
 
     /// Returns the number of waiting requests and how many of them can still be in time.
@@ -144,36 +144,36 @@
         let now = self.clock.now();
         let refused = self.queue.borrow_mut().sweep(now);
         let turns = self.queue.borrow_mut().lookers(now);
-        let mut seats = self.seats.borrow_mut();
+        let mut entries = self.entries.borrow_mut();
         for (place, refused) in refused {
-            if let Some(seat) = seats.get_mut(&place) {
-                seat.refused = Some(refused);
-                seat.wake();
+            if let Some(entry) = entries.get_mut(&place) {
+                entry.refused = Some(refused);
+                entry.wake();
             }
         }
         let places = turns.iter().map(|&(place, _)| place).collect();
-        let before = self.lookers.replace(places);
+        let before = self.turn_holders.replace(places);
         let over = before
             .iter()
             .filter(|before| turns.iter().all(|(place, _)| place != *before));
         for place in over {
-            if let Some(seat) = seats.get_mut(place) {
-                seat.turn = None;
+            if let Some(entry) = entries.get_mut(place) {
+                entry.turn = None;
             }
         }
         for (place, turn) in turns {
-            if let Some(seat) = seats.get_mut(&place)
-                && seat.turn.replace(turn).is_none()
+            if let Some(entry) = entries.get_mut(&place)
+                && entry.turn.replace(turn).is_none()
             {
-                seat.wake();
+                entry.wake();
             }
         }
     }
 }
 
-impl Seat {
+impl WaiterEntry {
     fn wake(&self) {
-        let _woken_already = self.wake.try_send(());
+        let _already_woken = self.wake.try_send(());
     }
 }
 
@@ -186,19 +186,19 @@
                 return Woken::Refused(refused);
             }
             match turn {
-                Some(turn) if !self.looked.replace(true) => {
+                Some(turn) if !self.has_picked.replace(true) => {
                     // Consumes the wake-up that is answered here.
                     let _woken = self.wake.try_recv();
-                    return Woken::Looks(turn);
+                    return Woken::MayPick(turn);
                 }
                 Some(turn) => {
-                    self.rest(turn).await;
-                    self.looked.set(false);
+                    self.wait_to_pick_again(turn).await;
+                    self.has_picked.set(false);
                     self.queue.update();
                 }
                 None => {
                     let _woken = self.wake.recv().await;
-                    self.looked.set(false);
+                    self.has_picked.set(false);
                 }
             }
         }
@@ -206,24 +206,24 @@
 
     /// Ends the wait because an engine was found.
     #[must_use]
-    pub fn begins(self) -> Begun {
+    pub fn finish(self) -> WaitResult {
         let now = self.queue.clock.now();
         let in_time = self.queue.queue.borrow_mut().begun(self.place, now);
         let waited = now.since(self.since);
-        Begun {
+        WaitResult {
             in_time: in_time.unwrap_or_default(),
-            error: self.expected.map(|expected| waited.abs_diff(expected)),
+            forecast_error: self.expected.map(|expected| waited.abs_diff(expected)),
         }
     }
 
     fn state(&self) -> (Option<Turn>, Option<Refused>) {
-        let seats = self.queue.seats.borrow();
-        let seat = seats.get(&self.place);
-        seat.map_or((None, None), |seat| (seat.turn, seat.refused))
+        let entries = self.queue.entries.borrow();
+        let entry = entries.get(&self.place);
+        entry.map_or((None, None), |entry| (entry.turn, entry.refused))
     }
 
     /// Waits until a request that has the turn may pick again.
-    async fn rest(&self, turn: Turn) {
+    async fn wait_to_pick_again(&self, turn: Turn) {
         let again = match turn.in_time {
             true => PICK_INTERVAL,
             false => LATE_PICK_INTERVAL,
@@ -241,7 +241,7 @@
 impl Drop for Waiter {
     /// Leaves the queue and updates the turns, so that the next request gets one.
     fn drop(&mut self) {
-        self.queue.seats.borrow_mut().remove(&self.place);
+        self.queue.entries.borrow_mut().remove(&self.place);
         let now = self.queue.clock.now();
         self.queue.queue.borrow_mut().leave(self.place, now);
         self.queue.update();
@@ -250,9 +250,9 @@
 
 /// The result of a successful wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Begun {
+pub struct WaitResult {
     /// Whether the request can be in time.
     pub in_time: bool,
     /// Absolute difference between the actual and the expected wait.
-    pub error: Option<Duration>,
+    pub forecast_error: Option<Duration>,
 }
--- a/crates/proxy/src/race.rs
+++ b/crates/proxy/src/race.rs
@@ -23,34 +23,34 @@
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// A connection to an engine at which the request is counted.
-pub(crate) struct Link {
+pub(crate) struct CountedConnection {
     pub connection: Connection,
     pub in_flight: InFlightGuard,
 }
 
 /// Returns a connection to the picked engine, or to one picked by `another` if that
 /// connects first; `picked` is then replaced. Returns `None` if no engine could be reached.
-pub(crate) async fn link(
+pub(crate) async fn connect_engine(
     state: &Rc<GatewayState>,
     picked: &mut Picked,
     another: impl FnOnce(&Picked) -> Option<Picked>,
     class: WorkClass,
     limits: AttemptLimits,
-) -> Option<Link> {
+) -> Option<CountedConnection> {
     let in_flight = count_in_flight(state, picked, class);
     let engine = picked.facts.clone();
     let mut first = Box::pin(open(state, engine.clone(), limits.deadline));
-    if let Some(opened) = before(&mut first, limits.slow_after).await {
+    if let Some(opened) = connect_unless_slow(&mut first, limits.slow_after).await {
         let connection = opened?;
-        return Some(Link {
+        return Some(CountedConnection {
             connection,
             in_flight,
         });
     }
-    state.doubt(&engine.id, Doubt::Slow);
+    state.check_reach(&engine.id, Doubt::Slow);
     let Some(beside) = another(picked) else {
         let connection = first.await?;
-        return Some(Link {
+        return Some(CountedConnection {
             connection,
             in_flight,
         });
@@ -64,13 +64,13 @@
         .count_race(up.as_ref().map(|(place, _)| *place));
     let (place, connection) = up?;
     if place == 0 {
-        return Some(Link {
+        return Some(CountedConnection {
             connection,
             in_flight,
         });
     }
     *picked = beside;
-    Some(Link {
+    Some(CountedConnection {
         connection,
         in_flight: in_flight_beside,
     })
@@ -86,7 +86,7 @@
 }
 
 /// Returns the result of a connect, or `None` if it takes longer than `slow_after`.
-async fn before<F: Future + Unpin>(
+async fn connect_unless_slow<F: Future + Unpin>(
     connect: &mut F,
     slow_after: Option<Duration>,
 ) -> Option<F::Output> {
@@ -145,7 +145,7 @@
         Some(connecting.await)
     };
     let given_up = async {
-        state.out_of_reach(&engine.id).await;
+        state.wait_until_unreachable(&engine.id).await;
         None
     };
     let given_up = pin!(given_up);
--- a/crates/proxy/src/reach.rs
+++ b/crates/proxy/src/reach.rs
@@ -29,35 +29,35 @@
 
 /// Queued probes, and the wake-up of requests that wait for reachability changes.
 pub(crate) struct Reach {
-    looks: (Sender<Vec<Probe>>, Receiver<Vec<Probe>>),
+    probes: (Sender<Vec<Probe>>, Receiver<Vec<Probe>>),
     /// Closed and replaced when a zone becomes unreachable.
-    went_out: RefCell<Wakeup>,
+    zone_lost: RefCell<Wakeup>,
     /// Reports of other gateways, where gateways report to each other directly.
-    told: RefCell<ReachRelay>,
+    reports: RefCell<ReachRelay>,
 }
 
 impl Default for Reach {
     fn default() -> Self {
         Self {
-            looks: async_channel::bounded(MAX_QUEUED_PROBES),
-            went_out: RefCell::new(async_channel::bounded(1)),
-            told: RefCell::default(),
+            probes: async_channel::bounded(MAX_QUEUED_PROBES),
+            zone_lost: RefCell::new(async_channel::bounded(1)),
+            reports: RefCell::default(),
         }
     }
 }
 
 impl GatewayState {
     /// Checks whether the zone of an engine that may be unreachable is unreachable.
-    pub fn doubt(&self, engine: &str, doubt: Doubt) {
+    pub fn check_reach(&self, engine: &str, doubt: Doubt) {
         let now = self.now();
         let probes = self.engines.borrow_mut().doubt(engine, doubt, now);
         if !probes.is_empty() {
-            self.look_at(probes);
+            self.queue_probes(probes);
         }
     }
 
-    fn look_at(&self, probes: Vec<Probe>) {
-        if self.reach.looks.0.try_send(probes).is_err() {
+    fn queue_probes(&self, probes: Vec<Probe>) {
+        if self.reach.probes.0.try_send(probes).is_err() {
             warn!(
                 self.logger,
                 "too many queued probes of engines; dropping a request"
@@ -70,7 +70,7 @@
         let now = self.now();
         self.engines.borrow_mut().unreached(engine, began, now);
         self.note_reach_changes();
-        self.doubt(engine, Doubt::Failed);
+        self.check_reach(engine, Doubt::Failed);
     }
 
     /// Records that an attempt that started at `began` reached an engine.
@@ -87,7 +87,7 @@
         let told = match relayed {
             true => told.into_iter().next(),
             false => {
-                let mut all = self.reach.told.borrow_mut();
+                let mut all = self.reach.reports.borrow_mut();
                 all.expire(now);
                 all.note(from, Teller::Gateway, told, now);
                 all.for_gateway(self.own, self.zone())
@@ -99,15 +99,15 @@
         let probes = self.engines.borrow_mut().note_reach_told(&told, now);
         self.note_reach_changes();
         if !probes.is_empty() {
-            self.look_at(probes);
+            self.queue_probes(probes);
         }
     }
 
     /// Waits until this gateway finds the zone of an engine unreachable.
-    pub async fn out_of_reach(&self, engine: &str) {
+    pub async fn wait_until_unreachable(&self, engine: &str) {
         while !self.engines.borrow().was_found_out_of_reach(engine) {
-            let went_out = self.reach.went_out.borrow().1.clone();
-            let _closed = went_out.recv().await;
+            let zone_lost = self.reach.zone_lost.borrow().1.clone();
+            let _closed = zone_lost.recv().await;
         }
     }
 
@@ -127,12 +127,12 @@
     fn note_reach_change(&self, change: Change) {
         match change {
             Change::Out { zone, evidence } => {
-                self.write_out_of_reach(zone.as_str(), evidence);
+                self.log_unreachable_zone(zone.as_str(), evidence);
                 self.metrics.reach.count_change("out");
                 self.wake_waiting();
                 // Wakes the prober, which probes the zone from now on, and then the sender
                 // of reports.
-                self.look_at(Vec::new());
+                self.queue_probes(Vec::new());
                 self.request_report();
             }
             Change::Confirmed { zone, after } => {
@@ -154,11 +154,11 @@
     /// Wakes the requests that wait for an answer from an unreachable zone.
     fn wake_waiting(&self) {
         let next = async_channel::bounded(1);
-        let (woken, _) = self.reach.went_out.replace(next);
+        let (woken, _) = self.reach.zone_lost.replace(next);
         woken.close();
     }
 
-    fn write_out_of_reach(&self, zone: &str, evidence: Evidence) {
+    fn log_unreachable_zone(&self, zone: &str, evidence: Evidence) {
         match evidence {
             Evidence::Own { failed, of, age } => {
                 warn!(self.logger, "zone out of reach"; "zone" => zone, "evidence" => "own",
@@ -175,20 +175,20 @@
 /// Makes the requested and due probe connects. Runs until dropped.
 pub(crate) async fn watch_reach(state: Rc<GatewayState>, local: Rc<LocalExecutor<'static>>) {
     loop {
-        let asked = async { state.reach.looks.1.recv().await.unwrap_or_default() };
+        let asked = async { state.reach.probes.1.recv().await.unwrap_or_default() };
         let out = !state.engines.borrow().zones_out_of_reach().is_empty();
         let probes = match out {
-            true => future::or(asked, due(&state)).await,
+            true => future::or(asked, due_probes(&state)).await,
             false => asked.await,
         };
         for probe in probes {
-            local.spawn(look(state.clone(), probe)).detach();
+            local.spawn(make_probe(state.clone(), probe)).detach();
         }
     }
 }
 
 /// Returns the due probes of unreachable zones.
-async fn due(state: &GatewayState) -> Vec<Probe> {
+async fn due_probes(state: &GatewayState) -> Vec<Probe> {
     Timer::after(PROBE_POLL_INTERVAL).await;
     let now = state.now();
     let probes = state.engines.borrow_mut().probes(now);
@@ -196,7 +196,7 @@
     probes
 }
 
-async fn look(state: Rc<GatewayState>, probe: Probe) {
+async fn make_probe(state: Rc<GatewayState>, probe: Probe) {
     let Probe {
         engine,
         address,
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -34,7 +34,7 @@
 
 /// Whether the caller's connection may carry another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum After {
+pub(crate) enum ConnectionAction {
     KeepAlive,
     Close,
 }
@@ -46,7 +46,7 @@
     caller: &Connection,
     request: CallerRequest,
     keep_alive: bool,
-) -> After {
+) -> ConnectionAction {
     let Some(in_force) = state.in_force() else {
         let refusal = Refusal::NoConfiguration {
             retry_after: CONFIGURATION_RETRY_AFTER,
@@ -59,7 +59,7 @@
             Ok(tenant) => batch::call(state, dialect, call, tenant.as_deref()).await,
             Err(refusal) => dialect.refusal(refusal),
         };
-        return finish(caller, &answer.encode(keep_alive), keep_alive).await;
+        return write_answer(caller, &answer.encode(keep_alive), keep_alive).await;
     }
     let host = request.head.host();
     let Some(route) = in_force.model.route(&host, request.head.path()) else {
@@ -77,7 +77,7 @@
     };
     if route.kind == RouteKind::Batch {
         let answer = batch::submit(state, dialect, route, tenant.as_deref(), &request).await;
-        return finish(caller, &answer.encode(keep_alive), keep_alive).await;
+        return write_answer(caller, &answer.encode(keep_alive), keep_alive).await;
     }
     let minor = request.head.minor;
     let dispatch = dispatch(state, dialect, &in_force, route, tenant, request);
@@ -88,7 +88,7 @@
     let served = dispatch.answer(caller, minor, keep_alive);
     let gone = async {
         caller.gone().await;
-        After::Close
+        ConnectionAction::Close
     };
     // The answer is polled first; the caller is also watched while it is written.
     future::or(served, gone).await
@@ -143,31 +143,36 @@
     caller: &Connection,
     refusal: Refusal,
     keep_alive: bool,
-) -> After {
+) -> ConnectionAction {
     state.metrics.count_refusal(refusal);
     let answer = dialect.refusal(refusal).encode(keep_alive);
-    finish(caller, &answer, keep_alive).await
+    write_answer(caller, &answer, keep_alive).await
 }
 
-async fn finish(caller: &Connection, bytes: &[u8], keep_alive: bool) -> After {
+async fn write_answer(caller: &Connection, bytes: &[u8], keep_alive: bool) -> ConnectionAction {
     match caller.write(bytes).await {
-        Ok(()) if keep_alive => After::KeepAlive,
-        _ => After::Close,
+        Ok(()) if keep_alive => ConnectionAction::KeepAlive,
+        _ => ConnectionAction::Close,
     }
 }
 
 impl<D: GatewayDialect> Dispatch<'_, D> {
     /// Answers the caller.
-    async fn answer(&mut self, caller: &Connection, minor: u8, keep_alive: bool) -> After {
+    async fn answer(
+        &mut self,
+        caller: &Connection,
+        minor: u8,
+        keep_alive: bool,
+    ) -> ConnectionAction {
         loop {
             let reply = match self.next_reply(None).await {
                 Ok(reply) => reply,
                 Err(refusal) => return self.refuse(caller, refusal, keep_alive).await,
             };
-            let held = self.route.kind == RouteKind::Safe && self.may_run_again();
-            if held {
-                match self.relay_held(reply, caller, keep_alive).await {
-                    Some(after) => return after,
+            let buffered = self.route.kind == RouteKind::Safe && self.may_run_again();
+            if buffered {
+                match self.relay_buffered(reply, caller, keep_alive).await {
+                    Some(action) => return action,
                     None => continue,
                 }
             }
@@ -192,20 +197,20 @@
                     "ended" => ?ended, "runs" => self.runs);
             }
             return match ended {
-                Relayed::Whole if keep_alive => After::KeepAlive,
-                _ => After::Close,
+                Relayed::Whole if keep_alive => ConnectionAction::KeepAlive,
+                _ => ConnectionAction::Close,
             };
         }
     }
 
     /// Reads a short answer completely before relaying it; `None` if its engine broke off
     /// and another one may run the request.
-    async fn relay_held(
+    async fn relay_buffered(
         &mut self,
         reply: EngineReply,
         caller: &Connection,
         keep_alive: bool,
-    ) -> Option<After> {
+    ) -> Option<ConnectionAction> {
         let EngineReply { head, mut body, .. } = reply;
         let mut reader = std::mem::replace(&mut body.reader, BodyReader::new(body.framing));
         let reading = async {
@@ -225,7 +230,7 @@
                 self.note_broken(&body.engine);
                 return None;
             }
-            _ => return Some(After::Close),
+            _ => return Some(ConnectionAction::Close),
         };
         body.reader = reader;
         body.finish(self.state);
@@ -240,12 +245,17 @@
         bytes.extend_from_slice(&whole);
         let written = write(self.state, caller, &bytes, self.deadline).await;
         Some(match written {
-            Ok(()) if keep_alive => After::KeepAlive,
-            _ => After::Close,
+            Ok(()) if keep_alive => ConnectionAction::KeepAlive,
+            _ => ConnectionAction::Close,
         })
     }
 
-    async fn refuse(&self, caller: &Connection, refusal: Refusal, keep_alive: bool) -> After {
+    async fn refuse(
+        &self,
+        caller: &Connection,
+        refusal: Refusal,
+        keep_alive: bool,
+    ) -> ConnectionAction {
         if self.runs == 0
             && self.counted
             && let Some(tenant) = &self.outbound.tenant
--- a/crates/proxy/src/resume.rs
+++ b/crates/proxy/src/resume.rs
@@ -14,9 +14,9 @@
 use crate::attempt::{EngineBody, EngineReply};
 use crate::dialect::GatewayDialect;
 use crate::dispatch::Dispatch;
-use crate::events::EventCutter;
+use crate::events::EventParser;
 use crate::relay::{CallerFraming, Next, Relayed, append, caller_head, next_piece, write};
-use crate::silence::Silence;
+use crate::silence::InactivityTimer;
 use crate::state::GatewayState;
 
 /// Multiple of the route's target gap between events after which a silent engine is
@@ -26,7 +26,7 @@
 const DEFAULT_GAP: Duration = Duration::from_millis(500);
 
 /// Result of one engine's part of a stream.
-enum Part {
+enum PartResult {
     /// The stream is complete.
     Whole,
     /// The engine broke off or stopped sending.
@@ -36,7 +36,7 @@
 }
 
 /// Progress of the relayed stream.
-struct Progress<'a> {
+struct RelayProgress<'a> {
     state: &'a GatewayState,
     caller: &'a Connection,
     framing: CallerFraming,
@@ -57,12 +57,12 @@
 ) -> Relayed {
     let framing = molespan_http::h1::Framing::Chunked;
     let (head, framing) = caller_head(&reply.head, framing, minor, keep_alive);
-    let pause = dispatch
+    let gap = dispatch
         .route
         .gap_target_ms
         .map(u64::from)
         .map(Duration::from_millis);
-    let mut progress = Progress {
+    let mut progress = RelayProgress {
         state: dispatch.state,
         caller,
         framing,
@@ -74,15 +74,15 @@
     let mut body = reply.body;
     loop {
         let again = dispatch.may_run_again();
-        progress.silence = again.then(|| pause.unwrap_or(DEFAULT_GAP) * SILENT_GAPS);
+        progress.silence = again.then(|| gap.unwrap_or(DEFAULT_GAP) * SILENT_GAPS);
         let engine = body.engine.clone();
-        match progress.pass(&mut body).await {
-            Part::Whole => {
+        match progress.relay_events(&mut body).await {
+            PartResult::Whole => {
                 body.finish(dispatch.state);
                 return progress.close().await;
             }
-            Part::Ended(ended) => return ended,
-            Part::Broken => dispatch.note_broken(&engine),
+            PartResult::Ended(ended) => return ended,
+            PartResult::Broken => dispatch.note_broken(&engine),
         }
         // Closing the connection stops the work at the first engine.
         drop(body);
@@ -103,40 +103,40 @@
     }
 }
 
-impl Progress<'_> {
+impl RelayProgress<'_> {
     /// Relays the events of one engine.
-    async fn pass(&mut self, body: &mut EngineBody) -> Part {
-        let mut cutter = EventCutter::default();
+    async fn relay_events(&mut self, body: &mut EngineBody) -> PartResult {
+        let mut parser = EventParser::default();
         let mut time = pin!(self.state.clock.wait_until(self.deadline));
-        let mut silence = Silence::new(self.silence);
+        let mut inactivity = InactivityTimer::new(self.silence);
         loop {
             let next = next_piece(body, &mut time);
             let silent = async {
-                (&mut silence).await;
+                (&mut inactivity).await;
                 None
             };
             let next = future::or(async { Some(next.await) }, silent).await;
-            silence.heard();
+            inactivity.reset();
             let piece = match next {
-                None | Some(Next::Piece(Err(_))) => return Part::Broken,
-                Some(Next::TimeOver) => return Part::Ended(Relayed::TimeOver),
+                None | Some(Next::Piece(Err(_))) => return PartResult::Broken,
+                Some(Next::TimeOver) => return PartResult::Ended(Relayed::TimeOver),
                 Some(Next::Piece(Ok(piece))) => piece,
             };
             let Some(piece) = piece else {
-                return Part::Whole;
+                return PartResult::Whole;
             };
-            if !cutter.push(&piece) {
-                return Part::Broken;
+            if !parser.push(&piece) {
+                return PartResult::Broken;
             }
-            while let Some(event) = cutter.next() {
+            while let Some(event) = parser.next() {
                 self.last_event = event.id.or(self.last_event);
                 append(&mut self.waiting, &event.bytes, self.framing);
             }
             if let Err(ended) = self.flush().await {
-                return Part::Ended(ended);
+                return PartResult::Ended(ended);
             }
             if body.reader.has_ended() {
-                return Part::Whole;
+                return PartResult::Whole;
             }
         }
     }
--- a/crates/proxy/src/silence.rs
+++ b/crates/proxy/src/silence.rs
@@ -10,29 +10,29 @@
 /// Future that completes after a period without activity. Activity only records the time;
 /// the timer is reset when it fires, not at each event.
 #[derive(Debug)]
-pub(crate) struct Silence {
+pub(crate) struct InactivityTimer {
     limit: Option<Duration>,
-    heard: Instant,
+    last_activity: Instant,
     timer: Option<Timer>,
 }
 
-impl Silence {
+impl InactivityTimer {
     /// Creates a timeout of `limit` that starts now; without a limit it never completes.
     pub fn new(limit: Option<Duration>) -> Self {
         Self {
             limit,
-            heard: Instant::now(),
+            last_activity: Instant::now(),
             timer: None,
         }
     }
 
     /// Records activity.
-    pub fn heard(&mut self) {
-        self.heard = Instant::now();
+    pub fn reset(&mut self) {
+        self.last_activity = Instant::now();
     }
 }
 
-impl Future for Silence {
+impl Future for InactivityTimer {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
@@ -40,7 +40,7 @@
             return Poll::Pending;
         };
         loop {
-            let ends = self.heard + limit;
+            let ends = self.last_activity + limit;
             let timer = self.timer.get_or_insert_with(|| Timer::at(ends));
             if Pin::new(&mut *timer).poll(context).is_pending() {
                 return Poll::Pending;
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -201,7 +201,7 @@
     pub fn wake_queue(&self, service: &str) {
         let queue = self.queues.borrow().get(service).cloned();
         if let Some(queue) = queue {
-            queue.look();
+            queue.wake_turn_holders();
         }
     }
 
@@ -209,7 +209,7 @@
     pub fn wake_all_queues(&self) {
         let queues: Vec<Rc<ServiceQueue>> = self.queues.borrow().values().cloned().collect();
         for queue in queues.iter().filter(|queue| !queue.is_empty()) {
-            queue.look();
+            queue.wake_turn_holders();
         }
     }
 
--- a/crates/proxy/tests/queue.rs
+++ b/crates/proxy/tests/queue.rs
@@ -21,7 +21,7 @@
     (ServiceQueue::new(limits, clock.clone()), clock)
 }
 
-fn ask(queue: &Rc<ServiceQueue>, clock: &BootClock, waits: Duration) -> Waiter {
+fn enqueue(queue: &Rc<ServiceQueue>, clock: &BootClock, waits: Duration) -> Waiter {
     let now = clock.now();
     let want = Want {
         tenant: None,
@@ -32,67 +32,71 @@
         leaves_at: now + waits,
         again: false,
     };
-    queue.ask(&want).expect("the queue is not full")
+    queue.enqueue(&want).expect("the queue is not full")
 }
 
 /// Whether the waiter may pick an engine now, without waiting.
-fn looks(waiter: &Waiter) -> bool {
+fn may_pick(waiter: &Waiter) -> bool {
     let woken = block_on(poll_once(waiter.woken()));
-    matches!(woken, Some(Woken::Looks(turn)) if turn.in_time)
+    matches!(woken, Some(Woken::MayPick(turn)) if turn.in_time)
 }
 
 #[test]
-fn the_first_look_and_the_others_rest() {
+fn only_the_first_waiters_may_pick() {
     let (queue, clock) = queue();
-    let mut waiters: Vec<Waiter> = (0..10).map(|_| ask(&queue, &clock, MAX_WAIT)).collect();
-    let looked = waiters.iter().map(looks).filter(|&looks| looks).count();
-    assert_eq!(looked, TURN_HOLDERS);
+    let mut waiters: Vec<Waiter> = (0..10).map(|_| enqueue(&queue, &clock, MAX_WAIT)).collect();
+    let picked = waiters
+        .iter()
+        .map(may_pick)
+        .filter(|&may_pick| may_pick)
+        .count();
+    assert_eq!(picked, TURN_HOLDERS);
     assert!(
-        waiters[..TURN_HOLDERS].iter().all(|one| !looks(one)),
+        waiters[..TURN_HOLDERS].iter().all(|one| !may_pick(one)),
         "a second pick has to wait"
     );
-    queue.look();
+    queue.wake_turn_holders();
     assert_eq!(queue.lengths(), (10, 10));
-    let found = waiters.remove(0).begins();
-    assert!(found.in_time);
+    let result = waiters.remove(0).finish();
+    assert!(result.in_time);
     assert_eq!(queue.lengths(), (9, 9));
 }
 
 #[test]
-fn a_freed_slot_wakes_those_that_have_the_turn_and_no_others() {
+fn a_freed_slot_wakes_only_the_waiters_with_the_turn() {
     let (queue, clock) = queue();
-    let waiters: Vec<Waiter> = (0..6).map(|_| ask(&queue, &clock, MAX_WAIT)).collect();
+    let waiters: Vec<Waiter> = (0..6).map(|_| enqueue(&queue, &clock, MAX_WAIT)).collect();
     waiters.iter().for_each(|one| {
-        looks(one);
+        may_pick(one);
     });
     block_on(async {
-        let mut rests: Vec<_> = waiters.iter().map(|one| Box::pin(one.woken())).collect();
-        for rest in &mut rests {
-            assert!(poll_once(rest).await.is_none());
+        let mut waits: Vec<_> = waiters.iter().map(|one| Box::pin(one.woken())).collect();
+        for wait in &mut waits {
+            assert!(poll_once(wait).await.is_none());
         }
-        queue.look();
+        queue.wake_turn_holders();
         let mut woken = 0;
-        for rest in &mut rests {
-            woken += usize::from(poll_once(rest).await.is_some());
+        for wait in &mut waits {
+            woken += usize::from(poll_once(wait).await.is_some());
         }
         assert_eq!(woken, TURN_HOLDERS);
     });
 }
 
 #[test]
-fn whoever_leaves_passes_its_turn_on() {
+fn a_waiter_that_leaves_passes_its_turn_on() {
     let (queue, clock) = queue();
-    let mut waiters: Vec<Waiter> = (0..12).map(|_| ask(&queue, &clock, MAX_WAIT)).collect();
+    let mut waiters: Vec<Waiter> = (0..12).map(|_| enqueue(&queue, &clock, MAX_WAIT)).collect();
     // Waiters leave before being woken, after a turn to pick, while waiting for the next
     // turn, and from the middle of the queue.
     drop(waiters.remove(0));
-    assert!(looks(&waiters[0]));
+    assert!(may_pick(&waiters[0]));
     drop(waiters.remove(0));
-    looks(&waiters[0]);
+    may_pick(&waiters[0]);
     block_on(async {
-        let rest = waiters[0].woken();
+        let wait = waiters[0].woken();
         assert!(
-            poll_once(Box::pin(rest)).await.is_none(),
+            poll_once(Box::pin(wait)).await.is_none(),
             "the waiter is dropped while it has to rest"
         );
     });
@@ -100,28 +104,28 @@
     drop(waiters.remove(5));
     let mut served = 0;
     while !waiters.is_empty() {
-        let (mut on, mut rest) = (Vec::new(), Vec::new());
+        let (mut holders, mut others) = (Vec::new(), Vec::new());
         for (number, waiter) in waiters.into_iter().enumerate() {
             match number < TURN_HOLDERS {
-                true => on.push(waiter),
-                false => rest.push(waiter),
+                true => holders.push(waiter),
+                false => others.push(waiter),
             }
         }
-        for waiter in on {
-            assert!(looks(&waiter), "the waiter has the turn");
-            assert!(waiter.begins().in_time);
+        for waiter in holders {
+            assert!(may_pick(&waiter), "the waiter has the turn");
+            assert!(waiter.finish().in_time);
             served += 1;
         }
-        waiters = rest;
+        waiters = others;
     }
     assert_eq!(served, 8);
     assert!(queue.is_empty());
 }
 
 #[test]
-fn who_waited_in_vain_is_told_so_though_nobody_else_moves() {
+fn a_waiter_is_refused_at_its_time_limit_without_other_queue_activity() {
     let (queue, clock) = queue();
-    let waiter = ask(&queue, &clock, Duration::from_millis(60));
+    let waiter = enqueue(&queue, &clock, Duration::from_millis(60));
     let woken = block_on(async {
         loop {
             if let Woken::Refused(refused) = waiter.woken().await {
@@ -134,9 +138,11 @@
 }
 
 #[test]
-fn beyond_the_bound_one_is_refused_at_once() {
+fn a_full_queue_refuses_at_once() {
     let (queue, clock) = queue();
-    let waiters: Vec<Waiter> = (0..100).map(|_| ask(&queue, &clock, MAX_WAIT)).collect();
+    let waiters: Vec<Waiter> = (0..100)
+        .map(|_| enqueue(&queue, &clock, MAX_WAIT))
+        .collect();
     let now = clock.now();
     let want = Want {
         tenant: None,
@@ -147,9 +153,9 @@
         leaves_at: now + MAX_WAIT,
         again: false,
     };
-    let refused = queue.ask(&want).expect_err("the queue is full");
+    let refused = queue.enqueue(&want).expect_err("the queue is full");
     assert_eq!(refused.reason, Reason::Full);
     drop(waiters);
     assert!(queue.is_empty());
-    assert!(queue.ask(&want).is_ok());
+    assert!(queue.enqueue(&want).is_ok());
 }
