--- a/crates/proxy/src/batch/runner.rs
+++ b/crates/proxy/src/batch/runner.rs
@@ -91,7 +91,7 @@
     let mut answered = true;
     let mut logged = Instant::now();
     let checkpoints = runner.clone();
-    let _keeping = runner.local.spawn(async move {
+    let _checkpointing = runner.local.spawn(async move {
         loop {
             Timer::after(CHECKPOINT_INTERVAL).await;
             let outputs = checkpoints.outputs();
@@ -161,8 +161,8 @@
         let running = self.running.borrow().len() as u32;
         let waiting = running.saturating_sub(self.state.batch_runs.count_at_engines());
         let headroom = (headroom - f64::from(waiting) + rand::random::<f64>()).max(0.0) as u32;
-        let part: f64 = services.iter().map(|one| engines.fair_slots(one)).sum();
-        let left = (part.ceil() as u32).saturating_sub(running);
+        let share: f64 = services.iter().map(|one| engines.fair_slots(one)).sum();
+        let left = (share.ceil() as u32).saturating_sub(running);
         headroom.min(left).min(MAX_ITEMS_PER_CALL)
     }
 
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -53,22 +53,22 @@
         keep_alive: Option<Duration>,
         now: Timestamp,
     ) {
-        let lives = keep_alive.map_or(DEFAULT_IDLE, |lives| lives.mul_f64(REUSE_SHARE));
-        if !connection.buffered().is_empty() || lives.is_zero() {
+        let lifetime = keep_alive.map_or(DEFAULT_IDLE, |lifetime| lifetime.mul_f64(REUSE_SHARE));
+        if !connection.buffered().is_empty() || lifetime.is_zero() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
         if now.since(self.swept.get()) >= SWEEP_INTERVAL {
             self.swept.set(now);
-            idle.retain(|_, of_engine| {
-                of_engine.retain(|idle| idle.until > now);
-                !of_engine.is_empty()
+            idle.retain(|_, connections| {
+                connections.retain(|idle| idle.until > now);
+                !connections.is_empty()
             });
         }
-        let of_engine = idle.entry(engine.to_owned()).or_default();
-        if of_engine.len() < MAX_IDLE {
-            let until = now + lives;
-            of_engine.push(Idle { connection, until });
+        let connections = idle.entry(engine.to_owned()).or_default();
+        if connections.len() < MAX_IDLE {
+            let until = now + lifetime;
+            connections.push(Idle { connection, until });
         }
     }
 
--- a/crates/proxy/src/reach.rs
+++ b/crates/proxy/src/reach.rs
@@ -82,21 +82,21 @@
 
     /// Records a report of unreachable zones from another gateway, or from a relay for all
     /// others.
-    pub fn note_reach_told(&self, from: NodeId, relayed: bool, told: Vec<ReachTelling>) {
+    pub fn apply_reach_report(&self, from: NodeId, relayed: bool, report: Vec<ReachTelling>) {
         let now = self.now();
-        let told = match relayed {
-            true => told.into_iter().next(),
+        let report = match relayed {
+            true => report.into_iter().next(),
             false => {
                 let mut all = self.reach.reports.borrow_mut();
                 all.expire(now);
-                all.note(from, Teller::Gateway, told, now);
+                all.note(from, Teller::Gateway, report, now);
                 all.for_gateway(self.own, self.zone())
             }
         };
-        let Some(told) = told else {
+        let Some(report) = report else {
             return;
         };
-        let probes = self.engines.borrow_mut().note_reach_told(&told, now);
+        let probes = self.engines.borrow_mut().note_reach_told(&report, now);
         self.note_reach_changes();
         if !probes.is_empty() {
             self.queue_probes(probes);
--- a/crates/proxy/src/resume.rs
+++ b/crates/proxy/src/resume.rs
@@ -44,7 +44,7 @@
     /// Bytes not yet sent; at first the head, which is sent with the first event.
     waiting: Vec<u8>,
     last_event: Option<u64>,
-    silence: Option<Duration>,
+    inactivity_limit: Option<Duration>,
 }
 
 /// Relays a stream, from several engines if necessary.
@@ -69,12 +69,12 @@
         deadline: dispatch.deadline,
         waiting: head,
         last_event: dispatch.first_event(),
-        silence: None,
+        inactivity_limit: None,
     };
     let mut body = reply.body;
     loop {
         let again = dispatch.may_run_again();
-        progress.silence = again.then(|| gap.unwrap_or(DEFAULT_GAP) * SILENT_GAPS);
+        progress.inactivity_limit = again.then(|| gap.unwrap_or(DEFAULT_GAP) * SILENT_GAPS);
         let engine = body.engine.clone();
         match progress.relay_events(&mut body).await {
             PartResult::Whole => {
@@ -108,7 +108,7 @@
     async fn relay_events(&mut self, body: &mut EngineBody) -> PartResult {
         let mut parser = EventParser::default();
         let mut time = pin!(self.state.clock.wait_until(self.deadline));
-        let mut inactivity = InactivityTimer::new(self.silence);
+        let mut inactivity = InactivityTimer::new(self.inactivity_limit);
         loop {
             let next = next_piece(body, &mut time);
             let silent = async {
--- a/crates/proxy/src/work_shares.rs
+++ b/crates/proxy/src/work_shares.rs
@@ -154,7 +154,7 @@
             .engines
             .borrow_mut()
             .note_shares(report.from, &report.shares, now);
-        state.note_reach_told(report.from, report.relayed, report.reach);
+        state.apply_reach_report(report.from, report.relayed, report.reach);
         state.wake_all_queues();
         if let Some(demand) = report.demand {
             let mut engines = state.engines.borrow_mut();
