--- a/crates/proxy/src/batch/runner.rs
+++ b/crates/proxy/src/batch/runner.rs
@@ -22,9 +22,9 @@
 
 /// Maximum time that the leader may hold a call for items while no items run here.
 const MAX_IDLE_HOLD: Duration = Duration::from_millis(900);
-/// The same while items run here. The loss of a leader is noticed up to 300 ms after this
-/// time, and after an election the next leader listens for 700 ms before it hands out
-/// items; by then it must know what runs here.
+/// The same while items run here. The loss of a leader is noticed 300 ms after this time,
+/// and after an election the next leader listens for 700 ms before it hands out items; by
+/// then it must know what runs here.
 const MAX_RUNNING_HOLD: Duration = Duration::from_millis(500);
 /// Maximum time between calls while there is no capacity: the leader's lease on running
 /// items is 2.5 s, and two calls may be lost within it.
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -15,9 +15,9 @@
 /// Timeout for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Maximum body size, in bytes, that is read before a request without a valid key is
-/// refused, so that the connection can be reused. Longer bodies are refused without
-/// reading.
+/// Maximum size, in bytes, of a body that is read before a request without a valid key is
+/// refused, so that the connection can be reused. With a longer body the request is refused
+/// without waiting for it.
 const MAX_UNAUTHENTICATED_BODY: u64 = 64 << 10;
 /// Time for which data from a refused caller is still read and discarded: closing at once
 /// would reset the connection, and the answer could be lost.
--- a/crates/proxy/src/queue.rs
+++ b/crates/proxy/src/queue.rs
@@ -133,7 +133,8 @@
         self.queue.borrow().is_empty()
     }
 
-    /// Returns the longest time after which a request that arrives now would have its turn.
+    /// Returns the longest expected wait of a request that arrives now; `None` if it cannot be
+    /// estimated.
     #[must_use]
     pub fn room_in(&self) -> Option<Duration> {
         self.queue.borrow().room_in(self.clock.now())
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -28,7 +28,7 @@
 pub(crate) struct CallerRequest {
     pub head: RequestHead,
     pub body: Vec<u8>,
-    /// When the head had arrived.
+    /// When the head arrived.
     pub arrived: Timestamp,
 }
 
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -126,7 +126,7 @@
     topology_view: RefCell<TopologyView>,
     /// When other nodes were last heard from.
     pub hearing: Cell<Hearing>,
-    /// Requests an early report to the other gateways.
+    /// Signalled to send a report to the other gateways early.
     report_requests: (Sender<()>, Receiver<()>),
     /// Whether a planned stop has begun.
     stopping: Cell<bool>,
--- a/crates/proxy/src/work_shares.rs
+++ b/crates/proxy/src/work_shares.rs
@@ -37,7 +37,7 @@
 /// no slot.
 const BUSY_OCCUPANCY: f64 = 0.4;
 /// Maximum number of gateways that report to each other directly. The number of messages
-/// grows with the square of theirs; through relays it does not.
+/// grows with the square of the number of gateways; through relays it does not.
 pub(crate) const MAX_DIRECT_GATEWAYS: u32 = MOST_NAMED as u32;
 /// Unchanged work is reported again after this many intervals.
 const REPEAT_INTERVALS: u32 = 6;
