--- a/crates/proxy/src/bars.rs
+++ b/crates/proxy/src/bars.rs
@@ -1,4 +1,4 @@
-//! Keeping requests from engines that end under them.
+//! Barring requests that cause engines to end.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -17,53 +17,53 @@
 use crate::attempt::Outbound;
 use crate::state::GatewayState;
 
-/// Time between two looks for requests that have become guilty.
-const ASK_AGAIN: Duration = Duration::from_millis(250);
-/// Words on bars that are remembered: twice as many as the control group keeps, so that
-/// none of its own is taken for new again.
-const MOST_WORDS: usize = 2_048;
-/// Time between two looks whether an engine that broke a request off has ended.
-const LOOK_PAUSE: Duration = Duration::from_millis(20);
-/// Time for a bar to be committed, before it is asked for again.
-const ASK_DEADLINE: Duration = Duration::from_secs(2);
-
-/// What the control group says of guilty requests.
+/// Interval between checks for requests to bar.
+const BAR_CHECK_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum number of bars remembered: twice as many as the control group keeps, so that a
+/// bar the group still keeps is never evicted here and then taken for new.
+const MAX_BARS: usize = 2_048;
+/// Interval between checks whether an engine that broke a request off has ended.
+const ENGINE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Timeout for committing a bar, after which the bar is requested again.
+const BAR_COMMIT_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// The bars of the control group.
 pub(crate) struct Bars {
-    /// Newest word on each; control nodes tell at different times.
+    /// The newest bar of each request; control nodes report changes at different times.
     newest: RefCell<BTreeMap<RequestDigest, Bar>>,
-    /// Told when a request may have become guilty.
-    suspected: (Sender<()>, Receiver<()>),
+    /// Signalled when a request may have to be barred.
+    check_requests: (Sender<()>, Receiver<()>),
 }
 
 impl Default for Bars {
     fn default() -> Self {
         Self {
             newest: RefCell::default(),
-            suspected: async_channel::bounded(1),
+            check_requests: async_channel::bounded(1),
         }
     }
 }
 
-fn oldest(words: &BTreeMap<RequestDigest, Bar>) -> Option<RequestDigest> {
-    let oldest = words.iter().min_by_key(|(_, bar)| bar.change);
+fn oldest(bars: &BTreeMap<RequestDigest, Bar>) -> Option<RequestDigest> {
+    let oldest = bars.iter().min_by_key(|(_, bar)| bar.change);
     oldest.map(|(request, _)| *request)
 }
 
 impl Bars {
-    /// Whether a request is guilty is to be seen to.
-    pub fn look_soon(&self) {
-        let _told_already = self.suspected.0.try_send(());
+    /// Requests a check for requests to bar.
+    pub fn request_check(&self) {
+        let _already_requested = self.check_requests.0.try_send(());
     }
 
-    /// Takes a word in; says whether it is newer than what was known.
-    fn take(&self, request: RequestDigest, bar: Bar) -> bool {
+    /// Stores a bar and returns whether it is newer than the stored one.
+    fn store(&self, request: RequestDigest, bar: Bar) -> bool {
         let mut newest = self.newest.borrow_mut();
         let known = newest.get(&request);
         if known.is_some_and(|known| known.change >= bar.change) {
             return false;
         }
         newest.insert(request, bar);
-        while newest.len() > MOST_WORDS
+        while newest.len() > MAX_BARS
             && let Some(oldest) = oldest(&newest)
         {
             newest.remove(&oldest);
@@ -76,16 +76,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Permit {
     Granted,
-    /// That shows a moment later.
+    /// Decided later; ask again at this time.
     Later(Timestamp),
     Denied,
 }
 
-/// Engines that may have ended under a request, that is, those that did and those that
-/// are being looked at, from which on it waits for the looks: an online request that
-/// its engine broke off goes on at another one at once, so that its caller sees no
-/// pause, but not twice; batch work has the time.
-fn at_once(class: WorkClass) -> usize {
+/// Number of engines that may have ended under a request from which on the request waits
+/// for the open checks. It counts engines that did end and engines being checked. An online
+/// request whose engine broke off is retried at another one at once, so that its caller
+/// sees no pause, but only once; batch work has the time to wait.
+fn wait_threshold(class: WorkClass) -> usize {
     match class {
         WorkClass::Online => 2,
         WorkClass::Batch => 1,
@@ -93,12 +93,13 @@
 }
 
 impl GatewayState {
-    /// Whether a request may be sent to an engine now, with a line if it may not.
+    /// Returns whether a request may be sent to an engine now, and logs it if the request
+    /// is barred.
     pub fn permit(&self, request: &Outbound) -> Permit {
         let suspects = self.suspects.borrow();
-        let open = self.breaks.open_looks(request);
-        if open > 0 && open + self.crashes(&suspects, request) >= at_once(request.class) {
-            return Permit::Later(self.now() + LOOK_PAUSE);
+        let open = self.broken_requests.open_checks(request);
+        if open > 0 && open + self.crashes(&suspects, request) >= wait_threshold(request.class) {
+            return Permit::Later(self.now() + ENGINE_CHECK_INTERVAL);
         }
         if suspects.is_empty() {
             return Permit::Granted;
@@ -128,14 +129,14 @@
         }
     }
 
-    /// Whether engines ended under a request before.
+    /// Whether engines have ended while they ran this request.
     pub fn is_suspect(&self, request: &Outbound) -> bool {
         self.crashes(&self.suspects.borrow(), request) > 0
     }
 
-    /// A control node tells of a bar.
-    pub fn take_bar(&self, request: RequestDigest, bar: Bar) {
-        if !self.bars.take(request, bar) {
+    /// Applies a bar reported by a control node.
+    pub fn apply_bar(&self, request: RequestDigest, bar: Bar) {
+        if !self.bars.store(request, bar) {
             return;
         }
         let left = bar.holds_for(unix_millis());
@@ -148,47 +149,54 @@
         }
     }
 
-    /// Waits until it shows whether a request may be sent.
-    pub async fn settle(&self, until: Timestamp) {
+    /// Waits until a permit can be decided.
+    pub async fn wait_until_settled(&self, until: Timestamp) {
         self.clock.wait_until(until).await;
     }
 
-    /// An engine answered a request whole: no crash before was its fault.
-    pub fn note_whole(&self, request: &Outbound) {
+    /// Records that an engine answered a request completely, which clears it of earlier
+    /// crashes.
+    pub fn note_complete(&self, request: &Outbound) {
         if self.suspects.borrow().is_empty() {
             return;
         }
         if self.suspects.borrow_mut().answered(&request.digest()) {
             info!(self.logger, "request cleared"; "request" => &request.id,
                 "digest" => %request.digest());
-            self.tell_soon();
+            self.request_report();
         }
     }
 }
 
-/// Has guilty requests barred by the control group, so that a restart of all gateways
-/// forgets none, for as long as it is polled.
-pub(crate) async fn ask_for_bars(state: Rc<GatewayState>) {
+/// Asks the control group to bar guilty requests, so that the bars survive a restart of all
+/// gateways. Runs until dropped.
+pub(crate) async fn request_bars(state: Rc<GatewayState>) {
     loop {
-        let _told = state.bars.suspected.1.recv().await;
+        let _requested = state.bars.check_requests.1.recv().await;
         while state.suspects.borrow().has_candidates(state.now()) {
             let guilty = state.suspects.borrow().to_bar(state.now());
             for (request, crashes) in guilty {
-                ask_for_bar(&state, request, crashes).await;
+                request_bar(&state, request, crashes).await;
             }
-            Timer::after(ASK_AGAIN).await;
+            Timer::after(BAR_CHECK_INTERVAL).await;
         }
     }
 }
 
-async fn ask_for_bar(state: &GatewayState, request: RequestDigest, crashes: usize) {
+async fn request_bar(state: &GatewayState, request: RequestDigest, crashes: usize) {
     let command = DeclaredCommand::Bar {
         request,
         since_ms: unix_millis(),
         crashes: crashes as u32,
     };
-    match state.control.change_declared(command, ASK_DEADLINE).await {
-        Ok(_) => info!(state.logger, "bar asked for"; "digest" => %request, "crashes" => crashes),
+    match state
+        .control
+        .change_declared(command, BAR_COMMIT_TIMEOUT)
+        .await
+    {
+        Ok(_) => {
+            info!(state.logger, "asked the control group for a bar"; "digest" => %request, "crashes" => crashes)
+        }
         Err(error) => warn!(state.logger, "bar not committed"; "digest" => %request,
             "crashes" => crashes, "error" => %error),
     }
--- a/crates/proxy/src/batch/api.rs
+++ b/crates/proxy/src/batch/api.rs
@@ -1,4 +1,4 @@
-//! Callers' calls on batch jobs.
+//! Calls of callers on batch jobs.
 
 use std::time::Duration;
 
@@ -17,28 +17,29 @@
 use crate::dialect::{BatchCall, BatchOutcome, GatewayDialect, JobResult};
 use crate::request::CallerRequest;
 use crate::state::GatewayState;
-use crate::work_shares::MOST_DIRECT;
-
-/// Longest time for a job to be committed.
-const SUBMIT_DEADLINE: Duration = Duration::from_millis(1_500);
-/// Time between two looks whether other nodes are heard while a job is handed in.
-const HEARING_LOOK: Duration = Duration::from_millis(50);
-/// Longest time for a read or an end.
-const CALL_DEADLINE: Duration = Duration::from_millis(900);
-/// Bytes of results in one answer, unless the first one is longer. Each answer is
-/// in memory several times on its way, at a leader that many ask at once.
+use crate::work_shares::MAX_DIRECT_GATEWAYS;
+
+/// Timeout for committing a job.
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Interval between checks whether other nodes are still heard from while a job is
+/// submitted.
+const HEARING_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout for reading or ending a job.
+const CALL_TIMEOUT: Duration = Duration::from_millis(900);
+/// Maximum bytes of results in one answer, unless the first result is longer. Each answer
+/// is in memory several times on its way, at a leader that serves many callers at once.
 const MAX_PAGE_BYTES: u64 = 256 << 10;
 
-/// An election takes about as long.
+/// An election takes about as long as this delay.
 const UNAVAILABLE: BatchOutcome = BatchOutcome::Unavailable {
     retry_after: Duration::from_millis(200),
 };
-/// By then some items are done.
+/// Some items are done after this delay.
 const QUEUE_FULL: BatchOutcome = BatchOutcome::QueueFull {
     retry_after: Duration::from_secs(1),
 };
 
-/// Takes a job.
+/// Submits a job.
 pub(crate) async fn submit<D: GatewayDialect>(
     state: &GatewayState,
     dialect: &D,
@@ -49,7 +50,7 @@
     let (id, items) = match dialect.submission(&request.head, &request.body) {
         Ok(submission) => submission,
         Err(problems) => {
-            info!(state.logger, "job refused"; "problems" => problems.join("; "));
+            info!(state.logger, "malformed job refused"; "problems" => problems.join("; "));
             return dialect.batch_answer(BatchOutcome::Malformed);
         }
     };
@@ -64,42 +65,42 @@
             .completion_target_ms
             .map(|target| submitted_ms + u64::from(target)),
         items,
-        queue: queue(route, tenant),
+        queue: queue_name(route, tenant),
         tenant: tenant.map(str::to_owned),
         max_queued_tokens: route.max_queued_tokens,
     }));
-    let outcome = future::or(keep(state, &command), cut_off(state, route)).await;
-    info!(state.logger, "job"; "job" => id, "items" => count, "outcome" => name(&outcome));
+    let outcome = future::or(store(state, &command), wait_until_cut_off(state, route)).await;
+    info!(state.logger, "job submitted"; "job" => id, "items" => count, "outcome" => outcome_name(&outcome));
     dialect.batch_answer(outcome)
 }
 
-async fn keep(state: &GatewayState, command: &BatchCommand) -> BatchOutcome {
-    match state.batch.change_batch(command, SUBMIT_DEADLINE).await {
+async fn store(state: &GatewayState, command: &BatchCommand) -> BatchOutcome {
+    match state.batch.change_batch(command, SUBMIT_TIMEOUT).await {
         Ok(BatchReply::Kept) => BatchOutcome::Kept,
         Ok(BatchReply::QueueFull) => QUEUE_FULL,
         Ok(_) => UNAVAILABLE,
-        Err(error) => failed(&error),
+        Err(error) => change_failed(&error),
     }
 }
 
-/// Ends once this gateway takes itself for cut off. The job may have been sent; whoever
-/// hands it in again elsewhere finds it, or has it kept there. Among few gateways too
-/// little is heard to tell.
-async fn cut_off(state: &GatewayState, route: &Route) -> BatchOutcome {
+/// Completes once this gateway considers itself cut off from the other nodes. The job may
+/// have been sent; a caller that submits it again elsewhere finds it there or has it
+/// stored. With few gateways there is too little traffic to tell, so this never completes.
+async fn wait_until_cut_off(state: &GatewayState, route: &Route) -> BatchOutcome {
     let target = Duration::from_millis(u64::from(route.target_latency_ms));
     let began = state.now();
     loop {
-        Timer::after(HEARING_LOOK).await;
+        Timer::after(HEARING_CHECK_INTERVAL).await;
         let hearing = state.hearing.get();
-        if state.gateways() > MOST_DIRECT && hearing.gives_up(began, target, state.now()) {
+        if state.gateways() > MAX_DIRECT_GATEWAYS && hearing.gives_up(began, target, state.now()) {
             return BatchOutcome::Uncertain;
         }
     }
 }
 
-/// Names the queue whose waiting tokens are counted together. No header, and so no
-/// host, has a line feed in it.
-fn queue(route: &Route, tenant: Option<&str>) -> String {
+/// Returns the name of the queue whose waiting tokens are counted together. The line feed
+/// is an unambiguous separator: no header, and so no host, contains one.
+fn queue_name(route: &Route, tenant: Option<&str>) -> String {
     let route = format!("{}{}", route.host, route.path_prefix);
     match tenant {
         Some(tenant) => format!("{tenant}\n{route}"),
@@ -107,7 +108,7 @@
     }
 }
 
-/// Carries out a call of a tenant that names one of its jobs.
+/// Carries out a tenant's call on one of its jobs.
 pub(crate) async fn call<D: GatewayDialect>(
     state: &GatewayState,
     dialect: &D,
@@ -125,15 +126,15 @@
 async fn results(state: &GatewayState, tenant: Option<&str>, id: &str, after: u32) -> BatchOutcome {
     let page = state
         .batch
-        .batch_results(tenant, id, after, MAX_PAGE_BYTES, CALL_DEADLINE);
+        .batch_results(tenant, id, after, MAX_PAGE_BYTES, CALL_TIMEOUT);
     match page.await {
-        Ok(Some(page)) => unpacked(state, id, after, page),
+        Ok(Some(page)) => results_outcome(state, id, after, page),
         Ok(None) => BatchOutcome::Unknown,
-        Err(error) => unreadable(state, &error),
+        Err(error) => read_failed(state, &error),
     }
 }
 
-fn unpacked(state: &GatewayState, id: &str, after: u32, page: ResultPage) -> BatchOutcome {
+fn results_outcome(state: &GatewayState, id: &str, after: u32, page: ResultPage) -> BatchOutcome {
     let results: Option<Vec<JobResult>> = page.results.into_iter().map(unpack).collect();
     match results {
         Some(results) => BatchOutcome::Results {
@@ -142,7 +143,7 @@
             results,
         },
         None => {
-            warn!(state.logger, "a result cannot be unpacked"; "job" => id);
+            warn!(state.logger, "cannot decompress a batch result"; "job" => id);
             UNAVAILABLE
         }
     }
@@ -160,11 +161,11 @@
 }
 
 async fn body(state: &GatewayState, tenant: Option<&str>, id: &str, item: &str) -> BatchOutcome {
-    let body = state.batch.batch_body(tenant, id, item, CALL_DEADLINE);
+    let body = state.batch.batch_body(tenant, id, item, CALL_TIMEOUT);
     match body.await {
         Ok(Some(body)) => BatchOutcome::Body(body),
         Ok(None) => BatchOutcome::Unknown,
-        Err(error) => unreadable(state, &error),
+        Err(error) => read_failed(state, &error),
     }
 }
 
@@ -173,23 +174,24 @@
         id: id.clone(),
         tenant: tenant.map(str::to_owned),
     };
-    let outcome = match state.batch.change_batch(&command, CALL_DEADLINE).await {
+    let outcome = match state.batch.change_batch(&command, CALL_TIMEOUT).await {
         Ok(BatchReply::Ended) => BatchOutcome::Ended,
         Ok(BatchReply::Unknown) => BatchOutcome::Unknown,
         Ok(_) => UNAVAILABLE,
-        Err(error) => failed(&error),
+        Err(error) => change_failed(&error),
     };
-    info!(state.logger, "job ended"; "job" => id, "outcome" => name(&outcome));
+    info!(state.logger, "caller asked for the job to be ended"; "job" => id, "outcome" => outcome_name(&outcome));
     outcome
 }
 
-fn unreadable(state: &GatewayState, error: &ClusterError) -> BatchOutcome {
-    warn!(state.logger, "job not readable"; "error" => %error);
+fn read_failed(state: &GatewayState, error: &ClusterError) -> BatchOutcome {
+    warn!(state.logger, "cannot read job"; "error" => %error);
     UNAVAILABLE
 }
 
-/// A change that may have been committed must not be called undone.
-fn failed(error: &ClusterError) -> BatchOutcome {
+/// Maps an error of a change; a change that may have been committed must not be reported as
+/// not done.
+fn change_failed(error: &ClusterError) -> BatchOutcome {
     match error {
         ClusterError::Unavailable {
             outcome: RunOutcome::NotRun,
@@ -199,7 +201,7 @@
     }
 }
 
-fn name(outcome: &BatchOutcome) -> &'static str {
+fn outcome_name(outcome: &BatchOutcome) -> &'static str {
     match outcome {
         BatchOutcome::Kept => "kept",
         BatchOutcome::QueueFull { .. } => "queue full",
--- a/crates/proxy/src/batch/item.rs
+++ b/crates/proxy/src/batch/item.rs
@@ -1,4 +1,4 @@
-//! Running one batch item to its outcome.
+//! Running one batch item until it has an outcome.
 
 use std::cell::{OnceCell, RefCell};
 use std::rc::Rc;
@@ -17,36 +17,36 @@
 use crate::attempt::{EngineBody, EngineReply, Outbound};
 use crate::dialect::{GatewayDialect, Refusal};
 use crate::dispatch::Dispatch;
-use crate::events::EventCutter;
-use crate::silence::Silence;
+use crate::events::EventParser;
+use crate::silence::InactivityTimer;
 use crate::state::GatewayState;
 
-/// Longest time of one run; far beyond what an item takes.
+/// Maximum time of one run, far longer than an item takes.
 const RUN_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longest silence within a run before another engine goes on.
-const SILENCE: Duration = Duration::from_secs(3);
-/// Pause before another try when engines turned an item away or failed.
+/// Time without data within a run after which the run is ended and the item goes to another
+/// engine.
+const INACTIVITY_TIMEOUT: Duration = Duration::from_secs(3);
+/// Pause before a retry after engines rejected an item or failed.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// How much longer than the route says an item is kept, for clocks that
-/// differ.
+/// Time added to the route's retention, in milliseconds, to allow for clock differences.
 const CLOCK_SLACK_MS: u64 = 4_000;
 
-/// The output of an item, for keeping it while it runs.
+/// The output of an item, shared with the checkpoint task while the item runs.
 pub(super) type SharedOutput = Rc<RefCell<Output>>;
 
 /// How one attempt ended.
-enum Run {
-    Whole,
+enum RunResult {
+    Complete,
     Broken,
-    /// An engine ran it and it failed.
+    /// An engine ran the item and it failed.
     Failed,
-    /// No engine ever can do it.
+    /// No engine can ever run the item.
     Impossible,
-    /// No engine has room yet, or it gave way to online work.
-    Waits,
-    /// Engines turned it away.
-    TurnedAway,
-    /// Engines end under it.
+    /// No engine has capacity yet, or the run was preempted by online work.
+    Deferred,
+    /// Engines rejected the item.
+    Rejected,
+    /// Engines end when they run the item.
     Barred,
 }
 
@@ -64,47 +64,47 @@
             continue;
         };
         let Some(route) = in_force.model.route(&item.host, &item.item.path) else {
-            return given_up(state, item, "its route is gone");
+            return dead_letter(state, item, "its route is gone");
         };
         let Some(service) = in_force.service(route) else {
-            return given_up(state, item, "its route is gone");
+            return dead_letter(state, item, "its route is gone");
         };
-        if is_too_old(route, item) {
-            return given_up(state, item, "it is too old");
+        if is_expired(route, item) {
+            return dead_letter(state, item, "its retention expired");
         }
         let run = run_once(state, dialect, route, service, item, output).await;
         match run {
-            Run::Whole => {
+            RunResult::Complete => {
                 let text = output.borrow().text();
                 return ItemOutcome::Completed { text };
             }
-            Run::Impossible => return given_up(state, item, "no engine can do it"),
-            Run::Barred => return given_up(state, item, "engines end under it"),
-            Run::Failed => {
+            RunResult::Impossible => return dead_letter(state, item, "no engine can run it"),
+            RunResult::Barred => return dead_letter(state, item, "engines end under it"),
+            RunResult::Failed => {
                 failures += 1;
                 if failures >= route.max_attempts.max(1) {
-                    return given_up(state, item, "it failed too often");
+                    return dead_letter(state, item, "it failed the maximum number of times");
                 }
             }
-            Run::Broken | Run::Waits => {}
-            Run::TurnedAway => {
+            RunResult::Broken | RunResult::Deferred => {}
+            RunResult::Rejected => {
                 Timer::after(RETRY_PAUSE).await;
             }
         }
     }
 }
 
-fn given_up(state: &GatewayState, item: &ItemToRun, reason: &str) -> ItemOutcome {
-    info!(state.logger, "item given up"; "item" => &item.item.id, "reason" => reason);
+fn dead_letter(state: &GatewayState, item: &ItemToRun, reason: &str) -> ItemOutcome {
+    info!(state.logger, "item dead-lettered"; "item" => &item.item.id, "reason" => reason);
     ItemOutcome::DeadLettered
 }
 
-fn is_too_old(route: &Route, item: &ItemToRun) -> bool {
+fn is_expired(route: &Route, item: &ItemToRun) -> bool {
     let Some(retention) = route.retention_ms else {
         return false;
     };
-    let ends = item.submitted_ms + u64::from(retention) + CLOCK_SLACK_MS;
-    unix_millis() > ends
+    let deadline = item.submitted_ms + u64::from(retention) + CLOCK_SLACK_MS;
+    unix_millis() > deadline
 }
 
 async fn run_once<D: GatewayDialect>(
@@ -114,7 +114,7 @@
     service: String,
     item: &ItemToRun,
     output: &SharedOutput,
-) -> Run {
+) -> RunResult {
     let mut headers = Headers::new();
     for (name, value) in &item.item.headers {
         headers.push(name, value.as_bytes());
@@ -136,8 +136,8 @@
         class: WorkClass::Batch,
         digest: OnceCell::new(),
     };
-    let ends = state.now() + RUN_TIMEOUT;
-    let mut dispatch = Dispatch::new(state, dialect, route, service, outbound, facts, ends);
+    let deadline = state.now() + RUN_TIMEOUT;
+    let mut dispatch = Dispatch::new(state, dialect, route, service, outbound, facts, deadline);
     let prompt_tokens = PromptCost::of(&dispatch.facts.prompt).tokens;
     let guard = RunGuard::begin(state, item.due_ms, prompt_tokens, output);
     let after_event = output.borrow().last_event();
@@ -145,70 +145,77 @@
     let running = async {
         let reply = match dispatch.next_reply(after_event).await {
             Ok(reply) => reply,
-            Err(Refusal::Barred { .. }) => return Run::Barred,
-            Err(_) if dispatch.turned_away + dispatch.runs == 0 => return Run::Waits,
-            Err(_) => return Run::TurnedAway,
+            Err(Refusal::Barred { .. }) => return RunResult::Barred,
+            Err(_) if dispatch.rejections + dispatch.runs == 0 => return RunResult::Deferred,
+            Err(_) => return RunResult::Rejected,
         };
         let engine = reply.body.engine.clone();
-        guard.at(&engine);
+        guard.set_engine(&engine);
         let run = finish_run(state, reply, output).await;
-        if matches!(run, Run::Whole | Run::Failed | Run::Impossible) {
-            state.note_whole(&dispatch.outbound);
+        if matches!(
+            run,
+            RunResult::Complete | RunResult::Failed | RunResult::Impossible
+        ) {
+            state.note_complete(&dispatch.outbound);
         }
-        if matches!(run, Run::Broken) {
-            state.look_into(&engine, &dispatch.outbound);
-            info!(state.logger, "run of an item broken off"; "item" => &item.item.id,
+        if matches!(run, RunResult::Broken) {
+            state.check_engine(&engine, &dispatch.outbound);
+            info!(state.logger, "run of an item was broken off by its engine"; "item" => &item.item.id,
                 "digest" => %dispatch.outbound.digest(), "engine" => engine);
         }
         run
     };
-    let cut = async {
-        guard.cut().await;
-        Run::Waits
+    let preempted = async {
+        guard.preempted().await;
+        RunResult::Deferred
     };
-    future::or(running, cut).await
+    future::or(running, preempted).await
 }
 
-/// Takes in the answer of an engine.
-async fn finish_run(state: &GatewayState, reply: EngineReply, output: &SharedOutput) -> Run {
+/// Processes the answer of an engine.
+async fn finish_run(state: &GatewayState, reply: EngineReply, output: &SharedOutput) -> RunResult {
     if reply.facts.impossible {
-        return Run::Impossible;
+        return RunResult::Impossible;
     }
     if reply.head.status != 200 {
-        return Run::Failed;
+        return RunResult::Failed;
     }
     read_events(state, reply.body, output).await
 }
 
 /// Reads events until the stream ends.
-async fn read_events(state: &GatewayState, mut body: EngineBody, output: &SharedOutput) -> Run {
-    let mut cutter = EventCutter::default();
-    let mut silence = Silence::new(Some(SILENCE));
+async fn read_events(
+    state: &GatewayState,
+    mut body: EngineBody,
+    output: &SharedOutput,
+) -> RunResult {
+    let mut parser = EventParser::default();
+    let mut inactivity = InactivityTimer::new(Some(INACTIVITY_TIMEOUT));
     loop {
         let piece = async { body.next().await.ok() };
         let silent = async {
-            (&mut silence).await;
+            (&mut inactivity).await;
             None
         };
         let Some(piece) = future::or(piece, silent).await else {
-            return Run::Broken;
+            return RunResult::Broken;
         };
-        silence.heard();
+        inactivity.reset();
         if let Some(piece) = piece {
-            if !cutter.push(&piece) {
-                return Run::Broken;
+            if !parser.push(&piece) {
+                return RunResult::Broken;
             }
             let mut output = output.borrow_mut();
-            while let Some(event) = cutter.next() {
+            while let Some(event) = parser.next() {
                 output.push(event.id, event.data);
             }
         } else {
             body.finish(state);
-            return Run::Whole;
+            return RunResult::Complete;
         }
         if body.reader.has_ended() {
             body.finish(state);
-            return Run::Whole;
+            return RunResult::Complete;
         }
     }
 }
--- a/crates/proxy/src/batch/mod.rs
+++ b/crates/proxy/src/batch/mod.rs
@@ -1,4 +1,4 @@
-//! Batch jobs: taken and read for callers, and run on idle engines.
+//! Batch jobs: submission and reading for callers, and running their items on idle engines.
 
 mod api;
 mod item;
@@ -7,6 +7,6 @@
 mod turn;
 
 pub(crate) use api::{call, submit};
-pub(crate) use preemption::{BatchRuns, give_way};
+pub(crate) use preemption::{BatchRuns, preempt_batch_runs};
 pub(crate) use runner::run;
 pub(crate) use turn::Turns;
--- a/crates/proxy/src/batch/preemption.rs
+++ b/crates/proxy/src/batch/preemption.rs
@@ -1,4 +1,4 @@
-//! Batch work that gives way to online work.
+//! Preemption of batch work by online work.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,22 +12,23 @@
 use super::item::SharedOutput;
 use crate::state::GatewayState;
 
-/// A run of a batch item that may be told to give way.
+/// A run of a batch item that may be preempted.
 #[derive(Debug)]
 struct Run {
-    /// Where it runs; empty before it was sent.
+    /// Engine of the run; empty until the engine has begun to answer.
     engine: String,
-    /// Milliseconds since 1970 by which its item is to be done.
+    /// Deadline of the item, in milliseconds since 1970.
     due_ms: Option<u64>,
-    /// Tokens of its prompt.
+    /// Number of prompt tokens.
     prompt_tokens: u64,
-    /// What its item has made so far.
+    /// Output of the item so far.
     output: SharedOutput,
-    cut: Sender<()>,
+    preempt: Sender<()>,
 }
 
 impl Run {
-    /// What is lost when it gives way. An event is a token at the least.
+    /// Returns the cost of preempting this run. Each event counts as one token, its
+    /// minimum.
     fn loss(&self, number: u64, now_ms: u64) -> Loss {
         let made = self.output.borrow().last_event().unwrap_or_default();
         let read_again = self.prompt_tokens.saturating_add(made);
@@ -36,7 +37,7 @@
     }
 }
 
-/// The runs of batch items here, in the order of their starts.
+/// The batch runs of this gateway, in the order of their starts.
 #[derive(Debug, Default)]
 pub(crate) struct BatchRuns {
     runs: RefCell<BTreeMap<u64, Run>>,
@@ -44,30 +45,30 @@
 }
 
 impl BatchRuns {
-    /// Runs that an engine has begun to answer.
-    pub fn at_engines(&self) -> u32 {
+    /// Returns the number of runs that an engine has begun to answer.
+    pub fn count_at_engines(&self) -> u32 {
         let runs = self.runs.borrow();
         let begun = runs.values().filter(|run| !run.engine.is_empty());
         begun.count() as u32
     }
 }
 
-/// One run while it lasts.
+/// Registration of one run, removed on drop.
 pub(crate) struct RunGuard {
     state: Rc<GatewayState>,
     number: u64,
-    cut: Receiver<()>,
+    preempted: Receiver<()>,
 }
 
 impl RunGuard {
-    /// Begins a run that has no engine yet.
+    /// Registers a run that has no engine yet.
     pub fn begin(
         state: &Rc<GatewayState>,
         due_ms: Option<u64>,
         prompt_tokens: u64,
         output: &SharedOutput,
     ) -> Self {
-        let (sender, cut) = async_channel::bounded(1);
+        let (sender, preempted) = async_channel::bounded(1);
         let runs = &state.batch_runs;
         let number = runs.last.get() + 1;
         runs.last.set(number);
@@ -76,27 +77,27 @@
             due_ms,
             prompt_tokens,
             output: output.clone(),
-            cut: sender,
+            preempt: sender,
         };
         runs.runs.borrow_mut().insert(number, run);
         Self {
             state: state.clone(),
             number,
-            cut,
+            preempted,
         }
     }
 
-    /// It runs at `engine` now.
-    pub fn at(&self, engine: &str) {
+    /// Records that the run is now at `engine`.
+    pub fn set_engine(&self, engine: &str) {
         let mut runs = self.state.batch_runs.runs.borrow_mut();
         if let Some(run) = runs.get_mut(&self.number) {
             engine.clone_into(&mut run.engine);
         }
     }
 
-    /// Waits until it is to give way.
-    pub async fn cut(&self) {
-        let _closed = self.cut.recv().await;
+    /// Waits until the run is preempted.
+    pub async fn preempted(&self) {
+        let _closed = self.preempted.recv().await;
     }
 }
 
@@ -106,30 +107,30 @@
     }
 }
 
-/// Cuts own batch runs at engines where online work wants their slots, those first that
-/// lose the least.
-pub(crate) fn give_way(state: &GatewayState) {
-    let cuts = state.engines.borrow_mut().batch_to_cut(state.now());
-    if cuts.is_empty() {
+/// Preempts own batch runs at engines where online work needs their slots, in ascending
+/// order of cost.
+pub(crate) fn preempt_batch_runs(state: &GatewayState) {
+    let preemptions = state.engines.borrow_mut().batch_to_cut(state.now());
+    if preemptions.is_empty() {
         return;
     }
     let runs = state.batch_runs.runs.borrow();
     let now_ms = unix_millis();
-    for (engine, count) in cuts {
+    for (engine, count) in preemptions {
         let mut running: Vec<(Loss, &Run)> = runs
             .iter()
-            .filter(|(_, run)| run.engine == engine && !run.cut.is_closed())
+            .filter(|(_, run)| run.engine == engine && !run.preempt.is_closed())
             .map(|(number, run)| (run.loss(*number, now_ms), run))
             .collect();
         running.sort_unstable_by_key(|(loss, _)| *loss);
-        let mut cut = 0;
+        let mut preempted = 0;
         for (_, run) in running.iter().take(count as usize) {
-            run.cut.close();
-            cut += 1;
+            run.preempt.close();
+            preempted += 1;
         }
-        state.metrics.batch.cut(cut);
-        if cut > 0 {
-            info!(state.logger, "batch gives way"; "engine" => engine, "runs" => cut);
+        state.metrics.batch.count_preempted(preempted);
+        if preempted > 0 {
+            info!(state.logger, "batch runs preempted"; "engine" => engine, "runs" => preempted);
         }
     }
 }
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -1,4 +1,4 @@
-//! A caller's connection, request after request.
+//! A caller's connection, which carries requests one after the other.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,21 +9,21 @@
 use molespan_state::declared::CallerLimits;
 
 use crate::dialect::{GatewayDialect, Refusal};
-use crate::request::{After, CallerRequest, check_key, serve};
+use crate::request::{CallerRequest, ConnectionAction, check_key, serve};
 use crate::state::GatewayState;
 
-/// Longest time for a body to arrive.
+/// Timeout for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Body of a request up to which it is read before a request without a valid key
-/// is refused, so that the connection can be used again. A longer one is not
-/// waited for.
-const SHORT_BODY: u64 = 64 << 10;
-/// Time for which what a refused caller still sends is read and dropped: closing
-/// before would reset the connection, and the answer could be lost with it.
+/// Maximum size, in bytes, of a body that is read before a request without a valid key is
+/// refused, so that the connection can be reused. With a longer body the request is refused
+/// without waiting for it.
+const MAX_UNAUTHENTICATED_BODY: u64 = 64 << 10;
+/// Time for which data from a refused caller is still read and discarded: closing at once
+/// would reset the connection, and the answer could be lost.
 const LINGER: Duration = Duration::from_millis(500);
 
-/// What came of waiting for a request.
+/// Result of waiting for a request.
 enum Arrival {
     Request(CallerRequest),
     Refused(Refusal),
@@ -56,13 +56,15 @@
         };
         let _counted = state.count_request();
         let keep_alive = request.head.keeps_alive() && !state.is_stopping();
-        if serve(&state, &*dialect, &connection, request, keep_alive).await == After::Close {
+        if serve(&state, &*dialect, &connection, request, keep_alive).await
+            == ConnectionAction::Close
+        {
             return;
         }
     }
 }
 
-/// Waits for the next request and reads it whole.
+/// Waits for the next request and reads it completely.
 async fn arrival<D: GatewayDialect>(
     state: &GatewayState,
     dialect: &D,
@@ -77,8 +79,10 @@
     let Some(framing) = Framing::of_request(&head) else {
         return Arrival::Refused(Refusal::Malformed);
     };
-    if !matches!(framing, Framing::Empty | Framing::Length(0..=SHORT_BODY))
-        && let Err(refusal) = check_key(state, dialect, &head)
+    if !matches!(
+        framing,
+        Framing::Empty | Framing::Length(0..=MAX_UNAUTHENTICATED_BODY)
+    ) && let Err(refusal) = check_key(state, dialect, &head)
     {
         return Arrival::Refused(refusal);
     }
@@ -107,7 +111,7 @@
     }
 }
 
-/// Closes a connection whose other side may still be sending.
+/// Closes a connection whose peer may still be sending.
 async fn linger(mut connection: Connection) {
     let late = async {
         Timer::after(LINGER).await;
--- a/crates/proxy/src/dispatch.rs
+++ b/crates/proxy/src/dispatch.rs
@@ -20,29 +20,28 @@
 use crate::request::CallerRequest;
 use crate::state::GatewayState;
 
-/// Attempts at engines that were of no use before a request is refused; those without
-/// room do not count where they soon have some.
-const MOST_TURNED_AWAY: u32 = 6;
-/// Time between two looks of the batch item whose turn it is.
-const LOOK_AGAIN_IN_TURN: Duration = Duration::from_millis(20);
-/// How long the turn of a batch item lasts at the most: then its route is looked
-/// up anew, and another item may be the most urgent one.
-const TURN: Duration = Duration::from_secs(1);
-/// When a caller should come back whose request engines end under: a bar holds for
-/// hours unless an operator lifts it, which one who waits for that sees within this.
+/// Maximum number of attempts that did not run the request before it is refused. Answers
+/// without capacity do not count for services whose slots free up soon.
+const MAX_REJECTIONS: u32 = 6;
+/// Interval at which the batch item that has the turn tries to pick an engine.
+const BATCH_PICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Maximum length of a batch item's turn; afterwards its route is looked up again, and
+/// another item may be more urgent.
+const MAX_TURN: Duration = Duration::from_secs(1);
+/// Retry delay for a caller whose request engines end under. A bar lasts for hours unless
+/// an operator lifts it, and a waiting caller notices that within this time.
 const BARRED_RETRY_AFTER: Duration = Duration::from_secs(600);
-/// Part of the target latency within which an engine has to begin with a request:
-/// the rest is for its first answer to be made and passed on.
-const BEGINS_WITHIN: f64 = 0.8;
-/// Part of a caller's patience for which a late request waits for a slot: there is
-/// time for its answer behind it.
-const WAITS_SHARE: f64 = 0.7;
-/// Least time for which a request looks that comes back from an engine, also later than
-/// that.
-const LAST_LOOK: Duration = Duration::from_millis(50);
-/// Shortest silence of an engine after which a repeatable request goes
-/// elsewhere.
-const SHORTEST_SILENCE: Duration = Duration::from_millis(250);
+/// Share of the target latency within which an engine has to begin a request; the rest is
+/// for producing and passing on its first output.
+const BEGIN_SHARE: f64 = 0.8;
+/// Share of the caller's patience for which a late request waits for a slot; the rest is
+/// for its answer.
+const WAIT_SHARE: f64 = 0.7;
+/// Minimum time for which a request that returns from an engine tries to pick another one,
+/// even beyond [`WAIT_SHARE`].
+const MIN_REPICK_TIME: Duration = Duration::from_millis(50);
+/// Minimum time without an answer after which a repeatable request goes to another engine.
+const MIN_HEAD_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The attempts of one request.
 pub(crate) struct Dispatch<'a, D> {
@@ -52,29 +51,29 @@
     pub service: String,
     pub outbound: Outbound,
     pub facts: RequestFacts,
-    /// When its time is over.
-    pub ends: Timestamp,
-    /// Milliseconds since 1970 by which a batch item is to be done.
+    /// When the request's time ends.
+    pub deadline: Timestamp,
+    /// Deadline of a batch item, in milliseconds since 1970.
     pub due_ms: Option<u64>,
     pub arrived: Timestamp,
-    /// Whether it counts against its tenant's limit.
-    pub counts: bool,
-    /// How urgent it is among the online requests that wait.
+    /// Whether the request was counted against its tenant's limit.
+    pub counted: bool,
+    /// Priority among the waiting online requests.
     pub rank: Rank,
-    /// Engines that ran it, failed it, or will not run it.
+    /// Engines that ran or failed the request, or will not run it.
     tried: BTreeSet<String>,
-    /// Engines that may have run it.
+    /// Number of engines that may have run the request.
     pub runs: u32,
-    /// Attempts that did not run it: turned away, or not connected.
-    pub turned_away: u32,
-    /// How many of them had no room.
-    without_room: u32,
-    /// Answers without room that do not count towards [`MOST_TURNED_AWAY`].
-    excused: u32,
+    /// Number of attempts that did not run the request: rejected, or not connected.
+    pub rejections: u32,
+    /// How many of these were rejected for lack of capacity.
+    capacity_rejections: u32,
+    /// Rejections for lack of capacity that do not count towards [`MAX_REJECTIONS`].
+    uncounted_rejections: u32,
 }
 
 impl<'a, D: GatewayDialect> Dispatch<'a, D> {
-    /// Attempts of a caller's request.
+    /// Creates the attempts of a caller's request.
     pub fn online(
         state: &'a Rc<GatewayState>,
         dialect: &'a D,
@@ -100,12 +99,12 @@
             class: WorkClass::Online,
             digest: OnceCell::new(),
         };
-        let ends = request.arrived + patience;
+        let deadline = request.arrived + patience;
         state.engines.borrow_mut().asked(&service, request.arrived);
-        Self::new(state, dialect, route, service, outbound, facts, ends)
+        Self::new(state, dialect, route, service, outbound, facts, deadline)
     }
 
-    /// Attempts of a request that goes to `service`.
+    /// Creates the attempts of a request to `service`.
     pub fn new(
         state: &'a Rc<GatewayState>,
         dialect: &'a D,
@@ -113,7 +112,7 @@
         service: String,
         outbound: Outbound,
         facts: RequestFacts,
-        ends: Timestamp,
+        deadline: Timestamp,
     ) -> Self {
         Self {
             state,
@@ -122,66 +121,67 @@
             service,
             outbound,
             facts,
-            ends,
+            deadline,
             due_ms: None,
             arrived: state.now(),
-            counts: false,
+            counted: false,
             rank: Rank::new(None, route.priority),
             tried: BTreeSet::new(),
             runs: 0,
-            turned_away: 0,
-            without_room: 0,
-            excused: 0,
+            rejections: 0,
+            capacity_rejections: 0,
+            uncounted_rejections: 0,
         }
     }
 
-    /// How long ago it arrived.
+    /// Returns the time since the request arrived.
     pub fn age(&self) -> Duration {
         self.state.now().since(self.arrived)
     }
 
-    /// Whether another engine may run it.
+    /// Whether another engine may run the request.
     pub fn may_run_again(&self) -> bool {
         let batch = self.outbound.class == WorkClass::Batch;
         batch || (self.route.is_repeatable() && self.runs < self.route.max_attempts)
     }
 
-    /// An engine that had begun broke off.
+    /// Records that an engine broke off an answer that it had begun.
     pub fn note_broken(&mut self, engine: &str) {
         self.tried.insert(engine.to_owned());
         self.state.note_broken(engine);
-        self.state.look_into(engine, &self.outbound);
-        info!(self.state.logger, "answer broken off";
+        self.state.check_engine(engine, &self.outbound);
+        info!(self.state.logger, "answer broken off by its engine";
             "request" => &self.outbound.id, "digest" => %self.outbound.digest(),
             "engine" => engine, "runs" => self.runs);
     }
 
-    /// Brings the request to engines until one answers.
+    /// Sends the request to engines until one answers.
     ///
     /// # Errors
-    /// Why none does, as the caller should hear it.
+    /// The refusal for the caller, if none does.
     pub async fn next_reply(&mut self, after_event: Option<u64>) -> Result<EngineReply, Refusal> {
         loop {
-            self.permitted().await?;
-            if self.state.now() >= self.ends {
+            self.wait_until_permitted().await?;
+            if self.state.now() >= self.deadline {
                 return Err(self.out_of_time());
             }
             let mut picked = match self.outbound.class {
                 WorkClass::Online => self.pick().await?,
                 WorkClass::Batch => self.pick_in_turn().await?,
             };
-            // Engines may have ended under it elsewhere while it waited for its turn.
+            // Engines elsewhere may have ended under the request while it waited for its
+            // turn.
             if self.state.permit(&self.outbound) != Permit::Granted {
                 continue;
             }
             let limits = AttemptLimits {
-                ends: self.ends,
-                silence: self.silence(),
-                slow: self.slow(&picked),
+                deadline: self.deadline,
+                head_timeout: self.head_timeout(),
+                slow_after: self.slow_connect_after(&picked),
                 after_event,
             };
-            if self.runs + self.turned_away == 0 && self.outbound.class == WorkClass::Online {
-                self.state.metrics.waited(self.age());
+            if self.runs + self.rejections == 0 && self.outbound.class == WorkClass::Online {
+                self.state.metrics.observe_engine_wait(self.age());
             }
             let engine = &picked.facts;
             debug!(self.state.logger, "attempt"; "request" => &self.outbound.id,
@@ -195,24 +195,24 @@
             let engine = &picked.facts;
             match result {
                 Ok(reply) if reply.facts.not_run || reply.facts.displaced => {
-                    self.note_turned_away(&engine.id, &reply)?;
+                    self.note_rejection(&engine.id, &reply)?;
                 }
                 Ok(reply) => {
                     self.tried.insert(engine.id.clone());
                     self.runs += 1;
-                    self.note_taken();
-                    self.note_held(&engine.id);
+                    self.note_accepted();
+                    self.note_cached_prompt(&engine.id);
                     debug!(self.state.logger, "answer begins"; "request" => &self.outbound.id,
                         "engine" => &engine.id, "status" => reply.head.status,
                         "after_ms" => self.age().as_millis() as u64);
                     let failed = matches!(reply.head.status, 500 | 502 | 504);
                     if failed && self.route.kind == RouteKind::Safe && self.may_run_again() {
-                        self.state.note_whole(&self.outbound);
+                        self.state.note_complete(&self.outbound);
                         continue;
                     }
                     return Ok(reply);
                 }
-                // It waits for its turn again; the engine has nothing to do with it.
+                // The item waits for its turn again; the engine is not at fault.
                 Err(AttemptFailure::Withheld) => {}
                 Err(failure) => {
                     self.tried.insert(engine.id.clone());
@@ -222,48 +222,52 @@
         }
     }
 
-    /// An engine did not run it. One without room may have some soon, so that it is asked
-    /// again as long as there is time; whoever else did not run it is not.
-    fn note_turned_away(&mut self, engine: &str, reply: &EngineReply) -> Result<(), Refusal> {
-        self.turned_away += 1;
-        if reply.has_no_room() && self.outbound.class == WorkClass::Online {
-            self.state.note_turned_away(&self.service);
-            self.without_room += 1;
-            // Where slots are held for long, so are those of the engines asked next.
-            if self.state.is_short(&self.service) {
-                self.excused += 1;
+    /// Records that an engine did not run the request. An engine without capacity may have
+    /// some soon and is asked again while there is time; any other engine is not.
+    fn note_rejection(&mut self, engine: &str, reply: &EngineReply) -> Result<(), Refusal> {
+        self.rejections += 1;
+        if reply.lacks_capacity() && self.outbound.class == WorkClass::Online {
+            self.state.note_rejection(&self.service);
+            self.capacity_rejections += 1;
+            // Where slots are held for long, the next engines asked are full for as long,
+            // so the rejection counts.
+            if self.state.has_short_requests(&self.service) {
+                self.uncounted_rejections += 1;
             }
-            return self.give_up_if_unusable();
+            return self.give_up_if_rejected_too_often();
         }
         self.tried.insert(engine.to_owned());
-        self.give_up_if_unusable()
+        self.give_up_if_rejected_too_often()
     }
 
-    /// An engine took it.
-    fn note_taken(&self) {
+    /// Records that an engine accepted the request.
+    fn note_accepted(&self) {
         if self.outbound.class != WorkClass::Online {
             return;
         }
-        self.state.note_taken(&self.service);
-        if self.without_room > 0 {
-            self.state.metrics.room.waited(self.age());
+        self.state.note_accepted(&self.service);
+        if self.capacity_rejections > 0 {
+            self.state
+                .metrics
+                .capacity
+                .observe_capacity_wait(self.age());
         }
     }
 
-    /// Gives up once too many engines turned out to be of no use to it.
-    fn give_up_if_unusable(&self) -> Result<(), Refusal> {
-        match self.turned_away - self.excused >= MOST_TURNED_AWAY {
+    /// Returns an error once too many attempts did not run the request.
+    fn give_up_if_rejected_too_often(&self) -> Result<(), Refusal> {
+        match self.rejections - self.uncounted_rejections >= MAX_REJECTIONS {
             true => Err(self.give_up()),
             false => Ok(()),
         }
     }
 
-    /// Waits until it shows whether engines may have it, if that is open.
-    async fn permitted(&self) -> Result<(), Refusal> {
+    /// Waits until it is decided whether engines may get the request.
+    async fn wait_until_permitted(&self) -> Result<(), Refusal> {
         loop {
             match self.state.permit(&self.outbound) {
                 Permit::Granted => return Ok(()),
-                Permit::Later(until) => self.state.settle(until).await,
+                Permit::Later(until) => self.state.wait_until_settled(until).await,
                 Permit::Denied if self.runs > 0 => return Err(Refusal::AnswerLost),
                 Permit::Denied => {
                     return Err(Refusal::Barred {
@@ -274,8 +278,8 @@
         }
     }
 
-    /// The engine read the prompt, and holds what of it is shared.
-    fn note_held(&self, engine: &str) {
+    /// Records that the engine has read the prompt and caches its shared part.
+    fn note_cached_prompt(&self, engine: &str) {
         if let Some(shared) = PromptCost::of(&self.facts.prompt).shared {
             let now = self.state.now();
             self.state
@@ -289,14 +293,14 @@
         info!(self.state.logger, "attempt failed"; "request" => &self.outbound.id,
             "digest" => %self.outbound.digest(), "engine" => engine, "failure" => %failure, "runs" => self.runs);
         if !failure.may_have_run() {
-            self.turned_away += 1;
-            return self.give_up_if_unusable();
+            self.rejections += 1;
+            return self.give_up_if_rejected_too_often();
         }
         self.runs += 1;
         if failure == AttemptFailure::Broken {
-            self.state.look_into(engine, &self.outbound);
+            self.state.check_engine(engine, &self.outbound);
         }
-        if self.state.now() >= self.ends {
+        if self.state.now() >= self.deadline {
             return Err(Refusal::TimedOut);
         }
         match self.may_run_again() {
@@ -305,15 +309,16 @@
         }
     }
 
-    /// No engine takes it. It may be said not to have run only if none did.
+    /// Returns the refusal when no engine takes the request. It may be reported as not run
+    /// only if no engine may have run it.
     fn give_up(&self) -> Refusal {
         let room_in = self.state.queue(&self.service).room_in();
-        self.not_now(room_in)
+        self.no_engine_refusal(room_in)
     }
 
-    /// The same where it is known when room returns.
-    fn not_now(&self, room_in: Option<Duration>) -> Refusal {
-        let left = self.ends.since(self.state.now());
+    /// The same, where it is known when capacity returns.
+    fn no_engine_refusal(&self, room_in: Option<Duration>) -> Refusal {
+        let left = self.deadline.since(self.state.now());
         match self.runs {
             0 => Refusal::Busy {
                 retry_after: retry_after(room_in, left, rand::random()),
@@ -322,17 +327,17 @@
         }
     }
 
-    /// Its turn cannot come.
-    fn no_turn(&self, refused: Refused) -> Refusal {
-        self.state.metrics.queue.refused(refused.reason);
-        let refusal = self.not_now(refused.room_in);
-        info!(self.state.logger, "no turn"; "request" => &self.outbound.id,
+    /// Logs and returns the refusal of a request whose turn cannot come.
+    fn refused_by_queue(&self, refused: Refused) -> Refusal {
+        self.state.metrics.queue.count_refusal(refused.reason);
+        let refusal = self.no_engine_refusal(refused.room_in);
+        info!(self.state.logger, "queue refused the request"; "request" => &self.outbound.id,
             "service" => &self.service, "reason" => %refused.reason,
             "ahead" => refused.ahead,
             "begin_per_s" => format!("{:.1}", refused.rates.begin),
             "come_per_s" => format!("{:.1}", refused.rates.come),
             "room_in_ms" => refused.room_in.map(|room_in| room_in.as_millis() as u64),
-            "left_ms" => self.ends.since(self.state.now()).as_millis() as u64,
+            "left_ms" => self.deadline.since(self.state.now()).as_millis() as u64,
             "tried" => self.tried.len(), "runs" => self.runs,
             "after_ms" => self.age().as_millis() as u64, "refusal" => ?refusal);
         refusal
@@ -345,32 +350,33 @@
         }
     }
 
-    /// Waits for its turn and chooses an engine: one that begins in time, as long as
-    /// there can be one, and then whichever has a slot that no request wants that can
-    /// be in time. Who waits in an engine's queue cannot let others go before it; here
-    /// it does.
+    /// Waits for the request's turn and chooses an engine: while the target can be met, one
+    /// that begins in time, and afterwards any with a slot that no request still in time
+    /// needs. The request waits here, because in an engine's queue it could not let more
+    /// urgent ones pass.
     async fn pick(&mut self) -> Result<Picked, Refusal> {
         let target = Duration::from_millis(u64::from(self.route.target_latency_ms));
-        let begins_by = self.arrived + target.mul_f64(BEGINS_WITHIN);
+        let begins_by = self.arrived + target.mul_f64(BEGIN_SHARE);
         if self.has_left() {
             return Err(self.no_engine_left());
         }
-        let waiter = self.wait_for_turn(begins_by)?;
-        let mut waiting = Some(self.state.begin_to_wait(&self.service));
+        let waiter = self.enqueue(begins_by)?;
+        let mut waiting = Some(self.state.count_waiting_request(&self.service));
         loop {
             let standing = match waiter.woken().await {
-                Woken::Refused(refused) => return Err(self.no_turn(refused)),
-                Woken::Looks(_) => self.standing(begins_by),
+                Woken::Refused(refused) => return Err(self.refused_by_queue(refused)),
+                Woken::MayPick(_) => self.standing(begins_by),
             };
             if standing == Standing::Late {
-                // Late ones want what is left, and no part of the room.
+                // A late request only takes spare slots and claims no share of the
+                // capacity.
                 drop(waiting.take());
             }
             match self.pick_now(standing) {
                 Ok(picked) => {
-                    let begun = waiter.begins();
+                    let wait = waiter.finish();
                     let queue = &self.state.metrics.queue;
-                    queue.began(begun.in_time, self.age(), begun.error);
+                    queue.observe_wait(wait.in_time, self.age(), wait.forecast_error);
                     return Ok(picked);
                 }
                 Err(NoEngine::Tried) => return Err(self.give_up()),
@@ -384,22 +390,23 @@
         self.state.engines.borrow().has_left(&self.service)
     }
 
-    /// When another engine comes nobody knows: the caller hears it at once, and comes back
-    /// as late as leaves time for an answer.
+    /// Refuses a request for a service whose last engine is leaving. It is unknown when
+    /// another engine comes, so the caller is told at once, with a retry delay that still
+    /// leaves time for an answer.
     fn no_engine_left(&self) -> Refusal {
-        let left = self.ends.since(self.state.now());
-        let refusal = self.not_now(Some(left / 2));
-        info!(self.state.logger, "no engine is left"; "request" => &self.outbound.id,
+        let left = self.deadline.since(self.state.now());
+        let refusal = self.no_engine_refusal(Some(left / 2));
+        info!(self.state.logger, "no engine of the service is left"; "request" => &self.outbound.id,
             "service" => &self.service, "left_ms" => left.as_millis() as u64,
             "runs" => self.runs, "refusal" => ?refusal);
         refusal
     }
 
-    fn wait_for_turn(&self, begins_by: Timestamp) -> Result<Waiter, Refusal> {
-        let again = self.runs + self.turned_away > 0;
-        let patience = self.ends.since(self.arrived);
-        let waits_until = self.arrived + patience.mul_f64(WAITS_SHARE);
-        let last_look = self.state.now() + LAST_LOOK;
+    fn enqueue(&self, begins_by: Timestamp) -> Result<Waiter, Refusal> {
+        let again = self.runs + self.rejections > 0;
+        let patience = self.deadline.since(self.arrived);
+        let waits_until = self.arrived + patience.mul_f64(WAIT_SHARE);
+        let min_pick_until = self.state.now() + MIN_REPICK_TIME;
         let want = Want {
             tenant: self.outbound.tenant.as_deref(),
             weight: 1,
@@ -407,13 +414,15 @@
             size: self.facts.answer_tokens,
             begins_by,
             leaves_at: match again {
-                true => waits_until.max(last_look),
+                true => waits_until.max(min_pick_until),
                 false => waits_until,
             },
             again,
         };
         let queue = self.state.queue(&self.service);
-        queue.ask(&want).map_err(|refused| self.no_turn(refused))
+        queue
+            .enqueue(&want)
+            .map_err(|refused| self.refused_by_queue(refused))
     }
 
     fn standing(&self, begins_by: Timestamp) -> Standing {
@@ -424,11 +433,11 @@
         }
     }
 
-    /// Chooses an engine when this is the most urgent batch item that waits
-    /// here, and waits with it for room.
+    /// Waits until this is the most urgent waiting batch item, and then until an engine has
+    /// capacity.
     async fn pick_in_turn(&mut self) -> Result<Picked, Refusal> {
-        let _turn = self.state.batch_turns.take(self.due_ms).await;
-        let looks_until = self.state.now() + TURN;
+        let _turn = self.state.batch_turns.acquire(self.due_ms).await;
+        let turn_ends = self.state.now() + MAX_TURN;
         loop {
             let picked = match self.state.may_start(WorkClass::Batch) {
                 true => self.pick_now(Standing::Late),
@@ -436,8 +445,8 @@
             };
             match picked {
                 Ok(picked) => return Ok(picked),
-                Err(_) if self.state.now() < looks_until => {
-                    Timer::after(LOOK_AGAIN_IN_TURN).await;
+                Err(_) if self.state.now() < turn_ends => {
+                    Timer::after(BATCH_PICK_INTERVAL).await;
                 }
                 Err(_) => return Err(self.give_up()),
             }
@@ -457,12 +466,12 @@
         self.state.engines.borrow_mut().pick(&pick, now)
     }
 
-    /// Another engine for an online request whose connection to the first one does not
-    /// come up.
+    /// Chooses a second engine for an online request whose connection to the first one is
+    /// slow.
     fn pick_beside(&self, first: &Picked) -> Option<Picked> {
         let target = Duration::from_millis(u64::from(self.route.target_latency_ms));
         let now = self.state.now();
-        let left = (self.arrived + target.mul_f64(BEGINS_WITHIN)).since(now);
+        let left = (self.arrived + target.mul_f64(BEGIN_SHARE)).since(now);
         let standing = match left.is_zero() {
             true => Standing::Late,
             false => Standing::InTime { left },
@@ -482,9 +491,9 @@
         engines.pick_beside(&pick, first, now)
     }
 
-    /// How long a connect may take before another engine is tried beside it. Batch work
-    /// has time.
-    fn slow(&self, picked: &Picked) -> Option<Duration> {
+    /// Returns the connect time after which another engine is tried in parallel; `None` for
+    /// batch work, which has time, and for routes without a target latency.
+    fn slow_connect_after(&self, picked: &Picked) -> Option<Duration> {
         let target = Duration::from_millis(u64::from(self.route.target_latency_ms));
         if self.outbound.class == WorkClass::Batch || target.is_zero() {
             return None;
@@ -493,13 +502,13 @@
         Some(engines.connect_is_slow_after(&picked.facts.id, target))
     }
 
-    /// Longest silence before the head of the answer. Without another attempt
-    /// left, only the request's time counts: a silent engine may yet answer.
-    fn silence(&self) -> Option<Duration> {
+    /// Returns the maximum time to wait for the head of the answer. If no other attempt is
+    /// left, only the request's time counts: a silent engine may still answer.
+    fn head_timeout(&self) -> Option<Duration> {
         let another = self.route.is_repeatable() && self.runs + 1 < self.route.max_attempts;
         let target = Duration::from_millis(u64::from(self.route.target_latency_ms));
         another.then(|| match self.route.kind {
-            RouteKind::Safe => (target * 3 / 2).max(SHORTEST_SILENCE),
+            RouteKind::Safe => (target * 3 / 2).max(MIN_HEAD_TIMEOUT),
             _ => target * 4,
         })
     }
--- a/crates/proxy/src/engine_ends.rs
+++ b/crates/proxy/src/engine_ends.rs
@@ -1,10 +1,12 @@
-//! Whether an engine that broke a request off has ended, and what it ended under.
+//! Detects whether an engine that broke a request off has ended, and which requests it was
+//! running.
 //!
 //! A connection that ends without an answer may have been reset, cut, or closed by an
-//! engine that lost the answer. An engine has ended when its port is dead, twice, or
-//! when the control nodes know another one at its address or none at all. One that said
-//! it leaves ends as planned, and one that answers anything lives. A machine that falls
-//! silent breaks nothing off, and its requests are blamed for nothing.
+//! engine that lost the answer. An engine counts as ended if its port refuses connections
+//! twice, or if the control nodes report another engine at its address or none. An engine
+//! that announced its departure ends as planned, and one that still answers is alive. A
+//! machine that stops responding does not break connections off, so its requests are not
+//! blamed.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -25,136 +27,135 @@
 use crate::attempt::Outbound;
 use crate::state::GatewayState;
 
-/// Pauses before the looks at an engine's port. Two that find it dead say that the
-/// engine ended: one alone may be an engine that has all the connections it takes.
-/// Later ones are for what a cut hides at first.
-const LOOKS: [Duration; 5] = [
+/// Pauses before the checks of an engine's port. Two refused connections mean that the
+/// engine ended: a single one may come from an engine at its connection limit. The later
+/// checks cover a network cut that hides the port at first.
+const CHECK_DELAYS: [Duration; 5] = [
     Duration::from_millis(20),
     Duration::from_millis(100),
     Duration::from_millis(250),
     Duration::from_millis(500),
     Duration::from_millis(1_000),
 ];
-/// Looks that have to find the port dead.
-const DEAD_LOOKS: u32 = 2;
-/// Longest time for a connection.
+/// Number of checks that must find the port refusing connections.
+const DEAD_CHECKS: u32 = 2;
+/// Timeout for a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(200);
-/// Answers that were on their way when the engine broke off come within this.
-const ON_THE_WAY: Duration = Duration::from_millis(50);
-/// How long a request that breaks off later counts as having been there too: longer
-/// than a gateway without processor time takes to read the end of a connection.
-const SAME_END: Duration = Duration::from_secs(10);
+/// Time within which answers arrive that were in flight when the engine broke off.
+const IN_FLIGHT_TIME: Duration = Duration::from_millis(50);
+/// How long after the end of an engine a request that breaks off is still blamed for it:
+/// longer than a gateway starved of processor time takes to read the end of a connection.
+const BLAME_PERIOD: Duration = Duration::from_secs(10);
 
-/// Requests that broke off and wait to be looked into; several times as many as all
-/// engines of a service run.
-const MOST_WAITING: usize = 4_096;
+/// Maximum number of broken-off requests that wait for a check; several times as many as
+/// all engines of a service run.
+const MAX_WAITING: usize = 4_096;
 
 /// A request that an engine broke off.
 #[derive(Clone, Debug)]
-struct Broken {
-    /// Incarnation of the engine.
+struct BrokenRequest {
+    /// Identifier of the engine's incarnation.
     engine: String,
-    /// Where it serves, if it is still known.
+    /// Address of the engine, if still known.
     address: Option<SocketAddr>,
-    /// What names the request when it comes again.
+    /// Digest that identifies the request when it is sent again.
     digest: RequestDigest,
-    /// Its identifier, this time.
+    /// Identifier of the request in this attempt.
     id: String,
 }
 
-/// Requests that engines broke off, until it shows whether these have ended.
-pub(crate) struct Breaks {
-    waiting: (Sender<Broken>, Receiver<Broken>),
-    /// Looks at engines that go on, by the request that broke off.
-    looks: RefCell<BTreeMap<RequestDigest, usize>>,
+/// Requests that engines broke off, until it is known whether the engines ended.
+pub(crate) struct BrokenRequests {
+    waiting: (Sender<BrokenRequest>, Receiver<BrokenRequest>),
+    /// Number of open checks by the request that broke off.
+    checks: RefCell<BTreeMap<RequestDigest, usize>>,
 }
 
-impl Default for Breaks {
+impl Default for BrokenRequests {
     fn default() -> Self {
         Self {
-            waiting: async_channel::bounded(MOST_WAITING),
-            looks: RefCell::default(),
+            waiting: async_channel::bounded(MAX_WAITING),
+            checks: RefCell::default(),
         }
     }
 }
 
-impl Breaks {
-    /// Looks that go on at engines that broke a request off.
-    pub fn open_looks(&self, request: &Outbound) -> usize {
-        let looks = self.looks.borrow();
-        match looks.is_empty() {
+impl BrokenRequests {
+    /// Returns the number of open checks of engines that broke the request off.
+    pub fn open_checks(&self, request: &Outbound) -> usize {
+        let checks = self.checks.borrow();
+        match checks.is_empty() {
             true => 0,
-            false => looks.get(&request.digest()).copied().unwrap_or_default(),
+            false => checks.get(&request.digest()).copied().unwrap_or_default(),
         }
     }
 
-    /// A look has ended.
-    fn looked(&self, request: &RequestDigest) {
-        let mut looks = self.looks.borrow_mut();
-        let Some(open) = looks.get_mut(request) else {
+    /// Records that a check has ended.
+    fn end_check(&self, request: &RequestDigest) {
+        let mut checks = self.checks.borrow_mut();
+        let Some(open) = checks.get_mut(request) else {
             return;
         };
         *open -= 1;
         if *open == 0 {
-            looks.remove(request);
+            checks.remove(request);
         }
     }
 }
 
 impl GatewayState {
-    /// An engine broke a request off: whether it ended is looked into.
-    pub fn look_into(&self, engine: &str, request: &Outbound) {
+    /// Starts a check whether an engine that broke a request off has ended.
+    pub fn check_engine(&self, engine: &str, request: &Outbound) {
         let digest = request.digest();
-        let broken = Broken {
+        let broken = BrokenRequest {
             engine: engine.to_owned(),
             address: self.engines.borrow().address(engine),
             digest,
             id: request.id.clone(),
         };
-        if self.breaks.waiting.0.try_send(broken).is_err() {
-            warn!(self.logger, "too many requests break off to look into";
+        if self.broken_requests.waiting.0.try_send(broken).is_err() {
+            warn!(self.logger, "too many broken-off requests; skipping the check of an engine";
                 "request" => &request.id, "engine" => engine);
             return;
         }
-        let mut looks = self.breaks.looks.borrow_mut();
-        *looks.entry(digest).or_default() += 1;
+        let mut checks = self.broken_requests.checks.borrow_mut();
+        *checks.entry(digest).or_default() += 1;
     }
 }
 
-/// What a look at an engine tells.
+/// Result of one check of an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Look {
-    /// Its port is dead.
+enum CheckResult {
+    /// The port refuses connections.
     Dead,
-    /// It has ended for sure.
+    /// The engine has certainly ended.
     Ended,
-    /// It answered since, or ended as planned.
-    Innocent,
-    /// Its port takes connections.
+    /// The engine has answered since, or ended as planned.
+    NotCrashed,
+    /// The port accepts connections.
     Reached,
-    /// Nothing.
-    Silent,
+    /// The check is inconclusive.
+    Inconclusive,
 }
 
-/// Engines that broke requests off lately.
+/// Engines that recently broke requests off.
 #[derive(Default)]
-struct Ends {
-    /// Requests by the engine that is being looked at.
-    open: RefCell<BTreeMap<String, Vec<Broken>>>,
+struct EngineEnds {
+    /// Broken-off requests by the engine being checked.
+    open: RefCell<BTreeMap<String, Vec<BrokenRequest>>>,
     /// When engines were found to have ended.
     ended: RefCell<BTreeMap<String, Timestamp>>,
 }
 
-/// Finds out whether engines that broke requests off have ended, for as long as it is
-/// polled.
-pub(crate) async fn watch_ends(state: Rc<GatewayState>, local: Rc<LocalExecutor<'static>>) {
-    let ends = Rc::new(Ends::default());
-    while let Ok(broken) = state.breaks.waiting.1.recv().await {
+/// Checks whether engines that broke requests off have ended. Runs until dropped.
+pub(crate) async fn watch_engine_ends(state: Rc<GatewayState>, local: Rc<LocalExecutor<'static>>) {
+    let ends = Rc::new(EngineEnds::default());
+    while let Ok(broken) = state.broken_requests.waiting.1.recv().await {
         let now = state.now();
         let mut ended = ends.ended.borrow_mut();
-        ended.retain(|_, at| now.since(*at) < SAME_END);
+        ended.retain(|_, at| now.since(*at) < BLAME_PERIOD);
         if ended.contains_key(&broken.engine) {
-            state.breaks.looked(&broken.digest);
+            state.broken_requests.end_check(&broken.digest);
             blame(&state, &[broken]);
             continue;
         }
@@ -167,14 +168,14 @@
         let engine = broken.engine.clone();
         let address = broken.address;
         open.insert(engine.clone(), vec![broken]);
-        let look = find_out(state.clone(), ends.clone(), engine, address);
-        local.spawn(look).detach();
+        let check = check_and_blame(state.clone(), ends.clone(), engine, address);
+        local.spawn(check).detach();
     }
 }
 
-async fn find_out(
+async fn check_and_blame(
     state: Rc<GatewayState>,
-    ends: Rc<Ends>,
+    ends: Rc<EngineEnds>,
     engine: String,
     address: Option<SocketAddr>,
 ) {
@@ -182,9 +183,9 @@
     let broken = ends.open.borrow_mut().remove(&engine).unwrap_or_default();
     broken
         .iter()
-        .for_each(|one| state.breaks.looked(&one.digest));
+        .for_each(|one| state.broken_requests.end_check(&one.digest));
     if !ended {
-        info!(state.logger, "engine broke off and did not end"; "engine" => engine,
+        info!(state.logger, "engine broke requests off but did not end"; "engine" => engine,
             "requests" => broken.len());
         return;
     }
@@ -195,52 +196,53 @@
 async fn has_ended(state: &GatewayState, engine: &str, address: Option<SocketAddr>) -> bool {
     let broke_at = state.now();
     let mut dead = 0;
-    for pause in LOOKS {
+    for pause in CHECK_DELAYS {
         Timer::after(pause).await;
-        match look(state, engine, address, broke_at).await {
-            Look::Dead => dead += 1,
-            Look::Ended => return true,
-            Look::Innocent => return false,
-            Look::Reached if dead == 0 => return false,
-            // Dead before: another incarnation is there, and control nodes say so soon.
-            Look::Reached | Look::Silent => {}
+        match check(state, engine, address, broke_at).await {
+            CheckResult::Dead => dead += 1,
+            CheckResult::Ended => return true,
+            CheckResult::NotCrashed => return false,
+            CheckResult::Reached if dead == 0 => return false,
+            // If the port refused before, another incarnation is there now, and the control
+            // nodes report it soon.
+            CheckResult::Reached | CheckResult::Inconclusive => {}
         }
-        if dead >= DEAD_LOOKS {
+        if dead >= DEAD_CHECKS {
             return true;
         }
     }
     false
 }
 
-async fn look(
+async fn check(
     state: &GatewayState,
     engine: &str,
     address: Option<SocketAddr>,
     broke_at: Timestamp,
-) -> Look {
+) -> CheckResult {
     {
         let engines = state.engines.borrow();
-        let answered = engines.answered_after(engine, broke_at + ON_THE_WAY);
+        let answered = engines.answered_after(engine, broke_at + IN_FLIGHT_TIME);
         if answered || engines.has_departed(engine) {
-            return Look::Innocent;
+            return CheckResult::NotCrashed;
         }
         if !engines.is_present(engine) {
-            return Look::Ended;
+            return CheckResult::Ended;
         }
     }
     let Some(address) = address else {
-        return Look::Silent;
+        return CheckResult::Inconclusive;
     };
     let connected = h1::connect(address, CONNECT_TIMEOUT, SocketOptions::default()).await;
     match connected.map_err(|error| error.kind()) {
-        Ok(_) => Look::Reached,
-        Err(ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset) => Look::Dead,
-        Err(_) => Look::Silent,
+        Ok(_) => CheckResult::Reached,
+        Err(ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset) => CheckResult::Dead,
+        Err(_) => CheckResult::Inconclusive,
     }
 }
 
-/// Blames what an engine ended under.
-fn blame(state: &GatewayState, broken: &[Broken]) {
+/// Blames the requests that an engine was running when it ended.
+fn blame(state: &GatewayState, broken: &[BrokenRequest]) {
     let now = state.now();
     for one in broken {
         let engine = engine_key(&one.engine);
@@ -252,6 +254,6 @@
             "digest" => %one.digest, "engine" => &one.engine, "crashes" => crashes,
             "requests_there" => broken.len());
     }
-    state.tell_soon();
-    state.bars.look_soon();
+    state.request_report();
+    state.bars.request_check();
 }
--- a/crates/proxy/src/metrics/batch.rs
+++ b/crates/proxy/src/metrics/batch.rs
@@ -1,37 +1,37 @@
-//! Batch work beside online work.
+//! Metrics of batch work that runs beside online work.
 
 use molespan_telemetry::Metrics;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
 
-/// Figures of batch work.
+/// Batch metrics.
 #[derive(Clone, Debug)]
 pub(crate) struct BatchMetrics {
-    cuts: Counter,
-    kept: Gauge,
+    preempted: Counter,
+    reserved_slots: Gauge,
 }
 
 impl BatchMetrics {
     pub fn new(registry: &Metrics) -> Self {
         Self {
-            cuts: registry.counter(
+            preempted: registry.counter(
                 "gateway_batch_runs_cut",
                 "Runs of batch items here that gave way to online requests",
             ),
-            kept: registry.gauge(
+            reserved_slots: registry.gauge(
                 "gateway_batch_slots_kept",
                 "Slots that batch work leaves free for online requests that come next",
             ),
         }
     }
 
-    /// Runs gave way.
-    pub fn cut(&self, runs: u64) {
-        self.cuts.inc_by(runs);
+    /// Counts preempted runs.
+    pub fn count_preempted(&self, runs: u64) {
+        self.preempted.inc_by(runs);
     }
 
-    /// Slots that are left free now.
-    pub fn kept(&self, slots: f64) {
-        self.kept.set(slots.round() as i64);
+    /// Sets the number of slots that batch work leaves free.
+    pub fn set_reserved_slots(&self, slots: f64) {
+        self.reserved_slots.set(slots.round() as i64);
     }
 }
--- a/crates/proxy/src/metrics/reach.rs
+++ b/crates/proxy/src/metrics/reach.rs
@@ -1,4 +1,4 @@
-//! Figures of what is out of reach.
+//! Metrics of zone reachability.
 
 use molespan_telemetry::Metrics;
 use prometheus_client::metrics::counter::Counter;
@@ -7,20 +7,20 @@
 
 use super::Label;
 
-/// What a gateway counts of zones out of reach and of slow connects.
+/// Metrics of unreachable zones and slow connects.
 #[derive(Clone, Debug)]
 pub(crate) struct ReachMetrics {
-    zones_out: Gauge,
+    unreachable_zones: Gauge,
     changes: Family<Label, Counter>,
     probes: Family<Label, Counter>,
     races: Family<Label, Counter>,
 }
 
 impl ReachMetrics {
-    /// None counted yet.
+    /// Registers the metrics.
     pub fn new(registry: &Metrics) -> Self {
         Self {
-            zones_out: registry.gauge(
+            unreachable_zones: registry.gauge(
                 "gateway_zones_out_of_reach",
                 "Zones whose engines this gateway cannot reach",
             ),
@@ -42,18 +42,18 @@
         }
     }
 
-    /// So many zones are out of reach.
-    pub fn out(&self, zones: usize) {
-        self.zones_out.set(zones as i64);
+    /// Sets the number of unreachable zones.
+    pub fn set_unreachable_zones(&self, zones: usize) {
+        self.unreachable_zones.set(zones as i64);
     }
 
-    /// A zone went out of reach, or came back.
-    pub fn changed(&self, to: &'static str) {
+    /// Counts a zone that became unreachable or reachable again.
+    pub fn count_change(&self, to: &'static str) {
         self.changes.get_or_create(&[("to", to)]).inc();
     }
 
-    /// A connect without a request came up or did not.
-    pub fn probed(&self, up: bool) {
+    /// Counts a probe connect and whether it succeeded.
+    pub fn count_probe(&self, up: bool) {
         let outcome = match up {
             true => "up",
             false => "failed",
@@ -61,8 +61,9 @@
         self.probes.get_or_create(&[("outcome", outcome)]).inc();
     }
 
-    /// Two connects were raced; `won` says which was up first, if any.
-    pub fn raced(&self, won: Option<usize>) {
+    /// Counts a race of two connects; `won` is the index of the first to connect, if any
+    /// did.
+    pub fn count_race(&self, won: Option<usize>) {
         let won = match won {
             Some(0) => "first",
             Some(_) => "second",
--- a/crates/proxy/src/metrics/room.rs
+++ b/crates/proxy/src/metrics/room.rs
@@ -1,4 +1,5 @@
-//! Room at engines: who wants it, which part of it is this gateway's, and who found none.
+//! Metrics of engine capacity: the demand for it, this gateway's share, and rejected
+//! attempts.
 
 use std::sync::atomic::AtomicU64;
 use std::time::Duration;
@@ -12,29 +13,29 @@
 
 use super::WAIT_BOUNDS;
 
-/// Seconds that told requests came in.
-const ASKED_SECONDS: f64 = 1_000.0;
+/// Period over which [`ServiceDemand`] counts requests, in seconds.
+const DEMAND_PERIOD_SECONDS: f64 = 1_000.0;
 
-/// The service of a counter.
+/// Label with the service.
 type ServiceLabel = [(&'static str, String); 1];
-/// The service of a gauge, and what it tells of it.
+/// Labels with the service and the kind of demand.
 type DemandLabels = [(&'static str, String); 2];
-/// A gauge of a part.
-type Level = Gauge<f64, AtomicU64>;
+/// A gauge with a fractional value.
+type FloatGauge = Gauge<f64, AtomicU64>;
 
-/// What is counted of room at engines.
+/// Capacity metrics.
 #[derive(Clone, Debug)]
-pub(crate) struct RoomMetrics {
-    turned_away: Family<ServiceLabel, Counter>,
+pub(crate) struct CapacityMetrics {
+    rejections: Family<ServiceLabel, Counter>,
     waits: Histogram,
-    demand: Family<DemandLabels, Level>,
-    parts: Family<ServiceLabel, Level>,
+    demand: Family<DemandLabels, FloatGauge>,
+    shares: Family<ServiceLabel, FloatGauge>,
 }
 
-impl RoomMetrics {
+impl CapacityMetrics {
     pub fn new(registry: &Metrics) -> Self {
         Self {
-            turned_away: registry.register(
+            rejections: registry.register(
                 "gateway_turned_away",
                 "Attempts of online requests that an engine had no room for, by service",
                 Family::default(),
@@ -49,7 +50,7 @@
                 "Online requests of this gateway for a service: waiting, and asked a second",
                 Family::default(),
             ),
-            parts: registry.register(
+            shares: registry.register(
                 "gateway_room_part",
                 "Part of the room at a service's engines that is this gateway's, by demand",
                 Family::default(),
@@ -57,9 +58,9 @@
         }
     }
 
-    /// This gateway tells its demand for a service, and has such a part of the room; `None`
-    /// while parts go by what runs.
-    pub fn tells(&self, demand: &ServiceDemand, part: Option<f64>) {
+    /// Sets the demand that this gateway reports for a service, and its share of the
+    /// capacity; `None` while shares are not by demand.
+    pub fn set_demand(&self, demand: &ServiceDemand, share: Option<f64>) {
         let of = |what: &str| {
             let labels = [
                 ("service", demand.service.clone()),
@@ -68,32 +69,33 @@
             self.demand.get_or_create_owned(&labels)
         };
         of("waiting").set(f64::from(demand.waiting));
-        of("asked").set(demand.asked as f64 / ASKED_SECONDS);
+        of("asked").set(demand.asked as f64 / DEMAND_PERIOD_SECONDS);
         let label = [("service", demand.service.clone())];
-        match part {
-            Some(part) => {
-                self.parts.get_or_create(&label).set(part);
+        match share {
+            Some(share) => {
+                self.shares.get_or_create(&label).set(share);
             }
             None => {
-                self.parts.remove(&label);
+                self.shares.remove(&label);
             }
         }
     }
 
-    /// Other services are served from now on.
-    pub fn forget_services(&self) {
+    /// Removes the metrics of services that may no longer be served.
+    pub fn clear_services(&self) {
         self.demand.clear();
-        self.parts.clear();
+        self.shares.clear();
     }
 
-    /// An engine of the service had no room for a request.
-    pub fn turned_away(&self, service: &str) {
+    /// Counts an attempt that an engine of the service had no capacity for.
+    pub fn count_rejection(&self, service: &str) {
         let label = [("service", service.to_owned())];
-        self.turned_away.get_or_create(&label).inc();
+        self.rejections.get_or_create(&label).inc();
     }
 
-    /// An engine answered a request that was turned away before, so long after it came.
-    pub fn waited(&self, wait: Duration) {
+    /// Records the time from arrival until an engine accepted a request that had been
+    /// rejected before.
+    pub fn observe_capacity_wait(&self, wait: Duration) {
         self.waits.observe(wait.as_secs_f64());
     }
 }
--- a/crates/proxy/src/pace.rs
+++ b/crates/proxy/src/pace.rs
@@ -1,4 +1,4 @@
-//! How long work takes at engines: measured in answers that pass here, and told to
+//! Work times at engines: measured from the answers that pass through, and reported to
 //! operators.
 
 use std::cell::{Cell, RefCell};
@@ -10,39 +10,40 @@
 
 use crate::state::GatewayState;
 
-/// Time between two lines on load reports that make no sense.
-const FAULTS_TOLD_EVERY: Duration = Duration::from_secs(10);
-/// Time behind an event until the next one is waited for, beyond which the time between
-/// them says how fast the caller reads.
-const CALLER_HOLDS_UP: Duration = Duration::from_millis(5);
+/// Interval between log lines about implausible load reports.
+const FAULT_LOG_INTERVAL: Duration = Duration::from_secs(10);
+/// If a piece is awaited only after this time has passed since the last event, the interval
+/// between the two measures how fast the caller reads.
+const SLOW_CALLER_AFTER: Duration = Duration::from_millis(5);
 
-/// Events of one answer, and the time between them.
+/// Measures the time between events of one answer.
 #[derive(Debug, Default)]
 pub(crate) struct EventTimes {
     last: Option<Timestamp>,
-    held_up: bool,
+    slow_caller: bool,
 }
 
 impl EventTimes {
-    /// The next piece is waited for from now on.
-    pub fn waits(&mut self, now: Timestamp) {
+    /// Records that the next piece is awaited from now on.
+    pub fn wait_started(&mut self, now: Timestamp) {
         let last = self.last;
-        self.held_up = last.is_some_and(|last| now.since(last) > CALLER_HOLDS_UP);
+        self.slow_caller = last.is_some_and(|last| now.since(last) > SLOW_CALLER_AFTER);
     }
 
-    /// A piece came: how many events end in it, and the time that they took.
-    pub fn came(&mut self, piece: &[u8], now: Timestamp) -> Option<(u32, Duration)> {
+    /// Records a piece; returns how many events end in it and the time they took, or `None`
+    /// if the time is unknown or measures the caller.
+    pub fn piece_arrived(&mut self, piece: &[u8], now: Timestamp) -> Option<(u32, Duration)> {
         let events = event_ends(piece);
         if events == 0 {
             return None;
         }
         let last = self.last.replace(now)?;
-        (!self.held_up).then(|| (events, now.since(last)))
+        (!self.slow_caller).then(|| (events, now.since(last)))
     }
 }
 
-/// Empty lines in a piece of a stream. One that is cut in two is not seen; its time is
-/// part of the next one's.
+/// Counts the empty lines in a piece of a stream. One that is split across two pieces is
+/// missed, and its time is counted for the next event.
 fn event_ends(piece: &[u8]) -> u32 {
     let mut ends = 0;
     let mut line_is_empty = false;
@@ -60,16 +61,16 @@
     ends
 }
 
-/// What operators were told of engines' paces.
+/// What was reported to operators about engines' paces.
 #[derive(Debug, Default)]
 pub(crate) struct PaceWatch {
     slow: RefCell<SlowWatch>,
     faults: Cell<u32>,
-    faults_told: Cell<Option<Timestamp>>,
+    faults_logged: Cell<Option<Timestamp>>,
 }
 
-/// Tells operators what is new of engines' paces.
-pub(crate) fn look(state: &GatewayState) {
+/// Reports changes of engines' paces to operators.
+pub(crate) fn report_paces(state: &GatewayState) {
     let now = state.now();
     let engines = state.engines.borrow();
     if let Some(figures) = engines.pace_figures(now) {
@@ -87,25 +88,25 @@
                 info!(state.logger, "engine no longer slow"; "engine" => engine);
             }
             SlowChange::More(more) => {
-                info!(state.logger, "more engines slow or no longer"; "engines" => more);
+                info!(state.logger, "further engines became slow or normal"; "engines" => more);
             }
         }
     }
 }
 
-/// An engine's load report made no sense.
+/// Records an implausible load report of an engine.
 pub(crate) fn note_fault(state: &GatewayState, engine: &str, fault: LoadFault) {
     state.metrics.pace.fault(fault);
     let watch = &state.pace;
     let faults = watch.faults.get() + 1;
     watch.faults.set(faults);
     let now = state.now();
-    let told = watch.faults_told.get();
-    if told.is_some_and(|told| now.since(told) < FAULTS_TOLD_EVERY) {
+    let logged = watch.faults_logged.get();
+    if logged.is_some_and(|logged| now.since(logged) < FAULT_LOG_INTERVAL) {
         return;
     }
-    watch.faults_told.set(Some(now));
+    watch.faults_logged.set(Some(now));
     watch.faults.set(0);
-    warn!(state.logger, "load report makes no sense"; "engine" => engine,
+    warn!(state.logger, "implausible load report"; "engine" => engine,
         "fault" => ?fault, "reports" => faults);
 }
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to engines.
+//! Pool of idle connections to engines.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -8,17 +8,17 @@
 use molespan_http::h1::{Connection, Presence};
 use molespan_types::{EngineLife, Timestamp};
 
-/// How long a connection is kept where the engine does not say how long it
-/// does.
+/// How long an idle connection is kept if the engine does not state its own keep-alive
+/// time.
 const DEFAULT_IDLE: Duration = Duration::from_secs(3);
-/// Share of the time that an engine keeps an idle connection during which it
-/// is used again; a request that crosses the engine's close may be lost.
-const USED_SHARE: f64 = 0.6;
-/// Most idle connections to one engine.
-const MOST_IDLE: usize = 32;
-/// Time between two looks for connections that are not used again: an engine that gets no
-/// other request from this gateway would else hold a descriptor here for good.
-const SWEPT_EVERY: Duration = Duration::from_secs(1);
+/// Share of the engine's keep-alive time during which a connection is reused; a request
+/// that crosses the engine's close may be lost.
+const REUSE_SHARE: f64 = 0.6;
+/// Maximum number of idle connections to one engine.
+const MAX_IDLE: usize = 32;
+/// Interval between sweeps for expired connections: an engine that gets no other request
+/// from this gateway would otherwise hold a descriptor here forever.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
 #[derive(Debug)]
 struct Idle {
@@ -34,7 +34,7 @@
 }
 
 impl Pool {
-    /// A connection on which nothing is under way.
+    /// Returns a usable idle connection to an engine.
     pub async fn take(&self, engine: &str, clock: &BootClock) -> Option<Connection> {
         loop {
             let idle = self.idle.borrow_mut().get_mut(engine)?.pop()?;
@@ -53,26 +53,27 @@
         keep_alive: Option<Duration>,
         now: Timestamp,
     ) {
-        let lives = keep_alive.map_or(DEFAULT_IDLE, |lives| lives.mul_f64(USED_SHARE));
-        if !connection.buffered().is_empty() || lives.is_zero() {
+        let lifetime = keep_alive.map_or(DEFAULT_IDLE, |lifetime| lifetime.mul_f64(REUSE_SHARE));
+        if !connection.buffered().is_empty() || lifetime.is_zero() {
             return;
         }
         let mut idle = self.idle.borrow_mut();
-        if now.since(self.swept.get()) >= SWEPT_EVERY {
+        if now.since(self.swept.get()) >= SWEEP_INTERVAL {
             self.swept.set(now);
-            idle.retain(|_, of_engine| {
-                of_engine.retain(|idle| idle.until > now);
-                !of_engine.is_empty()
+            idle.retain(|_, connections| {
+                connections.retain(|idle| idle.until > now);
+                !connections.is_empty()
             });
         }
-        let of_engine = idle.entry(engine.to_owned()).or_default();
-        if of_engine.len() < MOST_IDLE {
-            let until = now + lives;
-            of_engine.push(Idle { connection, until });
+        let connections = idle.entry(engine.to_owned()).or_default();
+        if connections.len() < MAX_IDLE {
+            let until = now + lifetime;
+            connections.push(Idle { connection, until });
         }
     }
 
-    /// Closes the idle connections to an engine that left, in that life and before.
+    /// Closes the idle connections to an engine that left, in this and earlier
+    /// incarnations.
     pub fn forget_departed(&self, departed: &str) {
         let departed = EngineLife::of(departed);
         let mut idle = self.idle.borrow_mut();
--- a/crates/proxy/src/queue.rs
+++ b/crates/proxy/src/queue.rs
@@ -1,4 +1,5 @@
-//! Online requests that wait for an engine, woken when it is their turn to look.
+//! Queue of online requests that wait for an engine; each is woken when it has the turn to
+//! pick one.
 
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
@@ -12,83 +13,83 @@
 use molespan_routing::queue::{Limits, Place, Queue, Refused, Turn, Want};
 use molespan_types::Timestamp;
 
-/// Time between two looks of a request that can still be in time.
-const LOOK_AGAIN: Duration = Duration::from_millis(8);
-/// The same for a late one, which has more time.
-const LOOK_AGAIN_LATE: Duration = Duration::from_millis(20);
+/// Interval at which a request that can still be in time tries to pick an engine.
+const PICK_INTERVAL: Duration = Duration::from_millis(8);
+/// The same for a late request, which is less urgent.
+const LATE_PICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// The queue of one service, and those who wait in it.
+/// The queue of one service and its waiting requests.
 #[derive(Debug)]
 pub struct ServiceQueue {
     queue: RefCell<Queue>,
-    seats: RefCell<BTreeMap<Place, Seat>>,
-    /// Who has the turn.
-    lookers: RefCell<Vec<Place>>,
+    entries: RefCell<BTreeMap<Place, WaiterEntry>>,
+    /// Requests that have the turn.
+    turn_holders: RefCell<Vec<Place>>,
     clock: BootClock,
 }
 
-/// Where one that waits is woken.
+/// Wake-up state of a waiting request.
 #[derive(Debug)]
-struct Seat {
+struct WaiterEntry {
     wake: Sender<()>,
     turn: Option<Turn>,
     refused: Option<Refused>,
 }
 
-/// What the wait of a request came to.
+/// Result of waiting.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Woken {
-    /// It may look for an engine.
-    Looks(Turn),
-    /// Its turn cannot come.
+    /// The request may pick an engine.
+    MayPick(Turn),
+    /// The request's turn cannot come.
     Refused(Refused),
 }
 
-/// A request that waits, until it is dropped.
+/// A waiting request; it leaves the queue when dropped.
 #[derive(Debug)]
 pub struct Waiter {
     queue: Rc<ServiceQueue>,
     place: Place,
     wake: Receiver<()>,
-    /// Whether it looked since it was woken.
-    looked: Cell<bool>,
-    /// Since when it waits, and how long that was expected to take.
+    /// Whether it has been allowed to pick since it was woken.
+    has_picked: Cell<bool>,
+    /// When the wait began, and how long it was expected to take.
     since: Timestamp,
     expected: Option<Duration>,
 }
 
 impl ServiceQueue {
-    /// An empty one.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new(limits: Limits, clock: BootClock) -> Rc<Self> {
         Rc::new(Self {
             queue: RefCell::new(Queue::new(limits)),
-            seats: RefCell::default(),
-            lookers: RefCell::default(),
+            entries: RefCell::default(),
+            turn_holders: RefCell::default(),
             clock,
         })
     }
 
-    /// A request wants an engine.
+    /// Adds a request that needs an engine.
     ///
     /// # Errors
     /// When its turn cannot come.
-    pub fn ask(self: &Rc<Self>, want: &Want<'_>) -> Result<Waiter, Refused> {
+    pub fn enqueue(self: &Rc<Self>, want: &Want<'_>) -> Result<Waiter, Refused> {
         let now = self.clock.now();
         let place = self.queue.borrow_mut().ask(want, now)?;
         let expected = self.queue.borrow().expected_wait(place, now);
         let (sender, wake) = async_channel::bounded(1);
-        let seat = Seat {
+        let entry = WaiterEntry {
             wake: sender,
             turn: None,
             refused: None,
         };
-        self.seats.borrow_mut().insert(place, seat);
+        self.entries.borrow_mut().insert(place, entry);
         let waiter = Waiter {
             queue: self.clone(),
             place,
             wake,
-            looked: Cell::new(false),
+            has_picked: Cell::new(false),
             since: now,
             expected,
         };
@@ -96,87 +97,89 @@
         Ok(waiter)
     }
 
-    /// There may be room: whoever has the turn looks at once.
-    pub fn look(&self) {
+    /// Wakes all requests that have the turn, since an engine may have capacity.
+    pub fn wake_turn_holders(&self) {
         self.update();
-        let seats = self.seats.borrow();
-        for place in self.lookers.borrow().iter() {
-            if let Some(seat) = seats.get(place) {
-                seat.wake();
+        let entries = self.entries.borrow();
+        for place in self.turn_holders.borrow().iter() {
+            if let Some(entry) = entries.get(place) {
+                entry.wake();
             }
         }
     }
 
-    /// A request takes a slot of an engine.
+    /// Records that a request starts to use a slot of an engine.
     pub fn started(&self) {
         self.queue.borrow_mut().started();
     }
 
-    /// One leaves it, and held it for so long if it began. Whoever has the turn looks.
+    /// Records that a request leaves an engine, and how long it held a slot if it began.
+    /// Wakes the requests that have the turn.
     pub fn ended(&self, held: Option<Duration>) {
         self.queue.borrow_mut().ended(held);
-        self.look();
+        self.wake_turn_holders();
     }
 
-    /// Requests that wait, and how many of them can still be in time.
+    /// Returns the number of waiting requests and how many of them can still be in time.
     #[must_use]
     pub fn lengths(&self) -> (usize, usize) {
         let queue = self.queue.borrow();
         (queue.len(), queue.in_time())
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.queue.borrow().is_empty()
     }
 
-    /// When a request that comes now would have its turn at the latest.
+    /// Returns the longest expected wait of a request that arrives now; `None` if it cannot be
+    /// estimated.
     #[must_use]
     pub fn room_in(&self) -> Option<Duration> {
         self.queue.borrow().room_in(self.clock.now())
     }
 
-    /// Gives out turns and refusals as they stand now.
+    /// Updates turns and refusals to the current time.
     fn update(&self) {
         let now = self.clock.now();
         let refused = self.queue.borrow_mut().sweep(now);
         let turns = self.queue.borrow_mut().lookers(now);
-        let mut seats = self.seats.borrow_mut();
+        let mut entries = self.entries.borrow_mut();
         for (place, refused) in refused {
-            if let Some(seat) = seats.get_mut(&place) {
-                seat.refused = Some(refused);
-                seat.wake();
+            if let Some(entry) = entries.get_mut(&place) {
+                entry.refused = Some(refused);
+                entry.wake();
             }
         }
         let places = turns.iter().map(|&(place, _)| place).collect();
-        let before = self.lookers.replace(places);
+        let before = self.turn_holders.replace(places);
         let over = before
             .iter()
             .filter(|before| turns.iter().all(|(place, _)| place != *before));
         for place in over {
-            if let Some(seat) = seats.get_mut(place) {
-                seat.turn = None;
+            if let Some(entry) = entries.get_mut(place) {
+                entry.turn = None;
             }
         }
         for (place, turn) in turns {
-            if let Some(seat) = seats.get_mut(&place)
-                && seat.turn.replace(turn).is_none()
+            if let Some(entry) = entries.get_mut(&place)
+                && entry.turn.replace(turn).is_none()
             {
-                seat.wake();
+                entry.wake();
             }
         }
     }
 }
 
-impl Seat {
+impl WaiterEntry {
     fn wake(&self) {
-        let _woken_already = self.wake.try_send(());
+        let _already_woken = self.wake.try_send(());
     }
 }
 
 impl Waiter {
-    /// Waits until it is to look again, or is refused.
+    /// Waits until the request may pick an engine (again) or is refused.
     pub async fn woken(&self) -> Woken {
         loop {
             let (turn, refused) = self.state();
@@ -184,48 +187,47 @@
                 return Woken::Refused(refused);
             }
             match turn {
-                Some(turn) if !self.looked.replace(true) => {
-                    // This look is what it was woken for.
+                Some(turn) if !self.has_picked.replace(true) => {
+                    // Consumes the wake-up that is answered here.
                     let _woken = self.wake.try_recv();
-                    return Woken::Looks(turn);
+                    return Woken::MayPick(turn);
                 }
                 Some(turn) => {
-                    self.rest(turn).await;
-                    self.looked.set(false);
+                    self.wait_to_pick_again(turn).await;
+                    self.has_picked.set(false);
                     self.queue.update();
                 }
                 None => {
                     let _woken = self.wake.recv().await;
-                    self.looked.set(false);
+                    self.has_picked.set(false);
                 }
             }
         }
     }
 
-    /// An engine was found. Says whether it was in time, and how far the wait was from
-    /// what was expected.
+    /// Ends the wait because an engine was found.
     #[must_use]
-    pub fn begins(self) -> Begun {
+    pub fn finish(self) -> WaitResult {
         let now = self.queue.clock.now();
         let in_time = self.queue.queue.borrow_mut().begun(self.place, now);
         let waited = now.since(self.since);
-        Begun {
+        WaitResult {
             in_time: in_time.unwrap_or_default(),
-            error: self.expected.map(|expected| waited.abs_diff(expected)),
+            forecast_error: self.expected.map(|expected| waited.abs_diff(expected)),
         }
     }
 
     fn state(&self) -> (Option<Turn>, Option<Refused>) {
-        let seats = self.queue.seats.borrow();
-        let seat = seats.get(&self.place);
-        seat.map_or((None, None), |seat| (seat.turn, seat.refused))
+        let entries = self.queue.entries.borrow();
+        let entry = entries.get(&self.place);
+        entry.map_or((None, None), |entry| (entry.turn, entry.refused))
     }
 
-    /// Waits for the next look of one that has the turn.
-    async fn rest(&self, turn: Turn) {
+    /// Waits until a request that has the turn may pick again.
+    async fn wait_to_pick_again(&self, turn: Turn) {
         let again = match turn.in_time {
-            true => LOOK_AGAIN,
-            false => LOOK_AGAIN_LATE,
+            true => PICK_INTERVAL,
+            false => LATE_PICK_INTERVAL,
         };
         let woken = async {
             let _woken = self.wake.recv().await;
@@ -238,20 +240,20 @@
 }
 
 impl Drop for Waiter {
-    /// Whoever no longer waits makes room for the next one.
+    /// Leaves the queue and updates the turns, so that the next request gets one.
     fn drop(&mut self) {
-        self.queue.seats.borrow_mut().remove(&self.place);
+        self.queue.entries.borrow_mut().remove(&self.place);
         let now = self.queue.clock.now();
         self.queue.queue.borrow_mut().leave(self.place, now);
         self.queue.update();
     }
 }
 
-/// The end of a wait.
+/// The result of a successful wait.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Begun {
-    /// Whether it can be in time.
+pub struct WaitResult {
+    /// Whether the request can be in time.
     pub in_time: bool,
-    /// How far the wait was from what was expected of it.
-    pub error: Option<Duration>,
+    /// Absolute difference between the actual and the expected wait.
+    pub forecast_error: Option<Duration>,
 }
--- a/crates/proxy/src/race.rs
+++ b/crates/proxy/src/race.rs
@@ -1,6 +1,6 @@
-//! A connection to an engine, raced with one to another engine where the first is slow.
+//! Connects to an engine, and to a second one in parallel if the first is slow.
 //!
-//! A connect writes nothing, so that the request runs at one of them only.
+//! Connecting writes no data, so the request runs at only one of them.
 
 use std::future::{Future, poll_fn};
 use std::pin::{Pin, pin};
@@ -16,90 +16,92 @@
 use molespan_types::Timestamp;
 
 use crate::attempt::AttemptLimits;
-use crate::batch::give_way;
-use crate::state::{GatewayState, Occupied};
+use crate::batch::preempt_batch_runs;
+use crate::state::{GatewayState, InFlightGuard};
 
-/// Longest time for a new connection to an engine.
+/// Timeout for a new connection to an engine.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// A connection to an engine at which a request is counted.
-pub(crate) struct Link {
+/// A connection to an engine at which the request is counted.
+pub(crate) struct CountedConnection {
     pub connection: Connection,
-    pub occupied: Occupied,
+    pub in_flight: InFlightGuard,
 }
 
-/// A connection to the engine that was picked, or to the one that `another` picks where
-/// that is up sooner: `picked` is the engine of the connection then. `None` where no
-/// engine could be reached.
-pub(crate) async fn link(
+/// Returns a connection to the picked engine, or to one picked by `another` if that
+/// connects first; `picked` is then replaced. Returns `None` if no engine could be reached.
+pub(crate) async fn connect_engine(
     state: &Rc<GatewayState>,
     picked: &mut Picked,
     another: impl FnOnce(&Picked) -> Option<Picked>,
     class: WorkClass,
     limits: AttemptLimits,
-) -> Option<Link> {
-    let occupied = occupy(state, picked, class);
+) -> Option<CountedConnection> {
+    let in_flight = count_in_flight(state, picked, class);
     let engine = picked.facts.clone();
-    let mut first = Box::pin(open(state, engine.clone(), limits.ends));
-    if let Some(opened) = before(&mut first, limits.slow).await {
+    let mut first = Box::pin(open(state, engine.clone(), limits.deadline));
+    if let Some(opened) = connect_unless_slow(&mut first, limits.slow_after).await {
         let connection = opened?;
-        return Some(Link {
+        return Some(CountedConnection {
             connection,
-            occupied,
+            in_flight,
         });
     }
-    state.doubt(&engine.id, Doubt::Slow);
+    state.check_reach(&engine.id, Doubt::Slow);
     let Some(beside) = another(picked) else {
         let connection = first.await?;
-        return Some(Link {
+        return Some(CountedConnection {
             connection,
-            occupied,
+            in_flight,
         });
     };
-    let occupied_beside = occupy(state, &beside, class);
-    let second = Box::pin(open(state, beside.facts.clone(), limits.ends));
+    let in_flight_beside = count_in_flight(state, &beside, class);
+    let second = Box::pin(open(state, beside.facts.clone(), limits.deadline));
     let up = first_up([first, second]).await;
     state
         .metrics
         .reach
-        .raced(up.as_ref().map(|(place, _)| *place));
+        .count_race(up.as_ref().map(|(place, _)| *place));
     let (place, connection) = up?;
     if place == 0 {
-        return Some(Link {
+        return Some(CountedConnection {
             connection,
-            occupied,
+            in_flight,
         });
     }
     *picked = beside;
-    Some(Link {
+    Some(CountedConnection {
         connection,
-        occupied: occupied_beside,
+        in_flight: in_flight_beside,
     })
 }
 
-fn occupy(state: &Rc<GatewayState>, picked: &Picked, class: WorkClass) -> Occupied {
-    let occupied = state.occupy(picked, class);
+fn count_in_flight(state: &Rc<GatewayState>, picked: &Picked, class: WorkClass) -> InFlightGuard {
+    let in_flight = state.count_in_flight(picked, class);
     if class == WorkClass::Online {
-        // This request is counted by now, so that it finds a slot.
-        give_way(state);
+        // This request is already counted, so that preemption frees a slot for it.
+        preempt_batch_runs(state);
     }
-    occupied
+    in_flight
 }
 
-/// What a connect comes to unless it is slow.
-async fn before<F: Future + Unpin>(connect: &mut F, slow: Option<Duration>) -> Option<F::Output> {
+/// Returns the result of a connect, or `None` if it takes longer than `slow_after`.
+async fn connect_unless_slow<F: Future + Unpin>(
+    connect: &mut F,
+    slow_after: Option<Duration>,
+) -> Option<F::Output> {
     let connected = async { Some(connect.await) };
-    let Some(slow) = slow else {
+    let Some(slow_after) = slow_after else {
         return connected.await;
     };
     let late = async {
-        Timer::after(slow).await;
+        Timer::after(slow_after).await;
         None
     };
     future::or(connected, late).await
 }
 
-/// The connection that is up first, and its place.
+/// Returns the first connection that succeeds, and its index.
 async fn first_up<F>(connects: [Pin<Box<F>>; 2]) -> Option<(usize, Connection)>
 where
     F: Future<Output = Option<Connection>>,
@@ -127,23 +129,23 @@
     .await
 }
 
-/// A connection to an engine, kept from before or new. That none came up is noted.
+/// Returns a pooled or new connection to an engine, and records a failed connect.
 async fn open(
     state: &Rc<GatewayState>,
     engine: EngineFacts,
-    ends: Timestamp,
+    deadline: Timestamp,
 ) -> Option<Connection> {
     if let Some(connection) = state.pool.take(&engine.id, &state.clock).await {
         return Some(connection);
     }
     let began = state.now();
-    let timeout = CONNECT_TIMEOUT.min(ends.since(began));
+    let timeout = CONNECT_TIMEOUT.min(deadline.since(began));
     let connect = async {
         let connecting = h1::connect(engine.address, timeout, SocketOptions::default());
         Some(connecting.await)
     };
     let given_up = async {
-        state.out_of_reach(&engine.id).await;
+        state.wait_until_unreachable(&engine.id).await;
         None
     };
     let given_up = pin!(given_up);
--- a/crates/proxy/src/reach.rs
+++ b/crates/proxy/src/reach.rs
@@ -1,7 +1,7 @@
-//! Finding out which zones are out of reach, and when they are back.
+//! Detects which zones are unreachable and when they are reachable again.
 //!
-//! What requests see of engines is noted here, and connects that write nothing are made
-//! where the decisions ask for them.
+//! Records what requests observe of engines, and makes probe connects, which write no data,
+//! where the routing table asks for them.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -19,91 +19,95 @@
 
 use crate::state::GatewayState;
 
-/// Looks that wait to be made; at most one a zone is asked for at a time.
-const MOST_WAITING: usize = 64;
-/// Time between two questions what to connect to while a zone is out of reach: a part of
-/// the time between two connects.
-const TICK: Duration = Duration::from_millis(20);
+/// Maximum number of queued probe requests; at most one per zone is made at a time.
+const MAX_QUEUED_PROBES: usize = 64;
+/// Interval at which due probes are collected while a zone is unreachable; a fraction of
+/// the interval between probes.
+const PROBE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 type Wakeup = (Sender<()>, Receiver<()>);
 
-/// What is to be looked at, and who waits for changes.
+/// Queued probes, and the wake-up of requests that wait for reachability changes.
 pub(crate) struct Reach {
-    looks: (Sender<Vec<Probe>>, Receiver<Vec<Probe>>),
-    /// Closed when a zone goes out of reach, and replaced.
-    went_out: RefCell<Wakeup>,
-    /// What others tell where gateways tell each other directly.
-    told: RefCell<ReachRelay>,
+    probes: (Sender<Vec<Probe>>, Receiver<Vec<Probe>>),
+    /// Closed and replaced when a zone becomes unreachable.
+    zone_lost: RefCell<Wakeup>,
+    /// Reports of other gateways, where gateways report to each other directly.
+    reports: RefCell<ReachRelay>,
 }
 
 impl Default for Reach {
     fn default() -> Self {
         Self {
-            looks: async_channel::bounded(MOST_WAITING),
-            went_out: RefCell::new(async_channel::bounded(1)),
-            told: RefCell::default(),
+            probes: async_channel::bounded(MAX_QUEUED_PROBES),
+            zone_lost: RefCell::new(async_channel::bounded(1)),
+            reports: RefCell::default(),
         }
     }
 }
 
 impl GatewayState {
-    /// An engine may be out of reach: whether its zone is, is looked into.
-    pub fn doubt(&self, engine: &str, doubt: Doubt) {
+    /// Checks whether the zone of an engine that may be unreachable is unreachable.
+    pub fn check_reach(&self, engine: &str, doubt: Doubt) {
         let now = self.now();
         let probes = self.engines.borrow_mut().doubt(engine, doubt, now);
         if !probes.is_empty() {
-            self.look_at(probes);
+            self.queue_probes(probes);
         }
     }
 
-    fn look_at(&self, probes: Vec<Probe>) {
-        if self.reach.looks.0.try_send(probes).is_err() {
-            warn!(self.logger, "too many engines to look at");
+    fn queue_probes(&self, probes: Vec<Probe>) {
+        if self.reach.probes.0.try_send(probes).is_err() {
+            warn!(
+                self.logger,
+                "too many queued probes of engines; dropping a request"
+            );
         }
     }
 
-    /// An attempt that `began` then did not reach an engine.
+    /// Records that an attempt that started at `began` did not reach an engine.
     pub fn note_unreached(&self, engine: &str, began: Timestamp) {
         let now = self.now();
         self.engines.borrow_mut().unreached(engine, began, now);
         self.note_reach_changes();
-        self.doubt(engine, Doubt::Failed);
+        self.check_reach(engine, Doubt::Failed);
     }
 
-    /// An attempt that `began` then reached an engine.
+    /// Records that an attempt that started at `began` reached an engine.
     pub fn note_reached(&self, engine: &str, began: Timestamp, by: Sign) {
         let now = self.now();
         self.engines.borrow_mut().reached(engine, began, by, now);
         self.note_reach_changes();
     }
 
-    /// Another gateway, or a relay for all others, tells of zones out of reach.
-    pub fn note_reach_told(&self, from: NodeId, relayed: bool, told: Vec<ReachTelling>) {
+    /// Records a report of unreachable zones from another gateway, or from a relay for all
+    /// others.
+    pub fn apply_reach_report(&self, from: NodeId, relayed: bool, report: Vec<ReachTelling>) {
         let now = self.now();
-        let told = match relayed {
-            true => told.into_iter().next(),
+        let report = match relayed {
+            true => report.into_iter().next(),
             false => {
-                let mut all = self.reach.told.borrow_mut();
+                let mut all = self.reach.reports.borrow_mut();
                 all.expire(now);
-                all.note(from, Teller::Gateway, told, now);
+                all.note(from, Teller::Gateway, report, now);
                 all.for_gateway(self.own, self.zone())
             }
         };
-        let Some(told) = told else {
+        let Some(report) = report else {
             return;
         };
-        let probes = self.engines.borrow_mut().note_reach_told(&told, now);
+        let probes = self.engines.borrow_mut().note_reach_told(&report, now);
         self.note_reach_changes();
         if !probes.is_empty() {
-            self.look_at(probes);
+            self.queue_probes(probes);
         }
     }
 
-    /// Waits until the zone of an engine is found out of reach here.
-    pub async fn out_of_reach(&self, engine: &str) {
+    /// Waits until this gateway finds the zone of an engine unreachable.
+    pub async fn wait_until_unreachable(&self, engine: &str) {
         while !self.engines.borrow().was_found_out_of_reach(engine) {
-            let went_out = self.reach.went_out.borrow().1.clone();
-            let _closed = went_out.recv().await;
+            let zone_lost = self.reach.zone_lost.borrow().1.clone();
+            let _closed = zone_lost.recv().await;
         }
     }
 
@@ -117,43 +121,44 @@
             self.note_reach_change(change);
         }
         let out = self.engines.borrow().zones_out_of_reach();
-        self.metrics.reach.out(out.len());
+        self.metrics.reach.set_unreachable_zones(out.len());
     }
 
     fn note_reach_change(&self, change: Change) {
         match change {
             Change::Out { zone, evidence } => {
-                self.write_out_of_reach(zone.as_str(), evidence);
-                self.metrics.reach.changed("out");
+                self.log_unreachable_zone(zone.as_str(), evidence);
+                self.metrics.reach.count_change("out");
                 self.wake_waiting();
-                // Wakes the one who connects there from now on, and the one who tells.
-                self.look_at(Vec::new());
-                self.tell_soon();
+                // Wakes the prober, which probes the zone from now on, and then the sender
+                // of reports.
+                self.queue_probes(Vec::new());
+                self.request_report();
             }
             Change::Confirmed { zone, after } => {
-                info!(self.logger, "zone out of reach, seen here too"; "zone" => zone.as_str(),
+                info!(self.logger, "zone out of reach, confirmed here"; "zone" => zone.as_str(),
                     "after_ms" => after.as_millis() as u64);
                 self.wake_waiting();
-                self.tell_soon();
+                self.request_report();
             }
             Change::Back { zone, after, by } => {
                 info!(self.logger, "zone back"; "zone" => zone.as_str(),
                     "after_ms" => after.as_millis() as u64, "by" => by.name());
-                self.metrics.reach.changed("back");
+                self.metrics.reach.count_change("back");
             }
         }
     }
 }
 
 impl GatewayState {
-    /// Wakes those who wait for an answer from a zone that is out of reach.
+    /// Wakes the requests that wait for an answer from an unreachable zone.
     fn wake_waiting(&self) {
         let next = async_channel::bounded(1);
-        let (woken, _) = self.reach.went_out.replace(next);
+        let (woken, _) = self.reach.zone_lost.replace(next);
         woken.close();
     }
 
-    fn write_out_of_reach(&self, zone: &str, evidence: Evidence) {
+    fn log_unreachable_zone(&self, zone: &str, evidence: Evidence) {
         match evidence {
             Evidence::Own { failed, of, age } => {
                 warn!(self.logger, "zone out of reach"; "zone" => zone, "evidence" => "own",
@@ -167,31 +172,31 @@
     }
 }
 
-/// Connects to engines as asked, for as long as it is polled.
+/// Makes the requested and due probe connects. Runs until dropped.
 pub(crate) async fn watch_reach(state: Rc<GatewayState>, local: Rc<LocalExecutor<'static>>) {
     loop {
-        let asked = async { state.reach.looks.1.recv().await.unwrap_or_default() };
+        let asked = async { state.reach.probes.1.recv().await.unwrap_or_default() };
         let out = !state.engines.borrow().zones_out_of_reach().is_empty();
         let probes = match out {
-            true => future::or(asked, due(&state)).await,
+            true => future::or(asked, due_probes(&state)).await,
             false => asked.await,
         };
         for probe in probes {
-            local.spawn(look(state.clone(), probe)).detach();
+            local.spawn(make_probe(state.clone(), probe)).detach();
         }
     }
 }
 
-/// What is to be connected to since its zone is out of reach.
-async fn due(state: &GatewayState) -> Vec<Probe> {
-    Timer::after(TICK).await;
+/// Returns the due probes of unreachable zones.
+async fn due_probes(state: &GatewayState) -> Vec<Probe> {
+    Timer::after(PROBE_POLL_INTERVAL).await;
     let now = state.now();
     let probes = state.engines.borrow_mut().probes(now);
     state.note_reach_changes();
     probes
 }
 
-async fn look(state: Rc<GatewayState>, probe: Probe) {
+async fn make_probe(state: Rc<GatewayState>, probe: Probe) {
     let Probe {
         engine,
         address,
@@ -200,7 +205,7 @@
     let began = state.now();
     let connected = h1::connect(address, timeout, SocketOptions::default()).await;
     let now = state.now();
-    state.metrics.reach.probed(connected.is_ok());
+    state.metrics.reach.count_probe(connected.is_ok());
     match connected {
         Ok(_closed_again) => {
             let took = now.since(began);
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request: its route, and the answer to it.
+//! Serving a caller's request: routing and answering.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,24 +17,24 @@
 use crate::resume::relay_resumable;
 use crate::state::{GatewayState, InForce};
 
-/// When a caller should come back to a gateway that knows too little: an election
-/// and a watch take about as long.
-pub(crate) const KNOWS_SOON: Duration = Duration::from_millis(1_200);
-/// An answer in whole is held up to this length, so that a request that may be
-/// repeated can be when its engine breaks off.
-const HELD_BYTES: u64 = 256 << 10;
+/// Retry delay for a caller of a gateway without current configuration; an election and a
+/// watch take about as long.
+pub(crate) const CONFIGURATION_RETRY_AFTER: Duration = Duration::from_millis(1_200);
+/// Maximum size, in bytes, of an answer that is buffered completely before it is relayed,
+/// so that a repeatable request can be retried if its engine breaks off.
+const MAX_BUFFERED_ANSWER_BYTES: u64 = 256 << 10;
 
-/// A request of a caller that was read whole.
+/// A completely read request of a caller.
 pub(crate) struct CallerRequest {
     pub head: RequestHead,
     pub body: Vec<u8>,
-    /// When its head was there.
+    /// When the head arrived.
     pub arrived: Timestamp,
 }
 
 /// Whether the caller's connection may carry another request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum After {
+pub(crate) enum ConnectionAction {
     KeepAlive,
     Close,
 }
@@ -46,10 +46,10 @@
     caller: &Connection,
     request: CallerRequest,
     keep_alive: bool,
-) -> After {
+) -> ConnectionAction {
     let Some(in_force) = state.in_force() else {
         let refusal = Refusal::NoConfiguration {
-            retry_after: KNOWS_SOON,
+            retry_after: CONFIGURATION_RETRY_AFTER,
         };
         return refuse(state, dialect, caller, refusal, keep_alive).await;
     };
@@ -59,7 +59,7 @@
             Ok(tenant) => batch::call(state, dialect, call, tenant.as_deref()).await,
             Err(refusal) => dialect.refusal(refusal),
         };
-        return finish(caller, &answer.encode(keep_alive), keep_alive).await;
+        return write_answer(caller, &answer.encode(keep_alive), keep_alive).await;
     }
     let host = request.head.host();
     let Some(route) = in_force.model.route(&host, request.head.path()) else {
@@ -70,14 +70,14 @@
     let tenant = match state.tenant(&in_force, credential, route.anonymous) {
         Ok(tenant) => tenant,
         Err(refusal) => {
-            info!(state.logger, "key refused"; "route" => &route.name, "refusal" => ?refusal,
+            info!(state.logger, "key refused by the tenant check"; "route" => &route.name, "refusal" => ?refusal,
                 "version" => in_force.version);
             return refuse(state, dialect, caller, refusal, keep_alive).await;
         }
     };
     if route.kind == RouteKind::Batch {
         let answer = batch::submit(state, dialect, route, tenant.as_deref(), &request).await;
-        return finish(caller, &answer.encode(keep_alive), keep_alive).await;
+        return write_answer(caller, &answer.encode(keep_alive), keep_alive).await;
     }
     let minor = request.head.minor;
     let dispatch = dispatch(state, dialect, &in_force, route, tenant, request);
@@ -88,16 +88,16 @@
     let served = dispatch.answer(caller, minor, keep_alive);
     let gone = async {
         caller.gone().await;
-        After::Close
+        ConnectionAction::Close
     };
-    // The answer goes first: while it is written the caller is watched too.
+    // The answer is polled first; the caller is also watched while it is written.
     future::or(served, gone).await
 }
 
-/// The attempts of a request that its tenant may send.
+/// Prepares the attempts of a request, if its tenant may send it.
 ///
 /// # Errors
-/// When it may not, or no service is left for it.
+/// When the tenant may not, or no service is left for the request.
 fn dispatch<'a, D: GatewayDialect>(
     state: &'a Rc<GatewayState>,
     dialect: &'a D,
@@ -114,15 +114,15 @@
     }
     if let Some(tenant) = &tenant {
         state.admit(&dispatch.facts.id, tenant)?;
-        dispatch.counts = true;
+        dispatch.counted = true;
     }
     Ok(dispatch)
 }
 
-/// Whether a request carries the key that it needs, as far as its head tells.
+/// Checks the key of a request as far as its head allows.
 ///
 /// # Errors
-/// When it does not.
+/// When the request lacks a key that it needs.
 pub(crate) fn check_key<D: GatewayDialect>(
     state: &GatewayState,
     dialect: &D,
@@ -143,31 +143,36 @@
     caller: &Connection,
     refusal: Refusal,
     keep_alive: bool,
-) -> After {
-    state.metrics.refused(refusal);
+) -> ConnectionAction {
+    state.metrics.count_refusal(refusal);
     let answer = dialect.refusal(refusal).encode(keep_alive);
-    finish(caller, &answer, keep_alive).await
+    write_answer(caller, &answer, keep_alive).await
 }
 
-async fn finish(caller: &Connection, bytes: &[u8], keep_alive: bool) -> After {
+async fn write_answer(caller: &Connection, bytes: &[u8], keep_alive: bool) -> ConnectionAction {
     match caller.write(bytes).await {
-        Ok(()) if keep_alive => After::KeepAlive,
-        _ => After::Close,
+        Ok(()) if keep_alive => ConnectionAction::KeepAlive,
+        _ => ConnectionAction::Close,
     }
 }
 
 impl<D: GatewayDialect> Dispatch<'_, D> {
     /// Answers the caller.
-    async fn answer(&mut self, caller: &Connection, minor: u8, keep_alive: bool) -> After {
+    async fn answer(
+        &mut self,
+        caller: &Connection,
+        minor: u8,
+        keep_alive: bool,
+    ) -> ConnectionAction {
         loop {
             let reply = match self.next_reply(None).await {
                 Ok(reply) => reply,
                 Err(refusal) => return self.refuse(caller, refusal, keep_alive).await,
             };
-            let held = self.route.kind == RouteKind::Safe && self.may_run_again();
-            if held {
-                match self.relay_held(reply, caller, keep_alive).await {
-                    Some(after) => return after,
+            let buffered = self.route.kind == RouteKind::Safe && self.may_run_again();
+            if buffered {
+                match self.relay_buffered(reply, caller, keep_alive).await {
+                    Some(action) => return action,
                     None => continue,
                 }
             }
@@ -176,41 +181,47 @@
             let ended = if resumable && reply.head.status == 200 {
                 relay_resumable(self, reply, caller, minor, keep_alive).await
             } else {
-                let ends = self.ends;
-                let ended = relay(self.state, reply, caller, minor, keep_alive, ends).await;
+                let deadline = self.deadline;
+                let ended = relay(self.state, reply, caller, minor, keep_alive, deadline).await;
                 if ended == Relayed::EngineBroke {
-                    self.state.look_into(&engine, &self.outbound);
+                    self.state.check_engine(&engine, &self.outbound);
                 }
                 ended
             };
             if ended == Relayed::Whole {
-                self.state.note_whole(&self.outbound);
+                self.state.note_complete(&self.outbound);
             }
             if ended != Relayed::Whole {
-                info!(self.state.logger, "answer not whole";
+                info!(self.state.logger, "answer not relayed completely";
                     "request" => &self.outbound.id, "digest" => %self.outbound.digest(),
                     "ended" => ?ended, "runs" => self.runs);
             }
             return match ended {
-                Relayed::Whole if keep_alive => After::KeepAlive,
-                _ => After::Close,
+                Relayed::Whole if keep_alive => ConnectionAction::KeepAlive,
+                _ => ConnectionAction::Close,
             };
         }
     }
 
-    /// Reads a short answer whole before passing it on; `None` when its engine
-    /// broke off and another one may run the request.
-    async fn relay_held(
+    /// Reads a short answer completely before relaying it; `None` if its engine broke off
+    /// and another one may run the request.
+    async fn relay_buffered(
         &mut self,
         reply: EngineReply,
         caller: &Connection,
         keep_alive: bool,
-    ) -> Option<After> {
+    ) -> Option<ConnectionAction> {
         let EngineReply { head, mut body, .. } = reply;
         let mut reader = std::mem::replace(&mut body.reader, BodyReader::new(body.framing));
-        let reading = async { Some(reader.collect(&mut body.connection, HELD_BYTES).await) };
+        let reading = async {
+            Some(
+                reader
+                    .collect(&mut body.connection, MAX_BUFFERED_ANSWER_BYTES)
+                    .await,
+            )
+        };
         let late = async {
-            self.state.clock.wait_until(self.ends).await;
+            self.state.clock.wait_until(self.deadline).await;
             None
         };
         let whole = match future::or(reading, late).await {
@@ -219,11 +230,11 @@
                 self.note_broken(&body.engine);
                 return None;
             }
-            _ => return Some(After::Close),
+            _ => return Some(ConnectionAction::Close),
         };
         body.reader = reader;
         body.finish(self.state);
-        self.state.note_whole(&self.outbound);
+        self.state.note_complete(&self.outbound);
         let mut headers = Headers::new();
         headers.extend_end_to_end(&head.headers);
         headers.push("Content-Length", whole.len().to_string());
@@ -232,23 +243,28 @@
         }
         let mut bytes = molespan_http::h1::encode_response(head.status, &head.reason, &headers);
         bytes.extend_from_slice(&whole);
-        let written = write(self.state, caller, &bytes, self.ends).await;
+        let written = write(self.state, caller, &bytes, self.deadline).await;
         Some(match written {
-            Ok(()) if keep_alive => After::KeepAlive,
-            _ => After::Close,
+            Ok(()) if keep_alive => ConnectionAction::KeepAlive,
+            _ => ConnectionAction::Close,
         })
     }
 
-    async fn refuse(&self, caller: &Connection, refusal: Refusal, keep_alive: bool) -> After {
+    async fn refuse(
+        &self,
+        caller: &Connection,
+        refusal: Refusal,
+        keep_alive: bool,
+    ) -> ConnectionAction {
         if self.runs == 0
-            && self.counts
+            && self.counted
             && let Some(tenant) = &self.outbound.tenant
         {
             let now = self.state.now();
             self.state.tenants.borrow_mut().give_back(tenant, now);
         }
-        info!(self.state.logger, "refused"; "request" => &self.outbound.id,
-            "refusal" => ?refusal, "runs" => self.runs, "turned_away" => self.turned_away,
+        info!(self.state.logger, "request refused"; "request" => &self.outbound.id,
+            "refusal" => ?refusal, "runs" => self.runs, "turned_away" => self.rejections,
             "after_ms" => self.age().as_millis() as u64);
         refuse(self.state, self.dialect, caller, refusal, keep_alive).await
     }
--- a/crates/proxy/src/resume.rs
+++ b/crates/proxy/src/resume.rs
@@ -1,8 +1,8 @@
-//! Passing on a stream that another engine may go on with.
+//! Relays a stream that another engine may continue.
 //!
-//! Only whole events go to the caller. When the engine breaks off, the next one
-//! is asked to go on behind the last event that was passed on; the head and the
-//! signature stay those of the first engine.
+//! Only complete events are sent to the caller. If the engine breaks off, the next one is
+//! asked to continue after the last event sent; the head and the signature remain those of
+//! the first engine.
 
 use std::pin::pin;
 use std::time::Duration;
@@ -14,40 +14,40 @@
 use crate::attempt::{EngineBody, EngineReply};
 use crate::dialect::GatewayDialect;
 use crate::dispatch::Dispatch;
-use crate::events::EventCutter;
+use crate::events::EventParser;
 use crate::relay::{CallerFraming, Next, Relayed, append, caller_head, next_piece, write};
-use crate::silence::Silence;
+use crate::silence::InactivityTimer;
 use crate::state::GatewayState;
 
-/// Silences between events, as a multiple of the longest pause in time, after
-/// which another engine goes on.
-const SILENT_PAUSES: u32 = 3;
-/// Longest pause between events where the route does not say.
-const DEFAULT_PAUSE: Duration = Duration::from_millis(500);
+/// Multiple of the route's target gap between events after which a silent engine is
+/// replaced.
+const SILENT_GAPS: u32 = 3;
+/// Target gap between events if the route states none.
+const DEFAULT_GAP: Duration = Duration::from_millis(500);
 
-/// What became of one engine's part of a stream.
-enum Part {
-    /// It reached its end.
+/// Result of one engine's part of a stream.
+enum PartResult {
+    /// The stream is complete.
     Whole,
-    /// The engine broke off or fell silent.
+    /// The engine broke off or stopped sending.
     Broken,
-    /// The stream ends here.
+    /// Relaying ended here.
     Ended(Relayed),
 }
 
-/// What was passed on so far.
-struct Progress<'a> {
+/// Progress of the relayed stream.
+struct RelayProgress<'a> {
     state: &'a GatewayState,
     caller: &'a Connection,
     framing: CallerFraming,
-    ends: Timestamp,
-    /// The head, until the first event goes with it.
+    deadline: Timestamp,
+    /// Bytes not yet sent; at first the head, which is sent with the first event.
     waiting: Vec<u8>,
     last_event: Option<u64>,
-    silence: Option<Duration>,
+    inactivity_limit: Option<Duration>,
 }
 
-/// Passes a stream on, from several engines if need be.
+/// Relays a stream, from several engines if necessary.
 pub(crate) async fn relay_resumable<D: GatewayDialect>(
     dispatch: &mut Dispatch<'_, D>,
     reply: EngineReply,
@@ -57,34 +57,34 @@
 ) -> Relayed {
     let framing = molespan_http::h1::Framing::Chunked;
     let (head, framing) = caller_head(&reply.head, framing, minor, keep_alive);
-    let pause = dispatch
+    let gap = dispatch
         .route
         .gap_target_ms
         .map(u64::from)
         .map(Duration::from_millis);
-    let mut progress = Progress {
+    let mut progress = RelayProgress {
         state: dispatch.state,
         caller,
         framing,
-        ends: dispatch.ends,
+        deadline: dispatch.deadline,
         waiting: head,
         last_event: dispatch.first_event(),
-        silence: None,
+        inactivity_limit: None,
     };
     let mut body = reply.body;
     loop {
         let again = dispatch.may_run_again();
-        progress.silence = again.then(|| pause.unwrap_or(DEFAULT_PAUSE) * SILENT_PAUSES);
+        progress.inactivity_limit = again.then(|| gap.unwrap_or(DEFAULT_GAP) * SILENT_GAPS);
         let engine = body.engine.clone();
-        match progress.pass(&mut body).await {
-            Part::Whole => {
+        match progress.relay_events(&mut body).await {
+            PartResult::Whole => {
                 body.finish(dispatch.state);
                 return progress.close().await;
             }
-            Part::Ended(ended) => return ended,
-            Part::Broken => dispatch.note_broken(&engine),
+            PartResult::Ended(ended) => return ended,
+            PartResult::Broken => dispatch.note_broken(&engine),
         }
-        // Closing the connection ends the work at the first engine.
+        // Closing the connection stops the work at the first engine.
         drop(body);
         if !dispatch.may_run_again() {
             return Relayed::EngineBroke;
@@ -97,46 +97,46 @@
 }
 
 impl<D: GatewayDialect> Dispatch<'_, D> {
-    /// The last event that the caller has from an earlier answer.
+    /// Returns the last event that the caller has from an earlier answer.
     fn first_event(&self) -> Option<u64> {
         self.outbound.headers.number("last-event-id")
     }
 }
 
-impl Progress<'_> {
-    /// Passes the events of one engine on.
-    async fn pass(&mut self, body: &mut EngineBody) -> Part {
-        let mut cutter = EventCutter::default();
-        let mut time = pin!(self.state.clock.wait_until(self.ends));
-        let mut silence = Silence::new(self.silence);
+impl RelayProgress<'_> {
+    /// Relays the events of one engine.
+    async fn relay_events(&mut self, body: &mut EngineBody) -> PartResult {
+        let mut parser = EventParser::default();
+        let mut time = pin!(self.state.clock.wait_until(self.deadline));
+        let mut inactivity = InactivityTimer::new(self.inactivity_limit);
         loop {
             let next = next_piece(body, &mut time);
             let silent = async {
-                (&mut silence).await;
+                (&mut inactivity).await;
                 None
             };
             let next = future::or(async { Some(next.await) }, silent).await;
-            silence.heard();
+            inactivity.reset();
             let piece = match next {
-                None | Some(Next::Piece(Err(_))) => return Part::Broken,
-                Some(Next::TimeOver) => return Part::Ended(Relayed::TimeOver),
+                None | Some(Next::Piece(Err(_))) => return PartResult::Broken,
+                Some(Next::TimeOver) => return PartResult::Ended(Relayed::TimeOver),
                 Some(Next::Piece(Ok(piece))) => piece,
             };
             let Some(piece) = piece else {
-                return Part::Whole;
+                return PartResult::Whole;
             };
-            if !cutter.push(&piece) {
-                return Part::Broken;
+            if !parser.push(&piece) {
+                return PartResult::Broken;
             }
-            while let Some(event) = cutter.next() {
+            while let Some(event) = parser.next() {
                 self.last_event = event.id.or(self.last_event);
                 append(&mut self.waiting, &event.bytes, self.framing);
             }
             if let Err(ended) = self.flush().await {
-                return Part::Ended(ended);
+                return PartResult::Ended(ended);
             }
             if body.reader.has_ended() {
-                return Part::Whole;
+                return PartResult::Whole;
             }
         }
     }
@@ -146,7 +146,7 @@
             return Ok(());
         }
         let bytes = std::mem::take(&mut self.waiting);
-        write(self.state, self.caller, &bytes, self.ends).await
+        write(self.state, self.caller, &bytes, self.deadline).await
     }
 
     async fn close(&mut self) -> Relayed {
--- a/crates/proxy/src/room.rs
+++ b/crates/proxy/src/room.rs
@@ -1,4 +1,4 @@
-//! Services whose engines have no room, as operators hear of it.
+//! Services whose engines lack capacity, as reported to operators.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -8,52 +8,54 @@
 
 use crate::state::GatewayState;
 
-/// Shortage of room by service.
+/// Capacity shortage by service.
 #[derive(Debug, Default)]
 pub(crate) struct Shortages(RefCell<BTreeMap<String, Shortage>>);
 
 impl Shortages {
-    /// Services may be gone.
+    /// Removes all services, since some may be gone.
     pub fn clear(&self) {
         self.0.borrow_mut().clear();
     }
 }
 
 impl GatewayState {
-    /// An engine of a service had no room for an online request.
-    pub fn note_turned_away(&self, service: &str) {
-        self.metrics.room.turned_away(service);
-        self.note_room(service, true);
+    /// Records that an engine of a service had no capacity for an online request.
+    pub fn note_rejection(&self, service: &str) {
+        self.metrics.capacity.count_rejection(service);
+        self.note_capacity(service, true);
     }
 
-    /// Whether requests keep slots of a service for so short a time that one without room
-    /// soon has some.
-    pub fn is_short(&self, service: &str) -> bool {
+    /// Whether requests hold slots of a service for so short a time that a full engine soon
+    /// has a free one.
+    pub fn has_short_requests(&self, service: &str) -> bool {
         self.engines.borrow().short_work_time(service).is_some()
     }
 
-    /// An engine of a service took one.
-    pub fn note_taken(&self, service: &str) {
-        self.note_room(service, false);
+    /// Records that an engine of a service accepted an online request.
+    pub fn note_accepted(&self, service: &str) {
+        self.note_capacity(service, false);
     }
 
-    fn note_room(&self, service: &str, turned_away: bool) {
+    fn note_capacity(&self, service: &str, rejected: bool) {
         let mut shortages = self.shortages.0.borrow_mut();
         let change = match shortages.get_mut(service) {
-            Some(shortage) => shortage.note(turned_away, self.now()),
-            None if !turned_away => None,
+            Some(shortage) => shortage.note(rejected, self.now()),
+            None if !rejected => None,
             None => {
                 let shortage = shortages.entry(service.to_owned()).or_default();
-                shortage.note(turned_away, self.now())
+                shortage.note(rejected, self.now())
             }
         };
         match change {
             Some(true) => {
                 let work_time = self.engines.borrow().short_work_time(service);
-                info!(self.logger, "service short of room"; "service" => service,
+                info!(self.logger, "engines of the service lack capacity"; "service" => service,
                     "work_ms" => work_time.map(|time| time.as_millis() as u64));
             }
-            Some(false) => info!(self.logger, "service has room again"; "service" => service),
+            Some(false) => {
+                info!(self.logger, "engines of the service have capacity again"; "service" => service)
+            }
             None => {}
         }
     }
--- a/crates/proxy/src/silence.rs
+++ b/crates/proxy/src/silence.rs
@@ -1,4 +1,4 @@
-//! Bounds on time that cost nothing while things go on.
+//! Inactivity timeouts that are cheap while there is activity.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -7,32 +7,32 @@
 
 use async_io::Timer;
 
-/// Ready once nothing was heard for a while. Hearing something only notes the
-/// time; the timer is set anew when it fires, not at each event.
+/// Future that completes after a period without activity. Activity only records the time;
+/// the timer is reset when it fires, not at each event.
 #[derive(Debug)]
-pub(crate) struct Silence {
+pub(crate) struct InactivityTimer {
     limit: Option<Duration>,
-    heard: Instant,
+    last_activity: Instant,
     timer: Option<Timer>,
 }
 
-impl Silence {
-    /// Silence for `limit` from now on; never without a limit.
+impl InactivityTimer {
+    /// Creates a timeout of `limit` that starts now; without a limit it never completes.
     pub fn new(limit: Option<Duration>) -> Self {
         Self {
             limit,
-            heard: Instant::now(),
+            last_activity: Instant::now(),
             timer: None,
         }
     }
 
-    /// Something was heard.
-    pub fn heard(&mut self) {
-        self.heard = Instant::now();
+    /// Records activity.
+    pub fn reset(&mut self) {
+        self.last_activity = Instant::now();
     }
 }
 
-impl Future for Silence {
+impl Future for InactivityTimer {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<()> {
@@ -40,7 +40,7 @@
             return Poll::Pending;
         };
         loop {
-            let ends = self.heard + limit;
+            let ends = self.last_activity + limit;
             let timer = self.timer.get_or_insert_with(|| Timer::at(ends));
             if Pin::new(&mut *timer).poll(context).is_pending() {
                 return Poll::Pending;
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows and counts. One thread owns it.
+//! State and counters of a gateway, owned by one thread.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,7 +27,7 @@
 
 use crate::bars::Bars;
 use crate::batch::{BatchRuns, Turns};
-use crate::engine_ends::Breaks;
+use crate::engine_ends::BrokenRequests;
 use crate::gateway::GatewayOptions;
 use crate::metrics::GatewayMetrics;
 use crate::pace::PaceWatch;
@@ -37,14 +37,14 @@
 use crate::room::Shortages;
 use crate::tenants::{Keys, limits};
 
-/// The configuration in force here.
+/// The configuration in force.
 #[derive(Debug)]
 pub(crate) struct InForce {
     pub version: u64,
     pub model: ServingModel,
-    /// Splits of the routes, in their order.
+    /// Weighted splits of the routes, in the order of the routes.
     splits: Vec<RefCell<WeightedSplit>>,
-    /// Whose each key is, where there are tenants.
+    /// Keys and ranks of tenants; `None` if there are no tenants.
     pub keys: Option<Keys>,
 }
 
@@ -62,7 +62,7 @@
         }
     }
 
-    /// The service that the next request of a route goes to.
+    /// Returns the service that gets the next request of a route.
     pub fn service(&self, route: &Route) -> Option<String> {
         let place = self
             .model
@@ -74,60 +74,61 @@
     }
 }
 
-/// Unread prompt tokens of a request from which on the other gateways hear of it
-/// at once: an engine reads them for longer than a short request may wait.
-const TOLD_AT_ONCE_TOKENS: u64 = 2_000;
+/// Number of unread prompt tokens of a request from which on the other gateways are
+/// informed at once: an engine takes longer to read them than a short request may wait.
+const REPORT_AT_ONCE_TOKENS: u64 = 2_000;
 
-/// What a gateway knows and counts.
+/// State and counters of a gateway.
 pub(crate) struct GatewayState {
     pub own: NodeId,
     zone: ZoneName,
     keys_hold_for: Option<Duration>,
     pub engines: RefCell<EngineTable>,
-    /// What tenants may still send.
+    /// Rate limits of tenants.
     pub tenants: RefCell<TenantTable>,
-    /// Requests that ran at engines as they ended.
+    /// Requests that ran at engines when these ended.
     pub suspects: RefCell<SuspectTable>,
     /// Requests that engines broke off.
-    pub breaks: Breaks,
-    /// What the control group says of guilty ones.
+    pub broken_requests: BrokenRequests,
+    /// Bars of the control group.
     pub bars: Bars,
     /// Client of the control group.
     pub control: Arc<Cluster>,
-    /// Who passes on what this gateway has at engines, where there are many.
+    /// Choice of the relay that forwards this gateway's reports where there are many
+    /// gateways.
     pub relay: RefCell<RelayChoice>,
     pub pool: Pool,
-    /// What is looked at to find out which zones are out of reach.
+    /// Probes and reports of zone reachability.
     pub reach: Reach,
     /// Batch items that run here.
     pub batch_runs: BatchRuns,
-    /// Whose turn it is among those that wait for an engine.
+    /// Turns of the batch items that wait for an engine.
     pub batch_turns: Rc<Turns>,
-    /// Online requests of each service that wait for an engine.
+    /// Waiting online requests by service.
     queues: RefCell<BTreeMap<String, Rc<ServiceQueue>>>,
-    /// Services short of room at engines.
+    /// Services that lack engine capacity.
     pub shortages: Shortages,
     /// Client of the batch group.
     pub batch: Arc<Cluster>,
-    /// When that group last said which items here are to stop.
+    /// Age of the batch group's last answer about which items here are to stop.
     pub renewal: Cell<Renewal>,
     pub logger: Logger,
-    /// What it counts for operators.
+    /// Metrics for operators.
     pub metrics: GatewayMetrics,
-    /// What operators were told of engines' paces.
+    /// What was reported to operators about engines' paces.
     pub pace: PaceWatch,
-    /// Counts on while the machine is suspended.
+    /// Clock that keeps running while the machine is suspended.
     pub clock: BootClock,
     in_force: RefCell<Option<Rc<InForce>>>,
-    /// Engines that were told and cannot be used.
+    /// Reported engines that cannot be used.
     unusable: RefCell<Refusals>,
     topology: RefCell<Topology>,
     topology_view: RefCell<TopologyView>,
-    /// What it hears of the other nodes.
+    /// When other nodes were last heard from.
     pub hearing: Cell<Hearing>,
-    /// Wakes the telling of what this gateway has at engines and saw of them.
-    told_soon: (Sender<()>, Receiver<()>),
-    /// Set when a planned stop began.
+    /// Signalled to send a report to the other gateways early.
+    report_requests: (Sender<()>, Receiver<()>),
+    /// Whether a planned stop has begun.
     stopping: Cell<bool>,
     /// Closed when idle connections are to be closed.
     closing_idle: (Sender<()>, Receiver<()>),
@@ -150,7 +151,7 @@
             tenants: RefCell::new(TenantTable::new(Timestamp::ZERO)),
             zone,
             suspects: RefCell::default(),
-            breaks: Breaks::default(),
+            broken_requests: BrokenRequests::default(),
             bars: Bars::default(),
             control,
             relay: RefCell::default(),
@@ -171,7 +172,7 @@
             topology: RefCell::default(),
             topology_view: RefCell::default(),
             hearing: Cell::default(),
-            told_soon: async_channel::bounded(1),
+            report_requests: async_channel::bounded(1),
             stopping: Cell::new(false),
             closing_idle: async_channel::bounded(1),
             requests: Cell::new(0),
@@ -179,13 +180,13 @@
         }
     }
 
-    /// Now, on the clock of the engine table.
+    /// Returns the current time, on the clock of the engine table.
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// The online requests of a service that wait: one that has no engine must hold up
-    /// no other.
+    /// Returns the queue of a service. Each service has its own, so that one without an
+    /// engine does not block the others.
     pub fn queue(&self, service: &str) -> Rc<ServiceQueue> {
         let mut queues = self.queues.borrow_mut();
         if let Some(queue) = queues.get(service) {
@@ -196,66 +197,66 @@
         queue
     }
 
-    /// There may be room at engines of a service.
-    pub fn room_at(&self, service: &str) {
+    /// Wakes the queue of a service whose engines may have capacity.
+    pub fn wake_queue(&self, service: &str) {
         let queue = self.queues.borrow().get(service).cloned();
         if let Some(queue) = queue {
-            queue.look();
+            queue.wake_turn_holders();
         }
     }
 
-    /// There may be room at engines of any service.
-    pub fn room_anywhere(&self) {
+    /// Wakes the queues of all services, since any engine may have capacity.
+    pub fn wake_all_queues(&self) {
         let queues: Vec<Rc<ServiceQueue>> = self.queues.borrow().values().cloned().collect();
         for queue in queues.iter().filter(|queue| !queue.is_empty()) {
-            queue.look();
+            queue.wake_turn_holders();
         }
     }
 
-    /// Counts those who wait for operators.
-    pub fn count_waiting(&self) {
+    /// Updates the metrics of waiting requests.
+    pub fn update_queue_metrics(&self) {
         let queues = self.queues.borrow();
         let lengths = queues.values().map(|queue| queue.lengths());
         let (waiting, in_time) = lengths.fold((0, 0), |(waiting, in_time), one| {
             (waiting + one.0, in_time + one.1)
         });
-        self.metrics.queue.lengths(waiting, in_time);
+        self.metrics.queue.set_lengths(waiting, in_time);
     }
 
-    /// The configuration in force here, if any is known.
+    /// Returns the configuration in force, if any is known.
     pub fn in_force(&self) -> Option<Rc<InForce>> {
         self.in_force.borrow().clone()
     }
 
-    /// Whether no key was taken away that this gateway should know of, as far as it
-    /// is to make sure.
-    pub fn knows_keys(&self) -> bool {
+    /// Whether the keys are recent enough to exclude a missed revocation; always true if
+    /// the gateway need not make sure.
+    pub fn has_current_keys(&self) -> bool {
         let view = self.topology_view.borrow();
         let now = self.now();
         self.keys_hold_for
             .is_none_or(|limit| view.is_current(limit, now))
     }
 
-    /// Whether a request of this class may go to an engine now: a batch item not once
-    /// its job may have been ended unheard.
+    /// Whether a request of this class may be sent to an engine now. A batch item may not
+    /// if its job may have been ended without this gateway knowing.
     pub fn may_start(&self, class: WorkClass) -> bool {
         if class == WorkClass::Online {
             return true;
         }
-        self.note_renewal();
+        self.log_renewal_change();
         self.renewal.get().may_start(self.now())
     }
 
-    /// The batch group answered a call that began at `asked`.
+    /// Records that the batch group answered a call that began at `asked`.
     pub fn renewed(&self, asked: Timestamp) {
         let mut renewal = self.renewal.get();
         renewal.note(asked);
         self.renewal.set(renewal);
-        self.note_renewal();
+        self.log_renewal_change();
     }
 
-    /// Says so if batch items are held back from now on, or go on.
-    fn note_renewal(&self) {
+    /// Logs when batch items begin or cease to be held back.
+    fn log_renewal_change(&self) {
         let mut renewal = self.renewal.get();
         let change = renewal.change(self.now());
         self.renewal.set(renewal);
@@ -270,30 +271,30 @@
         }
     }
 
-    /// Whether there are tenants, whose use the gateways tell each other.
-    pub fn limits_tenants(&self) -> bool {
+    /// Whether there are tenants, whose usage the gateways report to each other.
+    pub fn has_tenants(&self) -> bool {
         let in_force = self.in_force.borrow();
         in_force.as_ref().is_some_and(|held| held.keys.is_some())
     }
 
-    /// Where this gateway stands.
+    /// Returns the zone of this gateway.
     pub fn zone(&self) -> &ZoneName {
         &self.zone
     }
 
-    /// How many gateways there are, this one included.
+    /// Returns the number of gateways, including this one.
     pub fn gateways(&self) -> u32 {
         self.topology.borrow().gateway_count().max(1)
     }
 
-    /// The other gateways.
+    /// Returns the other gateways.
     pub fn other_gateways(&self) -> Vec<NodeId> {
         let topology = self.topology.borrow();
         let others = topology.gateways.iter().filter(|&&node| node != self.own);
         others.copied().collect()
     }
 
-    /// The relay that this gateway uses now, if any is known.
+    /// Returns the relay in use, if any is known.
     pub fn relay_in_use(&self) -> Option<NodeId> {
         let control = &self.topology.borrow().control;
         let near = self.topology_view.borrow().control_in(&self.zone);
@@ -309,13 +310,13 @@
         self.stopping.set(true);
     }
 
-    /// Connections on which no request is under way are closed from now on.
+    /// Closes connections without a request in progress from now on.
     pub fn close_idle_connections(&self) {
         self.closing_idle.0.close();
     }
 
-    /// Whether a planned stop closes idle connections by now.
-    pub fn closes_idle(&self) -> bool {
+    /// Whether a planned stop is closing idle connections.
+    pub fn is_closing_idle(&self) -> bool {
         self.closing_idle.0.is_closed()
     }
 
@@ -324,7 +325,7 @@
         let _closed = self.closing_idle.1.recv().await;
     }
 
-    /// Whether new connections should come here.
+    /// Whether new connections should be sent here.
     pub fn is_ready(&self) -> bool {
         !self.is_stopping() && self.in_force.borrow().is_some()
     }
@@ -338,27 +339,26 @@
     }
 
     /// Counts a request until the guard is dropped.
-    pub fn count_request(self: &Rc<Self>) -> Counted {
-        Counted::new(self.clone(), |state| &state.requests)
+    pub fn count_request(self: &Rc<Self>) -> CountGuard {
+        CountGuard::new(self.clone(), |state| &state.requests)
     }
 
     /// Counts a connection until the guard is dropped.
-    pub fn count_connection(self: &Rc<Self>) -> Counted {
-        Counted::new(self.clone(), |state| &state.connections)
+    pub fn count_connection(self: &Rc<Self>) -> CountGuard {
+        CountGuard::new(self.clone(), |state| &state.connections)
     }
 
-    /// Counts a request as one that waits for an engine of a service until the guard is
-    /// dropped.
-    pub fn begin_to_wait(self: &Rc<Self>, service: &str) -> Waiting {
+    /// Counts a request as waiting for an engine of a service until the guard is dropped.
+    pub fn count_waiting_request(self: &Rc<Self>, service: &str) -> WaitingGuard {
         self.engines.borrow_mut().begins_to_wait(service);
-        Waiting {
+        WaitingGuard {
             state: self.clone(),
             service: service.to_owned(),
         }
     }
 
     /// Counts a request at an engine until the guard is dropped.
-    pub fn occupy(self: &Rc<Self>, picked: &Picked, class: WorkClass) -> Occupied {
+    pub fn count_in_flight(self: &Rc<Self>, picked: &Picked, class: WorkClass) -> InFlightGuard {
         let engine = &picked.facts.id;
         let unread_tokens = picked.unread_tokens;
         let mut engines = self.engines.borrow_mut();
@@ -367,14 +367,14 @@
             false => engines.started(engine, class, unread_tokens, self.now()),
         }
         drop(engines);
-        if unread_tokens >= TOLD_AT_ONCE_TOKENS {
-            self.tell_soon();
+        if unread_tokens >= REPORT_AT_ONCE_TOKENS {
+            self.request_report();
         }
         let queue = (class == WorkClass::Online).then(|| self.queue(&picked.facts.service));
         if let Some(queue) = &queue {
             queue.started();
         }
-        Occupied {
+        InFlightGuard {
             state: self.clone(),
             queue,
             engine: engine.clone(),
@@ -383,34 +383,34 @@
             unread_tokens: Cell::new(unread_tokens),
             started: self.now(),
             began: Cell::new(None),
-            serves: Cell::new(false),
+            is_serving: Cell::new(false),
         }
     }
 
-    /// An engine broke off an answer that it had begun.
+    /// Records that an engine broke off an answer that it had begun.
     pub fn note_broken(&self, engine: &str) {
         let now = self.now();
         self.engines.borrow_mut().answered(engine, true, now);
     }
 
-    /// Another node said something.
+    /// Records that another node was heard from.
     pub fn note_heard(&self) {
         let mut hearing = self.hearing.get();
         hearing.note(self.now());
         self.hearing.set(hearing);
     }
 
-    /// Other gateways are to hear at once of what is new here.
-    pub fn tell_soon(&self) {
-        let _told_already = self.told_soon.0.try_send(());
+    /// Requests that changes here are reported to other gateways at once.
+    pub fn request_report(&self) {
+        let _already_requested = self.report_requests.0.try_send(());
     }
 
-    /// Waits until there is something that other gateways are to hear at once.
-    pub async fn to_tell_soon(&self) {
-        let _told = self.told_soon.1.recv().await;
+    /// Waits until a report to other gateways is requested.
+    pub async fn report_requested(&self) {
+        let _requested = self.report_requests.1.recv().await;
     }
 
-    fn take_configuration(&self, version: u64, model: ServingModel) {
+    fn apply_configuration(&self, version: u64, model: ServingModel) {
         let held = self.in_force.borrow().as_ref().map(|held| held.version);
         if held.is_some_and(|held| held >= version) {
             return;
@@ -420,9 +420,10 @@
         let now = self.now();
         self.tenants.borrow_mut().set_limits(limits(&model), now);
         self.engines.borrow_mut().serve(services(&model));
-        self.metrics.room.forget_services();
+        self.metrics.capacity.clear_services();
         self.shortages.clear();
-        // Services may be gone. What is measured of those that stay holds.
+        // Queues of removed services go unless requests wait in them. Remaining services
+        // keep their measurements.
         let services = model.services.iter().map(|service| service.name.as_str());
         let services: BTreeSet<&str> = services.collect();
         self.queues
@@ -431,16 +432,16 @@
         *self.in_force.borrow_mut() = Some(Rc::new(InForce::new(version, model)));
     }
 
-    fn take_topology(&self, from: NodeId, told: Option<Topology>) {
+    fn apply_topology(&self, from: NodeId, reported: Option<Topology>) {
         let now = self.now();
         let mut view = self.topology_view.borrow_mut();
-        view.note(from, told, now);
+        view.note(from, reported, now);
         let topology = view.current(now);
         if *self.topology.borrow() == topology {
             return;
         }
         let stores = topology.stores.difference(&topology.retiring);
-        let stores = in_own_order(self.own, stores.copied().collect());
+        let stores = in_search_order(self.own, stores.copied().collect());
         self.batch.set_replicas(stores);
         if !topology.control.is_empty() {
             let control = topology.control.iter().copied().collect();
@@ -468,7 +469,8 @@
         self.engines.borrow_mut().learn(from, facts, now);
     }
 
-    /// A control node of an older release takes what it cannot use itself.
+    /// Counts an engine record without a usable address; control nodes of an older release
+    /// accept such records.
     fn note_unusable(&self, record: &EngineRecord) {
         self.metrics.unusable_engine();
         let mut refusals = self.unusable.borrow_mut();
@@ -482,14 +484,14 @@
         let engines: Option<BTreeSet<String>> = part.engines.map(|ids| ids.into_iter().collect());
         let mut table = self.engines.borrow_mut();
         table.use_part(from, &part.service, part.users, engines.as_ref());
-        info!(self.logger, "part of a service"; "service" => part.service,
+        info!(self.logger, "assigned part of a service"; "service" => part.service,
             "users" => part.users, "told" => engines.map(|ids| ids.len()), "from" => from.0,
             "engines_known" => table.len());
     }
 
     fn depart(&self, engine: &str) {
         if self.engines.borrow_mut().depart(engine) {
-            info!(self.logger, "engine leaves"; "engine" => engine);
+            info!(self.logger, "engine is leaving"; "engine" => engine);
             self.pool.forget_departed(engine);
         }
     }
@@ -499,7 +501,7 @@
     fn update(&self, from: NodeId, update: ViewUpdate) {
         self.note_heard();
         if let Some(configuration) = update.configuration {
-            self.take_configuration(configuration.version, configuration.model);
+            self.apply_configuration(configuration.version, configuration.model);
         }
         for (engine, _) in update.departures {
             self.depart(&engine);
@@ -514,9 +516,9 @@
             self.use_part(from, part);
         }
         for (request, bar) in update.bars {
-            self.take_bar(request, bar);
+            self.apply_bar(request, bar);
         }
-        self.take_topology(from, update.topology);
+        self.apply_topology(from, update.topology);
     }
 
     fn unwatched(&self, node: NodeId) {
@@ -533,21 +535,21 @@
     }
 }
 
-/// The stores in an order of this gateway's own. All gateways ask along it for a leader
-/// that they lost, so that not all of them begin at the same one, nor go through the
-/// stores of one zone first.
-fn in_own_order(own: NodeId, mut stores: Vec<NodeId>) -> Vec<NodeId> {
+/// Sorts the stores in an order specific to this gateway, in which it searches for a lost
+/// leader. Gateways therefore neither all start at the same store nor all try the stores of
+/// one zone first.
+fn in_search_order(own: NodeId, mut stores: Vec<NodeId>) -> Vec<NodeId> {
     stores.sort_by_key(|store| xxh3_64_with_seed(&store.0.to_be_bytes(), u64::from(own.0)));
     stores
 }
 
-/// Something that is counted while this lives.
-pub(crate) struct Counted {
+/// Guard that counts something until it is dropped.
+pub(crate) struct CountGuard {
     state: Rc<GatewayState>,
     counter: fn(&GatewayState) -> &Cell<u32>,
 }
 
-impl Counted {
+impl CountGuard {
     fn new(state: Rc<GatewayState>, counter: fn(&GatewayState) -> &Cell<u32>) -> Self {
         let count = counter(&state);
         count.set(count.get() + 1);
@@ -555,30 +557,30 @@
     }
 }
 
-impl Drop for Counted {
+impl Drop for CountGuard {
     fn drop(&mut self) {
         let count = (self.counter)(&self.state);
         count.set(count.get() - 1);
     }
 }
 
-/// A request that waits for an engine.
-pub(crate) struct Waiting {
+/// Guard of a request that waits for an engine.
+pub(crate) struct WaitingGuard {
     state: Rc<GatewayState>,
     service: String,
 }
 
-impl Drop for Waiting {
+impl Drop for WaitingGuard {
     fn drop(&mut self) {
         let mut engines = self.state.engines.borrow_mut();
         engines.ends_to_wait(&self.service);
     }
 }
 
-/// A request at an engine.
-pub(crate) struct Occupied {
+/// Guard of a request at an engine.
+pub(crate) struct InFlightGuard {
     state: Rc<GatewayState>,
-    /// The queue that an online request came through.
+    /// Queue that an online request came through.
     queue: Option<Rc<ServiceQueue>>,
     engine: String,
     service: String,
@@ -586,45 +588,46 @@
     /// Prompt tokens that the engine has not read yet.
     unread_tokens: Cell<u64>,
     started: Timestamp,
-    /// When it began to answer, and so held a slot.
+    /// When the engine began to answer, and so the request held a slot.
     began: Cell<Option<Timestamp>>,
-    /// Whether the engine works on it, as its answer says.
-    serves: Cell<bool>,
+    /// Whether the engine's answer shows that it is working on the request.
+    is_serving: Cell<bool>,
 }
 
-impl Occupied {
-    /// The request began to answer.
-    pub fn began(&self) {
+impl InFlightGuard {
+    /// Records that the engine began to answer.
+    pub fn note_answer_begun(&self) {
         self.began.set(Some(self.state.now()));
-        self.has_read();
+        self.clear_unread_tokens();
     }
 
-    /// The engine works on it: how long it is there says how long such work takes.
-    pub fn serves(&self) {
-        self.serves.set(true);
+    /// Records that the engine works on the request, so that its time there is a
+    /// measurement of such work.
+    pub fn note_serving(&self) {
+        self.is_serving.set(true);
     }
 
-    /// So many events of the answer came within a time.
-    pub fn heard(&self, events: u32, took: Duration) {
+    /// Records that `events` events of the answer arrived within `took`.
+    pub fn note_events(&self, events: u32, took: Duration) {
         let now = self.state.now();
         let mut engines = self.state.engines.borrow_mut();
         engines.heard(&self.engine, events, took, now);
     }
 
-    /// Now, on the clock of the engine table.
+    /// Returns the current time, on the clock of the engine table.
     pub fn now(&self) -> Timestamp {
         self.state.now()
     }
 
-    fn has_read(&self) {
+    fn clear_unread_tokens(&self) {
         let read = self.unread_tokens.replace(0);
         self.state.engines.borrow_mut().read(&self.engine, read);
     }
 }
 
-impl Drop for Occupied {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.has_read();
+        self.clear_unread_tokens();
         let mut engines = self.state.engines.borrow_mut();
         engines.ended(&self.engine, self.class);
         let now = self.state.now();
@@ -635,19 +638,19 @@
         if let Some(held) = held.filter(|_| self.class == WorkClass::Online) {
             engines.note_slot_time(&self.service, held);
         }
-        if self.class == WorkClass::Online && self.serves.get() {
+        if self.class == WorkClass::Online && self.is_serving.get() {
             engines.note_time_at(&self.engine, now.since(self.started), now);
         }
         drop(engines);
         match (&self.queue, held) {
             (Some(queue), held) => queue.ended(held),
-            (None, Some(_)) => self.state.room_at(&self.service),
+            (None, Some(_)) => self.state.wake_queue(&self.service),
             (None, None) => {}
         }
     }
 }
 
-/// Services that online requests go to.
+/// Returns the services that online routes lead to.
 fn services(model: &ServingModel) -> impl Iterator<Item = String> {
     let online = model.routes.iter();
     let online = online.filter(|route| route.kind != RouteKind::Batch);
