--- a/crates/routing/src/batch/asking.rs
+++ b/crates/routing/src/batch/asking.rs
@@ -1,4 +1,5 @@
-//! Requests to job groups: asking for items, renewing, resending, and when.
+//! Requests to job groups: leasing items, renewing leases, resending failed
+//! requests, and the timers for each.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,59 +12,62 @@
 use super::message::{BatchOutput, RequestNumber};
 use super::owner::BatchOwner;
 
-/// An engine asks for more items when it lacks this share of its limit.
+/// Items are requested for an engine only if their number is at least its stream
+/// limit divided by this.
 const REFILL_SHARE: u32 = 4;
 
-/// A request that is out.
+/// A request to a job group that awaits its reply.
 #[derive(Clone, Debug)]
 pub(super) enum Request {
-    /// For items.
+    /// Requests a lease on items.
     Lease {
         group: GroupId,
         service: ServiceName,
         backend: BackendId,
         max_items: u32,
-        /// When it was first sent; the lease counts from then.
+        /// When the request was first sent; the lease is counted from this time.
         sent: Timestamp,
-        /// Whether it failed; its engine asks others meanwhile.
+        /// Whether an attempt failed; the engine may meanwhile request items from
+        /// other groups.
         failed: bool,
     },
-    /// Keeping leases.
+    /// Renews leases.
     Renew { group: GroupId, sent: Timestamp },
-    /// Results.
+    /// Records results of items.
     Record {
         key: LeaseKey,
         results: Vec<ItemResult>,
     },
-    /// Items given back.
+    /// Returns items that were not run.
     Return {
         key: LeaseKey,
         items: Vec<ItemIndex>,
     },
 }
 
-/// When to ask for items of a service.
+/// Polling state of a service: which group to ask for items next, and when.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServicePoll {
-    /// Group to ask next, counted from 0.
+    /// Index of the group to poll next, counted from 0.
     turn: u32,
-    /// Groups in a row that had nothing.
+    /// Consecutive polls that returned no items.
     empty: u32,
-    /// Wait after the next round without items.
+    /// Current backoff; zero if the last poll returned items.
     wait: Duration,
-    /// Not before.
+    /// Earliest time of the next poll.
     next: Timestamp,
 }
 
 impl ServicePoll {
-    /// A group had items, or was said to have some.
+    /// Resets the backoff: a group returned items, or new work was announced.
     pub(super) fn found(&mut self, now: Timestamp) {
         self.empty = 0;
         self.wait = Duration::ZERO;
         self.next = now;
     }
 
-    /// A group had nothing; after a whole round, wait longer each time.
+    /// Records a poll without items. Once every group has returned none, doubles
+    /// the backoff within the given bounds.
     pub(super) fn found_nothing(
         &mut self,
         now: Timestamp,
@@ -80,7 +84,8 @@
         self.next = now + self.wait;
     }
 
-    /// Whether the last round found nothing, so that one engine asks for all.
+    /// Whether polling has backed off; then only one engine polls at a time for
+    /// the whole service.
     fn is_probing(&self) -> bool {
         !self.wait.is_zero()
     }
@@ -99,7 +104,7 @@
         }
     }
 
-    /// Asks for items for an engine that has room and too few waiting.
+    /// Requests items for an engine that has free capacity and too few leased items.
     fn ask(&mut self, now: Timestamp, backend: BackendId, outputs: &mut Vec<BatchOutput>) {
         let wanted = self.items_wanted(now, backend);
         let Some(engine) = self.engines.get(&backend) else {
@@ -136,7 +141,8 @@
         );
     }
 
-    /// The group whose turn it is, leaving out those that do not answer.
+    /// Returns the next group in round-robin order, skipping groups with a failed
+    /// lease request.
     fn next_group(&mut self, service: &ServiceName) -> Option<GroupId> {
         let unreachable: BTreeSet<GroupId> = self
             .requests
@@ -152,8 +158,9 @@
         Some(group_of(turn, groups))
     }
 
-    /// Items that an engine should lease now: up to its limit and half as many
-    /// again, so that a stream that ends is followed at once.
+    /// Returns the number of items to lease for an engine now. The total of running
+    /// and pending items may reach 1.5 times the stream limit, so that the next item
+    /// can start as soon as a stream ends.
     fn items_wanted(&self, now: Timestamp, backend: BackendId) -> u32 {
         let Some(engine) = self.engines.get(&backend) else {
             return 0;
@@ -176,7 +183,7 @@
         if worth_it { wanted } else { 0 }
     }
 
-    /// Renews the leases of each group at a steady interval.
+    /// Renews the leases of each group at a fixed interval.
     fn renew(&mut self, now: Timestamp, outputs: &mut Vec<BatchOutput>) {
         let mut by_group: BTreeMap<GroupId, Vec<LeaseId>> = BTreeMap::new();
         for (key, lease) in &self.leases {
@@ -202,7 +209,7 @@
         }
     }
 
-    /// Sends a request and remembers it until its reply.
+    /// Sends a request and tracks it until its reply.
     pub(super) fn send(
         &mut self,
         number: RequestNumber,
@@ -213,7 +220,7 @@
         self.requests.insert(number, request);
     }
 
-    /// Sends failed requests again once their wait is over.
+    /// Resends failed requests whose retry delay has passed.
     pub(super) fn resend(&mut self, now: Timestamp, outputs: &mut Vec<BatchOutput>) {
         let due: Vec<RequestNumber> = self
             .resends
@@ -233,7 +240,7 @@
         self.polls.entry(service.clone()).or_default().found(now);
     }
 
-    /// When the next [`super::BatchInput::Tick`] is due at the latest.
+    /// Returns the time by which the next [`super::BatchInput::Tick`] must be fed.
     #[must_use]
     pub fn next_wakeup(&self, now: Timestamp) -> Option<Timestamp> {
         let journals = self
@@ -272,7 +279,7 @@
 }
 
 impl Request {
-    /// The group, if this is a request for items that it did not answer.
+    /// Returns the group if this is a lease request that failed.
     fn failed_group(&self) -> Option<GroupId> {
         match self {
             Request::Lease {
@@ -289,7 +296,7 @@
     GroupId(1 + turn % groups)
 }
 
-/// Whether a request for items of `service` is out and may be answered soon.
+/// Whether a lease request for `service` is in flight and has not failed.
 fn is_asked(requests: &BTreeMap<RequestNumber, Request>, service: &ServiceName) -> bool {
     requests.values().any(|request| {
         let waits = request.failed_group().is_none();
@@ -297,7 +304,8 @@
     })
 }
 
-/// The output that sends a request; renewals are never sent again.
+/// Returns the output that sends a request; `None` for renewals, which are never
+/// resent.
 fn output_of(number: RequestNumber, request: &Request) -> Option<BatchOutput> {
     let request = request.clone();
     match request {
--- a/crates/routing/src/batch/engine.rs
+++ b/crates/routing/src/batch/engine.rs
@@ -1,4 +1,5 @@
-//! One owned engine: its online work, its batch streams and their limit.
+//! State of one owned engine: its online requests, its batch streams and their
+//! limit.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,19 +12,20 @@
 use super::step_cost::StepCost;
 use crate::pick::LoadSample;
 
-/// Growth of the limit per report with a short step.
+/// Factor by which the limit grows on a report with a short step.
 const LIMIT_GROWTH: f64 = 1.25;
-/// Factor of the limit on a report with a long step.
+/// Factor by which the limit shrinks on a report with a long step.
 const LIMIT_DECREASE: f64 = 0.8;
-/// Prompts in processing where no online work is likely.
+/// Minimum cap on concurrent batch prefills while no online work is likely.
 const UNLIKELY_PREFILLS: u32 = 8;
 
-/// How many batch streams may run now.
+/// How many batch streams may run at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Allowance {
-    /// Up to this many.
+    /// At most this many.
     UpTo(u32),
-    /// Online work just ended: what runs may run, nothing is added.
+    /// Online work ended recently: running streams continue, but none are
+    /// started or resumed.
     AsIs,
 }
 
@@ -31,17 +33,17 @@
 #[derive(Clone, Debug)]
 pub(super) struct Engine {
     pub(super) owned: OwnedEngine,
-    /// Whether streams may be started there.
+    /// Whether streams may be started on the engine.
     pub(super) open: bool,
-    /// Whether the gateway no longer owns it.
+    /// Whether the gateway has given up ownership of the engine.
     pub(super) released: bool,
     pub(super) online: OnlineView,
     pub(super) streams: BTreeSet<StreamId>,
-    /// The lease request that is out.
+    /// The lease request in flight, if any.
     pub(super) asking: Option<RequestNumber>,
-    /// Nothing is started before this, after the engine failed a stream.
+    /// No stream is started before this time, after the engine failed one.
     pub(super) hold_until: Timestamp,
-    /// Since when there was no room for what is pending.
+    /// Since when online work has left no capacity for batch streams.
     pub(super) no_room_since: Option<Timestamp>,
     pub(super) kv_used: f64,
     limit: f64,
@@ -71,8 +73,8 @@
         }
     }
 
-    /// Starts anew for a later life, keeping streams and own online requests,
-    /// whose ends will be told.
+    /// Resets the state for a new incarnation. Streams and this gateway's own
+    /// online requests are kept, since their ends are still reported.
     pub(super) fn restart(&mut self, owned: OwnedEngine, initial: u32) {
         let before = std::mem::replace(self, Self::new(owned, initial, self.most));
         self.streams = before.streams;
@@ -81,14 +83,14 @@
         self.online.restarted();
     }
 
-    /// Most batch streams when there is no online work.
+    /// Returns the maximum number of batch streams without online work.
     pub(super) fn limit(&self) -> u32 {
         let limit = self.limit as u32;
         let most = self.max_running.unwrap_or(self.most).min(self.most);
         limit.min(most).max(1)
     }
 
-    /// How many batch streams may run now.
+    /// Returns how many batch streams may run now.
     pub(super) fn allowance(&self, now: Timestamp, policy: &BatchPolicy) -> Allowance {
         let online = self.online.total();
         if online == 0 {
@@ -107,7 +109,8 @@
         Allowance::UpTo(self.alongside(online, policy))
     }
 
-    /// Streams that keep the step within what online callers are promised.
+    /// Returns the number of batch streams that may run beside `online` requests
+    /// without exceeding the token interval promised to online callers.
     fn alongside(&self, online: u32, policy: &BatchPolicy) -> u32 {
         let by_step = self
             .cost
@@ -119,7 +122,7 @@
         (shared as u32).min(self.limit())
     }
 
-    /// Most batch prompts in processing at once.
+    /// Returns the maximum number of concurrent batch prefills.
     pub(super) fn prefills(&self, now: Timestamp, policy: &BatchPolicy) -> u32 {
         if self.online.is_likely(now) {
             policy.prefills
@@ -128,7 +131,8 @@
         }
     }
 
-    /// Takes a load report; returns the decision when the limit changed.
+    /// Applies a load report and returns a decision if it changed the limit.
+    /// Reports of another incarnation and out-of-order reports are ignored.
     pub(super) fn observe(
         &mut self,
         now: Timestamp,
@@ -151,8 +155,9 @@
         self.adapt(sample, policy)
     }
 
-    /// Grows the limit while steps are short and it is in use, and cuts it
-    /// when they are long. Reports with online work say nothing about it.
+    /// Grows the limit while it is in use and steps are short, and cuts it when
+    /// they are long. Reports with online requests are ignored, since their
+    /// step does not show the effect of batch streams alone.
     fn adapt(&mut self, sample: &LoadSample, policy: &BatchPolicy) -> Option<BatchDecision> {
         if sample.online > 0 || sample.batch_running == 0 || sample.step.is_zero() {
             return None;
@@ -176,7 +181,7 @@
 
     fn grow(&mut self, step: Duration, target: Duration) {
         let grown = (self.limit * LIMIT_GROWTH).max(self.limit + 1.0);
-        // Close to the target, grow no further than the learnt line allows.
+        // Close to the target, the limit grows no further than the estimate allows.
         let by_step = self.cost.most_running(target).map(f64::from);
         let near_target = step.mul_f64(LIMIT_GROWTH) > target;
         let bounded = match by_step {
--- a/crates/routing/src/batch/fill.rs
+++ b/crates/routing/src/batch/fill.rs
@@ -1,4 +1,4 @@
-//! Filling an engine with batch streams, and making them yield.
+//! Starting, resuming and preempting the batch streams of an engine.
 
 use molespan_types::mechanism::{Mechanism, enabled};
 use molespan_types::{BackendId, Timestamp};
@@ -9,8 +9,8 @@
 use super::owner::BatchOwner;
 use super::stream::{Stream, StreamState};
 
-/// How many more streams may run on an engine, and how many of these may have
-/// their prompt processed now.
+/// Free capacity of an engine: how many more streams may run, and how many of
+/// these may be in prefill.
 #[derive(Clone, Copy, Debug)]
 struct Room {
     streams: u32,
@@ -18,7 +18,8 @@
 }
 
 impl Room {
-    /// Takes a place for a stream; false when there is none for it.
+    /// Reserves capacity for a stream; returns false if there is none. A stream
+    /// without tokens also needs a prefill slot.
     fn take(&mut self, has_tokens: bool) -> bool {
         let free = self.streams > 0 && (has_tokens || self.prefills > 0);
         if free {
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Brings the running streams of an engine to what is allowed there now.
+    /// Adjusts the running streams of an engine to the number allowed now.
     pub(super) fn balance(
         &mut self,
         now: Timestamp,
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Streams that run on an engine, those with the least progress first.
+    /// Returns the running streams of an engine, least progress first.
     fn running(&self, backend: BackendId) -> Vec<StreamId> {
         self.by_progress(backend, Stream::is_running)
     }
@@ -83,8 +84,8 @@
         found.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Holds back all but `allowed` streams. Those with the most progress stay,
-    /// since they free their memory first.
+    /// Pauses all but `allowed` streams. The streams with the most progress keep
+    /// running, since they finish and free their KV memory first.
     fn preempt(
         &mut self,
         backend: BackendId,
@@ -121,9 +122,9 @@
         outputs.push(BatchOutput::Decision(BatchDecision::Preempted(preemption)));
     }
 
-    /// Cancels the held-back stream with the least progress when the engine
-    /// runs out of KV memory while online work is there. One for each report,
-    /// so that its effect is seen before the next.
+    /// Cancels the paused stream with the least progress when the engine runs out
+    /// of KV memory while it has online requests. Only one stream is cancelled per
+    /// load report, so that its effect shows before the next.
     pub(super) fn relieve_memory(
         &mut self,
         now: Timestamp,
@@ -150,15 +151,15 @@
         }
     }
 
-    /// Puts an item back whose stream the owner itself stopped; that does not
-    /// count as a failed run.
+    /// Requeues the item of a stream that the owner itself cancelled, without
+    /// counting this run against the limit on runs.
     fn requeue_unrun(&mut self, _now: Timestamp, mut stream: Stream) {
         stream.runs = stream.runs.saturating_sub(1);
         self.requeue(stream);
     }
 
-    /// Lets held-back streams go on, those with the most progress first, then
-    /// starts new ones. Of those whose prompt is not processed, a few at once.
+    /// Resumes paused streams, most progress first, then starts new ones. The
+    /// number of streams in prefill at the same time is capped.
     fn fill(
         &mut self,
         now: Timestamp,
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Starts as many streams as there is room for.
+    /// Starts as many streams as the capacity allows and returns their number.
     fn start(
         &mut self,
         now: Timestamp,
@@ -262,8 +263,8 @@
         let Some(engine) = self.engines.get_mut(&backend) else {
             return false;
         };
-        // After a pause of the process, an input may come before the tick that
-        // ends the lease.
+        // After the process was suspended, an input may be handled before the
+        // tick that expires the lease.
         let over = lease.valid_until <= now && enabled(Mechanism::OwnerStopsAtExpiry);
         if lease.revoked || over {
             return false;
--- a/crates/routing/src/batch/journal.rs
+++ b/crates/routing/src/batch/journal.rs
@@ -1,18 +1,18 @@
-//! Results that wait to be recorded, bounded by count, bytes and time.
+//! Buffer of results to be recorded, bounded by count, bytes and time.
 
 use std::time::Duration;
 
 use molespan_state::job::ItemResult;
 use molespan_types::Timestamp;
 
-/// When results are sent.
+/// When buffered results are sent to the job group.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JournalSettings {
-    /// Results that fill a batch.
+    /// Number of results at which a batch is sent.
     pub most_results: usize,
-    /// Payload bytes that fill a batch.
+    /// Payload bytes at which a batch is sent.
     pub most_bytes: usize,
-    /// Longest wait of a result.
+    /// Maximum time that a result is buffered.
     pub longest_wait: Duration,
 }
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Results of one lease.
+/// Buffered results of one lease.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Journal {
     results: Vec<ItemResult>,
@@ -45,12 +45,14 @@
         self.results.push(result);
     }
 
-    /// When the results must be sent at the latest.
+    /// Returns the time by which the buffered results must be sent; `None` when
+    /// there are none.
     pub(super) fn due_at(&self, settings: &JournalSettings) -> Option<Timestamp> {
         self.oldest.map(|oldest| oldest + settings.longest_wait)
     }
 
-    /// Takes the results if the batch is full, waited long enough, or `flush`.
+    /// Takes the results if the batch is full, its oldest result has reached the
+    /// maximum wait, or `flush` is set.
     pub(super) fn take_due(
         &mut self,
         now: Timestamp,
--- a/crates/routing/src/batch/lease.rs
+++ b/crates/routing/src/batch/lease.rs
@@ -1,9 +1,9 @@
-//! Leases on items, as their holder sees them.
+//! Leases on items, as tracked by their holder.
 //!
-//! Invariant: a lease is used only until 0.6 of its length after the request
-//! that last granted or renewed it was sent, on this node's clock. The leader
-//! frees it after its whole length on its own clock, counted from when it
-//! handled that request, which is later.
+//! Invariant: on this node's clock, a lease is used only until 0.6 of its
+//! duration after the request that granted or last renewed it was sent. The
+//! leader frees the lease after its full duration on the leader's clock, counted
+//! from when it handled that request, which is later.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -14,21 +14,21 @@
 use super::message::StreamId;
 use super::stream::Stream;
 
-/// Names a lease across groups.
+/// Identifies a lease across groups.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(super) struct LeaseKey {
     pub(super) group: GroupId,
     pub(super) lease: LeaseId,
 }
 
-/// An item that waits for its turn, and how often this owner ran it.
+/// A leased item that is not running, and how often this owner has run it.
 #[derive(Clone, Debug)]
 pub(super) struct PendingItem {
     pub(super) leased: LeasedItem,
     pub(super) runs: u32,
 }
 
-/// One lease.
+/// A lease on items of one job, for one engine.
 #[derive(Clone, Debug)]
 pub(super) struct ItemLease {
     pub(super) job: JobId,
@@ -37,11 +37,11 @@
     pub(super) pending: VecDeque<PendingItem>,
     pub(super) streams: BTreeSet<StreamId>,
     pub(super) journal: Journal,
-    /// Record and return requests that are out.
+    /// Record and return requests in flight.
     pub(super) requests_out: u32,
-    /// When its holder must stop.
+    /// When the holder must stop using the lease.
     pub(super) valid_until: Timestamp,
-    /// Set once its streams were stopped; nothing more is started under it.
+    /// Set once the streams of the lease are stopped; no more are started.
     pub(super) revoked: bool,
 }
 
@@ -64,19 +64,19 @@
         }
     }
 
-    /// Whether nothing is left to run.
+    /// Whether no item is pending or running.
     pub(super) fn has_run_all(&self) -> bool {
         self.pending.is_empty() && self.streams.is_empty()
     }
 
-    /// Whether nothing is left to do.
+    /// Whether no item is pending or running and all results are recorded.
     pub(super) fn is_done(&self) -> bool {
         self.has_run_all() && self.journal.is_empty() && self.requests_out == 0
     }
 }
 
 impl PendingItem {
-    /// The item of a stream that was stopped.
+    /// Creates a pending item from a stopped stream.
     pub(super) fn of(stream: Stream) -> Self {
         Self {
             leased: LeasedItem {
--- a/crates/routing/src/batch/message.rs
+++ b/crates/routing/src/batch/message.rs
@@ -11,100 +11,101 @@
 
 use crate::pick::LoadSample;
 
-/// One batch stream on an engine. The daemon gives it an attempt of its own.
+/// Identifies a batch stream on an engine. The daemon assigns each stream its own
+/// attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display)]
 pub struct StreamId(pub u64);
 
-/// Numbers the owner's requests to job groups; a resend keeps its number.
+/// Number of a request to a job group; a resend keeps its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display)]
 pub struct RequestNumber(pub u64);
 
-/// An engine whose batch work this gateway owns.
+/// An engine whose batch work this gateway schedules.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnedEngine {
     /// Engine.
     pub backend: BackendId,
-    /// Its life.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
     /// Service whose items it runs.
     pub service: ServiceName,
 }
 
-/// Online work that another gateway sent to an engine, or that ended there.
+/// Notice from another gateway about its online requests at an engine, sent when
+/// one starts or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Foreign {
-    /// Gateway.
+    /// Gateway that sent the notice.
     pub from: NodeId,
     /// Engine.
     pub backend: BackendId,
-    /// Online requests that the gateway has in flight there.
+    /// Online requests that this gateway has in flight at the engine.
     pub in_flight: u32,
-    /// Prompt tokens of the new request; 0 when the notice only updates the
-    /// count after a request ended.
+    /// Prompt tokens of the new request; 0 when the notice reports the end of
+    /// a request.
     pub prompt_tokens: u32,
 }
 
-/// How the run of an item ended, after the retries that its kind allows on the
-/// same engine.
+/// How the run of an item ended, after any retries on the same engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ItemEnd {
-    /// It has an answer.
+    /// The item completed with this payload.
     Completed(ByteVec),
-    /// The engine refused it for good, with this reason.
+    /// The engine rejected the item permanently, with this reason.
     Refused(ByteVec),
-    /// It did not run.
+    /// The item did not run.
     NotRun,
-    /// It may have run, and its answer is lost.
+    /// The item may have run, but its result is lost.
     Unknown,
 }
 
-/// What a job group replied.
+/// Reply of a job group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GroupReply {
-    /// To [`BatchOutput::LeaseItems`]; `None` when nothing waits there.
+    /// Reply to [`BatchOutput::LeaseItems`]; `None` when the group has no items.
     Leased(Option<GrantedLease>),
-    /// To [`BatchOutput::Renew`].
+    /// Reply to [`BatchOutput::Renew`].
     Renewed {
         /// Leases that are no longer held.
         lost: Vec<LeaseId>,
         /// Leases whose job was cancelled.
         cancelled: Vec<LeaseId>,
     },
-    /// To [`BatchOutput::Record`] and [`BatchOutput::Return`].
+    /// Reply to [`BatchOutput::Record`] and [`BatchOutput::Return`].
     Taken {
-        /// Items taken.
+        /// Items accepted.
         taken: u32,
-        /// Items that the lease no longer held.
+        /// Items dropped because the lease no longer held them.
         dropped: u32,
     },
-    /// No reply came, or no leader was there; the request may have taken effect.
+    /// The request timed out or found no leader; it may still have taken effect.
     Failed,
 }
 
 /// An input of the batch owner.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BatchInput {
-    /// The gateway became the owner of an engine, a new life of it appeared, or
-    /// it was closed and may take work again.
+    /// The gateway became the owner of an engine, the engine restarted under a new
+    /// incarnation, or a closed engine accepts work again.
     Acquired(OwnedEngine),
-    /// The engine is leaving or ejected: run what runs, start nothing new
-    /// until it is acquired again.
+    /// The engine is leaving or was ejected. Running streams continue, but none
+    /// are started until the engine is acquired again.
     Closed(BackendId),
-    /// The gateway is no longer the owner.
+    /// The gateway no longer owns the engine.
     Released(BackendId),
     /// A load report of an owned engine.
     Load(LoadSample),
-    /// This gateway is about to send an online request to an engine. Carry out
-    /// the outputs before the request itself.
+    /// This gateway is about to send an online request to an engine. The caller
+    /// must carry out the outputs before it sends the request.
     OnlineStarted {
         /// Engine.
         backend: BackendId,
     },
-    /// An online request of this gateway got its first token.
+    /// An online request of this gateway received its first token.
     OnlineFirstToken {
         /// Engine.
         backend: BackendId,
-        /// Time since it was sent.
+        /// Time since the request was sent.
         after: Duration,
     },
     /// An online request of this gateway ended.
@@ -112,50 +113,52 @@
         /// Engine.
         backend: BackendId,
     },
-    /// Another gateway's notice.
+    /// A notice from another gateway.
     Foreign(Foreign),
     /// A job group replied.
     Reply {
         /// Number of the request.
         request: RequestNumber,
-        /// The reply.
+        /// Reply to it.
         reply: GroupReply,
     },
     /// A stream generated tokens.
     Progress {
         /// Stream.
         stream: StreamId,
-        /// Tokens so far.
+        /// Tokens generated so far.
         tokens: u32,
     },
     /// A stream ended.
     Ended {
         /// Stream.
         stream: StreamId,
-        /// How.
+        /// How it ended.
         end: ItemEnd,
     },
-    /// Items of a service were accepted somewhere; do not wait to ask.
+    /// New items of a service were accepted; poll for them without backoff.
     WorkAvailable(ServiceName),
-    /// The policy knob: 0 fills engines, 100 guards the online tail.
+    /// The batch policy changed.
     Policy {
-        /// Value of the knob.
+        /// From 0, which maximizes batch throughput, to 100, which minimizes the
+        /// effect on the tail latency of online requests.
         tail_protection: u8,
     },
-    /// A planned stop began: return everything.
+    /// A planned stop began: return pending items, stop streams of repeatable
+    /// items, and let the others finish.
     Drain,
-    /// Time passed; see [`super::BatchOwner::next_wakeup`].
+    /// Timer event; see [`super::BatchOwner::next_wakeup`].
     Tick,
 }
 
-/// An output of the batch owner, to be carried out in order.
+/// An output of the batch owner; the caller carries outputs out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BatchOutput {
-    /// Hold a stream back on its engine.
+    /// Pause a stream on its engine.
     Pause(StreamId),
-    /// Let a stream that was held back go on.
+    /// Resume a paused stream.
     Resume(StreamId),
-    /// Stop a stream for good; nothing more is expected of it.
+    /// Cancel a stream; later events of it are ignored.
     Cancel(StreamId),
     /// Start a stream.
     Dispatch {
@@ -163,7 +166,7 @@
         stream: StreamId,
         /// Engine.
         backend: BackendId,
-        /// Its life.
+        /// Incarnation of the engine.
         incarnation: Incarnation,
         /// Service.
         service: ServiceName,
@@ -171,12 +174,13 @@
         job: JobId,
         /// Item.
         item: ItemIndex,
-        /// Whether it may be sent again after an ambiguous end.
+        /// Whether the item may be retried after an ambiguous end.
         repeatable: bool,
         /// Request body.
         input: ByteVec,
     },
-    /// Ask a job group for items; the number is the lease request's sequence.
+    /// Request a lease on items from a job group; the request number serves as
+    /// the sequence of the lease request.
     LeaseItems {
         /// Number of the request.
         request: RequestNumber,
@@ -184,12 +188,12 @@
         group: GroupId,
         /// Service.
         service: ServiceName,
-        /// Engine that will run them.
+        /// Engine that will run the items.
         backend: BackendId,
-        /// Most items wanted.
+        /// Maximum number of items.
         max_items: u32,
     },
-    /// Keep leases alive.
+    /// Renew leases.
     Renew {
         /// Number of the request.
         request: RequestNumber,
@@ -209,7 +213,7 @@
         /// Results.
         results: Vec<ItemResult>,
     },
-    /// Give back items that were not run; never empty.
+    /// Return items that were not run; `items` is never empty.
     Return {
         /// Number of the request.
         request: RequestNumber,
@@ -220,59 +224,59 @@
         /// Items.
         items: Vec<ItemIndex>,
     },
-    /// A decision event.
+    /// A scheduling decision, to be logged as an event.
     Decision(BatchDecision),
-    /// The drain is complete: no lease is held and no request is out.
+    /// The drain is complete: no lease is held and no request is in flight.
     Drained,
 }
 
-/// Batch streams that made way, and why.
+/// Batch streams that were preempted, and the load that caused it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Preemption {
     /// Engine.
     pub backend: BackendId,
-    /// Online requests there, as known.
+    /// Online requests at the engine, as far as this gateway knows.
     pub online: u32,
-    /// Streams that may go on.
+    /// Streams that may keep running.
     pub allowed: u32,
-    /// Streams held back.
+    /// Streams paused.
     pub paused: u32,
-    /// Streams stopped, to be run again later.
+    /// Streams cancelled; their items run again later.
     pub cancelled: u32,
 }
 
-/// A decision of the batch owner with its inputs.
+/// A scheduling decision of the batch owner, with its inputs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BatchDecision {
-    /// Batch streams made way for online work.
+    /// Batch streams were paused or cancelled because of online work.
     Preempted(Preemption),
-    /// Batch streams go on or start.
+    /// Batch streams were resumed or started.
     Filled {
         /// Engine.
         backend: BackendId,
-        /// Online requests there, as known.
+        /// Online requests at the engine, as far as this gateway knows.
         online: u32,
         /// Streams that may run.
         allowed: u32,
-        /// Streams that were held back and go on.
+        /// Streams resumed.
         resumed: u32,
         /// Streams started.
         started: u32,
     },
-    /// The batch concurrency of an engine was changed.
+    /// The batch stream limit of an engine changed.
     LimitChanged {
         /// Engine.
         backend: BackendId,
-        /// Streams before.
+        /// Limit before the change.
         from: u32,
-        /// Streams after.
+        /// Limit after the change.
         to: u32,
-        /// Mean step that was reported.
+        /// Mean step duration that the engine reported.
         step: Duration,
-        /// Step that the policy aims at.
+        /// Step duration that the policy aims at.
         target: Duration,
     },
-    /// A lease ended on the owner's own clock and its streams were stopped.
+    /// A lease expired on the owner's clock and its streams were stopped.
     LeaseRanOut {
         /// Group.
         group: GroupId,
@@ -281,7 +285,7 @@
         /// Streams stopped.
         stopped: u32,
     },
-    /// A lease was lost or its job cancelled, and its streams were stopped.
+    /// A lease was lost or its job was cancelled, and its streams were stopped.
     LeaseRevoked {
         /// Group.
         group: GroupId,
--- a/crates/routing/src/batch/mod.rs
+++ b/crates/routing/src/batch/mod.rs
@@ -1,10 +1,11 @@
-//! Batch work of the engines that one gateway owns.
+//! Batch scheduling for the engines that one gateway owns.
 //!
-//! The owner pulls items from the job groups only while its engines have room,
-//! runs them, journals their results in batches and returns what it did not
-//! run. Online work that arrives at an engine, through this gateway or another,
-//! makes batch streams there yield in the same step; they go on once the engine
-//! was quiet for a short time that is learnt from past bursts.
+//! The batch owner leases items from the job groups only while its engines have
+//! free capacity, runs them, records their results in batches and returns the
+//! items that it did not run. An online request that arrives at an engine,
+//! through this gateway or another, preempts the batch streams there in the same
+//! step. They resume once the engine has had no online requests for a short
+//! quiet period, which is estimated from the gaps within past bursts.
 
 mod asking;
 mod engine;
--- a/crates/routing/src/batch/online.rs
+++ b/crates/routing/src/batch/online.rs
@@ -1,9 +1,10 @@
-//! Online work at one engine, from own sends, notices and reports.
+//! Online requests at one engine, from this gateway's own requests, notices of
+//! other gateways and load reports.
 //!
-//! Own sends and the notices of other gateways are exact and come at once, but
-//! a notice can be lost. A report comes late and counts everything. What a
-//! report counts beyond that which was known when it was observed is work
-//! whose notice was lost; it stands until the next report.
+//! Own requests and notices are exact and known at once, but a notice can be
+//! lost. A load report arrives late but counts every request. Requests that a
+//! report counts in excess of those known at the time of its observation are
+//! attributed to lost notices and counted until the next report.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -13,19 +14,20 @@
 use super::message::Foreign;
 use super::quiet::QuietTime;
 
-/// Silence after which a gateway's notice no longer counts; what it sent is in
-/// the engine's reports by then.
+/// Time after which a gateway's last notice expires; the engine's load reports
+/// include its requests by then.
 const NOTICE_VALID_FOR: Duration = Duration::from_secs(5);
-/// Time since the last online work within which more is likely.
+/// Time after the last online work during which more is considered likely.
 const LIKELY_FOR: Duration = Duration::from_secs(5);
-/// Weight of the newest time to the first token.
+/// Weight of the newest time to first token in the EWMA.
 const FIRST_TOKEN_WEIGHT: f64 = 0.1;
-/// Time to the first token before any was seen.
+/// Estimated time to first token before any is observed.
 const INITIAL_FIRST_TOKEN: Duration = Duration::from_millis(200);
-/// Changes of the known count that are kept to match late reports.
+/// Maximum number of past changes of the known count that are kept for matching
+/// late reports.
 const MOST_CHANGES: usize = 256;
-/// How far apart an engine and this gateway may learn of the same request, and
-/// how wrong the time of an observation may be.
+/// Tolerance for the difference between the times at which an engine and this
+/// gateway see the same request, and for errors in the time of an observation.
 const SKEW: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Copy, Debug)]
@@ -40,9 +42,9 @@
     own: u32,
     own_waiting: u32,
     notices: BTreeMap<NodeId, Notice>,
-    /// Own and noticed requests after each change, oldest first.
+    /// Time and new value of each change of the known request count, oldest first.
     known_changes: VecDeque<(Timestamp, u32)>,
-    /// Requests of the latest report that neither own sends nor notices explain.
+    /// Requests in the latest report beyond this gateway's own and those in notices.
     unexplained: u32,
     last_foreign_arrival: Option<Timestamp>,
     last_activity: Option<Timestamp>,
@@ -65,15 +67,15 @@
         }
     }
 
-    /// The engine restarted. Own requests to its earlier life still end one by
-    /// one; what others had there is gone.
+    /// Resets the state after a restart of the engine. Own requests to the earlier
+    /// incarnation still end one by one; those of other gateways are dropped.
     pub(super) fn restarted(&mut self) {
         self.notices.clear();
         self.known_changes.clear();
         self.unexplained = 0;
     }
 
-    /// Online requests there, as far as is known.
+    /// Returns the number of online requests at the engine, as far as known.
     pub(super) fn total(&self) -> u32 {
         self.known() + self.unexplained
     }
@@ -120,11 +122,11 @@
         self.note_idle(now, before);
     }
 
-    /// Takes the online requests that the engine counted at `observed`.
+    /// Applies a load report: the engine counted `online` requests at `observed`.
     pub(super) fn reported(&mut self, now: Timestamp, observed: Timestamp, online: u32) {
         let before = self.total();
-        // Once an engine counts nothing, the end of what was noticed well
-        // before got lost.
+        // If the engine counts no request, a notice from well before the
+        // observation is stale: the notice of the request's end was lost.
         self.notices.retain(|_, notice| {
             let fresh = now.since(notice.at) < NOTICE_VALID_FOR;
             let contradicted = online == 0 && notice.at + SKEW <= observed;
@@ -138,7 +140,7 @@
         self.note_idle(now, before);
     }
 
-    /// Whether some online request probably has no token yet.
+    /// Whether some online request probably still awaits its first token.
     pub(super) fn awaits_first_token(&self, now: Timestamp) -> bool {
         let typical = Duration::from_secs_f64(self.first_token_seconds);
         let foreign = self
@@ -147,14 +149,14 @@
         self.own_waiting > 0 || foreign
     }
 
-    /// Whether online work was there lately.
+    /// Whether there was online work recently, so that more is likely.
     pub(super) fn is_likely(&self, now: Timestamp) -> bool {
         self.last_activity
             .is_some_and(|activity| now.since(activity) < LIKELY_FOR)
     }
 
-    /// Until when batch work stays back after the last online request; `None`
-    /// when there is online work or there never was any.
+    /// Returns the end of the quiet period after the last online request; `None`
+    /// while there are online requests or there has never been one.
     pub(super) fn quiet_until(&self, factor: f64) -> Option<Timestamp> {
         self.quiet.over_at(factor)
     }
@@ -175,7 +177,7 @@
         self.known_changes.push_back((now, known));
     }
 
-    /// The most requests that were known of around `observed`.
+    /// Returns the highest number of requests that was known around `observed`.
     fn known_near(&self, observed: Timestamp) -> u32 {
         let mut most = 0;
         for (at, known) in self.known_changes.iter().rev() {
--- a/crates/routing/src/batch/owner.rs
+++ b/crates/routing/src/batch/owner.rs
@@ -1,4 +1,4 @@
-//! The batch owner: takes inputs and hands them to the part concerned.
+//! The batch owner: its state, its settings and the dispatch of inputs.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,35 +15,35 @@
 use super::policy::BatchPolicy;
 use super::stream::{Stream, StreamState};
 
-/// Time for which nothing is started on an engine that failed a stream.
+/// Backoff before the next stream is started on an engine that failed one.
 const HOLD_AFTER_FAILURE: Duration = Duration::from_millis(100);
 
-/// Bounds of batch work.
+/// Settings of the batch owner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BatchSettings {
-    /// Number of job groups, which are numbered from 1.
+    /// Number of job groups; their ids start at 1.
     pub job_groups: u32,
-    /// Length of an item lease, as the leader counts it.
+    /// Full duration of an item lease, as counted by the leader.
     pub lease: Duration,
-    /// Time between renewals.
+    /// Interval between lease renewals.
     pub renew_interval: Duration,
-    /// When results are sent.
+    /// When buffered results are sent.
     pub journal: JournalSettings,
-    /// Batch streams on an engine before anything is learnt.
+    /// Initial batch stream limit of an engine.
     pub initial_streams: u32,
-    /// Most batch streams on an engine.
+    /// Maximum batch streams on an engine.
     pub most_streams: u32,
-    /// Runs of an item here before it is given back.
+    /// Maximum runs of an item by this owner before it is returned.
     pub most_runs: u32,
-    /// First wait after every group had nothing for a service.
+    /// First backoff after every group had no items for a service.
     pub shortest_poll: Duration,
-    /// Longest such wait; it doubles in between.
+    /// Maximum polling backoff; it doubles after each round without items.
     pub longest_poll: Duration,
-    /// Time without room after which items that were not started go back.
+    /// Time without capacity after which pending items are returned.
     pub return_after: Duration,
-    /// Share of KV memory in use from which held-back streams are cancelled.
+    /// Share of KV memory in use at which paused streams are cancelled.
     pub kv_pressure: f64,
-    /// Wait before a request that failed is sent again.
+    /// Delay before a failed request is resent.
     pub resend_after: Duration,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// The batch work of one gateway.
+/// Schedules the batch work of one gateway.
 #[derive(Clone, Debug)]
 pub struct BatchOwner {
     pub(super) settings: BatchSettings,
@@ -85,7 +85,8 @@
 }
 
 impl BatchOwner {
-    /// Owns nothing. `tail_protection` is the policy knob, 0 to 100.
+    /// Creates an owner without engines. `tail_protection` ranges from 0 to 100; see
+    /// [`BatchPolicy::from_knob`].
     #[must_use]
     pub fn new(settings: BatchSettings, tail_protection: u8) -> Self {
         Self {
@@ -105,12 +106,13 @@
         }
     }
 
-    /// Takes one input and says what to do, in order. Every request among the
-    /// outputs must be answered by a [`BatchInput::Reply`], with
+    /// Handles one input and returns the outputs to carry out, in order. Every
+    /// request among them must be answered by a [`BatchInput::Reply`], with
     /// [`super::GroupReply::Failed`] after a timeout.
     pub fn handle(&mut self, now: Timestamp, input: BatchInput) -> Vec<BatchOutput> {
         let mut outputs = Vec::new();
-        // By far the most frequent input, and the one that changes the least.
+        // Progress is by far the most frequent input and mostly changes nothing
+        // else, so the steps below are skipped.
         if let BatchInput::Progress { stream, tokens } = input
             && !self.progressed(stream, tokens)
         {
@@ -163,7 +165,7 @@
             }
             BatchInput::Reply { request, reply } => self.replied(now, request, reply, outputs),
             BatchInput::Progress { stream, .. } => {
-                // Its prompt is done, so the next may be started.
+                // The prefill is complete, so another one may start.
                 if let Some(backend) = self.streams.get(&stream).map(|stream| stream.backend) {
                     self.balance(now, backend, outputs);
                 }
@@ -188,7 +190,7 @@
         }
     }
 
-    /// Makes batch streams yield before the online request is even sent.
+    /// Preempts batch streams before the online request is sent.
     fn yield_on_arrival(
         &mut self,
         now: Timestamp,
@@ -217,8 +219,8 @@
         self.balance(now, backend, outputs);
     }
 
-    /// Starts nothing new on an engine and returns what waits for it. When the
-    /// ownership ended too, streams that may run again are stopped.
+    /// Closes an engine to new streams and returns its pending items. If the
+    /// ownership ended as well, streams of repeatable items are stopped.
     fn close(
         &mut self,
         now: Timestamp,
@@ -246,7 +248,8 @@
         }
     }
 
-    /// Notes the tokens of a stream; returns whether they are its first.
+    /// Records the token count of a stream; returns whether these are its first
+    /// tokens.
     fn progressed(&mut self, id: StreamId, tokens: u32) -> bool {
         let Some(stream) = self.streams.get_mut(&id) else {
             return false;
@@ -266,7 +269,7 @@
         end: ItemEnd,
         outputs: &mut Vec<BatchOutput>,
     ) {
-        // A stream that was cancelled here is gone; its late end changes nothing.
+        // The late end of a cancelled stream is ignored.
         let Some(stream) = self.forget_stream(id) else {
             return;
         };
@@ -291,8 +294,8 @@
         self.balance(now, backend, outputs);
     }
 
-    /// Puts an item back in line, or gives it back when it ran often enough
-    /// here or its engine takes nothing new.
+    /// Requeues an item. If it has reached the maximum number of runs, its engine
+    /// is closed or the owner is draining, returns the lease's pending items.
     fn run_again(&mut self, now: Timestamp, stream: Stream, outputs: &mut Vec<BatchOutput>) {
         let open = self
             .engines
@@ -306,7 +309,7 @@
         }
     }
 
-    /// Puts the item of a stopped stream at the head of its lease.
+    /// Puts the item of a stopped stream at the front of its lease's queue.
     pub(super) fn requeue(&mut self, stream: Stream) {
         if let Some(lease) = self.leases.get_mut(&stream.lease) {
             lease.pending.push_front(PendingItem::of(stream));
@@ -359,7 +362,7 @@
         StreamId(self.last_stream)
     }
 
-    /// Batch streams on an engine: running, and held back.
+    /// Returns the numbers of running and of paused batch streams on an engine.
     #[must_use]
     pub fn streams_on(&self, backend: BackendId) -> (u32, u32) {
         let Some(engine) = self.engines.get(&backend) else {
@@ -373,7 +376,7 @@
         (running as u32, (engine.streams.len() - running) as u32)
     }
 
-    /// Leases held.
+    /// Returns the number of leases held.
     #[must_use]
     pub fn leases_held(&self) -> usize {
         self.leases.len()
--- a/crates/routing/src/batch/policy.rs
+++ b/crates/routing/src/batch/policy.rs
@@ -1,42 +1,43 @@
-//! The knob between batch throughput and the online tail.
+//! Trade-off between batch throughput and the tail latency of online requests.
 
 use std::time::Duration;
 
-/// Value of the knob at which batch work no longer runs beside online work.
+/// Tail protection from which batch streams no longer run beside online requests.
 const EVEN: f64 = 50.0;
-/// Highest value of the knob.
+/// Maximum tail protection.
 const STRICT: f64 = 100.0;
-/// Time between tokens that online callers are promised.
+/// Time between tokens promised to online callers.
 const ONLINE_TOKEN_TARGET: Duration = Duration::from_millis(32);
-/// Step with batch work, as a multiple of an empty engine's step, at the
-/// middle of the knob and at its end.
+/// Step duration with batch work at a tail protection of 50 and of 100, as a
+/// multiple of the step of an almost empty engine.
 const EVEN_STEP_FACTOR: f64 = 4.0;
 const STRICT_STEP_FACTOR: f64 = 1.25;
-/// Batch prompts being processed at once on one engine, at the fill end and
-/// from the middle on.
+/// Concurrent batch prefills on one engine, at a tail protection of 0 and from 50
+/// upwards.
 const FILL_PREFILLS: f64 = 2.0;
 const GUARDED_PREFILLS: f64 = 1.0;
 
-/// What one value of the knob means.
+/// Limits on batch work, derived from the tail protection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BatchPolicy {
     /// Share of an engine's headroom that batch streams may use while online
-    /// requests generate there; never while one waits for its first token.
+    /// requests generate tokens. They use none while one awaits its first token.
     pub alongside_share: f64,
-    /// Longest step that batch work may cause on an engine without online work.
+    /// Maximum step duration on an engine with batch work only.
     pub longest_step: Duration,
-    /// Longest step as a multiple of the step of an almost empty engine.
+    /// Maximum step duration as a multiple of that of an almost empty engine.
     pub step_factor: f64,
-    /// Most batch prompts being processed at once on one engine. A prompt
-    /// chunk in progress cannot be interrupted, so each may delay an arrival.
+    /// Maximum number of concurrent batch prefills on one engine. A prompt chunk
+    /// in progress cannot be interrupted, so each may delay an arriving request.
     pub prefills: u32,
-    /// Multiple of the learnt gap within bursts to wait before going on.
+    /// Quiet period before batch streams resume, as a multiple of the estimated
+    /// gap within bursts.
     pub quiet_factor: f64,
 }
 
 impl BatchPolicy {
-    /// The policy for a knob from 0, which fills engines with batch work, to
-    /// 100, which guards the online tail above all.
+    /// Returns the policy for a tail protection from 0, which maximizes batch
+    /// throughput, to 100, which gives online tail latency the highest priority.
     #[must_use]
     pub fn from_knob(tail_protection: u8) -> Self {
         let knob = f64::from(tail_protection).min(STRICT);
@@ -57,15 +58,15 @@
         }
     }
 
-    /// Longest step to aim at on an engine whose step is `base` when almost
-    /// empty; without a base, the promise to online callers alone counts.
+    /// Returns the target step duration on an engine without online work, whose
+    /// step is `base` when almost empty. Without `base`, returns the maximum step.
     #[must_use]
     pub fn step_target(&self, base: Option<Duration>) -> Duration {
         let scaled = base.map(|base| base.mul_f64(self.step_factor));
         scaled.map_or(self.longest_step, |scaled| scaled.min(self.longest_step))
     }
 
-    /// Longest step to aim at while online requests generate.
+    /// Returns the target step duration while online requests generate tokens.
     #[must_use]
     pub fn token_target(&self) -> Duration {
         ONLINE_TOKEN_TARGET
--- a/crates/routing/src/batch/quiet.rs
+++ b/crates/routing/src/batch/quiet.rs
@@ -1,24 +1,26 @@
-//! How long an engine must be free of online work before batch goes on.
+//! How long an engine must be free of online requests before batch streams
+//! resume.
 //!
-//! Within a burst, the next request follows the last after a short gap. Going
-//! on in that gap gains nothing and costs the next request a step. So the wait
-//! is a multiple of the gaps seen within bursts; longer gaps are the idle time
-//! that batch work is for, and are left out.
+//! Within a burst, online requests follow each other after short gaps. Resuming
+//! batch streams in such a gap gains nothing and delays the next request by a
+//! step, so the quiet period is a multiple of the gaps observed within bursts.
+//! Longer gaps are idle time for batch work and are not counted.
 
 use std::time::Duration;
 
 use molespan_types::Timestamp;
 
-/// A gap above this is between bursts.
+/// Gaps longer than this separate bursts.
 const LONGEST_GAP: Duration = Duration::from_millis(50);
-/// Longest wait.
+/// Maximum quiet period.
 const LONGEST_QUIET: Duration = Duration::from_millis(20);
-/// Wait before anything is learnt, at the middle of the knob.
+/// Estimated gap before any is observed; the initial quiet period at a tail
+/// protection of 50.
 const INITIAL_GAP: Duration = Duration::from_millis(2);
-/// Weight of the newest gap.
+/// Weight of the newest gap in the EWMA.
 const GAP_WEIGHT: f64 = 0.1;
 
-/// Learns the gaps within bursts at one engine.
+/// Estimates the gaps between online requests within bursts at one engine.
 #[derive(Clone, Debug)]
 pub(super) struct QuietTime {
     gap_seconds: f64,
@@ -33,12 +35,12 @@
         }
     }
 
-    /// The last online request ended.
+    /// Records that the last online request ended.
     pub(super) fn fell_idle(&mut self, now: Timestamp) {
         self.idle_since = Some(now);
     }
 
-    /// An online request arrived.
+    /// Records the arrival of an online request.
     pub(super) fn arrived(&mut self, now: Timestamp) {
         let Some(since) = self.idle_since.take() else {
             return;
@@ -49,7 +51,8 @@
         }
     }
 
-    /// When batch work may go on, if no online work arrives before.
+    /// Returns when batch streams may resume if no online request arrives before;
+    /// `None` while there are online requests or there has never been one.
     pub(super) fn over_at(&self, factor: f64) -> Option<Timestamp> {
         let wait = Duration::from_secs_f64(self.gap_seconds * factor).min(LONGEST_QUIET);
         self.idle_since.map(|since| since + wait)
--- a/crates/routing/src/batch/replies.rs
+++ b/crates/routing/src/batch/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of job groups, results on their way there, and leases that end.
+//! Handling of job group replies, sending of results, and the end of leases.
 
 use molespan_membership::STOP_SHARE;
 use molespan_state::job::{GrantedLease, ItemOutcome};
@@ -55,15 +55,16 @@
             (Request::Record { key, .. } | Request::Return { key, .. }, _) => {
                 self.request_done(key);
             }
-            // A reply of the wrong kind says nothing.
+            // A reply of the wrong kind only completes the request.
             (Request::Lease { backend, .. }, _) => self.asked(backend, number),
             (Request::Renew { .. }, _) => {}
         }
     }
 
-    /// Sends a failed request again later under its number, unless its time
-    /// is over: a renewal is followed by the next, and what concerns a lease
-    /// that the leader may have ended is left to its own expiry.
+    /// Schedules a resend of a failed request under the same number, unless that
+    /// is pointless. Renewals are not resent, since the next one follows anyway.
+    /// Results and returned items are dropped once the leader may have ended the
+    /// lease, and lease requests are dropped while draining.
     fn request_failed(&mut self, now: Timestamp, number: RequestNumber) {
         let Some(request) = self.requests.get(&number) else {
             return;
@@ -92,8 +93,8 @@
         }
     }
 
-    /// A request for items failed. It stays out, since the group may have
-    /// granted a lease, but its engine need not wait for that group.
+    /// Marks a lease request as failed. It is still resent, since the group may
+    /// have granted a lease, but its engine may request items from other groups.
     fn let_engine_ask_others(&mut self, number: RequestNumber) {
         let request = self.requests.get_mut(&number);
         if let Some(Request::Lease {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// The engine's request for items is answered, or no longer waited for.
+    /// Clears the engine's lease request after its reply or failure.
     fn asked(&mut self, backend: BackendId, number: RequestNumber) {
         if let Some(engine) = self.engines.get_mut(&backend)
             && engine.asking == Some(number)
@@ -143,7 +144,7 @@
             group,
             lease: granted.lease,
         };
-        // A resend may bring the same lease twice.
+        // The replies to a request and its resend may carry the same lease.
         if self.leases.contains_key(&key) {
             return;
         }
@@ -168,7 +169,7 @@
         }
     }
 
-    /// The group no longer knows the lease: stop its streams and forget it.
+    /// Drops a lease that the group no longer holds, and cancels its streams.
     fn lose(&mut self, key: LeaseKey, outputs: &mut Vec<BatchOutput>) {
         let Some(lease) = self.leases.remove(&key) else {
             return;
@@ -198,7 +199,7 @@
         }));
     }
 
-    /// Stops what runs under leases whose time is over on this node's clock.
+    /// Stops the streams of leases that have expired on this node's clock.
     pub(super) fn expire_leases(&mut self, now: Timestamp, outputs: &mut Vec<BatchOutput>) {
         if !enabled(Mechanism::OwnerStopsAtExpiry) {
             return;
@@ -221,9 +222,10 @@
         }
     }
 
-    /// Stops all streams of a lease, sends the results that are there and
-    /// gives the rest back. A stopped item that may not run again is recorded
-    /// as unknown. Returns how many streams were stopped.
+    /// Stops all streams of a lease, sends its buffered results and returns the
+    /// remaining items. A stopped item that is not repeatable is recorded as
+    /// unknown. Returns the number of stopped streams, or `None` if the lease is
+    /// missing or already revoked.
     fn revoke(
         &mut self,
         now: Timestamp,
@@ -245,7 +247,7 @@
         Some(stopped)
     }
 
-    /// Stops the streams of a lease that may run again elsewhere.
+    /// Stops the streams of a lease if its items are repeatable.
     pub(super) fn stop_repeatable(
         &mut self,
         now: Timestamp,
@@ -276,7 +278,7 @@
         }
     }
 
-    /// Gives the items of a lease back that wait for their turn.
+    /// Returns the pending items of a lease to its group.
     pub(super) fn return_pending(
         &mut self,
         _now: Timestamp,
@@ -299,7 +301,8 @@
         self.send(request, Request::Return { key, items }, outputs);
     }
 
-    /// Gives back what an engine had no room for, so that others run it.
+    /// Returns the pending items of engines that have had no capacity for some
+    /// time, so that other owners can run them.
     pub(super) fn return_unused(&mut self, now: Timestamp, outputs: &mut Vec<BatchOutput>) {
         let return_after = self.settings.return_after;
         let crowded: Vec<BackendId> = self
@@ -318,7 +321,7 @@
         }
     }
 
-    /// Sends the results of every lease that are due.
+    /// Sends the due results of every lease.
     pub(super) fn send_results(&mut self, now: Timestamp, outputs: &mut Vec<BatchOutput>) {
         let keys: Vec<LeaseKey> = self.leases.keys().copied().collect();
         for key in keys {
@@ -345,7 +348,7 @@
         }
     }
 
-    /// Forgets leases with nothing left to do and engines that were given up.
+    /// Removes finished leases and released engines, and reports a completed drain.
     pub(super) fn drop_finished(&mut self, outputs: &mut Vec<BatchOutput>) {
         self.leases.retain(|_, lease| !lease.is_done());
         let leases = &self.leases;
--- a/crates/routing/src/batch/step_cost.rs
+++ b/crates/routing/src/batch/step_cost.rs
@@ -1,15 +1,17 @@
-//! The learnt duration of an engine step as a line over the running requests.
+//! Estimate of an engine's step duration as a linear function of the number of
+//! running requests.
 
 use std::time::Duration;
 
-/// Share of the past that each new observation leaves in force.
+/// Factor by which the weight of earlier observations decays at each new one.
 const FORGETTING: f64 = 0.98;
-/// Observations needed, by their weight.
+/// Minimum total weight of observations for an estimate.
 const FEWEST: f64 = 5.0;
-/// Spread of the running requests needed for a slope.
+/// Minimum variance of the number of running requests for estimating a slope.
 const LEAST_VARIANCE: f64 = 0.5;
 
-/// Exponentially forgotten moments of (running requests, step in seconds).
+/// Exponentially weighted sums for a linear regression of the step duration, in
+/// seconds, on the number of running requests.
 #[derive(Clone, Debug, Default)]
 pub(super) struct StepCost {
     weight: f64,
@@ -22,9 +24,9 @@
 /// A fitted line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Line {
-    /// Step without requests, in seconds.
+    /// Step duration without requests, in seconds.
     pub(super) base: f64,
-    /// Added by each running request, in seconds.
+    /// Duration added by each running request, in seconds.
     pub(super) per_request: f64,
 }
 
@@ -41,7 +43,8 @@
         self.product = self.product * FORGETTING + running * step;
     }
 
-    /// The line, once it rests on enough and different observations.
+    /// Returns the fitted line, or `None` while there are too few observations or
+    /// they vary too little.
     pub(super) fn line(&self) -> Option<Line> {
         if self.weight < FEWEST {
             return None;
@@ -58,14 +61,15 @@
         Some(Line { base, per_request })
     }
 
-    /// Step of an engine that runs one request.
+    /// Returns the estimated step duration with one running request.
     pub(super) fn base_step(&self) -> Option<Duration> {
         let line = self.line()?;
         let seconds = line.base + line.per_request;
         (seconds > 0.0).then(|| Duration::from_secs_f64(seconds))
     }
 
-    /// Most running requests that keep the step within `target`.
+    /// Returns the maximum number of running requests that keeps the step within
+    /// `target`; `None` without an estimate or when requests add no time.
     pub(super) fn most_running(&self, target: Duration) -> Option<u32> {
         let line = self.line()?;
         if line.per_request <= 0.0 {
--- a/crates/routing/src/batch/stream.rs
+++ b/crates/routing/src/batch/stream.rs
@@ -5,18 +5,18 @@
 
 use super::lease::LeaseKey;
 
-/// Where a stream stands.
+/// State of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StreamState {
-    /// Sent; no token yet, so its prompt may be being processed.
+    /// Sent, without tokens so far; the engine may be processing the prompt.
     Prefill,
-    /// Generating.
+    /// Generating tokens.
     Decoding,
-    /// Held back on its engine.
+    /// Paused on its engine.
     Paused,
 }
 
-/// One stream.
+/// A batch stream: one run of an item on an engine.
 #[derive(Clone, Debug)]
 pub(super) struct Stream {
     pub(super) lease: LeaseKey,
@@ -26,7 +26,7 @@
     pub(super) repeatable: bool,
     pub(super) state: StreamState,
     pub(super) tokens: u32,
-    /// Runs of this item by this owner, with this one.
+    /// Runs of this item by this owner, including this one.
     pub(super) runs: u32,
 }
 
--- a/crates/routing/tests/batch/harness.rs
+++ b/crates/routing/tests/batch/harness.rs
@@ -1,4 +1,4 @@
-//! A batch owner with short ways to feed it.
+//! A batch owner with helpers for feeding inputs and collecting outputs.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,7 +17,7 @@
 
 pub const ENGINE: BackendId = BackendId(7);
 
-/// Middle of the knob: batch work never runs beside online work.
+/// Tail protection from which batch streams never run beside online work.
 pub const EVEN: u8 = 50;
 
 pub fn captions() -> ServiceName {
@@ -56,7 +56,7 @@
     ItemEnd::Completed(ByteVec::from(text.as_bytes().to_vec()))
 }
 
-/// A load report; `online` and `batch` requests all run.
+/// Returns a load report in which all `online` and `batch` requests are running.
 pub fn load(sequence: u64, observed: u64, online: u32, batch: u32) -> LoadSample {
     LoadSample {
         backend: ENGINE,
@@ -82,7 +82,7 @@
     })
 }
 
-/// What became of a stream, by the outputs.
+/// State of a stream according to the outputs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamFate {
     Running,
@@ -91,7 +91,7 @@
     Ended,
 }
 
-/// A lease request that waits for its reply.
+/// A lease request that awaits its reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ask {
     pub request: RequestNumber,
@@ -100,7 +100,7 @@
     pub max_items: u32,
 }
 
-/// A request with items or results that was sent to a group.
+/// A record or return request sent to a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sent {
     pub request: RequestNumber,
@@ -108,7 +108,7 @@
     pub items: Vec<u32>,
 }
 
-/// The owner and what its outputs amount to.
+/// The owner and the state that results from its outputs.
 pub struct Harness {
     pub owner: BatchOwner,
     pub now: u64,
@@ -136,8 +136,8 @@
         }
     }
 
-    /// An owner of [`ENGINE`] with `items` leased; as many streams run as the
-    /// knob lets start at once and, since all have their first token, more.
+    /// Creates an owner of [`ENGINE`] with a granted lease. All streams that may run are
+    /// running and have their first token.
     pub fn running(tail_protection: u8, granted: GrantedLease) -> Self {
         let mut harness = Self::new(BatchSettings::default(), tail_protection);
         harness.feed(BatchInput::Acquired(owned(ENGINE, 1)));
@@ -170,7 +170,7 @@
         self.feed(BatchInput::Tick)
     }
 
-    /// Answers the oldest lease request with `granted`.
+    /// Replies to the oldest lease request with `granted`.
     pub fn grant(&mut self, granted: GrantedLease) {
         let ask = self.asks.remove(0);
         self.reply(ask.request, GroupReply::Leased(Some(granted)));
@@ -185,7 +185,8 @@
         self.reply(request, GroupReply::Taken { taken, dropped });
     }
 
-    /// Every running stream has generated `tokens`.
+    /// Reports `tokens` generated tokens for every running stream, including streams
+    /// that start as a result.
     pub fn progress_all(&mut self, tokens: u32) {
         loop {
             let before = (self.streams.len(), self.count(&StreamFate::Running));
@@ -219,7 +220,7 @@
             BatchOutput::Cancel(stream) => self.set(stream, StreamFate::Cancelled),
             BatchOutput::Dispatch { stream, item, .. } => {
                 let twice = self.streams.insert(stream, (item, StreamFate::Running));
-                assert_eq!(twice, None, "a stream is started once");
+                assert_eq!(twice, None, "a stream must be started only once");
             }
             BatchOutput::LeaseItems {
                 request,
@@ -258,7 +259,10 @@
                 ..
             } => {
                 let items: Vec<u32> = items.iter().map(|item| item.0).collect();
-                assert!(!items.is_empty(), "an empty return means every item");
+                assert!(
+                    !items.is_empty(),
+                    "an empty return request would return every item"
+                );
                 self.returns.push(Sent {
                     request,
                     lease,
@@ -267,7 +271,7 @@
             }
             BatchOutput::Decision(decision) => self.decisions.push(decision),
             BatchOutput::Drained => {
-                assert!(!self.drained, "drained once");
+                assert!(!self.drained, "a drain must complete only once");
                 self.drained = true;
             }
         }
@@ -276,11 +280,14 @@
     fn set(&mut self, stream: StreamId, fate: StreamFate) {
         let entry = self.streams.get_mut(&stream).expect("a known stream");
         let ended = [StreamFate::Cancelled, StreamFate::Ended];
-        assert!(!ended.contains(&entry.1), "{fate:?} after its end");
+        assert!(
+            !ended.contains(&entry.1),
+            "{fate:?} after the end of the stream"
+        );
         entry.1 = fate;
     }
 
-    /// Items that were returned, all together.
+    /// Returns all items returned so far.
     pub fn returned(&self) -> BTreeSet<u32> {
         let items = self.returns.iter().flat_map(|sent| sent.items.iter());
         items.copied().collect()
--- a/crates/routing/tests/batch/leases.rs
+++ b/crates/routing/tests/batch/leases.rs
@@ -1,4 +1,4 @@
-//! Leases on items: their end, cancellation, hand-over and results.
+//! Item leases: expiry, cancellation, hand-over and results.
 
 use molespan_routing::batch::{
     BatchDecision, BatchInput, BatchOutput, BatchSettings, GroupReply, ItemEnd,
@@ -40,7 +40,8 @@
     let running = owner.streams.iter();
     let mut running = running.filter(|(_, (_, fate))| *fate == StreamFate::Running);
     let stream = running.next().map(|(id, _)| *id).expect("some run");
-    // The process stood still, and what an engine sent meanwhile comes first.
+    // After the process was suspended, the input that an engine sent meanwhile is handled
+    // before the tick that would expire the lease.
     owner.at(STOP_MILLIS + 4_000);
     let end = answer("late");
     owner.feed(BatchInput::Ended { stream, end });
@@ -54,7 +55,7 @@
     owner.tick(2_000);
     let (request, leases) = owner.renewals.remove(0);
     assert_eq!(leases, [LeaseId(1)]);
-    // Its answer was slow.
+    // The reply to the renewal is slow.
     owner.at(5_000);
     owner.reply(request, renewed(Vec::new(), Vec::new()));
     owner.tick(2_000 + STOP_MILLIS - 1);
@@ -142,7 +143,7 @@
     let stream = owner.with_fate(&StreamFate::Running)[0];
     owner.at(5_900).end(stream, answer("a"));
     let mut sent = 0;
-    // No leader answers for a while; the owner's share of the lease passes.
+    // No leader replies, and the owner's share of the lease passes.
     for now in (5_950..9_000).step_by(50) {
         for (record, _) in std::mem::take(&mut owner.records) {
             sent += 1;
@@ -171,7 +172,7 @@
         assert_eq!(
             owner.count(&StreamFate::Running),
             0,
-            "the engine gets a pause"
+            "the engine has a pause after a failure"
         );
         now += 100;
         owner.tick(now);
@@ -236,7 +237,7 @@
     }
     owner.tick(500);
     assert_eq!(owner.streams.len(), started);
-    // A grant that was under way comes too late and goes back.
+    // Items granted after the engine was closed are returned.
     let mut owner = Harness::new(BatchSettings::default(), EVEN);
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     owner.feed(BatchInput::Closed(ENGINE));
@@ -264,7 +265,7 @@
         owner.taken(sent.request);
     }
     assert!(owner.drained);
-    // A lease request that is out may still bring items, which go back first.
+    // A lease request in flight may still be granted items, which are returned first.
     let mut owner = Harness::new(BatchSettings::default(), EVEN);
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     owner.feed(BatchInput::Drain);
--- a/crates/routing/tests/batch/main.rs
+++ b/crates/routing/tests/batch/main.rs
@@ -1,4 +1,4 @@
-//! The batch owner: leases, preemption, hand-over.
+//! Tests of the batch owner: leases, preemption and hand-over.
 
 mod harness;
 mod leases;
--- a/crates/routing/tests/batch/model.rs
+++ b/crates/routing/tests/batch/model.rs
@@ -1,5 +1,5 @@
-//! Owners against real job groups while requests, replies, engines and
-//! ownership fail at random.
+//! Batch owners against real job groups, with random failures of requests, replies,
+//! engines and ownership.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,15 +27,15 @@
 const OWNERS: usize = 2;
 const ENGINES: u32 = 3;
 const STEP_MILLIS: u64 = 20;
-/// Until then things fail, afterwards everything must come to its end.
+/// End of fault injection; afterwards every job must finish.
 const FAULTY_MILLIS: u64 = 15_000;
 const END_MILLIS: u64 = 90_000;
-/// Whole length of an item lease, as the leader counts it.
+/// Full duration of an item lease, as counted by the leader.
 const LEASE_MILLIS: u64 = 10_000;
-/// Share of it after which an owner stops, and some steps more.
+/// Share of the lease after which an owner stops, plus a margin of 5 steps.
 const STOP_MILLIS: u64 = 6_000 + 5 * STEP_MILLIS;
 
-/// A group and when its leader last heard of each lease.
+/// A job group and, for each lease, the last renewal count with the time it was seen.
 #[derive(Default)]
 struct Group {
     machine: JobMachine,
@@ -49,7 +49,7 @@
         reply.expect("a payload log in memory does not fail")
     }
 
-    /// Ends leases that were silent for their whole length.
+    /// Expires leases that were not renewed for their full duration.
     fn expire(&mut self, now: u64) {
         let leases: Vec<_> = self.machine.leases().collect();
         for record in leases {
@@ -89,16 +89,16 @@
     now: u64,
     groups: Vec<Group>,
     owners: Vec<BatchOwner>,
-    /// Owner and life of each engine.
+    /// Owner and incarnation of each engine.
     engines: BTreeMap<BackendId, (usize, u64)>,
     streams: BTreeMap<(usize, StreamId), Running>,
-    /// Inputs under way, by time and order.
+    /// Inputs in transit, by delivery time and sending order.
     queue: BTreeMap<(u64, u64), (usize, BatchInput)>,
     sent: u64,
-    /// Items that may run once and may have run.
+    /// Non-repeatable items that may have run.
     spent: BTreeSet<(JobId, ItemIndex)>,
     once: JobId,
-    /// Until when an owner and a group are cut off from each other.
+    /// End of each partition between an owner and a group.
     cuts: BTreeMap<(usize, GroupId), u64>,
 }
 
@@ -228,7 +228,8 @@
         self.feed(owner, BatchInput::Ended { stream: id, end });
     }
 
-    /// Now and then an engine restarts, changes its owner or closes.
+    /// Randomly restarts an engine, moves it to another owner, partitions its owner from a
+    /// group, or adds an online request.
     fn disturb(&mut self) {
         let backend = BackendId(self.random.random_range(0..ENGINES));
         let (owner, life) = self.engines[&backend];
@@ -317,8 +318,8 @@
         }
     }
 
-    /// Invariants: an item runs at one place at a time, and one that may run
-    /// once is not started again after it may have run.
+    /// Checks two invariants: an item runs in only one stream at a time, and a
+    /// non-repeatable item is not started again after it may have run.
     fn dispatch(
         &mut self,
         owner: usize,
@@ -328,7 +329,7 @@
     ) {
         let mut running = self.streams.values();
         let twice = running.any(|other| (other.job, other.item) == (job, item));
-        assert!(!twice, "{job} item {item} runs at two places");
+        assert!(!twice, "{job} item {item} runs in two streams");
         if job == self.once {
             assert!(
                 self.spent.insert((job, item)),
@@ -347,7 +348,8 @@
         self.streams.insert((owner, stream), running);
     }
 
-    /// A command reaches its group, or not; its reply comes, late or never.
+    /// Sends a command to its group. During fault injection, the command or its reply may
+    /// be lost, or the reply may be late.
     fn send(&mut self, owner: usize, group: GroupId, request: RequestNumber, command: &JobCommand) {
         let faulty = self.is_faulty();
         let cut = self.cuts.get(&(owner, group));
@@ -419,10 +421,11 @@
                 cancelled = true;
                 world.group(withdrawn).apply(&JobCommand::Cancel { job: withdrawn });
             }
-            // A renewal tells of it; an owner that is cut off stops by itself.
+            // The reply to a renewal reports the cancellation; a partitioned owner stops when
+            // its lease expires.
             let running = world.streams.values().filter(|stream| stream.job == withdrawn);
             let overdue = world.now > cancel_at + STOP_MILLIS;
-            prop_assert!(!overdue || running.count() == 0, "runs on after its cancellation");
+            prop_assert!(!overdue || running.count() == 0, "an item runs on its engine after the job was cancelled");
         }
         prop_assert!(world.streams.values().all(|stream| stream.owner < OWNERS));
         let album = world.group(album).status(album);
--- a/crates/routing/tests/batch/preemption.rs
+++ b/crates/routing/tests/batch/preemption.rs
@@ -1,4 +1,4 @@
-//! When batch streams yield, and when they go on.
+//! Preemption of batch streams by online work, and their resumption.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 
 use super::harness::{ENGINE, EVEN, Harness, StreamFate, lease, load, notice, owned};
 
-/// Knob that fills engines: batch work runs beside online work.
+/// Tail protection that maximizes throughput: batch streams run beside online work.
 const FILL: u8 = 0;
-/// Longest wait after a burst.
+/// Maximum quiet period after a burst.
 const QUIET_MILLIS: u64 = 20;
 
 fn started() -> BatchInput {
@@ -38,12 +38,12 @@
         let pauses = outputs
             .iter()
             .filter(|output| matches!(output, BatchOutput::Pause(_)));
-        assert_eq!(pauses.count(), running, "knob {knob}");
+        assert_eq!(pauses.count(), running, "tail protection {knob}");
         let Some(BatchDecision::Preempted(preemption)) = owner.decisions.last() else {
             panic!("{:?}", owner.decisions);
         };
         assert_eq!((preemption.online, preemption.allowed), (1, 0));
-        // Nothing is started while it is there.
+        // No stream starts while the online request is in flight.
         owner.tick(1_500);
         assert_eq!(owner.count(&StreamFate::Running), 0);
     }
@@ -55,7 +55,11 @@
     let running = owner.count(&StreamFate::Running);
     owner.at(1_000).feed(started());
     owner.at(1_050).feed(finished());
-    assert_eq!(owner.count(&StreamFate::Running), 0, "a burst may go on");
+    assert_eq!(
+        owner.count(&StreamFate::Running),
+        0,
+        "the burst may still be going on"
+    );
     let wakeup = owner
         .owner
         .next_wakeup(molespan_types::Timestamp::from_millis(1_050));
@@ -80,7 +84,7 @@
 fn a_report_in_between_does_not_hide_the_end_of_foreign_work() {
     let mut owner = Harness::running(EVEN, lease(1, 0..8));
     owner.at(1_000).feed(notice(3, 1, 400));
-    // The report counts the request; its end is known before the next one.
+    // The report counts the request, and a notice of its end arrives before the next report.
     owner.at(1_200).feed(BatchInput::Load(load(1, 1_150, 1, 0)));
     assert_eq!(owner.count(&StreamFate::Running), 0);
     owner.at(1_210).feed(notice(3, 0, 0));
@@ -121,7 +125,7 @@
     let mut owner = Harness::running(EVEN, lease(1, 0..8));
     owner.at(1_000).feed(started());
     owner.at(1_100).feed(finished());
-    // The engine still had it when this was observed.
+    // The engine still had the request at the time of the observation.
     owner.at(1_110).feed(BatchInput::Load(load(1, 1_050, 1, 0)));
     owner.tick(1_110 + QUIET_MILLIS);
     assert!(owner.count(&StreamFate::Running) > 0);
@@ -134,7 +138,7 @@
     owner.feed(started());
     owner.at(1_100).feed(BatchInput::Acquired(owned(ENGINE, 2)));
     owner.feed(started());
-    // The two to the earlier life fail now.
+    // The two requests to the earlier incarnation fail.
     owner.at(1_200).feed(finished());
     owner.feed(finished());
     owner.tick(1_200 + QUIET_MILLIS);
@@ -153,7 +157,7 @@
     owner.at(1_040).feed(first_token(40));
     assert!(owner.count(&StreamFate::Running) > 0);
     assert!(owner.count(&StreamFate::Running) <= running);
-    // The next one waits for its token again.
+    // The next request awaits its first token.
     owner.at(1_050).feed(started());
     assert_eq!(owner.count(&StreamFate::Running), 0);
 }
@@ -163,13 +167,13 @@
     let mut owner = Harness::new(BatchSettings::default(), 100);
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     owner.grant(lease(1, 0..8));
-    // Without online work in sight, many prompts may be processed at once.
+    // Without recent online work, many streams may be in prefill at the same time.
     let prompts = owner.count(&StreamFate::Running);
     assert!(prompts > 1);
     owner.at(1_000).feed(started());
     owner.at(1_010).feed(finished());
     owner.tick(1_010 + QUIET_MILLIS);
-    // Now more online work is likely, and a prompt delays it by a whole chunk.
+    // More online work is likely now, and a batch prefill would delay it by a whole chunk.
     assert_eq!(owner.count(&StreamFate::Running), 1);
     owner.progress_all(1);
     assert_eq!(owner.count(&StreamFate::Running), prompts);
@@ -205,7 +209,7 @@
         owner.feed(BatchInput::Load(short(reports)));
         assert_eq!(owner.count(&StreamFate::Cancelled), reports as usize);
     }
-    // Their items are run again later.
+    // The items of the cancelled streams run again later.
     owner.at(1_500).feed(finished());
     owner.tick(1_500 + QUIET_MILLIS);
     owner.progress_all(1);
@@ -221,7 +225,7 @@
     owner.tick(1_999);
     assert!(owner.returns.is_empty());
     owner.tick(2_000);
-    // What was never started goes to others; what runs stays, held back.
+    // Items that never started are returned; started streams stay paused.
     assert_eq!(owner.returned().len(), 12 - running);
     assert_eq!(owner.count(&StreamFate::Paused), running);
 }
@@ -251,7 +255,7 @@
         grown = report(&mut owner, 5);
     }
     assert!(grown as usize > before, "{grown}");
-    // The engine's own maximum is the most.
+    // The limit never exceeds the engine's own maximum.
     for _ in 0..20 {
         grown = report(&mut owner, 5);
     }
