--- a/crates/routing/src/placement/message.rs
+++ b/crates/routing/src/placement/message.rs
@@ -1,4 +1,4 @@
-//! What the planner is given and what it proposes.
+//! Inputs and outputs of the placement planner.
 
 use std::time::Duration;
 
@@ -7,17 +7,17 @@
 use molespan_state::control::IssueOrder;
 use molespan_types::{BackendId, FencingToken, Incarnation, ServiceName, ZoneName};
 
-/// Bounds of placement.
+/// Limits of the placement planner.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementSettings {
-    /// Most loads from the weight store at once.
+    /// Maximum concurrent loads from the weight store.
     pub most_loads: usize,
-    /// Most orders in one step.
+    /// Maximum orders proposed in one step.
     pub most_orders: usize,
-    /// Time for which a load counts as running at least, since an engine that
-    /// reports no versions shows no difference when it starts one.
+    /// Minimum time for which a load counts as in progress. Without versions in
+    /// its reports, an engine that is loading another version looks unchanged.
     pub shortest_load: Duration,
-    /// Time without effect after which an order is proposed again.
+    /// Time after which an order that shows no effect is proposed again.
     pub resend_after: Duration,
 }
 
@@ -32,59 +32,62 @@
     }
 }
 
-/// An engine as the directory has it, and its latest order's token.
+/// State of an engine according to the directory, with its fencing token and
+/// latest order.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineState {
     /// Engine.
     pub backend: BackendId,
-    /// Its life.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// Where it stands.
+    /// Zone of the engine.
     pub zone: ZoneName,
-    /// Service that it is meant for.
+    /// Service that the engine is assigned to.
     pub service: ServiceName,
-    /// Whether it may get new work.
+    /// Whether the engine may receive new work.
     pub in_service: bool,
-    /// Whether it is leaving.
+    /// Whether the engine is leaving.
     pub leaving: bool,
-    /// Models ready.
+    /// Models that are ready, as reported: `NAME` or `NAME@VERSION`.
     pub models: Vec<String>,
-    /// Adapters ready.
+    /// Adapters that are ready.
     pub adapters: Vec<String>,
-    /// Role in force.
+    /// Current role.
     pub role: EngineRole,
-    /// Highest token issued to it.
+    /// Highest fencing token issued to the engine.
     pub token: FencingToken,
-    /// Its latest order, if that was for this life of it.
+    /// Latest order to this incarnation of the engine, if any.
     pub last_order: Option<OrderAction>,
 }
 
 /// Why an order is proposed.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 pub enum PlacementReason {
-    /// The service has fewer ready copies than it should.
+    /// The service has fewer copies than configured.
     #[display("service {service} has {ready} of {wanted} copies; zone {zone} has the fewest")]
     TooFewCopies {
         /// Service.
         service: ServiceName,
-        /// Copies ready or being loaded.
+        /// Copies that are ready or being loaded.
         ready: usize,
-        /// Copies wanted.
+        /// Configured number of copies.
         wanted: usize,
-        /// Zone that was chosen for the next copy.
+        /// Zone chosen for the next copy.
         zone: ZoneName,
     },
-    /// The engine runs another version; enough other copies stay in service.
-    #[display("service {service} moves to version {version}; {others} other copies stay")]
+    /// The engine runs another version, and enough other copies stay in service.
+    #[display(
+        "service {service} changes to version {version}; {others} other copies stay in service"
+    )]
     OtherVersion {
         /// Service.
         service: ServiceName,
         /// Wanted version.
         version: u32,
-        /// Copies that stay in service meanwhile.
+        /// Copies that stay in service during the load.
         others: usize,
     },
-    /// The engine has the model but lacks an adapter of the service.
+    /// The engine has the model but not an adapter of the service.
     #[display("service {service} needs adapter {adapter}")]
     MissingAdapter {
         /// Service.
@@ -92,33 +95,33 @@
         /// Adapter.
         adapter: String,
     },
-    /// The engine is in another role than its service needs.
+    /// The engine's role is not the one that its service needs.
     #[display("service {service} needs role mixed")]
     WrongRole {
         /// Service.
         service: ServiceName,
     },
-    /// No service wants this model on this engine any more.
-    #[display("no service wants model {model} there")]
+    /// The engine's service no longer uses this model.
+    #[display("the service of this engine does not use model {model}")]
     UnwantedModel {
         /// Model.
         model: String,
     },
-    /// An earlier order shows no effect yet.
-    #[display("no effect of the order with token {token} yet")]
+    /// An earlier order has had no reported effect.
+    #[display("no effect yet of the order with expected token {token}")]
     NoEffectYet {
-        /// Token under which it was to be issued.
+        /// Expected token of the earlier order: the highest issued when it was proposed.
         token: FencingToken,
     },
 }
 
-/// A proposed order and its reason; also a decision event.
+/// A proposed order with its reason; also logged as a decision event.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementDecision {
-    /// Input for the control group.
+    /// Command for the control group.
     pub order: IssueOrder,
-    /// The action in it.
+    /// Action of the order.
     pub action: OrderAction,
-    /// Why.
+    /// Why the order is proposed.
     pub reason: PlacementReason,
 }
--- a/crates/routing/src/placement/mod.rs
+++ b/crates/routing/src/placement/mod.rs
@@ -1,12 +1,12 @@
-//! Which engine should load what: from the configuration and the directory to
-//! fenced orders.
+//! Model placement: derives fenced orders to engines from the configuration and
+//! the engine directory.
 //!
-//! Each step issues a few orders at most and waits until reports show their
-//! effect, so that the weight store's rate limit is kept and a wrong choice
-//! stays small. Never given:
+//! Each step proposes a few orders at most and waits until reports show their
+//! effect, which respects the rate limit of the weight store and bounds the damage
+//! of a wrong choice. The planner never proposes:
 //! - an order that takes the last ready copy of a model out of service;
 //! - a second order to an engine that has one outstanding;
-//! - more loads at once than the weight store is allowed.
+//! - more concurrent loads than the weight store allows.
 
 mod message;
 mod planner;
--- a/crates/routing/src/placement/planner.rs
+++ b/crates/routing/src/placement/planner.rs
@@ -1,4 +1,4 @@
-//! The planner of orders.
+//! The placement planner.
 
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 use super::message::{EngineState, PlacementDecision, PlacementReason, PlacementSettings};
 use super::wanted::{Copy, WANTED_ROLE, Wanted, copy_of, shows_effect, split_version, wanted_by};
 
-/// An order whose effect is not reported yet.
+/// An order whose effect has not been reported yet.
 #[derive(Clone, Debug)]
 struct Outstanding {
     incarnation: Incarnation,
@@ -18,16 +18,16 @@
     token: FencingToken,
 }
 
-/// Proposes orders until every engine holds what it should.
+/// Proposes orders until every engine has what its service needs.
 #[derive(Clone, Debug)]
 pub struct PlacementPlanner {
     settings: PlacementSettings,
     outstanding: BTreeMap<BackendId, Outstanding>,
-    /// Model versions that orders of this planner loaded, by engine life.
+    /// Model versions loaded by orders, for each engine incarnation.
     ordered: BTreeMap<(BackendId, Incarnation), BTreeMap<String, u32>>,
 }
 
-/// What one step works on.
+/// Inputs and decisions of one planning step.
 struct Step<'a> {
     now: Timestamp,
     engines: &'a [EngineState],
@@ -35,7 +35,7 @@
 }
 
 impl PlacementPlanner {
-    /// Nothing is outstanding.
+    /// Creates a planner without outstanding orders.
     #[must_use]
     pub fn new(settings: PlacementSettings) -> Self {
         Self {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Proposes the next orders. Call it after changes and once a second.
+    /// Proposes the next orders. Should be called after changes and once a second.
     pub fn plan(
         &mut self,
         now: Timestamp,
@@ -70,7 +70,7 @@
         step.decisions
     }
 
-    /// Learns which versions were ordered before this planner took over.
+    /// Records the versions that were ordered before this planner took over.
     fn learn_versions(&mut self, engines: &[EngineState]) {
         for engine in engines {
             let Some(OrderAction::LoadModel { model, version }) = &engine.last_order else {
@@ -85,8 +85,9 @@
         }
     }
 
-    /// Forgets orders whose effect is reported, or whose engine is another, is
-    /// leaving, or has been out of service for long.
+    /// Drops outstanding orders whose effect is reported, and those whose engine
+    /// is gone, has restarted, is leaving, or is out of service after the resend
+    /// delay.
     fn settle(&mut self, now: Timestamp, engines: &[EngineState]) {
         let shortest_load = self.settings.shortest_load;
         let resend_after = self.settings.resend_after;
@@ -102,12 +103,12 @@
             if engine.incarnation != order.incarnation || engine.leaving {
                 return false;
             }
-            // It may never finish, and must not hold up the loads of others.
+            // The order may never finish and must not block the loads of others.
             if !engine.in_service && now.since(order.proposed) >= resend_after {
                 return false;
             }
-            // The token rises when the order is issued; an effect that was
-            // there before says nothing about it.
+            // The token increases when the order is issued. A state that already
+            // matched the order before is not evidence of its effect.
             let issued = engine.token > order.token;
             let old_enough = now.since(order.proposed) >= shortest_load;
             let effective = issued && old_enough && shows_effect(engine, &order.action);
@@ -138,8 +139,8 @@
         }
     }
 
-    /// Moves engines with another version over, one after the other, while
-    /// enough copies stay in service.
+    /// Orders the wanted version on engines that run another one, as long as
+    /// enough other copies stay in service.
     fn update_versions(&mut self, step: &mut Step<'_>, wanted: &Wanted) {
         for engine in engines_of(step.engines, wanted) {
             let outdated = self.copy(engine, wanted) == Copy::OtherVersion;
@@ -165,8 +166,8 @@
         }
     }
 
-    /// Loads the model on further engines, each in the zone with the fewest
-    /// copies so far.
+    /// Loads the model on more engines, each time in the zone with the fewest
+    /// copies.
     fn add_copies(&mut self, step: &mut Step<'_>, wanted: &Wanted) {
         let needed = wanted.replicas + usize::from(self.needs_spare(step.engines, wanted));
         loop {
@@ -191,8 +192,8 @@
         }
     }
 
-    /// Whether a further copy is needed for a while, since the only one must
-    /// move to another version and may not stop serving meanwhile.
+    /// Whether an extra copy is needed temporarily, so that the only copy can
+    /// change its version without an interruption of service.
     fn needs_spare(&self, engines: &[EngineState], wanted: &Wanted) -> bool {
         let mut copies = self.copies(engines, wanted);
         let outdated = copies.any(|engine| self.copy(engine, wanted) == Copy::OtherVersion);
@@ -218,7 +219,7 @@
             })
     }
 
-    /// Completes engines that have the model: role, then adapters.
+    /// Sets the role and then loads missing adapters on engines that have the model.
     fn complete_engines(&mut self, step: &mut Step<'_>, wanted: &Wanted) {
         for engine in engines_of(step.engines, wanted) {
             let unfit = engine.leaving || !engine.in_service || self.is_busy(engine);
@@ -251,8 +252,8 @@
         }
     }
 
-    /// Unloads models that no service wants on their engine, but only where
-    /// the engine already serves what is wanted: old models stay until then.
+    /// Unloads models that an engine's service does not use, once the engine has
+    /// the wanted model in the wanted version. Old models stay until then.
     fn unload_unwanted(&mut self, step: &mut Step<'_>, wanted: &[Wanted]) {
         for engine in step.engines {
             let here = wanted.iter().find(|one| one.service == engine.service);
@@ -286,7 +287,8 @@
         copy_of(engine, self.ordered.get(&key).unwrap_or(&empty), wanted)
     }
 
-    /// Engines that hold the model in some version or are loading it.
+    /// Returns the engines in service that have the model in any version or are
+    /// loading it.
     fn copies<'a>(
         &'a self,
         engines: &'a [EngineState],
@@ -303,7 +305,8 @@
             })
     }
 
-    /// Copies that serve now, leaving `except` and those being changed aside.
+    /// Counts the copies in service, without `except` and engines with an
+    /// outstanding order.
     fn copies_in_service(
         &self,
         engines: &[EngineState],
@@ -322,7 +325,7 @@
         self.outstanding.contains_key(&engine.backend)
     }
 
-    /// Whether another load keeps within the weight store's limit.
+    /// Whether the limits allow another load from the weight store.
     fn may_order_load(&self, step: &Step<'_>) -> bool {
         let loads = self.outstanding.values().filter(|order| {
             matches!(
@@ -381,7 +384,7 @@
         .filter(|engine| engine.service == wanted.service)
 }
 
-/// Whether `engine` holds the last copy of a model that some service wants.
+/// Whether `engine` has the last copy of a model that some service uses.
 fn is_last_copy(
     engines: &[EngineState],
     engine: &EngineState,
--- a/crates/routing/src/placement/wanted.rs
+++ b/crates/routing/src/placement/wanted.rs
@@ -1,4 +1,4 @@
-//! What an engine lacks, given what its service should run.
+//! What services need from their engines, and whether an engine provides it.
 
 use std::collections::BTreeMap;
 
@@ -8,10 +8,10 @@
 
 use super::message::EngineState;
 
-/// Separates a model's name from its version in an engine's report.
+/// Separator of model name and version in reports of engines.
 const VERSION_SEPARATOR: char = '@';
 
-/// What one service asks of its engines.
+/// What a service needs on its engines.
 #[derive(Clone, Debug)]
 pub(super) struct Wanted {
     pub(super) service: ServiceName,
@@ -21,7 +21,7 @@
     pub(super) replicas: usize,
 }
 
-/// The services that need engines with a model.
+/// Returns the requirements of every service that has a model.
 pub(super) fn wanted_by(configuration: &Configuration) -> Vec<Wanted> {
     configuration
         .services
@@ -46,21 +46,21 @@
     })
 }
 
-/// How an engine holds a model.
+/// State of a model on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Copy {
-    /// Ready at the wanted version.
+    /// Ready in the wanted version.
     Ready,
-    /// Ready at another version, or at one that is not known.
+    /// Ready in another or an unknown version.
     OtherVersion,
-    /// Not there.
+    /// Not on the engine.
     None,
 }
 
-/// How `engine` holds the wanted model. Reports name models as `NAME` or
-/// `NAME@VERSION`; without a version, the last known order decides. Without
-/// one the model is ordered again, which changes nothing on an engine that has
-/// it in that version.
+/// Returns the state of the wanted model on `engine`. Reports name models as
+/// `NAME` or `NAME@VERSION`; without a version, the last known order is used. If
+/// there is none, the model is ordered again, which has no effect on an engine that
+/// already has this version.
 pub(super) fn copy_of(
     engine: &EngineState,
     ordered: &BTreeMap<String, u32>,
@@ -80,7 +80,7 @@
     Copy::None
 }
 
-/// Name and version of a model as reported.
+/// Splits a reported model into its name and version.
 pub(super) fn split_version(loaded: &str) -> (&str, Option<u32>) {
     match loaded.split_once(VERSION_SEPARATOR) {
         Some((name, version)) => (name, version.parse().ok()),
@@ -88,7 +88,7 @@
     }
 }
 
-/// Whether a report shows that an order took effect.
+/// Whether the reported state of `engine` matches an order's action.
 pub(super) fn shows_effect(engine: &EngineState, action: &OrderAction) -> bool {
     let has_model = |wanted: &str| {
         let mut names = engine.models.iter().map(|loaded| split_version(loaded).0);
@@ -107,5 +107,5 @@
     }
 }
 
-/// The role that services ask of their engines today.
+/// The role that all services need at present.
 pub(super) const WANTED_ROLE: EngineRole = EngineRole::Mixed;
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Orders that bring engines to what their services want.
+//! Placement orders for the models and adapters that services need.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// How long a load takes in this world, in seconds.
+/// Simulated duration of a load, in seconds.
 const LOAD_SECONDS: u64 = 3;
 
 fn at(seconds: u64) -> Timestamp {
@@ -46,7 +46,7 @@
     }
 }
 
-/// An engine as it is, and what it is working on.
+/// State of an engine and the order that it is executing.
 #[derive(Clone, Debug)]
 struct Engine {
     state: EngineState,
@@ -54,7 +54,7 @@
     working: Option<(u64, OrderAction)>,
 }
 
-/// A fleet that carries orders out after a while.
+/// A simulated fleet that executes orders with a delay.
 struct World {
     engines: Vec<Engine>,
     last_token: u64,
@@ -111,7 +111,7 @@
         self.engines.iter().map(reported).collect()
     }
 
-    /// Issues an order the way the control group does.
+    /// Issues an order as the control group does: only if token and incarnation match.
     fn issue(&mut self, now: u64, decision: &PlacementDecision) {
         let engine = &mut self.engines[decision.order.backend.0 as usize];
         let current = engine.state.token == decision.order.expected_token
@@ -165,7 +165,7 @@
         working.count()
     }
 
-    /// Engines that serve `model` and are not working on an order.
+    /// Counts the engines that serve `model` and execute no order, without `except`.
     fn serving(&self, model: &str, except: BackendId) -> usize {
         let serving = self.engines.iter().filter(|engine| {
             engine.state.backend != except
@@ -185,7 +185,7 @@
         ready.count()
     }
 
-    /// One second: plan, issue, work. Returns the decisions.
+    /// Simulates one second of planning, issuing and executing; returns the decisions.
     fn second(
         &mut self,
         now: u64,
@@ -247,7 +247,7 @@
             &ZoneName::from("c")
         ]
     );
-    // Once all is as wanted, nothing more is ordered.
+    // Once the fleet matches the configuration, no more orders are proposed.
     assert_eq!(world.run(30..60, &mut planner, &wanted), []);
 }
 
@@ -294,7 +294,7 @@
         let wanted = configuration(2, service("m", 3, &[]));
         for now in 0..60 {
             for decision in world.second(now, &mut planner, &wanted) {
-                // Without versions in reports, the end of a load shows nowhere.
+                // Without versions in reports, the planner cannot see the end of a load.
                 let others = world.serving("m", decision.order.backend);
                 assert!(others >= 1 || !reports_versions, "{decision:?}");
             }
@@ -391,7 +391,7 @@
     let wanted = configuration(3, service("m", 2, &[]));
     world.run(0..30, &mut planner(), &wanted);
     assert_eq!(world.ready("m", 3), 2);
-    // Reports name no versions, yet nothing is ordered twice.
+    // Reports contain no versions, yet no order is repeated.
     assert_eq!(world.run(30..60, &mut planner(), &wanted), []);
 }
 
@@ -427,10 +427,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever fails: no more loads than allowed, never the last copy that
-    /// serves, and in the end every service has what it wants. The first two
-    /// can be kept only where reports name versions, and by a planner that saw
-    /// the orders go out.
+    /// Under any faults, the number of loads stays within the limit, the last serving copy
+    /// is never changed, and every service eventually has its copies. The first two hold
+    /// only if reports contain versions and the planner itself proposed all orders.
     #[test]
     fn bounds_hold_and_the_fleet_converges(
         reports_versions: bool,
@@ -446,7 +445,7 @@
             let mut seconds = 0;
             match fault {
                 Fault::Restart(number) => world.restart(number),
-                // Three engines stay, so that convergence is possible.
+                // Three engines never leave, so that the fleet can converge.
                 Fault::Leave(number) if number < 3 => world.engines[number].state.leaving = true,
                 Fault::Leave(_) => {}
                 Fault::Down(number) => world.engines[number].state.in_service = false,
