--- a/crates/routing/src/subset/mod.rs
+++ b/crates/routing/src/subset/mod.rs
@@ -1,13 +1,14 @@
-//! Which gateways use which engines of a large service.
+//! Subsetting: which gateways use which engines of a large service.
 //!
-//! A gateway that knew every engine would be told of each, walk all of them for every
-//! choice, and rarely send twice to the same one. So each engine of a large service is
-//! used by a few gateways only, drawn by rendezvous hashing: every engine has as many
-//! users as the others, and a gateway or an engine that comes or goes moves only what
-//! concerns it. Most of the users stand in the engine's zone where there are enough, and
-//! the rest elsewhere, so that a zone without gateways, or without engines, is served.
+//! A gateway that used every engine would receive updates about all of them, scan all of
+//! them for every choice, and rarely send two requests to the same one. So each engine of
+//! a large service is used by only a few gateways, chosen by rendezvous hashing. Every
+//! engine has the same number of users, and a gateway or engine that joins or leaves only
+//! affects its own assignments. Where there are enough gateways, most users of an engine
+//! are in its zone and the rest in other zones, so that zones without gateways or without
+//! engines are served too.
 //!
-//! Pure: the caller says who is there and numbers the changes.
+//! The module does no I/O: the caller passes the members in and numbers the changes.
 
 mod part;
 mod users;
@@ -22,14 +23,15 @@
 pub use users::Breadth;
 use users::Gateways;
 
-/// Counts changes of a view, so that a watcher gets those behind its mark.
+/// Sequence number of a change to a view, so that a watcher can request later changes.
 pub type Change = u64;
 
-/// One in so many engines of a large service is told to a gateway that starts before it is
-/// known who uses them: about as many as its part, and about as many users for each.
+/// A gateway that starts before the subsets of a large service are known uses one in this
+/// many engines. That is about the size of its later subset and gives each engine about
+/// as many users.
 const FIRST_OF: u64 = 32;
 
-/// Gateways that use each of those at the most, about.
+/// Approximate maximum number of gateways that use each of these first engines.
 pub const FIRST_USERS: u32 = 32;
 
 /// An engine of a service.
@@ -40,40 +42,40 @@
     users: Vec<NodeId>,
 }
 
-/// The engines of one service.
+/// The engines of a service.
 #[derive(Clone, Debug)]
 struct Service {
     engines: BTreeMap<Arc<str>, Member>,
     breadth: Breadth,
-    /// Change at which the breadth became as it is.
+    /// Change at which the breadth was last set.
     changed: Change,
 }
 
-/// What a gateway is to hear of its part of a service.
+/// Changes to a gateway's subset of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PartUpdate {
-    /// Engines that are new in the part, or changed.
+    /// Engines that were added to the subset or changed.
     pub engines: Vec<Arc<str>>,
-    /// Engines that went.
+    /// Engines that no longer exist.
     pub gone: Vec<Arc<str>>,
-    /// The whole part, where engines of it went to other gateways.
+    /// The complete subset, if engines were reassigned to other gateways.
     pub whole: Option<Vec<Arc<str>>>,
 }
 
-/// Which gateways use which engines.
+/// The assignment of engines to gateways.
 #[derive(Clone, Debug, Default)]
 pub struct Subsets {
     gateways: Gateways,
     services: BTreeMap<String, Service>,
     parts: BTreeMap<NodeId, BTreeMap<String, Part>>,
-    /// Whether it is known how many gateways there are.
+    /// Whether the number of gateways is known.
     settled: bool,
-    /// Ranks that were computed, as a measure of the work.
+    /// Number of ranks computed, as a measure of work.
     ranked: u64,
 }
 
 impl Subsets {
-    /// Takes an engine in, or notes that something of it changed.
+    /// Adds an engine or records that it changed.
     pub fn insert(&mut self, service: &str, engine: &str, zone: &ZoneName, change: Change) {
         let held = self
             .services
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Forgets an engine that is there no more.
+    /// Removes an engine.
     pub fn remove(&mut self, service: &str, engine: &str, change: Change) {
         let Some(held) = self.services.get_mut(service) else {
             return;
@@ -119,9 +121,9 @@
         }
     }
 
-    /// Takes in which gateways there are, and decides anew how broadly the engines of
-    /// each service are used. Before it is `settled` how many there are, nobody hears of
-    /// a service that is too large for every gateway. Says whether anything changed.
+    /// Updates the gateways and recomputes the breadth and the users of each service.
+    /// Until the number of gateways is known (`settled`), no gateway is assigned engines
+    /// of a service that may be too large for all of them. Returns whether anything changed.
     pub fn plan(
         &mut self,
         gateways: &BTreeMap<NodeId, Option<ZoneName>>,
@@ -129,7 +131,7 @@
         change: Change,
     ) -> bool {
         self.settled = settled;
-        // Gateways that are not known yet, or not any more, may be there all the same.
+        // Unless settled, gateways missing from the list may still be running.
         let (came, went) = match settled {
             true => self.gateways.replace(gateways),
             false => (BTreeSet::new(), BTreeSet::new()),
@@ -195,19 +197,20 @@
         changed
     }
 
-    /// How broadly the engines of a service are used, and the change that brought it.
+    /// Returns the breadth of a service and the change that set it.
     #[must_use]
     pub fn breadth(&self, service: &str) -> (Breadth, Change) {
         let held = self.services.get(service);
         held.map_or((Breadth::Whole, 0), |held| (held.breadth, held.changed))
     }
 
-    /// Services that are known.
+    /// Returns the names of the known services.
     pub fn services(&self) -> impl Iterator<Item = &str> {
         self.services.keys().map(String::as_str)
     }
 
-    /// The gateways that use an engine; `None` where all do.
+    /// Returns the gateways that use an engine; `None` if all gateways do or the engine is
+    /// unknown.
     #[must_use]
     pub fn users(&self, service: &str, engine: &str) -> Option<&[NodeId]> {
         let held = self.services.get(service)?;
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Whether a gateway's parts changed behind `since`.
+    /// Whether any subset of a gateway, or the breadth of any service, changed after `since`.
     #[must_use]
     pub fn is_news(&self, gateway: NodeId, since: Change) -> bool {
         let parts = self.parts.get(&gateway);
@@ -225,15 +228,15 @@
             || self.services.values().any(|held| held.changed > since)
     }
 
-    /// What changed of a gateway's part of a service behind `since`.
+    /// Returns the changes to a gateway's subset of a service after `since`.
     #[must_use]
     pub fn part_after(&self, gateway: NodeId, service: &str, since: Change) -> PartUpdate {
         let parts = self.parts.get(&gateway);
         let part = parts.and_then(|parts| parts.get(service));
         let (breadth, changed) = self.breadth(service);
         if breadth == Breadth::Unsettled {
-            // Whoever knows engines from before goes on with them: this view may have
-            // begun anew, as all others may have.
+            // Gateways keep the engines that they already know, since this view and all
+            // others may have been rebuilt after a restart.
             return PartUpdate::default();
         }
         let narrowed = breadth != Breadth::Whole && changed > since;
@@ -246,9 +249,9 @@
         }
     }
 
-    /// Whether a gateway that has just started is to use an engine of a service of which
-    /// it is not known yet who uses it. Nobody else's word is needed for the draw, so that
-    /// all control nodes tell it of the same ones.
+    /// Whether a gateway that has just started uses an engine of a service whose subsets
+    /// are not known yet. The choice depends only on the two ids, so all control nodes
+    /// announce the same engines to it.
     #[must_use]
     pub fn is_first(&self, gateway: NodeId, service: &str, engine: &str) -> bool {
         let (breadth, _) = self.breadth(service);
@@ -256,7 +259,7 @@
         breadth == Breadth::Unsettled && draw.is_multiple_of(FIRST_OF)
     }
 
-    /// Engines of a service that a gateway uses as one of few.
+    /// Returns the size of a gateway's subset of a service.
     #[must_use]
     pub fn part_len(&self, gateway: NodeId, service: &str) -> usize {
         let parts = self.parts.get(&gateway);
@@ -264,7 +267,7 @@
         part.map_or(0, Part::len)
     }
 
-    /// How many ranks were computed so far.
+    /// Returns the number of ranks computed so far.
     #[must_use]
     pub fn ranked(&self) -> u64 {
         self.ranked
--- a/crates/routing/src/subset/part.rs
+++ b/crates/routing/src/subset/part.rs
@@ -1,28 +1,30 @@
-//! The engines of one service that one gateway uses.
+//! The subset of a service's engines that one gateway uses.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 use super::{Change, PartUpdate};
 
-/// Engines that went and are still told of: as many as a part holds, so that the log
-/// takes no more room than the part. Whoever missed more gets the whole part.
+/// Maximum number of removed engines kept for updates: about the size of a subset, so that
+/// the log takes no more memory than the subset. A gateway that missed more removals gets
+/// the complete subset.
 const REMEMBERED_GONE: usize = 256;
 
-/// The engines of one service that one gateway uses, with the change at which each came
-/// or changed.
+/// The subset of a service's engines that one gateway uses, with the change at which each
+/// engine was added or last changed.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Part {
     engines: BTreeMap<Arc<str>, Change>,
     log: BTreeSet<(Change, Arc<str>)>,
     gone: BTreeSet<(Change, Arc<str>)>,
-    /// Last change at which one went to other gateways, or was forgotten to have gone.
+    /// Last change at which an engine was reassigned to other gateways, or whose removal was
+    /// dropped from the log; watchers from before it need the complete subset.
     released: Change,
     changed: Change,
 }
 
 impl Part {
-    /// An empty part, of a gateway that may know an earlier one.
+    /// Creates an empty subset for a gateway that may still have an earlier one.
     pub fn begun(change: Change) -> Self {
         Self {
             released: change,
@@ -31,7 +33,7 @@
         }
     }
 
-    /// An engine is this gateway's from now on, or something of it changed.
+    /// Adds an engine or records that it changed.
     pub fn take(&mut self, engine: &Arc<str>, change: Change) {
         if let Some(before) = self.engines.insert(engine.clone(), change) {
             self.log.remove(&(before, engine.clone()));
@@ -40,7 +42,7 @@
         self.changed = change;
     }
 
-    /// An engine is there, and no longer this gateway's.
+    /// Removes an engine that still exists but was reassigned to other gateways.
     pub fn release(&mut self, engine: &str, change: Change) {
         if self.forget(engine).is_some() {
             self.released = change;
@@ -48,7 +50,7 @@
         }
     }
 
-    /// An engine is there no more.
+    /// Removes an engine that no longer exists.
     pub fn lose(&mut self, engine: &str, change: Change) {
         let Some(engine) = self.forget(engine) else {
             return;
@@ -72,12 +74,13 @@
         self.engines.len()
     }
 
-    /// The change that was last.
+    /// Returns the last change.
     pub fn changed(&self) -> Change {
         self.changed
     }
 
-    /// What changed behind `since`; all of it too if the part was `narrowed`.
+    /// Returns the changes after `since`, with the complete subset if it was `narrowed` or
+    /// engines were reassigned.
     pub fn after(&self, since: Change, narrowed: bool) -> PartUpdate {
         let behind = (since + 1, Arc::from(""));
         let ids = |log: &BTreeSet<(Change, Arc<str>)>| {
--- a/crates/routing/src/subset/users.rs
+++ b/crates/routing/src/subset/users.rs
@@ -1,4 +1,4 @@
-//! How many gateways use an engine, and which.
+//! The number of gateways that use an engine, and their choice.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,38 +6,40 @@
 use molespan_types::{NodeId, ZoneName};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Gateways that use each engine of a large service at the least. Where gateways differ
-/// by a third in what they send, the busiest of 9,713 engines gets 1.25 times the mean
-/// with 24 users in its zone and 1.36 with 12 (`tests/subset.rs`); behind the loss of
-/// half of all gateways 16 are left.
+/// Minimum number of gateways that use each engine of a large service. When the request
+/// rates of gateways vary by a third, the busiest of 9,713 engines gets 1.25 times the mean
+/// load with 24 users in its zone and 1.36 times with 12 (`tests/subset.rs`). 16 users
+/// remain after the loss of half of all gateways.
 const USERS_AT_LEAST: usize = 32;
-/// Part of an engine's users that stand in its zone.
+/// Share of an engine's users that are in its zone.
 const NEAR: f64 = 0.75;
-/// Engines of a large service that a gateway uses at the least. It works on with half of
-/// them gone, and holds the requests of one that gets several times the mean.
+/// Minimum number of engines of a large service that a gateway uses. A gateway keeps working
+/// after the loss of half of them, and can place its requests even if it gets several times
+/// the mean.
 const ENGINES_AT_LEAST: usize = 256;
-/// Part of all gateways from which on an engine may as well be used by all.
+/// Share of all gateways at which an engine is used by all of them instead of a subset.
 const WHOLE_FROM: f64 = 0.5;
-/// Part of all gateways below which an engine that all use gets few users: lower than
-/// the one above, so that a fleet that grows and shrinks a little stays as it is.
+/// Share of all gateways below which an engine used by all gateways gets a subset of users.
+/// It is lower than [`WHOLE_FROM`] for hysteresis, so that small changes in fleet size have
+/// no effect.
 const WHOLE_TO: f64 = 1.0 / 3.0;
-/// Factor by which the number of users has to be off before it is changed: each change
-/// moves engines between all gateways.
+/// Factor by which the number of users must deviate before it is changed, since each change
+/// reassigns engines across all gateways.
 const OFF_BY: f64 = 1.33;
 
 /// How many gateways use each engine of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Breadth {
-    /// All.
+    /// All gateways.
     Whole,
-    /// So many.
+    /// This number of gateways.
     Few(usize),
-    /// None, until it is known how many gateways there are.
+    /// None, until the number of gateways is known.
     Unsettled,
 }
 
 impl Breadth {
-    /// The breadth for a service of so many engines before so many gateways.
+    /// Returns the new breadth of a service for these numbers of engines and gateways.
     pub(super) fn planned(self, engines: usize, gateways: usize, settled: bool) -> Self {
         let share = ENGINES_AT_LEAST as f64 / engines.max(1) as f64;
         let wanted = (share * gateways as f64).max(USERS_AT_LEAST as f64);
@@ -60,13 +62,13 @@
         }
     }
 
-    /// Whether it may turn out, once the gateways are known, that all of them use too many
-    /// engines. While a large service registers, its first engines go to everybody.
+    /// Whether use by all gateways may turn out too broad once their number is known. The
+    /// first engines of a large service still go to every gateway while it registers.
     pub(super) fn is_too_broad(self, engines: usize) -> bool {
         self == Self::Whole && engines > ENGINES_AT_LEAST
     }
 
-    /// Users in the engine's own zone.
+    /// Number of users in the engine's own zone.
     fn near(self) -> usize {
         match self {
             Self::Few(users) => (users as f64 * NEAR).ceil() as usize,
@@ -74,7 +76,7 @@
         }
     }
 
-    /// Gateways that use each engine where they are few.
+    /// Returns the number of gateways that use each engine; 0 unless this is [`Self::Few`].
     #[must_use]
     pub fn users(self) -> usize {
         match self {
@@ -88,7 +90,7 @@
     one <= other * OFF_BY && other <= one * OFF_BY
 }
 
-/// All gateways, with their zones.
+/// All gateways and their zones.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Gateways {
     zones: BTreeMap<NodeId, Option<ZoneName>>,
@@ -100,8 +102,8 @@
         self.zones.len()
     }
 
-    /// Takes in who is there; says who came and who went. One whose zone became known
-    /// did both.
+    /// Replaces the gateways and returns those added and those removed. A gateway whose
+    /// zone changed is in both sets.
     pub fn replace(
         &mut self,
         gateways: &BTreeMap<NodeId, Option<ZoneName>>,
@@ -124,7 +126,7 @@
         (came, went)
     }
 
-    /// Ranks that choosing among all gateways takes.
+    /// Returns the number of ranks computed when choosing among all gateways.
     pub fn ranked(&self, breadth: Breadth) -> u64 {
         match breadth {
             Breadth::Few(_) => self.len() as u64,
@@ -132,7 +134,7 @@
         }
     }
 
-    /// The users of an engine, among all gateways.
+    /// Chooses the users of an engine among all gateways.
     pub fn users(&self, engine: u64, zone: &ZoneName, breadth: Breadth) -> Vec<NodeId> {
         let Breadth::Few(_) = breadth else {
             return Vec::new();
@@ -149,7 +151,7 @@
         chosen(near, rest, breadth)
     }
 
-    /// The users of an engine, among the `candidates` that are there.
+    /// Chooses the users of an engine among those `candidates` that still exist.
     pub fn users_of(
         &self,
         candidates: impl Iterator<Item = NodeId>,
@@ -175,13 +177,13 @@
 
 type Ranked = (Reverse<u64>, NodeId);
 
-/// Rendezvous hashing: the gateways with the highest ranks use the engine.
+/// Rank for rendezvous hashing: the gateways with the highest hashes use the engine.
 fn rank(gateway: NodeId, engine: u64) -> Reverse<u64> {
     Reverse(xxh3_64_with_seed(&gateway.0.to_le_bytes(), engine))
 }
 
-/// Those with the highest ranks in the engine's zone, and then those with the highest
-/// ranks of the rest.
+/// Chooses the gateways with the highest ranks in the engine's zone, then fills up with
+/// those ranked highest among the rest.
 fn chosen(mut near: Vec<Ranked>, mut rest: Vec<Ranked>, breadth: Breadth) -> Vec<NodeId> {
     rest.append(&mut split_highest(&mut near, breadth.near()));
     split_highest(&mut rest, breadth.users().saturating_sub(near.len()));
@@ -190,7 +192,7 @@
     users
 }
 
-/// Leaves the `count` with the highest ranks, and gives the others.
+/// Keeps the `count` gateways with the highest ranks and returns the others.
 fn split_highest(ranked: &mut Vec<Ranked>, count: usize) -> Vec<Ranked> {
     if count >= ranked.len() {
         return Vec::new();
--- a/crates/routing/tests/fleet_size.rs
+++ b/crates/routing/tests/fleet_size.rs
@@ -1,5 +1,5 @@
-//! What one gateway and one relay do at a fleet, and at twice as many gateways and
-//! engines: work is counted, not timed.
+//! Work of one gateway and one relay in a fleet, and in one with twice as many gateways and
+//! engines. Work is counted, not timed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,9 +14,9 @@
 
 const SERVICE: &str = "s";
 const ZONES: usize = 5;
-/// Relays, one a zone.
+/// Number of relays, one per zone.
 const RELAYS: usize = ZONES;
-/// Requests that a gateway has at engines, on average.
+/// Mean number of requests that a gateway has in flight at engines.
 const REQUESTS: f64 = 0.6;
 
 fn zone(place: usize) -> ZoneName {
@@ -27,7 +27,7 @@
     format!("i-{place:06}")
 }
 
-/// Gateways, and the engines that each uses.
+/// The gateways and the engines that each uses.
 struct Fleet {
     subsets: Subsets,
     parts: BTreeMap<NodeId, Vec<String>>,
@@ -51,7 +51,7 @@
         Self { subsets, parts }
     }
 
-    /// What each gateway has at engines.
+    /// Returns the requests in flight of each gateway.
     fn work(&self, seed: u64) -> BTreeMap<NodeId, Vec<WorkShare>> {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let parts = self.parts.iter();
@@ -66,7 +66,8 @@
         work.collect()
     }
 
-    /// Shares that the relay of one zone tells its gateways in a round, and to how many.
+    /// Returns the number of shares that one zone's relay sends to its gateways in a round, and
+    /// the number of those gateways.
     fn told_by_relay(&self) -> (usize, usize) {
         let mut relays: Vec<WorkRelay> = vec![WorkRelay::default(); RELAYS];
         let now = Timestamp::ZERO;
@@ -88,7 +89,7 @@
         (shares, told.len())
     }
 
-    /// Engines that the table of a gateway holds, and so walks for a pick.
+    /// Returns the number of engines in a gateway's table, all of which a pick scans.
     fn walked(&self, gateway: NodeId) -> usize {
         let mut table = EngineTable::new(zone(gateway.0 as usize - 1), 1);
         let now = Timestamp::ZERO;
@@ -140,14 +141,14 @@
         walked as f64 / fleet.parts.len() as f64
     };
     let ratio = mean(&twice) / mean(&fleet);
-    assert!(ratio <= 1.2, "engines walked for a pick: {ratio}");
+    assert!(ratio <= 1.2, "engines scanned by a pick: {ratio}");
     let ((told, gateways), (told_twice, gateways_twice)) =
         (fleet.told_by_relay(), twice.told_by_relay());
     let ratio = told_twice as f64 / told as f64;
-    assert!(ratio <= 2.2, "shares that a relay tells: {ratio}");
+    assert!(ratio <= 2.2, "shares sent by a relay: {ratio}");
     let ratio = ratio * gateways as f64 / gateways_twice as f64;
-    assert!(ratio <= 1.2, "shares that a gateway is told: {ratio}");
-    // Its part of what is in use, and not all of it.
+    assert!(ratio <= 1.2, "shares that a gateway is told of: {ratio}");
+    // On average, a gateway receives less than a tenth of all shares.
     let all: usize = twice.work(1).values().map(Vec::len).sum();
     assert!(
         told_twice < gateways_twice * all / 10,
--- a/crates/routing/tests/subset.rs
+++ b/crates/routing/tests/subset.rs
@@ -1,6 +1,6 @@
-//! Which gateways use which engines of a large service: nobody is left out, load is even,
-//! little moves when one comes or goes, and what a gateway uses, and what one change
-//! costs, does not grow with the fleet.
+//! Subsets of large services: every engine and gateway is covered, load is balanced,
+//! membership changes reassign little, and neither the size of a gateway's subset nor the
+//! cost of one change grows with the fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,8 +25,8 @@
     nodes.collect()
 }
 
-/// Subsets of so many gateways before so many engines, as a control node has them once it
-/// is settled.
+/// Returns the subsets for these numbers of gateways and engines, as a control node computes
+/// them once the number of gateways is known.
 fn subsets(gateway_count: usize, engines: usize) -> Subsets {
     let mut subsets = Subsets::default();
     for place in 0..engines {
@@ -68,7 +68,7 @@
     let ratio = mean(800, 10_000) / mean(400, 5_000);
     assert!(
         ratio <= 1.2,
-        "engines of a gateway at twice the fleet: {ratio}"
+        "engines used by a gateway at twice the fleet size: {ratio}"
     );
     let told = |gateways: usize, engines: usize| {
         let mut subsets = subsets(gateways, engines);
@@ -82,7 +82,7 @@
     assert_eq!(
         told(400, 5_000),
         told(800, 10_000),
-        "gateways that hear of one engine"
+        "gateways that are informed of one engine"
     );
     let ranked = |gateways: usize, engines: usize| {
         let mut subsets = subsets(gateways, engines);
@@ -95,12 +95,12 @@
     let ratio = ranked(800, 10_000) / ranked(400, 5_000);
     assert!(
         ratio <= 2.2,
-        "work at a control node for one gateway: {ratio}"
+        "work of a control node for one added gateway: {ratio}"
     );
 }
 
-/// Load of each engine when a request goes to any engine that its gateway uses, of the own
-/// zone first, and gateways send differently much.
+/// Returns the load of the busiest engine relative to the mean, when gateways with different
+/// request rates send evenly to the engines of their subset in their own zone.
 fn busiest_over_mean(gateway_count: usize, engines: usize, seed: u64) -> f64 {
     let subsets = subsets(gateway_count, engines);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
@@ -112,7 +112,7 @@
         }
     }
     for (gateway, part) in parts {
-        // A third more or less than the mean, as far as an even draw goes.
+        // A uniform distribution with a standard deviation of a third of the mean.
         let sent = random.random_range(1.0 - 0.577..1.0 + 0.577);
         let own = zone(gateway.0 as usize - 1);
         let near: Vec<usize> = part
@@ -157,7 +157,11 @@
         assert!(went.is_empty() || went == [&NodeId(7)], "{went:?}");
     }
     subsets.plan(&gateways(400), true, 4);
-    assert_eq!(users(&subsets), before, "it has its engines again");
+    assert_eq!(
+        users(&subsets),
+        before,
+        "the gateway uses its engines again"
+    );
     subsets.remove(SERVICE, &engine(3), 5);
     subsets.insert(SERVICE, "new", &zone(3), 6);
     for (place, held) in before.iter().enumerate().filter(|(place, _)| *place != 3) {
@@ -190,7 +194,7 @@
 
 #[test]
 fn no_gateway_is_without_engines_and_no_engine_without_gateways() {
-    // All engines in two zones, half of the gateways in zones without any.
+    // All engines are in two of the five zones, and most gateways are in the others.
     let mut subsets = Subsets::default();
     for place in 0..6_000 {
         subsets.insert(SERVICE, &engine(place), &zone(place % 2), 1);
@@ -199,7 +203,7 @@
     for node in 1..=500 {
         assert!(used_by(&subsets, NodeId(node)) >= 60, "{node}");
     }
-    // Half of a zone's engines go, and all gateways of another.
+    // Half of the engines of one zone and all gateways of another are removed.
     for place in (0..6_000).step_by(4) {
         subsets.remove(SERVICE, &engine(place), 3);
     }
@@ -241,7 +245,7 @@
         }
     }
     assert_eq!(subsets.breadth(SERVICE).0, Breadth::Unsettled);
-    // Nor is anything taken back from gateways that know engines from before.
+    // Gateways that know engines from before keep them.
     assert_eq!(
         subsets.part_after(NodeId(1), SERVICE, 0),
         PartUpdate::default()
@@ -250,6 +254,7 @@
     assert!(matches!(subsets.breadth(SERVICE).0, Breadth::Few(_)));
     let update = subsets.part_after(NodeId(1), SERVICE, 2_999);
     assert!(!update.engines.is_empty());
+    // The update contains the complete subset, which replaces all engines known before.
     let whole = update.whole.map(|whole| whole.len());
     assert_eq!(
         whole,
@@ -279,7 +284,7 @@
     let update = subsets.part_after(gateway, SERVICE, 2);
     assert_eq!(update.gone, [engine(used).as_str().into()]);
     assert_eq!((update.engines.len(), update.whole), (0, None));
-    // Another gateway takes some of its engines: it is told which are left.
+    // New gateways take over some of its engines, so it receives its complete subset.
     let mut more = gateways(400);
     for node in 401..440 {
         more.insert(NodeId(node), Some(zone(4)));
@@ -310,5 +315,8 @@
             let users = subsets.users(SERVICE, &engine(place)).expect("few");
             users.contains(&NodeId(9))
         });
-    assert!(near.count() * 2 >= part.engines.len(), "most of them");
+    assert!(
+        near.count() * 2 >= part.engines.len(),
+        "at least half of the engines are in its zone"
+    );
 }
