--- a/crates/routing/src/decay.rs
+++ b/crates/routing/src/decay.rs
@@ -1,10 +1,10 @@
-//! Sums that forget.
+//! Exponentially decaying sums.
 
 use std::time::Duration;
 
 use molespan_types::Timestamp;
 
-/// A sum whose parts fade: each is worth 1/e of itself after a while.
+/// A sum that decays exponentially, to 1/e after its time constant.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FadingSum {
     sum: f64,
@@ -13,7 +13,7 @@
 }
 
 impl FadingSum {
-    /// Nothing, of which parts fade over this time.
+    /// Creates a sum of 0 that decays with this time constant.
     pub fn new(fades_over: Duration) -> Self {
         Self {
             sum: 0.0,
@@ -22,18 +22,18 @@
         }
     }
 
-    /// Time over which parts fade.
+    /// Returns the time constant of the decay.
     pub fn fades_over(&self) -> Duration {
         self.fades_over
     }
 
-    /// The sum at this time.
+    /// Returns the sum at this time.
     pub fn at(&self, now: Timestamp) -> f64 {
         let age = now.since(self.at).as_secs_f64();
         self.sum * (-age / self.fades_over.as_secs_f64()).exp()
     }
 
-    /// Adds a part, or takes one back; the sum stays 0 at least.
+    /// Adds a value, which may be negative; the sum does not fall below 0.
     pub fn add(&mut self, part: f64, now: Timestamp) {
         self.sum = (self.at(now) + part).max(0.0);
         self.at = now;
--- a/crates/routing/src/hearing.rs
+++ b/crates/routing/src/hearing.rs
@@ -1,34 +1,37 @@
-//! Whether a gateway still hears anything of the other nodes.
+//! Detection of a gateway that is cut off from all other nodes.
 
 use std::time::Duration;
 
 use molespan_types::Timestamp;
 
-/// Silence of all other nodes behind which a gateway whose own calls are not answered
-/// takes itself for cut off. A relay repeats what it tells each 400 ms, in rounds that are
-/// 150 ms apart at the most, so that something comes within 600 ms.
+/// Time without any message from other nodes after which a gateway whose calls get no
+/// response considers itself cut off. A relay repeats its reports every 400 ms, in rounds
+/// at most 150 ms apart, so some message arrives within 600 ms.
 const CUT_OFF_AFTER: Duration = Duration::from_millis(700);
-/// Time that it takes another gateway to keep a job: on paper 0.1 to 0.2 s, over a new
-/// connection, with the job's bytes sent twice at 30 Mbit/s and a commit; not measured.
+/// Time within which another gateway can store a job: an estimated 0.1 to 0.2 s over a new
+/// connection, with the job's bytes sent twice at 30 Mbit/s and one commit.
 const KEPT_ELSEWHERE_WITHIN: Duration = Duration::from_millis(300);
 
-/// What a gateway hears of the other nodes.
+/// Tracks when a gateway last received a message from another node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Hearing {
     heard: Timestamp,
 }
 
 impl Hearing {
-    /// Another node said something.
+    /// Records a message from another node.
     pub fn note(&mut self, now: Timestamp) {
         self.heard = now;
     }
 
-    /// Whether to give up a call that other nodes have left unanswered since it `began`,
-    /// so that its caller goes elsewhere: only where that keeps it within its `target`.
-    /// Else it goes on, since everybody may be as badly off, and those who keep jobs be
-    /// away for a second. Without it 32 batch items were late of those that came within
-    /// 2 s of a cut of 176 of 836 gateways, with it 16: one play each, other changes between.
+    /// Whether to abandon a call that has had no response since it `began`, so that the
+    /// caller retries at another gateway. This is done only if the retry can meet the
+    /// `target` latency. Otherwise the call continues, since all gateways may be equally
+    /// affected and the job stores may be unavailable for only a second.
+    ///
+    /// When 176 of 836 gateways were cut off, 32 of the batch items that arrived within 2 s of
+    /// it were late without this rule and 16 with it (one run each, with other changes in
+    /// between).
     #[must_use]
     pub fn gives_up(&self, began: Timestamp, target: Duration, now: Timestamp) -> bool {
         let in_time = target >= CUT_OFF_AFTER + KEPT_ELSEWHERE_WITHIN;
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,7 +1,7 @@
-//! Admission, limits, queueing, engine choice, retries, batch ownership and preemption.
+//! Admission, rate limits, queueing, engine choice, retries, batch ownership and preemption.
 //!
-//! Every part is a pure core: callers pass the time in and carry the outputs
-//! out. Random choices come from a generator seeded by the caller.
+//! Every module is a pure state machine without I/O: callers pass the time in and carry
+//! out the outputs. Random choices use a generator seeded by the caller.
 
 pub mod admission;
 pub mod batch;
--- a/crates/routing/src/readiness.rs
+++ b/crates/routing/src/readiness.rs
@@ -1,8 +1,9 @@
-//! Which configuration is in force on a node, and whether the node may serve.
+//! The configuration in force on a node, and whether the node may serve.
 //!
-//! A node keeps the newest configuration it was given and never steps back. It
-//! serves only while a quorum confirmed, not longer than a bound ago, that
-//! nothing newer was accepted. Past the bound it refuses new work as not run.
+//! A node keeps the newest configuration that it has received and never reverts to
+//! an older one. It serves only while a quorum has confirmed, within a time bound,
+//! that no newer configuration was accepted. After that bound it rejects new work as
+//! not run.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,34 +13,34 @@
 use molespan_types::mechanism::{Mechanism, enabled};
 use molespan_types::{ConfigVersion, Timestamp};
 
-/// Longest time without confirmation before a node turns unready.
+/// Default time without confirmation after which a node becomes unready.
 pub const DEFAULT_CURRENCY_BOUND: Duration = Duration::from_secs(8);
 
 /// Whether a node may take new work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum Readiness {
-    /// It may.
+    /// The node may take new work.
     #[display("ready")]
     Ready,
-    /// It has no configuration yet.
+    /// The node has no configuration yet.
     #[display("no configuration yet")]
     NoConfiguration,
-    /// It cannot confirm that its configuration is the newest.
+    /// The node could not confirm in time that its configuration is the newest.
     #[display("configuration not confirmed for too long")]
     NotCurrent,
 }
 
-/// What an offered configuration changed.
+/// Effect of offering a configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConfigurationChange {
-    /// It is in force now.
+    /// The offered configuration is now in force.
     InForce {
-        /// Version before.
+        /// Previous version.
         from: ConfigVersion,
-        /// Version now.
+        /// New version.
         to: ConfigVersion,
     },
-    /// The one in force is as new or newer.
+    /// The configuration in force was kept, since it is as new or newer.
     Kept,
 }
 
@@ -52,7 +53,8 @@
 }
 
 impl ConfigurationHolder {
-    /// Holds nothing; `bound` is the currency bound.
+    /// Creates a holder without a configuration. `bound` is the maximum age of the
+    /// last confirmation.
     #[must_use]
     pub fn new(bound: Duration) -> Self {
         Self {
@@ -62,8 +64,8 @@
         }
     }
 
-    /// Takes the configuration that was on disk at start. It is in force, but
-    /// nothing confirms it yet.
+    /// Restores the configuration read from disk at start. It comes into force
+    /// but remains unconfirmed.
     pub fn restore(&mut self, configuration: Configuration) -> ConfigurationChange {
         self.offer(configuration)
     }
@@ -73,7 +75,7 @@
         let from = self.version();
         let to = configuration.version;
         let newer = self.in_force.is_none() || to > from;
-        // Replicas lag differently, so an answer may carry an older version.
+        // Replicas lag by different amounts, so a response may carry an older version.
         if !newer && enabled(Mechanism::MonotoneConfiguration) {
             return ConfigurationChange::Kept;
         }
@@ -81,10 +83,10 @@
         ConfigurationChange::InForce { from, to }
     }
 
-    /// A quorum confirmed `current` as the newest version, in answer to a
-    /// question sent at `sent`. That counts only if it is in force here, and
-    /// from the time of the question, since the answer may have been slow.
-    /// Returns whether it counts.
+    /// Records that a quorum confirmed `current` as the newest version, in response
+    /// to a request sent at `sent`. The confirmation counts only if that version or
+    /// a newer one is in force here, and its age is measured from `sent`, since the
+    /// response may have been slow. Returns whether the confirmation counts.
     pub fn confirm(&mut self, sent: Timestamp, current: ConfigVersion) -> bool {
         let holds_it = self.in_force.is_some() && self.version() >= current;
         if holds_it {
@@ -109,16 +111,17 @@
         }
     }
 
-    /// When the node turns unready unless it is confirmed before.
+    /// Returns when the node becomes unready without a further confirmation; `None`
+    /// if there has been none.
     #[must_use]
     pub fn unready_at(&self) -> Option<Timestamp> {
         self.confirmed.map(|confirmed| confirmed + self.bound)
     }
 
-    /// How long the next question may be held open for news, at most
-    /// `longest`. A confirmation counts from its question, so one that is held
-    /// open helps only when it is answered; a node whose last confirmation is
-    /// missing or old asks for an answer at once.
+    /// Returns how long the next request may be held open to wait for a change, at
+    /// most `longest`. Confirmations are dated from their request, so a request held
+    /// open does not help until it is answered. Returns zero if the last confirmation
+    /// is missing or older than half the bound, which asks for an immediate response.
     #[must_use]
     pub fn watch_wait(&self, now: Timestamp, longest: Duration) -> Duration {
         let Some(confirmed) = self.confirmed else {
@@ -128,7 +131,7 @@
         (self.bound / 2).saturating_sub(age).min(longest)
     }
 
-    /// Version in force; 0 without a configuration.
+    /// Returns the version in force; 0 without a configuration.
     #[must_use]
     pub fn version(&self) -> ConfigVersion {
         self.in_force
@@ -136,7 +139,7 @@
             .map_or(ConfigVersion::default(), |held| held.version)
     }
 
-    /// The configuration in force.
+    /// Returns the configuration in force.
     #[must_use]
     pub fn in_force(&self) -> Option<&Arc<Configuration>> {
         self.in_force.as_ref()
--- a/crates/routing/src/renewal.rs
+++ b/crates/routing/src/renewal.rs
@@ -1,46 +1,47 @@
-//! Whether a gateway may bring batch items to engines, given when the batch group last
-//! said which of those here are to stop.
+//! Whether a gateway may send batch items to engines, depending on when the batch group
+//! last reported which of its items must stop.
 //!
-//! A job that was ended binds every gateway within a time that operators set. One that
-//! hears nothing of the group does not know of it: what runs at an engine may come to its
-//! end, but nothing goes to an engine anew.
+//! After a job is ended, every gateway must stop sending its items within a time set by
+//! operators. A gateway without contact to the batch group does not learn of ended jobs,
+//! so it sends no further items to engines; items that already run may finish.
 
 use std::time::Duration;
 
 use molespan_types::Timestamp;
 
-/// How old the word of a leader of the batch group is at the most when it is given: it
-/// makes sure that often that no other one leads.
+/// Maximum age of the state that the leader of the batch group reports; a leader confirms at
+/// this interval that there is no other leader.
 pub const LEADER_SURE_FOR: Duration = Duration::from_millis(300);
-/// Time from a look whether an item may go to an engine until it is there: a new
-/// connection, the way, and a wait for processor time.
+/// Time from the check whether an item may be sent until it reaches the engine: a new
+/// connection, network delay and CPU scheduling delay.
 const WAY_TO_ENGINE: Duration = Duration::from_millis(400);
-/// Part of the bound that those two may take up at the most.
+/// These two delays together are capped at the bound divided by this.
 const MOST_TAKEN_UP: u32 = 2;
-/// Silences of a leader that has nothing to say that fit into the time for which its word
-/// holds: it may hold a call for one, and the next call may wait for another.
+/// Number of longest silences that fit into the validity of a report: the leader may hold a
+/// call open for one, and the next call may be delayed by another.
 const SILENCES: u32 = 2;
 
-/// What a gateway knows of the batch group's word.
+/// Tracks the age of the batch group's last report.
 #[derive(Clone, Copy, Debug)]
 pub struct Renewal {
     holds_for: Duration,
-    /// When the call began that was answered last.
+    /// Start of the latest call that was answered.
     known: Option<Timestamp>,
     held_back: bool,
 }
 
-/// A change of what a gateway believes.
+/// Whether batch items became blocked or unblocked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// Its knowledge is too old by so much time since the group's word.
+    /// The last report is too old, by its age given here; no items are sent.
     HeldBack(Duration),
-    /// The group was heard again.
+    /// The group responded again; items are sent.
     Resumed,
 }
 
 impl Renewal {
-    /// Nothing was heard yet; an ended job binds `within` this time.
+    /// Creates a state without any report. No gateway may send items of a job later than
+    /// `within` after the job is ended.
     #[must_use]
     pub fn new(within: Duration) -> Self {
         let taken_up = (LEADER_SURE_FOR + WAY_TO_ENGINE).min(within / MOST_TAKEN_UP);
@@ -51,33 +52,33 @@
         }
     }
 
-    /// The leader answered a call that began at `asked`, and what it said was carried
-    /// out. The answer may have been under way, or the machine suspended, for any part of
-    /// the time since.
+    /// Records that the leader answered a call that began at `asked`, after its answer was
+    /// applied. The age counts from `asked`, since the answer may have been in transit, or
+    /// the machine suspended, for any part of the time since.
     pub fn note(&mut self, asked: Timestamp) {
         self.known = self.known.max(Some(asked));
     }
 
-    /// Whether an item may go to an engine now.
+    /// Whether an item may be sent to an engine now.
     #[must_use]
     pub fn may_start(&self, now: Timestamp) -> bool {
         self.age(now).is_some_and(|age| age < self.holds_for)
     }
 
-    /// How old the group's word is; `None` before the first one.
+    /// Returns the age of the last report; `None` before the first one.
     #[must_use]
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
         self.known.map(|known| now.since(known))
     }
 
-    /// Longest time that a call may be put off, or held by the leader, so that its word
-    /// does not grow too old by that alone.
+    /// Returns the maximum time for which a call may be delayed, or held open by the leader,
+    /// without the last report becoming too old by that alone.
     #[must_use]
     pub fn longest_silence(&self) -> Duration {
         self.holds_for / SILENCES
     }
 
-    /// What this gateway believes otherwise than at the last look.
+    /// Returns the change since the previous call of this method, if any.
     pub fn change(&mut self, now: Timestamp) -> Option<Change> {
         let age = self.age(now)?;
         let held_back = !self.may_start(now);
--- a/crates/routing/tests/hearing.rs
+++ b/crates/routing/tests/hearing.rs
@@ -1,4 +1,4 @@
-//! When a gateway takes itself for cut off.
+//! Detection of a gateway that is cut off from other nodes.
 
 use std::time::Duration;
 
--- a/crates/routing/tests/readiness.rs
+++ b/crates/routing/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! Whether a node may serve under the configuration that it holds.
+//! Whether a node may serve with its configuration.
 
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
 fn a_node_without_configuration_refuses() {
     let mut holder = holder();
     assert_eq!(holder.readiness(at(0)), Readiness::NoConfiguration);
-    // A confirmation of a version that is not here makes nothing ready.
+    // A confirmation of a version that the node does not have has no effect.
     assert!(!holder.confirm(at(0), ConfigVersion(3)));
     assert_eq!(holder.readiness(at(0)), Readiness::NoConfiguration);
 }
@@ -60,9 +60,9 @@
 fn a_slow_answer_counts_from_its_question() {
     let mut holder = holder();
     holder.offer(version(1));
-    // Sent at 1 s, answered at 8 s: by then most of the bound is gone.
+    // A request sent at 1 s and answered at 8 s leaves only 1 s of the bound.
     holder.confirm(at(1_000), ConfigVersion(1));
-    // An answer that overtook it was older.
+    // The response to an earlier request does not shorten the validity.
     holder.confirm(at(500), ConfigVersion(1));
     assert_eq!(holder.unready_at(), Some(at(9_000)));
 }
@@ -72,7 +72,7 @@
     let longest = Duration::from_secs(2);
     let mut holder = holder();
     holder.offer(version(1));
-    // Nothing is confirmed yet: a restarted node must not wait for news.
+    // Without a confirmation, a restarted node must get an immediate response.
     assert_eq!(holder.watch_wait(at(0), longest), Duration::ZERO);
     holder.confirm(at(1_000), ConfigVersion(1));
     for (now, wait) in [
@@ -109,8 +109,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// A node that is ready holds the newest version that was confirmed to it
-    /// within the bound, and its version never falls.
+    /// A ready node has a version at least as new as one confirmed within the bound, and
+    /// its version never decreases.
     #[test]
     fn ready_means_confirmed_within_the_bound(
         inputs in prop::collection::vec((0_u64..2_000, 0_u64..6, any::<bool>()), 1..60),
--- a/crates/routing/tests/renewal.rs
+++ b/crates/routing/tests/renewal.rs
@@ -1,4 +1,4 @@
-//! Whether batch items may go to engines while the batch group is silent.
+//! Whether batch items may be sent to engines without contact to the batch group.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use molespan_types::Timestamp;
 
 const WITHIN: Duration = Duration::from_secs(3);
-/// Longest time for a new connection to an engine.
+/// Maximum time for a new connection to an engine.
 const CONNECTING: Duration = Duration::from_millis(300);
 
 fn at(ms: u64) -> Timestamp {
@@ -23,7 +23,11 @@
 fn nothing_goes_out_before_the_group_was_heard() {
     let mut renewal = Renewal::new(WITHIN);
     assert!(!renewal.may_start(at(0)));
-    assert_eq!(renewal.change(at(9_000)), None, "nothing was believed yet");
+    assert_eq!(
+        renewal.change(at(9_000)),
+        None,
+        "no report was received yet"
+    );
 }
 
 #[test]
@@ -33,7 +37,7 @@
         let mut renewal = Renewal::new(within);
         renewal.note(at(500));
         let last = (500..20_000).rev().find(|&ms| renewal.may_start(at(ms)));
-        let age = Duration::from_millis(last.expect("it may at first") - 500);
+        let age = Duration::from_millis(last.expect("items may be sent at first") - 500);
         if within >= Duration::from_secs(2) {
             assert!(age + LEADER_SURE_FOR + CONNECTING < within, "{age:?}");
         }
@@ -51,13 +55,16 @@
 
 #[test]
 fn a_suspension_makes_the_word_old() {
-    // An answer that was read behind a suspension says what held when it was asked for.
+    // A response read after the machine was suspended reflects the state at its request.
     let mut renewal = heard_at(1_000);
     assert!(renewal.may_start(at(1_100)));
     let woken = at(9_100);
     assert!(!renewal.may_start(woken));
     renewal.note(at(1_050));
-    assert!(!renewal.may_start(woken), "its call began before");
+    assert!(
+        !renewal.may_start(woken),
+        "the call began before the suspension"
+    );
     renewal.note(at(9_100));
     assert!(renewal.may_start(at(9_200)));
 }
