--- a/crates/routing/examples/embed.rs
+++ b/crates/routing/examples/embed.rs
@@ -1,8 +1,8 @@
-//! How to embed the routing cores in a program of your own: one request from
-//! its arrival to its answer, and a batch item that makes way for it.
+//! Shows how to embed the routing state machines in a program: one request from its
+//! arrival to its response, and a batch item that it preempts.
 //!
-//! Nothing here has a clock or a socket. The program passes the time in and
-//! carries the outputs out; here it prints them.
+//! The state machines use no clock or socket. The program passes the time in and
+//! carries out the outputs; this example prints them.
 //!
 //! `cargo run -p molespan-routing --example embed`
 
@@ -23,7 +23,7 @@
     ZoneName,
 };
 
-/// Middle of the policy knob.
+/// Medium tail protection.
 const KNOB: u8 = 50;
 
 fn at(millis: u64) -> Timestamp {
@@ -46,7 +46,7 @@
 fn main() {
     let mut owner = owner_with_one_item();
 
-    // A request arrives: admission first.
+    // A request arrives and goes through admission first.
     let mut admission = admission();
     let tenant = TenantId::from("archive");
     let decision = admission.offer(at(100), &tenant, &service());
@@ -58,14 +58,14 @@
     serve(&mut owner);
     admission.release(at(140), ticket, true);
 
-    // The engine is quiet again: the batch stream goes on and ends.
+    // The engine has no online requests again, so the batch stream resumes and ends.
     print_all(owner.handle(at(200), BatchInput::Tick));
     let end = ItemEnd::Completed(b"a caption".to_vec().into());
     let stream = molespan_routing::batch::StreamId(1);
     print_all(owner.handle(at(300), BatchInput::Ended { stream, end }));
 }
 
-/// Sends a repeatable request; its first attempt does not leave.
+/// Sends a repeatable request; its first attempt fails before it is sent.
 fn serve(owner: &mut BatchOwner) {
     let mut picker = Picker::new(ZoneName::from("hall-1"), PickSettings::default(), 1);
     picker.set_engines(vec![engine(1), engine(2)]);
@@ -96,7 +96,7 @@
         let sent = request.dispatched(attempt(sequence, pick.backend));
         assert!(sent);
         picker.started(at(100), pick.backend, &[]);
-        // Batch work makes way before the request itself is sent.
+        // Batch streams are preempted before the request itself is sent.
         let backend = pick.backend;
         print_all(owner.handle(at(100), BatchInput::OnlineStarted { backend }));
         let end = match sequence {
@@ -122,7 +122,7 @@
     admission
 }
 
-/// A batch owner of engine 1 that runs one item there.
+/// Creates a batch owner of two engines that runs one item on engine 1.
 fn owner_with_one_item() -> BatchOwner {
     let mut owner = BatchOwner::new(BatchSettings::default(), KNOB);
     for number in [1, 2] {
@@ -170,7 +170,7 @@
                 println!("batch: item {item} starts on engine {backend}");
             }
             BatchOutput::Pause(stream) => println!("batch: stream {stream} is held back"),
-            BatchOutput::Resume(stream) => println!("batch: stream {stream} goes on"),
+            BatchOutput::Resume(stream) => println!("batch: stream {stream} resumes on its engine"),
             BatchOutput::Record { results, .. } => println!("batch: {} result", results.len()),
             BatchOutput::Decision(decision) => println!("decision: {decision:?}"),
             other => println!("batch: {other:?}"),
--- a/crates/routing/examples/figures.rs
+++ b/crates/routing/examples/figures.rs
@@ -1,5 +1,5 @@
-//! Costs of the decisions at the size of two years from now: 1,800 gateways in
-//! 17 zones before 10,000 engines.
+//! Measures the cost of routing decisions at the fleet size expected in two years:
+//! 1,800 gateways in 17 zones with 10,000 engines.
 //!
 //! `cargo run --release -p molespan-routing --example figures`
 
@@ -23,18 +23,19 @@
 const ENGINES: u32 = 10_000;
 const ZONES: u32 = 17;
 const TENANTS: u32 = 1_200;
-/// Engines that one gateway routes to, as `subset` bounds them, and all.
+/// Numbers of engines that one gateway routes to: two sizes as limited by `subset`, and all.
 const FLEETS: [u32; 3] = [13, 80, ENGINES];
 const PICKS: u32 = 20_000;
-/// Requests that wait while admission is measured, and the queue's bound.
+/// Numbers of queued requests for which admission is measured; they also set the limit of
+/// the queue.
 const WAITING: [u32; 3] = [0, 100, 1_000];
 const ADMISSIONS: u32 = 50_000;
-/// Blocks of an album-sized prompt.
+/// Number of prefix blocks in an album-sized prompt.
 const ALBUM_BLOCKS: u64 = 80;
 const KIBIBYTE: usize = 1_024;
 
 fn main() {
-    // Memory is measured before anything was freed that could be used again.
+    // Memory is measured first, before freed memory could be reused.
     prefixes();
     for engines in FLEETS {
         picks(engines);
@@ -50,7 +51,7 @@
     ZoneName(format!("zone-{}", number % ZONES))
 }
 
-/// Resident memory of this process in bytes.
+/// Returns the resident memory of this process in bytes.
 fn resident() -> usize {
     const PAGE: usize = 4_096;
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -100,7 +101,7 @@
     picker
 }
 
-/// Hashes of the prompt of one of 100 albums.
+/// Returns the prefix hashes of the prompt of one of 100 albums.
 fn album(number: u64) -> Vec<u64> {
     (0..ALBUM_BLOCKS)
         .map(|block| ((number % 100) << 32) | block)
@@ -129,11 +130,11 @@
     }
     let rate = per_second(PICKS, begin.elapsed());
     println!("picks of albums, {engines} engines: {rate:.0} /s, {bytes} bytes an engine");
-    // Kept, so that the next fleet does not use the same memory again.
+    // The pickers are leaked, so that the next fleet does not reuse their memory.
     std::mem::forget(pickers);
 }
 
-/// Cache events of one engine: half of them evictions, 1 % lost.
+/// Returns the cache events of one engine: half are evictions, and 1 % are lost.
 fn events(engine: u32, count: u64) -> CacheEventPage {
     let of_engine = |hash: u64| (u64::from(engine) << 32) | hash;
     let event = |number: u64| {
@@ -257,7 +258,7 @@
     gateways.update(Timestamp(1), vec![drained]);
     own.heartbeat_answered(Timestamp(1));
     black_box(own.refresh(Timestamp(1), &gateways, backends()));
-    println!("a gateway leaves, owners anew: {:?}", begin.elapsed());
+    println!("owners after a gateway leaves: {:?}", begin.elapsed());
 
     let all: Vec<SubsetBackend> = (0..ENGINES)
         .map(|number| SubsetBackend {
--- a/crates/routing/examples/policy/arms.rs
+++ b/crates/routing/examples/policy/arms.rs
@@ -1,11 +1,11 @@
-//! What is compared.
+//! Arms of the experiment: the configurations that are compared.
 
 use molespan_routing::pick::PickPolicy;
 
-/// Policy knob at its ends and between.
+/// Compared values of the tail protection.
 const KNOBS: [u8; 4] = [0, 25, 50, 100];
 
-/// One way to run the fleet.
+/// One configuration of the fleet and its load.
 #[derive(Clone, Debug)]
 pub struct Arm {
     pub name: String,
@@ -14,9 +14,9 @@
     /// Whether there is batch load.
     pub batch: bool,
     pub pick: PickPolicy,
-    /// Policy knob.
+    /// Tail protection.
     pub knob: u8,
-    /// Whether batch owners hear of online work.
+    /// Whether batch owners are informed of online work.
     pub preempts: bool,
     /// Whether engines honour priorities.
     pub engine_priority: bool,
@@ -35,14 +35,14 @@
         }
     }
 
-    /// Whether `name` chooses this arm; the arms without online or without
-    /// batch are always needed.
+    /// Whether `name` selects this arm; arms without online or without batch load
+    /// are always selected, since the report needs them as baselines.
     pub fn is_named(&self, name: &str) -> bool {
         !self.online || !self.batch || self.name.starts_with(name)
     }
 }
 
-/// Every arm; the first is online alone.
+/// Returns all arms; the first one has only online load.
 pub fn arms() -> Vec<Arm> {
     let mut arms = vec![Arm {
         name: "online alone".to_owned(),
--- a/crates/routing/examples/policy/gateway.rs
+++ b/crates/routing/examples/policy/gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway: its picker, its batch owner, and what it has under way.
+//! A simulated gateway: its picker, its batch owner, and its requests in flight.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -14,21 +14,21 @@
 /// An online request at its gateway.
 #[derive(Clone, Debug)]
 pub struct Online {
-    /// Its number in the load.
+    /// Index of the request in the load.
     pub number: usize,
     pub arrived: Timestamp,
-    /// When it was sent, and where.
+    /// When the request was sent to `backend`.
     pub sent: Timestamp,
     pub backend: BackendId,
     pub hashes: Vec<u64>,
     pub last_token: Option<Timestamp>,
 }
 
-/// One gateway.
+/// A simulated gateway.
 pub struct Gateway {
     pub picker: Picker,
     pub owner: BatchOwner,
-    /// Requests that wait for an engine below its limit.
+    /// Requests that wait until some engine is below its limit.
     pub waiting: VecDeque<Online>,
     pub online: BTreeMap<usize, Online>,
     /// Engine of each batch stream.
@@ -37,7 +37,7 @@
     pub tick_at: Option<Timestamp>,
 }
 
-/// Zone of an engine; gateway `n` stands in zone `n`.
+/// Returns the zone of an engine. Gateway `n` is in zone `n` and owns the engines there.
 pub fn zone_of(backend: BackendId) -> u32 {
     backend.0 % ZONES
 }
@@ -66,8 +66,8 @@
         }
     }
 
-    /// Chooses an engine for the request, which starts there; `None` when all
-    /// are at their limit.
+    /// Chooses an engine for the request and records it as started there; returns
+    /// false if all engines are at their limit.
     pub fn place(&mut self, now: Timestamp, request: &mut Online) -> bool {
         let pick = self.picker.pick(
             now,
@@ -95,12 +95,12 @@
     }
 }
 
-/// Hashes of the prompt's prefixes, as engines compute them.
+/// Returns the hashes of the prompt's prefixes, as engines compute them.
 pub fn hashes_of(prompt: &str) -> Vec<u64> {
     block_hashes(prompt, &token_ends(prompt))
 }
 
-/// One way between two zones.
+/// Returns the one-way network delay between two zones.
 pub fn delay(profile: &Profile, from: u32, to: u32) -> Duration {
     const WITHIN_ZONE: Duration = Duration::from_micros(100);
     if from == to {
--- a/crates/routing/examples/policy/jobs.rs
+++ b/crates/routing/examples/policy/jobs.rs
@@ -1,4 +1,4 @@
-//! One job group: the free items and who holds the others.
+//! A simulated job group: unleased items and leases.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,10 +7,10 @@
 use molespan_state::job::{GrantedLease, LeasedItem};
 use molespan_types::{ItemIndex, JobId, LeaseId};
 
-/// Jobs that a heap consists of.
+/// Number of jobs in a heap.
 const JOBS_PER_HEAP: u32 = 3;
 
-/// Items by job; leases never expire, since nothing fails here.
+/// Items by job. Leases never expire, since the simulation has no faults.
 #[derive(Default)]
 pub struct JobGroup {
     free: BTreeMap<u64, VecDeque<u32>>,
@@ -21,7 +21,7 @@
 }
 
 impl JobGroup {
-    /// A heap of jobs with `items` together.
+    /// Adds a heap of jobs with `items` items in total.
     pub fn add_heap(&mut self, items: u32) {
         for _ in 0..JOBS_PER_HEAP {
             self.last_job += 1;
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Items of the oldest job that has some.
+    /// Leases up to `most` items of the oldest job that has free ones.
     pub fn lease(&mut self, most: u32) -> GroupReply {
         self.free.retain(|_, items| !items.is_empty());
         let Some((job, items)) = self.free.iter_mut().next() else {
@@ -80,7 +80,7 @@
     }
 }
 
-/// The input is made when the item is run; here its number stands for it.
+/// Returns an item without input; the prompt is generated from the item's number when it runs.
 fn leased_item(item: u32) -> LeasedItem {
     LeasedItem {
         item: ItemIndex(item),
--- a/crates/routing/examples/policy/load.rs
+++ b/crates/routing/examples/policy/load.rs
@@ -1,5 +1,5 @@
-//! The load of the two users: bursts of online requests with album-sized
-//! prompts among short ones, and batch jobs that arrive in heaps.
+//! Load of the two users, an archive and a lab: bursts of online requests with short
+//! and album-sized prompts, and batch jobs that arrive in heaps.
 
 use std::time::Duration;
 
@@ -8,12 +8,12 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// One kind of request, with sizes in tokens.
+/// Size of one kind of request, in tokens.
 #[derive(Clone, Debug)]
 pub struct Shape {
-    /// Shared by all requests of one subject: an album or a practical.
+    /// Prefix shared by all requests of one subject, such as an album or a practical.
     pub shared: u32,
-    /// Own part of the prompt.
+    /// Part of the prompt that is unique to the request.
     pub own: u32,
     /// Tokens to generate.
     pub answer: u32,
@@ -29,35 +29,35 @@
     }
 }
 
-/// A user's fleet and load, as the bench has them.
+/// A user's fleet and load, as in the benchmark.
 #[derive(Clone, Debug)]
 pub struct Profile {
     pub name: &'static str,
     pub model: EngineModel,
     pub engines: u32,
-    /// One way between zones.
+    /// One-way network delay between zones.
     pub between_zones: Duration,
-    /// Online requests a second of the steady stream.
+    /// Rate of the steady online requests, per second.
     pub steady_rate: f64,
-    /// Mean time between bursts; each gap is 0.5 to 1.5 of it.
+    /// Mean time between bursts; each gap is 0.5 to 1.5 times the mean.
     pub burst_every: Duration,
-    /// Requests of one burst, and the time within which they come.
+    /// Number of requests in a burst, all of which arrive within `burst_within`.
     pub burst_requests: u32,
     pub burst_within: Duration,
     /// Share of album-sized requests.
     pub large_share: f64,
     pub small: Shape,
     pub large: Shape,
-    /// Albums or practicals in use.
+    /// Number of albums or practicals in use.
     pub subjects: u32,
-    /// Time between heaps of batch jobs.
+    /// Interval between heaps of batch jobs.
     pub heap_every: Duration,
-    /// Items of one heap; more than all engines can do until the next.
+    /// Items per heap; more than all engines can process before the next heap.
     pub heap_items: u32,
     pub item: Shape,
 }
 
-/// Zones of both users.
+/// Number of zones of either user.
 pub const ZONES: u32 = 3;
 
 impl Profile {
@@ -114,13 +114,13 @@
 #[derive(Clone, Debug)]
 pub struct OnlineRequest {
     pub at: Timestamp,
-    /// Gateway that it reaches.
+    /// Gateway that receives the request.
     pub gateway: u32,
     pub prompt: String,
     pub answer: u32,
 }
 
-/// All online requests until `end`, in order.
+/// Returns all online requests until `end`, in order of arrival.
 pub fn online_requests(profile: &Profile, seed: u64, end: Duration) -> Vec<OnlineRequest> {
     let mut random = ChaCha8Rng::seed_from_u64(seed);
     let end = end.as_secs_f64();
@@ -164,14 +164,14 @@
     }
 }
 
-/// The prompt of a batch item.
+/// Returns the prompt of a batch item.
 pub fn item_prompt(profile: &Profile, job: u64, item: u32) -> String {
     let shape = &profile.item;
     prompt(0, shape.shared, job << 32 | u64::from(item), shape.own)
 }
 
-/// A prompt of `shared` tokens that depend on `subject`, then `own` tokens
-/// that depend on `number`. A word of four characters is a token.
+/// Returns a prompt of `shared` tokens that depend on `subject`, followed by `own`
+/// tokens that depend on `number`. Each word of four characters is one token.
 fn prompt(subject: u32, shared: u32, number: u64, own: u32) -> String {
     let mut text = String::with_capacity(5 * (shared + own) as usize);
     for position in 0..shared {
--- a/crates/routing/examples/policy/main.rs
+++ b/crates/routing/examples/policy/main.rs
@@ -1,9 +1,10 @@
-//! A closed simulation of the batch policy: gateways, batch owners and the
-//! emulated engines on virtual time, under the load of the archive or the lab.
+//! Simulation of the batch policy: gateways, batch owners and emulated engines on
+//! virtual time, under the load of the archive or the lab.
 //!
-//! Every arm gets the same online arrivals. It prints, for each arm,
-//! interference (online p99 first token against that without batch) and idle
-//! utilization (batch items a second against what idle engines could do).
+//! Every arm of the experiment gets the same online arrivals. For each arm, the program
+//! prints interference (p99 time to first token relative to that without batch load)
+//! and idle utilization (batch items per second relative to the capacity of idle
+//! engines).
 //!
 //! `cargo run --release -p molespan-routing --example policy -- archive 60 3`
 //! runs 60 s of virtual time for each of 3 seeds.
@@ -22,7 +23,7 @@
 use report::{Figures, print_report};
 use world::World;
 
-/// Virtual time before figures are taken.
+/// Virtual time before figures are recorded.
 const WARM_UP: Duration = Duration::from_secs(10);
 const DEFAULT_SECONDS: u64 = 60;
 const DEFAULT_SEEDS: u64 = 3;
@@ -31,7 +32,7 @@
     let mut arguments = std::env::args().skip(1);
     let name = arguments.next().unwrap_or_else(|| "archive".to_owned());
     let Some(profile) = Profile::named(&name) else {
-        eprintln!("no profile {name}; there are archive and lab");
+        eprintln!("unknown profile {name}; expected archive or lab");
         std::process::exit(2);
     };
     let seconds = number(arguments.next(), DEFAULT_SECONDS);
@@ -61,7 +62,7 @@
         .unwrap_or(default)
 }
 
-/// The figures of one arm over all seeds.
+/// Returns the figures of one arm over all seeds.
 fn run(profile: &Profile, arm: &Arm, measured: Duration, seeds: u64) -> Figures {
     let mut figures = Figures::default();
     for seed in 1..=seeds {
--- a/crates/routing/examples/policy/report.rs
+++ b/crates/routing/examples/policy/report.rs
@@ -1,29 +1,29 @@
-//! Figures of an arm and their table.
+//! Figures of an arm and the table that reports them.
 
 use crate::arms::Arm;
 use crate::load::Profile;
 
-/// What one or more runs of an arm gave.
+/// Results of one or more runs of an arm.
 #[derive(Clone, Debug, Default)]
 pub struct Figures {
     /// Times to the first token, in seconds.
     pub first_token: Vec<f64>,
     /// Times between tokens, in seconds.
     pub between_tokens: Vec<f64>,
-    /// Online requests that ended within the time measured.
+    /// Online requests that ended during the measured time.
     pub online: u64,
-    /// Batch items recorded within it.
+    /// Batch items recorded during the measured time.
     pub items: u64,
-    /// Batch items whose run was stopped and begun again.
+    /// Batch streams that were cancelled, so that their items start again.
     pub stopped: u64,
     /// Prompt tokens of online requests, and how many were cached.
     pub prompt_tokens: u64,
     pub cached_tokens: u64,
-    /// Time during which engines worked, summed over engines, in seconds.
+    /// Busy time of engines, summed over engines, in seconds.
     pub busy: f64,
-    /// Time measured, times engines, in seconds.
+    /// Measured time multiplied by the number of engines, in seconds.
     pub engine_time: f64,
-    /// Time measured, in seconds.
+    /// Measured time, in seconds.
     pub time: f64,
 }
 
@@ -53,8 +53,8 @@
     sorted.get(position).copied().unwrap_or(f64::NAN)
 }
 
-/// Prints a Markdown table; idle utilization is taken against the fastest arm
-/// without online load.
+/// Prints a Markdown table. Idle utilization is relative to the fastest arm without
+/// online load.
 pub fn print_report(profile: &Profile, arms: &[Arm], figures: &[Figures]) {
     let runs = || arms.iter().zip(figures);
     let Some((_, alone)) = runs().find(|(arm, _)| !arm.batch) else {
--- a/crates/routing/examples/policy/world.rs
+++ b/crates/routing/examples/policy/world.rs
@@ -1,4 +1,4 @@
-//! Events on virtual time.
+//! Discrete-event simulation on virtual time.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -22,16 +22,16 @@
 use crate::report::Figures;
 
 const MODEL: &str = "model";
-/// Time between two load reports of an engine to its owner.
+/// Interval between load reports of an engine to its owner.
 const LOAD_POLL: Duration = Duration::from_millis(100);
-/// Time between two reads of an engine's cache events by each gateway.
+/// Interval between reads of an engine's cache events by each gateway.
 const CACHE_POLL: Duration = Duration::from_millis(200);
-/// Time for which a job group takes to commit a command and reply.
+/// Time that a job group takes to commit a command and reply.
 const GROUP_REPLY: Duration = Duration::from_millis(4);
-/// Every how many tokens a batch stream's progress is passed on.
+/// Interval, in tokens, at which the progress of a batch stream is reported.
 const PROGRESS_TOKENS: u32 = 8;
 
-/// Who waits for an attempt.
+/// Origin of an attempt.
 #[derive(Clone, Copy, Debug)]
 enum Source {
     Online { gateway: u32, number: usize },
@@ -97,7 +97,7 @@
     busy_since: Option<Timestamp>,
 }
 
-/// One run of an arm.
+/// One run of an arm of the experiment.
 pub struct World<'a> {
     profile: &'a Profile,
     arm: &'a Arm,
@@ -152,7 +152,7 @@
         }
         for number in 0..self.profile.engines {
             let backend = BackendId(number);
-            // Reports of different engines do not come at the same moment.
+            // Staggers the reports of different engines.
             let offset = LOAD_POLL / self.profile.engines * number;
             self.after(offset, Event::PollLoad(backend));
             for gateway in 0..ZONES {
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Runs to the end and gives the figures.
+    /// Runs the simulation to its end and returns the figures.
     pub fn run(mut self) -> Figures {
         while let Some(Reverse((at, number))) = self.queue.pop() {
             if at > self.end {
@@ -280,7 +280,7 @@
         self.retry_waiting(gateway);
     }
 
-    /// Sends waiting requests as far as engines take them.
+    /// Sends waiting requests until all engines are at their limit.
     fn retry_waiting(&mut self, gateway: u32) {
         let now = self.now;
         loop {
@@ -319,7 +319,8 @@
         self.after(self.delay(gateway, backend), Event::Call { backend, call });
     }
 
-    /// Tells the owner of `backend` how many requests are in flight there now.
+    /// Notifies the owner of `backend` that an online request started or, with 0
+    /// `prompt_tokens`, finished there.
     fn tell_owner(&mut self, gateway: u32, backend: BackendId, prompt_tokens: u32) {
         if !self.arm.preempts || !self.arm.batch {
             return;
@@ -385,8 +386,8 @@
         let Some(request) = state.online.remove(&number) else {
             return;
         };
-        // The daemon learns the time to the first byte; here the time to the
-        // first token stands for it.
+        // The daemon observes the time to the first byte; the simulation uses the time to
+        // the first token instead.
         state
             .picker
             .finished(now, request.backend, request.sent, Finish::Other);
@@ -414,12 +415,12 @@
             }
         };
         if let Err(refusal) = result {
-            panic!("engine {backend} refuses: {refusal}");
+            panic!("engine {backend} rejected a call: {refusal}");
         }
         self.settle(backend);
     }
 
-    /// Takes an engine's outputs and arranges its next step.
+    /// Handles an engine's outputs and schedules its next step.
     fn settle(&mut self, backend: BackendId) {
         let now = self.now;
         let engine = &mut self.engines[backend.0 as usize];
@@ -549,7 +550,7 @@
         self.after(CACHE_POLL, event);
     }
 
-    /// Feeds the batch owner of a gateway and carries its outputs out.
+    /// Feeds the batch owner of a gateway and carries out its outputs.
     fn feed(&mut self, gateway: u32, input: BatchInput) {
         let now = self.now;
         let state = &mut self.gateways[gateway as usize];
