--- a/crates/routing/src/batch/asking.rs
+++ b/crates/routing/src/batch/asking.rs
@@ -14,7 +14,7 @@
 
 /// Items are requested for an engine only if their number is at least its stream
 /// limit divided by this.
-const REFILL_SHARE: u32 = 4;
+const REFILL_DIVISOR: u32 = 4;
 
 /// A request to a job group that awaits its reply.
 #[derive(Clone, Debug)]
@@ -179,7 +179,7 @@
             .sum();
         let have = (engine.streams.len() + pending) as u32;
         let wanted = (limit + limit.div_ceil(2)).saturating_sub(have);
-        let worth_it = wanted >= limit.div_ceil(REFILL_SHARE);
+        let worth_it = wanted >= limit.div_ceil(REFILL_DIVISOR);
         if worth_it { wanted } else { 0 }
     }
 
--- a/crates/routing/src/batch/engine.rs
+++ b/crates/routing/src/batch/engine.rs
@@ -17,7 +17,7 @@
 /// Factor by which the limit shrinks on a report with a long step.
 const LIMIT_DECREASE: f64 = 0.8;
 /// Minimum cap on concurrent batch prefills while no online work is likely.
-const UNLIKELY_PREFILLS: u32 = 8;
+const PREFILLS_WITHOUT_ONLINE: u32 = 8;
 
 /// How many batch streams may run at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -127,7 +127,7 @@
         if self.online.is_likely(now) {
             policy.prefills
         } else {
-            policy.prefills.max(UNLIKELY_PREFILLS)
+            policy.prefills.max(PREFILLS_WITHOUT_ONLINE)
         }
     }
 
--- a/crates/routing/src/batch/online.rs
+++ b/crates/routing/src/batch/online.rs
@@ -16,19 +16,19 @@
 
 /// Time after which a gateway's last notice expires; the engine's load reports
 /// include its requests by then.
-const NOTICE_VALID_FOR: Duration = Duration::from_secs(5);
+const NOTICE_TTL: Duration = Duration::from_secs(5);
 /// Time after the last online work during which more is considered likely.
-const LIKELY_FOR: Duration = Duration::from_secs(5);
+const ONLINE_LIKELY_WINDOW: Duration = Duration::from_secs(5);
 /// Weight of the newest time to first token in the EWMA.
 const FIRST_TOKEN_WEIGHT: f64 = 0.1;
 /// Estimated time to first token before any is observed.
 const INITIAL_FIRST_TOKEN: Duration = Duration::from_millis(200);
 /// Maximum number of past changes of the known count that are kept for matching
 /// late reports.
-const MOST_CHANGES: usize = 256;
+const MAX_KNOWN_CHANGES: usize = 256;
 /// Tolerance for the difference between the times at which an engine and this
 /// gateway see the same request, and for errors in the time of an observation.
-const SKEW: Duration = Duration::from_millis(20);
+const OBSERVATION_TOLERANCE: Duration = Duration::from_millis(20);
 
 #[derive(Clone, Copy, Debug)]
 struct Notice {
@@ -128,8 +128,8 @@
         // If the engine counts no request, a notice from well before the
         // observation is stale: the notice of the request's end was lost.
         self.notices.retain(|_, notice| {
-            let fresh = now.since(notice.at) < NOTICE_VALID_FOR;
-            let contradicted = online == 0 && notice.at + SKEW <= observed;
+            let fresh = now.since(notice.at) < NOTICE_TTL;
+            let contradicted = online == 0 && notice.at + OBSERVATION_TOLERANCE <= observed;
             fresh && !contradicted
         });
         self.unexplained = online.saturating_sub(self.known_near(observed));
@@ -152,7 +152,7 @@
     /// Whether there was online work recently, so that more is likely.
     pub(super) fn is_likely(&self, now: Timestamp) -> bool {
         self.last_activity
-            .is_some_and(|activity| now.since(activity) < LIKELY_FOR)
+            .is_some_and(|activity| now.since(activity) < ONLINE_LIKELY_WINDOW)
     }
 
     /// Returns the end of the quiet period after the last online request; `None`
@@ -171,7 +171,7 @@
         if self.known_changes.back().map(|(_, last)| *last) == Some(known) {
             return;
         }
-        if self.known_changes.len() == MOST_CHANGES {
+        if self.known_changes.len() == MAX_KNOWN_CHANGES {
             self.known_changes.pop_front();
         }
         self.known_changes.push_back((now, known));
@@ -181,11 +181,11 @@
     fn known_near(&self, observed: Timestamp) -> u32 {
         let mut most = 0;
         for (at, known) in self.known_changes.iter().rev() {
-            if *at > observed + SKEW {
+            if *at > observed + OBSERVATION_TOLERANCE {
                 continue;
             }
             most = most.max(*known);
-            if *at + SKEW <= observed {
+            if *at + OBSERVATION_TOLERANCE <= observed {
                 break;
             }
         }
--- a/crates/routing/src/batch/owner.rs
+++ b/crates/routing/src/batch/owner.rs
@@ -16,7 +16,7 @@
 use super::stream::{Stream, StreamState};
 
 /// Backoff before the next stream is started on an engine that failed one.
-const HOLD_AFTER_FAILURE: Duration = Duration::from_millis(100);
+const FAILURE_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Settings of the batch owner.
 #[derive(Clone, Debug, PartialEq)]
@@ -286,7 +286,7 @@
             }
             ItemEnd::NotRun | ItemEnd::Unknown => {
                 if let Some(engine) = self.engines.get_mut(&backend) {
-                    engine.hold_until = now + HOLD_AFTER_FAILURE;
+                    engine.hold_until = now + FAILURE_BACKOFF;
                 }
                 self.run_again(now, stream, outputs);
             }
--- a/crates/routing/src/batch/policy.rs
+++ b/crates/routing/src/batch/policy.rs
@@ -3,19 +3,19 @@
 use std::time::Duration;
 
 /// Tail protection from which batch streams no longer run beside online requests.
-const EVEN: f64 = 50.0;
+const BALANCED: f64 = 50.0;
 /// Maximum tail protection.
-const STRICT: f64 = 100.0;
+const MAX_PROTECTION: f64 = 100.0;
 /// Time between tokens promised to online callers.
 const ONLINE_TOKEN_TARGET: Duration = Duration::from_millis(32);
 /// Step duration with batch work at a tail protection of 50 and of 100, as a
 /// multiple of the step of an almost empty engine.
-const EVEN_STEP_FACTOR: f64 = 4.0;
-const STRICT_STEP_FACTOR: f64 = 1.25;
+const BALANCED_STEP_FACTOR: f64 = 4.0;
+const MAX_PROTECTION_STEP_FACTOR: f64 = 1.25;
 /// Concurrent batch prefills on one engine, at a tail protection of 0 and from 50
 /// upwards.
-const FILL_PREFILLS: f64 = 2.0;
-const GUARDED_PREFILLS: f64 = 1.0;
+const UNPROTECTED_PREFILLS: f64 = 2.0;
+const PROTECTED_PREFILLS: f64 = 1.0;
 
 /// Limits on batch work, derived from the tail protection.
 #[derive(Clone, Debug, PartialEq)]
@@ -40,21 +40,22 @@
     /// throughput, to 100, which gives online tail latency the highest priority.
     #[must_use]
     pub fn from_knob(tail_protection: u8) -> Self {
-        let knob = f64::from(tail_protection).min(STRICT);
-        let fill = (1.0 - knob / EVEN).max(0.0);
-        let strict = ((knob - EVEN) / (STRICT - EVEN)).max(0.0);
-        let prefills = GUARDED_PREFILLS + (FILL_PREFILLS - GUARDED_PREFILLS) * fill;
-        let strict_factor = EVEN_STEP_FACTOR + (STRICT_STEP_FACTOR - EVEN_STEP_FACTOR) * strict;
+        let knob = f64::from(tail_protection).min(MAX_PROTECTION);
+        let fill = (1.0 - knob / BALANCED).max(0.0);
+        let strict = ((knob - BALANCED) / (MAX_PROTECTION - BALANCED)).max(0.0);
+        let prefills = PROTECTED_PREFILLS + (UNPROTECTED_PREFILLS - PROTECTED_PREFILLS) * fill;
+        let strict_factor =
+            BALANCED_STEP_FACTOR + (MAX_PROTECTION_STEP_FACTOR - BALANCED_STEP_FACTOR) * strict;
         Self {
             alongside_share: fill,
             longest_step: ONLINE_TOKEN_TARGET,
             step_factor: if fill > 0.0 {
-                EVEN_STEP_FACTOR * (1.0 + fill)
+                BALANCED_STEP_FACTOR * (1.0 + fill)
             } else {
                 strict_factor
             },
             prefills: prefills.round() as u32,
-            quiet_factor: knob / EVEN,
+            quiet_factor: knob / BALANCED,
         }
     }
 
--- a/crates/routing/src/batch/quiet.rs
+++ b/crates/routing/src/batch/quiet.rs
@@ -11,12 +11,12 @@
 use molespan_types::Timestamp;
 
 /// Gaps longer than this separate bursts.
-const LONGEST_GAP: Duration = Duration::from_millis(50);
+const MAX_BURST_GAP: Duration = Duration::from_millis(50);
 /// Maximum quiet period.
-const LONGEST_QUIET: Duration = Duration::from_millis(20);
+const MAX_QUIET_PERIOD: Duration = Duration::from_millis(20);
 /// Estimated gap before any is observed; the initial quiet period at a tail
 /// protection of 50.
-const INITIAL_GAP: Duration = Duration::from_millis(2);
+const INITIAL_BURST_GAP: Duration = Duration::from_millis(2);
 /// Weight of the newest gap in the EWMA.
 const GAP_WEIGHT: f64 = 0.1;
 
@@ -30,7 +30,7 @@
 impl QuietTime {
     pub(super) fn new() -> Self {
         Self {
-            gap_seconds: INITIAL_GAP.as_secs_f64(),
+            gap_seconds: INITIAL_BURST_GAP.as_secs_f64(),
             idle_since: None,
         }
     }
@@ -46,7 +46,7 @@
             return;
         };
         let gap = now.since(since);
-        if gap <= LONGEST_GAP {
+        if gap <= MAX_BURST_GAP {
             self.gap_seconds += GAP_WEIGHT * (gap.as_secs_f64() - self.gap_seconds);
         }
     }
@@ -54,7 +54,7 @@
     /// Returns when batch streams may resume if no online request arrives before;
     /// `None` while there are online requests or there has never been one.
     pub(super) fn over_at(&self, factor: f64) -> Option<Timestamp> {
-        let wait = Duration::from_secs_f64(self.gap_seconds * factor).min(LONGEST_QUIET);
+        let wait = Duration::from_secs_f64(self.gap_seconds * factor).min(MAX_QUIET_PERIOD);
         self.idle_since.map(|since| since + wait)
     }
 }
--- a/crates/routing/src/batch/step_cost.rs
+++ b/crates/routing/src/batch/step_cost.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 /// Factor by which the weight of earlier observations decays at each new one.
-const FORGETTING: f64 = 0.98;
+const DECAY: f64 = 0.98;
 /// Minimum total weight of observations for an estimate.
-const FEWEST: f64 = 5.0;
+const MIN_WEIGHT: f64 = 5.0;
 /// Minimum variance of the number of running requests for estimating a slope.
-const LEAST_VARIANCE: f64 = 0.5;
+const MIN_VARIANCE: f64 = 0.5;
 
 /// Exponentially weighted sums for a linear regression of the step duration, in
 /// seconds, on the number of running requests.
@@ -36,23 +36,23 @@
             return;
         }
         let (running, step) = (f64::from(running), step.as_secs_f64());
-        self.weight = self.weight * FORGETTING + 1.0;
-        self.running = self.running * FORGETTING + running;
-        self.step = self.step * FORGETTING + step;
-        self.running_squared = self.running_squared * FORGETTING + running * running;
-        self.product = self.product * FORGETTING + running * step;
+        self.weight = self.weight * DECAY + 1.0;
+        self.running = self.running * DECAY + running;
+        self.step = self.step * DECAY + step;
+        self.running_squared = self.running_squared * DECAY + running * running;
+        self.product = self.product * DECAY + running * step;
     }
 
     /// Returns the fitted line, or `None` while there are too few observations or
     /// they vary too little.
     pub(super) fn line(&self) -> Option<Line> {
-        if self.weight < FEWEST {
+        if self.weight < MIN_WEIGHT {
             return None;
         }
         let mean_running = self.running / self.weight;
         let mean_step = self.step / self.weight;
         let variance = self.running_squared / self.weight - mean_running * mean_running;
-        if variance < LEAST_VARIANCE {
+        if variance < MIN_VARIANCE {
             return None;
         }
         let covariance = self.product / self.weight - mean_running * mean_step;
--- a/crates/routing/tests/batch/harness.rs
+++ b/crates/routing/tests/batch/harness.rs
@@ -18,7 +18,7 @@
 pub const ENGINE: BackendId = BackendId(7);
 
 /// Tail protection from which batch streams never run beside online work.
-pub const EVEN: u8 = 50;
+pub const BALANCED: u8 = 50;
 
 pub fn captions() -> ServiceName {
     ServiceName::from("captions")
--- a/crates/routing/tests/batch/leases.rs
+++ b/crates/routing/tests/batch/leases.rs
@@ -6,7 +6,7 @@
 use molespan_state::job::ItemOutcome;
 use molespan_types::{BackendId, GroupId, LeaseId};
 
-use super::harness::{ENGINE, EVEN, Harness, StreamFate, answer, lease, once, owned};
+use super::harness::{BALANCED, ENGINE, Harness, StreamFate, answer, lease, once, owned};
 
 /// 0.6 of the default lease of 10 s.
 const STOP_MILLIS: u64 = 6_000;
@@ -17,7 +17,7 @@
 
 #[test]
 fn an_owner_that_is_cut_off_stops_at_its_share_of_the_lease() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..12));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..12));
     let running = owner.count(&StreamFate::Running);
     owner.tick(STOP_MILLIS - 1);
     assert_eq!(owner.count(&StreamFate::Running), running);
@@ -35,7 +35,7 @@
 
 #[test]
 fn nothing_is_started_after_a_pause_that_outlasted_the_lease() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..12));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..12));
     let before = owner.streams.len();
     let running = owner.streams.iter();
     let mut running = running.filter(|(_, (_, fate))| *fate == StreamFate::Running);
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_renewal_counts_from_when_it_was_sent() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..4));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..4));
     owner.tick(2_000);
     let (request, leases) = owner.renewals.remove(0);
     assert_eq!(leases, [LeaseId(1)]);
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_grant_whose_reply_was_too_slow_is_given_back_unused() {
-    let mut owner = Harness::new(BatchSettings::default(), EVEN);
+    let mut owner = Harness::new(BatchSettings::default(), BALANCED);
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     owner.at(STOP_MILLIS);
     owner.grant(lease(1, 0..4));
@@ -76,7 +76,7 @@
 
 #[test]
 fn a_cancelled_job_stops_at_the_next_renewal() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..12));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..12));
     owner.tick(2_000);
     let (request, _) = owner.renewals.remove(0);
     owner.reply(request, renewed(Vec::new(), vec![LeaseId(1)]));
@@ -88,7 +88,7 @@
 
 #[test]
 fn a_lost_lease_is_dropped_without_a_word_to_the_group() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..12));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..12));
     owner.tick(2_000);
     let (request, _) = owner.renewals.remove(0);
     owner.reply(request, renewed(vec![LeaseId(1)], Vec::new()));
@@ -99,7 +99,7 @@
 
 #[test]
 fn an_end_that_comes_after_the_cancel_changes_nothing() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..2));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..2));
     let stream = owner.with_fate(&StreamFate::Running)[0];
     owner.tick(2_000);
     let (request, _) = owner.renewals.remove(0);
@@ -111,7 +111,7 @@
 
 #[test]
 fn results_are_sent_together_and_at_the_latest_after_a_moment() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..8));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     let streams = owner.with_fate(&StreamFate::Running);
     owner.at(100).end(streams[0], answer("a"));
     owner.at(110).end(streams[1], answer("b"));
@@ -124,7 +124,7 @@
 
 #[test]
 fn a_lost_record_is_sent_again_under_its_number() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..1));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..1));
     let stream = owner.with_fate(&StreamFate::Running)[0];
     owner.at(100).end(stream, answer("a"));
     let (first, _) = owner.records.remove(0);
@@ -139,7 +139,7 @@
 
 #[test]
 fn a_record_is_sent_until_the_leader_must_have_ended_the_lease() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..1));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..1));
     let stream = owner.with_fate(&StreamFate::Running)[0];
     owner.at(5_900).end(stream, answer("a"));
     let mut sent = 0;
@@ -164,7 +164,7 @@
 
 #[test]
 fn items_that_fail_on_an_engine_run_again_and_then_elsewhere() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..1));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..1));
     let mut now = 100;
     for run in 1..=3 {
         let stream = owner.with_fate(&StreamFate::Running)[0];
@@ -183,7 +183,7 @@
 
 #[test]
 fn an_item_that_may_run_once_is_never_started_again() {
-    let mut owner = Harness::running(EVEN, once(lease(1, 0..2)));
+    let mut owner = Harness::running(BALANCED, once(lease(1, 0..2)));
     let streams = owner.with_fate(&StreamFate::Running);
     owner.at(100).end(streams[0], ItemEnd::Unknown);
     owner.tick(200);
@@ -200,7 +200,7 @@
 
 #[test]
 fn a_hand_over_returns_what_may_run_elsewhere_and_finishes_the_rest() {
-    let mut owner = Harness::new(BatchSettings::default(), EVEN);
+    let mut owner = Harness::new(BatchSettings::default(), BALANCED);
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     owner.grant(lease(1, 0..4));
     owner.progress_all(1);
@@ -208,7 +208,7 @@
     assert_eq!(owner.count(&StreamFate::Running), 0);
     assert_eq!(owner.returned().len(), 4);
 
-    let mut owner = Harness::running(EVEN, once(lease(1, 0..4)));
+    let mut owner = Harness::running(BALANCED, once(lease(1, 0..4)));
     let running = owner.with_fate(&StreamFate::Running);
     owner.at(10).feed(BatchInput::Released(ENGINE));
     assert_eq!(owner.with_fate(&StreamFate::Running), running);
@@ -226,7 +226,7 @@
 
 #[test]
 fn a_leaving_engine_finishes_what_runs_and_gets_nothing_new() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..12));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..12));
     let running = owner.with_fate(&StreamFate::Running);
     owner.at(10).feed(BatchInput::Closed(ENGINE));
     assert_eq!(owner.with_fate(&StreamFate::Running), running);
@@ -238,7 +238,7 @@
     owner.tick(500);
     assert_eq!(owner.streams.len(), started);
     // Items granted after the engine was closed are returned.
-    let mut owner = Harness::new(BatchSettings::default(), EVEN);
+    let mut owner = Harness::new(BatchSettings::default(), BALANCED);
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     owner.feed(BatchInput::Closed(ENGINE));
     owner.grant(lease(1, 0..4));
@@ -248,7 +248,7 @@
 
 #[test]
 fn a_planned_stop_is_over_when_every_item_is_handed_back_or_recorded() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..12));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..12));
     let stream = owner.with_fate(&StreamFate::Running)[0];
     owner.at(10).end(stream, answer("a"));
     owner.at(20).feed(BatchInput::Drain);
@@ -266,7 +266,7 @@
     }
     assert!(owner.drained);
     // A lease request in flight may still be granted items, which are returned first.
-    let mut owner = Harness::new(BatchSettings::default(), EVEN);
+    let mut owner = Harness::new(BatchSettings::default(), BALANCED);
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     owner.feed(BatchInput::Drain);
     assert!(!owner.drained);
@@ -283,7 +283,7 @@
         job_groups: 2,
         ..BatchSettings::default()
     };
-    let mut owner = Harness::new(settings, EVEN);
+    let mut owner = Harness::new(settings, BALANCED);
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     let mut granted = 0;
     for now in (10..3_000).step_by(10) {
@@ -308,7 +308,7 @@
 
 #[test]
 fn engines_without_work_ask_less_and_less_often_until_work_is_announced() {
-    let mut owner = Harness::new(BatchSettings::default(), EVEN);
+    let mut owner = Harness::new(BatchSettings::default(), BALANCED);
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     let mut asked = 0;
     for now in 0..2_000 {
@@ -326,7 +326,7 @@
 
 #[test]
 fn several_engines_share_a_group_fairly() {
-    let mut owner = Harness::new(BatchSettings::default(), EVEN);
+    let mut owner = Harness::new(BatchSettings::default(), BALANCED);
     for number in 1..=3 {
         owner.feed(BatchInput::Acquired(owned(BackendId(number), 1)));
     }
@@ -336,7 +336,7 @@
 
 #[test]
 fn progress_costs_no_output() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..4));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..4));
     let stream = owner.with_fate(&StreamFate::Running)[0];
     let outputs: Vec<BatchOutput> = owner.feed(BatchInput::Progress { stream, tokens: 9 });
     assert_eq!(outputs, []);
--- a/crates/routing/tests/batch/model.rs
+++ b/crates/routing/tests/batch/model.rs
@@ -21,7 +21,7 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-use super::harness::{EVEN, captions, owned};
+use super::harness::{BALANCED, captions, owned};
 
 const GROUPS: u32 = 2;
 const OWNERS: usize = 2;
@@ -122,7 +122,7 @@
             job_groups: GROUPS,
             ..BatchSettings::default()
         };
-        let owner = |_| BatchOwner::new(settings.clone(), EVEN);
+        let owner = |_| BatchOwner::new(settings.clone(), BALANCED);
         let mut world = Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             now: 0,
--- a/crates/routing/tests/batch/preemption.rs
+++ b/crates/routing/tests/batch/preemption.rs
@@ -6,12 +6,12 @@
 use molespan_routing::pick::LoadSample;
 use molespan_types::Incarnation;
 
-use super::harness::{ENGINE, EVEN, Harness, StreamFate, lease, load, notice, owned};
+use super::harness::{BALANCED, ENGINE, Harness, StreamFate, lease, load, notice, owned};
 
 /// Tail protection that maximizes throughput: batch streams run beside online work.
-const FILL: u8 = 0;
+const NO_PROTECTION: u8 = 0;
 /// Maximum quiet period after a burst.
-const QUIET_MILLIS: u64 = 20;
+const MAX_QUIET_MILLIS: u64 = 20;
 
 fn started() -> BatchInput {
     BatchInput::OnlineStarted { backend: ENGINE }
@@ -30,7 +30,7 @@
 
 #[test]
 fn an_arrival_holds_every_stream_back_in_the_same_step() {
-    for knob in [EVEN, 75, 100] {
+    for knob in [BALANCED, 75, 100] {
         let mut owner = Harness::running(knob, lease(1, 0..8));
         let running = owner.count(&StreamFate::Running);
         assert!(running > 0);
@@ -63,8 +63,8 @@
     let wakeup = owner
         .owner
         .next_wakeup(molespan_types::Timestamp::from_millis(1_050));
-    assert!(wakeup.is_some_and(|at| at.0 <= 1_000 * (1_050 + QUIET_MILLIS)));
-    owner.tick(1_050 + QUIET_MILLIS);
+    assert!(wakeup.is_some_and(|at| at.0 <= 1_000 * (1_050 + MAX_QUIET_MILLIS)));
+    owner.tick(1_050 + MAX_QUIET_MILLIS);
     owner.progress_all(1);
     assert_eq!(owner.count(&StreamFate::Running), running);
     assert_eq!(owner.count(&StreamFate::Paused), 0);
@@ -72,68 +72,68 @@
 
 #[test]
 fn work_of_another_gateway_counts_like_own() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..8));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(notice(3, 1, 400));
     assert_eq!(owner.count(&StreamFate::Running), 0);
     owner.at(1_100).feed(notice(3, 0, 0));
-    owner.tick(1_100 + QUIET_MILLIS);
+    owner.tick(1_100 + MAX_QUIET_MILLIS);
     assert!(owner.count(&StreamFate::Running) > 0);
 }
 
 #[test]
 fn a_report_in_between_does_not_hide_the_end_of_foreign_work() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..8));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(notice(3, 1, 400));
     // The report counts the request, and a notice of its end arrives before the next report.
     owner.at(1_200).feed(BatchInput::Load(load(1, 1_150, 1, 0)));
     assert_eq!(owner.count(&StreamFate::Running), 0);
     owner.at(1_210).feed(notice(3, 0, 0));
-    owner.tick(1_210 + QUIET_MILLIS);
+    owner.tick(1_210 + MAX_QUIET_MILLIS);
     assert!(owner.count(&StreamFate::Running) > 0);
 }
 
 #[test]
 fn a_report_from_before_the_notice_does_not_undo_it() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..8));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(notice(3, 1, 400));
     owner.at(1_010).feed(BatchInput::Load(load(1, 900, 0, 8)));
-    owner.tick(1_010 + QUIET_MILLIS);
+    owner.tick(1_010 + MAX_QUIET_MILLIS);
     assert_eq!(owner.count(&StreamFate::Running), 0);
 }
 
 #[test]
 fn a_lost_notice_is_made_up_for_by_the_next_report() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..8));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(BatchInput::Load(load(1, 900, 2, 8)));
     assert_eq!(owner.count(&StreamFate::Running), 0);
     owner.at(1_100).feed(BatchInput::Load(load(2, 1_000, 0, 0)));
-    owner.tick(1_100 + QUIET_MILLIS);
+    owner.tick(1_100 + MAX_QUIET_MILLIS);
     assert!(owner.count(&StreamFate::Running) > 0);
 }
 
 #[test]
 fn a_lost_end_of_foreign_work_is_made_up_for_by_a_report() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..8));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(notice(3, 2, 400));
     owner.at(1_500).feed(BatchInput::Load(load(1, 1_400, 0, 0)));
-    owner.tick(1_500 + QUIET_MILLIS);
+    owner.tick(1_500 + MAX_QUIET_MILLIS);
     assert!(owner.count(&StreamFate::Running) > 0);
 }
 
 #[test]
 fn own_requests_in_a_late_report_are_not_counted_twice() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..8));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(started());
     owner.at(1_100).feed(finished());
     // The engine still had the request at the time of the observation.
     owner.at(1_110).feed(BatchInput::Load(load(1, 1_050, 1, 0)));
-    owner.tick(1_110 + QUIET_MILLIS);
+    owner.tick(1_110 + MAX_QUIET_MILLIS);
     assert!(owner.count(&StreamFate::Running) > 0);
 }
 
 #[test]
 fn requests_to_an_earlier_life_do_not_hide_those_to_the_next() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..8));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(started());
     owner.feed(started());
     owner.at(1_100).feed(BatchInput::Acquired(owned(ENGINE, 2)));
@@ -141,16 +141,16 @@
     // The two requests to the earlier incarnation fail.
     owner.at(1_200).feed(finished());
     owner.feed(finished());
-    owner.tick(1_200 + QUIET_MILLIS);
+    owner.tick(1_200 + MAX_QUIET_MILLIS);
     assert_eq!(owner.count(&StreamFate::Running), 0);
     owner.at(1_300).feed(finished());
-    owner.tick(1_300 + QUIET_MILLIS);
+    owner.tick(1_300 + MAX_QUIET_MILLIS);
     assert!(owner.count(&StreamFate::Running) > 0);
 }
 
 #[test]
 fn the_fill_end_of_the_knob_runs_beside_generation_but_not_beside_a_first_token() {
-    let mut owner = Harness::running(FILL, lease(1, 0..8));
+    let mut owner = Harness::running(NO_PROTECTION, lease(1, 0..8));
     let running = owner.count(&StreamFate::Running);
     owner.at(1_000).feed(started());
     assert_eq!(owner.count(&StreamFate::Running), 0);
@@ -172,7 +172,7 @@
     assert!(prompts > 1);
     owner.at(1_000).feed(started());
     owner.at(1_010).feed(finished());
-    owner.tick(1_010 + QUIET_MILLIS);
+    owner.tick(1_010 + MAX_QUIET_MILLIS);
     // More online work is likely now, and a batch prefill would delay it by a whole chunk.
     assert_eq!(owner.count(&StreamFate::Running), 1);
     owner.progress_all(1);
@@ -181,7 +181,7 @@
 
 #[test]
 fn the_streams_with_the_most_progress_stay() {
-    let mut owner = Harness::running(FILL, lease(1, 0..8));
+    let mut owner = Harness::running(NO_PROTECTION, lease(1, 0..8));
     let streams = owner.with_fate(&StreamFate::Running);
     for (position, stream) in streams.iter().enumerate() {
         let tokens = 10 + position as u32;
@@ -197,7 +197,7 @@
 
 #[test]
 fn memory_short_of_room_costs_one_held_back_stream_a_report() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..8));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     let running = owner.count(&StreamFate::Running);
     owner.at(1_000).feed(started());
     let short = |sequence: u64| LoadSample {
@@ -211,7 +211,7 @@
     }
     // The items of the cancelled streams run again later.
     owner.at(1_500).feed(finished());
-    owner.tick(1_500 + QUIET_MILLIS);
+    owner.tick(1_500 + MAX_QUIET_MILLIS);
     owner.progress_all(1);
     assert_eq!(owner.count(&StreamFate::Running), running);
     assert!(owner.returns.is_empty());
@@ -219,7 +219,7 @@
 
 #[test]
 fn items_that_found_no_room_are_given_back() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..12));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..12));
     let running = owner.count(&StreamFate::Running);
     owner.at(1_000).feed(started());
     owner.tick(1_999);
@@ -232,7 +232,7 @@
 
 #[test]
 fn the_limit_grows_while_steps_are_short_and_falls_when_they_are_long() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..100));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..100));
     let before = owner.count(&StreamFate::Running);
     let mut sequence = 0;
     let mut report = |owner: &mut Harness, step: u64| {
@@ -269,7 +269,7 @@
 
 #[test]
 fn reports_of_another_life_change_nothing() {
-    let mut owner = Harness::running(EVEN, lease(1, 0..8));
+    let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     let other = LoadSample {
         incarnation: Incarnation(2),
         ..load(1, 900, 3, 0)
@@ -280,7 +280,7 @@
 
 #[test]
 fn turning_the_knob_takes_effect_at_once() {
-    let mut owner = Harness::running(FILL, lease(1, 0..8));
+    let mut owner = Harness::running(NO_PROTECTION, lease(1, 0..8));
     owner.at(1_000).feed(started());
     owner.at(1_040).feed(first_token(40));
     assert!(owner.count(&StreamFate::Running) > 0);
