--- a/crates/routing/examples/embed.rs
+++ b/crates/routing/examples/embed.rs
@@ -24,7 +24,7 @@
 };
 
 /// Medium tail protection.
-const KNOB: u8 = 50;
+const TAIL_PROTECTION: u8 = 50;
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -124,7 +124,7 @@
 
 /// Creates a batch owner of two engines that runs one item on engine 1.
 fn owner_with_one_item() -> BatchOwner {
-    let mut owner = BatchOwner::new(BatchSettings::default(), KNOB);
+    let mut owner = BatchOwner::new(BatchSettings::default(), TAIL_PROTECTION);
     for number in [1, 2] {
         let acquired = BatchInput::Acquired(OwnedEngine {
             backend: BackendId(number),
--- a/crates/routing/examples/policy/arms.rs
+++ b/crates/routing/examples/policy/arms.rs
@@ -3,7 +3,7 @@
 use molespan_routing::pick::PickPolicy;
 
 /// Compared values of the tail protection.
-const KNOBS: [u8; 4] = [0, 25, 50, 100];
+const TAIL_PROTECTIONS: [u8; 4] = [0, 25, 50, 100];
 
 /// One configuration of the fleet and its load.
 #[derive(Clone, Debug)]
@@ -15,7 +15,7 @@
     pub batch: bool,
     pub pick: PickPolicy,
     /// Tail protection.
-    pub knob: u8,
+    pub tail_protection: u8,
     /// Whether batch owners are informed of online work.
     pub preempts: bool,
     /// Whether engines honour priorities.
@@ -23,13 +23,13 @@
 }
 
 impl Arm {
-    fn ours(knob: u8) -> Self {
+    fn ours(tail_protection: u8) -> Self {
         Self {
-            name: format!("ours {knob}"),
+            name: format!("ours {tail_protection}"),
             online: true,
             batch: true,
             pick: PickPolicy::Affinity,
-            knob,
+            tail_protection,
             preempts: true,
             engine_priority: true,
         }
@@ -49,12 +49,12 @@
         batch: false,
         ..Arm::ours(50)
     }];
-    arms.extend(KNOBS.map(|knob| Arm {
-        name: format!("batch alone {knob}"),
+    arms.extend(TAIL_PROTECTIONS.map(|tail_protection| Arm {
+        name: format!("batch alone {tail_protection}"),
         online: false,
-        ..Arm::ours(knob)
+        ..Arm::ours(tail_protection)
     }));
-    arms.extend(KNOBS.map(Arm::ours));
+    arms.extend(TAIL_PROTECTIONS.map(Arm::ours));
     arms.push(Arm {
         name: "round robin".to_owned(),
         pick: PickPolicy::RoundRobin,
--- a/crates/routing/examples/policy/gateway.rs
+++ b/crates/routing/examples/policy/gateway.rs
@@ -58,7 +58,7 @@
         picker.set_engines(candidates.map(candidate).collect());
         Self {
             picker,
-            owner: BatchOwner::new(BatchSettings::default(), arm.knob),
+            owner: BatchOwner::new(BatchSettings::default(), arm.tail_protection),
             waiting: VecDeque::new(),
             online: BTreeMap::new(),
             streams: BTreeMap::new(),
--- a/crates/routing/src/batch/asking.rs
+++ b/crates/routing/src/batch/asking.rs
@@ -263,7 +263,7 @@
         let held = self.engines.values().map(|engine| engine.hold_until);
         let unused = self.engines.values().filter_map(|engine| {
             let since = engine.no_room_since?;
-            Some(since + self.settings.return_after)
+            Some(since + self.settings.return_pending_after)
         });
         let polls = self.polls.values().map(|poll| poll.next);
         let resends = self.resends.values().copied();
--- a/crates/routing/src/batch/engine.rs
+++ b/crates/routing/src/batch/engine.rs
@@ -123,11 +123,11 @@
     }
 
     /// Returns the maximum number of concurrent batch prefills.
-    pub(super) fn prefills(&self, now: Timestamp, policy: &BatchPolicy) -> u32 {
+    pub(super) fn max_prefills(&self, now: Timestamp, policy: &BatchPolicy) -> u32 {
         if self.online.is_likely(now) {
-            policy.prefills
+            policy.max_prefills
         } else {
-            policy.prefills.max(PREFILLS_WITHOUT_ONLINE)
+            policy.max_prefills.max(PREFILLS_WITHOUT_ONLINE)
         }
     }
 
--- a/crates/routing/src/batch/fill.rs
+++ b/crates/routing/src/batch/fill.rs
@@ -134,7 +134,7 @@
         let Some(engine) = self.engines.get(&backend) else {
             return;
         };
-        let short = engine.kv_used >= self.settings.kv_pressure;
+        let short = engine.kv_used >= self.settings.kv_pressure_threshold;
         if !short || engine.online.total() == 0 {
             return;
         }
@@ -172,11 +172,11 @@
             return;
         };
         let online = engine.online.total();
-        let most_prefills = engine.prefills(now, &self.policy);
+        let max_prefills = engine.max_prefills(now, &self.policy);
         let prefills = self.by_progress(backend, |stream| stream.state == StreamState::Prefill);
         let mut room = Room {
             streams: allowed - running.len() as u32,
-            prefills: most_prefills.saturating_sub(prefills.len() as u32),
+            prefills: max_prefills.saturating_sub(prefills.len() as u32),
         };
         let resumed = self.resume_held_back(backend, &mut room, outputs);
         let started = self.start(now, backend, room, outputs);
--- a/crates/routing/src/batch/journal.rs
+++ b/crates/routing/src/batch/journal.rs
@@ -9,19 +9,19 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct JournalSettings {
     /// Number of results at which a batch is sent.
-    pub most_results: usize,
+    pub max_results: usize,
     /// Payload bytes at which a batch is sent.
-    pub most_bytes: usize,
+    pub max_bytes: usize,
     /// Maximum time that a result is buffered.
-    pub longest_wait: Duration,
+    pub max_wait: Duration,
 }
 
 impl Default for JournalSettings {
     fn default() -> Self {
         Self {
-            most_results: 64,
-            most_bytes: 256 * 1_024,
-            longest_wait: Duration::from_millis(25),
+            max_results: 64,
+            max_bytes: 256 * 1_024,
+            max_wait: Duration::from_millis(25),
         }
     }
 }
@@ -48,7 +48,7 @@
     /// Returns the time by which the buffered results must be sent; `None` when
     /// there are none.
     pub(super) fn due_at(&self, settings: &JournalSettings) -> Option<Timestamp> {
-        self.oldest.map(|oldest| oldest + settings.longest_wait)
+        self.oldest.map(|oldest| oldest + settings.max_wait)
     }
 
     /// Takes the results if the batch is full, its oldest result has reached the
@@ -60,7 +60,7 @@
         flush: bool,
     ) -> Option<Vec<ItemResult>> {
         let waited = self.due_at(settings).is_some_and(|due| due <= now);
-        let full = self.results.len() >= settings.most_results || self.bytes >= settings.most_bytes;
+        let full = self.results.len() >= settings.max_results || self.bytes >= settings.max_bytes;
         if self.results.is_empty() || !(full || waited || flush) {
             return None;
         }
--- a/crates/routing/src/batch/owner.rs
+++ b/crates/routing/src/batch/owner.rs
@@ -32,17 +32,17 @@
     /// Initial batch stream limit of an engine.
     pub initial_streams: u32,
     /// Maximum batch streams on an engine.
-    pub most_streams: u32,
+    pub max_streams: u32,
     /// Maximum runs of an item by this owner before it is returned.
-    pub most_runs: u32,
+    pub max_runs: u32,
     /// First backoff after every group had no items for a service.
-    pub shortest_poll: Duration,
+    pub min_poll_backoff: Duration,
     /// Maximum polling backoff; it doubles after each round without items.
-    pub longest_poll: Duration,
+    pub max_poll_backoff: Duration,
     /// Time without capacity after which pending items are returned.
-    pub return_after: Duration,
+    pub return_pending_after: Duration,
     /// Share of KV memory in use at which paused streams are cancelled.
-    pub kv_pressure: f64,
+    pub kv_pressure_threshold: f64,
     /// Delay before a failed request is resent.
     pub resend_after: Duration,
 }
@@ -55,12 +55,12 @@
             renew_interval: Duration::from_secs(2),
             journal: JournalSettings::default(),
             initial_streams: 8,
-            most_streams: 256,
-            most_runs: 3,
-            shortest_poll: Duration::from_millis(20),
-            longest_poll: Duration::from_millis(250),
-            return_after: Duration::from_secs(1),
-            kv_pressure: 0.9,
+            max_streams: 256,
+            max_runs: 3,
+            min_poll_backoff: Duration::from_millis(20),
+            max_poll_backoff: Duration::from_millis(250),
+            return_pending_after: Duration::from_secs(1),
+            kv_pressure_threshold: 0.9,
             resend_after: Duration::from_millis(100),
         }
     }
@@ -86,12 +86,12 @@
 
 impl BatchOwner {
     /// Creates an owner without engines. `tail_protection` ranges from 0 to 100; see
-    /// [`BatchPolicy::from_knob`].
+    /// [`BatchPolicy::from_tail_protection`].
     #[must_use]
     pub fn new(settings: BatchSettings, tail_protection: u8) -> Self {
         Self {
             settings,
-            policy: BatchPolicy::from_knob(tail_protection),
+            policy: BatchPolicy::from_tail_protection(tail_protection),
             engines: BTreeMap::new(),
             leases: BTreeMap::new(),
             streams: BTreeMap::new(),
@@ -173,7 +173,7 @@
             BatchInput::Ended { stream, end } => self.ended(now, stream, end, outputs),
             BatchInput::WorkAvailable(service) => self.work_available(now, &service),
             BatchInput::Policy { tail_protection } => {
-                self.policy = BatchPolicy::from_knob(tail_protection);
+                self.policy = BatchPolicy::from_tail_protection(tail_protection);
                 self.balance_all(now, outputs);
             }
             BatchInput::Drain => self.drain(now, outputs),
@@ -203,7 +203,7 @@
     }
 
     fn acquire(&mut self, now: Timestamp, owned: OwnedEngine, outputs: &mut Vec<BatchOutput>) {
-        let (initial, most) = (self.settings.initial_streams, self.settings.most_streams);
+        let (initial, most) = (self.settings.initial_streams, self.settings.max_streams);
         let backend = owned.backend;
         match self.engines.get_mut(&backend) {
             Some(engine) if engine.owned == owned => {
@@ -301,7 +301,7 @@
             .engines
             .get(&stream.backend)
             .is_some_and(|engine| engine.open);
-        let spent = stream.runs >= self.settings.most_runs;
+        let spent = stream.runs >= self.settings.max_runs;
         let key = stream.lease;
         self.requeue(stream);
         if spent || !open || self.draining {
--- a/crates/routing/src/batch/policy.rs
+++ b/crates/routing/src/batch/policy.rs
@@ -24,12 +24,12 @@
     /// requests generate tokens. They use none while one awaits its first token.
     pub alongside_share: f64,
     /// Maximum step duration on an engine with batch work only.
-    pub longest_step: Duration,
+    pub max_step: Duration,
     /// Maximum step duration as a multiple of that of an almost empty engine.
     pub step_factor: f64,
     /// Maximum number of concurrent batch prefills on one engine. A prompt chunk
     /// in progress cannot be interrupted, so each may delay an arriving request.
-    pub prefills: u32,
+    pub max_prefills: u32,
     /// Quiet period before batch streams resume, as a multiple of the estimated
     /// gap within bursts.
     pub quiet_factor: f64,
@@ -39,23 +39,23 @@
     /// Returns the policy for a tail protection from 0, which maximizes batch
     /// throughput, to 100, which gives online tail latency the highest priority.
     #[must_use]
-    pub fn from_knob(tail_protection: u8) -> Self {
-        let knob = f64::from(tail_protection).min(MAX_PROTECTION);
-        let fill = (1.0 - knob / BALANCED).max(0.0);
-        let strict = ((knob - BALANCED) / (MAX_PROTECTION - BALANCED)).max(0.0);
-        let prefills = PROTECTED_PREFILLS + (UNPROTECTED_PREFILLS - PROTECTED_PREFILLS) * fill;
+    pub fn from_tail_protection(tail_protection: u8) -> Self {
+        let protection = f64::from(tail_protection).min(MAX_PROTECTION);
+        let fill = (1.0 - protection / BALANCED).max(0.0);
+        let strict = ((protection - BALANCED) / (MAX_PROTECTION - BALANCED)).max(0.0);
+        let max_prefills = PROTECTED_PREFILLS + (UNPROTECTED_PREFILLS - PROTECTED_PREFILLS) * fill;
         let strict_factor =
             BALANCED_STEP_FACTOR + (MAX_PROTECTION_STEP_FACTOR - BALANCED_STEP_FACTOR) * strict;
         Self {
             alongside_share: fill,
-            longest_step: ONLINE_TOKEN_TARGET,
+            max_step: ONLINE_TOKEN_TARGET,
             step_factor: if fill > 0.0 {
                 BALANCED_STEP_FACTOR * (1.0 + fill)
             } else {
                 strict_factor
             },
-            prefills: prefills.round() as u32,
-            quiet_factor: knob / BALANCED,
+            max_prefills: max_prefills.round() as u32,
+            quiet_factor: protection / BALANCED,
         }
     }
 
@@ -64,7 +64,7 @@
     #[must_use]
     pub fn step_target(&self, base: Option<Duration>) -> Duration {
         let scaled = base.map(|base| base.mul_f64(self.step_factor));
-        scaled.map_or(self.longest_step, |scaled| scaled.min(self.longest_step))
+        scaled.map_or(self.max_step, |scaled| scaled.min(self.max_step))
     }
 
     /// Returns the target step duration while online requests generate tokens.
--- a/crates/routing/src/batch/replies.rs
+++ b/crates/routing/src/batch/replies.rs
@@ -125,8 +125,8 @@
             poll.found_nothing(
                 now,
                 settings.job_groups,
-                settings.shortest_poll,
-                settings.longest_poll,
+                settings.min_poll_backoff,
+                settings.max_poll_backoff,
             );
         }
     }
@@ -304,13 +304,13 @@
     /// Returns the pending items of engines that have had no capacity for some
     /// time, so that other owners can run them.
     pub(super) fn return_unused(&mut self, now: Timestamp, outputs: &mut Vec<BatchOutput>) {
-        let return_after = self.settings.return_after;
+        let return_pending_after = self.settings.return_pending_after;
         let crowded: Vec<BackendId> = self
             .engines
             .iter()
             .filter(|(_, engine)| {
                 let since = engine.no_room_since;
-                since.is_some_and(|since| now.since(since) >= return_after)
+                since.is_some_and(|since| now.since(since) >= return_pending_after)
             })
             .map(|(backend, _)| *backend)
             .collect();
--- a/crates/routing/tests/batch/preemption.rs
+++ b/crates/routing/tests/batch/preemption.rs
@@ -30,15 +30,15 @@
 
 #[test]
 fn an_arrival_holds_every_stream_back_in_the_same_step() {
-    for knob in [BALANCED, 75, 100] {
-        let mut owner = Harness::running(knob, lease(1, 0..8));
+    for tail_protection in [BALANCED, 75, 100] {
+        let mut owner = Harness::running(tail_protection, lease(1, 0..8));
         let running = owner.count(&StreamFate::Running);
         assert!(running > 0);
         let outputs = owner.at(1_000).feed(started());
         let pauses = outputs
             .iter()
             .filter(|output| matches!(output, BatchOutput::Pause(_)));
-        assert_eq!(pauses.count(), running, "tail protection {knob}");
+        assert_eq!(pauses.count(), running, "tail protection {tail_protection}");
         let Some(BatchDecision::Preempted(preemption)) = owner.decisions.last() else {
             panic!("{:?}", owner.decisions);
         };
