--- a/crates/routing/src/batch/asking.rs
+++ b/crates/routing/src/batch/asking.rs
@@ -49,45 +49,45 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServicePoll {
     /// Index of the group to poll next, counted from 0.
-    turn: u32,
+    next_turn: u32,
     /// Consecutive polls that returned no items.
-    empty: u32,
+    empty_polls: u32,
     /// Current backoff; zero if the last poll returned items.
-    wait: Duration,
+    backoff: Duration,
     /// Earliest time of the next poll.
-    next: Timestamp,
+    next_poll: Timestamp,
 }
 
 impl ServicePoll {
     /// Resets the backoff: a group returned items, or new work was announced.
-    pub(super) fn found(&mut self, now: Timestamp) {
-        self.empty = 0;
-        self.wait = Duration::ZERO;
-        self.next = now;
+    pub(super) fn reset_backoff(&mut self, now: Timestamp) {
+        self.empty_polls = 0;
+        self.backoff = Duration::ZERO;
+        self.next_poll = now;
     }
 
     /// Records a poll without items. Once every group has returned none, doubles
     /// the backoff within the given bounds.
-    pub(super) fn found_nothing(
+    pub(super) fn back_off(
         &mut self,
         now: Timestamp,
         groups: u32,
-        shortest: Duration,
-        longest: Duration,
+        min_backoff: Duration,
+        max_backoff: Duration,
     ) {
-        self.empty += 1;
-        if self.empty < groups {
+        self.empty_polls += 1;
+        if self.empty_polls < groups {
             return;
         }
-        self.empty = 0;
-        self.wait = (self.wait * 2).clamp(shortest, longest);
-        self.next = now + self.wait;
+        self.empty_polls = 0;
+        self.backoff = (self.backoff * 2).clamp(min_backoff, max_backoff);
+        self.next_poll = now + self.backoff;
     }
 
     /// Whether polling has backed off; then only one engine polls at a time for
     /// the whole service.
-    fn is_probing(&self) -> bool {
-        !self.wait.is_zero()
+    fn is_backing_off(&self) -> bool {
+        !self.backoff.is_zero()
     }
 }
 
@@ -100,12 +100,17 @@
         }
         let backends: Vec<BackendId> = self.engines.keys().copied().collect();
         for backend in backends {
-            self.ask(now, backend, outputs);
+            self.request_items(now, backend, outputs);
         }
     }
 
     /// Requests items for an engine that has free capacity and too few leased items.
-    fn ask(&mut self, now: Timestamp, backend: BackendId, outputs: &mut Vec<BatchOutput>) {
+    fn request_items(
+        &mut self,
+        now: Timestamp,
+        backend: BackendId,
+        outputs: &mut Vec<BatchOutput>,
+    ) {
         let wanted = self.items_wanted(now, backend);
         let Some(engine) = self.engines.get(&backend) else {
             return;
@@ -115,8 +120,8 @@
         }
         let service = engine.owned.service.clone();
         let poll = self.polls.entry(service.clone()).or_default();
-        let waiting = poll.next > now;
-        let probing = poll.is_probing() && is_asked(&self.requests, &service);
+        let waiting = poll.next_poll > now;
+        let probing = poll.is_backing_off() && has_pending_lease_request(&self.requests, &service);
         if waiting || probing {
             return;
         }
@@ -125,7 +130,7 @@
         };
         let request = self.next_request();
         if let Some(engine) = self.engines.get_mut(&backend) {
-            engine.asking = Some(request);
+            engine.lease_request = Some(request);
         }
         self.send(
             request,
@@ -151,10 +156,10 @@
             .collect();
         let groups = self.settings.job_groups;
         let poll = self.polls.entry(service.clone()).or_default();
-        let first = poll.turn;
+        let first = poll.next_turn;
         let mut turns = (0..groups).map(|step| first.wrapping_add(step));
         let turn = turns.find(|turn| !unreachable.contains(&group_of(*turn, groups)))?;
-        poll.turn = turn.wrapping_add(1);
+        poll.next_turn = turn.wrapping_add(1);
         Some(group_of(turn, groups))
     }
 
@@ -165,9 +170,9 @@
         let Some(engine) = self.engines.get(&backend) else {
             return 0;
         };
-        let no_room = engine.allowance(now, &self.policy) == Allowance::UpTo(0);
-        let busy = engine.asking.is_some() || !engine.open || engine.hold_until > now;
-        if no_room || busy {
+        let no_capacity = engine.allowance(now, &self.policy) == Allowance::UpTo(0);
+        let busy = engine.lease_request.is_some() || !engine.open || engine.backoff_until > now;
+        if no_capacity || busy {
             return 0;
         }
         let limit = engine.limit();
@@ -177,10 +182,10 @@
             .filter(|lease| lease.backend == backend)
             .map(|lease| lease.pending.len())
             .sum();
-        let have = (engine.streams.len() + pending) as u32;
-        let wanted = (limit + limit.div_ceil(2)).saturating_sub(have);
-        let worth_it = wanted >= limit.div_ceil(REFILL_DIVISOR);
-        if worth_it { wanted } else { 0 }
+        let current = (engine.streams.len() + pending) as u32;
+        let wanted = (limit + limit.div_ceil(2)).saturating_sub(current);
+        let enough = wanted >= limit.div_ceil(REFILL_DIVISOR);
+        if enough { wanted } else { 0 }
     }
 
     /// Renews the leases of each group at a fixed interval.
@@ -216,7 +221,7 @@
         request: Request,
         outputs: &mut Vec<BatchOutput>,
     ) {
-        outputs.extend(output_of(number, &request));
+        outputs.extend(output_for(number, &request));
         self.requests.insert(number, request);
     }
 
@@ -231,13 +236,16 @@
         for number in due {
             self.resends.remove(&number);
             if let Some(request) = self.requests.get(&number) {
-                outputs.extend(output_of(number, request));
+                outputs.extend(output_for(number, request));
             }
         }
     }
 
     pub(super) fn work_available(&mut self, now: Timestamp, service: &ServiceName) {
-        self.polls.entry(service.clone()).or_default().found(now);
+        self.polls
+            .entry(service.clone())
+            .or_default()
+            .reset_backoff(now);
     }
 
     /// Returns the time by which the next [`super::BatchInput::Tick`] must be fed.
@@ -260,14 +268,14 @@
             let until = engine.online.quiet_until(self.policy.quiet_factor);
             until.filter(|until| *until > now)
         });
-        let held = self.engines.values().map(|engine| engine.hold_until);
-        let unused = self.engines.values().filter_map(|engine| {
-            let since = engine.no_room_since?;
+        let backoffs = self.engines.values().map(|engine| engine.backoff_until);
+        let blocked = self.engines.values().filter_map(|engine| {
+            let since = engine.no_capacity_since?;
             Some(since + self.settings.return_pending_after)
         });
-        let polls = self.polls.values().map(|poll| poll.next);
+        let polls = self.polls.values().map(|poll| poll.next_poll);
         let resends = self.resends.values().copied();
-        let future = held.chain(unused).chain(polls).filter(|at| *at > now);
+        let future = backoffs.chain(blocked).chain(polls).filter(|at| *at > now);
         journals
             .chain(expiries)
             .chain(renewals)
@@ -297,16 +305,20 @@
 }
 
 /// Whether a lease request for `service` is in flight and has not failed.
-fn is_asked(requests: &BTreeMap<RequestNumber, Request>, service: &ServiceName) -> bool {
+fn has_pending_lease_request(
+    requests: &BTreeMap<RequestNumber, Request>,
+    service: &ServiceName,
+) -> bool {
     requests.values().any(|request| {
         let waits = request.failed_group().is_none();
-        waits && matches!(request, Request::Lease { service: asked, .. } if asked == service)
+        waits
+            && matches!(request, Request::Lease { service: requested, .. } if requested == service)
     })
 }
 
 /// Returns the output that sends a request; `None` for renewals, which are never
 /// resent.
-fn output_of(number: RequestNumber, request: &Request) -> Option<BatchOutput> {
+fn output_for(number: RequestNumber, request: &Request) -> Option<BatchOutput> {
     let request = request.clone();
     match request {
         Request::Lease {
--- a/crates/routing/src/batch/engine.rs
+++ b/crates/routing/src/batch/engine.rs
@@ -40,11 +40,11 @@
     pub(super) online: OnlineView,
     pub(super) streams: BTreeSet<StreamId>,
     /// The lease request in flight, if any.
-    pub(super) asking: Option<RequestNumber>,
+    pub(super) lease_request: Option<RequestNumber>,
     /// No stream is started before this time, after the engine failed one.
-    pub(super) hold_until: Timestamp,
+    pub(super) backoff_until: Timestamp,
     /// Since when online work has left no capacity for batch streams.
-    pub(super) no_room_since: Option<Timestamp>,
+    pub(super) no_capacity_since: Option<Timestamp>,
     pub(super) kv_used: f64,
     limit: f64,
     most: u32,
@@ -61,9 +61,9 @@
             released: false,
             online: OnlineView::new(),
             streams: BTreeSet::new(),
-            asking: None,
-            hold_until: Timestamp::ZERO,
-            no_room_since: None,
+            lease_request: None,
+            backoff_until: Timestamp::ZERO,
+            no_capacity_since: None,
             kv_used: 0.0,
             limit: f64::from(initial),
             most,
@@ -78,7 +78,7 @@
     pub(super) fn restart(&mut self, owned: OwnedEngine, initial: u32) {
         let before = std::mem::replace(self, Self::new(owned, initial, self.most));
         self.streams = before.streams;
-        self.asking = before.asking;
+        self.lease_request = before.lease_request;
         self.online = before.online;
         self.online.restarted();
     }
--- a/crates/routing/src/batch/fill.rs
+++ b/crates/routing/src/batch/fill.rs
@@ -50,9 +50,9 @@
         };
         let allowance = engine.allowance(now, &self.policy);
         if allowance == Allowance::UpTo(0) {
-            engine.no_room_since.get_or_insert(now);
+            engine.no_capacity_since.get_or_insert(now);
         } else {
-            engine.no_room_since = None;
+            engine.no_capacity_since = None;
         }
         let Allowance::UpTo(allowed) = allowance else {
             return;
@@ -236,7 +236,7 @@
         let Some(engine) = self.engines.get(&backend) else {
             return 0;
         };
-        if !engine.open || self.draining || engine.hold_until > now {
+        if !engine.open || self.draining || engine.backoff_until > now {
             return 0;
         }
         let room = room.streams.min(room.prefills);
--- a/crates/routing/src/batch/lease.rs
+++ b/crates/routing/src/batch/lease.rs
@@ -38,7 +38,7 @@
     pub(super) streams: BTreeSet<StreamId>,
     pub(super) journal: Journal,
     /// Record and return requests in flight.
-    pub(super) requests_out: u32,
+    pub(super) requests_in_flight: u32,
     /// When the holder must stop using the lease.
     pub(super) valid_until: Timestamp,
     /// Set once the streams of the lease are stopped; no more are started.
@@ -58,7 +58,7 @@
             pending: pending.collect(),
             streams: BTreeSet::new(),
             journal: Journal::default(),
-            requests_out: 0,
+            requests_in_flight: 0,
             valid_until,
             revoked: false,
         }
@@ -71,7 +71,7 @@
 
     /// Whether no item is pending or running and all results are recorded.
     pub(super) fn is_done(&self) -> bool {
-        self.has_run_all() && self.journal.is_empty() && self.requests_out == 0
+        self.has_run_all() && self.journal.is_empty() && self.requests_in_flight == 0
     }
 }
 
--- a/crates/routing/src/batch/owner.rs
+++ b/crates/routing/src/batch/owner.rs
@@ -121,9 +121,9 @@
         self.take(now, input, &mut outputs);
         self.expire_leases(now, &mut outputs);
         self.send_results(now, &mut outputs);
-        self.return_unused(now, &mut outputs);
+        self.return_blocked(now, &mut outputs);
         self.send_requests(now, &mut outputs);
-        self.drop_finished(&mut outputs);
+        self.remove_finished(&mut outputs);
         outputs
     }
 
@@ -163,7 +163,7 @@
                     self.balance(now, backend, outputs);
                 }
             }
-            BatchInput::Reply { request, reply } => self.replied(now, request, reply, outputs),
+            BatchInput::Reply { request, reply } => self.handle_reply(now, request, reply, outputs),
             BatchInput::Progress { stream, .. } => {
                 // The prefill is complete, so another one may start.
                 if let Some(backend) = self.streams.get(&stream).map(|stream| stream.backend) {
@@ -286,7 +286,7 @@
             }
             ItemEnd::NotRun | ItemEnd::Unknown => {
                 if let Some(engine) = self.engines.get_mut(&backend) {
-                    engine.hold_until = now + FAILURE_BACKOFF;
+                    engine.backoff_until = now + FAILURE_BACKOFF;
                 }
                 self.run_again(now, stream, outputs);
             }
--- a/crates/routing/src/batch/replies.rs
+++ b/crates/routing/src/batch/replies.rs
@@ -11,7 +11,7 @@
 use super::owner::BatchOwner;
 
 impl BatchOwner {
-    pub(super) fn replied(
+    pub(super) fn handle_reply(
         &mut self,
         now: Timestamp,
         number: RequestNumber,
@@ -37,16 +37,16 @@
                 },
                 GroupReply::Leased(granted),
             ) => {
-                self.asked(backend, number);
-                self.note_poll(now, &service, granted.is_some());
+                self.clear_lease_request(backend, number);
+                self.record_poll(now, &service, granted.is_some());
                 if let Some(granted) = granted {
-                    self.take_lease(now, group, backend, granted, sent, outputs);
+                    self.accept_lease(now, group, backend, granted, sent, outputs);
                 }
             }
             (Request::Renew { group, sent }, GroupReply::Renewed { lost, cancelled }) => {
-                self.renewed_until(group, sent, &lost);
+                self.extend_leases(group, sent, &lost);
                 for lease in lost {
-                    self.lose(LeaseKey { group, lease }, outputs);
+                    self.drop_lost_lease(LeaseKey { group, lease }, outputs);
                 }
                 for lease in cancelled {
                     self.cancel_lease(now, LeaseKey { group, lease }, outputs);
@@ -56,7 +56,7 @@
                 self.request_done(key);
             }
             // A reply of the wrong kind only completes the request.
-            (Request::Lease { backend, .. }, _) => self.asked(backend, number),
+            (Request::Lease { backend, .. }, _) => self.clear_lease_request(backend, number),
             (Request::Renew { .. }, _) => {}
         }
     }
@@ -69,33 +69,33 @@
         let Some(request) = self.requests.get(&number) else {
             return;
         };
-        let give_up = match request {
+        let abandon = match request {
             Request::Lease { .. } => self.draining,
             Request::Renew { .. } => true,
             Request::Record { key, .. } | Request::Return { key, .. } => {
-                let rest = self.settings.lease.mul_f64(1.0 - STOP_SHARE);
+                let remaining = self.settings.lease.mul_f64(1.0 - STOP_SHARE);
                 let lease = self.leases.get(key);
-                lease.is_none_or(|lease| lease.valid_until + rest <= now)
+                lease.is_none_or(|lease| lease.valid_until + remaining <= now)
             }
         };
-        if !give_up {
+        if !abandon {
             let at = now + self.settings.resend_after;
             self.resends.insert(number, at);
-            self.let_engine_ask_others(number);
+            self.unblock_engine(number);
             return;
         }
         match self.requests.remove(&number) {
             Some(Request::Record { key, .. } | Request::Return { key, .. }) => {
                 self.request_done(key);
             }
-            Some(Request::Lease { backend, .. }) => self.asked(backend, number),
+            Some(Request::Lease { backend, .. }) => self.clear_lease_request(backend, number),
             _ => {}
         }
     }
 
     /// Marks a lease request as failed. It is still resent, since the group may
     /// have granted a lease, but its engine may request items from other groups.
-    fn let_engine_ask_others(&mut self, number: RequestNumber) {
+    fn unblock_engine(&mut self, number: RequestNumber) {
         let request = self.requests.get_mut(&number);
         if let Some(Request::Lease {
             backend, failed, ..
@@ -103,26 +103,26 @@
         {
             *failed = true;
             let backend = *backend;
-            self.asked(backend, number);
+            self.clear_lease_request(backend, number);
         }
     }
 
     /// Clears the engine's lease request after its reply or failure.
-    fn asked(&mut self, backend: BackendId, number: RequestNumber) {
+    fn clear_lease_request(&mut self, backend: BackendId, number: RequestNumber) {
         if let Some(engine) = self.engines.get_mut(&backend)
-            && engine.asking == Some(number)
+            && engine.lease_request == Some(number)
         {
-            engine.asking = None;
+            engine.lease_request = None;
         }
     }
 
-    fn note_poll(&mut self, now: Timestamp, service: &ServiceName, found: bool) {
+    fn record_poll(&mut self, now: Timestamp, service: &ServiceName, found: bool) {
         let settings = &self.settings;
         let poll = self.polls.entry(service.clone()).or_default();
         if found {
-            poll.found(now);
+            poll.reset_backoff(now);
         } else {
-            poll.found_nothing(
+            poll.back_off(
                 now,
                 settings.job_groups,
                 settings.min_poll_backoff,
@@ -131,7 +131,7 @@
         }
     }
 
-    fn take_lease(
+    fn accept_lease(
         &mut self,
         now: Timestamp,
         group: GroupId,
@@ -159,7 +159,7 @@
         self.balance(now, backend, outputs);
     }
 
-    fn renewed_until(&mut self, group: GroupId, sent: Timestamp, lost: &[LeaseId]) {
+    fn extend_leases(&mut self, group: GroupId, sent: Timestamp, lost: &[LeaseId]) {
         let valid_until = sent + self.settings.lease.mul_f64(STOP_SHARE);
         for (key, lease) in &mut self.leases {
             let renewed = key.group == group && !lost.contains(&key.lease) && !lease.revoked;
@@ -170,7 +170,7 @@
     }
 
     /// Drops a lease that the group no longer holds, and cancels its streams.
-    fn lose(&mut self, key: LeaseKey, outputs: &mut Vec<BatchOutput>) {
+    fn drop_lost_lease(&mut self, key: LeaseKey, outputs: &mut Vec<BatchOutput>) {
         let Some(lease) = self.leases.remove(&key) else {
             return;
         };
@@ -204,13 +204,13 @@
         if !enabled(Mechanism::OwnerStopsAtExpiry) {
             return;
         }
-        let over: Vec<LeaseKey> = self
+        let expired: Vec<LeaseKey> = self
             .leases
             .iter()
             .filter(|(_, lease)| lease.valid_until <= now && !lease.revoked)
             .map(|(key, _)| *key)
             .collect();
-        for key in over {
+        for key in expired {
             let Some(stopped) = self.revoke(now, key, outputs) else {
                 continue;
             };
@@ -240,9 +240,9 @@
         let streams: Vec<StreamId> = lease.streams.iter().copied().collect();
         let stopped = streams.len() as u32;
         for id in streams {
-            self.stop(now, id, outputs);
+            self.stop_stream(now, id, outputs);
         }
-        self.flush(now, key, true, outputs);
+        self.send_lease_results(now, key, true, outputs);
         self.return_pending(now, key, outputs);
         Some(stopped)
     }
@@ -262,11 +262,11 @@
         }
         let streams: Vec<StreamId> = lease.streams.iter().copied().collect();
         for id in streams {
-            self.stop(now, id, outputs);
+            self.stop_stream(now, id, outputs);
         }
     }
 
-    fn stop(&mut self, now: Timestamp, id: StreamId, outputs: &mut Vec<BatchOutput>) {
+    fn stop_stream(&mut self, now: Timestamp, id: StreamId, outputs: &mut Vec<BatchOutput>) {
         let Some(stream) = self.forget_stream(id) else {
             return;
         };
@@ -296,25 +296,25 @@
         if items.is_empty() {
             return;
         }
-        lease.requests_out += 1;
+        lease.requests_in_flight += 1;
         let request = self.next_request();
         self.send(request, Request::Return { key, items }, outputs);
     }
 
     /// Returns the pending items of engines that have had no capacity for some
     /// time, so that other owners can run them.
-    pub(super) fn return_unused(&mut self, now: Timestamp, outputs: &mut Vec<BatchOutput>) {
+    pub(super) fn return_blocked(&mut self, now: Timestamp, outputs: &mut Vec<BatchOutput>) {
         let return_pending_after = self.settings.return_pending_after;
-        let crowded: Vec<BackendId> = self
+        let blocked: Vec<BackendId> = self
             .engines
             .iter()
             .filter(|(_, engine)| {
-                let since = engine.no_room_since;
+                let since = engine.no_capacity_since;
                 since.is_some_and(|since| now.since(since) >= return_pending_after)
             })
             .map(|(backend, _)| *backend)
             .collect();
-        for backend in crowded {
+        for backend in blocked {
             for key in self.leases_of(backend) {
                 self.return_pending(now, key, outputs);
             }
@@ -326,35 +326,41 @@
         let keys: Vec<LeaseKey> = self.leases.keys().copied().collect();
         for key in keys {
             let flush = self.leases.get(&key).is_some_and(ItemLease::has_run_all);
-            self.flush(now, key, flush, outputs);
+            self.send_lease_results(now, key, flush, outputs);
         }
     }
 
-    fn flush(&mut self, now: Timestamp, key: LeaseKey, all: bool, outputs: &mut Vec<BatchOutput>) {
+    fn send_lease_results(
+        &mut self,
+        now: Timestamp,
+        key: LeaseKey,
+        all: bool,
+        outputs: &mut Vec<BatchOutput>,
+    ) {
         let Some(lease) = self.leases.get_mut(&key) else {
             return;
         };
         let Some(results) = lease.journal.take_due(now, &self.settings.journal, all) else {
             return;
         };
-        lease.requests_out += 1;
+        lease.requests_in_flight += 1;
         let request = self.next_request();
         self.send(request, Request::Record { key, results }, outputs);
     }
 
     fn request_done(&mut self, key: LeaseKey) {
         if let Some(lease) = self.leases.get_mut(&key) {
-            lease.requests_out = lease.requests_out.saturating_sub(1);
+            lease.requests_in_flight = lease.requests_in_flight.saturating_sub(1);
         }
     }
 
     /// Removes finished leases and released engines, and reports a completed drain.
-    pub(super) fn drop_finished(&mut self, outputs: &mut Vec<BatchOutput>) {
+    pub(super) fn remove_finished(&mut self, outputs: &mut Vec<BatchOutput>) {
         self.leases.retain(|_, lease| !lease.is_done());
         let leases = &self.leases;
         self.engines.retain(|backend, engine| {
             let leased = leases.values().any(|lease| lease.backend == *backend);
-            !engine.released || leased || engine.asking.is_some()
+            !engine.released || leased || engine.lease_request.is_some()
         });
         let idle = self.leases.is_empty() && self.requests.is_empty();
         if self.draining && idle && !self.drained {
