--- a/crates/routing/src/batch/engine.rs
+++ b/crates/routing/src/batch/engine.rs
@@ -80,7 +80,7 @@
         self.streams = before.streams;
         self.lease_request = before.lease_request;
         self.online = before.online;
-        self.online.restarted();
+        self.online.reset_for_restart();
     }
 
     /// Returns the maximum number of batch streams without online work.
@@ -124,7 +124,7 @@
 
     /// Returns the maximum number of concurrent batch prefills.
     pub(super) fn max_prefills(&self, now: Timestamp, policy: &BatchPolicy) -> u32 {
-        if self.online.is_likely(now) {
+        if self.online.is_online_likely(now) {
             policy.max_prefills
         } else {
             policy.max_prefills.max(PREFILLS_WITHOUT_ONLINE)
@@ -148,7 +148,8 @@
         if sample.max_running > 0 {
             self.max_running = Some(sample.max_running);
         }
-        self.online.reported(now, sample.observed, sample.online);
+        self.online
+            .apply_report(now, sample.observed, sample.online);
         let online_running = sample.online.saturating_sub(sample.online_waiting);
         let running = online_running + sample.batch_running;
         self.cost.observe(running, sample.step);
--- a/crates/routing/src/batch/online.rs
+++ b/crates/routing/src/batch/online.rs
@@ -12,7 +12,7 @@
 use molespan_types::{NodeId, Timestamp};
 
 use super::message::Foreign;
-use super::quiet::QuietTime;
+use super::quiet::QuietPeriod;
 
 /// Time after which a gateway's last notice expires; the engine's load reports
 /// include its requests by then.
@@ -39,91 +39,91 @@
 /// Online work at one engine.
 #[derive(Clone, Debug)]
 pub(super) struct OnlineView {
-    own: u32,
-    own_waiting: u32,
+    own_requests: u32,
+    own_awaiting_first_token: u32,
     notices: BTreeMap<NodeId, Notice>,
     /// Time and new value of each change of the known request count, oldest first.
     known_changes: VecDeque<(Timestamp, u32)>,
     /// Requests in the latest report beyond this gateway's own and those in notices.
-    unexplained: u32,
+    unannounced: u32,
     last_foreign_arrival: Option<Timestamp>,
     last_activity: Option<Timestamp>,
     first_token_seconds: f64,
-    quiet: QuietTime,
+    quiet: QuietPeriod,
 }
 
 impl OnlineView {
     pub(super) fn new() -> Self {
         Self {
-            own: 0,
-            own_waiting: 0,
+            own_requests: 0,
+            own_awaiting_first_token: 0,
             notices: BTreeMap::new(),
             known_changes: VecDeque::new(),
-            unexplained: 0,
+            unannounced: 0,
             last_foreign_arrival: None,
             last_activity: None,
             first_token_seconds: INITIAL_FIRST_TOKEN.as_secs_f64(),
-            quiet: QuietTime::new(),
+            quiet: QuietPeriod::new(),
         }
     }
 
     /// Resets the state after a restart of the engine. Own requests to the earlier
     /// incarnation still end one by one; those of other gateways are dropped.
-    pub(super) fn restarted(&mut self) {
+    pub(super) fn reset_for_restart(&mut self) {
         self.notices.clear();
         self.known_changes.clear();
-        self.unexplained = 0;
+        self.unannounced = 0;
     }
 
     /// Returns the number of online requests at the engine, as far as known.
     pub(super) fn total(&self) -> u32 {
-        self.known() + self.unexplained
+        self.known_requests() + self.unannounced
     }
 
-    fn known(&self) -> u32 {
-        let noticed: u32 = self.notices.values().map(|notice| notice.in_flight).sum();
-        self.own + noticed
+    fn known_requests(&self) -> u32 {
+        let in_notices: u32 = self.notices.values().map(|notice| notice.in_flight).sum();
+        self.own_requests + in_notices
     }
 
-    pub(super) fn started(&mut self, now: Timestamp) {
-        self.quiet.arrived(now);
-        self.own_waiting += 1;
-        self.own += 1;
-        self.note_change(now);
+    pub(super) fn request_started(&mut self, now: Timestamp) {
+        self.quiet.record_arrival(now);
+        self.own_awaiting_first_token += 1;
+        self.own_requests += 1;
+        self.record_activity(now);
     }
 
-    pub(super) fn first_token(&mut self, after: Duration) {
-        self.own_waiting = self.own_waiting.saturating_sub(1);
+    pub(super) fn first_token_received(&mut self, after: Duration) {
+        self.own_awaiting_first_token = self.own_awaiting_first_token.saturating_sub(1);
         let difference = after.as_secs_f64() - self.first_token_seconds;
         self.first_token_seconds += FIRST_TOKEN_WEIGHT * difference;
     }
 
-    pub(super) fn finished(&mut self, now: Timestamp) {
+    pub(super) fn request_finished(&mut self, now: Timestamp) {
         let before = self.total();
-        self.own = self.own.saturating_sub(1);
-        self.own_waiting = self.own_waiting.min(self.own);
-        self.note_change(now);
-        self.note_idle(now, before);
+        self.own_requests = self.own_requests.saturating_sub(1);
+        self.own_awaiting_first_token = self.own_awaiting_first_token.min(self.own_requests);
+        self.record_activity(now);
+        self.record_if_idle(now, before);
     }
 
-    pub(super) fn noticed(&mut self, now: Timestamp, foreign: Foreign) {
+    pub(super) fn apply_notice(&mut self, now: Timestamp, foreign: Foreign) {
         let before = self.total();
         let notice = Notice {
             in_flight: foreign.in_flight,
             at: now,
         };
         self.notices.insert(foreign.from, notice);
-        self.note_change(now);
+        self.record_activity(now);
         if foreign.prompt_tokens > 0 {
-            self.quiet.arrived(now);
+            self.quiet.record_arrival(now);
             self.last_foreign_arrival = Some(now);
             return;
         }
-        self.note_idle(now, before);
+        self.record_if_idle(now, before);
     }
 
     /// Applies a load report: the engine counted `online` requests at `observed`.
-    pub(super) fn reported(&mut self, now: Timestamp, observed: Timestamp, online: u32) {
+    pub(super) fn apply_report(&mut self, now: Timestamp, observed: Timestamp, online: u32) {
         let before = self.total();
         // If the engine counts no request, a notice from well before the
         // observation is stale: the notice of the request's end was lost.
@@ -132,12 +132,12 @@
             let contradicted = online == 0 && notice.at + OBSERVATION_TOLERANCE <= observed;
             fresh && !contradicted
         });
-        self.unexplained = online.saturating_sub(self.known_near(observed));
+        self.unannounced = online.saturating_sub(self.max_known_near(observed));
         if self.total() > 0 {
             self.last_activity = Some(now);
         }
-        self.note_known(now);
-        self.note_idle(now, before);
+        self.record_known(now);
+        self.record_if_idle(now, before);
     }
 
     /// Whether some online request probably still awaits its first token.
@@ -146,11 +146,11 @@
         let foreign = self
             .last_foreign_arrival
             .is_some_and(|arrival| now.since(arrival) < typical);
-        self.own_waiting > 0 || foreign
+        self.own_awaiting_first_token > 0 || foreign
     }
 
     /// Whether there was online work recently, so that more is likely.
-    pub(super) fn is_likely(&self, now: Timestamp) -> bool {
+    pub(super) fn is_online_likely(&self, now: Timestamp) -> bool {
         self.last_activity
             .is_some_and(|activity| now.since(activity) < ONLINE_LIKELY_WINDOW)
     }
@@ -158,16 +158,16 @@
     /// Returns the end of the quiet period after the last online request; `None`
     /// while there are online requests or there has never been one.
     pub(super) fn quiet_until(&self, factor: f64) -> Option<Timestamp> {
-        self.quiet.over_at(factor)
+        self.quiet.ends_at(factor)
     }
 
-    fn note_change(&mut self, now: Timestamp) {
+    fn record_activity(&mut self, now: Timestamp) {
         self.last_activity = Some(now);
-        self.note_known(now);
+        self.record_known(now);
     }
 
-    fn note_known(&mut self, now: Timestamp) {
-        let known = self.known();
+    fn record_known(&mut self, now: Timestamp) {
+        let known = self.known_requests();
         if self.known_changes.back().map(|(_, last)| *last) == Some(known) {
             return;
         }
@@ -178,23 +178,23 @@
     }
 
     /// Returns the highest number of requests that was known around `observed`.
-    fn known_near(&self, observed: Timestamp) -> u32 {
-        let mut most = 0;
+    fn max_known_near(&self, observed: Timestamp) -> u32 {
+        let mut max_known = 0;
         for (at, known) in self.known_changes.iter().rev() {
             if *at > observed + OBSERVATION_TOLERANCE {
                 continue;
             }
-            most = most.max(*known);
+            max_known = max_known.max(*known);
             if *at + OBSERVATION_TOLERANCE <= observed {
                 break;
             }
         }
-        most
+        max_known
     }
 
-    fn note_idle(&mut self, now: Timestamp, before: u32) {
+    fn record_if_idle(&mut self, now: Timestamp, before: u32) {
         if before > 0 && self.total() == 0 {
-            self.quiet.fell_idle(now);
+            self.quiet.record_idle(now);
         }
     }
 }
--- a/crates/routing/src/batch/owner.rs
+++ b/crates/routing/src/batch/owner.rs
@@ -143,20 +143,20 @@
                 self.balance(now, sample.backend, outputs);
             }
             BatchInput::OnlineStarted { backend } => {
-                self.online(backend, |engine| engine.online.started(now));
+                self.online(backend, |engine| engine.online.request_started(now));
                 self.yield_on_arrival(now, backend, outputs);
             }
             BatchInput::OnlineFirstToken { backend, after } => {
-                self.online(backend, |engine| engine.online.first_token(after));
+                self.online(backend, |engine| engine.online.first_token_received(after));
                 self.balance(now, backend, outputs);
             }
             BatchInput::OnlineFinished { backend } => {
-                self.online(backend, |engine| engine.online.finished(now));
+                self.online(backend, |engine| engine.online.request_finished(now));
                 self.balance(now, backend, outputs);
             }
             BatchInput::Foreign(foreign) => {
                 let backend = foreign.backend;
-                self.online(backend, |engine| engine.online.noticed(now, foreign));
+                self.online(backend, |engine| engine.online.apply_notice(now, foreign));
                 if foreign.prompt_tokens > 0 {
                     self.yield_on_arrival(now, backend, outputs);
                 } else {
--- a/crates/routing/src/batch/quiet.rs
+++ b/crates/routing/src/batch/quiet.rs
@@ -22,12 +22,12 @@
 
 /// Estimates the gaps between online requests within bursts at one engine.
 #[derive(Clone, Debug)]
-pub(super) struct QuietTime {
+pub(super) struct QuietPeriod {
     gap_seconds: f64,
     idle_since: Option<Timestamp>,
 }
 
-impl QuietTime {
+impl QuietPeriod {
     pub(super) fn new() -> Self {
         Self {
             gap_seconds: INITIAL_BURST_GAP.as_secs_f64(),
@@ -36,12 +36,12 @@
     }
 
     /// Records that the last online request ended.
-    pub(super) fn fell_idle(&mut self, now: Timestamp) {
+    pub(super) fn record_idle(&mut self, now: Timestamp) {
         self.idle_since = Some(now);
     }
 
     /// Records the arrival of an online request.
-    pub(super) fn arrived(&mut self, now: Timestamp) {
+    pub(super) fn record_arrival(&mut self, now: Timestamp) {
         let Some(since) = self.idle_since.take() else {
             return;
         };
@@ -53,7 +53,7 @@
 
     /// Returns when batch streams may resume if no online request arrives before;
     /// `None` while there are online requests or there has never been one.
-    pub(super) fn over_at(&self, factor: f64) -> Option<Timestamp> {
+    pub(super) fn ends_at(&self, factor: f64) -> Option<Timestamp> {
         let wait = Duration::from_secs_f64(self.gap_seconds * factor).min(MAX_QUIET_PERIOD);
         self.idle_since.map(|since| since + wait)
     }
