--- a/crates/routing/src/batch/asking.rs
+++ b/crates/routing/src/batch/asking.rs
@@ -196,13 +196,14 @@
                 by_group.entry(key.group).or_default().push(key.lease);
             }
         }
-        self.renewed.retain(|group, _| by_group.contains_key(group));
+        self.last_renewals
+            .retain(|group, _| by_group.contains_key(group));
         for (group, leases) in by_group {
-            let last = *self.renewed.entry(group).or_insert(now);
+            let last = *self.last_renewals.entry(group).or_insert(now);
             if now.since(last) < self.settings.renew_interval {
                 continue;
             }
-            self.renewed.insert(group, now);
+            self.last_renewals.insert(group, now);
             let request = self.next_request();
             self.requests
                 .insert(request, Request::Renew { group, sent: now });
@@ -228,13 +229,13 @@
     /// Resends failed requests whose retry delay has passed.
     pub(super) fn resend(&mut self, now: Timestamp, outputs: &mut Vec<BatchOutput>) {
         let due: Vec<RequestNumber> = self
-            .resends
+            .resend_at
             .iter()
             .filter(|(_, at)| **at <= now)
             .map(|(number, _)| *number)
             .collect();
         for number in due {
-            self.resends.remove(&number);
+            self.resend_at.remove(&number);
             if let Some(request) = self.requests.get(&number) {
                 outputs.extend(output_for(number, request));
             }
@@ -261,7 +262,7 @@
             .filter(|lease| !lease.revoked)
             .map(|lease| lease.valid_until);
         let renewals = self
-            .renewed
+            .last_renewals
             .values()
             .map(|last| *last + self.settings.renew_interval);
         let quiet = self.engines.values().filter_map(|engine| {
@@ -274,7 +275,7 @@
             Some(since + self.settings.return_pending_after)
         });
         let polls = self.polls.values().map(|poll| poll.next_poll);
-        let resends = self.resends.values().copied();
+        let resends = self.resend_at.values().copied();
         let future = backoffs.chain(blocked).chain(polls).filter(|at| *at > now);
         journals
             .chain(expiries)
--- a/crates/routing/src/batch/engine.rs
+++ b/crates/routing/src/batch/engine.rs
@@ -47,14 +47,14 @@
     pub(super) no_capacity_since: Option<Timestamp>,
     pub(super) kv_used: f64,
     limit: f64,
-    most: u32,
+    max_streams: u32,
     max_running: Option<u32>,
     last_sequence: Option<u64>,
-    cost: StepCost,
+    step_cost: StepCost,
 }
 
 impl Engine {
-    pub(super) fn new(owned: OwnedEngine, initial: u32, most: u32) -> Self {
+    pub(super) fn new(owned: OwnedEngine, initial: u32, max_streams: u32) -> Self {
         Self {
             owned,
             open: true,
@@ -66,17 +66,17 @@
             no_capacity_since: None,
             kv_used: 0.0,
             limit: f64::from(initial),
-            most,
+            max_streams,
             max_running: None,
             last_sequence: None,
-            cost: StepCost::default(),
+            step_cost: StepCost::default(),
         }
     }
 
     /// Resets the state for a new incarnation. Streams and this gateway's own
     /// online requests are kept, since their ends are still reported.
     pub(super) fn restart(&mut self, owned: OwnedEngine, initial: u32) {
-        let before = std::mem::replace(self, Self::new(owned, initial, self.most));
+        let before = std::mem::replace(self, Self::new(owned, initial, self.max_streams));
         self.streams = before.streams;
         self.lease_request = before.lease_request;
         self.online = before.online;
@@ -86,8 +86,11 @@
     /// Returns the maximum number of batch streams without online work.
     pub(super) fn limit(&self) -> u32 {
         let limit = self.limit as u32;
-        let most = self.max_running.unwrap_or(self.most).min(self.most);
-        limit.min(most).max(1)
+        let max_streams = self
+            .max_running
+            .unwrap_or(self.max_streams)
+            .min(self.max_streams);
+        limit.min(max_streams).max(1)
     }
 
     /// Returns how many batch streams may run now.
@@ -102,23 +105,23 @@
                 Allowance::AsIs
             };
         }
-        let none = policy.alongside_share <= 0.0 || self.online.awaits_first_token(now);
+        let none = policy.batch_headroom_share <= 0.0 || self.online.awaits_first_token(now);
         if none {
             return Allowance::UpTo(0);
         }
-        Allowance::UpTo(self.alongside(online, policy))
+        Allowance::UpTo(self.streams_beside_online(online, policy))
     }
 
     /// Returns the number of batch streams that may run beside `online` requests
     /// without exceeding the token interval promised to online callers.
-    fn alongside(&self, online: u32, policy: &BatchPolicy) -> u32 {
+    fn streams_beside_online(&self, online: u32, policy: &BatchPolicy) -> u32 {
         let by_step = self
-            .cost
-            .most_running(policy.token_target())
+            .step_cost
+            .max_running_within(policy.token_target())
             .unwrap_or(self.limit() / 2);
-        let by_engine = self.max_running.unwrap_or(self.most);
-        let room = by_step.min(by_engine).saturating_sub(online);
-        let shared = f64::from(room) * policy.alongside_share;
+        let by_engine = self.max_running.unwrap_or(self.max_streams);
+        let headroom = by_step.min(by_engine).saturating_sub(online);
+        let shared = f64::from(headroom) * policy.batch_headroom_share;
         (shared as u32).min(self.limit())
     }
 
@@ -152,23 +155,23 @@
             .apply_report(now, sample.observed, sample.online);
         let online_running = sample.online.saturating_sub(sample.online_waiting);
         let running = online_running + sample.batch_running;
-        self.cost.observe(running, sample.step);
-        self.adapt(sample, policy)
+        self.step_cost.observe(running, sample.step);
+        self.adapt_limit(sample, policy)
     }
 
     /// Grows the limit while it is in use and steps are short, and cuts it when
     /// they are long. Reports with online requests are ignored, since their
     /// step does not show the effect of batch streams alone.
-    fn adapt(&mut self, sample: &LoadSample, policy: &BatchPolicy) -> Option<BatchDecision> {
+    fn adapt_limit(&mut self, sample: &LoadSample, policy: &BatchPolicy) -> Option<BatchDecision> {
         if sample.online > 0 || sample.batch_running == 0 || sample.step.is_zero() {
             return None;
         }
         let before = self.limit();
-        let target = policy.step_target(self.cost.base_step());
+        let target = policy.step_target(self.step_cost.base_step());
         if sample.step > target {
             self.limit = (f64::from(before) * LIMIT_DECREASE).max(1.0);
         } else if sample.batch_running + 1 >= before {
-            self.grow(sample.step, target);
+            self.grow_limit(sample.step, target);
         }
         let after = self.limit();
         (after != before).then_some(BatchDecision::LimitChanged {
@@ -180,15 +183,15 @@
         })
     }
 
-    fn grow(&mut self, step: Duration, target: Duration) {
+    fn grow_limit(&mut self, step: Duration, target: Duration) {
         let grown = (self.limit * LIMIT_GROWTH).max(self.limit + 1.0);
         // Close to the target, the limit grows no further than the estimate allows.
-        let by_step = self.cost.most_running(target).map(f64::from);
+        let by_step = self.step_cost.max_running_within(target).map(f64::from);
         let near_target = step.mul_f64(LIMIT_GROWTH) > target;
         let bounded = match by_step {
             Some(most) if near_target => grown.min(most.max(self.limit)),
             _ => grown,
         };
-        self.limit = bounded.min(f64::from(self.most));
+        self.limit = bounded.min(f64::from(self.max_streams));
     }
 }
--- a/crates/routing/src/batch/fill.rs
+++ b/crates/routing/src/batch/fill.rs
@@ -12,15 +12,15 @@
 /// Free capacity of an engine: how many more streams may run, and how many of
 /// these may be in prefill.
 #[derive(Clone, Copy, Debug)]
-struct Room {
+struct Capacity {
     streams: u32,
     prefills: u32,
 }
 
-impl Room {
+impl Capacity {
     /// Reserves capacity for a stream; returns false if there is none. A stream
     /// without tokens also needs a prefill slot.
-    fn take(&mut self, has_tokens: bool) -> bool {
+    fn reserve(&mut self, has_tokens: bool) -> bool {
         let free = self.streams > 0 && (has_tokens || self.prefills > 0);
         if free {
             self.streams -= 1;
@@ -100,10 +100,10 @@
                 outputs.push(BatchOutput::Pause(*id));
             }
         }
-        self.decide_preempted(backend, allowed, excess as u32, 0, outputs);
+        self.emit_preempted(backend, allowed, excess as u32, 0, outputs);
     }
 
-    fn decide_preempted(
+    fn emit_preempted(
         &self,
         backend: BackendId,
         allowed: u32,
@@ -125,7 +125,7 @@
     /// Cancels the paused stream with the least progress when the engine runs out
     /// of KV memory while it has online requests. Only one stream is cancelled per
     /// load report, so that its effect shows before the next.
-    pub(super) fn relieve_memory(
+    pub(super) fn relieve_kv_pressure(
         &mut self,
         now: Timestamp,
         backend: BackendId,
@@ -138,22 +138,22 @@
         if !short || engine.online.total() == 0 {
             return;
         }
-        let held_back = self.by_progress(backend, |stream| {
+        let paused_streams = self.by_progress(backend, |stream| {
             stream.repeatable && stream.state == StreamState::Paused
         });
-        let Some(id) = held_back.first() else {
+        let Some(id) = paused_streams.first() else {
             return;
         };
-        if let Some(stream) = self.forget_stream(*id) {
+        if let Some(stream) = self.remove_stream(*id) {
             outputs.push(BatchOutput::Cancel(*id));
-            self.requeue_unrun(now, stream);
-            self.decide_preempted(backend, 0, 0, 1, outputs);
+            self.requeue_preempted(now, stream);
+            self.emit_preempted(backend, 0, 0, 1, outputs);
         }
     }
 
     /// Requeues the item of a stream that the owner itself cancelled, without
     /// counting this run against the limit on runs.
-    fn requeue_unrun(&mut self, _now: Timestamp, mut stream: Stream) {
+    fn requeue_preempted(&mut self, _now: Timestamp, mut stream: Stream) {
         stream.runs = stream.runs.saturating_sub(1);
         self.requeue(stream);
     }
@@ -174,12 +174,12 @@
         let online = engine.online.total();
         let max_prefills = engine.max_prefills(now, &self.policy);
         let prefills = self.by_progress(backend, |stream| stream.state == StreamState::Prefill);
-        let mut room = Room {
+        let mut capacity = Capacity {
             streams: allowed - running.len() as u32,
             prefills: max_prefills.saturating_sub(prefills.len() as u32),
         };
-        let resumed = self.resume_held_back(backend, &mut room, outputs);
-        let started = self.start(now, backend, room, outputs);
+        let resumed = self.resume_paused(backend, &mut capacity, outputs);
+        let started = self.start(now, backend, capacity, outputs);
         if resumed + started == 0 {
             return;
         }
@@ -192,20 +192,21 @@
         }));
     }
 
-    fn resume_held_back(
+    fn resume_paused(
         &mut self,
         backend: BackendId,
-        room: &mut Room,
+        capacity: &mut Capacity,
         outputs: &mut Vec<BatchOutput>,
     ) -> u32 {
-        let held_back = self.by_progress(backend, |stream| stream.state == StreamState::Paused);
+        let paused_streams =
+            self.by_progress(backend, |stream| stream.state == StreamState::Paused);
         let mut resumed = 0;
-        for id in held_back.into_iter().rev() {
+        for id in paused_streams.into_iter().rev() {
             let has_tokens = self
                 .streams
                 .get(&id)
                 .is_some_and(|stream| stream.tokens > 0);
-            if !room.take(has_tokens) {
+            if !capacity.reserve(has_tokens) {
                 break;
             }
             self.resume(id, outputs);
@@ -230,7 +231,7 @@
         &mut self,
         now: Timestamp,
         backend: BackendId,
-        room: Room,
+        capacity: Capacity,
         outputs: &mut Vec<BatchOutput>,
     ) -> u32 {
         let Some(engine) = self.engines.get(&backend) else {
@@ -239,10 +240,10 @@
         if !engine.open || self.draining || engine.backoff_until > now {
             return 0;
         }
-        let room = room.streams.min(room.prefills);
+        let max_started = capacity.streams.min(capacity.prefills);
         let mut started = 0;
         for key in self.leases_of(backend) {
-            while started < room && self.start_one(now, backend, key, outputs) {
+            while started < max_started && self.start_one(now, backend, key, outputs) {
                 started += 1;
             }
         }
@@ -265,8 +266,8 @@
         };
         // After the process was suspended, an input may be handled before the
         // tick that expires the lease.
-        let over = lease.valid_until <= now && enabled(Mechanism::OwnerStopsAtExpiry);
-        if lease.revoked || over {
+        let expired = lease.valid_until <= now && enabled(Mechanism::OwnerStopsAtExpiry);
+        if lease.revoked || expired {
             return false;
         }
         let Some(pending) = lease.pending.pop_front() else {
--- a/crates/routing/src/batch/lease.rs
+++ b/crates/routing/src/batch/lease.rs
@@ -77,7 +77,7 @@
 
 impl PendingItem {
     /// Creates a pending item from a stopped stream.
-    pub(super) fn of(stream: Stream) -> Self {
+    pub(super) fn from_stream(stream: Stream) -> Self {
         Self {
             leased: LeasedItem {
                 item: stream.item,
--- a/crates/routing/src/batch/owner.rs
+++ b/crates/routing/src/batch/owner.rs
@@ -75,9 +75,9 @@
     pub(super) leases: BTreeMap<LeaseKey, ItemLease>,
     pub(super) streams: BTreeMap<StreamId, Stream>,
     pub(super) requests: BTreeMap<RequestNumber, Request>,
-    pub(super) resends: BTreeMap<RequestNumber, Timestamp>,
+    pub(super) resend_at: BTreeMap<RequestNumber, Timestamp>,
     pub(super) polls: BTreeMap<ServiceName, ServicePoll>,
-    pub(super) renewed: BTreeMap<GroupId, Timestamp>,
+    pub(super) last_renewals: BTreeMap<GroupId, Timestamp>,
     pub(super) draining: bool,
     pub(super) drained: bool,
     last_request: u64,
@@ -96,9 +96,9 @@
             leases: BTreeMap::new(),
             streams: BTreeMap::new(),
             requests: BTreeMap::new(),
-            resends: BTreeMap::new(),
+            resend_at: BTreeMap::new(),
             polls: BTreeMap::new(),
-            renewed: BTreeMap::new(),
+            last_renewals: BTreeMap::new(),
             draining: false,
             drained: false,
             last_request: 0,
@@ -114,11 +114,11 @@
         // Progress is by far the most frequent input and mostly changes nothing
         // else, so the steps below are skipped.
         if let BatchInput::Progress { stream, tokens } = input
-            && !self.progressed(stream, tokens)
+            && !self.record_progress(stream, tokens)
         {
             return outputs;
         }
-        self.take(now, input, &mut outputs);
+        self.apply_input(now, input, &mut outputs);
         self.expire_leases(now, &mut outputs);
         self.send_results(now, &mut outputs);
         self.return_blocked(now, &mut outputs);
@@ -127,7 +127,7 @@
         outputs
     }
 
-    fn take(&mut self, now: Timestamp, input: BatchInput, outputs: &mut Vec<BatchOutput>) {
+    fn apply_input(&mut self, now: Timestamp, input: BatchInput, outputs: &mut Vec<BatchOutput>) {
         match input {
             BatchInput::Acquired(owned) => self.acquire(now, owned, outputs),
             BatchInput::Closed(backend) => self.close(now, backend, false, outputs),
@@ -139,26 +139,26 @@
                 };
                 let decision = engine.observe(now, &sample, policy);
                 outputs.extend(decision.map(BatchOutput::Decision));
-                self.relieve_memory(now, sample.backend, outputs);
+                self.relieve_kv_pressure(now, sample.backend, outputs);
                 self.balance(now, sample.backend, outputs);
             }
             BatchInput::OnlineStarted { backend } => {
-                self.online(backend, |engine| engine.online.request_started(now));
-                self.yield_on_arrival(now, backend, outputs);
+                self.update_engine(backend, |engine| engine.online.request_started(now));
+                self.preempt_on_arrival(now, backend, outputs);
             }
             BatchInput::OnlineFirstToken { backend, after } => {
-                self.online(backend, |engine| engine.online.first_token_received(after));
+                self.update_engine(backend, |engine| engine.online.first_token_received(after));
                 self.balance(now, backend, outputs);
             }
             BatchInput::OnlineFinished { backend } => {
-                self.online(backend, |engine| engine.online.request_finished(now));
+                self.update_engine(backend, |engine| engine.online.request_finished(now));
                 self.balance(now, backend, outputs);
             }
             BatchInput::Foreign(foreign) => {
                 let backend = foreign.backend;
-                self.online(backend, |engine| engine.online.apply_notice(now, foreign));
+                self.update_engine(backend, |engine| engine.online.apply_notice(now, foreign));
                 if foreign.prompt_tokens > 0 {
-                    self.yield_on_arrival(now, backend, outputs);
+                    self.preempt_on_arrival(now, backend, outputs);
                 } else {
                     self.balance(now, backend, outputs);
                 }
@@ -170,7 +170,7 @@
                     self.balance(now, backend, outputs);
                 }
             }
-            BatchInput::Ended { stream, end } => self.ended(now, stream, end, outputs),
+            BatchInput::Ended { stream, end } => self.stream_ended(now, stream, end, outputs),
             BatchInput::WorkAvailable(service) => self.work_available(now, &service),
             BatchInput::Policy { tail_protection } => {
                 self.policy = BatchPolicy::from_tail_protection(tail_protection);
@@ -184,14 +184,14 @@
         }
     }
 
-    fn online(&mut self, backend: BackendId, change: impl FnOnce(&mut Engine)) {
+    fn update_engine(&mut self, backend: BackendId, change: impl FnOnce(&mut Engine)) {
         if let Some(engine) = self.engines.get_mut(&backend) {
             change(engine);
         }
     }
 
     /// Preempts batch streams before the online request is sent.
-    fn yield_on_arrival(
+    fn preempt_on_arrival(
         &mut self,
         now: Timestamp,
         backend: BackendId,
@@ -203,7 +203,7 @@
     }
 
     fn acquire(&mut self, now: Timestamp, owned: OwnedEngine, outputs: &mut Vec<BatchOutput>) {
-        let (initial, most) = (self.settings.initial_streams, self.settings.max_streams);
+        let (initial, max_streams) = (self.settings.initial_streams, self.settings.max_streams);
         let backend = owned.backend;
         match self.engines.get_mut(&backend) {
             Some(engine) if engine.owned == owned => {
@@ -213,7 +213,7 @@
             Some(engine) => engine.restart(owned, initial),
             None => {
                 self.engines
-                    .insert(backend, Engine::new(owned, initial, most));
+                    .insert(backend, Engine::new(owned, initial, max_streams));
             }
         }
         self.balance(now, backend, outputs);
@@ -250,7 +250,7 @@
 
     /// Records the token count of a stream; returns whether these are its first
     /// tokens.
-    fn progressed(&mut self, id: StreamId, tokens: u32) -> bool {
+    fn record_progress(&mut self, id: StreamId, tokens: u32) -> bool {
         let Some(stream) = self.streams.get_mut(&id) else {
             return false;
         };
@@ -262,7 +262,7 @@
         first
     }
 
-    fn ended(
+    fn stream_ended(
         &mut self,
         now: Timestamp,
         id: StreamId,
@@ -270,25 +270,25 @@
         outputs: &mut Vec<BatchOutput>,
     ) {
         // The late end of a cancelled stream is ignored.
-        let Some(stream) = self.forget_stream(id) else {
+        let Some(stream) = self.remove_stream(id) else {
             return;
         };
         let backend = stream.backend;
         match end {
             ItemEnd::Completed(payload) => {
-                self.journal(now, &stream, ItemOutcome::Completed, payload.into());
+                self.journal_result(now, &stream, ItemOutcome::Completed, payload.into());
             }
             ItemEnd::Refused(payload) => {
-                self.journal(now, &stream, ItemOutcome::Failed, payload.into());
+                self.journal_result(now, &stream, ItemOutcome::Failed, payload.into());
             }
             ItemEnd::Unknown if !stream.repeatable => {
-                self.journal(now, &stream, ItemOutcome::Unknown, Vec::new());
+                self.journal_result(now, &stream, ItemOutcome::Unknown, Vec::new());
             }
             ItemEnd::NotRun | ItemEnd::Unknown => {
                 if let Some(engine) = self.engines.get_mut(&backend) {
                     engine.backoff_until = now + FAILURE_BACKOFF;
                 }
-                self.run_again(now, stream, outputs);
+                self.retry_item(now, stream, outputs);
             }
         }
         self.balance(now, backend, outputs);
@@ -296,15 +296,15 @@
 
     /// Requeues an item. If it has reached the maximum number of runs, its engine
     /// is closed or the owner is draining, returns the lease's pending items.
-    fn run_again(&mut self, now: Timestamp, stream: Stream, outputs: &mut Vec<BatchOutput>) {
+    fn retry_item(&mut self, now: Timestamp, stream: Stream, outputs: &mut Vec<BatchOutput>) {
         let open = self
             .engines
             .get(&stream.backend)
             .is_some_and(|engine| engine.open);
-        let spent = stream.runs >= self.settings.max_runs;
+        let out_of_runs = stream.runs >= self.settings.max_runs;
         let key = stream.lease;
         self.requeue(stream);
-        if spent || !open || self.draining {
+        if out_of_runs || !open || self.draining {
             self.return_pending(now, key, outputs);
         }
     }
@@ -312,11 +312,11 @@
     /// Puts the item of a stopped stream at the front of its lease's queue.
     pub(super) fn requeue(&mut self, stream: Stream) {
         if let Some(lease) = self.leases.get_mut(&stream.lease) {
-            lease.pending.push_front(PendingItem::of(stream));
+            lease.pending.push_front(PendingItem::from_stream(stream));
         }
     }
 
-    pub(super) fn journal(
+    pub(super) fn journal_result(
         &mut self,
         now: Timestamp,
         stream: &Stream,
@@ -333,7 +333,7 @@
         }
     }
 
-    pub(super) fn forget_stream(&mut self, id: StreamId) -> Option<Stream> {
+    pub(super) fn remove_stream(&mut self, id: StreamId) -> Option<Stream> {
         let stream = self.streams.remove(&id)?;
         if let Some(engine) = self.engines.get_mut(&stream.backend) {
             engine.streams.remove(&id);
--- a/crates/routing/src/batch/policy.rs
+++ b/crates/routing/src/batch/policy.rs
@@ -22,7 +22,7 @@
 pub struct BatchPolicy {
     /// Share of an engine's headroom that batch streams may use while online
     /// requests generate tokens. They use none while one awaits its first token.
-    pub alongside_share: f64,
+    pub batch_headroom_share: f64,
     /// Maximum step duration on an engine with batch work only.
     pub max_step: Duration,
     /// Maximum step duration as a multiple of that of an almost empty engine.
@@ -47,7 +47,7 @@
         let strict_factor =
             BALANCED_STEP_FACTOR + (MAX_PROTECTION_STEP_FACTOR - BALANCED_STEP_FACTOR) * strict;
         Self {
-            alongside_share: fill,
+            batch_headroom_share: fill,
             max_step: ONLINE_TOKEN_TARGET,
             step_factor: if fill > 0.0 {
                 BALANCED_STEP_FACTOR * (1.0 + fill)
--- a/crates/routing/src/batch/replies.rs
+++ b/crates/routing/src/batch/replies.rs
@@ -22,7 +22,7 @@
             self.request_failed(now, number);
             return;
         }
-        self.resends.remove(&number);
+        self.resend_at.remove(&number);
         let Some(request) = self.requests.remove(&number) else {
             return;
         };
@@ -80,7 +80,7 @@
         };
         if !abandon {
             let at = now + self.settings.resend_after;
-            self.resends.insert(number, at);
+            self.resend_at.insert(number, at);
             self.unblock_engine(number);
             return;
         }
@@ -176,7 +176,7 @@
         };
         let stopped = lease.streams.len() as u32;
         for id in lease.streams {
-            self.forget_stream(id);
+            self.remove_stream(id);
             outputs.push(BatchOutput::Cancel(id));
         }
         outputs.push(BatchOutput::Decision(BatchDecision::LeaseRevoked {
@@ -267,14 +267,14 @@
     }
 
     fn stop_stream(&mut self, now: Timestamp, id: StreamId, outputs: &mut Vec<BatchOutput>) {
-        let Some(stream) = self.forget_stream(id) else {
+        let Some(stream) = self.remove_stream(id) else {
             return;
         };
         outputs.push(BatchOutput::Cancel(id));
         if stream.repeatable {
             self.requeue(stream);
         } else {
-            self.journal(now, &stream, ItemOutcome::Unknown, Vec::new());
+            self.journal_result(now, &stream, ItemOutcome::Unknown, Vec::new());
         }
     }
 
--- a/crates/routing/src/batch/step_cost.rs
+++ b/crates/routing/src/batch/step_cost.rs
@@ -70,12 +70,12 @@
 
     /// Returns the maximum number of running requests that keeps the step within
     /// `target`; `None` without an estimate or when requests add no time.
-    pub(super) fn most_running(&self, target: Duration) -> Option<u32> {
+    pub(super) fn max_running_within(&self, target: Duration) -> Option<u32> {
         let line = self.line()?;
         if line.per_request <= 0.0 {
             return None;
         }
-        let room = (target.as_secs_f64() - line.base) / line.per_request;
-        Some(room.max(0.0) as u32)
+        let headroom = (target.as_secs_f64() - line.base) / line.per_request;
+        Some(headroom.max(0.0) as u32)
     }
 }
