--- a/crates/routing/src/placement/message.rs
+++ b/crates/routing/src/placement/message.rs
@@ -11,12 +11,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PlacementSettings {
     /// Maximum concurrent loads from the weight store.
-    pub most_loads: usize,
+    pub max_concurrent_loads: usize,
     /// Maximum orders proposed in one step.
-    pub most_orders: usize,
+    pub max_orders_per_step: usize,
     /// Minimum time for which a load counts as in progress. Without versions in
     /// its reports, an engine that is loading another version looks unchanged.
-    pub shortest_load: Duration,
+    pub min_load_time: Duration,
     /// Time after which an order that shows no effect is proposed again.
     pub resend_after: Duration,
 }
@@ -24,9 +24,9 @@
 impl Default for PlacementSettings {
     fn default() -> Self {
         Self {
-            most_loads: 2,
-            most_orders: 4,
-            shortest_load: Duration::from_secs(1),
+            max_concurrent_loads: 2,
+            max_orders_per_step: 4,
+            min_load_time: Duration::from_secs(1),
             resend_after: Duration::from_secs(20),
         }
     }
--- a/crates/routing/src/placement/planner.rs
+++ b/crates/routing/src/placement/planner.rs
@@ -7,7 +7,10 @@
 use molespan_types::{BackendId, FencingToken, Incarnation, Timestamp, ZoneName};
 
 use super::message::{EngineState, PlacementDecision, PlacementReason, PlacementSettings};
-use super::wanted::{Copy, WANTED_ROLE, Wanted, copy_of, shows_effect, split_version, wanted_by};
+use super::wanted::{
+    CopyState, ModelRequirement, REQUIRED_ROLE, copy_state, matches_action, model_requirements,
+    split_version,
+};
 
 /// An order whose effect has not been reported yet.
 #[derive(Clone, Debug)]
@@ -24,7 +27,7 @@
     settings: PlacementSettings,
     outstanding: BTreeMap<BackendId, Outstanding>,
     /// Model versions loaded by orders, for each engine incarnation.
-    ordered: BTreeMap<(BackendId, Incarnation), BTreeMap<String, u32>>,
+    ordered_versions: BTreeMap<(BackendId, Incarnation), BTreeMap<String, u32>>,
 }
 
 /// Inputs and decisions of one planning step.
@@ -41,7 +44,7 @@
         Self {
             settings,
             outstanding: BTreeMap::new(),
-            ordered: BTreeMap::new(),
+            ordered_versions: BTreeMap::new(),
         }
     }
 
@@ -52,15 +55,15 @@
         configuration: &Configuration,
         engines: &[EngineState],
     ) -> Vec<PlacementDecision> {
-        self.learn_versions(engines);
-        self.settle(now, engines);
+        self.record_ordered_versions(engines);
+        self.drop_completed_orders(now, engines);
         let mut step = Step {
             now,
             engines,
             decisions: Vec::new(),
         };
         self.resend(&mut step);
-        let wanted = wanted_by(configuration);
+        let wanted = model_requirements(configuration);
         for service in &wanted {
             self.update_versions(&mut step, service);
             self.add_copies(&mut step, service);
@@ -71,7 +74,7 @@
     }
 
     /// Records the versions that were ordered before this planner took over.
-    fn learn_versions(&mut self, engines: &[EngineState]) {
+    fn record_ordered_versions(&mut self, engines: &[EngineState]) {
         for engine in engines {
             let Some(OrderAction::LoadModel { model, version }) = &engine.last_order else {
                 continue;
@@ -80,7 +83,7 @@
                 continue;
             }
             let key = (engine.backend, engine.incarnation);
-            let versions = self.ordered.entry(key).or_default();
+            let versions = self.ordered_versions.entry(key).or_default();
             versions.insert(model.clone(), *version);
         }
     }
@@ -88,14 +91,14 @@
     /// Drops outstanding orders whose effect is reported, and those whose engine
     /// is gone, has restarted, is leaving, or is out of service after the resend
     /// delay.
-    fn settle(&mut self, now: Timestamp, engines: &[EngineState]) {
-        let shortest_load = self.settings.shortest_load;
+    fn drop_completed_orders(&mut self, now: Timestamp, engines: &[EngineState]) {
+        let min_load_time = self.settings.min_load_time;
         let resend_after = self.settings.resend_after;
         let by_id: BTreeMap<BackendId, &EngineState> = engines
             .iter()
             .map(|engine| (engine.backend, engine))
             .collect();
-        let ordered = &mut self.ordered;
+        let ordered_versions = &mut self.ordered_versions;
         self.outstanding.retain(|backend, order| {
             let Some(engine) = by_id.get(backend) else {
                 return false;
@@ -110,16 +113,16 @@
             // The token increases when the order is issued. A state that already
             // matched the order before is not evidence of its effect.
             let issued = engine.token > order.token;
-            let old_enough = now.since(order.proposed) >= shortest_load;
-            let effective = issued && old_enough && shows_effect(engine, &order.action);
+            let old_enough = now.since(order.proposed) >= min_load_time;
+            let effective = issued && old_enough && matches_action(engine, &order.action);
             if let (true, OrderAction::LoadModel { model, version }) = (effective, &order.action) {
                 let key = (engine.backend, engine.incarnation);
-                let versions: &mut BTreeMap<String, u32> = ordered.entry(key).or_default();
+                let versions: &mut BTreeMap<String, u32> = ordered_versions.entry(key).or_default();
                 versions.insert(model.clone(), *version);
             }
             !effective
         });
-        self.ordered.retain(|(backend, incarnation), _| {
+        self.ordered_versions.retain(|(backend, incarnation), _| {
             let engine = by_id.get(backend);
             engine.is_some_and(|engine| engine.incarnation == *incarnation)
         });
@@ -141,9 +144,9 @@
 
     /// Orders the wanted version on engines that run another one, as long as
     /// enough other copies stay in service.
-    fn update_versions(&mut self, step: &mut Step<'_>, wanted: &Wanted) {
+    fn update_versions(&mut self, step: &mut Step<'_>, wanted: &ModelRequirement) {
         for engine in engines_of(step.engines, wanted) {
-            let outdated = self.copy(engine, wanted) == Copy::OtherVersion;
+            let outdated = self.copy_state(engine, wanted) == CopyState::OtherVersion;
             let unfit = engine.leaving || !engine.in_service;
             if unfit || !outdated || !self.may_order_load(step) {
                 continue;
@@ -168,8 +171,8 @@
 
     /// Loads the model on more engines, each time in the zone with the fewest
     /// copies.
-    fn add_copies(&mut self, step: &mut Step<'_>, wanted: &Wanted) {
-        let needed = wanted.replicas + usize::from(self.needs_spare(step.engines, wanted));
+    fn add_copies(&mut self, step: &mut Step<'_>, wanted: &ModelRequirement) {
+        let needed = wanted.replicas + usize::from(self.needs_extra_copy(step.engines, wanted));
         loop {
             let ready = self.copies(step.engines, wanted).count();
             if ready >= needed || !self.may_order_load(step) {
@@ -194,16 +197,17 @@
 
     /// Whether an extra copy is needed temporarily, so that the only copy can
     /// change its version without an interruption of service.
-    fn needs_spare(&self, engines: &[EngineState], wanted: &Wanted) -> bool {
+    fn needs_extra_copy(&self, engines: &[EngineState], wanted: &ModelRequirement) -> bool {
         let mut copies = self.copies(engines, wanted);
-        let outdated = copies.any(|engine| self.copy(engine, wanted) == Copy::OtherVersion);
+        let outdated =
+            copies.any(|engine| self.copy_state(engine, wanted) == CopyState::OtherVersion);
         wanted.replicas == 1 && outdated
     }
 
     fn best_for_copy<'a>(
         &self,
         engines: &'a [EngineState],
-        wanted: &'a Wanted,
+        wanted: &'a ModelRequirement,
     ) -> Option<&'a EngineState> {
         let mut by_zone: BTreeMap<&ZoneName, usize> = BTreeMap::new();
         for engine in self.copies(engines, wanted) {
@@ -212,7 +216,7 @@
         engines_of(engines, wanted)
             .filter(|engine| engine.in_service && !engine.leaving)
             .filter(|engine| !self.is_busy(engine))
-            .filter(|engine| self.copy(engine, wanted) == Copy::None)
+            .filter(|engine| self.copy_state(engine, wanted) == CopyState::None)
             .min_by_key(|engine| {
                 let copies = by_zone.get(&engine.zone).copied().unwrap_or(0);
                 (copies, engine.models.len(), engine.backend)
@@ -220,20 +224,22 @@
     }
 
     /// Sets the role and then loads missing adapters on engines that have the model.
-    fn complete_engines(&mut self, step: &mut Step<'_>, wanted: &Wanted) {
+    fn complete_engines(&mut self, step: &mut Step<'_>, wanted: &ModelRequirement) {
         for engine in engines_of(step.engines, wanted) {
             let unfit = engine.leaving || !engine.in_service || self.is_busy(engine);
-            if unfit || self.copy(engine, wanted) == Copy::None {
+            if unfit || self.copy_state(engine, wanted) == CopyState::None {
                 continue;
             }
-            if engine.role != WANTED_ROLE {
+            if engine.role != REQUIRED_ROLE {
                 let reason = PlacementReason::WrongRole {
                     service: wanted.service.clone(),
                 };
                 self.propose(
                     step,
                     engine,
-                    OrderAction::SetRole { role: WANTED_ROLE },
+                    OrderAction::SetRole {
+                        role: REQUIRED_ROLE,
+                    },
                     reason,
                 );
                 continue;
@@ -254,18 +260,18 @@
 
     /// Unloads models that an engine's service does not use, once the engine has
     /// the wanted model in the wanted version. Old models stay until then.
-    fn unload_unwanted(&mut self, step: &mut Step<'_>, wanted: &[Wanted]) {
+    fn unload_unwanted(&mut self, step: &mut Step<'_>, wanted: &[ModelRequirement]) {
         for engine in step.engines {
-            let here = wanted.iter().find(|one| one.service == engine.service);
-            let Some(here) = here else {
+            let requirement = wanted.iter().find(|one| one.service == engine.service);
+            let Some(requirement) = requirement else {
                 continue;
             };
-            let ready = self.copy(engine, here) == Copy::Ready;
+            let ready = self.copy_state(engine, requirement) == CopyState::Ready;
             if !ready || self.is_busy(engine) || engine.leaving {
                 continue;
             }
             let loaded = engine.models.iter().map(|loaded| split_version(loaded).0);
-            let unwanted = loaded.into_iter().find(|name| *name != here.model);
+            let unwanted = loaded.into_iter().find(|name| *name != requirement.model);
             let Some(model) = unwanted else {
                 continue;
             };
@@ -281,10 +287,14 @@
         }
     }
 
-    fn copy(&self, engine: &EngineState, wanted: &Wanted) -> Copy {
+    fn copy_state(&self, engine: &EngineState, wanted: &ModelRequirement) -> CopyState {
         let empty = BTreeMap::new();
         let key = (engine.backend, engine.incarnation);
-        copy_of(engine, self.ordered.get(&key).unwrap_or(&empty), wanted)
+        copy_state(
+            engine,
+            self.ordered_versions.get(&key).unwrap_or(&empty),
+            wanted,
+        )
     }
 
     /// Returns the engines in service that have the model in any version or are
@@ -292,7 +302,7 @@
     fn copies<'a>(
         &'a self,
         engines: &'a [EngineState],
-        wanted: &'a Wanted,
+        wanted: &'a ModelRequirement,
     ) -> impl Iterator<Item = &'a EngineState> + 'a {
         engines_of(engines, wanted)
             .filter(|engine| engine.in_service && !engine.leaving)
@@ -301,7 +311,7 @@
                     matches!(&order.action, OrderAction::LoadModel { model, .. }
                         if *model == wanted.model)
                 });
-                loading || self.copy(engine, wanted) != Copy::None
+                loading || self.copy_state(engine, wanted) != CopyState::None
             })
     }
 
@@ -310,14 +320,14 @@
     fn copies_in_service(
         &self,
         engines: &[EngineState],
-        wanted: &Wanted,
+        wanted: &ModelRequirement,
         except: BackendId,
     ) -> usize {
         engines_of(engines, wanted)
             .filter(|engine| engine.backend != except)
             .filter(|engine| engine.in_service && !engine.leaving)
             .filter(|engine| !self.is_busy(engine))
-            .filter(|engine| self.copy(engine, wanted) != Copy::None)
+            .filter(|engine| self.copy_state(engine, wanted) != CopyState::None)
             .count()
     }
 
@@ -333,11 +343,11 @@
                 OrderAction::LoadModel { .. } | OrderAction::LoadAdapter { .. }
             )
         });
-        loads.count() < self.settings.most_loads && self.may_order(step)
+        loads.count() < self.settings.max_concurrent_loads && self.may_order(step)
     }
 
     fn may_order(&self, step: &Step<'_>) -> bool {
-        step.decisions.len() < self.settings.most_orders
+        step.decisions.len() < self.settings.max_orders_per_step
     }
 
     fn propose(
@@ -377,7 +387,7 @@
 
 fn engines_of<'a>(
     engines: &'a [EngineState],
-    wanted: &'a Wanted,
+    wanted: &'a ModelRequirement,
 ) -> impl Iterator<Item = &'a EngineState> + 'a {
     engines
         .iter()
@@ -389,7 +399,7 @@
     engines: &[EngineState],
     engine: &EngineState,
     model: &str,
-    wanted: &[Wanted],
+    wanted: &[ModelRequirement],
 ) -> bool {
     let is_wanted = wanted.iter().any(|one| one.model == model);
     let others = engines
--- a/crates/routing/src/placement/wanted.rs
+++ b/crates/routing/src/placement/wanted.rs
@@ -13,7 +13,7 @@
 
 /// What a service needs on its engines.
 #[derive(Clone, Debug)]
-pub(super) struct Wanted {
+pub(super) struct ModelRequirement {
     pub(super) service: ServiceName,
     pub(super) model: String,
     pub(super) version: u32,
@@ -22,22 +22,22 @@
 }
 
 /// Returns the requirements of every service that has a model.
-pub(super) fn wanted_by(configuration: &Configuration) -> Vec<Wanted> {
+pub(super) fn model_requirements(configuration: &Configuration) -> Vec<ModelRequirement> {
     configuration
         .services
         .iter()
-        .filter_map(|(name, service)| wanted_by_service(configuration, name, service))
+        .filter_map(|(name, service)| requirement_of(configuration, name, service))
         .collect()
 }
 
-fn wanted_by_service(
+fn requirement_of(
     configuration: &Configuration,
     name: &ServiceName,
     service: &Service,
-) -> Option<Wanted> {
+) -> Option<ModelRequirement> {
     let model = service.model.as_ref()?;
     let version = configuration.models.get(model)?.version;
-    Some(Wanted {
+    Some(ModelRequirement {
         service: name.clone(),
         model: model.0.clone(),
         version,
@@ -48,7 +48,7 @@
 
 /// State of a model on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Copy {
+pub(super) enum CopyState {
     /// Ready in the wanted version.
     Ready,
     /// Ready in another or an unknown version.
@@ -61,11 +61,11 @@
 /// `NAME` or `NAME@VERSION`; without a version, the last known order is used. If
 /// there is none, the model is ordered again, which has no effect on an engine that
 /// already has this version.
-pub(super) fn copy_of(
+pub(super) fn copy_state(
     engine: &EngineState,
     ordered: &BTreeMap<String, u32>,
-    wanted: &Wanted,
-) -> Copy {
+    wanted: &ModelRequirement,
+) -> CopyState {
     for loaded in &engine.models {
         let (name, version) = split_version(loaded);
         if name != wanted.model {
@@ -73,11 +73,11 @@
         }
         let version = version.or_else(|| ordered.get(name).copied());
         return match version {
-            Some(version) if version == wanted.version => Copy::Ready,
-            _ => Copy::OtherVersion,
+            Some(version) if version == wanted.version => CopyState::Ready,
+            _ => CopyState::OtherVersion,
         };
     }
-    Copy::None
+    CopyState::None
 }
 
 /// Splits a reported model into its name and version.
@@ -89,7 +89,7 @@
 }
 
 /// Whether the reported state of `engine` matches an order's action.
-pub(super) fn shows_effect(engine: &EngineState, action: &OrderAction) -> bool {
+pub(super) fn matches_action(engine: &EngineState, action: &OrderAction) -> bool {
     let has_model = |wanted: &str| {
         let mut names = engine.models.iter().map(|loaded| split_version(loaded).0);
         names.any(|name| name == wanted)
@@ -108,4 +108,4 @@
 }
 
 /// The role that all services need at present.
-pub(super) const WANTED_ROLE: EngineRole = EngineRole::Mixed;
+pub(super) const REQUIRED_ROLE: EngineRole = EngineRole::Mixed;
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -51,7 +51,7 @@
 struct Engine {
     state: EngineState,
     versions: BTreeMap<String, u32>,
-    working: Option<(u64, OrderAction)>,
+    executing: Option<(u64, OrderAction)>,
 }
 
 /// A simulated fleet that executes orders with a delay.
@@ -78,7 +78,7 @@
                 last_order: None,
             },
             versions: BTreeMap::new(),
-            working: None,
+            executing: None,
         };
         Self {
             engines: zones.iter().enumerate().map(engine).collect(),
@@ -122,16 +122,19 @@
         self.last_token += 1;
         engine.state.token = FencingToken(self.last_token);
         engine.state.last_order = Some(decision.action.clone());
-        engine.working = Some((now + LOAD_SECONDS, decision.action.clone()));
+        engine.executing = Some((now + LOAD_SECONDS, decision.action.clone()));
     }
 
-    fn work(&mut self, now: u64) {
+    fn execute(&mut self, now: u64) {
         for engine in &mut self.engines {
-            let due = engine.working.as_ref().is_some_and(|(due, _)| *due <= now);
+            let due = engine
+                .executing
+                .as_ref()
+                .is_some_and(|(due, _)| *due <= now);
             if !due || !engine.state.in_service {
                 continue;
             }
-            match engine.working.take().unwrap().1 {
+            match engine.executing.take().unwrap().1 {
                 OrderAction::LoadModel { model, version } => {
                     engine.versions.insert(model, version);
                 }
@@ -149,12 +152,12 @@
         engine.state.last_order = None;
         engine.state.adapters.clear();
         engine.versions.clear();
-        engine.working = None;
+        engine.executing = None;
     }
 
     fn loads_in_progress(&self) -> usize {
-        let working = self.engines.iter().filter(|engine| {
-            let action = engine.working.as_ref().map(|(_, action)| action);
+        let executing = self.engines.iter().filter(|engine| {
+            let action = engine.executing.as_ref().map(|(_, action)| action);
             engine.state.in_service
                 && !engine.state.leaving
                 && matches!(
@@ -162,7 +165,7 @@
                     Some(OrderAction::LoadModel { .. } | OrderAction::LoadAdapter { .. })
                 )
         });
-        working.count()
+        executing.count()
     }
 
     /// Counts the engines that serve `model` and execute no order, without `except`.
@@ -171,7 +174,7 @@
             engine.state.backend != except
                 && engine.state.in_service
                 && !engine.state.leaving
-                && engine.working.is_none()
+                && engine.executing.is_none()
                 && engine.versions.contains_key(model)
         });
         serving.count()
@@ -196,7 +199,7 @@
         for decision in &decisions {
             self.issue(now, decision);
         }
-        self.work(now);
+        self.execute(now);
         decisions
     }
 
@@ -474,7 +477,7 @@
                         prop_assert!(serving_before[number] >= 1, "{:?}", decision);
                     }
                 }
-                let most = PlacementSettings::default().most_loads;
+                let most = PlacementSettings::default().max_concurrent_loads;
                 let known = reports_versions && !taken_over;
                 prop_assert!(!known || world.loads_in_progress() <= most);
             }
