--- a/crates/routing/src/subset/mod.rs
+++ b/crates/routing/src/subset/mod.rs
@@ -19,7 +19,7 @@
 use molespan_types::{NodeId, ZoneName};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use part::Part;
+use part::Subset;
 pub use users::Breadth;
 use users::Gateways;
 
@@ -29,7 +29,7 @@
 /// A gateway that starts before the subsets of a large service are known uses one in this
 /// many engines. That is about the size of its later subset and gives each engine about
 /// as many users.
-const FIRST_OF: u64 = 32;
+const FIRST_ENGINES_DIVISOR: u64 = 32;
 
 /// Approximate maximum number of gateways that use each of these first engines.
 pub const FIRST_USERS: u32 = 32;
@@ -53,7 +53,7 @@
 
 /// Changes to a gateway's subset of a service.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct PartUpdate {
+pub struct SubsetUpdate {
     /// Engines that were added to the subset or changed.
     pub engines: Vec<Arc<str>>,
     /// Engines that no longer exist.
@@ -67,17 +67,17 @@
 pub struct Subsets {
     gateways: Gateways,
     services: BTreeMap<String, Service>,
-    parts: BTreeMap<NodeId, BTreeMap<String, Part>>,
+    subsets: BTreeMap<NodeId, BTreeMap<String, Subset>>,
     /// Whether the number of gateways is known.
     settled: bool,
     /// Number of ranks computed, as a measure of work.
-    ranked: u64,
+    ranks_computed: u64,
 }
 
 impl Subsets {
     /// Adds an engine or records that it changed.
     pub fn insert(&mut self, service: &str, engine: &str, zone: &ZoneName, change: Change) {
-        let held = self
+        let state = self
             .services
             .entry(service.to_owned())
             .or_insert_with(|| Service {
@@ -85,39 +85,39 @@
                 breadth: Breadth::Whole,
                 changed: change,
             });
-        if !self.settled && held.breadth.is_too_broad(held.engines.len()) {
-            held.breadth = Breadth::Unsettled;
-            held.changed = change;
+        if !self.settled && state.breadth.is_too_broad(state.engines.len()) {
+            state.breadth = Breadth::Unsettled;
+            state.changed = change;
         }
         let id: Arc<str> = engine.into();
-        let member = held.engines.entry(id.clone()).or_insert_with(|| Member {
+        let member = state.engines.entry(id.clone()).or_insert_with(|| Member {
             zone: zone.clone(),
             key: xxh3_64(engine.as_bytes()),
             users: Vec::new(),
         });
         member.zone.clone_from(zone);
-        let users = self.gateways.users(member.key, zone, held.breadth);
-        self.ranked += self.gateways.ranked(held.breadth);
+        let users = self.gateways.users(member.key, zone, state.breadth);
+        self.ranks_computed += self.gateways.ranks_computed(state.breadth);
         let before = std::mem::replace(&mut member.users, users);
         let after = &member.users;
         for gateway in before.iter().filter(|gateway| !after.contains(gateway)) {
-            part(&mut self.parts, *gateway, service, change).release(&id, change);
+            subset_mut(&mut self.subsets, *gateway, service, change).reassign(&id, change);
         }
         for gateway in after {
-            part(&mut self.parts, *gateway, service, change).take(&id, change);
+            subset_mut(&mut self.subsets, *gateway, service, change).insert(&id, change);
         }
     }
 
     /// Removes an engine.
     pub fn remove(&mut self, service: &str, engine: &str, change: Change) {
-        let Some(held) = self.services.get_mut(service) else {
+        let Some(state) = self.services.get_mut(service) else {
             return;
         };
-        let Some(member) = held.engines.remove(engine) else {
+        let Some(member) = state.engines.remove(engine) else {
             return;
         };
         for gateway in &member.users {
-            part(&mut self.parts, *gateway, service, change).lose(engine, change);
+            subset_mut(&mut self.subsets, *gateway, service, change).remove(engine, change);
         }
     }
 
@@ -132,15 +132,15 @@
     ) -> bool {
         self.settled = settled;
         // Unless settled, gateways missing from the list may still be running.
-        let (came, went) = match settled {
+        let (added, removed) = match settled {
             true => self.gateways.replace(gateways),
             false => (BTreeSet::new(), BTreeSet::new()),
         };
-        self.parts.retain(|gateway, _| !went.contains(gateway));
+        self.subsets.retain(|gateway, _| !removed.contains(gateway));
         let names: Vec<String> = self.services.keys().cloned().collect();
         let mut changed = false;
         for name in names {
-            changed |= self.plan_service(&name, &came, &went, settled, change);
+            changed |= self.plan_service(&name, &added, &removed, settled, change);
         }
         changed
     }
@@ -148,36 +148,36 @@
     fn plan_service(
         &mut self,
         name: &str,
-        came: &BTreeSet<NodeId>,
-        went: &BTreeSet<NodeId>,
+        added: &BTreeSet<NodeId>,
+        removed: &BTreeSet<NodeId>,
         settled: bool,
         change: Change,
     ) -> bool {
-        let Some(held) = self.services.get_mut(name) else {
+        let Some(state) = self.services.get_mut(name) else {
             return false;
         };
-        let breadth = held
+        let breadth = state
             .breadth
-            .planned(held.engines.len(), self.gateways.len(), settled);
-        let rebuilt = breadth != held.breadth;
+            .updated(state.engines.len(), self.gateways.len(), settled);
+        let rebuilt = breadth != state.breadth;
         if rebuilt {
-            held.breadth = breadth;
-            held.changed = change;
+            state.breadth = breadth;
+            state.changed = change;
         }
         let mut changed = rebuilt;
-        for (id, member) in &mut held.engines {
+        for (id, member) in &mut state.engines {
             let users_before = member.users.len();
-            member.users.retain(|user| !went.contains(user));
-            let left = member.users.len() < users_before;
-            let users = match rebuilt || left {
+            member.users.retain(|user| !removed.contains(user));
+            let lost_users = member.users.len() < users_before;
+            let users = match rebuilt || lost_users {
                 true => {
-                    self.ranked += self.gateways.ranked(breadth);
+                    self.ranks_computed += self.gateways.ranks_computed(breadth);
                     self.gateways.users(member.key, &member.zone, breadth)
                 }
-                false if came.is_empty() || member.users.is_empty() => continue,
+                false if added.is_empty() || member.users.is_empty() => continue,
                 false => {
-                    self.ranked += (member.users.len() + came.len()) as u64;
-                    let candidates = member.users.iter().chain(came).copied();
+                    self.ranks_computed += (member.users.len() + added.len()) as u64;
+                    let candidates = member.users.iter().chain(added).copied();
                     self.gateways
                         .users_of(candidates, member.key, &member.zone, breadth)
                 }
@@ -188,10 +188,10 @@
             changed = true;
             let before = std::mem::replace(&mut member.users, users);
             for gateway in before.iter().filter(|one| !member.users.contains(one)) {
-                part(&mut self.parts, *gateway, name, change).release(id, change);
+                subset_mut(&mut self.subsets, *gateway, name, change).reassign(id, change);
             }
             for gateway in member.users.iter().filter(|one| !before.contains(one)) {
-                part(&mut self.parts, *gateway, name, change).take(id, change);
+                subset_mut(&mut self.subsets, *gateway, name, change).insert(id, change);
             }
         }
         changed
@@ -200,8 +200,8 @@
     /// Returns the breadth of a service and the change that set it.
     #[must_use]
     pub fn breadth(&self, service: &str) -> (Breadth, Change) {
-        let held = self.services.get(service);
-        held.map_or((Breadth::Whole, 0), |held| (held.breadth, held.changed))
+        let state = self.services.get(service);
+        state.map_or((Breadth::Whole, 0), |state| (state.breadth, state.changed))
     }
 
     /// Returns the names of the known services.
@@ -213,38 +213,38 @@
     /// unknown.
     #[must_use]
     pub fn users(&self, service: &str, engine: &str) -> Option<&[NodeId]> {
-        let held = self.services.get(service)?;
-        match held.breadth {
+        let state = self.services.get(service)?;
+        match state.breadth {
             Breadth::Whole => None,
-            _ => held.engines.get(engine).map(|member| &member.users[..]),
+            _ => state.engines.get(engine).map(|member| &member.users[..]),
         }
     }
 
     /// Whether any subset of a gateway, or the breadth of any service, changed after `since`.
     #[must_use]
     pub fn is_news(&self, gateway: NodeId, since: Change) -> bool {
-        let parts = self.parts.get(&gateway);
-        parts.is_some_and(|parts| parts.values().any(|part| part.changed() > since))
-            || self.services.values().any(|held| held.changed > since)
+        let subsets = self.subsets.get(&gateway);
+        subsets.is_some_and(|subsets| subsets.values().any(|subset| subset.changed() > since))
+            || self.services.values().any(|state| state.changed > since)
     }
 
     /// Returns the changes to a gateway's subset of a service after `since`.
     #[must_use]
-    pub fn part_after(&self, gateway: NodeId, service: &str, since: Change) -> PartUpdate {
-        let parts = self.parts.get(&gateway);
-        let part = parts.and_then(|parts| parts.get(service));
+    pub fn part_after(&self, gateway: NodeId, service: &str, since: Change) -> SubsetUpdate {
+        let subsets = self.subsets.get(&gateway);
+        let subset = subsets.and_then(|subsets| subsets.get(service));
         let (breadth, changed) = self.breadth(service);
         if breadth == Breadth::Unsettled {
             // Gateways keep the engines that they already know, since this view and all
             // others may have been rebuilt after a restart.
-            return PartUpdate::default();
+            return SubsetUpdate::default();
         }
         let narrowed = breadth != Breadth::Whole && changed > since;
-        match part {
-            Some(part) => part.after(since, narrowed),
-            None => PartUpdate {
+        match subset {
+            Some(subset) => subset.changes_after(since, narrowed),
+            None => SubsetUpdate {
                 whole: narrowed.then(Vec::new),
-                ..PartUpdate::default()
+                ..SubsetUpdate::default()
             },
         }
     }
@@ -256,32 +256,32 @@
     pub fn is_first(&self, gateway: NodeId, service: &str, engine: &str) -> bool {
         let (breadth, _) = self.breadth(service);
         let draw = xxh3_64_with_seed(engine.as_bytes(), u64::from(gateway.0));
-        breadth == Breadth::Unsettled && draw.is_multiple_of(FIRST_OF)
+        breadth == Breadth::Unsettled && draw.is_multiple_of(FIRST_ENGINES_DIVISOR)
     }
 
     /// Returns the size of a gateway's subset of a service.
     #[must_use]
-    pub fn part_len(&self, gateway: NodeId, service: &str) -> usize {
-        let parts = self.parts.get(&gateway);
-        let part = parts.and_then(|parts| parts.get(service));
-        part.map_or(0, Part::len)
+    pub fn subset_len(&self, gateway: NodeId, service: &str) -> usize {
+        let subsets = self.subsets.get(&gateway);
+        let subset = subsets.and_then(|subsets| subsets.get(service));
+        subset.map_or(0, Subset::len)
     }
 
     /// Returns the number of ranks computed so far.
     #[must_use]
-    pub fn ranked(&self) -> u64 {
-        self.ranked
+    pub fn ranks_computed(&self) -> u64 {
+        self.ranks_computed
     }
 }
 
-fn part<'p>(
-    parts: &'p mut BTreeMap<NodeId, BTreeMap<String, Part>>,
+fn subset_mut<'s>(
+    subsets: &'s mut BTreeMap<NodeId, BTreeMap<String, Subset>>,
     gateway: NodeId,
     service: &str,
     change: Change,
-) -> &'p mut Part {
-    let parts = parts.entry(gateway).or_default();
-    parts
+) -> &'s mut Subset {
+    let subsets = subsets.entry(gateway).or_default();
+    subsets
         .entry(service.to_owned())
-        .or_insert_with(|| Part::begun(change))
+        .or_insert_with(|| Subset::new_at(change))
 }
--- a/crates/routing/src/subset/part.rs
+++ b/crates/routing/src/subset/part.rs
@@ -3,38 +3,38 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use super::{Change, PartUpdate};
+use super::{Change, SubsetUpdate};
 
 /// Maximum number of removed engines kept for updates: about the size of a subset, so that
 /// the log takes no more memory than the subset. A gateway that missed more removals gets
 /// the complete subset.
-const REMEMBERED_GONE: usize = 256;
+const MAX_LOGGED_REMOVALS: usize = 256;
 
 /// The subset of a service's engines that one gateway uses, with the change at which each
 /// engine was added or last changed.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Part {
+pub(super) struct Subset {
     engines: BTreeMap<Arc<str>, Change>,
     log: BTreeSet<(Change, Arc<str>)>,
     gone: BTreeSet<(Change, Arc<str>)>,
     /// Last change at which an engine was reassigned to other gateways, or whose removal was
     /// dropped from the log; watchers from before it need the complete subset.
-    released: Change,
+    last_reassigned: Change,
     changed: Change,
 }
 
-impl Part {
+impl Subset {
     /// Creates an empty subset for a gateway that may still have an earlier one.
-    pub fn begun(change: Change) -> Self {
+    pub fn new_at(change: Change) -> Self {
         Self {
-            released: change,
+            last_reassigned: change,
             changed: change,
             ..Self::default()
         }
     }
 
     /// Adds an engine or records that it changed.
-    pub fn take(&mut self, engine: &Arc<str>, change: Change) {
+    pub fn insert(&mut self, engine: &Arc<str>, change: Change) {
         if let Some(before) = self.engines.insert(engine.clone(), change) {
             self.log.remove(&(before, engine.clone()));
         }
@@ -43,28 +43,28 @@
     }
 
     /// Removes an engine that still exists but was reassigned to other gateways.
-    pub fn release(&mut self, engine: &str, change: Change) {
-        if self.forget(engine).is_some() {
-            self.released = change;
+    pub fn reassign(&mut self, engine: &str, change: Change) {
+        if self.remove_entry(engine).is_some() {
+            self.last_reassigned = change;
             self.changed = change;
         }
     }
 
     /// Removes an engine that no longer exists.
-    pub fn lose(&mut self, engine: &str, change: Change) {
-        let Some(engine) = self.forget(engine) else {
+    pub fn remove(&mut self, engine: &str, change: Change) {
+        let Some(engine) = self.remove_entry(engine) else {
             return;
         };
         self.gone.insert((change, engine));
         self.changed = change;
-        if self.gone.len() > REMEMBERED_GONE
-            && let Some((forgotten, _)) = self.gone.pop_first()
+        if self.gone.len() > MAX_LOGGED_REMOVALS
+            && let Some((oldest, _)) = self.gone.pop_first()
         {
-            self.released = self.released.max(forgotten);
+            self.last_reassigned = self.last_reassigned.max(oldest);
         }
     }
 
-    fn forget(&mut self, engine: &str) -> Option<Arc<str>> {
+    fn remove_entry(&mut self, engine: &str) -> Option<Arc<str>> {
         let (engine, change) = self.engines.remove_entry(engine)?;
         self.log.remove(&(change, engine.clone()));
         Some(engine)
@@ -81,14 +81,14 @@
 
     /// Returns the changes after `since`, with the complete subset if it was `narrowed` or
     /// engines were reassigned.
-    pub fn after(&self, since: Change, narrowed: bool) -> PartUpdate {
-        let behind = (since + 1, Arc::from(""));
+    pub fn changes_after(&self, since: Change, narrowed: bool) -> SubsetUpdate {
+        let start = (since + 1, Arc::from(""));
         let ids = |log: &BTreeSet<(Change, Arc<str>)>| {
-            let log = log.range(behind.clone()..);
+            let log = log.range(start.clone()..);
             log.map(|(_, engine)| engine.clone()).collect()
         };
-        let whole = narrowed || self.released > since;
-        PartUpdate {
+        let whole = narrowed || self.last_reassigned > since;
+        SubsetUpdate {
             engines: ids(&self.log),
             gone: ids(&self.gone),
             whole: whole.then(|| self.engines.keys().cloned().collect()),
--- a/crates/routing/src/subset/users.rs
+++ b/crates/routing/src/subset/users.rs
@@ -10,22 +10,22 @@
 /// rates of gateways vary by a third, the busiest of 9,713 engines gets 1.25 times the mean
 /// load with 24 users in its zone and 1.36 times with 12 (`tests/subset.rs`). 16 users
 /// remain after the loss of half of all gateways.
-const USERS_AT_LEAST: usize = 32;
+const MIN_USERS: usize = 32;
 /// Share of an engine's users that are in its zone.
-const NEAR: f64 = 0.75;
+const SAME_ZONE_SHARE: f64 = 0.75;
 /// Minimum number of engines of a large service that a gateway uses. A gateway keeps working
 /// after the loss of half of them, and can place its requests even if it gets several times
 /// the mean.
-const ENGINES_AT_LEAST: usize = 256;
+const MIN_ENGINES: usize = 256;
 /// Share of all gateways at which an engine is used by all of them instead of a subset.
-const WHOLE_FROM: f64 = 0.5;
+const WHOLE_ENTER_SHARE: f64 = 0.5;
 /// Share of all gateways below which an engine used by all gateways gets a subset of users.
-/// It is lower than [`WHOLE_FROM`] for hysteresis, so that small changes in fleet size have
+/// It is lower than [`WHOLE_ENTER_SHARE`] for hysteresis, so that small changes in fleet size have
 /// no effect.
-const WHOLE_TO: f64 = 1.0 / 3.0;
+const WHOLE_LEAVE_SHARE: f64 = 1.0 / 3.0;
 /// Factor by which the number of users must deviate before it is changed, since each change
 /// reassigns engines across all gateways.
-const OFF_BY: f64 = 1.33;
+const USERS_HYSTERESIS_FACTOR: f64 = 1.33;
 
 /// How many gateways use each engine of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,12 +40,12 @@
 
 impl Breadth {
     /// Returns the new breadth of a service for these numbers of engines and gateways.
-    pub(super) fn planned(self, engines: usize, gateways: usize, settled: bool) -> Self {
-        let share = ENGINES_AT_LEAST as f64 / engines.max(1) as f64;
-        let wanted = (share * gateways as f64).max(USERS_AT_LEAST as f64);
-        let whole_from = match self {
-            Self::Whole => WHOLE_TO,
-            _ => WHOLE_FROM,
+    pub(super) fn updated(self, engines: usize, gateways: usize, settled: bool) -> Self {
+        let share = MIN_ENGINES as f64 / engines.max(1) as f64;
+        let wanted = (share * gateways as f64).max(MIN_USERS as f64);
+        let threshold = match self {
+            Self::Whole => WHOLE_LEAVE_SHARE,
+            _ => WHOLE_ENTER_SHARE,
         };
         if !settled {
             return match self.is_too_broad(engines) {
@@ -53,11 +53,11 @@
                 false => self,
             };
         }
-        if wanted >= whole_from * gateways as f64 {
+        if wanted >= threshold * gateways as f64 {
             return Self::Whole;
         }
         match self {
-            Self::Few(users) if is_near(users as f64, wanted) => self,
+            Self::Few(users) if is_within_hysteresis(users as f64, wanted) => self,
             _ => Self::Few(wanted.ceil() as usize),
         }
     }
@@ -65,13 +65,13 @@
     /// Whether use by all gateways may turn out too broad once their number is known. The
     /// first engines of a large service still go to every gateway while it registers.
     pub(super) fn is_too_broad(self, engines: usize) -> bool {
-        self == Self::Whole && engines > ENGINES_AT_LEAST
+        self == Self::Whole && engines > MIN_ENGINES
     }
 
     /// Number of users in the engine's own zone.
-    fn near(self) -> usize {
+    fn same_zone_users(self) -> usize {
         match self {
-            Self::Few(users) => (users as f64 * NEAR).ceil() as usize,
+            Self::Few(users) => (users as f64 * SAME_ZONE_SHARE).ceil() as usize,
             Self::Whole | Self::Unsettled => 0,
         }
     }
@@ -86,8 +86,8 @@
     }
 }
 
-fn is_near(one: f64, other: f64) -> bool {
-    one <= other * OFF_BY && other <= one * OFF_BY
+fn is_within_hysteresis(one: f64, other: f64) -> bool {
+    one <= other * USERS_HYSTERESIS_FACTOR && other <= one * USERS_HYSTERESIS_FACTOR
 }
 
 /// All gateways and their zones.
@@ -114,20 +114,20 @@
                 .filter(|(node, zone)| other.get(*node) != Some(*zone));
             differs.map(|(&node, _)| node).collect::<BTreeSet<NodeId>>()
         };
-        let came = differing(gateways, &self.zones);
-        let went = differing(&self.zones, gateways);
-        if !came.is_empty() || !went.is_empty() {
+        let added = differing(gateways, &self.zones);
+        let removed = differing(&self.zones, gateways);
+        if !added.is_empty() || !removed.is_empty() {
             self.zones.clone_from(gateways);
             self.by_zone.clear();
             for (&node, zone) in gateways {
                 self.by_zone.entry(zone.clone()).or_default().push(node);
             }
         }
-        (came, went)
+        (added, removed)
     }
 
     /// Returns the number of ranks computed when choosing among all gateways.
-    pub fn ranked(&self, breadth: Breadth) -> u64 {
+    pub fn ranks_computed(&self, breadth: Breadth) -> u64 {
         match breadth {
             Breadth::Few(_) => self.len() as u64,
             Breadth::Whole | Breadth::Unsettled => 0,
@@ -139,16 +139,16 @@
         let Breadth::Few(_) = breadth else {
             return Vec::new();
         };
-        let mut near = Vec::new();
-        let mut rest = Vec::with_capacity(self.len());
+        let mut same_zone = Vec::new();
+        let mut others = Vec::with_capacity(self.len());
         for (at, nodes) in &self.by_zone {
-            let side = match at.as_ref() == Some(zone) {
-                true => &mut near,
-                false => &mut rest,
+            let ranked = match at.as_ref() == Some(zone) {
+                true => &mut same_zone,
+                false => &mut others,
             };
-            side.extend(nodes.iter().map(|&node| (rank(node, engine), node)));
+            ranked.extend(nodes.iter().map(|&node| (rank(node, engine), node)));
         }
-        chosen(near, rest, breadth)
+        choose_users(same_zone, others, breadth)
     }
 
     /// Chooses the users of an engine among those `candidates` that still exist.
@@ -159,19 +159,19 @@
         zone: &ZoneName,
         breadth: Breadth,
     ) -> Vec<NodeId> {
-        let mut near = Vec::new();
-        let mut rest = Vec::new();
+        let mut same_zone = Vec::new();
+        let mut others = Vec::new();
         for node in candidates {
             let Some(at) = self.zones.get(&node) else {
                 continue;
             };
-            let side = match at.as_ref() == Some(zone) {
-                true => &mut near,
-                false => &mut rest,
+            let ranked = match at.as_ref() == Some(zone) {
+                true => &mut same_zone,
+                false => &mut others,
             };
-            side.push((rank(node, engine), node));
+            ranked.push((rank(node, engine), node));
         }
-        chosen(near, rest, breadth)
+        choose_users(same_zone, others, breadth)
     }
 }
 
@@ -184,16 +184,24 @@
 
 /// Chooses the gateways with the highest ranks in the engine's zone, then fills up with
 /// those ranked highest among the rest.
-fn chosen(mut near: Vec<Ranked>, mut rest: Vec<Ranked>, breadth: Breadth) -> Vec<NodeId> {
-    rest.append(&mut split_highest(&mut near, breadth.near()));
-    split_highest(&mut rest, breadth.users().saturating_sub(near.len()));
-    let mut users: Vec<NodeId> = near.iter().chain(&rest).map(|&(_, node)| node).collect();
+fn choose_users(
+    mut same_zone: Vec<Ranked>,
+    mut others: Vec<Ranked>,
+    breadth: Breadth,
+) -> Vec<NodeId> {
+    others.append(&mut keep_highest(&mut same_zone, breadth.same_zone_users()));
+    keep_highest(&mut others, breadth.users().saturating_sub(same_zone.len()));
+    let mut users: Vec<NodeId> = same_zone
+        .iter()
+        .chain(&others)
+        .map(|&(_, node)| node)
+        .collect();
     users.sort_unstable();
     users
 }
 
 /// Keeps the `count` gateways with the highest ranks and returns the others.
-fn split_highest(ranked: &mut Vec<Ranked>, count: usize) -> Vec<Ranked> {
+fn keep_highest(ranked: &mut Vec<Ranked>, count: usize) -> Vec<Ranked> {
     if count >= ranked.len() {
         return Vec::new();
     }
--- a/crates/routing/tests/subset.rs
+++ b/crates/routing/tests/subset.rs
@@ -4,7 +4,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use molespan_routing::subset::{Breadth, PartUpdate, Subsets};
+use molespan_routing::subset::{Breadth, SubsetUpdate, Subsets};
 use molespan_types::{NodeId, ZoneName};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -37,7 +37,7 @@
 }
 
 fn used_by(subsets: &Subsets, gateway: NodeId) -> usize {
-    subsets.part_len(gateway, SERVICE)
+    subsets.subset_len(gateway, SERVICE)
 }
 
 #[test]
@@ -86,11 +86,11 @@
     );
     let ranked = |gateways: usize, engines: usize| {
         let mut subsets = subsets(gateways, engines);
-        let before = subsets.ranked();
+        let before = subsets.ranks_computed();
         let mut more = self::gateways(gateways);
         more.insert(NodeId(90_000), Some(zone(1)));
         subsets.plan(&more, true, 3);
-        (subsets.ranked() - before) as f64
+        (subsets.ranks_computed() - before) as f64
     };
     let ratio = ranked(800, 10_000) / ranked(400, 5_000);
     assert!(
@@ -248,7 +248,7 @@
     // Gateways that know engines from before keep them.
     assert_eq!(
         subsets.part_after(NodeId(1), SERVICE, 0),
-        PartUpdate::default()
+        SubsetUpdate::default()
     );
     subsets.plan(&gateways(200), true, 3_000);
     assert!(matches!(subsets.breadth(SERVICE).0, Breadth::Few(_)));
