--- a/crates/routing/src/decay.rs
+++ b/crates/routing/src/decay.rs
@@ -34,8 +34,8 @@
     }
 
     /// Adds a value, which may be negative; the sum does not fall below 0.
-    pub fn add(&mut self, part: f64, now: Timestamp) {
-        self.sum = (self.at(now) + part).max(0.0);
+    pub fn add(&mut self, value: f64, now: Timestamp) {
+        self.sum = (self.at(now) + value).max(0.0);
         self.at = now;
     }
 }
--- a/crates/routing/src/hearing.rs
+++ b/crates/routing/src/hearing.rs
@@ -10,18 +10,18 @@
 const CUT_OFF_AFTER: Duration = Duration::from_millis(700);
 /// Time within which another gateway can store a job: an estimated 0.1 to 0.2 s over a new
 /// connection, with the job's bytes sent twice at 30 Mbit/s and one commit.
-const KEPT_ELSEWHERE_WITHIN: Duration = Duration::from_millis(300);
+const RETRY_ELSEWHERE_TIME: Duration = Duration::from_millis(300);
 
 /// Tracks when a gateway last received a message from another node.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Hearing {
-    heard: Timestamp,
+    last_message: Timestamp,
 }
 
 impl Hearing {
     /// Records a message from another node.
     pub fn note(&mut self, now: Timestamp) {
-        self.heard = now;
+        self.last_message = now;
     }
 
     /// Whether to abandon a call that has had no response since it `began`, so that the
@@ -34,7 +34,7 @@
     /// between).
     #[must_use]
     pub fn gives_up(&self, began: Timestamp, target: Duration, now: Timestamp) -> bool {
-        let in_time = target >= CUT_OFF_AFTER + KEPT_ELSEWHERE_WITHIN;
-        in_time && now.since(self.heard.max(began)) >= CUT_OFF_AFTER
+        let in_time = target >= CUT_OFF_AFTER + RETRY_ELSEWHERE_TIME;
+        in_time && now.since(self.last_message.max(began)) >= CUT_OFF_AFTER
     }
 }
--- a/crates/routing/src/readiness.rs
+++ b/crates/routing/src/readiness.rs
@@ -88,11 +88,11 @@
     /// a newer one is in force here, and its age is measured from `sent`, since the
     /// response may have been slow. Returns whether the confirmation counts.
     pub fn confirm(&mut self, sent: Timestamp, current: ConfigVersion) -> bool {
-        let holds_it = self.in_force.is_some() && self.version() >= current;
-        if holds_it {
+        let counts = self.in_force.is_some() && self.version() >= current;
+        if counts {
             self.confirmed = self.confirmed.max(Some(sent));
         }
-        holds_it
+        counts
     }
 
     /// Whether the node may take new work.
--- a/crates/routing/src/renewal.rs
+++ b/crates/routing/src/renewal.rs
@@ -14,20 +14,20 @@
 pub const LEADER_SURE_FOR: Duration = Duration::from_millis(300);
 /// Time from the check whether an item may be sent until it reaches the engine: a new
 /// connection, network delay and CPU scheduling delay.
-const WAY_TO_ENGINE: Duration = Duration::from_millis(400);
+const SEND_DELAY: Duration = Duration::from_millis(400);
 /// These two delays together are capped at the bound divided by this.
-const MOST_TAKEN_UP: u32 = 2;
+const MAX_DELAY_DIVISOR: u32 = 2;
 /// Number of longest silences that fit into the validity of a report: the leader may hold a
 /// call open for one, and the next call may be delayed by another.
-const SILENCES: u32 = 2;
+const SILENCES_PER_VALIDITY: u32 = 2;
 
 /// Tracks the age of the batch group's last report.
 #[derive(Clone, Copy, Debug)]
 pub struct Renewal {
-    holds_for: Duration,
+    valid_for: Duration,
     /// Start of the latest call that was answered.
-    known: Option<Timestamp>,
-    held_back: bool,
+    last_answered_call: Option<Timestamp>,
+    is_blocked: bool,
 }
 
 /// Whether batch items became blocked or unblocked.
@@ -44,11 +44,11 @@
     /// `within` after the job is ended.
     #[must_use]
     pub fn new(within: Duration) -> Self {
-        let taken_up = (LEADER_SURE_FOR + WAY_TO_ENGINE).min(within / MOST_TAKEN_UP);
+        let delays = (LEADER_SURE_FOR + SEND_DELAY).min(within / MAX_DELAY_DIVISOR);
         Self {
-            holds_for: within - taken_up,
-            known: None,
-            held_back: false,
+            valid_for: within - delays,
+            last_answered_call: None,
+            is_blocked: false,
         }
     }
 
@@ -56,36 +56,36 @@
     /// applied. The age counts from `asked`, since the answer may have been in transit, or
     /// the machine suspended, for any part of the time since.
     pub fn note(&mut self, asked: Timestamp) {
-        self.known = self.known.max(Some(asked));
+        self.last_answered_call = self.last_answered_call.max(Some(asked));
     }
 
     /// Whether an item may be sent to an engine now.
     #[must_use]
     pub fn may_start(&self, now: Timestamp) -> bool {
-        self.age(now).is_some_and(|age| age < self.holds_for)
+        self.age(now).is_some_and(|age| age < self.valid_for)
     }
 
     /// Returns the age of the last report; `None` before the first one.
     #[must_use]
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
-        self.known.map(|known| now.since(known))
+        self.last_answered_call.map(|asked| now.since(asked))
     }
 
     /// Returns the maximum time for which a call may be delayed, or held open by the leader,
     /// without the last report becoming too old by that alone.
     #[must_use]
     pub fn longest_silence(&self) -> Duration {
-        self.holds_for / SILENCES
+        self.valid_for / SILENCES_PER_VALIDITY
     }
 
     /// Returns the change since the previous call of this method, if any.
     pub fn change(&mut self, now: Timestamp) -> Option<Change> {
         let age = self.age(now)?;
-        let held_back = !self.may_start(now);
-        if std::mem::replace(&mut self.held_back, held_back) == held_back {
+        let is_blocked = !self.may_start(now);
+        if std::mem::replace(&mut self.is_blocked, is_blocked) == is_blocked {
             return None;
         }
-        Some(match held_back {
+        Some(match is_blocked {
             true => Change::HeldBack(age),
             false => Change::Resumed,
         })
--- a/crates/routing/tests/renewal.rs
+++ b/crates/routing/tests/renewal.rs
@@ -13,7 +13,7 @@
     Timestamp(ms * 1_000)
 }
 
-fn heard_at(ms: u64) -> Renewal {
+fn reported_at(ms: u64) -> Renewal {
     let mut renewal = Renewal::new(WITHIN);
     renewal.note(at(ms));
     renewal
@@ -47,7 +47,7 @@
 
 #[test]
 fn calls_that_are_held_and_put_off_leave_the_word_young_enough() {
-    let renewal = heard_at(0);
+    let renewal = reported_at(0);
     let silences = renewal.longest_silence() * 2;
     let just_before = Timestamp(silences.as_micros() as u64 - 1);
     assert!(renewal.may_start(just_before));
@@ -56,7 +56,7 @@
 #[test]
 fn a_suspension_makes_the_word_old() {
     // A response read after the machine was suspended reflects the state at its request.
-    let mut renewal = heard_at(1_000);
+    let mut renewal = reported_at(1_000);
     assert!(renewal.may_start(at(1_100)));
     let woken = at(9_100);
     assert!(!renewal.may_start(woken));
@@ -71,14 +71,14 @@
 
 #[test]
 fn an_answer_that_was_overtaken_takes_nothing_back() {
-    let mut renewal = heard_at(5_000);
+    let mut renewal = reported_at(5_000);
     renewal.note(at(1_000));
     assert!(renewal.may_start(at(6_000)));
 }
 
 #[test]
 fn each_change_of_belief_is_told_once() {
-    let mut renewal = heard_at(0);
+    let mut renewal = reported_at(0);
     assert_eq!(renewal.change(at(100)), None);
     let silence = Change::HeldBack(Duration::from_secs(4));
     assert_eq!(renewal.change(at(4_000)), Some(silence));
