--- a/crates/routing/tests/batch/harness.rs
+++ b/crates/routing/tests/batch/harness.rs
@@ -24,10 +24,10 @@
     ServiceName::from("captions")
 }
 
-pub fn owned(backend: BackendId, life: u64) -> OwnedEngine {
+pub fn owned(backend: BackendId, incarnation: u64) -> OwnedEngine {
     OwnedEngine {
         backend,
-        incarnation: Incarnation(life),
+        incarnation: Incarnation(incarnation),
         service: captions(),
     }
 }
@@ -45,19 +45,19 @@
     }
 }
 
-pub fn once(lease: GrantedLease) -> GrantedLease {
+pub fn non_repeatable(lease: GrantedLease) -> GrantedLease {
     GrantedLease {
         repeatable: false,
         ..lease
     }
 }
 
-pub fn answer(text: &str) -> ItemEnd {
+pub fn completed(text: &str) -> ItemEnd {
     ItemEnd::Completed(ByteVec::from(text.as_bytes().to_vec()))
 }
 
 /// Returns a load report in which all `online` and `batch` requests are running.
-pub fn load(sequence: u64, observed: u64, online: u32, batch: u32) -> LoadSample {
+pub fn load_report(sequence: u64, observed: u64, online: u32, batch: u32) -> LoadSample {
     LoadSample {
         backend: ENGINE,
         incarnation: Incarnation(1),
@@ -84,7 +84,7 @@
 
 /// State of a stream according to the outputs.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum StreamFate {
+pub enum StreamStatus {
     Running,
     Paused,
     Cancelled,
@@ -93,7 +93,7 @@
 
 /// A lease request that awaits its reply.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Ask {
+pub struct LeaseRequested {
     pub request: RequestNumber,
     pub group: GroupId,
     pub backend: BackendId,
@@ -102,7 +102,7 @@
 
 /// A record or return request sent to a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sent {
+pub struct ItemRequest {
     pub request: RequestNumber,
     pub lease: LeaseId,
     pub items: Vec<u32>,
@@ -112,11 +112,11 @@
 pub struct Harness {
     pub owner: BatchOwner,
     pub now: u64,
-    pub streams: BTreeMap<StreamId, (ItemIndex, StreamFate)>,
-    pub asks: Vec<Ask>,
+    pub streams: BTreeMap<StreamId, (ItemIndex, StreamStatus)>,
+    pub lease_requests: Vec<LeaseRequested>,
     pub renewals: Vec<(RequestNumber, Vec<LeaseId>)>,
-    pub records: Vec<(Sent, Vec<ItemOutcome>)>,
-    pub returns: Vec<Sent>,
+    pub records: Vec<(ItemRequest, Vec<ItemOutcome>)>,
+    pub returns: Vec<ItemRequest>,
     pub decisions: Vec<BatchDecision>,
     pub drained: bool,
 }
@@ -127,7 +127,7 @@
             owner: BatchOwner::new(settings, tail_protection),
             now: 0,
             streams: BTreeMap::new(),
-            asks: Vec::new(),
+            lease_requests: Vec::new(),
             renewals: Vec::new(),
             records: Vec::new(),
             returns: Vec::new(),
@@ -153,14 +153,14 @@
 
     pub fn feed(&mut self, input: BatchInput) -> Vec<BatchOutput> {
         if let BatchInput::Ended { stream, .. } = &input
-            && let Some((_, fate)) = self.streams.get_mut(stream)
-            && *fate != StreamFate::Cancelled
+            && let Some((_, status)) = self.streams.get_mut(stream)
+            && *status != StreamStatus::Cancelled
         {
-            *fate = StreamFate::Ended;
+            *status = StreamStatus::Ended;
         }
         let outputs = self.owner.handle(Timestamp::from_millis(self.now), input);
         for output in &outputs {
-            self.note(output.clone());
+            self.record_output(output.clone());
         }
         outputs
     }
@@ -172,15 +172,15 @@
 
     /// Replies to the oldest lease request with `granted`.
     pub fn grant(&mut self, granted: GrantedLease) {
-        let ask = self.asks.remove(0);
-        self.reply(ask.request, GroupReply::Leased(Some(granted)));
+        let lease_request = self.lease_requests.remove(0);
+        self.reply(lease_request.request, GroupReply::Leased(Some(granted)));
     }
 
     pub fn reply(&mut self, request: RequestNumber, reply: GroupReply) -> Vec<BatchOutput> {
         self.feed(BatchInput::Reply { request, reply })
     }
 
-    pub fn taken(&mut self, request: RequestNumber) {
+    pub fn acknowledge(&mut self, request: RequestNumber) {
         let (taken, dropped) = (1, 0);
         self.reply(request, GroupReply::Taken { taken, dropped });
     }
@@ -189,37 +189,37 @@
     /// that start as a result.
     pub fn progress_all(&mut self, tokens: u32) {
         loop {
-            let before = (self.streams.len(), self.count(&StreamFate::Running));
-            for stream in self.with_fate(&StreamFate::Running) {
+            let before = (self.streams.len(), self.count(&StreamStatus::Running));
+            for stream in self.with_status(&StreamStatus::Running) {
                 self.feed(BatchInput::Progress { stream, tokens });
             }
-            if (self.streams.len(), self.count(&StreamFate::Running)) == before {
+            if (self.streams.len(), self.count(&StreamStatus::Running)) == before {
                 return;
             }
         }
     }
 
-    pub fn with_fate(&self, wanted: &StreamFate) -> Vec<StreamId> {
+    pub fn with_status(&self, wanted: &StreamStatus) -> Vec<StreamId> {
         let streams = self.streams.iter();
-        let found = streams.filter(|(_, (_, fate))| fate == wanted);
+        let found = streams.filter(|(_, (_, status))| status == wanted);
         found.map(|(stream, _)| *stream).collect()
     }
 
-    pub fn count(&self, wanted: &StreamFate) -> usize {
-        self.with_fate(wanted).len()
+    pub fn count(&self, wanted: &StreamStatus) -> usize {
+        self.with_status(wanted).len()
     }
 
     pub fn end(&mut self, stream: StreamId, end: ItemEnd) {
         self.feed(BatchInput::Ended { stream, end });
     }
 
-    fn note(&mut self, output: BatchOutput) {
+    fn record_output(&mut self, output: BatchOutput) {
         match output {
-            BatchOutput::Pause(stream) => self.set(stream, StreamFate::Paused),
-            BatchOutput::Resume(stream) => self.set(stream, StreamFate::Running),
-            BatchOutput::Cancel(stream) => self.set(stream, StreamFate::Cancelled),
+            BatchOutput::Pause(stream) => self.set_status(stream, StreamStatus::Paused),
+            BatchOutput::Resume(stream) => self.set_status(stream, StreamStatus::Running),
+            BatchOutput::Cancel(stream) => self.set_status(stream, StreamStatus::Cancelled),
             BatchOutput::Dispatch { stream, item, .. } => {
-                let twice = self.streams.insert(stream, (item, StreamFate::Running));
+                let twice = self.streams.insert(stream, (item, StreamStatus::Running));
                 assert_eq!(twice, None, "a stream must be started only once");
             }
             BatchOutput::LeaseItems {
@@ -228,7 +228,7 @@
                 backend,
                 max_items,
                 ..
-            } => self.asks.push(Ask {
+            } => self.lease_requests.push(LeaseRequested {
                 request,
                 group,
                 backend,
@@ -245,7 +245,7 @@
             } => {
                 let items = results.iter().map(|result| result.item.0).collect();
                 let outcomes = results.iter().map(|result: &ItemResult| result.outcome);
-                let sent = Sent {
+                let sent = ItemRequest {
                     request,
                     lease,
                     items,
@@ -263,7 +263,7 @@
                     !items.is_empty(),
                     "an empty return request would return every item"
                 );
-                self.returns.push(Sent {
+                self.returns.push(ItemRequest {
                     request,
                     lease,
                     items,
@@ -277,14 +277,14 @@
         }
     }
 
-    fn set(&mut self, stream: StreamId, fate: StreamFate) {
+    fn set_status(&mut self, stream: StreamId, status: StreamStatus) {
         let entry = self.streams.get_mut(&stream).expect("a known stream");
-        let ended = [StreamFate::Cancelled, StreamFate::Ended];
+        let ended = [StreamStatus::Cancelled, StreamStatus::Ended];
         assert!(
             !ended.contains(&entry.1),
-            "{fate:?} after the end of the stream"
+            "{status:?} after the end of the stream"
         );
-        entry.1 = fate;
+        entry.1 = status;
     }
 
     /// Returns all items returned so far.
--- a/crates/routing/tests/batch/leases.rs
+++ b/crates/routing/tests/batch/leases.rs
@@ -6,7 +6,9 @@
 use molespan_state::job::ItemOutcome;
 use molespan_types::{BackendId, GroupId, LeaseId};
 
-use super::harness::{BALANCED, ENGINE, Harness, StreamFate, answer, lease, once, owned};
+use super::harness::{
+    BALANCED, ENGINE, Harness, StreamStatus, completed, lease, non_repeatable, owned,
+};
 
 /// 0.6 of the default lease of 10 s.
 const STOP_MILLIS: u64 = 6_000;
@@ -18,16 +20,16 @@
 #[test]
 fn an_owner_that_is_cut_off_stops_at_its_share_of_the_lease() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..12));
-    let running = owner.count(&StreamFate::Running);
+    let running = owner.count(&StreamStatus::Running);
     owner.tick(STOP_MILLIS - 1);
-    assert_eq!(owner.count(&StreamFate::Running), running);
+    assert_eq!(owner.count(&StreamStatus::Running), running);
     let wakeup = owner
         .owner
         .next_wakeup(molespan_types::Timestamp::from_millis(STOP_MILLIS - 1));
     assert!(wakeup.is_some_and(|at| at.0 <= 1_000 * STOP_MILLIS));
     owner.tick(STOP_MILLIS);
-    assert_eq!(owner.count(&StreamFate::Running), 0);
-    assert_eq!(owner.count(&StreamFate::Cancelled), running);
+    assert_eq!(owner.count(&StreamStatus::Running), 0);
+    assert_eq!(owner.count(&StreamStatus::Cancelled), running);
     assert_eq!(owner.returned().len(), 12);
     let ran_out = |decision: &&BatchDecision| matches!(decision, BatchDecision::LeaseRanOut { .. });
     assert_eq!(owner.decisions.iter().filter(ran_out).count(), 1);
@@ -38,15 +40,15 @@
     let mut owner = Harness::running(BALANCED, lease(1, 0..12));
     let before = owner.streams.len();
     let running = owner.streams.iter();
-    let mut running = running.filter(|(_, (_, fate))| *fate == StreamFate::Running);
+    let mut running = running.filter(|(_, (_, status))| *status == StreamStatus::Running);
     let stream = running.next().map(|(id, _)| *id).expect("some run");
     // After the process was suspended, the input that an engine sent meanwhile is handled
     // before the tick that would expire the lease.
     owner.at(STOP_MILLIS + 4_000);
-    let end = answer("late");
+    let end = completed("late");
     owner.feed(BatchInput::Ended { stream, end });
     assert_eq!(owner.streams.len(), before);
-    assert_eq!(owner.count(&StreamFate::Running), 0);
+    assert_eq!(owner.count(&StreamStatus::Running), 0);
 }
 
 #[test]
@@ -59,9 +61,9 @@
     owner.at(5_000);
     owner.reply(request, renewed(Vec::new(), Vec::new()));
     owner.tick(2_000 + STOP_MILLIS - 1);
-    assert!(owner.count(&StreamFate::Running) > 0);
+    assert!(owner.count(&StreamStatus::Running) > 0);
     owner.tick(2_000 + STOP_MILLIS);
-    assert_eq!(owner.count(&StreamFate::Running), 0);
+    assert_eq!(owner.count(&StreamStatus::Running), 0);
 }
 
 #[test]
@@ -80,10 +82,10 @@
     owner.tick(2_000);
     let (request, _) = owner.renewals.remove(0);
     owner.reply(request, renewed(Vec::new(), vec![LeaseId(1)]));
-    assert_eq!(owner.count(&StreamFate::Running), 0);
+    assert_eq!(owner.count(&StreamStatus::Running), 0);
     assert_eq!(owner.returned().len(), 12);
     owner.tick(2_100);
-    assert_eq!(owner.count(&StreamFate::Running), 0);
+    assert_eq!(owner.count(&StreamStatus::Running), 0);
 }
 
 #[test]
@@ -92,7 +94,7 @@
     owner.tick(2_000);
     let (request, _) = owner.renewals.remove(0);
     owner.reply(request, renewed(vec![LeaseId(1)], Vec::new()));
-    assert_eq!(owner.count(&StreamFate::Running), 0);
+    assert_eq!(owner.count(&StreamStatus::Running), 0);
     assert!(owner.returns.is_empty() && owner.records.is_empty());
     assert_eq!(owner.owner.leases_held(), 0);
 }
@@ -100,11 +102,11 @@
 #[test]
 fn an_end_that_comes_after_the_cancel_changes_nothing() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..2));
-    let stream = owner.with_fate(&StreamFate::Running)[0];
+    let stream = owner.with_status(&StreamStatus::Running)[0];
     owner.tick(2_000);
     let (request, _) = owner.renewals.remove(0);
     owner.reply(request, renewed(Vec::new(), vec![LeaseId(1)]));
-    owner.end(stream, answer("late"));
+    owner.end(stream, completed("late"));
     owner.tick(3_000);
     assert!(owner.records.is_empty());
 }
@@ -112,9 +114,9 @@
 #[test]
 fn results_are_sent_together_and_at_the_latest_after_a_moment() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
-    let streams = owner.with_fate(&StreamFate::Running);
-    owner.at(100).end(streams[0], answer("a"));
-    owner.at(110).end(streams[1], answer("b"));
+    let streams = owner.with_status(&StreamStatus::Running);
+    owner.at(100).end(streams[0], completed("a"));
+    owner.at(110).end(streams[1], completed("b"));
     assert!(owner.records.is_empty());
     owner.tick(125);
     let (sent, outcomes) = owner.records.remove(0);
@@ -125,23 +127,23 @@
 #[test]
 fn a_lost_record_is_sent_again_under_its_number() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..1));
-    let stream = owner.with_fate(&StreamFate::Running)[0];
-    owner.at(100).end(stream, answer("a"));
+    let stream = owner.with_status(&StreamStatus::Running)[0];
+    owner.at(100).end(stream, completed("a"));
     let (first, _) = owner.records.remove(0);
     owner.at(300);
     owner.reply(first.request, GroupReply::Failed);
     owner.tick(400);
     let (again, _) = owner.records.remove(0);
     assert_eq!(again, first);
-    owner.taken(again.request);
+    owner.acknowledge(again.request);
     assert_eq!(owner.owner.leases_held(), 0);
 }
 
 #[test]
 fn a_record_is_sent_until_the_leader_must_have_ended_the_lease() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..1));
-    let stream = owner.with_fate(&StreamFate::Running)[0];
-    owner.at(5_900).end(stream, answer("a"));
+    let stream = owner.with_status(&StreamStatus::Running)[0];
+    owner.at(5_900).end(stream, completed("a"));
     let mut sent = 0;
     // No leader replies, and the owner's share of the lease passes.
     for now in (5_950..9_000).step_by(50) {
@@ -167,24 +169,24 @@
     let mut owner = Harness::running(BALANCED, lease(1, 0..1));
     let mut now = 100;
     for run in 1..=3 {
-        let stream = owner.with_fate(&StreamFate::Running)[0];
+        let stream = owner.with_status(&StreamStatus::Running)[0];
         owner.at(now).end(stream, ItemEnd::NotRun);
         assert_eq!(
-            owner.count(&StreamFate::Running),
+            owner.count(&StreamStatus::Running),
             0,
             "the engine has a pause after a failure"
         );
         now += 100;
         owner.tick(now);
-        assert_eq!(owner.count(&StreamFate::Running), usize::from(run < 3));
+        assert_eq!(owner.count(&StreamStatus::Running), usize::from(run < 3));
     }
     assert_eq!(owner.returned().len(), 1);
 }
 
 #[test]
 fn an_item_that_may_run_once_is_never_started_again() {
-    let mut owner = Harness::running(BALANCED, once(lease(1, 0..2)));
-    let streams = owner.with_fate(&StreamFate::Running);
+    let mut owner = Harness::running(BALANCED, non_repeatable(lease(1, 0..2)));
+    let streams = owner.with_status(&StreamStatus::Running);
     owner.at(100).end(streams[0], ItemEnd::Unknown);
     owner.tick(200);
     assert_eq!(owner.streams.len(), 2);
@@ -205,21 +207,21 @@
     owner.grant(lease(1, 0..4));
     owner.progress_all(1);
     owner.at(10).feed(BatchInput::Released(ENGINE));
-    assert_eq!(owner.count(&StreamFate::Running), 0);
+    assert_eq!(owner.count(&StreamStatus::Running), 0);
     assert_eq!(owner.returned().len(), 4);
 
-    let mut owner = Harness::running(BALANCED, once(lease(1, 0..4)));
-    let running = owner.with_fate(&StreamFate::Running);
+    let mut owner = Harness::running(BALANCED, non_repeatable(lease(1, 0..4)));
+    let running = owner.with_status(&StreamStatus::Running);
     owner.at(10).feed(BatchInput::Released(ENGINE));
-    assert_eq!(owner.with_fate(&StreamFate::Running), running);
+    assert_eq!(owner.with_status(&StreamStatus::Running), running);
     for stream in running {
-        owner.end(stream, answer("a"));
+        owner.end(stream, completed("a"));
     }
     for (sent, _) in std::mem::take(&mut owner.records) {
-        owner.taken(sent.request);
+        owner.acknowledge(sent.request);
     }
     for sent in std::mem::take(&mut owner.returns) {
-        owner.taken(sent.request);
+        owner.acknowledge(sent.request);
     }
     assert_eq!(owner.owner.leases_held(), 0);
 }
@@ -227,13 +229,13 @@
 #[test]
 fn a_leaving_engine_finishes_what_runs_and_gets_nothing_new() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..12));
-    let running = owner.with_fate(&StreamFate::Running);
+    let running = owner.with_status(&StreamStatus::Running);
     owner.at(10).feed(BatchInput::Closed(ENGINE));
-    assert_eq!(owner.with_fate(&StreamFate::Running), running);
+    assert_eq!(owner.with_status(&StreamStatus::Running), running);
     assert_eq!(owner.returned().len(), 12 - running.len());
     let started = owner.streams.len();
     for stream in running {
-        owner.end(stream, answer("a"));
+        owner.end(stream, completed("a"));
     }
     owner.tick(500);
     assert_eq!(owner.streams.len(), started);
@@ -249,8 +251,8 @@
 #[test]
 fn a_planned_stop_is_over_when_every_item_is_handed_back_or_recorded() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..12));
-    let stream = owner.with_fate(&StreamFate::Running)[0];
-    owner.at(10).end(stream, answer("a"));
+    let stream = owner.with_status(&StreamStatus::Running)[0];
+    owner.at(10).end(stream, completed("a"));
     owner.at(20).feed(BatchInput::Drain);
     assert!(!owner.drained);
     owner.tick(100);
@@ -262,7 +264,7 @@
     let requests = records.iter().map(|(sent, _)| sent).chain(&returns);
     for sent in requests {
         assert!(!owner.drained);
-        owner.taken(sent.request);
+        owner.acknowledge(sent.request);
     }
     assert!(owner.drained);
     // A lease request in flight may still be granted items, which are returned first.
@@ -273,7 +275,7 @@
     owner.grant(lease(1, 0..4));
     assert!(!owner.drained);
     let sent = owner.returns.remove(0);
-    owner.taken(sent.request);
+    owner.acknowledge(sent.request);
     assert!(owner.drained);
 }
 
@@ -287,20 +289,23 @@
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     let mut granted = 0;
     for now in (10..3_000).step_by(10) {
-        for ask in std::mem::take(&mut owner.asks) {
-            if ask.group == GroupId(1) {
-                owner.reply(ask.request, GroupReply::Failed);
+        for lease_request in std::mem::take(&mut owner.lease_requests) {
+            if lease_request.group == GroupId(1) {
+                owner.reply(lease_request.request, GroupReply::Failed);
             } else if granted < 20 {
                 granted += 1;
-                owner.reply(ask.request, GroupReply::Leased(Some(lease(granted, 0..1))));
+                owner.reply(
+                    lease_request.request,
+                    GroupReply::Leased(Some(lease(granted, 0..1))),
+                );
             }
         }
         owner.tick(now);
-        for stream in owner.with_fate(&StreamFate::Running) {
-            owner.end(stream, answer("a"));
+        for stream in owner.with_status(&StreamStatus::Running) {
+            owner.end(stream, completed("a"));
         }
         for (sent, _) in std::mem::take(&mut owner.records) {
-            owner.taken(sent.request);
+            owner.acknowledge(sent.request);
         }
     }
     assert_eq!(granted, 20);
@@ -312,16 +317,16 @@
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     let mut asked = 0;
     for now in 0..2_000 {
-        for ask in std::mem::take(&mut owner.asks) {
+        for lease_request in std::mem::take(&mut owner.lease_requests) {
             asked += 1;
-            owner.reply(ask.request, GroupReply::Leased(None));
+            owner.reply(lease_request.request, GroupReply::Leased(None));
         }
         owner.tick(now);
     }
     assert!((6..=16).contains(&asked), "{asked}");
-    owner.asks.clear();
+    owner.lease_requests.clear();
     owner.feed(BatchInput::WorkAvailable(super::harness::captions()));
-    assert_eq!(owner.asks.len(), 1);
+    assert_eq!(owner.lease_requests.len(), 1);
 }
 
 #[test]
@@ -330,14 +335,18 @@
     for number in 1..=3 {
         owner.feed(BatchInput::Acquired(owned(BackendId(number), 1)));
     }
-    let backends: Vec<BackendId> = owner.asks.iter().map(|ask| ask.backend).collect();
+    let backends: Vec<BackendId> = owner
+        .lease_requests
+        .iter()
+        .map(|lease_request| lease_request.backend)
+        .collect();
     assert_eq!(backends, [BackendId(1), BackendId(2), BackendId(3)]);
 }
 
 #[test]
 fn progress_costs_no_output() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..4));
-    let stream = owner.with_fate(&StreamFate::Running)[0];
+    let stream = owner.with_status(&StreamStatus::Running)[0];
     let outputs: Vec<BatchOutput> = owner.feed(BatchInput::Progress { stream, tokens: 9 });
     assert_eq!(outputs, []);
 }
--- a/crates/routing/tests/batch/model.rs
+++ b/crates/routing/tests/batch/model.rs
@@ -40,7 +40,7 @@
 struct Group {
     machine: JobMachine,
     payloads: MemoryPayloadLog,
-    heard: BTreeMap<LeaseId, (u64, u64)>,
+    last_renewals: BTreeMap<LeaseId, (u64, u64)>,
 }
 
 impl Group {
@@ -53,10 +53,11 @@
     fn expire(&mut self, now: u64) {
         let leases: Vec<_> = self.machine.leases().collect();
         for record in leases {
-            let heard = self.heard.entry(record.lease);
-            let (renewals, since) = *heard.or_insert((record.renewals, now));
+            let last_renewals = self.last_renewals.entry(record.lease);
+            let (renewals, since) = *last_renewals.or_insert((record.renewals, now));
             if renewals != record.renewals {
-                self.heard.insert(record.lease, (record.renewals, now));
+                self.last_renewals
+                    .insert(record.lease, (record.renewals, now));
             } else if now - since >= LEASE_MILLIS {
                 let (lease, renewals) = (record.lease, record.renewals);
                 self.apply(&JobCommand::Expire { lease, renewals });
@@ -96,10 +97,10 @@
     queue: BTreeMap<(u64, u64), (usize, BatchInput)>,
     sent: u64,
     /// Non-repeatable items that may have run.
-    spent: BTreeSet<(JobId, ItemIndex)>,
-    once: JobId,
+    may_have_run: BTreeSet<(JobId, ItemIndex)>,
+    non_repeatable: JobId,
     /// End of each partition between an owner and a group.
-    cuts: BTreeMap<(usize, GroupId), u64>,
+    partitions: BTreeMap<(usize, GroupId), u64>,
 }
 
 fn submission(key: &str, items: u32, repeatable: bool) -> BeginJob {
@@ -132,9 +133,9 @@
             streams: BTreeMap::new(),
             queue: BTreeMap::new(),
             sent: 0,
-            spent: BTreeSet::new(),
-            once: JobId::default(),
-            cuts: BTreeMap::new(),
+            may_have_run: BTreeSet::new(),
+            non_repeatable: JobId::default(),
+            partitions: BTreeMap::new(),
         };
         for number in 0..ENGINES {
             let (backend, owner) = (BackendId(number), number as usize % OWNERS);
@@ -172,7 +173,7 @@
         self.random.random_bool(share)
     }
 
-    fn later(&mut self, wait: u64, owner: usize, input: BatchInput) {
+    fn schedule(&mut self, wait: u64, owner: usize, input: BatchInput) {
         self.sent += 1;
         self.queue
             .insert((self.now + wait, self.sent), (owner, input));
@@ -189,7 +190,7 @@
         }
         self.end_streams();
         if self.is_faulty() {
-            self.disturb();
+            self.inject_faults();
         }
         for group in &mut self.groups {
             group.expire(self.now);
@@ -201,12 +202,12 @@
 
     fn end_streams(&mut self) {
         let now = self.now;
-        let over = self
+        let ended = self
             .streams
             .iter()
             .filter(|(_, stream)| stream.ends_at <= now);
-        let over: Vec<(usize, StreamId)> = over.map(|(key, _)| *key).collect();
-        for key in over {
+        let ended: Vec<(usize, StreamId)> = ended.map(|(key, _)| *key).collect();
+        for key in ended {
             let draw: u32 = self.random.random_range(0..100);
             let end = match draw {
                 0..=7 if self.is_faulty() => ItemEnd::NotRun,
@@ -222,7 +223,7 @@
             return;
         };
         if end == ItemEnd::NotRun {
-            self.spent.remove(&(stream.job, stream.item));
+            self.may_have_run.remove(&(stream.job, stream.item));
         }
         let (owner, id) = key;
         self.feed(owner, BatchInput::Ended { stream: id, end });
@@ -230,46 +231,46 @@
 
     /// Randomly restarts an engine, moves it to another owner, partitions its owner from a
     /// group, or adds an online request.
-    fn disturb(&mut self) {
+    fn inject_faults(&mut self) {
         let backend = BackendId(self.random.random_range(0..ENGINES));
-        let (owner, life) = self.engines[&backend];
+        let (owner, incarnation) = self.engines[&backend];
         if self.chance(0.01) {
-            self.engines.insert(backend, (owner, life + 1));
-            let on_it = self
+            self.engines.insert(backend, (owner, incarnation + 1));
+            let on_engine = self
                 .streams
                 .iter()
                 .filter(|(_, stream)| stream.backend == backend);
-            let lost: Vec<(usize, StreamId)> = on_it.map(|(key, _)| *key).collect();
+            let lost: Vec<(usize, StreamId)> = on_engine.map(|(key, _)| *key).collect();
             for key in lost {
                 self.end(key, ItemEnd::Unknown);
             }
-            self.feed(owner, BatchInput::Acquired(owned(backend, life + 1)));
+            self.feed(owner, BatchInput::Acquired(owned(backend, incarnation + 1)));
         }
         if self.chance(0.01) {
             let next = (owner + 1) % OWNERS;
-            self.engines.insert(backend, (next, life));
+            self.engines.insert(backend, (next, incarnation));
             self.feed(owner, BatchInput::Released(backend));
-            self.feed(next, BatchInput::Acquired(owned(backend, life)));
+            self.feed(next, BatchInput::Acquired(owned(backend, incarnation)));
         }
         if self.chance(0.01) {
             let group = GroupId(self.random.random_range(1..=GROUPS));
             let until = self.now + self.random.random_range(1_000..14_000);
-            self.cuts.insert((owner, group), until);
+            self.partitions.insert((owner, group), until);
         }
         if self.chance(0.02) {
             self.feed(owner, BatchInput::OnlineStarted { backend });
-            self.later(200, owner, BatchInput::OnlineFinished { backend });
+            self.schedule(200, owner, BatchInput::OnlineFinished { backend });
         }
     }
 
     fn feed(&mut self, owner: usize, input: BatchInput) {
         let now = Timestamp::from_millis(self.now);
         for output in self.owners[owner].handle(now, input) {
-            self.carry_out(owner, output);
+            self.execute(owner, output);
         }
     }
 
-    fn carry_out(&mut self, owner: usize, output: BatchOutput) {
+    fn execute(&mut self, owner: usize, output: BatchOutput) {
         match output {
             BatchOutput::Cancel(stream) => drop(self.streams.remove(&(owner, stream))),
             BatchOutput::Dispatch {
@@ -330,9 +331,9 @@
         let mut running = self.streams.values();
         let twice = running.any(|other| (other.job, other.item) == (job, item));
         assert!(!twice, "{job} item {item} runs in two streams");
-        if job == self.once {
+        if job == self.non_repeatable {
             assert!(
-                self.spent.insert((job, item)),
+                self.may_have_run.insert((job, item)),
                 "{job} item {item} runs again"
             );
         }
@@ -352,12 +353,12 @@
     /// be lost, or the reply may be late.
     fn send(&mut self, owner: usize, group: GroupId, request: RequestNumber, command: &JobCommand) {
         let faulty = self.is_faulty();
-        let cut = self.cuts.get(&(owner, group));
-        let cut = cut.is_some_and(|until| self.now < *until);
-        let lost = cut || (faulty && self.chance(0.1));
+        let partitioned = self.partitions.get(&(owner, group));
+        let partitioned = partitioned.is_some_and(|until| self.now < *until);
+        let lost = partitioned || (faulty && self.chance(0.1));
         if lost {
             let reply = GroupReply::Failed;
-            self.later(100, owner, BatchInput::Reply { request, reply });
+            self.schedule(100, owner, BatchInput::Reply { request, reply });
             return;
         }
         let group = &mut self.groups[group.0 as usize - 1];
@@ -369,7 +370,7 @@
             (false, true) => (self.random.random_range(100..9_000), reply),
             (false, false) => (10, reply),
         };
-        self.later(wait, owner, BatchInput::Reply { request, reply });
+        self.schedule(wait, owner, BatchInput::Reply { request, reply });
     }
 }
 
@@ -410,32 +411,32 @@
     #[test]
     fn every_item_ends_once_and_a_cancelled_job_stops(seed: u64, cancel_at in 100_u64..3_000) {
         let mut world = World::new(seed);
-        let withdrawn = world.submit("memorial", 300, true);
-        let once = world.submit("grades", 80, false);
+        let cancelled_job = world.submit("memorial", 300, true);
+        let non_repeatable = world.submit("grades", 80, false);
         let album = world.submit("album", 200, true);
-        world.once = once;
+        world.non_repeatable = non_repeatable;
         let mut cancelled = false;
         while world.now < END_MILLIS || !world.streams.is_empty() {
             world.step();
             if !cancelled && world.now >= cancel_at {
                 cancelled = true;
-                world.group(withdrawn).apply(&JobCommand::Cancel { job: withdrawn });
+                world.group(cancelled_job).apply(&JobCommand::Cancel { job: cancelled_job });
             }
             // The reply to a renewal reports the cancellation; a partitioned owner stops when
             // its lease expires.
-            let running = world.streams.values().filter(|stream| stream.job == withdrawn);
+            let running = world.streams.values().filter(|stream| stream.job == cancelled_job);
             let overdue = world.now > cancel_at + STOP_MILLIS;
             prop_assert!(!overdue || running.count() == 0, "an item runs on its engine after the job was cancelled");
         }
         prop_assert!(world.streams.values().all(|stream| stream.owner < OWNERS));
         let album = world.group(album).status(album);
         prop_assert_eq!((album.phase, album.completed), (JobPhase::Completed, 200));
-        let once = world.group(once).status(once);
-        prop_assert_eq!(once.phase, JobPhase::Completed);
-        prop_assert_eq!(once.completed + once.unknown, 80);
-        let phase = world.group(withdrawn).status(withdrawn).phase;
-        let over = matches!(phase, JobPhase::Cancelled | JobPhase::Completed);
-        prop_assert!(over, "{}", phase);
+        let non_repeatable = world.group(non_repeatable).status(non_repeatable);
+        prop_assert_eq!(non_repeatable.phase, JobPhase::Completed);
+        prop_assert_eq!(non_repeatable.completed + non_repeatable.unknown, 80);
+        let phase = world.group(cancelled_job).status(cancelled_job).phase;
+        let ended = matches!(phase, JobPhase::Cancelled | JobPhase::Completed);
+        prop_assert!(ended, "{}", phase);
         prop_assert!(world.owners.iter().all(|owner| owner.leases_held() == 0));
     }
 }
--- a/crates/routing/tests/batch/preemption.rs
+++ b/crates/routing/tests/batch/preemption.rs
@@ -6,7 +6,7 @@
 use molespan_routing::pick::LoadSample;
 use molespan_types::Incarnation;
 
-use super::harness::{BALANCED, ENGINE, Harness, StreamFate, lease, load, notice, owned};
+use super::harness::{BALANCED, ENGINE, Harness, StreamStatus, lease, load_report, notice, owned};
 
 /// Tail protection that maximizes throughput: batch streams run beside online work.
 const NO_PROTECTION: u8 = 0;
@@ -32,7 +32,7 @@
 fn an_arrival_holds_every_stream_back_in_the_same_step() {
     for tail_protection in [BALANCED, 75, 100] {
         let mut owner = Harness::running(tail_protection, lease(1, 0..8));
-        let running = owner.count(&StreamFate::Running);
+        let running = owner.count(&StreamStatus::Running);
         assert!(running > 0);
         let outputs = owner.at(1_000).feed(started());
         let pauses = outputs
@@ -45,18 +45,18 @@
         assert_eq!((preemption.online, preemption.allowed), (1, 0));
         // No stream starts while the online request is in flight.
         owner.tick(1_500);
-        assert_eq!(owner.count(&StreamFate::Running), 0);
+        assert_eq!(owner.count(&StreamStatus::Running), 0);
     }
 }
 
 #[test]
 fn streams_go_on_once_the_engine_was_quiet() {
     let mut owner = Harness::running(100, lease(1, 0..8));
-    let running = owner.count(&StreamFate::Running);
+    let running = owner.count(&StreamStatus::Running);
     owner.at(1_000).feed(started());
     owner.at(1_050).feed(finished());
     assert_eq!(
-        owner.count(&StreamFate::Running),
+        owner.count(&StreamStatus::Running),
         0,
         "the burst may still be going on"
     );
@@ -66,18 +66,18 @@
     assert!(wakeup.is_some_and(|at| at.0 <= 1_000 * (1_050 + MAX_QUIET_MILLIS)));
     owner.tick(1_050 + MAX_QUIET_MILLIS);
     owner.progress_all(1);
-    assert_eq!(owner.count(&StreamFate::Running), running);
-    assert_eq!(owner.count(&StreamFate::Paused), 0);
+    assert_eq!(owner.count(&StreamStatus::Running), running);
+    assert_eq!(owner.count(&StreamStatus::Paused), 0);
 }
 
 #[test]
 fn work_of_another_gateway_counts_like_own() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(notice(3, 1, 400));
-    assert_eq!(owner.count(&StreamFate::Running), 0);
+    assert_eq!(owner.count(&StreamStatus::Running), 0);
     owner.at(1_100).feed(notice(3, 0, 0));
     owner.tick(1_100 + MAX_QUIET_MILLIS);
-    assert!(owner.count(&StreamFate::Running) > 0);
+    assert!(owner.count(&StreamStatus::Running) > 0);
 }
 
 #[test]
@@ -85,39 +85,49 @@
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(notice(3, 1, 400));
     // The report counts the request, and a notice of its end arrives before the next report.
-    owner.at(1_200).feed(BatchInput::Load(load(1, 1_150, 1, 0)));
-    assert_eq!(owner.count(&StreamFate::Running), 0);
+    owner
+        .at(1_200)
+        .feed(BatchInput::Load(load_report(1, 1_150, 1, 0)));
+    assert_eq!(owner.count(&StreamStatus::Running), 0);
     owner.at(1_210).feed(notice(3, 0, 0));
     owner.tick(1_210 + MAX_QUIET_MILLIS);
-    assert!(owner.count(&StreamFate::Running) > 0);
+    assert!(owner.count(&StreamStatus::Running) > 0);
 }
 
 #[test]
 fn a_report_from_before_the_notice_does_not_undo_it() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(notice(3, 1, 400));
-    owner.at(1_010).feed(BatchInput::Load(load(1, 900, 0, 8)));
+    owner
+        .at(1_010)
+        .feed(BatchInput::Load(load_report(1, 900, 0, 8)));
     owner.tick(1_010 + MAX_QUIET_MILLIS);
-    assert_eq!(owner.count(&StreamFate::Running), 0);
+    assert_eq!(owner.count(&StreamStatus::Running), 0);
 }
 
 #[test]
 fn a_lost_notice_is_made_up_for_by_the_next_report() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
-    owner.at(1_000).feed(BatchInput::Load(load(1, 900, 2, 8)));
-    assert_eq!(owner.count(&StreamFate::Running), 0);
-    owner.at(1_100).feed(BatchInput::Load(load(2, 1_000, 0, 0)));
+    owner
+        .at(1_000)
+        .feed(BatchInput::Load(load_report(1, 900, 2, 8)));
+    assert_eq!(owner.count(&StreamStatus::Running), 0);
+    owner
+        .at(1_100)
+        .feed(BatchInput::Load(load_report(2, 1_000, 0, 0)));
     owner.tick(1_100 + MAX_QUIET_MILLIS);
-    assert!(owner.count(&StreamFate::Running) > 0);
+    assert!(owner.count(&StreamStatus::Running) > 0);
 }
 
 #[test]
 fn a_lost_end_of_foreign_work_is_made_up_for_by_a_report() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(notice(3, 2, 400));
-    owner.at(1_500).feed(BatchInput::Load(load(1, 1_400, 0, 0)));
+    owner
+        .at(1_500)
+        .feed(BatchInput::Load(load_report(1, 1_400, 0, 0)));
     owner.tick(1_500 + MAX_QUIET_MILLIS);
-    assert!(owner.count(&StreamFate::Running) > 0);
+    assert!(owner.count(&StreamStatus::Running) > 0);
 }
 
 #[test]
@@ -126,9 +136,11 @@
     owner.at(1_000).feed(started());
     owner.at(1_100).feed(finished());
     // The engine still had the request at the time of the observation.
-    owner.at(1_110).feed(BatchInput::Load(load(1, 1_050, 1, 0)));
+    owner
+        .at(1_110)
+        .feed(BatchInput::Load(load_report(1, 1_050, 1, 0)));
     owner.tick(1_110 + MAX_QUIET_MILLIS);
-    assert!(owner.count(&StreamFate::Running) > 0);
+    assert!(owner.count(&StreamStatus::Running) > 0);
 }
 
 #[test]
@@ -142,24 +154,24 @@
     owner.at(1_200).feed(finished());
     owner.feed(finished());
     owner.tick(1_200 + MAX_QUIET_MILLIS);
-    assert_eq!(owner.count(&StreamFate::Running), 0);
+    assert_eq!(owner.count(&StreamStatus::Running), 0);
     owner.at(1_300).feed(finished());
     owner.tick(1_300 + MAX_QUIET_MILLIS);
-    assert!(owner.count(&StreamFate::Running) > 0);
+    assert!(owner.count(&StreamStatus::Running) > 0);
 }
 
 #[test]
 fn the_fill_end_of_the_knob_runs_beside_generation_but_not_beside_a_first_token() {
     let mut owner = Harness::running(NO_PROTECTION, lease(1, 0..8));
-    let running = owner.count(&StreamFate::Running);
+    let running = owner.count(&StreamStatus::Running);
     owner.at(1_000).feed(started());
-    assert_eq!(owner.count(&StreamFate::Running), 0);
+    assert_eq!(owner.count(&StreamStatus::Running), 0);
     owner.at(1_040).feed(first_token(40));
-    assert!(owner.count(&StreamFate::Running) > 0);
-    assert!(owner.count(&StreamFate::Running) <= running);
+    assert!(owner.count(&StreamStatus::Running) > 0);
+    assert!(owner.count(&StreamStatus::Running) <= running);
     // The next request awaits its first token.
     owner.at(1_050).feed(started());
-    assert_eq!(owner.count(&StreamFate::Running), 0);
+    assert_eq!(owner.count(&StreamStatus::Running), 0);
 }
 
 #[test]
@@ -168,21 +180,21 @@
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     owner.grant(lease(1, 0..8));
     // Without recent online work, many streams may be in prefill at the same time.
-    let prompts = owner.count(&StreamFate::Running);
+    let prompts = owner.count(&StreamStatus::Running);
     assert!(prompts > 1);
     owner.at(1_000).feed(started());
     owner.at(1_010).feed(finished());
     owner.tick(1_010 + MAX_QUIET_MILLIS);
     // More online work is likely now, and a batch prefill would delay it by a whole chunk.
-    assert_eq!(owner.count(&StreamFate::Running), 1);
+    assert_eq!(owner.count(&StreamStatus::Running), 1);
     owner.progress_all(1);
-    assert_eq!(owner.count(&StreamFate::Running), prompts);
+    assert_eq!(owner.count(&StreamStatus::Running), prompts);
 }
 
 #[test]
 fn the_streams_with_the_most_progress_stay() {
     let mut owner = Harness::running(NO_PROTECTION, lease(1, 0..8));
-    let streams = owner.with_fate(&StreamFate::Running);
+    let streams = owner.with_status(&StreamStatus::Running);
     for (position, stream) in streams.iter().enumerate() {
         let tokens = 10 + position as u32;
         let stream = *stream;
@@ -190,7 +202,7 @@
     }
     owner.at(1_000).feed(started());
     owner.at(1_040).feed(first_token(40));
-    let kept = owner.with_fate(&StreamFate::Running);
+    let kept = owner.with_status(&StreamStatus::Running);
     assert!(!kept.is_empty() && kept.len() < streams.len());
     assert_eq!(kept, streams[streams.len() - kept.len()..]);
 }
@@ -198,54 +210,54 @@
 #[test]
 fn memory_short_of_room_costs_one_held_back_stream_a_report() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
-    let running = owner.count(&StreamFate::Running);
+    let running = owner.count(&StreamStatus::Running);
     owner.at(1_000).feed(started());
     let short = |sequence: u64| LoadSample {
         kv_used: 0.95,
-        ..load(sequence, 1_000 + 100 * sequence, 1, 0)
+        ..load_report(sequence, 1_000 + 100 * sequence, 1, 0)
     };
     for reports in 1..=3_u64 {
         owner.at(1_050 + 100 * reports);
         owner.feed(BatchInput::Load(short(reports)));
-        assert_eq!(owner.count(&StreamFate::Cancelled), reports as usize);
+        assert_eq!(owner.count(&StreamStatus::Cancelled), reports as usize);
     }
     // The items of the cancelled streams run again later.
     owner.at(1_500).feed(finished());
     owner.tick(1_500 + MAX_QUIET_MILLIS);
     owner.progress_all(1);
-    assert_eq!(owner.count(&StreamFate::Running), running);
+    assert_eq!(owner.count(&StreamStatus::Running), running);
     assert!(owner.returns.is_empty());
 }
 
 #[test]
 fn items_that_found_no_room_are_given_back() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..12));
-    let running = owner.count(&StreamFate::Running);
+    let running = owner.count(&StreamStatus::Running);
     owner.at(1_000).feed(started());
     owner.tick(1_999);
     assert!(owner.returns.is_empty());
     owner.tick(2_000);
     // Items that never started are returned; started streams stay paused.
     assert_eq!(owner.returned().len(), 12 - running);
-    assert_eq!(owner.count(&StreamFate::Paused), running);
+    assert_eq!(owner.count(&StreamStatus::Paused), running);
 }
 
 #[test]
 fn the_limit_grows_while_steps_are_short_and_falls_when_they_are_long() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..100));
-    let before = owner.count(&StreamFate::Running);
+    let before = owner.count(&StreamStatus::Running);
     let mut sequence = 0;
     let mut report = |owner: &mut Harness, step: u64| {
         sequence += 1;
-        let running = owner.count(&StreamFate::Running) as u32;
+        let running = owner.count(&StreamStatus::Running) as u32;
         let sample = LoadSample {
             step: Duration::from_millis(step),
-            ..load(sequence, 100 * sequence, 0, running)
+            ..load_report(sequence, 100 * sequence, 0, running)
         };
         owner.at(100 * sequence).feed(BatchInput::Load(sample));
         owner.progress_all(1);
-        if let Some(ask) = owner.asks.pop() {
-            owner.reply(ask.request, GroupReply::Leased(None));
+        if let Some(lease_request) = owner.lease_requests.pop() {
+            owner.reply(lease_request.request, GroupReply::Leased(None));
         }
         let (running, _) = owner.owner.streams_on(ENGINE);
         running
@@ -272,10 +284,10 @@
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     let other = LoadSample {
         incarnation: Incarnation(2),
-        ..load(1, 900, 3, 0)
+        ..load_report(1, 900, 3, 0)
     };
     owner.at(1_000).feed(BatchInput::Load(other));
-    assert!(owner.count(&StreamFate::Running) > 0);
+    assert!(owner.count(&StreamStatus::Running) > 0);
 }
 
 #[test]
@@ -283,9 +295,9 @@
     let mut owner = Harness::running(NO_PROTECTION, lease(1, 0..8));
     owner.at(1_000).feed(started());
     owner.at(1_040).feed(first_token(40));
-    assert!(owner.count(&StreamFate::Running) > 0);
+    assert!(owner.count(&StreamStatus::Running) > 0);
     owner.at(1_050).feed(BatchInput::Policy {
         tail_protection: 100,
     });
-    assert_eq!(owner.count(&StreamFate::Running), 0);
+    assert_eq!(owner.count(&StreamStatus::Running), 0);
 }
--- a/crates/routing/tests/fleet_size.rs
+++ b/crates/routing/tests/fleet_size.rs
@@ -68,7 +68,7 @@
 
     /// Returns the number of shares that one zone's relay sends to its gateways in a round, and
     /// the number of those gateways.
-    fn told_by_relay(&self) -> (usize, usize) {
+    fn sent_by_relay(&self) -> (usize, usize) {
         let mut relays: Vec<WorkRelay> = vec![WorkRelay::default(); RELAYS];
         let now = Timestamp::ZERO;
         for (gateway, shares) in self.work(1) {
@@ -80,17 +80,17 @@
         for (place, sum) in sums.into_iter().enumerate().skip(1) {
             relay.note(NodeId(900_000 + place as u32), Teller::Relay, sum, now);
         }
-        let told = relay.shares_by_user(|engines| {
+        let sent = relay.shares_by_user(|engines| {
             let users = engines.iter();
             let users = users.map(|engine| self.subsets.users(SERVICE, engine));
             users.map(|users| users.map(<[NodeId]>::to_vec)).collect()
         });
-        let shares = told.iter().map(|(_, shares)| shares.len()).sum();
-        (shares, told.len())
+        let shares = sent.iter().map(|(_, shares)| shares.len()).sum();
+        (shares, sent.len())
     }
 
     /// Returns the number of engines in a gateway's table, all of which a pick scans.
-    fn walked(&self, gateway: NodeId) -> usize {
+    fn table_size(&self, gateway: NodeId) -> usize {
         let mut table = EngineTable::new(zone(gateway.0 as usize - 1), 1);
         let now = Timestamp::ZERO;
         for (place, id) in self.parts[&gateway].iter().enumerate() {
@@ -137,21 +137,21 @@
     let twice = Fleet::of(800, 10_000);
     let mean = |fleet: &Fleet| {
         let gateways = fleet.parts.keys();
-        let walked: usize = gateways.map(|gateway| fleet.walked(*gateway)).sum();
-        walked as f64 / fleet.parts.len() as f64
+        let table_size: usize = gateways.map(|gateway| fleet.table_size(*gateway)).sum();
+        table_size as f64 / fleet.parts.len() as f64
     };
     let ratio = mean(&twice) / mean(&fleet);
     assert!(ratio <= 1.2, "engines scanned by a pick: {ratio}");
-    let ((told, gateways), (told_twice, gateways_twice)) =
-        (fleet.told_by_relay(), twice.told_by_relay());
-    let ratio = told_twice as f64 / told as f64;
+    let ((sent, gateways), (sent_twice, gateways_twice)) =
+        (fleet.sent_by_relay(), twice.sent_by_relay());
+    let ratio = sent_twice as f64 / sent as f64;
     assert!(ratio <= 2.2, "shares sent by a relay: {ratio}");
     let ratio = ratio * gateways as f64 / gateways_twice as f64;
     assert!(ratio <= 1.2, "shares that a gateway is told of: {ratio}");
     // On average, a gateway receives less than a tenth of all shares.
     let all: usize = twice.work(1).values().map(Vec::len).sum();
     assert!(
-        told_twice < gateways_twice * all / 10,
-        "{told_twice} of {all}"
+        sent_twice < gateways_twice * all / 10,
+        "{sent_twice} of {all}"
     );
 }
--- a/crates/routing/tests/subset.rs
+++ b/crates/routing/tests/subset.rs
@@ -70,7 +70,7 @@
         ratio <= 1.2,
         "engines used by a gateway at twice the fleet size: {ratio}"
     );
-    let told = |gateways: usize, engines: usize| {
+    let informed = |gateways: usize, engines: usize| {
         let mut subsets = subsets(gateways, engines);
         subsets.insert(SERVICE, "new", &zone(0), 3);
         let news = (1..=gateways as u32).filter(|node| {
@@ -80,8 +80,8 @@
         news.count()
     };
     assert_eq!(
-        told(400, 5_000),
-        told(800, 10_000),
+        informed(400, 5_000),
+        informed(800, 10_000),
         "gateways that are informed of one engine"
     );
     let ranked = |gateways: usize, engines: usize| {
@@ -172,22 +172,22 @@
 
 #[test]
 fn an_added_gateway_is_chosen_as_if_all_had_come_together() {
-    let mut one_by_one = subsets(100, 4_000);
+    let mut incremental = subsets(100, 4_000);
     for count in 101..=130 {
-        one_by_one.plan(&gateways(count), true, count as u64);
+        incremental.plan(&gateways(count), true, count as u64);
     }
-    let mut together = Subsets::default();
-    together.plan(&gateways(100), true, 1);
+    let mut at_once = Subsets::default();
+    at_once.plan(&gateways(100), true, 1);
     for place in 0..4_000 {
-        together.insert(SERVICE, &engine(place), &zone(place), 2);
+        at_once.insert(SERVICE, &engine(place), &zone(place), 2);
     }
-    together.plan(&gateways(100), true, 3);
-    together.plan(&gateways(130), true, 4);
+    at_once.plan(&gateways(100), true, 3);
+    at_once.plan(&gateways(130), true, 4);
     for place in 0..4_000 {
         let engine = engine(place);
         assert_eq!(
-            one_by_one.users(SERVICE, &engine),
-            together.users(SERVICE, &engine)
+            incremental.users(SERVICE, &engine),
+            at_once.users(SERVICE, &engine)
         );
     }
 }
@@ -207,10 +207,10 @@
     for place in (0..6_000).step_by(4) {
         subsets.remove(SERVICE, &engine(place), 3);
     }
-    let mut left = gateways(500);
-    left.retain(|_, at| *at != Some(zone(1)));
-    subsets.plan(&left, true, 4);
-    for node in left.keys() {
+    let mut remaining = gateways(500);
+    remaining.retain(|_, at| *at != Some(zone(1)));
+    subsets.plan(&remaining, true, 4);
+    for node in remaining.keys() {
         assert!(used_by(&subsets, *node) >= 40, "{node:?}");
     }
     for place in (0..6_000).filter(|place| place % 4 != 0) {
@@ -237,9 +237,9 @@
     let some = gateways(3);
     for place in 0..2_000 {
         subsets.insert(SERVICE, &engine(place), &zone(place), place as u64 + 1);
-        let told = subsets.part_after(NodeId(1), SERVICE, 0).engines.len();
+        let informed = subsets.part_after(NodeId(1), SERVICE, 0).engines.len();
         let is_whole = subsets.breadth(SERVICE).0 == Breadth::Whole;
-        assert!(told == 0 && (!is_whole || place < 257), "{place}");
+        assert!(informed == 0 && (!is_whole || place < 257), "{place}");
         if place % 500 == 0 {
             subsets.plan(&some, false, place as u64 + 1);
         }
