--- a/crates/routing/examples/figures.rs
+++ b/crates/routing/examples/figures.rs
@@ -136,7 +136,7 @@
 
 /// Returns the cache events of one engine: half are evictions, and 1 % are lost.
 fn events(engine: u32, count: u64) -> CacheEventPage {
-    let of_engine = |hash: u64| (u64::from(engine) << 32) | hash;
+    let engine_hash = |hash: u64| (u64::from(engine) << 32) | hash;
     let event = |number: u64| {
         let (kind, hash) = match number % 2 {
             0 => (CacheEventKind::Stored, number),
@@ -145,7 +145,7 @@
         CacheEvent {
             sequence: number + 1,
             kind,
-            prefix_hash: of_engine(hash),
+            prefix_hash: engine_hash(hash),
         }
     };
     let kept = (0..count).filter(|number| number % 100 != 99);
--- a/crates/routing/examples/policy/jobs.rs
+++ b/crates/routing/examples/policy/jobs.rs
@@ -7,8 +7,8 @@
 use molespan_state::job::{GrantedLease, LeasedItem};
 use molespan_types::{ItemIndex, JobId, LeaseId};
 
-/// Number of jobs in a heap.
-const JOBS_PER_HEAP: u32 = 3;
+/// Number of jobs in a wave.
+const JOBS_PER_WAVE: u32 = 3;
 
 /// Items by job. Leases never expire, since the simulation has no faults.
 #[derive(Default)]
@@ -21,11 +21,11 @@
 }
 
 impl JobGroup {
-    /// Adds a heap of jobs with `items` items in total.
-    pub fn add_heap(&mut self, items: u32) {
-        for _ in 0..JOBS_PER_HEAP {
+    /// Adds a wave of jobs with `items` items in total.
+    pub fn add_wave(&mut self, items: u32) {
+        for _ in 0..JOBS_PER_WAVE {
             self.last_job += 1;
-            let items = (0..items / JOBS_PER_HEAP).collect();
+            let items = (0..items / JOBS_PER_WAVE).collect();
             self.free.insert(self.last_job, items);
         }
     }
@@ -57,7 +57,7 @@
         GroupReply::Taken { taken, dropped: 0 }
     }
 
-    pub fn give_back(&mut self, lease: LeaseId, items: &[ItemIndex]) -> GroupReply {
+    pub fn return_items(&mut self, lease: LeaseId, items: &[ItemIndex]) -> GroupReply {
         let job = self.leases.get(&lease).map(|(job, _)| *job);
         let taken = self.take(lease, items);
         let count = taken.len() as u32;
--- a/crates/routing/examples/policy/load.rs
+++ b/crates/routing/examples/policy/load.rs
@@ -1,5 +1,5 @@
 //! Load of the two users, an archive and a lab: bursts of online requests with short
-//! and album-sized prompts, and batch jobs that arrive in heaps.
+//! and album-sized prompts, and batch jobs that arrive in waves.
 
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
     /// Rate of the steady online requests, per second.
     pub steady_rate: f64,
     /// Mean time between bursts; each gap is 0.5 to 1.5 times the mean.
-    pub burst_every: Duration,
+    pub burst_interval: Duration,
     /// Number of requests in a burst, all of which arrive within `burst_within`.
     pub burst_requests: u32,
     pub burst_within: Duration,
@@ -50,10 +50,10 @@
     pub large: Shape,
     /// Number of albums or practicals in use.
     pub subjects: u32,
-    /// Interval between heaps of batch jobs.
-    pub heap_every: Duration,
-    /// Items per heap; more than all engines can process before the next heap.
-    pub heap_items: u32,
+    /// Interval between waves of batch jobs.
+    pub wave_interval: Duration,
+    /// Items per wave; more than all engines can process before the next wave.
+    pub wave_items: u32,
     pub item: Shape,
 }
 
@@ -76,15 +76,15 @@
             engines: 8,
             between_zones: Duration::from_millis(1),
             steady_rate: 12.0,
-            burst_every: Duration::from_secs(3),
+            burst_interval: Duration::from_secs(3),
             burst_requests: 90,
             burst_within: Duration::from_millis(500),
             large_share: 0.2,
             small: Shape::new(0, 96, 24),
             large: Shape::new(1_200, 96, 48),
             subjects: 12,
-            heap_every: Duration::from_secs(10),
-            heap_items: 7_500,
+            wave_interval: Duration::from_secs(10),
+            wave_items: 7_500,
             item: Shape::new(0, 96, 64),
         }
     }
@@ -96,15 +96,15 @@
             engines: 13,
             between_zones: Duration::from_micros(500),
             steady_rate: 24.0,
-            burst_every: Duration::from_millis(2_500),
+            burst_interval: Duration::from_millis(2_500),
             burst_requests: 80,
             burst_within: Duration::from_millis(300),
             large_share: 0.3,
             small: Shape::new(0, 64, 24),
             large: Shape::new(480, 64, 40),
             subjects: 10,
-            heap_every: Duration::from_secs(10),
-            heap_items: 14_000,
+            wave_interval: Duration::from_secs(10),
+            wave_items: 14_000,
             item: Shape::new(0, 160, 64),
         }
     }
@@ -132,7 +132,7 @@
     }
     let mut burst = 0.0;
     while burst < end {
-        burst += profile.burst_every.as_secs_f64() * random.random_range(0.5..1.5);
+        burst += profile.burst_interval.as_secs_f64() * random.random_range(0.5..1.5);
         let within = profile.burst_within.as_secs_f64();
         times.extend((0..profile.burst_requests).map(|_| burst + random.random_range(0.0..within)));
     }
--- a/crates/routing/examples/policy/world.rs
+++ b/crates/routing/examples/policy/world.rs
@@ -51,7 +51,7 @@
 
 enum Event {
     Arrival(usize),
-    Heap,
+    JobWave,
     Call {
         backend: BackendId,
         call: Call,
@@ -148,7 +148,7 @@
             self.after(Duration::ZERO, Event::Arrival(0));
         }
         if self.arm.batch {
-            self.after(Duration::ZERO, Event::Heap);
+            self.after(Duration::ZERO, Event::JobWave);
         }
         for number in 0..self.profile.engines {
             let backend = BackendId(number);
@@ -182,12 +182,12 @@
             }
             self.now = at;
             if let Some(event) = self.events.remove(&number) {
-                self.take(event);
+                self.handle(event);
             }
         }
         self.now = self.end;
         for number in 0..self.engines.len() {
-            self.note_busy(BackendId(number as u32), false);
+            self.record_busy(BackendId(number as u32), false);
         }
         let time = self.end.since(self.start).as_secs_f64();
         self.figures.time = time;
@@ -210,19 +210,19 @@
         delay(self.profile, gateway, zone_of(backend))
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrival(number) => self.arrival(number),
-            Event::Heap => {
-                self.jobs.add_heap(self.profile.heap_items);
+            Event::JobWave => {
+                self.jobs.add_wave(self.profile.wave_items);
                 let service = ServiceName::from("captions");
                 for gateway in 0..ZONES {
                     self.feed(gateway, BatchInput::WorkAvailable(service.clone()));
                 }
-                self.after(self.profile.heap_every, Event::Heap);
+                self.after(self.profile.wave_interval, Event::JobWave);
             }
             Event::Call { backend, call } => self.call(backend, call),
-            Event::Step(backend) => self.settle(backend),
+            Event::Step(backend) => self.step_engine(backend),
             Event::OnlineToken { gateway, number } => self.online_token(gateway, number),
             Event::OnlineDone {
                 gateway,
@@ -303,7 +303,7 @@
         self.gateways[gateway as usize]
             .online
             .insert(number, request);
-        self.tell_owner(gateway, backend, prompt_tokens);
+        self.notify_owner(gateway, backend, prompt_tokens);
         let load = &self.requests[number];
         let submission = Submission {
             attempt: Arc::from(format!("online-{number}")),
@@ -321,7 +321,7 @@
 
     /// Notifies the owner of `backend` that an online request started or, with 0
     /// `prompt_tokens`, finished there.
-    fn tell_owner(&mut self, gateway: u32, backend: BackendId, prompt_tokens: u32) {
+    fn notify_owner(&mut self, gateway: u32, backend: BackendId, prompt_tokens: u32) {
         if !self.arm.preempts || !self.arm.batch {
             return;
         }
@@ -373,8 +373,8 @@
                 .first_token
                 .push(now.since(arrived).as_secs_f64());
         }
-        let told = self.arm.preempts && self.arm.batch && zone_of(backend) == gateway;
-        if told {
+        let notified = self.arm.preempts && self.arm.batch && zone_of(backend) == gateway;
+        if notified {
             let after = now.since(sent);
             self.feed(gateway, BatchInput::OnlineFirstToken { backend, after });
         }
@@ -394,7 +394,7 @@
         if self.measuring() {
             self.figures.online += 1;
         }
-        self.tell_owner(gateway, request.backend, 0);
+        self.notify_owner(gateway, request.backend, 0);
         self.retry_waiting(gateway);
     }
 
@@ -417,11 +417,11 @@
         if let Err(refusal) = result {
             panic!("engine {backend} rejected a call: {refusal}");
         }
-        self.settle(backend);
+        self.step_engine(backend);
     }
 
     /// Handles an engine's outputs and schedules its next step.
-    fn settle(&mut self, backend: BackendId) {
+    fn step_engine(&mut self, backend: BackendId) {
         let now = self.now;
         let engine = &mut self.engines[backend.0 as usize];
         let outputs = engine.core.step(now);
@@ -431,13 +431,13 @@
         if let (true, Some(next)) = (again, next) {
             self.after(next.since(now), Event::Step(backend));
         }
-        self.note_busy(backend, next.is_some());
+        self.record_busy(backend, next.is_some());
         for output in outputs {
             self.engine_output(backend, output);
         }
     }
 
-    fn note_busy(&mut self, backend: BackendId, busy: bool) {
+    fn record_busy(&mut self, backend: BackendId, busy: bool) {
         let (now, start) = (self.now, self.start);
         let engine = &mut self.engines[backend.0 as usize];
         if let Some(since) = engine.busy_since {
@@ -559,12 +559,12 @@
         }
         let outputs = state.owner.handle(now, input);
         for output in outputs {
-            self.carry_out(gateway, output);
+            self.execute(gateway, output);
         }
-        self.arrange_tick(gateway);
+        self.schedule_tick(gateway);
     }
 
-    fn arrange_tick(&mut self, gateway: u32) {
+    fn schedule_tick(&mut self, gateway: u32) {
         let now = self.now;
         let state = &mut self.gateways[gateway as usize];
         let Some(wakeup) = state.owner.next_wakeup(now) else {
@@ -577,7 +577,7 @@
         }
     }
 
-    fn carry_out(&mut self, gateway: u32, output: BatchOutput) {
+    fn execute(&mut self, gateway: u32, output: BatchOutput) {
         match output {
             BatchOutput::Pause(stream) => self.call_stream(gateway, stream, Call::Pause),
             BatchOutput::Resume(stream) => self.call_stream(gateway, stream, Call::Resume),
@@ -628,7 +628,7 @@
                 items,
                 ..
             } => {
-                let reply = self.jobs.give_back(lease, &items);
+                let reply = self.jobs.return_items(lease, &items);
                 self.reply(gateway, request, reply);
             }
             BatchOutput::Decision(_) | BatchOutput::Drained => {}
