--- a/crates/routing/src/readiness.rs
+++ b/crates/routing/src/readiness.rs
@@ -136,7 +136,9 @@
     pub fn version(&self) -> ConfigVersion {
         self.in_force
             .as_ref()
-            .map_or(ConfigVersion::default(), |held| held.version)
+            .map_or(ConfigVersion::default(), |configuration| {
+                configuration.version
+            })
     }
 
     /// Returns the configuration in force.
--- a/crates/routing/tests/batch/leases.rs
+++ b/crates/routing/tests/batch/leases.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn an_owner_that_is_cut_off_stops_at_its_share_of_the_lease() {
+fn a_partitioned_owner_stops_after_its_share_of_the_lease() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..12));
     let running = owner.count(&StreamStatus::Running);
     owner.tick(STOP_MILLIS - 1);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn nothing_is_started_after_a_pause_that_outlasted_the_lease() {
+fn no_stream_starts_after_a_suspension_longer_than_the_lease() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..12));
     let before = owner.streams.len();
     let running = owner.streams.iter();
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_renewal_counts_from_when_it_was_sent() {
+fn a_renewal_counts_from_its_send_time() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..4));
     owner.tick(2_000);
     let (request, leases) = owner.renewals.remove(0);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_grant_whose_reply_was_too_slow_is_given_back_unused() {
+fn items_granted_by_a_late_reply_are_returned() {
     let mut owner = Harness::new(BatchSettings::default(), BALANCED);
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     owner.at(STOP_MILLIS);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_lost_lease_is_dropped_without_a_word_to_the_group() {
+fn a_lost_lease_is_dropped_without_further_requests() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..12));
     owner.tick(2_000);
     let (request, _) = owner.renewals.remove(0);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn an_end_that_comes_after_the_cancel_changes_nothing() {
+fn a_stream_end_after_its_cancellation_is_ignored() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..2));
     let stream = owner.with_status(&StreamStatus::Running)[0];
     owner.tick(2_000);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn results_are_sent_together_and_at_the_latest_after_a_moment() {
+fn results_are_batched_until_the_maximum_wait() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     let streams = owner.with_status(&StreamStatus::Running);
     owner.at(100).end(streams[0], completed("a"));
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_lost_record_is_sent_again_under_its_number() {
+fn a_lost_record_request_is_resent_under_the_same_number() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..1));
     let stream = owner.with_status(&StreamStatus::Running)[0];
     owner.at(100).end(stream, completed("a"));
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_record_is_sent_until_the_leader_must_have_ended_the_lease() {
+fn a_record_request_is_resent_until_the_lease_must_have_expired() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..1));
     let stream = owner.with_status(&StreamStatus::Running)[0];
     owner.at(5_900).end(stream, completed("a"));
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn items_that_fail_on_an_engine_run_again_and_then_elsewhere() {
+fn failed_items_are_retried_and_then_returned() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..1));
     let mut now = 100;
     for run in 1..=3 {
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn an_item_that_may_run_once_is_never_started_again() {
+fn a_non_repeatable_item_is_never_started_again() {
     let mut owner = Harness::running(BALANCED, non_repeatable(lease(1, 0..2)));
     let streams = owner.with_status(&StreamStatus::Running);
     owner.at(100).end(streams[0], ItemEnd::Unknown);
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn a_hand_over_returns_what_may_run_elsewhere_and_finishes_the_rest() {
+fn a_release_returns_repeatable_items_and_finishes_the_others() {
     let mut owner = Harness::new(BatchSettings::default(), BALANCED);
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     owner.grant(lease(1, 0..4));
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_leaving_engine_finishes_what_runs_and_gets_nothing_new() {
+fn a_closed_engine_finishes_running_streams_and_starts_none() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..12));
     let running = owner.with_status(&StreamStatus::Running);
     owner.at(10).feed(BatchInput::Closed(ENGINE));
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn a_planned_stop_is_over_when_every_item_is_handed_back_or_recorded() {
+fn a_drain_completes_when_every_item_is_returned_or_recorded() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..12));
     let stream = owner.with_status(&StreamStatus::Running)[0];
     owner.at(10).end(stream, completed("a"));
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn an_unreachable_group_does_not_keep_an_engine_from_the_others() {
+fn an_unreachable_group_does_not_block_requests_to_others() {
     let settings = BatchSettings {
         job_groups: 2,
         ..BatchSettings::default()
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn engines_without_work_ask_less_and_less_often_until_work_is_announced() {
+fn polling_backs_off_until_work_is_announced() {
     let mut owner = Harness::new(BatchSettings::default(), BALANCED);
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     let mut asked = 0;
@@ -344,7 +344,7 @@
 }
 
 #[test]
-fn progress_costs_no_output() {
+fn progress_yields_no_outputs() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..4));
     let stream = owner.with_status(&StreamStatus::Running)[0];
     let outputs: Vec<BatchOutput> = owner.feed(BatchInput::Progress { stream, tokens: 9 });
--- a/crates/routing/tests/batch/preemption.rs
+++ b/crates/routing/tests/batch/preemption.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_arrival_holds_every_stream_back_in_the_same_step() {
+fn an_online_arrival_pauses_every_stream_in_the_same_step() {
     for tail_protection in [BALANCED, 75, 100] {
         let mut owner = Harness::running(tail_protection, lease(1, 0..8));
         let running = owner.count(&StreamStatus::Running);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn streams_go_on_once_the_engine_was_quiet() {
+fn streams_resume_after_the_quiet_period() {
     let mut owner = Harness::running(100, lease(1, 0..8));
     let running = owner.count(&StreamStatus::Running);
     owner.at(1_000).feed(started());
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn work_of_another_gateway_counts_like_own() {
+fn online_requests_of_other_gateways_preempt_streams() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(notice(3, 1, 400));
     assert_eq!(owner.count(&StreamStatus::Running), 0);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_report_in_between_does_not_hide_the_end_of_foreign_work() {
+fn a_report_does_not_hide_a_later_end_notice() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(notice(3, 1, 400));
     // The report counts the request, and a notice of its end arrives before the next report.
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_report_from_before_the_notice_does_not_undo_it() {
+fn a_report_observed_before_a_notice_does_not_undo_it() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(notice(3, 1, 400));
     owner
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_lost_notice_is_made_up_for_by_the_next_report() {
+fn a_report_compensates_for_a_lost_start_notice() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner
         .at(1_000)
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_lost_end_of_foreign_work_is_made_up_for_by_a_report() {
+fn a_report_compensates_for_a_lost_end_notice() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(notice(3, 2, 400));
     owner
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn requests_to_an_earlier_life_do_not_hide_those_to_the_next() {
+fn requests_to_an_earlier_incarnation_do_not_hide_those_to_the_next() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     owner.at(1_000).feed(started());
     owner.feed(started());
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn the_fill_end_of_the_knob_runs_beside_generation_but_not_beside_a_first_token() {
+fn without_tail_protection_streams_run_beside_generation_but_not_beside_prefill() {
     let mut owner = Harness::running(NO_PROTECTION, lease(1, 0..8));
     let running = owner.count(&StreamStatus::Running);
     owner.at(1_000).feed(started());
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn held_back_prompts_go_on_a_few_at_a_time() {
+fn paused_prefills_resume_a_few_at_a_time() {
     let mut owner = Harness::new(BatchSettings::default(), 100);
     owner.feed(BatchInput::Acquired(owned(ENGINE, 1)));
     owner.grant(lease(1, 0..8));
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn the_streams_with_the_most_progress_stay() {
+fn the_streams_with_the_most_progress_keep_running() {
     let mut owner = Harness::running(NO_PROTECTION, lease(1, 0..8));
     let streams = owner.with_status(&StreamStatus::Running);
     for (position, stream) in streams.iter().enumerate() {
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn memory_short_of_room_costs_one_held_back_stream_a_report() {
+fn kv_pressure_cancels_one_paused_stream_per_report() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     let running = owner.count(&StreamStatus::Running);
     owner.at(1_000).feed(started());
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn items_that_found_no_room_are_given_back() {
+fn items_without_capacity_are_returned() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..12));
     let running = owner.count(&StreamStatus::Running);
     owner.at(1_000).feed(started());
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn the_limit_grows_while_steps_are_short_and_falls_when_they_are_long() {
+fn the_limit_grows_with_short_steps_and_shrinks_with_long_ones() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..100));
     let before = owner.count(&StreamStatus::Running);
     let mut sequence = 0;
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn reports_of_another_life_change_nothing() {
+fn reports_of_another_incarnation_are_ignored() {
     let mut owner = Harness::running(BALANCED, lease(1, 0..8));
     let other = LoadSample {
         incarnation: Incarnation(2),
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn turning_the_knob_takes_effect_at_once() {
+fn a_policy_change_takes_effect_immediately() {
     let mut owner = Harness::running(NO_PROTECTION, lease(1, 0..8));
     owner.at(1_000).feed(started());
     owner.at(1_040).feed(first_token(40));
--- a/crates/routing/tests/fleet_size.rs
+++ b/crates/routing/tests/fleet_size.rs
@@ -132,13 +132,13 @@
 }
 
 #[test]
-fn at_twice_the_fleet_a_gateway_does_the_same_and_a_relay_twice_as_much() {
+fn doubling_the_fleet_keeps_gateway_work_and_doubles_relay_work() {
     let fleet = Fleet::of(400, 5_000);
     let twice = Fleet::of(800, 10_000);
     let mean = |fleet: &Fleet| {
         let gateways = fleet.parts.keys();
-        let table_size: usize = gateways.map(|gateway| fleet.table_size(*gateway)).sum();
-        table_size as f64 / fleet.parts.len() as f64
+        let total: usize = gateways.map(|gateway| fleet.table_size(*gateway)).sum();
+        total as f64 / fleet.parts.len() as f64
     };
     let ratio = mean(&twice) / mean(&fleet);
     assert!(ratio <= 1.2, "engines scanned by a pick: {ratio}");
--- a/crates/routing/tests/hearing.rs
+++ b/crates/routing/tests/hearing.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_call_is_given_up_when_nobody_says_anything_meanwhile() {
+fn a_call_is_abandoned_after_silence_of_all_nodes() {
     let mut hearing = Hearing::default();
     hearing.note(at(10_000));
     assert!(!hearing.gives_up(at(10_100), TARGET, at(10_799)));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_call_goes_on_while_others_are_heard_though_nobody_answers_it() {
+fn an_unanswered_call_continues_while_messages_arrive() {
     let mut hearing = Hearing::default();
     for time in (0..5_000).step_by(500) {
         hearing.note(at(time));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn silence_before_a_call_is_not_held_against_it() {
+fn silence_before_a_call_does_not_count() {
     let mut hearing = Hearing::default();
     hearing.note(at(0));
     assert!(!hearing.gives_up(at(60_000), TARGET, at(60_600)));
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_call_that_nobody_could_answer_in_time_goes_on() {
+fn a_call_continues_when_a_retry_could_not_meet_the_target() {
     let mut hearing = Hearing::default();
     hearing.note(at(0));
     let target = Duration::from_millis(400);
--- a/crates/routing/tests/placement.rs
+++ b/crates/routing/tests/placement.rs
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn copies_are_spread_over_zones_two_loads_at_a_time() {
+fn copies_are_spread_over_zones_with_two_loads_at_a_time() {
     let mut world = World::new(&["a", "a", "b", "b", "c", "c"]);
     let mut planner = planner();
     let wanted = configuration(1, service("m", 3, &[]));
@@ -255,7 +255,7 @@
 }
 
 #[test]
-fn an_order_names_the_token_and_life_it_was_decided_about() {
+fn an_order_carries_the_token_and_incarnation_of_its_engine() {
     let mut world = World::new(&["a"]);
     world.engines[0].state.token = FencingToken(41);
     world.engines[0].state.incarnation = Incarnation(6);
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn an_order_without_effect_is_proposed_again_under_the_newest_token() {
+fn an_order_without_effect_is_proposed_again_with_the_latest_token() {
     let world = World::new(&["a"]);
     let mut planner = planner();
     let wanted = configuration(1, service("m", 1, &[]));
@@ -289,7 +289,7 @@
 }
 
 #[test]
-fn a_new_version_moves_through_the_fleet_while_others_serve() {
+fn a_new_version_is_rolled_out_while_other_copies_serve() {
     for reports_versions in [false, true] {
         let mut world = World::new(&["a", "b", "c"]).with_model("m", 1, &[0, 1, 2]);
         world.reports_versions = reports_versions;
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn a_single_copy_moves_by_way_of_a_spare_engine() {
+fn a_single_copy_is_updated_through_an_extra_copy() {
     let mut world = World::new(&["a", "b"]).with_model("m", 1, &[0]);
     world.reports_versions = true;
     let mut planner = planner();
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn the_only_engine_keeps_its_version_rather_than_stop_serving() {
+fn the_only_engine_keeps_its_version_to_stay_in_service() {
     let mut world = World::new(&["a"]).with_model("m", 1, &[0]);
     world.reports_versions = true;
     let wanted = configuration(2, service("m", 1, &[]));
@@ -334,7 +334,7 @@
 }
 
 #[test]
-fn role_and_adapters_follow_the_model() {
+fn role_and_adapters_are_ordered_after_the_model() {
     let mut world = World::new(&["a"]);
     world.engines[0].state.role = EngineRole::Prefill;
     let wanted = configuration(1, service("m", 1, &["kebele", "album"]));
@@ -353,7 +353,7 @@
 }
 
 #[test]
-fn a_model_that_nobody_wants_goes_once_the_new_one_is_there() {
+fn an_unused_model_is_unloaded_once_the_new_one_is_ready() {
     let mut world = World::new(&["a", "b"]).with_model("old", 1, &[0, 1]);
     let wanted = configuration(1, service("new", 2, &[]));
     let mut unloaded_before_ready = 0;
@@ -373,7 +373,7 @@
 }
 
 #[test]
-fn engines_that_leave_or_die_while_loading_do_not_hold_up_the_others() {
+fn engines_that_leave_or_fail_while_loading_do_not_block_others() {
     for leaving in [false, true] {
         let mut world = World::new(&["a", "b", "c", "d"]);
         let mut planner = planner();
@@ -389,7 +389,7 @@
 }
 
 #[test]
-fn a_planner_that_takes_over_learns_versions_from_the_last_orders() {
+fn a_new_planner_takes_versions_from_the_latest_orders() {
     let mut world = World::new(&["a", "b"]);
     let wanted = configuration(3, service("m", 2, &[]));
     world.run(0..30, &mut planner(), &wanted);
@@ -487,7 +487,7 @@
 }
 
 #[test]
-fn decisions_explain_themselves() {
+fn reasons_are_displayed_with_their_inputs() {
     let reason = PlacementReason::TooFewCopies {
         service: ServiceName::from("captions"),
         ready: 1,
--- a/crates/routing/tests/readiness.rs
+++ b/crates/routing/tests/readiness.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_node_without_configuration_refuses() {
+fn a_node_without_configuration_is_not_ready() {
     let mut holder = holder();
     assert_eq!(holder.readiness(at(0)), Readiness::NoConfiguration);
     // A confirmation of a version that the node does not have has no effect.
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_restarted_node_refuses_until_its_version_is_confirmed() {
+fn a_restarted_node_is_not_ready_until_its_version_is_confirmed() {
     let mut holder = holder();
     holder.restore(version(7));
     assert_eq!(holder.readiness(at(0)), Readiness::NotCurrent);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_node_that_is_cut_off_turns_unready_at_the_bound() {
+fn a_partitioned_node_becomes_unready_after_the_bound() {
     let mut holder = holder();
     holder.offer(version(1));
     holder.confirm(at(1_000), ConfigVersion(1));
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_slow_answer_counts_from_its_question() {
+fn a_slow_response_counts_from_its_request() {
     let mut holder = holder();
     holder.offer(version(1));
     // A request sent at 1 s and answered at 8 s leaves only 1 s of the bound.
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_question_is_held_open_only_while_the_last_confirmation_is_young() {
+fn a_request_is_held_open_only_while_the_last_confirmation_is_recent() {
     let longest = Duration::from_secs(2);
     let mut holder = holder();
     holder.offer(version(1));
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_lagging_replica_does_not_take_a_node_back() {
+fn an_older_version_from_a_lagging_replica_is_not_applied() {
     let mut holder = holder();
     holder.offer(version(5));
     assert_eq!(holder.offer(version(4)), ConfigurationChange::Kept);
--- a/crates/routing/tests/renewal.rs
+++ b/crates/routing/tests/renewal.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn nothing_goes_out_before_the_group_was_heard() {
+fn no_item_is_sent_before_the_first_report() {
     let mut renewal = Renewal::new(WITHIN);
     assert!(!renewal.may_start(at(0)));
     assert_eq!(
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_item_that_still_may_go_is_at_its_engine_within_the_bound() {
+fn an_item_that_may_be_sent_reaches_its_engine_within_the_bound() {
     for within_ms in [1_000, 2_000, 3_000, 10_000] {
         let within = Duration::from_millis(within_ms);
         let mut renewal = Renewal::new(within);
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn calls_that_are_held_and_put_off_leave_the_word_young_enough() {
+fn held_and_delayed_calls_keep_the_report_valid() {
     let renewal = reported_at(0);
     let silences = renewal.longest_silence() * 2;
     let just_before = Timestamp(silences.as_micros() as u64 - 1);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_suspension_makes_the_word_old() {
+fn a_suspension_invalidates_the_report() {
     // A response read after the machine was suspended reflects the state at its request.
     let mut renewal = reported_at(1_000);
     assert!(renewal.may_start(at(1_100)));
@@ -70,14 +70,14 @@
 }
 
 #[test]
-fn an_answer_that_was_overtaken_takes_nothing_back() {
+fn a_late_answer_to_an_earlier_call_is_ignored() {
     let mut renewal = reported_at(5_000);
     renewal.note(at(1_000));
     assert!(renewal.may_start(at(6_000)));
 }
 
 #[test]
-fn each_change_of_belief_is_told_once() {
+fn each_change_is_returned_once() {
     let mut renewal = reported_at(0);
     assert_eq!(renewal.change(at(100)), None);
     let silence = Change::HeldBack(Duration::from_secs(4));
--- a/crates/routing/tests/subset.rs
+++ b/crates/routing/tests/subset.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn every_engine_has_as_many_users_and_every_gateway_about_as_many_engines() {
+fn engines_have_equally_many_users_and_gateways_similarly_many_engines() {
     let subsets = subsets(836, 9_713);
     let (Breadth::Few(users), _) = subsets.breadth(SERVICE) else {
         panic!("{:?}", subsets.breadth(SERVICE));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_a_gateway_uses_and_what_a_change_costs_do_not_grow_with_the_fleet() {
+fn subset_size_and_cost_of_a_change_do_not_grow_with_the_fleet() {
     let mean = |gateways: usize, engines: usize| {
         let subsets = subsets(gateways, engines);
         let sizes = (1..=gateways as u32).map(|node| used_by(&subsets, NodeId(node)));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn load_is_even_over_the_engines() {
+fn load_is_balanced_over_the_engines() {
     for seed in 0..3 {
         let ratio = busiest_over_mean(836, 9_713, seed);
         assert!(ratio <= 1.3, "{ratio}");
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn little_moves_when_a_gateway_or_an_engine_comes_or_goes() {
+fn adding_or_removing_a_member_reassigns_few_engines() {
     let mut subsets = subsets(400, 5_000);
     let users = |subsets: &Subsets| -> Vec<BTreeSet<NodeId>> {
         let engines = (0..5_000).map(engine);
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn an_added_gateway_is_chosen_as_if_all_had_come_together() {
+fn incremental_additions_give_the_same_users_as_one_update() {
     let mut incremental = subsets(100, 4_000);
     for count in 101..=130 {
         incremental.plan(&gateways(count), true, count as u64);
@@ -219,7 +219,7 @@
 }
 
 #[test]
-fn a_service_that_all_can_know_is_known_by_all() {
+fn small_services_are_used_by_all_gateways() {
     for (gateways, engines) in [(8, 5_000), (250, 168), (836, 287)] {
         let subsets = subsets(gateways, engines);
         assert_eq!(
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_large_service_is_told_to_nobody_before_the_gateways_are_known() {
+fn a_large_service_has_no_users_until_the_gateways_are_known() {
     let mut subsets = Subsets::default();
     let some = gateways(3);
     for place in 0..2_000 {
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn a_gateway_hears_what_changed_of_its_part_and_no_more() {
+fn a_gateway_receives_only_changes_to_its_subset() {
     let mut subsets = subsets(400, 5_000);
     let gateway = NodeId(5);
     assert!(!subsets.is_news(gateway, 2));
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_gateway_whose_zone_becomes_known_gets_engines_by_it() {
+fn a_gateway_whose_zone_becomes_known_gets_engines_in_it() {
     let mut subsets = Subsets::default();
     for place in 0..4_000 {
         subsets.insert(SERVICE, &engine(place), &zone(place), 1);
