--- a/crates/routing/tests/batch/model.rs
+++ b/crates/routing/tests/batch/model.rs
@@ -426,7 +426,10 @@
             // its lease expires.
             let running = world.streams.values().filter(|stream| stream.job == cancelled_job);
             let overdue = world.now > cancel_at + STOP_MILLIS;
-            prop_assert!(!overdue || running.count() == 0, "an item runs on its engine after the job was cancelled");
+            prop_assert!(
+                !overdue || running.count() == 0,
+                "an item runs on its engine after the job was cancelled"
+            );
         }
         prop_assert!(world.streams.values().all(|stream| stream.owner < OWNERS));
         let album = world.group(album).status(album);
