--- a/crates/fleet/src/control/api.rs
+++ b/crates/fleet/src/control/api.rs
@@ -1,4 +1,4 @@
-//! Carrying out the calls of engines and operators.
+//! Executes the calls of engines and operators.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -16,27 +16,28 @@
 use super::hub::Hub;
 use crate::refusals::Refusals;
 
-/// Longest time for a call of an engine, which goes elsewhere after a second.
+/// Deadline of a call by an engine, which tries another node after 1 s.
 const ENGINE_DEADLINE: Duration = Duration::from_millis(900);
-/// Longest time for an operator's read.
+/// Deadline of a read by an operator.
 const READ_DEADLINE: Duration = Duration::from_millis(900);
-/// Longest time for an operator's order. The caller may have gone elsewhere by
-/// then, where the same order is harmless.
+/// Deadline of a change by an operator. The caller may have retried at another node by
+/// then, where repeating the same change is harmless.
 const ORDER_DEADLINE: Duration = Duration::from_millis(2_500);
-/// How far the clock of an engine may be ahead of this node's: beyond that its start is
-/// no start.
+/// Largest accepted clock skew of an engine: a start time further in the future is
+/// invalid.
 const CLOCK_SKEW: Duration = Duration::from_secs(5);
 
-/// The interface of engines and operators.
+/// HTTP interface for engines and operators.
 pub struct ControlApi<D> {
     pub dialect: D,
-    /// This node.
+    /// Identifier of this node.
     pub own: NodeId,
     pub hub: Arc<Hub>,
     pub cluster: Arc<Cluster>,
-    /// Stores that must stay when one is to be emptied.
+    /// Number of stores that must remain when one is retired.
     pub store_replicas: u32,
-    /// Registrations that were refused, and engines of services that nobody named.
+    /// Rejected registrations, and engines of services that the configuration does not
+    /// name.
     pub refusals: Mutex<Refusals>,
     pub logger: Logger,
 }
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Says that a call is not understood. An engine goes on calling, and is told of once.
+    /// Logs a rejected call. An engine repeats its registration, so its problem is logged
+    /// once.
     fn note_problem(&self, head: &RequestHead, problem: &CallProblem) {
         let CallProblem::Registration { engine, problems } = problem else {
             info!(self.logger, "call refused";
@@ -88,8 +90,8 @@
         refusals.note(who, what)
     }
 
-    /// An engine of a service that no configuration in force names is kept: a
-    /// configuration may follow.
+    /// Logs an engine whose service the configuration does not name. The engine is kept,
+    /// because a later configuration may name the service.
     fn note_service(&self, service: &str) {
         if !self.hub.is_unknown(service) {
             return;
@@ -114,7 +116,7 @@
         let service = heartbeat.record.service.clone();
         self.note_service(&service);
         if self.hub.hear(heartbeat.record) {
-            info!(self.logger, "engine heard"; "engine" => id, "service" => service);
+            info!(self.logger, "engine registered"; "engine" => id, "service" => service);
         }
         ControlOutcome::Acknowledged
     }
@@ -127,7 +129,8 @@
         })
     }
 
-    /// An engine ends. Without a start that is each of its lives begun until now.
+    /// Records the shutdown of an engine. Without a start time it applies to every life
+    /// started until now.
     async fn end(&self, name: &str, born: Option<u64>) -> ControlOutcome {
         let life = match born {
             Some(_) => EngineLife { name, born }.id(),
@@ -136,9 +139,8 @@
         self.depart(life, Departure::Gone).await
     }
 
-    /// A departure is acknowledged only once it is committed: the
-    /// acknowledgement binds every gateway, also when this node is cut off
-    /// right behind it.
+    /// Commits a departure before it is acknowledged: an acknowledged departure binds
+    /// every gateway, even if this node is partitioned right afterwards.
     async fn depart(&self, engine: String, departure: Departure) -> ControlOutcome {
         if self
             .hub
@@ -158,7 +160,7 @@
                 ControlOutcome::Acknowledged
             }
             Err(error) => {
-                warn!(self.logger, "departure not committed";
+                warn!(self.logger, "departure could not be committed";
                     "engine" => engine, "error" => %error);
                 ControlOutcome::Unavailable
             }
@@ -181,7 +183,7 @@
                 ControlOutcome::Acknowledged
             }
             other => {
-                warn!(self.logger, "configuration not committed";
+                warn!(self.logger, "configuration could not be committed";
                     "version" => version, "answer" => ?other.err());
                 ControlOutcome::Unavailable
             }
@@ -199,10 +201,10 @@
     }
 
     async fn retire(&self, name: String) -> ControlOutcome {
-        // Stores watch at members only: another node, or one that has just
-        // started, knows of too few that are alive.
+        // Only group members are watched by stores: another node, or one that has just
+        // started, does not know all live stores.
         if !self.hub.control_nodes().contains(&self.own) || !self.hub.knows_stores() {
-            info!(self.logger, "store not to be emptied by this node"; "name" => name);
+            info!(self.logger, "this node cannot retire a store"; "name" => name);
             return ControlOutcome::Unavailable;
         }
         let command = DeclaredCommand::Retire {
@@ -211,7 +213,7 @@
             alive: self.hub.live_stores(),
         };
         let reply = self.cluster.change_declared(command, ORDER_DEADLINE).await;
-        info!(self.logger, "store to be emptied"; "name" => name, "reply" => ?reply);
+        info!(self.logger, "store retirement requested"; "name" => name, "reply" => ?reply);
         match reply {
             Ok(DeclaredReply::Retire(RetireReply::Unknown)) => ControlOutcome::Unknown,
             Ok(DeclaredReply::Retire(RetireReply::TooFew)) => ControlOutcome::TooFewLeft,
--- a/crates/fleet/src/control/change_log.rs
+++ b/crates/fleet/src/control/change_log.rs
@@ -1,9 +1,9 @@
-//! What changed, by the change of the view at which it did, so that what a watcher
-//! missed is found without a walk of everything.
+//! Index of keys by the revision at which they last changed, so that the changes that a
+//! watcher missed are found without scanning all keys.
 
 use std::collections::BTreeSet;
 
-/// Keys by the change at which each last changed.
+/// Keys ordered by the revision at which each last changed.
 #[derive(Clone, Debug)]
 pub(super) struct ChangeLog<K>(BTreeSet<(u64, K)>);
 
@@ -14,7 +14,8 @@
 }
 
 impl<K: Ord + Clone + Default> ChangeLog<K> {
-    /// A key changed, the last time `before` that.
+    /// Records that `key` changed at revision `change`, after its previous change at
+    /// `before`.
     pub fn note(&mut self, key: &K, before: Option<u64>, change: u64) {
         if let Some(before) = before {
             self.forget(key, before);
@@ -22,18 +23,18 @@
         self.0.insert((change, key.clone()));
     }
 
-    /// A key that last changed at `change` is no more.
+    /// Removes `key`, which last changed at revision `change`.
     pub fn forget(&mut self, key: &K, change: u64) {
         self.0.remove(&(change, key.clone()));
     }
 
-    /// Keys that changed behind `since`.
+    /// Returns the keys that changed after revision `since`.
     pub fn after(&self, since: u64) -> impl Iterator<Item = &K> {
         let keys = self.0.range((since + 1, K::default())..);
         keys.map(|(_, key)| key)
     }
 
-    /// The last change of a key.
+    /// Returns the revision of the latest change, or 0 if there is none.
     pub fn last(&self) -> u64 {
         self.0.last().map_or(0, |(change, _)| *change)
     }
--- a/crates/fleet/src/control/dialect.rs
+++ b/crates/fleet/src/control/dialect.rs
@@ -1,94 +1,95 @@
-//! What the interface of engines and operators must tell a control node,
-//! whatever its names and formats are.
+//! Calls and outcomes of the interface for engines and operators, independent of the
+//! names and formats used on the wire.
 
 use molespan_http::h1::{Answer, RequestHead};
 use molespan_state::declared::{Declaration, Retirement};
 
 use crate::view::EngineRecord;
 
-/// An engine says that it is there.
+/// A heartbeat of an engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineHeartbeat {
-    /// What it says of itself.
+    /// Description of the engine.
     pub record: EngineRecord,
-    /// Whether it finishes what it has and wants nothing new.
+    /// Whether the engine is draining: it finishes the requests it has and accepts no new
+    /// ones.
     pub draining: bool,
 }
 
 /// A call of an engine or operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlCall {
-    /// An engine says that it is there.
+    /// An engine sends a heartbeat.
     Heartbeat(EngineHeartbeat),
-    /// An engine says that it ends.
+    /// An engine announces that it is shutting down.
     Gone {
-        /// Its name.
+        /// Name of the engine.
         engine: String,
-        /// Milliseconds since 1970 at which it started, if it says so.
+        /// Start time of the engine in milliseconds since the Unix epoch, if reported.
         born: Option<u64>,
     },
-    /// An operator sends a whole configuration.
+    /// An operator submits a complete configuration.
     Declare(Box<Declaration>),
-    /// An operator asks for the newest configuration.
+    /// An operator reads the newest configuration.
     Read,
-    /// An operator asks to empty a store.
+    /// An operator asks to retire a store.
     Retire {
-        /// Its name.
+        /// Name of the store.
         name: String,
     },
-    /// An operator asks how far that is.
+    /// An operator asks for the progress of a retirement.
     Retirement {
-        /// Its name.
+        /// Name of the store.
         name: String,
     },
 }
 
-/// Why a call cannot be understood.
+/// Why a call was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallProblem {
-    /// There is no such call.
+    /// The call does not exist.
     NoSuchCall,
-    /// What an engine says of itself is malformed.
+    /// The registration of an engine is malformed.
     Registration {
-        /// Its name.
+        /// Name of the engine.
         engine: String,
-        /// Everything that is wrong.
+        /// All problems found.
         problems: Vec<String>,
     },
-    /// Its content is malformed.
+    /// The content of the call is malformed.
     Invalid {
-        /// Everything that is wrong.
+        /// All problems found.
         problems: Vec<String>,
     },
 }
 
-/// What became of a call.
+/// Outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ControlOutcome {
-    /// It was taken, and stays so.
+    /// The call was carried out and its effect is durable.
     Acknowledged,
-    /// The newest configuration, as it was sent.
+    /// The newest configuration, exactly as the operator submitted it.
     Document(Vec<u8>),
-    /// How far the emptying of a store is.
+    /// Progress of the retirement of a store.
     Retirement(Retirement),
-    /// There is no such thing.
+    /// The named object does not exist.
     Unknown,
-    /// Too few stores would be left.
+    /// Too few stores would remain.
     TooFewLeft,
-    /// The call could not be understood.
+    /// The call was rejected.
     Problem(CallProblem),
-    /// It could not be carried out for sure; the same call may be sent again.
+    /// Whether the call took effect is unknown; it is safe to send the same call again.
     Unavailable,
 }
 
-/// Names and formats of the calls.
+/// Maps the wire names and formats of the interface to calls and outcomes.
 pub trait ControlDialect: 'static {
-    /// Understands a call.
+    /// Parses a call.
     ///
     /// # Errors
-    /// When there is no such call, or its content is malformed.
+    /// Returns an error if the call does not exist or its content is malformed.
     fn call(&self, head: &RequestHead, body: &[u8]) -> Result<ControlCall, CallProblem>;
 
-    /// Puts an outcome into words.
+    /// Formats an outcome as an HTTP response.
     fn answer(&self, outcome: ControlOutcome) -> Answer;
 }
--- a/crates/fleet/src/control/hub/answer.rs
+++ b/crates/fleet/src/control/hub/answer.rs
@@ -1,4 +1,4 @@
-//! What a watcher is told: whether there is anything, and what.
+//! Decides whether a watcher has pending changes, and builds its updates.
 
 use std::time::Duration;
 
@@ -9,23 +9,25 @@
 use super::state::State;
 use crate::view::{ServicePart, ViewUpdate};
 
-/// How long a configuration is left to the control node that a watcher takes it from:
-/// it is told once in place of by each node, and an answer takes less than this.
+/// Delay after which this node sends a configuration to a watcher that should receive it
+/// from another control node. The delay lets the configuration reach the watcher once
+/// rather than from every control node; a response takes less time than this.
 const LEFT_TO_ANOTHER: Duration = Duration::from_millis(400);
 
-/// Time between two answers to a gateway that hears of first engines.
+/// Interval between responses to a gateway that has just started and is receiving its
+/// first engines.
 const FIRST_ENGINES_EVERY: Duration = Duration::from_millis(500);
 
 impl State {
-    /// Whether a watcher is told more here than what the cluster is.
+    /// Whether a watcher receives more than the topology from this node.
     fn tells_all(&self, watch: &WatchView) -> bool {
         self.is_member && watch.kind == WatcherKind::Gateway
     }
 
-    /// Whether there is anything behind `since` that a watcher is to hear of now. An engine
-    /// of few gateways that leaves is told to the others with the next answer they get: it
-    /// binds them in case that another control node, which was cut off, tells them of the
-    /// engine.
+    /// Whether a change after `since` must be sent to a watcher now. The departure of an
+    /// engine that only few gateways use does not wake the other gateways, but is part of
+    /// their next update: it must reach them too, because a partitioned control node may
+    /// still announce the engine to them.
     pub fn is_news(&self, watch: &WatchView, since: u64, now: Timestamp) -> bool {
         if !self.tells_all(watch) {
             return self.topology_changed > since;
@@ -45,8 +47,8 @@
                 .any(|service| self.registry.changed_since(service, since))
     }
 
-    /// From when on a watcher is to hear of the configuration here; `None` if it has it
-    /// or needs none.
+    /// Returns the time from which this node may send its configuration to a watcher;
+    /// `None` if the watcher has it already or needs none.
     pub fn configuration_due(&self, watch: &WatchView, since: u64) -> Option<Timestamp> {
         if !self.tells_all(watch) {
             return None;
@@ -66,13 +68,13 @@
         Some(behind.max(self.configuration_since) + LEFT_TO_ANOTHER)
     }
 
-    /// Services of which every gateway uses every engine.
+    /// Returns the services of which every gateway uses every engine.
     fn whole_services(&self) -> impl Iterator<Item = &str> {
         let services = self.subsets.services();
         services.filter(|service| self.subsets.breadth(service).0 == Breadth::Whole)
     }
 
-    /// All that a watcher is to hear of behind `since`.
+    /// Builds the update with all changes after `since` that concern a watcher.
     pub fn update_after(&self, watch: &WatchView, since: u64, now: Timestamp) -> ViewUpdate {
         let topology = (self.topology_changed > since).then(|| self.topology.clone());
         let mut update = ViewUpdate {
@@ -106,9 +108,10 @@
         update
     }
 
-    /// Until when a watch is held open at the most, for a gateway that is to hear of first
-    /// engines: they register within a heartbeat, and waking all for each would cost a
-    /// node that starts too most of its time.
+    /// Returns the deadline of a watch by a gateway that is receiving its first engines,
+    /// or `None` for any other watch. Engines register within one heartbeat interval, and
+    /// waking all gateways for each of them would take most of the CPU time of a node
+    /// that is also starting.
     pub fn first_engines_due(&self, watch: &WatchView, now: Timestamp) -> Option<Timestamp> {
         let begins = self.tells_all(watch) && self.begins(watch.node);
         let mut services = self.subsets.services();
@@ -122,8 +125,8 @@
         watcher.is_some_and(|watcher| watcher.begins)
     }
 
-    /// Adds engines for a gateway that would serve nobody until it is known who uses which.
-    /// Whoever knows engines from before goes on with them.
+    /// Adds provisional engines for a gateway that could serve no requests until the
+    /// subsets are assigned. Gateways that already know engines keep using those.
     fn tell_first(&self, service: &str, gateway: NodeId, since: u64, update: &mut ViewUpdate) {
         if !self.begins(gateway) {
             return;
@@ -141,7 +144,7 @@
         }
     }
 
-    /// Adds what a gateway is to hear of a service.
+    /// Adds the changes of one service for a gateway.
     fn tell_service(&self, service: &str, gateway: NodeId, since: u64, update: &mut ViewUpdate) {
         let (breadth, changed) = self.subsets.breadth(service);
         let rebuilt = changed > since;
--- a/crates/fleet/src/control/hub/mod.rs
+++ b/crates/fleet/src/control/hub/mod.rs
@@ -1,4 +1,4 @@
-//! The view of one control node, and who waits for changes of it.
+//! The cluster view of one control node, and the watches that wait for its changes.
 
 mod answer;
 mod state;
@@ -19,21 +19,22 @@
 use super::registry::Registry;
 use crate::view::EngineRecord;
 
-/// A node that did not ask for longer is not counted.
+/// Time after its latest watch request for which a node counts as live.
 const PRESENCE: Duration = Duration::from_secs(4);
-/// A node that nobody asked for longer was away: every gateway and store asks anew
-/// each 2 s.
+/// Gap without any watch request after which this node must have been suspended or
+/// partitioned: every gateway and store sends a new request every 2 s.
 const AWAY: Duration = Duration::from_millis(2_500);
-/// Longest time that a watch is held open.
+/// Longest time for which a watch is held open.
 const LONGEST_WAIT: Duration = Duration::from_secs(10);
-/// Shortest time between two times that all who wait are woken. The first change behind a
-/// calm is told at once, and what follows goes together: while 10,000 engines register
-/// within seconds each of 836 gateways has news all the time, on paper 17,000 answers a
-/// second at 50 ms and 40 microseconds each. Short beside the seconds within which an
-/// engine that leaves, or a configuration, is to be known everywhere.
+/// Minimum interval between wakeups of all waiting watches. The first change after a
+/// quiet period is announced at once and subsequent changes are batched: while 10,000
+/// engines register within seconds, each of 836 gateways always has pending changes, and
+/// an interval of 50 ms would cause 17,000 responses per second at 40 microseconds each.
+/// The interval is short compared to the seconds within which a leaving engine or a
+/// configuration must be known everywhere.
 const ANNOUNCED_EVERY: Duration = Duration::from_millis(200);
 
-/// The view of one control node.
+/// The cluster view of one control node.
 #[derive(Debug)]
 pub struct Hub {
     clock: BootClock,
@@ -42,7 +43,8 @@
 }
 
 impl Hub {
-    /// An empty view of a node in `zone`; engines are lost after `silence`.
+    /// Creates an empty view for a node in `zone`; engines are lost after `silence`
+    /// without a heartbeat.
     #[must_use]
     pub fn new(zone: ZoneName, silence: Duration, clock: BootClock) -> Self {
         let (sender, unannounced) = async_channel::bounded(1);
@@ -54,8 +56,8 @@
         }
     }
 
-    /// Wakes those who wait for changes, for as long as it is polled. Without it they
-    /// hear of them when they ask again.
+    /// Wakes waiting watches on changes for as long as the future is polled. Without it
+    /// they see changes only when they time out.
     pub async fn announce(&self) {
         while self.unannounced.recv().await.is_ok() {
             self.lock().wakeup.wake();
@@ -67,19 +69,19 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Now, on the clock of the registry.
+    /// Returns the current time on the clock of the registry.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         self.clock.now()
     }
 
-    /// Takes a heartbeat of an engine in, unless it is known to leave. Says
-    /// whether it told anything new.
+    /// Records a heartbeat that an engine sent to this node, unless the engine is
+    /// leaving. Returns whether it changed the view.
     pub fn hear(&self, record: EngineRecord) -> bool {
         self.take_heartbeat(record, Registry::hear)
     }
 
-    /// Takes in engines that another control node heard.
+    /// Records heartbeats that another control node received.
     pub fn hear_elsewhere(&self, records: Vec<EngineRecord>) {
         for record in records {
             self.take_heartbeat(record, Registry::hear_elsewhere);
@@ -105,20 +107,20 @@
         changed
     }
 
-    /// How far an engine is on its way out.
+    /// Returns the departure state of an engine, if it is leaving.
     #[must_use]
     pub fn departure(&self, engine: &str) -> Option<Departure> {
         self.lock().departure(engine)
     }
 
-    /// The life that an end of an engine without a start is of; `now_ms` are milliseconds
-    /// since 1970.
+    /// Returns the identifier of the engine life that a shutdown without a start time
+    /// applies to; `now_ms` is in milliseconds since the Unix epoch.
     #[must_use]
     pub fn ends(&self, name: &str, now_ms: u64) -> String {
         self.lock().registry.ends(name, now_ms)
     }
 
-    /// Whether there is a configuration and it does not name a service.
+    /// Whether a configuration is in force that does not name `service`.
     #[must_use]
     pub fn is_unknown(&self, service: &str) -> bool {
         let state = self.lock();
@@ -126,14 +128,13 @@
         held.is_some_and(|held| held.model.service(service).is_none())
     }
 
-    /// Engines heard at `since` or later.
+    /// Returns the engines that sent a heartbeat to this node at or after `since`.
     #[must_use]
     pub fn heard_since(&self, since: Timestamp) -> Vec<EngineRecord> {
         self.lock().registry.heard_since(since)
     }
 
-    /// Loses silent engines, counts the gateways anew and decides which of them use
-    /// which engines.
+    /// Expires silent engines, recounts the gateways and reassigns engines to gateways.
     pub fn expire(&self) {
         let now = self.now();
         let mut state = self.lock();
@@ -150,8 +151,8 @@
         }
     }
 
-    /// Takes in what this node's replica has applied, which is `applied` entries
-    /// at least, and who holds the control group.
+    /// Applies the state of this node's replica, which includes at least `applied`
+    /// entries, and the members of the control group.
     pub fn take(&self, declared: &DeclaredState, control: BTreeSet<NodeId>, applied: u64) {
         let mut state = self.lock();
         let change = state.revision + 1;
@@ -164,37 +165,39 @@
         }
     }
 
-    /// Says whether this node holds the control group. If not, it tells who does, and
-    /// nothing else: of few gateways and few engines it would reckon that all use all.
+    /// Sets whether this node is a member of the control group. If not, it reports only
+    /// the members and nothing else: it is in contact with few gateways and engines, so
+    /// it would assign every engine to every gateway.
     pub fn set_member(&self, is_member: bool) {
         let mut state = self.lock();
         if state.is_member != is_member {
             state.is_member = is_member;
-            // What watchers have of it says nothing of what they were not told.
+            // A mark of the old session does not cover what was withheld from its
+            // watcher.
             state.session = rand::random();
             state.changed();
         }
     }
 
-    /// Nodes that hold the control group, as this node's replica knows.
+    /// Returns the members of the control group, as known to this node's replica.
     #[must_use]
     pub fn control_nodes(&self) -> BTreeSet<NodeId> {
         self.lock().topology.control.clone()
     }
 
-    /// Requests that all engines heard run at the same time.
+    /// Returns the total number of concurrency slots of all live engines.
     #[must_use]
     pub fn slots(&self) -> u64 {
         self.lock().registry.slots()
     }
 
-    /// How many gateways asked here lately.
+    /// Returns the number of live gateways.
     #[must_use]
     pub fn gateways(&self) -> u32 {
         self.lock().topology.gateway_count()
     }
 
-    /// How many gateways asked here lately that do not stand in one of these zones.
+    /// Returns the number of live gateways that are not known to be in one of `zones`.
     #[must_use]
     pub fn gateways_outside(&self, zones: &BTreeSet<ZoneName>) -> u32 {
         let state = self.lock();
@@ -208,19 +211,20 @@
         state.topology.gateway_count().saturating_sub(beyond)
     }
 
-    /// Where a node stands that asked lately.
+    /// Returns the zone of a live node, if it reported one.
     #[must_use]
     pub fn zone_of(&self, node: NodeId) -> Option<ZoneName> {
         self.lock().watchers.get(&node)?.zone.clone()
     }
 
-    /// Where this node stands.
+    /// Returns the zone of this node.
     #[must_use]
     pub fn own_zone(&self) -> Option<ZoneName> {
         self.lock().topology.zone.clone()
     }
 
-    /// The gateways that use each of these engines; `None` for those that all use.
+    /// Returns the gateways that use each of `engines`; `None` for an engine that every
+    /// gateway uses.
     #[must_use]
     pub fn users_of(&self, engines: &[&str]) -> Vec<Option<Vec<NodeId>>> {
         let state = self.lock();
@@ -231,8 +235,8 @@
         users.collect()
     }
 
-    /// Whether every store that is alive has had the time to ask here, since this node
-    /// started or was last frozen, suspended or cut off.
+    /// Whether every live store has had time to contact this node since it started or was
+    /// last suspended or partitioned.
     #[must_use]
     pub fn knows_stores(&self) -> bool {
         let now = self.now();
@@ -240,7 +244,7 @@
         now.since(state.asked) < AWAY && now.since(state.in_touch_since) >= PRESENCE
     }
 
-    /// Stores that asked lately.
+    /// Returns the live stores.
     #[must_use]
     pub fn live_stores(&self) -> BTreeSet<NodeId> {
         let now = self.now();
@@ -250,7 +254,8 @@
         state.watching(WatcherKind::Store)
     }
 
-    /// Answers a watch, at once or when something is newer.
+    /// Answers a watch, immediately if there are changes, or else when one occurs or the
+    /// wait time is over.
     pub async fn watch(&self, watch: &WatchView) -> Response {
         let wait = Duration::from_millis(u64::from(watch.wait_ms)).min(LONGEST_WAIT);
         let began = self.now();
--- a/crates/fleet/src/control/hub/state.rs
+++ b/crates/fleet/src/control/hub/state.rs
@@ -1,5 +1,4 @@
-//! What a control node has heard and applied, with the change of the view at which each of
-//! it became as it is.
+//! State of the cluster view, with the revision at which each part last changed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,13 +15,13 @@
 use crate::view::{ConfigurationInForce, MOST_NAMED, Topology};
 use crate::wakeup::Wakeup;
 
-/// How long the engines of a gateway that is gone wait for it: longer than a restart
-/// takes, and there are other gateways for each of them.
+/// Time for which a gateway that is gone keeps its assigned engines. Longer than a
+/// restart takes; meanwhile, other gateways use the same engines.
 const ENGINES_KEPT: Duration = Duration::from_secs(30);
-/// Time from the start of this node, or from when it was last frozen or cut off, within
-/// which every gateway has asked, and every engine was heard, here or by another control
-/// node: they ask and say so each 2 s, and control nodes pass on what they heard once a
-/// second.
+/// Time after a start, suspension or partition of this node by which every gateway has
+/// sent a watch request and every engine is known, directly or through another control
+/// node. Gateways and engines send every 2 s, and control nodes forward heartbeats once
+/// per second.
 const SETTLED_AFTER: Duration = PRESENCE;
 
 #[derive(Debug)]
@@ -30,51 +29,55 @@
     pub kind: WatcherKind,
     pub zone: Option<ZoneName>,
     pub at: Timestamp,
-    /// Since when it asks without having the configuration in force.
+    /// Since when the watcher has been sending requests with an outdated configuration.
     pub behind_since: Option<Timestamp>,
-    /// Whether it had heard nothing from anybody when it first asked here.
+    /// Whether its first request to this node had an empty mark, so that it may know no
+    /// engines yet.
     pub begins: bool,
 }
 
 #[derive(Debug)]
 pub struct State {
-    /// Names this view to those who watch it.
+    /// Identifies this view in the marks of its watchers.
     pub session: u64,
     pub revision: u64,
     pub registry: Registry,
-    /// Whether this node holds the control group. Another one is called by engines and
-    /// asked by whoever was given it as a seed; its view is not whole.
+    /// Whether this node is a member of the control group. A non-member may still be
+    /// called by engines, and watched by nodes that were given it as a seed; its view is
+    /// incomplete.
     pub is_member: bool,
-    /// Which gateways use which engines.
+    /// Assignment of engines to gateways.
     pub subsets: Subsets,
     pub configuration: Option<ConfigurationInForce>,
     pub configuration_changed: u64,
-    /// When it came into force here.
+    /// When the configuration came into force on this node.
     pub configuration_since: Timestamp,
     pub departures: BTreeMap<String, (Departure, u64)>,
     pub departure_log: ChangeLog<String>,
-    /// The last change at which an engine left that every gateway may use.
+    /// Revision of the latest departure of an engine that any gateway may use.
     pub departure_for_all: u64,
-    /// Bars on requests, with the change of this view that brought them.
+    /// Bars on requests, with the revision at which each changed.
     pub bars: BTreeMap<RequestDigest, (Bar, u64)>,
     pub bars_changed: u64,
     pub topology: Topology,
     pub topology_changed: u64,
     pub watchers: BTreeMap<NodeId, Watcher>,
-    /// Gateways whose engines are kept for them, with their zones.
+    /// Gateways that keep their assigned engines, with their zones and when they were
+    /// last seen.
     pub gateways: BTreeMap<NodeId, (Option<ZoneName>, Timestamp)>,
-    /// When a node asked last.
+    /// When the latest watch request arrived.
     pub asked: Timestamp,
-    /// Since when nodes ask here all the time.
+    /// Since when watch requests have arrived without a long gap.
     pub in_touch_since: Timestamp,
-    /// Wakes all that wait at the next change.
+    /// Wakes all waiting watches at the next change.
     pub wakeup: Wakeup,
-    /// Told that something changed that nobody was woken for.
+    /// Signals a change for which no watch has been woken yet.
     pub unannounced: Sender<()>,
 }
 
 impl State {
-    /// Nothing was heard yet by a node in `zone`; engines are lost after `silence`.
+    /// Creates an empty state for a node in `zone`; engines are lost after `silence`
+    /// without a heartbeat.
     pub fn new(zone: ZoneName, silence: Duration, unannounced: Sender<()>, now: Timestamp) -> Self {
         let topology = Topology {
             zone: Some(zone),
@@ -155,7 +158,7 @@
         true
     }
 
-    /// Takes what happened to engines over into the choice of who uses them.
+    /// Applies registry events to the assignment of engines to gateways.
     pub fn assign(&mut self, change: u64) {
         for news in self.registry.take_news() {
             match news {
@@ -226,7 +229,7 @@
         changed
     }
 
-    /// How far an engine is on its way out, in this life or a later one.
+    /// Returns the departure state of an engine, which also binds its earlier lives.
     pub fn departure(&self, id: &str) -> Option<Departure> {
         let life = EngineLife::of(id);
         let departed = lives_of(&self.departures, life.name);
@@ -234,8 +237,8 @@
         binding.map(|(_, (departure, _))| *departure).max()
     }
 
-    /// Whether an engine is known to be used by few gateways. Before it is known who they
-    /// are, whoever knows the engine from before has to hear of it.
+    /// Whether the engine is assigned to only some of the gateways. Until the assignment
+    /// is known, a departure must reach every gateway that may know the engine.
     pub fn has_few_users(&self, engine: &str) -> bool {
         let record = self.registry.bound_by(engine);
         record.is_some_and(|record| {
--- a/crates/fleet/src/control/mod.rs
+++ b/crates/fleet/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The control node.
+//! Control nodes.
 
 mod api;
 mod change_log;
--- a/crates/fleet/src/control/node.rs
+++ b/crates/fleet/src/control/node.rs
@@ -1,4 +1,4 @@
-//! A control node put together: its replica, its view, its interfaces.
+//! A control node: its replica, its view and its interfaces.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -30,36 +30,36 @@
 use crate::membership::{ClusterAddresses, cluster, replica_options, start_replica};
 use crate::view::EngineRecord;
 
-/// Time between two rounds of telling the other control nodes.
+/// Interval between rounds of sending heartbeats to the other control nodes.
 const ROUND: Duration = Duration::from_secs(1);
-/// Shortest time between two reads of what the replica has applied: each reads and copies
-/// the whole, and entries come many at a time where many engines leave.
+/// Minimum interval between reads of the replica's state. Each read copies the whole
+/// state, and many entries arrive at once when many engines leave.
 const REFRESHED_EVERY: Duration = Duration::from_millis(20);
 
-/// What a control node is started with.
+/// Options of a control node.
 #[derive(Clone, Debug)]
 pub struct ControlOptions {
-    /// Where the nodes are.
+    /// Addresses of the nodes.
     pub addresses: ClusterAddresses,
-    /// Where it stands.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// Where engines and operators call.
+    /// Address of the interface for engines and operators.
     pub api_address: SocketAddr,
-    /// Folder of what must survive.
+    /// Directory of persistent data.
     pub data_folder: PathBuf,
-    /// Whether the disks of all control nodes are blank for the first time, so
-    /// that the seeds found the group.
+    /// Whether the disks of all control nodes are empty because the cluster starts for
+    /// the first time, so that the seeds bootstrap the group.
     pub first_start: bool,
-    /// Losses of machines that are to be borne at once.
+    /// Number of simultaneous machine failures to tolerate.
     pub tolerated_losses: u32,
-    /// An engine that is silent for longer is lost.
+    /// Time without a heartbeat after which an engine is lost.
     pub engine_silence: Duration,
-    /// Bound of handing leadership over before a planned stop.
+    /// Time limit for transferring leadership before a planned stop.
     pub hand_over_within: Duration,
 }
 
 impl ControlOptions {
-    /// Voters of a group that bears the losses.
+    /// Returns the number of voters needed to tolerate the failures.
     #[must_use]
     pub fn voters(&self) -> usize {
         2 * self.tolerated_losses as usize + 1
@@ -94,7 +94,7 @@
     own: NodeId,
 }
 
-/// Answers other nodes.
+/// Handles the requests of other nodes.
 struct PeerHandler {
     replica: Arc<ReplicaRole>,
     hub: Arc<Hub>,
@@ -115,8 +115,10 @@
             Request::EnginesHeard { records } => {
                 match molespan_state::decode::<Vec<EngineRecord>>(&records) {
                     Ok(records) => self.hub.hear_elsewhere(records),
-                    Err(error) => warn!(self.logger, "engines heard elsewhere not read";
-                        "bytes" => records.len(), "error" => %error),
+                    Err(error) => {
+                        warn!(self.logger, "cannot decode engines forwarded by another node";
+                        "bytes" => records.len(), "error" => %error)
+                    }
                 }
             }
             Request::EngineWork {
@@ -149,10 +151,10 @@
 }
 
 impl ControlNode {
-    /// Starts a control node; its work is done on `executor` and `local`.
+    /// Starts a control node that runs on `executor` and `local`.
     ///
     /// # Errors
-    /// When the data folder or an address cannot be used.
+    /// Returns an error if the data directory or an address cannot be used.
     pub fn start<D: ControlDialect>(
         options: &ControlOptions,
         dialect: D,
@@ -223,7 +225,7 @@
         Ok(node)
     }
 
-    /// Keeps the view as new as what the replica has applied.
+    /// Updates the view as the replica applies entries.
     async fn follow(&self, cluster: &Cluster) {
         loop {
             self.refresh(cluster).await;
@@ -263,8 +265,8 @@
         self.hub.take(&declared, control, applied);
     }
 
-    /// Tells the other control nodes which engines were heard, so that each
-    /// knows all of them whichever they call.
+    /// Sends recent heartbeats to the other control nodes, so that each node knows all
+    /// engines, whichever node those call.
     async fn rounds(&self) {
         let mut told = Timestamp::ZERO;
         loop {
@@ -289,20 +291,20 @@
         }
     }
 
-    /// Ends once the replica cannot go on.
+    /// Completes when the replica fails.
     pub async fn failed(&self) {
         let _error = self.replica.ended().await;
     }
 
-    /// Hands leadership over and stops.
+    /// Transfers leadership and stops the replica.
     pub async fn stop(&self) {
         let handed = self.replica.stop().await;
         info!(self.logger, "stopped"; "handed_over" => handed.handed_over.len());
     }
 }
 
-/// Nodes that hold the control group, as its log says here, or as others said
-/// where this node holds no part of it.
+/// Returns the members of the control group according to the local log, or as reported by
+/// other nodes if this node is not a member.
 fn members(status: &ReplicaStatus) -> BTreeSet<NodeId> {
     let voters = status.groups.iter().flat_map(|group| &group.voters);
     let voters: BTreeSet<NodeId> = voters.map(|(node, _)| *node).collect();
--- a/crates/fleet/src/control/registry.rs
+++ b/crates/fleet/src/control/registry.rs
@@ -1,6 +1,6 @@
-//! Engines that say they are there. Kept in memory: an engine says so again
-//! and again, and a control node that starts anew hears of all within a
-//! heartbeat.
+//! Registry of live engines, built from their heartbeats. It is kept in memory only:
+//! engines repeat their heartbeats, so a restarted control node knows all of them again
+//! within one heartbeat interval.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -11,68 +11,69 @@
 use super::change_log::ChangeLog;
 use crate::view::EngineRecord;
 
-/// Engines that were lost and are still told of; the oldest go first.
+/// Maximum number of displaced engines, and of revisions with lost engines, that are
+/// remembered; the oldest are dropped first.
 const REMEMBERED_LOST: usize = 1_000;
 
 #[derive(Clone, Debug)]
 struct Entry {
     record: EngineRecord,
     heard: Timestamp,
-    /// Whether it was this node that it called last.
+    /// Whether the latest heartbeat was sent to this node.
     called_here: bool,
-    /// Change of the view at which it was new or changed.
+    /// Revision of the view at which the engine was added or changed.
     changed: u64,
 }
 
-/// An engine that fell silent or whose address was taken.
+/// An engine that stopped sending heartbeats or whose address was taken by another one.
 #[derive(Clone, Debug)]
 struct Lost {
     id: String,
     service: String,
 }
 
-/// What happened to an engine, for whoever decides which gateways use it.
+/// A change of an engine, used to assign engines to gateways.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum News {
-    /// It is new, or something of it changed.
+    /// The engine was added or changed.
     Heard {
         service: String,
         engine: String,
         zone: ZoneName,
     },
-    /// It is not there any more.
+    /// The engine was removed.
     Gone { service: String, engine: String },
 }
 
-/// Engines, with the change at which each became as it is.
+/// Live engines, with the revision at which each last changed.
 #[derive(Clone, Debug)]
 pub struct Registry {
     engines: BTreeMap<String, Entry>,
-    /// The engine that has each address: a search through all of them for each that is
-    /// new would cost the square of their number.
+    /// The engine at each address. Scanning all engines for each new one would take
+    /// quadratic time.
     by_address: HashMap<String, String>,
-    /// Engines of each service by the change at which they became as they are.
+    /// Engines of each service by the revision at which they last changed.
     changes: BTreeMap<String, ChangeLog<String>>,
-    /// Slots of all engines together.
+    /// Total number of concurrency slots.
     slots: u64,
-    /// Engines that fell silent or whose address was taken, by the change.
+    /// Engines that stopped sending heartbeats or whose address was taken, by revision.
     lost: BTreeMap<u64, Vec<Lost>>,
-    /// The last change that lost an engine of a service.
+    /// Revision of the latest loss of an engine, by service.
     last_lost: BTreeMap<String, u64>,
-    /// What happened since it was asked for.
+    /// Events since the last call of `take_news`.
     news: Vec<News>,
-    /// Addresses that engines lost to later ones. A heartbeat that a cut held up
-    /// may still come and must not take the address back.
+    /// Addresses that engines lost to later ones. A heartbeat delayed by a network
+    /// partition may still arrive and must not reclaim the address.
     displaced: BTreeMap<String, String>,
-    /// Their identifiers, the oldest first.
+    /// Identifiers of the displaced engines, oldest first.
     displaced_order: VecDeque<String>,
-    /// The latest start of each engine that tells one.
+    /// Latest known start time of each engine that reports one.
     latest: LatestLives,
     silence: Duration,
 }
 
 impl Registry {
-    /// An empty registry; an engine is lost after `silence`.
+    /// Creates an empty registry; an engine is lost after `silence` without a heartbeat.
     #[must_use]
     pub fn new(silence: Duration) -> Self {
         Self {
@@ -90,15 +91,15 @@
         }
     }
 
-    /// Takes a heartbeat in that came to this node. `change` is the number that a change
-    /// gets; says whether there was one.
+    /// Records a heartbeat that was sent to this node. `change` is the revision that a
+    /// change gets. Returns whether there was one.
     pub fn hear(&mut self, record: EngineRecord, now: Timestamp, change: u64) -> bool {
         self.note(record, true, now, change)
     }
 
-    /// The same of a heartbeat that came to another control node. One that is not newer
-    /// than what is known says nothing: nodes that pass on to each other what they were
-    /// told would keep an engine that has crashed for good.
+    /// Records a heartbeat that was sent to another control node. It is ignored unless it
+    /// is newer than the known one: otherwise, control nodes that forward heartbeats to
+    /// each other would keep a crashed engine alive forever.
     pub fn hear_elsewhere(&mut self, record: EngineRecord, now: Timestamp, change: u64) -> bool {
         let known = self.engines.get(&record.id);
         if known.is_some_and(|known| record.sequence <= known.record.sequence) {
@@ -131,7 +132,7 @@
         true
     }
 
-    /// An engine that starts again has ended before.
+    /// Removes the earlier lives of an engine that restarted.
     fn lose_earlier(&mut self, id: &str, change: u64) {
         let life = EngineLife::of(id);
         let known = lives_of(&self.engines, life.name);
@@ -163,7 +164,7 @@
         self.engines.insert(id, entry);
     }
 
-    /// Takes an engine out of everything but the memory of those that were lost.
+    /// Removes an engine without recording it as lost.
     fn forget(&mut self, id: &str) -> Option<Entry> {
         let entry = self.engines.remove(id)?;
         let EngineRecord {
@@ -183,7 +184,7 @@
         Some(entry)
     }
 
-    /// An engine that registers an address has it alone.
+    /// Removes the engine that holds `address`, since another one has registered it.
     fn displace(&mut self, address: &str, change: u64) {
         let Some(id) = self.by_address.get(address).cloned() else {
             return;
@@ -213,15 +214,15 @@
         }
     }
 
-    /// Removes an engine that left, in this life or one before; its departure is told in
-    /// another way.
+    /// Removes an engine, in the life that departed or an earlier one. Departures are
+    /// reported separately, so the engine is not recorded as lost.
     pub fn remove(&mut self, departed: &str) {
         if let Some(id) = self.bound_by(departed).map(|record| record.id.clone()) {
             let _known = self.forget(&id);
         }
     }
 
-    /// The engine that is there and that a departure binds.
+    /// Returns the live engine that a departure of `departed` applies to.
     pub(super) fn bound_by(&self, departed: &str) -> Option<&EngineRecord> {
         let departed = EngineLife::of(departed);
         let mut lives = lives_of(&self.engines, departed.name);
@@ -229,8 +230,9 @@
         bound.map(|(_, entry)| &entry.record)
     }
 
-    /// The life that an end without a start is of, or a later one that binds all that
-    /// have begun by `now_ms`, milliseconds since 1970.
+    /// Returns the life that a shutdown without a start time applies to. Unless the live
+    /// engine reports no start time, this is a life late enough that the departure
+    /// applies to every life started by `now_ms`, in milliseconds since the Unix epoch.
     pub(super) fn ends(&self, name: &str, now_ms: u64) -> String {
         if self.engines.contains_key(name) {
             return name.to_owned();
@@ -243,7 +245,7 @@
         life.id()
     }
 
-    /// Loses engines that are silent for too long; says whether there were any.
+    /// Removes engines that were silent for too long. Returns whether there were any.
     pub fn expire(&mut self, now: Timestamp, change: u64) -> bool {
         let engines = self.engines.iter();
         let silent = engines.filter(|(_, entry)| now.since(entry.heard) >= self.silence);
@@ -254,7 +256,7 @@
         !silent.is_empty()
     }
 
-    /// Engines that are new or changed after `change`.
+    /// Returns the engines that were added or changed after revision `change`.
     pub fn changed_after(&self, change: u64) -> Vec<EngineRecord> {
         let services = self.changes.keys();
         let changed = services.flat_map(|service| self.changed_in(service, change));
@@ -263,7 +265,8 @@
         changed
     }
 
-    /// Engines of a service that are new or changed after `change`.
+    /// Returns the engines of a service that were added or changed after revision
+    /// `change`.
     pub(super) fn changed_in(
         &self,
         service: &str,
@@ -274,29 +277,30 @@
         ids.filter_map(|id| self.record(id))
     }
 
-    /// Slots of all engines together.
+    /// Returns the total number of concurrency slots.
     pub(super) fn slots(&self) -> u64 {
         self.slots
     }
 
-    /// Whether an engine of a service came, changed or was lost behind `since`.
+    /// Whether an engine of a service was added, changed or lost after revision `since`.
     pub(super) fn changed_since(&self, service: &str, since: u64) -> bool {
         let changed = self.changes.get(service).map_or(0, ChangeLog::last);
         let lost = self.last_lost.get(service).copied().unwrap_or_default();
         changed.max(lost) > since
     }
 
-    /// What an engine last said.
+    /// Returns the latest heartbeat of an engine.
     pub(super) fn record(&self, id: &str) -> Option<&EngineRecord> {
         self.engines.get(id).map(|entry| &entry.record)
     }
 
-    /// Engines that were lost after `change` and are not back.
+    /// Returns the engines that were lost after revision `change` and have not come back.
     pub fn lost_after(&self, change: u64) -> Vec<String> {
         self.lost_of(change, |_| true)
     }
 
-    /// The same of the services that `of_service` names.
+    /// Same as [`lost_after`](Self::lost_after), for the services accepted by
+    /// `of_service`.
     pub(super) fn lost_of(&self, change: u64, of_service: impl Fn(&str) -> bool) -> Vec<String> {
         let lost = self.lost.range(change + 1..).flat_map(|(_, lost)| lost);
         let gone = lost.filter(|one| !self.engines.contains_key(&one.id));
@@ -304,14 +308,15 @@
         told.map(|one| one.id.clone()).collect()
     }
 
-    /// What happened to engines since this was last called.
+    /// Returns the events since the last call.
     pub(super) fn take_news(&mut self) -> Vec<News> {
         std::mem::take(&mut self.news)
     }
 
-    /// Engines that called this node at `since` or later, for telling other control nodes.
-    /// Whom they called last tells of them: if each node told all that it had heard, every
-    /// heartbeat would go from each of them to all others.
+    /// Returns the engines whose latest heartbeat was sent to this node, at or after
+    /// `since`, to forward to other control nodes. Only the node that received a
+    /// heartbeat forwards it; otherwise every node would send every heartbeat to all
+    /// others.
     pub fn heard_since(&self, since: Timestamp) -> Vec<EngineRecord> {
         let engines = self.engines.values();
         let engines = engines.filter(|entry| entry.called_here && entry.heard >= since);
--- a/crates/fleet/src/control/relay.rs
+++ b/crates/fleet/src/control/relay.rs
@@ -1,4 +1,5 @@
-//! Relaying between gateways what they have at engines and of tenants.
+//! Relays the reports of gateways to other gateways: their load on engines, demand, use
+//! of tenants' limits, requests suspected of crashing engines, and unreachable zones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,33 +20,34 @@
 use super::hub::Hub;
 use crate::telling;
 
-/// Time after which other relays and gateways are told again what did not change.
+/// Interval after which unchanged reports are sent again to other relays and to gateways.
 const REPEATED_AFTER: Duration = Duration::from_millis(400);
 
-/// What was told, by its kind.
+/// Received reports, by kind.
 #[derive(Debug, Default)]
 struct Relays {
     work: WorkRelay,
     demand: DemandRelay,
     usage: UsageRelay,
-    /// Whether use of tenants' limits came since it was passed on.
+    /// Whether reports on the use of tenants' limits arrived since the last time they
+    /// were forwarded.
     usage_came: bool,
     suspects: SuspectTable,
     reach: ReachRelay,
 }
 
-/// What gateways and other relays told this node.
+/// Reports received from gateways and other relays.
 #[derive(Debug)]
 pub(super) struct RelayedWork {
     clock: BootClock,
     relays: Mutex<Relays>,
-    /// Told that something came; a relay that nobody uses does nothing.
+    /// Signals that something was received; a relay that no gateway uses stays idle.
     heard: (Sender<()>, Receiver<()>),
     logger: Logger,
 }
 
 impl RelayedWork {
-    /// Nothing was told yet.
+    /// Creates an empty state.
     pub fn new(logger: Logger) -> Self {
         Self {
             clock: BootClock::start(),
@@ -63,14 +65,14 @@
         self.relays.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Another relay speaks for so many gateways.
+    /// Records the number of gateways that another relay reports for.
     pub fn note_spoken_for(&self, from: NodeId, gateways: u32) {
         let now = self.now();
         self.lock().work.note_spoken_for(from, gateways, now);
     }
 
-    /// Takes in what a gateway, or another relay, told of requests that ran at engines
-    /// as they ended.
+    /// Records a report by a gateway or another relay of requests that were running on
+    /// engines when those terminated.
     pub fn note_blames(&self, from: NodeId, blames: &[u8]) {
         let Some(blames) = telling::read::<Vec<Blame>>(&self.logger, from, "blames", blames) else {
             return;
@@ -81,13 +83,13 @@
         }
     }
 
-    /// Takes in what a gateway, or another relay, told of zones out of reach.
+    /// Records a report by a gateway or another relay of unreachable zones.
     pub fn note_reach(&self, from: NodeId, reach: Option<&[u8]>, relayed: bool) {
         let told = match reach {
             Some(reach) => telling::read(&self.logger, from, "zones out of reach", reach),
             None => Some(Vec::new()),
         };
-        // What cannot be read takes back nothing that was told before.
+        // A malformed report does not revoke the earlier ones.
         let Some(told) = told else {
             return;
         };
@@ -97,8 +99,8 @@
         }
     }
 
-    /// Takes in what a gateway, or another relay, told of demand. It is passed on with the
-    /// work that comes in the same message.
+    /// Records a report of demand by a gateway or another relay. It is forwarded together
+    /// with the load in the same message.
     pub fn note_demand(&self, from: NodeId, demand: &[u8], relayed: bool) {
         let Some(demand) =
             telling::read::<Vec<ServiceDemand>>(&self.logger, from, "demand", demand)
@@ -109,7 +111,8 @@
         self.lock().demand.note(from, teller(relayed), demand, now);
     }
 
-    /// Takes in what a gateway, or another relay, told.
+    /// Records a report of load and of the use of tenants' limits by a gateway or another
+    /// relay.
     pub fn note(&self, from: NodeId, shares: &[u8], usage: Option<&[u8]>, relayed: bool) {
         let Some(shares) = telling::read::<Vec<WorkShare>>(&self.logger, from, "work", shares)
         else {
@@ -127,8 +130,8 @@
             }
             relays.work.note(from, teller, shares, now)
         };
-        // What gateways repeat is passed on, so that it holds. If relays did
-        // the same with one another's words, they would never come to rest.
+        // Repeated reports of gateways are forwarded so that they do not expire. Relays
+        // that forwarded each other's repeated reports would never become idle.
         if changed || teller == Teller::Gateway {
             let _already_told = self.heard.0.try_send(());
         }
@@ -142,28 +145,29 @@
     }
 }
 
-/// What a round passes on of work at engines.
+/// Load and demand to forward in one round.
 struct Round {
-    /// What the gateways of this relay have together, for the other relays.
+    /// Total load of the gateways of this relay, for the other relays.
     of_gateways: Vec<WorkShare>,
-    /// How many they are.
+    /// Number of gateways of this relay.
     gateways: u32,
-    /// What all others have, for each of them.
+    /// For each gateway of this relay, the load of all other gateways.
     by_gateway: Vec<(NodeId, Vec<WorkShare>)>,
-    /// Demand of the gateways of this relay, and of all others for each of them.
+    /// Total demand of the gateways of this relay, and for each of them the demand of all
+    /// others.
     demand_of_gateways: Vec<ServiceDemand>,
     demand_by_gateway: BTreeMap<NodeId, Vec<ServiceDemand>>,
 }
 
 impl RelayedWork {
-    /// Work at engines as far as it is known, for the gateways that the `hub` counts and
-    /// the engines that it has them use.
+    /// Collects the known load and demand for the gateways that `hub` counts and for the
+    /// engines that it assigns to them.
     fn round(&self, hub: &Hub) -> Round {
         let now = self.now();
         let relays = &mut *self.lock();
         let demand = &mut relays.demand;
         demand.expire(now);
-        // Those beyond a cut of a whole zone send nothing to engines on this side.
+        // Gateways in unreachable zones send no requests to engines in reachable ones.
         let beyond = hub.own_zone().map(|zone| relays.reach.out_of_reach(&zone));
         let present = match beyond.filter(|zones| !zones.is_empty()) {
             Some(zones) => hub.gateways_outside(&zones),
@@ -184,8 +188,8 @@
         }
     }
 
-    /// Use of tenants' limits by the gateways of this relay, and by all others for
-    /// each of them; `None` when nothing came.
+    /// Returns the use of tenants' limits by the gateways of this relay, and for each of
+    /// them the use by all others; `None` if no report arrived.
     fn usage(&self) -> Option<(Usage, BTreeMap<NodeId, Usage>)> {
         let now = self.now();
         let relays = &mut *self.lock();
@@ -200,7 +204,8 @@
 }
 
 impl RelayedWork {
-    /// What is to be told of requests that ran at engines as they ended, encoded.
+    /// Encodes the pending reports of requests that were running on engines when those
+    /// terminated.
     fn blames(&self) -> Option<Vec<u8>> {
         let now = self.now();
         let suspects = &mut self.lock().suspects;
@@ -210,14 +215,14 @@
     }
 }
 
-/// What a round passes on of zones out of reach.
+/// Unreachable zones to forward in one round.
 struct ReachRound {
     of_gateways: Vec<ReachTelling>,
     by_gateway: BTreeMap<NodeId, Vec<ReachTelling>>,
 }
 
 impl RelayedWork {
-    /// What is told of zones out of reach, to other relays and to these gateways.
+    /// Returns the reports of unreachable zones for other relays and for `gateways`.
     fn reach(&self, hub: &Hub, gateways: &[(NodeId, Vec<WorkShare>)]) -> ReachRound {
         let now = self.now();
         let reach = &mut self.lock().reach;
@@ -246,13 +251,13 @@
     (!reach.is_empty()).then(|| molespan_state::encode(&reach))
 }
 
-/// What gateways were told of work at engines, and when.
+/// The load last sent to each gateway, and when.
 #[derive(Default)]
 struct LastTold(BTreeMap<NodeId, (Vec<WorkShare>, Option<Instant>)>);
 
 impl LastTold {
-    /// Whether a gateway is to be told this: when it is not what it was told last, and
-    /// again after a while.
+    /// Whether `shares` must be sent to a gateway: if they changed, or after
+    /// [`REPEATED_AFTER`].
     fn is_due(&mut self, gateway: NodeId, shares: &[WorkShare]) -> bool {
         let (before, at) = self.0.entry(gateway).or_default();
         let lately = at.is_some_and(|at| at.elapsed() < REPEATED_AFTER);
@@ -265,7 +270,7 @@
         true
     }
 
-    /// Forgets gateways that go through another relay.
+    /// Removes gateways that now use another relay.
     fn retain(&mut self, gateways: &[(NodeId, Vec<WorkShare>)]) {
         if self.0.len() > gateways.len() {
             let held: BTreeSet<NodeId> = gateways.iter().map(|(node, _)| *node).collect();
@@ -274,7 +279,7 @@
     }
 }
 
-/// Passes on what comes, at most once a round.
+/// Forwards received reports, at most once per round.
 pub(super) async fn relay_work(
     own: NodeId,
     work: Arc<RelayedWork>,
@@ -334,7 +339,8 @@
         for (gateway, shares) in by_gateway {
             let usage = usage_by_gateway.get(&gateway);
             let reach = reach.by_gateway.get(&gateway);
-            // Told in each round: whoever has just started asks there too.
+            // Unreachable zones are sent in every round, so that gateways that have just
+            // started receive them too.
             let other_news = usage.is_some() || blames.is_some() || reach.is_some();
             if !told_gateways.is_due(gateway, &shares) && !other_news {
                 continue;
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,9 @@
-//! Control and store nodes of a cluster that finds its members.
+//! Control and store nodes of a cluster that discovers its members.
 //!
-//! A **control node** holds the control group: the declared configuration,
-//! engines that leave, and the stores. It listens to the heartbeats of engines
-//! and tells gateways and stores what they need to know ([`view`]). A **store
-//! node** holds batch jobs and, while it leads, hands their items out
+//! A **control node** replicates the control group: the declared configuration, the
+//! engines that are leaving, and the stores. It receives the heartbeats of engines and
+//! sends gateways and stores the changes that concern them ([`view`]). A **store node**
+//! replicates batch jobs and, while it is the leader, leases their items to gateways
 //! ([`store`]).
 
 pub mod control;
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,4 +1,4 @@
-//! How the nodes of a cluster address one another.
+//! Addresses, transports and replica settings that the nodes of a cluster share.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,52 +15,53 @@
 use molespan_wire::ClientLimits;
 use slog::Logger;
 
-/// Time between two ticks of a group. Idle ticks cost processor time on small
+/// Interval between two ticks of a consensus group. Idle ticks cost CPU time on small
 /// machines.
 const TICK: Duration = Duration::from_millis(100);
-/// Shortest time without a leader before an election. Jobs are to be kept
-/// within some hundred milliseconds also when a store is lost; an election that
-/// was not needed is prevented by the pre-vote.
+/// Minimum time without a leader before an election. Job submissions should be delayed by
+/// no more than a few hundred milliseconds when a store fails; pre-vote prevents
+/// unnecessary elections.
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(300);
-/// Time between two heartbeats of a leader: two of three may be late.
+/// Interval between two heartbeats of a leader; two out of three may be late without an
+/// election.
 const LEADER_HEARTBEAT: Duration = TICK;
-/// Bytes of a segment of the log.
+/// Size of a log segment, in bytes.
 pub(crate) const SEGMENT_BYTES: u64 = 4 << 20;
 
-/// Where the nodes are: each is named by its address, and those of one kind
-/// listen on one port for the others.
+/// Addresses of the nodes. A node is identified by its IP address; nodes of one kind
+/// listen for peers on the same port.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClusterAddresses {
-    /// This node.
+    /// Identifier of this node.
     pub own: NodeId,
-    /// Port of gateways and control nodes.
+    /// Peer port of gateways and control nodes.
     pub port: u16,
-    /// Port of stores, which may share machines with control nodes.
+    /// Peer port of stores, which may share machines with control nodes.
     pub store_port: u16,
-    /// Control nodes to begin with; others are learnt from them.
+    /// Control nodes to contact first; further ones are discovered from them.
     pub seeds: Vec<NodeId>,
 }
 
 impl ClusterAddresses {
-    /// Where this gateway or control node listens for others.
+    /// Returns the address on which this gateway or control node listens for peers.
     #[must_use]
     pub fn own_address(&self) -> SocketAddr {
         SocketAddr::from((self.own.address(), self.port))
     }
 
-    /// Where this store listens for others.
+    /// Returns the address on which this store listens for peers.
     #[must_use]
     pub fn own_store_address(&self) -> SocketAddr {
         SocketAddr::from((self.own.address(), self.store_port))
     }
 
-    /// A transport to every gateway and control node.
+    /// Creates a transport to the gateways and control nodes.
     #[must_use]
     pub fn transport(&self, executor: &Arc<Executor<'static>>) -> Arc<WireTransport> {
         Self::transport_to(self.port, executor)
     }
 
-    /// A transport to every store.
+    /// Creates a transport to the stores.
     #[must_use]
     pub fn store_transport(&self, executor: &Arc<Executor<'static>>) -> Arc<WireTransport> {
         Self::transport_to(self.store_port, executor)
@@ -83,7 +84,8 @@
     }
 }
 
-/// A client of the groups on `replicas`, which may change.
+/// Creates a client of the consensus groups on `replicas`; the list can be replaced
+/// later.
 #[must_use]
 pub fn cluster(transport: Arc<dyn PeerTransport>, replicas: Vec<NodeId>) -> Arc<Cluster> {
     let limits = ClusterLimits {
@@ -96,8 +98,7 @@
     Arc::new(Cluster::new(transport, replicas, limits))
 }
 
-/// Options of the replica of a node at `node`, which looks for `members` on
-/// `port`.
+/// Returns the options of the replica on `node`, which discovers `members` on `port`.
 pub(crate) fn replica_options(
     node: NodeId,
     members: Discovery,
@@ -114,7 +115,7 @@
     }
 }
 
-/// Decision events kept; nobody watches them on these nodes yet.
+/// Capacity of the buffer of decision events. Nothing reads them on these nodes yet.
 const EVENTS: usize = 256;
 
 /// Starts the replica of a node.
--- a/crates/fleet/src/refusals.rs
+++ b/crates/fleet/src/refusals.rs
@@ -1,11 +1,12 @@
-//! What is refused again and again, told in few lines.
+//! Limits the number of log lines for refusals that keep recurring.
 
 use std::collections::BTreeSet;
 
-/// Different refusals that get a line each; behind them one for each doubling of all.
+/// Number of distinct refusals that are logged individually. After that, a line is logged
+/// each time the total count doubles.
 const TOLD_ONE_BY_ONE: usize = 256;
 
-/// Refusals so far.
+/// Counts refusals and selects those to log.
 #[derive(Clone, Debug, Default)]
 pub struct Refusals {
     count: u64,
@@ -13,8 +14,8 @@
 }
 
 impl Refusals {
-    /// `who` was refused for `what`. Says how many refusals there were by now, where that
-    /// is to be told.
+    /// Records that `who` was refused because of `what`. Returns the number of refusals
+    /// so far if this one should be logged.
     pub fn note(&mut self, who: &str, what: &str) -> Option<u64> {
         self.count += 1;
         let is_told = match self.told.len() < TOLD_ONE_BY_ONE {
--- a/crates/fleet/src/store/call_order.rs
+++ b/crates/fleet/src/store/call_order.rs
@@ -1,26 +1,26 @@
-//! Which call for items of a gateway is its latest.
+//! Tracks the latest request for items of each gateway.
 //!
-//! A gateway that gives a call up asks again while the earlier call still waits
-//! here, or is still on its way. What that one says of the items that the gateway
-//! runs is out of date: it would free those that were handed out since.
+//! A gateway that gives up on a request sends another one while the earlier one is still
+//! waiting here or is still in transit. The running items listed by the earlier request
+//! are outdated: processing it would release items that were handed out since.
 
 use std::collections::BTreeMap;
 
 use molespan_types::NodeId;
 
-/// A call as its gateway numbers it.
+/// The number that a gateway gives to a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallNumber {
-    /// Drawn by the gateway when it starts.
+    /// Random number that the gateway draws at startup.
     pub life: u64,
-    /// Rises with each call of that life; the same when a call is sent again.
+    /// Increases with each request of that life of the gateway; a retry keeps its number.
     pub number: u64,
 }
 
-/// Names a call that was let in, in the order of arrivals.
+/// Identifies an admitted request, in order of arrival.
 pub type Arrival = u64;
 
-/// The latest call of each gateway.
+/// The latest request of each gateway.
 #[derive(Clone, Debug, Default)]
 pub struct CallOrder {
     latest: BTreeMap<NodeId, (CallNumber, Arrival)>,
@@ -28,8 +28,8 @@
 }
 
 impl CallOrder {
-    /// A call of a gateway arrives. `None` when a later one of the same life came
-    /// before; else it takes the place of those that wait.
+    /// Admits a request of a gateway, which then supersedes the gateway's waiting
+    /// requests. Returns `None` if a later request of the same life has already arrived.
     pub fn arrive(&mut self, node: NodeId, call: CallNumber) -> Option<Arrival> {
         let known = self.latest.get(&node);
         if known.is_some_and(|(latest, _)| latest.life == call.life && latest.number > call.number)
@@ -41,13 +41,13 @@
         Some(self.arrivals)
     }
 
-    /// Forgets the gateways; calls that wait count no more. Their names stay used,
-    /// so that none counts again.
+    /// Removes all gateways, which supersedes all waiting requests. Arrival numbers are
+    /// not reused, so that none of those requests becomes the latest again.
     pub fn forget(&mut self) {
         self.latest.clear();
     }
 
-    /// Whether no later call of the gateway came since.
+    /// Whether the gateway has sent no later request.
     #[must_use]
     pub fn is_latest(&self, node: NodeId, arrival: Arrival) -> bool {
         let latest = self.latest.get(&node);
--- a/crates/fleet/src/store/emptied.rs
+++ b/crates/fleet/src/store/emptied.rs
@@ -1,19 +1,19 @@
-//! Which stores a leader is to say of that they are emptied.
+//! Tracks the retirements that the leader has reported as completed.
 
 use std::collections::BTreeSet;
 
 use molespan_types::NodeId;
 
-/// Stores of which it was said.
+/// Stores that were reported as empty.
 #[derive(Clone, Debug, Default)]
 pub struct Emptied {
     told: BTreeSet<NodeId>,
 }
 
 impl Emptied {
-    /// Of the `retiring` stores those that hold no place any more and of which it was not
-    /// said. One that retires no longer is forgotten: it may do so again, with another disk
-    /// at its address.
+    /// Returns the `retiring` stores that are no longer members of a group and have not
+    /// been reported. Stores that are no longer retiring are removed, because the same
+    /// address may be retired again later with another disk.
     pub fn due(
         &mut self,
         retiring: &BTreeSet<NodeId>,
@@ -27,7 +27,7 @@
             .collect()
     }
 
-    /// It was said of one.
+    /// Records that a store was reported.
     pub fn note(&mut self, node: NodeId) {
         self.told.insert(node);
     }
--- a/crates/fleet/src/store/handout.rs
+++ b/crates/fleet/src/store/handout.rs
@@ -1,5 +1,5 @@
-//! Which gateway runs which item. Kept in the leader's memory: an item that is
-//! handed out twice by two leaders runs twice, and its first outcome counts.
+//! Leases of batch items to gateways. They are kept only in the leader's memory: an item
+//! handed out by two leaders runs twice, and its first outcome counts.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -10,40 +10,40 @@
 
 use super::open_index::OpenIndex;
 
-/// Items done lately from which the time that one takes is learnt.
+/// Number of recently completed items from which the run time is estimated.
 const RUN_TIMES: usize = 32;
 
-/// Who runs an item, and until when if the gateway falls silent.
+/// Lease of an item to a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Holding {
-    /// Gateway.
+    /// The gateway that runs the item.
     pub node: NodeId,
-    /// End of the lease.
+    /// When the lease expires.
     pub until: Timestamp,
-    /// When it was handed out, as far as this leader knows.
+    /// When the item was handed out, as far as this leader knows.
     pub since: Timestamp,
 }
 
-/// Items that gateways run.
+/// Leases of all items that gateways run.
 #[derive(Debug)]
 pub struct Handout {
     lease: Duration,
-    /// A leader that is new does not know yet what runs, and hands nothing out
-    /// before.
+    /// Time before which nothing is handed out, because a new leader does not know yet
+    /// which items are running.
     warm_at: Timestamp,
     held: BTreeMap<ItemReference, Holding>,
-    /// The open items as they were last seen.
+    /// Latest index of open items.
     open: Arc<OpenIndex>,
-    /// Those of them that nobody holds, by the time at which they are due: what
-    /// goes out is found without a look at what is out.
+    /// Open items without a lease, by due time, so that selecting items does not scan the
+    /// leased ones.
     free: BTreeSet<(u64, ItemReference)>,
-    /// How long the latest items took that are done, oldest first.
+    /// Run times of the latest completed items, oldest first.
     run_times: VecDeque<Duration>,
 }
 
 impl Handout {
-    /// Nothing handed out; the first items go out after `warm_up`, so that
-    /// gateways can say before what they run.
+    /// Creates an empty table. Items are handed out only after `warm_up`, so that
+    /// gateways can report first what they run.
     #[must_use]
     pub fn new(now: Timestamp, lease: Duration, warm_up: Duration) -> Self {
         Self {
@@ -56,8 +56,9 @@
         }
     }
 
-    /// A gateway says what it runs. Returns those items that it should stop:
-    /// their jobs are not open any more, or another gateway runs them.
+    /// Renews the leases of a gateway on the items that it runs. Returns the items that
+    /// it must stop, because their jobs are no longer open or another gateway has the
+    /// lease.
     pub fn renew(
         &mut self,
         now: Timestamp,
@@ -67,7 +68,7 @@
     ) -> Vec<ItemReference> {
         self.follow(open);
         self.note_done(now, node, running);
-        // What it held and does not run any more is free.
+        // Items that the gateway no longer runs become available again.
         self.release(|item, holding| holding.node == node && !running.contains(item));
         let mut stop = Vec::new();
         for &item in running {
@@ -84,7 +85,7 @@
         stop
     }
 
-    /// Sees the open items anew if they changed.
+    /// Rebuilds the set of available items if the open items changed.
     fn follow(&mut self, open: &Arc<OpenIndex>) {
         if Arc::ptr_eq(&self.open, open) {
             return;
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Frees what is held and `ends`.
+    /// Removes the leases for which `ends` returns true.
     fn release(&mut self, ends: impl Fn(&ItemReference, &Holding) -> bool) {
         let ended = self
             .held
@@ -114,8 +115,8 @@
         }
     }
 
-    /// Hands out up to `capacity` items that nobody runs, the most urgent ones
-    /// first. `unix_ms` is the time of day.
+    /// Leases up to `capacity` available items to a gateway, the most urgent first.
+    /// `unix_ms` is the current time in milliseconds since the Unix epoch.
     pub fn take(
         &mut self,
         now: Timestamp,
@@ -139,8 +140,8 @@
         items
     }
 
-    /// What nobody holds in the order of `Urgency`, for work that takes `takes_ms`
-    /// and by a clock that shows `unix_ms`.
+    /// Returns the available items in the order of `Urgency`, for items that take
+    /// `takes_ms` at a current time of `unix_ms`.
     fn by_urgency(&self, unix_ms: u64, takes_ms: u64) -> impl Iterator<Item = ItemReference> {
         const FIRST: ItemReference = ItemReference { job: 0, place: 0 };
         let in_time = (unix_ms.saturating_add(takes_ms), FIRST);
@@ -149,7 +150,7 @@
         items.map(|&(_, item)| item)
     }
 
-    /// Learns from the items that a gateway has done how long one takes.
+    /// Records the run times of the items that a gateway completed.
     fn note_done(&mut self, now: Timestamp, node: NodeId, running: &BTreeSet<ItemReference>) {
         let ended = self.held.iter().filter(|(item, holding)| {
             holding.node == node && !running.contains(item) && self.open.is_open(item.job)
@@ -165,9 +166,9 @@
         }
     }
 
-    /// How long an item takes: three quarters of those done lately took no longer.
-    /// Under more work than fits what goes out is always at the edge of being late,
-    /// so with a shorter time most of it would end late. Nothing before any is done.
+    /// Returns the 75th percentile of recent run times, or zero before any item is done.
+    /// Under overload, the items handed out are always close to their due time, so a
+    /// lower estimate would make most of them late.
     #[must_use]
     pub fn run_time(&self) -> Duration {
         let mut times: Vec<Duration> = self.run_times.iter().copied().collect();
@@ -175,21 +176,21 @@
         times.get(times.len() * 3 / 4).copied().unwrap_or_default()
     }
 
-    /// How many open items nobody holds.
+    /// Returns the number of available items.
     pub fn free(&mut self, now: Timestamp, open: &Arc<OpenIndex>) -> usize {
         self.follow(open);
         self.release(|_, holding| holding.until <= now);
         self.free.len()
     }
 
-    /// Whether some gateway runs an item of a job that is not open any more.
+    /// Whether some gateway runs an item of a job that is no longer open.
     #[must_use]
     pub fn has_ended(&self, open: &OpenIndex) -> bool {
         let mut held = self.held.keys();
         held.any(|item| !open.is_open(item.job))
     }
 
-    /// Items that are handed out.
+    /// Returns the number of leased items.
     #[must_use]
     pub fn held(&self) -> usize {
         self.held.len()
--- a/crates/fleet/src/store/mod.rs
+++ b/crates/fleet/src/store/mod.rs
@@ -1,4 +1,4 @@
-//! The store node.
+//! Store nodes.
 
 mod call_order;
 mod emptied;
--- a/crates/fleet/src/store/node.rs
+++ b/crates/fleet/src/store/node.rs
@@ -1,5 +1,5 @@
-//! A store node put together: its replica, the items that it hands out while
-//! it leads, and what it hears from the control nodes.
+//! A store node: its replica, the items that it hands out while it is the leader, and its
+//! view of the cluster.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -31,44 +31,43 @@
 use crate::view::{Topology, TopologyView, ViewUpdate};
 use crate::watch::{Asker, ViewSink, ViewWatcher};
 
-/// Time between two rounds of upkeep.
+/// Interval between rounds of upkeep.
 const ROUND: Duration = Duration::from_millis(500);
-/// Shortest time between two wakeups of gateways that wait for items. Each reads
-/// the open items anew, which costs the more the more there are.
+/// Minimum interval between wakeups of gateways that wait for items. Each wakeup reads
+/// the open items again, at a cost that grows with their number.
 const WAKE_EVERY: Duration = Duration::from_millis(25);
-/// How long the first start waits for enough stores.
+/// Time for which the first start of a cluster waits for the full number of stores.
 const FOUNDING_PATIENCE: Duration = Duration::from_secs(5);
-/// Time for a registration.
+/// Deadline of a registration.
 const REGISTER_DEADLINE: Duration = Duration::from_secs(2);
-/// Rounds between two looks for jobs that nobody may ask for any more.
+/// Number of upkeep rounds between two removals of jobs past their retention time.
 const ROUNDS_A_CLEANING: u32 = 20;
 
-/// What a store node is started with.
+/// Options of a store node.
 #[derive(Clone, Debug)]
 pub struct StoreOptions {
-    /// Where the nodes are.
+    /// Addresses of the nodes.
     pub addresses: ClusterAddresses,
-    /// Name that operators use.
+    /// Name of the store for operators.
     pub name: String,
-    /// Where it stands.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// Folder of what must survive.
+    /// Directory of persistent data.
     pub data_folder: PathBuf,
-    /// Losses of machines that are to be borne at once.
+    /// Number of simultaneous machine failures to tolerate.
     pub tolerated_losses: u32,
-    /// Jobs are kept for this long after they were submitted.
+    /// Retention time of jobs after submission.
     pub keep_jobs_for: Duration,
-    /// Bound of handing leadership over before a planned stop.
+    /// Time limit for transferring leadership before a planned stop.
     pub hand_over_within: Duration,
-    /// Bytes of memory that the process may use; none where that is not bounded.
+    /// Memory limit of the process in bytes; `None` if it is unlimited.
     pub memory: Option<u64>,
 }
 
-/// Part of its memory that a store lets its log take before a snapshot does away
-/// with it. The state is in memory beside it, and once more while a snapshot is
-/// written or read.
+/// Divisor of the memory limit that gives the size of the log before a snapshot replaces
+/// it. The state is in memory too, and a second time while a snapshot is written or read.
 const LOG_SHARE: u64 = 8;
-/// Smallest and largest bytes of log between two snapshots.
+/// Minimum and maximum size of the log between two snapshots, in bytes.
 const SNAPSHOT_BYTES: RangeInclusive<u64> = 2 << 20..=64 << 20;
 
 impl StoreOptions {
@@ -76,7 +75,7 @@
         2 * self.tolerated_losses + 1
     }
 
-    /// Bytes of log after which a snapshot is taken.
+    /// Returns the size of the log, in bytes, after which a snapshot is taken.
     #[must_use]
     pub fn snapshot_bytes(&self) -> u64 {
         let memory = self.memory.unwrap_or(u64::MAX);
@@ -107,9 +106,9 @@
     topology: RefCell<Topology>,
     topology_view: RefCell<TopologyView>,
     clock: BootClock,
-    /// Stores of which this one said that they are emptied.
+    /// Stores that this node has reported as empty.
     emptied: RefCell<Emptied>,
-    /// Life of the disk that the control group knows.
+    /// Incarnation of the disk that is registered with the control group.
     registered: RefCell<Option<u32>>,
     logger: Logger,
 }
@@ -139,10 +138,10 @@
 }
 
 impl StoreNode {
-    /// Starts a store node; its work is done on `executor` and `local`.
+    /// Starts a store node that runs on `executor` and `local`.
     ///
     /// # Errors
-    /// When the data folder or an address cannot be used.
+    /// Returns an error if the data directory or an address cannot be used.
     pub fn start(
         options: StoreOptions,
         executor: &Arc<Executor<'static>>,
@@ -189,7 +188,8 @@
         Ok(node)
     }
 
-    /// Tells gateways that wait for items of changes; of many in a row at once.
+    /// Wakes gateways that wait for items after changes, batching changes in quick
+    /// succession.
     async fn wake(&self) {
         loop {
             self.replica.changed().await;
@@ -232,8 +232,8 @@
         }
     }
 
-    /// Tells the control group of this life of the disk, and founds with fewer
-    /// stores after a while.
+    /// Registers this incarnation of the disk with the control group. After a while it
+    /// allows the batch group to be bootstrapped with fewer stores.
     async fn register(&self, status: &ReplicaStatus, waited: Duration) {
         let founded = !self.topology.borrow().founders.is_empty();
         let patience_over = !founded && waited >= FOUNDING_PATIENCE;
@@ -258,12 +258,12 @@
                 info!(self.logger, "registered"; "incarnation" => status.incarnation);
                 *self.registered.borrow_mut() = Some(status.incarnation);
             }
-            Err(error) => warn!(self.logger, "not registered"; "error" => %error),
+            Err(error) => warn!(self.logger, "could not be registered"; "error" => %error),
         }
     }
 
-    /// Says of each store that was to be emptied that it is, once its machine
-    /// has no place in this group, nor in the control group.
+    /// Reports each retired store as empty once its node is no longer a member of this
+    /// group or the control group.
     async fn complete_retirements(&self, status: &ReplicaStatus) {
         let Topology {
             retiring, control, ..
@@ -314,12 +314,12 @@
         }
     }
 
-    /// Ends once the replica cannot go on.
+    /// Completes when the replica fails.
     pub async fn failed(&self) {
         let _error = self.replica.ended().await;
     }
 
-    /// Hands leadership over and stops.
+    /// Transfers leadership and stops the replica.
     pub async fn stop(&self) {
         let handed = self.replica.stop().await;
         info!(self.logger, "stopped"; "handed_over" => handed.handed_over.len());
--- a/crates/fleet/src/store/open_index.rs
+++ b/crates/fleet/src/store/open_index.rs
@@ -1,11 +1,11 @@
-//! Open items and when they are due.
+//! Index of open batch items by due time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use molespan_routing::dispatch::Urgency;
 use molespan_state::batch::{ItemReference, OpenWork};
 
-/// Open items, read once for all calls that hand some of them out.
+/// Open items, read once and shared by all requests for items.
 #[derive(Clone, Debug, Default)]
 pub struct OpenIndex {
     due_ms: BTreeMap<ItemReference, u64>,
@@ -13,13 +13,13 @@
 }
 
 impl OpenIndex {
-    /// Open items with the time at which each is due.
+    /// Returns the open items with their due times.
     pub fn items(&self) -> impl Iterator<Item = (u64, ItemReference)> {
         self.due_ms.iter().map(|(&item, &due_ms)| (due_ms, item))
     }
 
-    /// When an item is due that has no outcome yet, in milliseconds since 1970 and
-    /// the latest time for one that never is; `None` for any other item.
+    /// Returns the due time of an item without an outcome, in milliseconds since the Unix
+    /// epoch, or the maximum if the item has no due time; `None` for any other item.
     #[must_use]
     pub fn due_ms(&self, item: ItemReference) -> Option<u64> {
         self.due_ms.get(&item).copied()
--- a/crates/fleet/src/store/peer.rs
+++ b/crates/fleet/src/store/peer.rs
@@ -1,4 +1,4 @@
-//! Answering gateways that want items, while this node leads.
+//! Serves gateways that request items, while this node is the leader.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -19,41 +19,41 @@
 use super::open_index::OpenIndex;
 use crate::wakeup::{Invitations, Wakeup};
 
-/// A gateway that is silent for longer loses its items.
+/// Lease on the items of a gateway, renewed by each of its requests.
 const LEASE: Duration = Duration::from_millis(2_500);
-/// How long a new leader listens before it hands items out.
+/// Time for which a new leader collects renewals before it hands out items.
 const WARM_UP: Duration = Duration::from_millis(700);
-/// Open items that are looked at, of the oldest jobs first: those of many seconds
-/// of work, since what lies beyond cannot be done first however urgent it is. Some
-/// 50 bytes each in memory.
+/// Maximum number of open items to consider, oldest jobs first. Items beyond the limit
+/// are not selected however urgent they are, so it covers many seconds of work. Each item
+/// takes about 50 bytes of memory.
 pub const OPEN_LIMIT: u32 = 16_384;
-/// How old the order of the open items may be for a call; it is read again for the
-/// first one behind that. An item that got an outcome meanwhile is left out when
-/// what is needed to run it is read.
+/// Maximum age of the index of open items that a request may use before the index is read
+/// again. An item that got an outcome in the meantime is dropped when its content is
+/// read.
 const OPEN_HOLDS: Duration = Duration::from_millis(25);
 
-/// Answers other nodes.
+/// Handles the requests of other nodes.
 pub(super) struct PeerHandler {
     own: NodeId,
     replica: Arc<ReplicaRole>,
     clock: BootClock,
-    /// Set while this node leads.
+    /// Leases on items; set while this node is the leader.
     handout: Mutex<Option<Handout>>,
-    /// Calls for items, of which only the latest of a gateway counts.
+    /// Requests for items; only the latest of each gateway is served.
     calls: Mutex<CallOrder>,
-    /// Changes of the jobs that were noted.
+    /// Number of changes of the replicated jobs seen so far.
     changes: AtomicU64,
-    /// Open work, read once for all that ask until the jobs change.
+    /// Index of open items, shared by all requests until the jobs change.
     open: async_lock::Mutex<Option<OpenAsOf>>,
-    /// When this node last began to make sure that no other one leads, and whether it is.
+    /// When this node last started to confirm its leadership, and whether that succeeded.
     sure: async_lock::Mutex<Option<(Timestamp, bool)>>,
-    /// Wakes as many gateways with room as there are items for them.
+    /// Wakes as many gateways with free capacity as there are items for them.
     items: Invitations,
-    /// Wakes every gateway that waits when some item is to be stopped.
+    /// Wakes every waiting gateway when an item must be stopped.
     stops: Wakeup,
 }
 
-/// Open work after so many changes.
+/// Index of open items as of a number of changes.
 struct OpenAsOf {
     changes: u64,
     at: Instant,
@@ -74,7 +74,7 @@
 }
 
 impl PeerHandler {
-    /// Answers for a node that hands nothing out yet.
+    /// Creates a handler for a node that has not handed out any items.
     pub fn new(own: NodeId, replica: Arc<ReplicaRole>) -> Self {
         Self {
             own,
@@ -94,7 +94,7 @@
         self.clock.now()
     }
 
-    /// Reads the jobs as this replica has them, or as a quorum does.
+    /// Queries the jobs, from the local replica or confirmed by a quorum.
     pub async fn query(&self, query: &BatchQuery, consistency: Consistency) -> Option<BatchAnswer> {
         let request = Request::Query {
             group: GroupId::BATCH,
@@ -107,7 +107,8 @@
         }
     }
 
-    /// The open items, at most `age` old. Calls share one read of them.
+    /// Returns the index of open items. It is read again if the jobs have changed and it
+    /// is older than `age`. Concurrent requests share one read.
     async fn open_index(&self, age: Duration) -> Option<Arc<OpenIndex>> {
         let mut open = self.open.lock().await;
         let changes = self.changes.load(Ordering::SeqCst);
@@ -132,7 +133,7 @@
         Some(index)
     }
 
-    /// Hands items out, at once or when some come.
+    /// Hands out items, immediately if there are any, or else when some become available.
     async fn take_items(&self, ask: &TakeItems) -> Response {
         let ends = Instant::now() + Duration::from_millis(u64::from(ask.wait_ms));
         let Some(arrival) = self.arrive(ask) else {
@@ -143,7 +144,8 @@
             if self.replica.leader(GroupId::BATCH) != Some(self.own) {
                 return self.not_leader().await;
             }
-            // Cut off or just woken, it does not know of a later leader.
+            // A node that is partitioned or has just resumed may not know of a newer
+            // leader.
             if !self.is_surely_leader().await {
                 return self.not_leader().await;
             }
@@ -151,7 +153,7 @@
                 return unavailable();
             };
             let Some((taken, stop)) = self.hand_out(ask, arrival, &open) else {
-                // An invitation that it took is for another gateway.
+                // Passes on a wake token that this request may have consumed.
                 self.items.wake_some(1);
                 return superseded();
             };
@@ -172,9 +174,10 @@
         }
     }
 
-    /// Whether no other node led a short while ago: a quorum says so.
+    /// Whether a quorum confirmed within [`LEADER_SURE_FOR`] that no other node is the
+    /// leader.
     async fn is_surely_leader(&self) -> bool {
-        // Calls that come at the same time share one round.
+        // Concurrent requests share one round trip to the quorum.
         let mut sure = self.sure.lock().await;
         let began = self.now();
         if let Some((at, confirmed)) = *sure
@@ -184,7 +187,8 @@
         }
         let query = BatchQuery::Open { limit: 0 };
         let confirmed = self.query(&query, Consistency::Linearizable).await;
-        // Those who waited for a read in vain do not repeat it one after the other.
+        // A failed read is dated to its end, so that the requests that waited for it do
+        // not retry it one after the other.
         let known_at = match confirmed.is_some() {
             true => began,
             false => self.now(),
@@ -202,8 +206,8 @@
         calls.arrive(ask.node, call)
     }
 
-    /// What goes out, and what is to be stopped; `None` when the gateway asked
-    /// anew meanwhile.
+    /// Returns the items to run and the items to stop; `None` if a later request of the
+    /// gateway has superseded this one.
     fn hand_out(
         &self,
         ask: &TakeItems,
@@ -243,7 +247,7 @@
         }
     }
 
-    /// Says who leads, in the words of the replica itself.
+    /// Returns the replica's own response, which names the leader.
     async fn not_leader(&self) -> Response {
         let query = BatchQuery::Open { limit: 0 };
         let request = Request::Query {
@@ -257,16 +261,16 @@
         }
     }
 
-    /// Notes that the jobs changed.
+    /// Records a change of the jobs.
     pub fn note_change(&self) {
         self.changes.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Wakes the gateways for which there is something to hear. To wake all of
-    /// them at each change would cost the leader more the more there are.
+    /// Wakes the gateways that have something to receive. Waking all of them on each
+    /// change would cost the leader more with each additional gateway.
     pub async fn wake(&self) {
         if self.replica.leader(GroupId::BATCH) != Some(self.own) {
-            // They hear who leads now.
+            // Their requests are answered with the current leader.
             self.stops.wake();
             return;
         }
@@ -284,8 +288,8 @@
         self.items.wake_some(handout.free(now, &open));
     }
 
-    /// Whether this node leads. What was handed out before is forgotten when it
-    /// does not.
+    /// Returns whether this node is the leader. If not, all leases and requests are
+    /// dropped.
     pub fn note_leadership(&self) -> bool {
         let leads = self.replica.leader(GroupId::BATCH) == Some(self.own);
         if !leads {
@@ -297,7 +301,7 @@
     }
 }
 
-/// To a call that a later one of the same gateway took the place of. Nobody waits
+/// Response to a request that a later one of the same gateway superseded. Nobody waits
 /// for it any more.
 fn superseded() -> Response {
     not_run("a later call took its place", 0)
--- a/crates/fleet/src/telling.rs
+++ b/crates/fleet/src/telling.rs
@@ -1,16 +1,16 @@
-//! Reading what nodes tell each other without waiting for an answer.
+//! Decodes one-way messages, to which the sender expects no reply.
 
 use molespan_types::NodeId;
 use slog::{Logger, warn};
 
-/// What a node told; `None`, with a line, when it cannot be read.
+/// Decodes a one-way message. Logs a warning and returns `None` if it is malformed.
 pub fn read<T>(logger: &Logger, from: NodeId, what: &str, bytes: &[u8]) -> Option<T>
 where
     T: for<'b> minicbor::Decode<'b, ()>,
 {
     let told = molespan_state::decode(bytes);
     told.inspect_err(|error| {
-        warn!(logger, "telling not read"; "from" => from.address().to_string(),
+        warn!(logger, "cannot decode one-way message"; "from" => from.address().to_string(),
             "what" => what, "bytes" => bytes.len(), "error" => %error);
     })
     .ok()
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -1,4 +1,4 @@
-//! What control nodes tell the other nodes.
+//! The cluster view that control nodes send to the other nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,34 +9,35 @@
 
 use crate::watch::MOST_WATCHED;
 
-/// An engine as its heartbeats describe it.
+/// An engine as described by its heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct EngineRecord {
-    /// Identifier of its incarnation.
+    /// Identifier of the engine's current life: its name, and its start time if it
+    /// reports one.
     #[n(0)]
     pub id: String,
-    /// Service that it belongs to.
+    /// Service that the engine belongs to.
     #[n(1)]
     pub service: String,
-    /// Address that it serves on.
+    /// Address that the engine serves on.
     #[n(2)]
     pub address: String,
-    /// Where it stands.
+    /// Zone of the engine.
     #[n(3)]
     pub zone: ZoneName,
-    /// Requests that it runs at the same time.
+    /// Number of concurrency slots: requests that the engine runs at the same time.
     #[n(4)]
     pub slots: u32,
-    /// Rises with each heartbeat, so that a late one can be told.
+    /// Increases with each heartbeat, so that a reordered heartbeat can be detected.
     #[n(5)]
     pub sequence: u64,
-    /// How much longer it is slow from its start, in milliseconds.
+    /// Remaining time during which the engine is slow after its start, in milliseconds.
     #[n(6)]
     pub cold_left_ms: u32,
 }
 
 impl EngineRecord {
-    /// Whether a heartbeat says the same but for its sequence.
+    /// Whether two heartbeats agree in service, address, zone and slots.
     pub(crate) fn is_same_engine(&self, other: &Self) -> bool {
         self.service == other.service
             && self.address == other.address
@@ -48,58 +49,61 @@
 /// The configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationInForce {
-    /// The operator's number.
+    /// Version number assigned by the operator.
     #[n(0)]
     pub version: u64,
-    /// What it says.
+    /// Content of the configuration.
     #[n(1)]
     pub model: ServingModel,
 }
 
-/// What the control nodes say of the cluster itself.
+/// Membership of the cluster, as reported by one control node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Topology {
-    /// Nodes that hold the control group.
+    /// Members of the control group.
     #[n(0)]
     pub control: BTreeSet<NodeId>,
-    /// Nodes that can hold batch jobs.
+    /// Nodes that can store batch jobs.
     #[n(1)]
     pub stores: BTreeSet<NodeId>,
-    /// First voters of the batch group, with the lives of their disks.
+    /// Initial voters of the batch group, with the incarnations of their disks.
     #[n(2)]
     pub founders: BTreeMap<NodeId, u32>,
-    /// Stores that are to be emptied.
+    /// Stores that are being retired.
     #[n(3)]
     pub retiring: BTreeSet<NodeId>,
-    /// Gateways that were heard of lately.
+    /// Gateways that contacted the control node recently. Empty beyond [`MOST_NAMED`]
+    /// gateways.
     #[n(4)]
     pub gateways: BTreeSet<NodeId>,
-    /// Entries of the control group that the rest follows from, at least.
+    /// Lower bound of the applied entries of the control group that this report is based
+    /// on.
     #[n(5)]
     pub applied: u64,
-    /// Where the control node stands that says this; an older one does not say.
+    /// Zone of the reporting control node; `None` from older versions.
     #[n(6)]
     pub zone: Option<ZoneName>,
-    /// How many gateways were heard of lately. Beyond [`MOST_NAMED`] they are not named:
-    /// nobody tells all of them anything, and the names of each change would grow with
-    /// the square of their number.
+    /// Number of gateways that contacted the control node recently. Beyond [`MOST_NAMED`]
+    /// they are counted but not listed: no node sends messages to all of them, and
+    /// listing them on each change would cost traffic quadratic in their number.
     #[n(7)]
     #[cbor(default)]
     pub gateway_count: u32,
 }
 
 impl Topology {
-    /// How many gateways there are.
+    /// Returns the number of gateways.
     #[must_use]
     pub fn gateway_count(&self) -> u32 {
         self.gateway_count.max(self.gateways.len() as u32)
     }
 }
 
-/// Gateways that are named at the most: as many as tell each other directly.
+/// Largest number of gateways that a topology lists by name; up to this many, gateways
+/// send to each other directly.
 pub const MOST_NAMED: usize = 12;
 
-/// The cluster as several control nodes describe it.
+/// The cluster topology, merged from the reports of several control nodes.
 #[derive(Clone, Debug, Default)]
 pub struct TopologyView {
     told: BTreeMap<NodeId, ToldTopology>,
@@ -111,12 +115,13 @@
     heard: Timestamp,
 }
 
-/// A control node that says nothing for longer, not even that nothing changed,
-/// does not count as knowing the gateways.
+/// Time without any message, not even an empty update, after which the gateway list of a
+/// control node is ignored.
 const TOLD_LATELY: Duration = Duration::from_secs(5);
 
 impl TopologyView {
-    /// A control node said something, perhaps of the cluster.
+    /// Records a message of a control node; `topology` is `None` if the topology did not
+    /// change.
     pub fn note(&mut self, from: NodeId, topology: Option<Topology>, now: Timestamp) {
         match (topology, self.told.get_mut(&from)) {
             (Some(topology), _) => {
@@ -131,9 +136,10 @@
         }
     }
 
-    /// What is known: the log's part from the node that applied the most of it,
-    /// and every gateway that some node counts. A node that has just started
-    /// counts none yet. It names no zone: it is nobody's word alone.
+    /// Returns the merged topology. The replicated part comes from the control node that
+    /// has applied the most entries. The gateways are the union over all recent reports,
+    /// since a control node that has just started counts none yet. The zone is `None`,
+    /// because it describes a single control node.
     #[must_use]
     pub fn current(&self, now: Timestamp) -> Topology {
         let told = self.told.values();
@@ -153,8 +159,9 @@
         topology
     }
 
-    /// Whether most control nodes were heard within `limit`: one of them has what was
-    /// committed before. Of many, those count that a node watches.
+    /// Whether a majority of the control nodes was heard from within `limit`, so that at
+    /// least one of them has everything that was committed before. If there are many
+    /// control nodes, the majority is taken of the number that a node watches.
     #[must_use]
     pub fn is_current(&self, limit: Duration, now: Timestamp) -> bool {
         let control = self.current(now).control;
@@ -163,7 +170,7 @@
         lately.count() * 2 > control.len().min(MOST_WATCHED)
     }
 
-    /// Control nodes that say that they stand in `zone`.
+    /// Returns the control nodes that report `zone` as theirs.
     pub fn control_in(&self, zone: &ZoneName) -> BTreeSet<NodeId> {
         let told = self.told.iter();
         let there = told.filter(|(_, told)| told.topology.zone.as_ref() == Some(zone));
@@ -171,47 +178,49 @@
     }
 }
 
-/// Changes since what a node was told before.
+/// Changes since the last update that a node received.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ViewUpdate {
-    /// The configuration, if another one came into force.
+    /// The new configuration, if another one came into force.
     #[n(0)]
     pub configuration: Option<ConfigurationInForce>,
-    /// Engines that are new or changed.
+    /// Engines that were added or changed.
     #[n(1)]
     pub engines: Vec<EngineRecord>,
-    /// Engines that leave.
+    /// Engines that are leaving.
     #[n(2)]
     pub departures: Vec<(String, Departure)>,
-    /// Engines that fell silent, or whose address another one took.
+    /// Engines that stopped sending heartbeats, or whose address was taken by another
+    /// engine.
     #[n(3)]
     pub lost: Vec<String>,
-    /// The cluster, if anything of it changed.
+    /// The topology, if it changed.
     #[n(4)]
     pub topology: Option<Topology>,
-    /// Bars on requests that are new or changed, lifted ones included; an older
-    /// control node tells none.
+    /// Bars on requests that were added or changed, including lifted ones. Empty from
+    /// older control nodes.
     #[n(5)]
     #[cbor(default)]
     pub bars: Vec<(RequestDigest, Bar)>,
-    /// Services of which it changed which engines the asker is to use, as this control
-    /// node reckons; an older one tells none.
+    /// Services for which this control node assigned other engines to the receiver. Empty
+    /// from older control nodes.
     #[n(6)]
     #[cbor(default)]
     pub parts: Vec<ServicePart>,
 }
 
-/// What a gateway uses of a service.
+/// The part of a service's engines that a gateway uses.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ServicePart {
-    /// Service.
+    /// Name of the service.
     #[n(0)]
     pub service: String,
-    /// Gateways that use each engine of it; `None` where all use all.
+    /// Number of gateways that use each engine; `None` if every gateway uses every
+    /// engine.
     #[n(1)]
     pub users: Option<u32>,
-    /// The engines that the asker uses, of those that this control node knows, where
-    /// others have to be forgotten.
+    /// The complete set of engines that the receiver uses, among those known to this
+    /// control node, if the receiver has to drop all others; `None` if it drops none.
     #[n(2)]
     pub engines: Option<Vec<String>>,
 }
--- a/crates/fleet/src/wakeup.rs
+++ b/crates/fleet/src/wakeup.rs
@@ -1,10 +1,10 @@
-//! Waking all that wait for something at once.
+//! Wakeup primitives for tasks that wait for a change.
 
 use std::sync::{Mutex, PoisonError};
 
 use async_channel::{Receiver, Sender};
 
-/// Wakes all that wait at the time.
+/// Wakes all current waiters.
 #[derive(Debug)]
 pub(crate) struct Wakeup(Mutex<(Sender<()>, Receiver<()>)>);
 
@@ -19,8 +19,8 @@
 }
 
 impl Wakeup {
-    /// Takes part in the next wakeup. To be called before one looks whether
-    /// there is something to wait for.
+    /// Registers for the next wakeup. Must be called before checking the condition to
+    /// wait for, or a wakeup may be missed.
     pub fn waiter(&self) -> Waiter {
         Waiter(
             self.0
@@ -31,7 +31,7 @@
         )
     }
 
-    /// Wakes all that wait.
+    /// Wakes all waiters.
     pub fn wake(&self) {
         let mut channel = self.0.lock().unwrap_or_else(PoisonError::into_inner);
         channel.0.close();
@@ -40,17 +40,17 @@
 }
 
 impl Waiter {
-    /// Waits to be woken.
+    /// Waits until woken.
     pub async fn woken(&self) {
         let _closed = self.0.recv().await;
     }
 }
 
-/// Invitations that are open at once at the most.
+/// Maximum number of wake tokens available at a time.
 const MOST_INVITATIONS: usize = 1_024;
 
-/// Wakes as many of those that wait as there is something for. One that nobody
-/// takes stays open for who comes next, and may be out of date by then.
+/// Wakes a limited number of waiters through tokens. A token that nobody consumes stays
+/// available for the next waiter, and may be outdated by then.
 #[derive(Debug)]
 pub(crate) struct Invitations(Sender<()>, Receiver<()>);
 
@@ -62,14 +62,14 @@
 }
 
 impl Invitations {
-    /// Sees to it that `count` invitations are open.
+    /// Ensures that `count` tokens are available.
     pub fn wake_some(&self, count: usize) {
         for _ in self.0.len()..count.min(MOST_INVITATIONS) {
             let _open_already = self.0.try_send(());
         }
     }
 
-    /// Waits for an invitation and takes it.
+    /// Waits for a token and consumes it.
     pub async fn invited(&self) {
         let _taken = self.1.recv().await;
     }
--- a/crates/fleet/src/watch.rs
+++ b/crates/fleet/src/watch.rs
@@ -1,5 +1,5 @@
-//! Following what the control nodes say: a watch at each of them, so that one
-//! that is cut off or gone delays nothing.
+//! Follows the view of the control nodes. Each of them is watched separately, so that one
+//! that is partitioned or gone causes no delay.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -17,47 +17,48 @@
 
 use crate::view::ViewUpdate;
 
-/// Longest time that a control node holds a watch open.
+/// Longest time for which a control node holds a watch open.
 const WAIT: Duration = Duration::from_secs(2);
-/// Longer than the wait by what an answer may take.
+/// Timeout of a watch request: the wait time plus time for the response.
 const TIMEOUT: Duration = Duration::from_secs(3);
-/// Pause after a watch that failed.
+/// Delay before a failed watch is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
-/// Control nodes that hold the group and that a node watches at most; seeds that do not
-/// are watched besides.
+/// Maximum number of control group members that a node watches. Seeds that are not
+/// members are watched in addition.
 pub(crate) const MOST_WATCHED: usize = 5;
 
-/// Takes in what a control node said.
+/// Receives the updates of control nodes.
 pub trait ViewSink: 'static {
-    /// Takes in one update of one control node.
+    /// Applies an update of a control node.
     fn update(&self, from: NodeId, update: ViewUpdate);
 
-    /// A control node is not watched any more: it does not hold the control group.
+    /// Called when a control node is no longer watched because it left the control group.
     fn unwatched(&self, _node: NodeId) {}
 
-    /// Version of the newest configuration that it has, if it needs configurations.
+    /// Returns the version of the newest configuration that this node has; `None` if it
+    /// needs no configuration.
     fn version(&self) -> Option<u64> {
         None
     }
 
-    /// Control nodes that stand in its zone, as far as they are known.
+    /// Returns the known control nodes in the zone of this node.
     fn near(&self) -> BTreeSet<NodeId> {
         BTreeSet::new()
     }
 }
 
-/// Who watches.
+/// Identity of a watching node.
 #[derive(Clone, Debug)]
 pub struct Asker {
-    /// This node.
+    /// Identifier of the node.
     pub node: NodeId,
-    /// Where it stands.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// What it is for.
+    /// Role of the node.
     pub kind: WatcherKind,
 }
 
-/// Watches at the control nodes.
+/// Watches the control nodes and passes their updates to a sink.
 pub struct ViewWatcher<S> {
     asker: Asker,
     seeds: Vec<NodeId>,
@@ -69,7 +70,7 @@
 }
 
 impl<S: ViewSink> ViewWatcher<S> {
-    /// Begins to watch at the `seeds`.
+    /// Starts to watch the `seeds`.
     pub fn start(
         asker: Asker,
         seeds: &[NodeId],
@@ -91,8 +92,8 @@
         watcher
     }
 
-    /// Watches at these nodes too, and no more at those that are neither among
-    /// them nor seeds.
+    /// Starts watches of new members of `control` and ends those of nodes that are
+    /// neither members nor seeds.
     fn watch_at(self: &Rc<Self>, control: &BTreeSet<NodeId>) {
         let mut watches = self.watches.borrow_mut();
         watches.retain(|node, _| {
@@ -135,15 +136,15 @@
                     self.take(node, &update);
                 }
                 other => {
-                    debug!(self.logger, "no view"; "from" => node.0, "answer" => ?other);
+                    debug!(self.logger, "cannot fetch view"; "from" => node.0, "answer" => ?other);
                     Timer::after(RETRY_PAUSE).await;
                 }
             }
         }
     }
 
-    /// The control node that tells this one of a new configuration before the others do:
-    /// one of the own zone, where there is one. Nodes spread over them.
+    /// Returns the control node that should send a new configuration first: one in the
+    /// same zone if possible. Watchers are distributed over the candidates by hash.
     fn tells_first(&self) -> Option<NodeId> {
         let near = self.sink.near();
         let watches = self.watches.borrow();
@@ -161,7 +162,8 @@
         if let Some(topology) = &update.topology
             && !topology.control.is_empty()
         {
-            // A watch may end itself here, so it is spawned apart.
+            // Spawned separately, because `watch_at` may end the watch that is running
+            // this code.
             let watcher = self.clone();
             let control = topology.control.clone();
             let follow = async move { watcher.watch_at(&control) };
