--- a/crates/fleet/tests/call_order.rs
+++ b/crates/fleet/tests/call_order.rs
@@ -1,4 +1,4 @@
-//! Calls for items that overtake each other.
+//! Requests for items that arrive out of order.
 
 use molespan_fleet::store::{CallNumber, CallOrder};
 use molespan_types::NodeId;
@@ -14,10 +14,12 @@
 #[test]
 fn a_call_that_is_sent_again_takes_the_place_of_the_first() {
     let mut order = CallOrder::default();
-    let first = order.arrive(ONE, call(7, 1)).expect("the first one");
-    let other = order.arrive(TWO, call(8, 5)).expect("another gateway");
+    let first = order.arrive(ONE, call(7, 1)).expect("first request");
+    let other = order
+        .arrive(TWO, call(8, 5))
+        .expect("request of another gateway");
     assert!(order.is_latest(ONE, first));
-    let again = order.arrive(ONE, call(7, 1)).expect("the same again");
+    let again = order.arrive(ONE, call(7, 1)).expect("retried request");
     assert!(!order.is_latest(ONE, first));
     assert!(order.is_latest(ONE, again));
     assert!(order.is_latest(TWO, other));
@@ -26,11 +28,13 @@
 #[test]
 fn a_call_that_was_overtaken_is_not_let_in() {
     let mut order = CallOrder::default();
-    let later = order.arrive(ONE, call(7, 2)).expect("the later one");
+    let later = order.arrive(ONE, call(7, 2)).expect("later request");
     assert_eq!(order.arrive(ONE, call(7, 1)), None);
     assert!(order.is_latest(ONE, later));
-    // A gateway that starts again begins anew.
-    let restarted = order.arrive(ONE, call(3, 1)).expect("another life");
+    // A restarted gateway numbers its requests from the start.
+    let restarted = order
+        .arrive(ONE, call(3, 1))
+        .expect("request after the restart");
     assert!(!order.is_latest(ONE, later));
     assert!(order.is_latest(ONE, restarted));
 }
@@ -38,17 +42,17 @@
 #[test]
 fn a_call_from_before_all_were_forgotten_never_counts_again() {
     let mut order = CallOrder::default();
-    let before = order.arrive(ONE, call(7, 1)).expect("the first one");
+    let before = order.arrive(ONE, call(7, 1)).expect("first request");
     order.forget();
     assert!(!order.is_latest(ONE, before));
-    let after = order.arrive(ONE, call(7, 2)).expect("the next one");
+    let after = order.arrive(ONE, call(7, 2)).expect("next request");
     assert!(!order.is_latest(ONE, before));
     assert!(order.is_latest(ONE, after));
 }
 
 proptest! {
-    /// In whatever order the calls of one life arrive, the one that counts in the
-    /// end has the highest number, and of those the one that came last.
+    /// Regardless of the order in which the requests of one life arrive, the latest is
+    /// the one with the highest number; among retries, it is the one that arrived last.
     #[test]
     fn the_latest_call_counts(numbers in prop::collection::vec(0..6_u64, 1..20)) {
         let mut order = CallOrder::default();
--- a/crates/fleet/tests/control.rs
+++ b/crates/fleet/tests/control.rs
@@ -1,5 +1,5 @@
-//! What a control node knows and tells: engines that come, go and are late, and
-//! watchers that come back after whatever they missed.
+//! The view of a control node: engines that register, leave and send delayed heartbeats,
+//! and watchers that resume after missing updates.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -39,7 +39,7 @@
     let now = Timestamp::from_millis(0);
     assert!(registry.hear(record("a", "1:1", 1), now, 1));
     assert!(!registry.hear(record("a", "1:1", 2), now, 2));
-    // A late one that says otherwise is passed over.
+    // An older heartbeat with other content is ignored.
     assert!(!registry.hear(record("a", "2:2", 1), now, 3));
     assert!(registry.hear(record("a", "2:2", 3), now, 4));
     assert_eq!(ids(&registry.changed_after(3)), ["a"]);
@@ -77,7 +77,7 @@
     assert!(!registry.hear(record("a", "1:1", 8), now, 3));
     assert_eq!(ids(&registry.changed_after(0)), ["b"]);
     assert!(registry.lost_after(2).is_empty());
-    // At another address it is a heartbeat like any other.
+    // At another address, its heartbeat is accepted.
     assert!(registry.hear(record("a", "2:2", 9), now, 4));
     assert_eq!(ids(&registry.changed_after(0)), ["a", "b"]);
 }
@@ -117,7 +117,7 @@
     hub.hear(record("a", "1:1", 1));
     hub.hear_elsewhere(vec![record("b", "2:2", 1)]);
     assert_eq!(ids(&hub.heard_since(Timestamp::ZERO)), ["a"]);
-    // One that calls elsewhere from now on is told by that node.
+    // An engine that switches to another control node is forwarded by that node.
     hub.hear_elsewhere(vec![record("a", "1:1", 2)]);
     assert_eq!(ids(&hub.heard_since(Timestamp::ZERO)), Vec::<&str>::new());
     hub.hear(record("b", "2:2", 2));
@@ -175,9 +175,9 @@
     let (_, update) = watch(&hub, kind, mark);
     assert_eq!(update.departures, [("a".to_owned(), Departure::Draining)]);
     assert_eq!(update.configuration, None);
-    // A late heartbeat brings the engine back nowhere.
+    // A delayed heartbeat does not bring the engine back.
     assert!(!hub.hear(record("a", "1:1", 9)));
-    // The mark of another start is void: everything is told.
+    // The mark of another session is invalid: everything is sent.
     let other = ViewMark {
         session: mark.session.wrapping_add(1),
         revision: mark.revision,
@@ -206,7 +206,7 @@
     watch(&hub, WatcherKind::Gateway, ViewMark::default());
     hub.expire();
     let (_, update) = watch(&hub, WatcherKind::Gateway, ViewMark::default());
-    let topology = update.topology.expect("it changed");
+    let topology = update.topology.expect("a changed topology");
     assert_eq!(topology.gateways, BTreeSet::from([NodeId(7)]));
 }
 
@@ -225,10 +225,10 @@
     let mut view = TopologyView::default();
     let start = Timestamp::ZERO;
     view.note(NodeId(1), Some(topology(7, &[4, 5], &[8, 9])), start);
-    // It counts no gateway yet and has applied less.
+    // It has counted no gateway yet and has applied less.
     view.note(NodeId(2), Some(topology(3, &[4], &[])), start);
     assert_eq!(view.current(start), topology(7, &[4, 5], &[8, 9]));
-    // One without a part of the log tells of gateways only.
+    // A node that has not applied any entries contributes gateways only.
     view.note(NodeId(3), Some(topology(0, &[], &[9, 10])), start);
     assert_eq!(view.current(start), topology(7, &[4, 5], &[8, 9, 10]));
     view.note(NodeId(2), Some(topology(8, &[4, 5, 6], &[8])), start);
@@ -246,7 +246,7 @@
         let (_, update) = watch(&hub, WatcherKind::Gateway, ViewMark::default());
         view.note(NodeId(node), update.topology, start);
     }
-    // An older one does not say.
+    // An older version does not report its zone.
     view.note(NodeId(4), Some(topology(1, &[], &[])), start);
     assert_eq!(view.control_in(&"a".into()), [1, 3].map(NodeId).into());
     assert_eq!(view.control_in(&"c".into()), BTreeSet::new());
@@ -276,14 +276,21 @@
     skipped.fetch_add(2_000_000, Ordering::Relaxed);
     watch(&hub, WatcherKind::Store, ViewMark::default());
     assert!(hub.knows_stores());
-    // Eight seconds that a steady clock does not count.
+    // Eight seconds that a monotonic clock does not count while suspended.
     skipped.fetch_add(8_000_000, Ordering::Relaxed);
     assert_eq!(hub.live_stores(), BTreeSet::new());
-    assert!(!hub.knows_stores(), "not that they are gone");
+    assert!(
+        !hub.knows_stores(),
+        "after a suspension it cannot tell that they are gone"
+    );
     watch(&hub, WatcherKind::Store, ViewMark::default());
-    assert!(!hub.knows_stores(), "the others have not asked yet");
+    assert!(!hub.knows_stores(), "the other stores have not asked yet");
     hub.expire();
-    assert_eq!(hub.heard_since(Timestamp::ZERO), [], "nor has the engine");
+    assert_eq!(
+        hub.heard_since(Timestamp::ZERO),
+        [],
+        "the engine has not sent a heartbeat yet"
+    );
 }
 
 #[test]
@@ -320,7 +327,7 @@
     hub.expire();
     assert_eq!(hub.gateways(), 4);
     assert_eq!(hub.gateways_outside(&BTreeSet::new()), 4);
-    // One that does not say where it stands may be on either side.
+    // A gateway without a zone may be on either side.
     assert_eq!(hub.gateways_outside(&BTreeSet::from(["b".into()])), 2);
     assert_eq!(hub.zone_of(NodeId(2)), Some("b".into()));
     assert_eq!(hub.zone_of(NodeId(4)), None);
--- a/crates/fleet/tests/emptied.rs
+++ b/crates/fleet/tests/emptied.rs
@@ -1,4 +1,4 @@
-//! Stores that are emptied, and of which operators hear that they are.
+//! Tracking of retired stores whose completion is reported to operators.
 
 use std::collections::BTreeSet;
 
@@ -18,7 +18,8 @@
     assert_eq!(emptied.due(&nodes(&[1, 2]), &nodes(&[3])), nodes(&[1]));
 }
 
-/// An operator waited for good for one that retired again under the same leader.
+/// Guards against a second retirement of the same address under the same leader never
+/// being reported, so that the operator waited forever.
 #[test]
 fn a_store_that_retires_again_at_its_address_is_said_to_be_emptied_again() {
     let mut emptied = Emptied::default();
--- a/crates/fleet/tests/handout.rs
+++ b/crates/fleet/tests/handout.rs
@@ -1,4 +1,4 @@
-//! Items that gateways run.
+//! Leases of batch items to gateways.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -57,7 +57,7 @@
     );
     assert_eq!(handout.take(at(0), 0, TWO, 9, &work), [item(1, 2)]);
     assert!(handout.take(at(1_999), 0, TWO, 9, &work).is_empty());
-    // The gateway fell silent.
+    // The lease of the silent gateway has expired.
     assert_eq!(handout.take(at(2_000), 0, TWO, 9, &work).len(), 3);
     assert_eq!(
         handout.renew(at(2_001), ONE, &running(&[item(1, 0)]), &work),
@@ -109,7 +109,7 @@
     let taken = handout.take(at(0), 0, ONE, 2, &work);
     assert_eq!(taken.len(), 2);
     assert_eq!(handout.free(at(0), &work), 0);
-    // A silent gateway loses its items.
+    // The lease of the silent gateway has expired.
     assert_eq!(handout.free(at(2_000), &work), 2);
 }
 
@@ -125,7 +125,7 @@
     assert_eq!(stop, [item(1, 0)]);
 }
 
-/// Open items of one job each, due at these times.
+/// Returns open items of one job each, with these due times.
 fn due_work(times: &[Option<u64>]) -> OpenWork {
     let items = (1..).zip(times).map(|(job, &due_ms)| OpenItem {
         item: item(job, 0),
@@ -149,7 +149,7 @@
 
 #[test]
 fn what_is_due_first_goes_out_first_and_what_is_late_last() {
-    // It is 1,000 ms: the first is late, the third is due next.
+    // The current time is 1,000 ms: the first is late, the third is due next.
     let work = due(&[Some(900), Some(5_000), Some(2_000), None, Some(800)]);
     let mut handout = warm();
     let taken = handout.take(at(0), 1_000, ONE, 9, &work);
@@ -176,7 +176,7 @@
         );
     }
     assert_eq!(handout.run_time(), Duration::from_secs(4));
-    // What is due within 4 s is as good as late; 5 s are enough.
+    // An item due within 4 s is already treated as late; one due in 5 s is not.
     let work = due(&[Some(13_500), Some(15_000)]);
     let taken = handout.take(at(9_000), 10_000, TWO, 1, &work);
     assert_eq!(taken, [item(2, 0)]);
@@ -209,15 +209,15 @@
     }
     machine.apply(&submit(21, 90_000));
     let BatchAnswer::Open(work) = machine.query(&BatchQuery::Open { limit: OPEN_LIMIT }) else {
-        panic!("another answer");
+        panic!("unexpected answer");
     };
     let taken = warm().take(at(0), 50_000, ONE, 3, &index(work));
     assert_eq!(taken, [item(21, 0), item(21, 1), item(21, 2)]);
 }
 
 proptest! {
-    /// Of two items that can be done in time, the one that is due later never
-    /// goes out first; and every item goes out, however many are more urgent.
+    /// Among items that can be done in time, none is handed out before one that is due
+    /// earlier. Every item is handed out eventually, however many are more urgent.
     #[test]
     fn no_item_overtakes_one_that_is_due_before_it_and_none_starves(
         times in prop::collection::vec(prop::option::of(0..10_000_u64), 1..40),
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/lives.rs
@@ -1,5 +1,4 @@
-//! What a control node knows of engines that start again under their name, and how often
-//! it tells of what it refuses.
+//! Engines that restart under the same name, and rate limiting of logged refusals.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -58,7 +57,7 @@
     for address in ["1:1", "2:2"] {
         let mut registry = Registry::new(SILENCE);
         assert!(registry.hear(record("a#100", "1:1", 900), at(0), 1));
-        // It counts its calls from one again.
+        // The new life numbers its heartbeats from 1 again.
         assert!(registry.hear(record("a#200", address, 1), at(10), 2));
         assert_eq!(there(&registry), ["a#200"]);
         assert_eq!(registry.lost_after(1), ["a#100"]);
@@ -69,7 +68,7 @@
         registry.remove("a#100");
         assert_eq!(there(&registry), ["a#200"], "a late departure");
         assert!(!registry.hear(record("a#200", address, 2), at(30), 3));
-        // Its silence counts from its own heartbeats.
+        // The new life expires by its own heartbeats.
         assert!(registry.expire(at(10_030), 4));
         assert!(!registry.hear(record("a#100", "1:1", 902), at(10_040), 5));
         assert!(there(&registry).is_empty());
@@ -90,15 +89,22 @@
 fn without_a_start_an_identifier_has_one_life() {
     let mut registry = Registry::new(SILENCE);
     assert!(registry.hear(record("a", "1:1", 9), at(0), 1));
-    assert!(!registry.hear(record("a", "2:2", 8), at(1), 2), "late");
+    assert!(
+        !registry.hear(record("a", "2:2", 8), at(1), 2),
+        "late heartbeat"
+    );
     assert!(registry.hear(record("a", "2:2", 10), at(2), 3));
     registry.remove("a#100");
     registry.hear(record("b#1", "3:3", 1), at(3), 4);
     registry.remove("b");
-    assert_eq!(there(&registry), ["b#1"], "an end is of lives before it");
+    assert_eq!(
+        there(&registry),
+        ["b#1"],
+        "an end applies to the lives before it"
+    );
 }
 
-/// A hub that took these departures in.
+/// Creates a hub that has applied these departures.
 fn hub_with(departures: &[(&str, Departure)]) -> Hub {
     let mut machine = ControlMachine::default();
     for (engine, departure) in departures {
@@ -129,12 +135,12 @@
 #[test]
 fn an_end_without_a_start_is_of_every_life_begun_until_then() {
     let hub = hub_with(&[]);
-    assert_eq!(hub.ends("a", 500), "a#500", "nobody knows it here");
+    assert_eq!(hub.ends("a", 500), "a#500", "unknown to this node");
     hub.hear(record("a", "1:1", 1));
-    assert_eq!(hub.ends("a", 500), "a", "it tells no starts");
+    assert_eq!(hub.ends("a", 500), "a", "it reports no start time");
     hub.hear(record("a#100", "1:1", 1));
     assert_eq!(hub.ends("a", 500), "a#500");
-    // Its clock is ahead.
+    // The clock of the engine is ahead.
     hub.hear(record("a#700", "1:1", 1));
     assert_eq!(hub.ends("a", 500), "a#700");
 }
--- a/crates/fleet/tests/subsets.rs
+++ b/crates/fleet/tests/subsets.rs
@@ -1,6 +1,6 @@
-//! What a control node tells gateways of a large service: each its part, engines that come
-//! and go to those who use them, a configuration once; and that none of it grows with the
-//! fleet.
+//! Updates that a control node sends to the gateways of a large service: each receives
+//! its subset, changes of engines go to the gateways that use them, and a configuration
+//! is sent once. None of this grows with the size of the fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -20,7 +20,7 @@
 const SILENCE: Duration = Duration::from_secs(10);
 const ZONES: usize = 5;
 
-/// A control node, with a clock that is moved by hand, and the gateways that watch it.
+/// A control node with a manually advanced clock, and the gateways that watch it.
 struct Fleet {
     hub: Hub,
     skipped: Arc<AtomicU64>,
@@ -49,12 +49,12 @@
 }
 
 impl Fleet {
-    /// A settled one: every gateway has heard its part.
+    /// Creates a fleet in which every gateway has received its subset.
     fn settled(gateways: usize, engines: usize) -> Self {
         Self::settled_by(BootClock::by_hand, gateways, engines)
     }
 
-    /// The same by another clock.
+    /// Same as `settled`, with another clock.
     fn settled_by(clock: fn(Arc<AtomicU64>) -> BootClock, gateways: usize, engines: usize) -> Self {
         let skipped = Arc::new(AtomicU64::new(0));
         let clock = clock(skipped.clone());
@@ -83,7 +83,7 @@
         self.skipped.fetch_add(micros, Ordering::Relaxed);
     }
 
-    /// Lets some seconds pass in which gateways and engines are heard as ever.
+    /// Advances the clock by some seconds in which all gateways and engines stay active.
     fn pass(&mut self, seconds: u64, gateways: usize, engines: usize) {
         for _ in 0..seconds / 2 {
             self.wait(Duration::from_secs(2));
@@ -93,7 +93,7 @@
         }
     }
 
-    /// What a gateway hears now, and how many bytes that is.
+    /// Returns the update that a gateway receives now, and its size in bytes.
     fn watch(&mut self, place: usize, version: u64, told_elsewhere: bool) -> (ViewUpdate, usize) {
         let gateway = node(place);
         let watch = WatchView {
@@ -161,7 +161,7 @@
     let ratio = told_at_start(240, 6_000) / told_at_start(120, 3_000);
     assert!(
         ratio <= 1.2,
-        "bytes told to a gateway at twice the fleet: {ratio}"
+        "growth of the bytes told to a gateway at twice the fleet size: {ratio}"
     );
     let told_of_one = |gateways: usize, engines: usize| {
         let mut fleet = Fleet::settled(gateways, engines);
@@ -193,11 +193,11 @@
     }
     assert!(
         !fleet.hub.hear(engine(7)),
-        "a late heartbeat brings it back nowhere"
+        "a late heartbeat must not bring it back"
     );
 }
 
-/// How many gateways a change answers at once.
+/// Returns the number of gateways whose watch is answered immediately.
 fn woken(fleet: &mut Fleet, gateways: usize) -> usize {
     let answered = (0..gateways).filter(|&place| {
         let gateway = node(place);
@@ -226,7 +226,7 @@
         fleet.hub.hear(engine(engines));
         let of_new = woken(&mut fleet, gateways);
         fleet.watch_all(gateways);
-        // Silent engines are lost, one of them a while before the others.
+        // Silent engines are lost, one of them some time before the others.
         fleet.wait(SILENCE / 2);
         (0..engines).filter(|&place| place != 9).for_each(|place| {
             fleet.hub.hear(engine(place));
@@ -247,13 +247,21 @@
 fn an_engine_that_takes_an_address_is_told_to_its_users_and_the_other_taken_back() {
     let gateways = 120;
     let mut fleet = Fleet::settled(gateways, 3_000);
-    let users = fleet.hub.users_of(&[&engine(5).id]).remove(0).expect("few");
+    let users = fleet
+        .hub
+        .users_of(&[&engine(5).id])
+        .remove(0)
+        .expect("assigned users");
     let replacing = EngineRecord {
         id: "i-new".to_owned(),
         ..engine(5)
     };
     fleet.hub.hear(replacing);
-    let new_users = fleet.hub.users_of(&["i-new"]).remove(0).expect("few");
+    let new_users = fleet
+        .hub
+        .users_of(&["i-new"])
+        .remove(0)
+        .expect("assigned users");
     for place in 0..gateways {
         let (update, _) = fleet.watch(place, 0, false);
         let heard = update.engines.iter().any(|record| record.id == "i-new");
@@ -276,7 +284,7 @@
     assert_eq!(fleet.hub.users_of(&engines), before);
     fleet.pass(32, 90, 3_000);
     for users in fleet.hub.users_of(&engines) {
-        let users = users.expect("few");
+        let users = users.expect("assigned users");
         assert!(users.iter().all(|user| user.0 <= 90), "{users:?}");
         assert_eq!(users.len(), 32);
     }
@@ -301,7 +309,7 @@
         }
         fleet.wait(Duration::from_secs(1));
     }
-    // They know engines, and hear at once of one that leaves.
+    // The gateways know engines and are notified at once of one that leaves.
     fleet.watch_all(gateways);
     fleet.depart(&engine(7).id);
     assert_eq!(woken(&mut fleet, gateways), gateways);
@@ -339,9 +347,14 @@
         update.configuration.map(|held| held.version)
     };
     assert_eq!(told(&mut fleet, 0, true), None);
-    assert_eq!(told(&mut fleet, 7, true), None, "it has it by now");
+    assert_eq!(
+        told(&mut fleet, 7, true),
+        None,
+        "the gateway has it already"
+    );
     assert_eq!(told(&mut fleet, 0, false), Some(7));
-    // Whoever still lacks it hears it here, however often it asks meanwhile.
+    // A gateway that still lacks it receives it here after the delay, however often it
+    // asks.
     assert_eq!(told(&mut fleet, 0, true), None);
     fleet.wait(Duration::from_millis(300));
     assert_eq!(told(&mut fleet, 0, true), None);
@@ -394,7 +407,7 @@
         },
         ViewUpdate::default()
     );
-    // Once it holds the group, whoever asks gets what it did not.
+    // Once it is a member, a watcher receives what was withheld before.
     fleet.hub.set_member(true);
     let (update, _) = fleet.watch(0, 0, false);
     assert_eq!(update.configuration.map(|held| held.version), Some(3));
@@ -403,7 +416,7 @@
 
 #[test]
 fn whoever_waits_sleeps_meanwhile() {
-    // Waits end by a clock that goes on by itself.
+    // Waits need a clock that advances by itself.
     let mut fleet = Fleet::settled_by(BootClock::skipping, 1, 10);
     fleet.declare(3);
     for kind in [WatcherKind::Store, WatcherKind::Gateway] {
@@ -461,8 +474,9 @@
     assert_eq!(update, ViewUpdate::default());
 }
 
-/// It served nobody for four seconds: whoever starts while all control nodes do knows no
-/// engine from before, and was told of none until it was known who uses which.
+/// Guards against a gateway serving no requests for four seconds when it starts together
+/// with all control nodes: it knows no engines from before, and received none until the
+/// engines were assigned to gateways.
 #[test]
 fn a_gateway_that_starts_with_all_control_nodes_hears_of_engines_at_once() {
     let (gateways, engines) = (120, 3_000);
@@ -471,11 +485,15 @@
     fleet.hub = Hub::new("z0".into(), SILENCE, BootClock::by_hand(skipped.clone()));
     fleet.skipped = skipped;
     fleet.take();
-    // Engines register before anybody asks, and while gateways do.
+    // Engines register before any gateway sends a request, and in between.
     fleet.hear_all(engines / 2);
     fleet.hub.expire();
     let goes_on = fleet.watch(0, 0, false).0;
-    assert_eq!(goes_on.engines, [], "it knows engines from before");
+    assert_eq!(
+        goes_on.engines,
+        [],
+        "it keeps the engines known from before"
+    );
     fleet.marks.clear();
     let mut known: BTreeMap<String, usize> = BTreeMap::new();
     for _ in 0..2 {
@@ -483,7 +501,7 @@
             let told = update.engines.len();
             assert!((1..=engines / 10).contains(&told), "{told} engines");
             assert_eq!(update.parts.len(), 1);
-            assert_eq!(update.parts[0].engines, None, "nothing is taken back");
+            assert_eq!(update.parts[0].engines, None, "no engines are taken back");
             for engine in update.engines {
                 *known.entry(engine.id).or_default() += 1;
             }
@@ -491,7 +509,7 @@
         fleet.hear_all(engines);
         fleet.wait(Duration::from_millis(500));
     }
-    // As it is once it is settled, with fewer users each for a while.
+    // As in the settled state, with fewer users per engine for a while.
     assert!(known.len() > engines * 9 / 10, "{} known", known.len());
     assert!(known.values().all(|users| *users <= 32), "{known:?}");
     fleet.pass(6, gateways, engines);
