--- a/crates/membership/src/directory/health.rs
+++ b/crates/membership/src/directory/health.rs
@@ -1,4 +1,4 @@
-//! Signs of health of one back end: failures in a row, latency, probes.
+//! Health tracking of one back end: consecutive failures, latency and probes.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,29 +8,29 @@
 use super::DirectorySettings;
 use super::record::{BackendState, Entry};
 
-/// Weight of the newest answer in the smoothed latency.
+/// Weight of the newest sample in the latency EWMA.
 const LATENCY_WEIGHT: f64 = 0.1;
-/// Answers needed before a latency may be called an outlier.
+/// Minimum number of latency samples before a back end can be an outlier.
 const FEWEST_ANSWERS: u32 = 20;
-/// Back ends of a service needed before its median means anything.
+/// Minimum number of back ends in a service for its median to be meaningful.
 const FEWEST_PEERS: usize = 3;
-/// Doublings after which the probe delay no longer grows.
+/// Number of doublings after which the probe delay stops growing.
 const MOST_DOUBLINGS: u32 = 16;
-/// Time after which an unanswered probe no longer holds back the next.
+/// Time after which an unanswered probe no longer delays the next one.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Signs of health within one incarnation.
+/// Health of one incarnation of a back end.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Health {
-    /// Failures since the last answer.
+    /// Consecutive failures since the last success.
     failures: u32,
-    /// Answers since the last failure.
+    /// Consecutive successes since the last failure.
     pub(super) successes: u32,
-    /// Ejections that are not forgotten yet.
+    /// Number of ejections that have not been forgotten yet.
     ejections: u32,
-    /// Smoothed time to the first byte, in microseconds.
+    /// EWMA of the time to the first byte, in microseconds.
     latency_micros: f64,
-    /// Answers that went into it.
+    /// Number of samples in the EWMA.
     answers: u32,
     /// When the next probe is due.
     next_probe: Timestamp,
@@ -57,14 +57,14 @@
         self.failures = self.failures.saturating_add(1);
     }
 
-    /// A back end on trial after an ejection is ejected by its next failure,
-    /// which bounds flapping by the growing probe delay.
+    /// Whether a failure must eject the back end. One that was ejected recently is
+    /// ejected again by its next failure; the growing probe delay limits flapping.
     pub(super) fn must_eject(&self, settings: &DirectorySettings) -> bool {
         let on_trial = self.ejections > 0;
         on_trial || self.failures >= settings.failures_to_eject
     }
 
-    /// Schedules the next probe, twice as far away as the one before.
+    /// Schedules the next probe with an exponentially growing delay.
     pub(super) fn back_off(&mut self, now: Timestamp, settings: &DirectorySettings) {
         let doublings = self.ejections.min(MOST_DOUBLINGS);
         let delay = settings.first_probe_delay * (1 << doublings);
@@ -81,7 +81,7 @@
         self.probing_since = None;
     }
 
-    /// Whether to probe now; notes the probe as sent when it says yes.
+    /// Whether a probe should be sent now. If so, records it as sent.
     pub(super) fn probe_due(
         &mut self,
         now: Timestamp,
@@ -106,8 +106,8 @@
     }
 }
 
-/// Healthy back ends whose latency stands out among their service's, slowest
-/// first, no more than the allowed share of the service.
+/// Returns the healthy back ends that are latency outliers in their service, slowest
+/// first, up to the maximum share of back ends of the service.
 pub(super) fn find_outliers(
     entries: &BTreeMap<BackendId, Entry>,
     settings: &DirectorySettings,
--- a/crates/membership/src/directory/machine_list.rs
+++ b/crates/membership/src/directory/machine_list.rs
@@ -1,4 +1,4 @@
-//! Merging the platform list, which lags and may go back in time.
+//! Merges the platform list, which may lag or go back to an older revision.
 
 use std::collections::BTreeSet;
 
@@ -9,18 +9,19 @@
 use super::record::{BackendState, ChangeReason, Entry};
 use super::{Directory, DirectoryOutput, DirectorySettings};
 
-/// What is remembered of earlier lists.
+/// State kept from earlier lists.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ListHistory {
-    /// Highest revision that is believed.
+    /// Highest accepted revision.
     highest: u64,
-    /// Since when only lower revisions arrived.
+    /// Since when only lower revisions have arrived.
     lower_since: Option<Timestamp>,
 }
 
 impl ListHistory {
-    /// Whether a list of that revision is as new as any before. When only
-    /// lower ones come for long, the platform was reset and they are believed.
+    /// Whether a list of this revision is at least as new as all earlier ones. If only
+    /// lower revisions arrive for a long time, the platform was reset and they are
+    /// accepted.
     fn is_current(&mut self, now: Timestamp, revision: u64, settings: &DirectorySettings) -> bool {
         if revision >= self.highest {
             self.highest = revision;
@@ -90,7 +91,7 @@
 }
 
 impl Entry {
-    /// Takes over where the machine stands and what it is meant for.
+    /// Updates the address, zone and purpose of the machine.
     fn take_place(&mut self, machine: &Machine, revision: u64) {
         self.backend.kind = machine.kind;
         self.backend.address.clone_from(&machine.address);
@@ -99,7 +100,8 @@
         self.revision = revision;
     }
 
-    /// A live line never undoes leaving: the list may be older than the mark.
+    /// Handles a machine that is listed as live. This never undoes leaving, because the
+    /// list may be older than the leaving mark.
     fn listed_live(&mut self, now: Timestamp, outputs: &mut Vec<DirectoryOutput>) {
         if !enabled(Mechanism::StickyLeaving) && self.backend.state == BackendState::Leaving {
             self.change(now, BackendState::Healthy, ChangeReason::Listed, outputs);
--- a/crates/membership/src/directory/mod.rs
+++ b/crates/membership/src/directory/mod.rs
@@ -1,13 +1,13 @@
-//! One view per back end, by incarnation.
+//! Directory of back ends with one entry per back end, keyed to its incarnation.
 //!
-//! Three sources are merged. The platform list says which machines exist, but
-//! it lags and may go back in time. A back end's own report is newer and names
-//! its incarnation. Probes and the results of real work say whether it answers.
+//! Three sources are merged. The platform list says which machines exist, but it may lag
+//! or go back to an older revision. A report of the back end itself is newer and names
+//! its incarnation. Probes and the results of requests show whether it responds.
 //!
-//! Invariants, for each back end:
-//! - the incarnation in the view never falls;
-//! - within one incarnation, leaving is final;
-//! - a report of a lower incarnation changes nothing.
+//! Invariants for each back end:
+//! - its incarnation never decreases;
+//! - leaving is final within an incarnation;
+//! - reports of a lower incarnation have no effect.
 
 mod health;
 mod machine_list;
@@ -26,31 +26,31 @@
 use machine_list::ListHistory;
 use record::Entry;
 
-/// Bounds of the directory.
+/// Settings of the directory.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DirectorySettings {
-    /// Failures in a row that eject a back end.
+    /// Consecutive failures that eject a back end.
     pub failures_to_eject: u32,
-    /// Successes in a row that bring a suspect back to healthy.
+    /// Consecutive successes that make a suspect back end healthy.
     pub successes_to_heal: u32,
-    /// Time from ejection to the first probe; doubles with each further one.
+    /// Time from an ejection to the first probe; doubled for each further probe.
     pub first_probe_delay: Duration,
-    /// Longest time between probes.
+    /// Maximum time between probes.
     pub longest_probe_delay: Duration,
-    /// Time between probes of a back end that nothing was heard from yet.
+    /// Interval between probes of a back end that has never responded.
     pub discovery_interval: Duration,
-    /// Healthy time after which earlier ejections are forgotten.
+    /// Time in the healthy state after which earlier ejections are forgotten.
     pub ejection_memory: Duration,
-    /// A latency this many times the median of its service is an outlier.
+    /// A back end is an outlier if its latency exceeds the median of its service by this
+    /// factor.
     pub outlier_factor: f64,
-    /// Largest share of a service's back ends ejected as latency outliers.
+    /// Maximum fraction of a service's back ends that may be ejected as latency outliers.
     pub largest_outlier_share: f64,
-    /// Time since the last contact after which a back end that is missing from
-    /// the list is gone.
+    /// Time without contact after which a back end that is missing from the list is gone.
     pub gone_after: Duration,
-    /// Time for which a gone back end's incarnation is remembered.
+    /// Time for which the incarnation of a gone back end is remembered.
     pub forget_after: Duration,
-    /// Time for which only lower revisions must arrive until they are believed.
+    /// Time for which only lower list revisions must arrive before they are accepted.
     pub list_restart_after: Duration,
 }
 
@@ -72,27 +72,27 @@
     }
 }
 
-/// What a back end says of itself.
+/// Status reported by a back end.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendReport {
-    /// Who reports.
+    /// The reporting back end.
     pub backend: BackendId,
-    /// Which life of it.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Whether it was told to leave.
+    /// Whether the back end was told to leave.
     pub leaving: bool,
-    /// Models, adapters and role; `None` when the source does not carry them.
+    /// Models, adapters and role; `None` if the source does not report them.
     pub loaded: Option<Loaded>,
 }
 
-/// What an engine has loaded.
+/// Models and adapters that an engine has loaded.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Loaded {
-    /// Models ready.
+    /// Models that are ready.
     pub models: Vec<String>,
-    /// Adapters ready.
+    /// Adapters that are ready.
     pub adapters: Vec<String>,
-    /// Role in force.
+    /// Current role.
     pub role: EngineRole,
 }
 
@@ -111,55 +111,55 @@
     }
 }
 
-/// How a probe or a piece of real work ended, seen as a sign of health.
+/// Result of a probe or request, as a health signal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkResult {
-    /// It answered, after this long for the first byte.
+    /// The back end responded, after this time to the first byte.
     Answered(Duration),
-    /// It could not be reached, broke off, or failed by its own fault.
+    /// The back end was unreachable, closed the connection early, or failed by its own
+    /// fault.
     Failed,
 }
 
-/// An input of the directory.
+/// Input of the directory.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DirectoryInput {
     /// The platform list.
     List(MachineList),
-    /// A back end's own report, direct or passed on by its batch owner.
+    /// A report of the back end, received directly or through its batch owner.
     Report(BackendReport),
-    /// The result of a probe that [`DirectoryOutput::Probe`] asked for. The
-    /// incarnation is the one that the answer named.
+    /// The result of a probe requested by [`DirectoryOutput::Probe`].
     Probe {
-        /// Back end.
+        /// The probed back end.
         backend: BackendId,
-        /// Incarnation that answered, if it said so.
+        /// Incarnation named in the response, if any.
         incarnation: Option<Incarnation>,
-        /// How it went.
+        /// Result of the probe.
         result: WorkResult,
     },
-    /// The result of real work.
+    /// The result of a request.
     Work {
-        /// Back end.
+        /// The back end that received the request.
         backend: BackendId,
-        /// Life that the work was sent to.
+        /// Incarnation that the request was sent to.
         incarnation: Incarnation,
-        /// How it went.
+        /// Result of the request.
         result: WorkResult,
     },
-    /// Time passed; send one a few times a second.
+    /// Time passed; expected several times per second.
     Tick,
 }
 
-/// An output of the directory.
+/// Output of the directory.
 #[derive(Clone, Debug, PartialEq)]
 pub enum DirectoryOutput {
-    /// A back end changed its state; also a decision event.
+    /// A back end changed its state; also reported as a decision event.
     Changed(StateChange),
-    /// Ask this back end for its health now.
+    /// Send a health probe to this back end now.
     Probe {
-        /// Back end.
+        /// The back end to probe.
         backend: BackendId,
-        /// Its address, `IP:port`.
+        /// Its address, as `IP:port`.
         address: String,
     },
 }
@@ -173,7 +173,7 @@
 }
 
 impl Directory {
-    /// An empty directory.
+    /// Creates an empty directory.
     #[must_use]
     pub fn new(settings: DirectorySettings) -> Self {
         Self {
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Takes one input and says what changed and whom to probe.
+    /// Handles an input and returns the state changes and the probes to send.
     pub fn handle(&mut self, now: Timestamp, input: DirectoryInput) -> Vec<DirectoryOutput> {
         let mut outputs = Vec::new();
         match input {
@@ -204,7 +204,7 @@
         outputs
     }
 
-    /// Every back end that is not gone.
+    /// Returns every back end that is not gone.
     pub fn backends(&self) -> impl Iterator<Item = &Backend> {
         self.entries
             .values()
@@ -212,13 +212,13 @@
             .filter(|backend| backend.state != BackendState::Gone)
     }
 
-    /// One back end, also when it is gone.
+    /// Returns a back end, even if it is gone.
     #[must_use]
     pub fn backend(&self, backend: BackendId) -> Option<&Backend> {
         self.entries.get(&backend).map(|entry| &entry.backend)
     }
 
-    /// Back ends of a service that may get new work.
+    /// Returns the back ends of a service that accept new requests.
     pub fn in_service<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -234,8 +234,8 @@
         report: BackendReport,
         outputs: &mut Vec<DirectoryOutput>,
     ) {
-        // A report names neither address nor zone, so an unlisted back end
-        // cannot be used yet.
+        // A report contains neither address nor zone, so an unlisted back end cannot be
+        // used yet.
         let Some(entry) = self.entries.get_mut(&report.backend) else {
             return;
         };
@@ -292,13 +292,14 @@
         let Some(entry) = self.entries.get_mut(&backend) else {
             return;
         };
-        // Work of an earlier life says nothing about this one, and work never
-        // announces a new life: only the back end itself or the list does.
+        // Results from an earlier incarnation do not apply to the current one, and a
+        // result never announces a new incarnation: only the back end itself or the list
+        // does.
         if entry.backend.incarnation != incarnation {
             return;
         }
-        // An ejected back end is judged by its probes alone; what was in
-        // flight at the ejection must not lengthen it.
+        // The state of an ejected back end depends on its probes only; requests that were
+        // in flight at the ejection must not prolong it.
         if entry.backend.state == BackendState::Ejected {
             return;
         }
@@ -317,7 +318,7 @@
         });
     }
 
-    /// Ejects back ends whose latency stands out, up to a share of the service.
+    /// Ejects latency outliers, up to the maximum share of the service.
     fn eject_outliers(&mut self, now: Timestamp, outputs: &mut Vec<DirectoryOutput>) {
         let outliers = health::find_outliers(&self.entries, &self.settings);
         for backend in outliers {
@@ -329,8 +330,8 @@
 }
 
 impl Entry {
-    /// Whether news of `incarnation` concern the life in the view, after
-    /// starting anew for a higher one.
+    /// Whether an input for `incarnation` applies to the entry. A higher incarnation
+    /// first resets the entry.
     fn admit_incarnation(
         &mut self,
         now: Timestamp,
@@ -344,7 +345,7 @@
         incarnation >= current || !enabled(Mechanism::IncarnationOrder)
     }
 
-    /// Starts the view of a new life.
+    /// Resets the entry for a new incarnation.
     fn restart(
         &mut self,
         now: Timestamp,
--- a/crates/membership/src/directory/record.rs
+++ b/crates/membership/src/directory/record.rs
@@ -1,4 +1,4 @@
-//! The view of one back end and the rules by which its state changes.
+//! The entry of one back end and its state transitions.
 
 use derive_more::Display;
 use molespan_engine_api::{Machine, MachineKind};
@@ -8,62 +8,63 @@
 use super::health::Health;
 use super::{DirectoryOutput, DirectorySettings, Loaded, WorkResult};
 
-/// Where a back end stands.
+/// State of a back end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
 pub enum BackendState {
-    /// Listed, but nothing was heard from it; gets no work yet.
+    /// Listed, but has not responded yet; receives no requests.
     #[display("unknown")]
     Unknown,
     /// In service.
     #[display("healthy")]
     Healthy,
-    /// It failed lately, or is back on trial; used after the healthy ones.
+    /// Failed recently, or was ejected and is being tried again; used only after the
+    /// healthy back ends.
     #[display("suspect")]
     Suspect,
-    /// It failed repeatedly; only probes are sent.
+    /// Failed repeatedly; receives only probes.
     #[display("ejected")]
     Ejected,
-    /// It finishes what runs. Final for this incarnation.
+    /// Finishes the requests in flight. Final for this incarnation.
     #[display("leaving")]
     Leaving,
-    /// It is no longer there.
+    /// No longer exists.
     #[display("gone")]
     Gone,
 }
 
 impl BackendState {
-    /// Whether new work may be sent there.
+    /// Whether the back end may receive new requests.
     #[must_use]
     pub fn accepts_new_work(self) -> bool {
         matches!(self, BackendState::Healthy | BackendState::Suspect)
     }
 }
 
-/// Why a back end changed its state.
+/// Reason for a change of state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
 pub enum ChangeReason {
-    /// The platform list says so.
+    /// The platform list reports the state.
     #[display("listed")]
     Listed,
-    /// It is missing from the list and was not heard from.
+    /// The back end is missing from the list and silent.
     #[display("missing from the list")]
     Missing,
-    /// Its own report says so.
+    /// The back end itself reported the state.
     #[display("reported")]
     Reported,
-    /// A new life of it appeared.
+    /// A new incarnation appeared.
     #[display("new incarnation")]
     NewIncarnation,
-    /// It answered.
+    /// The back end responded.
     #[display("answered")]
     Answered,
-    /// It failed.
+    /// A request or probe failed.
     #[display("failed")]
     Failed,
-    /// It failed as often in a row as is allowed.
+    /// The number of consecutive failures reached the limit.
     #[display("failed repeatedly")]
     RepeatedFailures,
-    /// It answers far slower than its peers.
+    /// The back end responds much more slowly than its peers.
     #[display("slow answers")]
     SlowAnswers,
 }
@@ -71,51 +72,51 @@
 /// A change of state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StateChange {
-    /// Back end.
+    /// Identifier of the back end.
     pub backend: BackendId,
-    /// Its life.
+    /// Incarnation of the back end.
     pub incarnation: Incarnation,
-    /// State before.
+    /// Previous state.
     pub from: BackendState,
-    /// State after.
+    /// New state.
     pub to: BackendState,
-    /// Why.
+    /// Reason for the change.
     pub reason: ChangeReason,
 }
 
-/// The merged view of one back end.
+/// Merged information about one back end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Backend {
-    /// Its number.
+    /// Identifier of the back end.
     pub id: BackendId,
-    /// Its latest life.
+    /// Latest known incarnation.
     pub incarnation: Incarnation,
-    /// What it runs.
+    /// Kind of machine.
     pub kind: MachineKind,
-    /// `IP:port` of its HTTP interface.
+    /// Address of its HTTP interface, as `IP:port`.
     pub address: String,
-    /// Where it stands.
+    /// Zone of the back end.
     pub zone: ZoneName,
-    /// Service that it is meant for.
+    /// Service that it is assigned to.
     pub service: ServiceName,
-    /// State.
+    /// Current state.
     pub state: BackendState,
-    /// When that state began.
+    /// When the current state began.
     pub since: Timestamp,
-    /// Models, adapters and role, as it last reported.
+    /// Models, adapters and role that it last reported.
     pub loaded: Loaded,
 }
 
-/// A back end and what only the directory needs to know.
+/// A back end with the internal state of the directory.
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) backend: Backend,
     pub(super) health: Health,
-    /// When it last answered or reported by itself.
+    /// When it last responded or sent a report.
     pub(super) last_contact: Option<Timestamp>,
-    /// When a current list first missed it.
+    /// Since when it has been missing from current lists.
     pub(super) missing_since: Option<Timestamp>,
-    /// Revision of the list that its address was taken from.
+    /// Revision of the list that provided its address.
     pub(super) revision: u64,
 }
 
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Moves to `to`, unless that would undo leaving.
+    /// Changes the state to `to`, unless that would undo leaving.
     pub(super) fn change(
         &mut self,
         now: Timestamp,
@@ -149,8 +150,8 @@
         outputs: &mut Vec<DirectoryOutput>,
     ) {
         let from = self.backend.state;
-        // Within an incarnation, the only way on from leaving is gone; and a
-        // gone back end that was leaving stays out, see `was_leaving`.
+        // Within an incarnation, a leaving back end can only become gone, and one that
+        // was leaving before it was gone stays out of service; see `was_leaving`.
         let undoes_leaving = self.health.was_leaving && to.accepts_new_work();
         if from == to || (undoes_leaving && enabled(Mechanism::StickyLeaving)) {
             return;
@@ -167,7 +168,7 @@
         }));
     }
 
-    /// Takes the result of a probe or of work into account.
+    /// Applies the result of a probe or request.
     pub(super) fn observe(
         &mut self,
         now: Timestamp,
@@ -197,7 +198,7 @@
         let healed = self.health.successes >= settings.successes_to_heal;
         let to = match self.backend.state {
             BackendState::Unknown | BackendState::Gone => BackendState::Healthy,
-            // Half-open: one answer lets work in again, more make it healthy.
+            // Half-open: one success admits requests again, further ones make it healthy.
             BackendState::Ejected => BackendState::Suspect,
             BackendState::Suspect if healed => BackendState::Healthy,
             _ => return,
@@ -224,7 +225,7 @@
         }
     }
 
-    /// Stops sending work and schedules the first probe.
+    /// Stops sending requests to the back end and schedules the first probe.
     pub(super) fn eject(
         &mut self,
         now: Timestamp,
@@ -236,7 +237,7 @@
         self.change(now, BackendState::Ejected, reason, outputs);
     }
 
-    /// Sends due probes, forgets old ejections and notices that it is gone.
+    /// Sends due probes, forgets old ejections and detects that the back end is gone.
     pub(super) fn tick(
         &mut self,
         now: Timestamp,
@@ -260,8 +261,8 @@
         }
     }
 
-    /// Missing from the list, and silent for long enough not to be a machine
-    /// that an older list does not know yet.
+    /// Whether the back end is missing from the list and has been silent too long to be a
+    /// machine that a lagging list does not contain yet.
     fn is_gone(&self, now: Timestamp, settings: &DirectorySettings) -> bool {
         let missing_for = |since: &Timestamp| now.since(*since) >= settings.gone_after;
         let silent = self
--- a/crates/membership/src/drain.rs
+++ b/crates/membership/src/drain.rs
@@ -1,8 +1,8 @@
-//! The planned stop of a gateway or replica as a state machine.
+//! State machine of the planned stop of a gateway or replica.
 //!
-//! The order is fixed: say unready, wait until balancers have noticed, take no
-//! new connections, let what is in flight finish, hand leases over, exit. When
-//! the time bound is reached first, what is cut off is reported with its count.
+//! The order is fixed: report unready, wait until load balancers have noticed, refuse new
+//! connections, finish the requests in flight, hand over leases, exit. If a time limit is
+//! reached first, the number of requests or leases that are cut off is reported.
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
 use molespan_types::Timestamp;
 use molespan_types::mechanism::{Mechanism, enabled};
 
-/// Bounds of a planned stop.
+/// Time limits of a planned stop.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DrainSettings {
-    /// Time from saying unready until new connections are refused.
+    /// Time from reporting unready until new connections are refused.
     pub unready_wait: Duration,
-    /// Longest time for requests in flight to finish after that.
+    /// Maximum time for requests in flight to finish after that.
     pub finish_within: Duration,
-    /// Longest time for leases to be handed over after that.
+    /// Maximum time for handing over leases after that.
     pub hand_over_within: Duration,
 }
 
@@ -31,65 +31,65 @@
     }
 }
 
-/// Where a planned stop stands.
+/// Phase of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum DrainPhase {
     /// Not stopping.
     #[display("serving")]
     Serving,
-    /// Says unready, still takes what comes.
+    /// Reports unready but still accepts requests.
     #[display("unready")]
     Unready,
-    /// Takes nothing new, finishes what is in flight.
+    /// Refuses new requests and finishes those in flight.
     #[display("finishing")]
     Finishing,
-    /// Nothing in flight; leases and leaderships go to others.
+    /// No requests in flight; leases and leaderships are handed over to other nodes.
     #[display("handing over")]
     HandingOver,
-    /// Nothing is left to do.
+    /// The node can exit.
     #[display("stopped")]
     Stopped,
 }
 
-/// An input of a planned stop.
+/// Input of the state machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainInput {
-    /// An operator or a signal asked for the stop.
+    /// An operator or a signal requested the stop.
     Begin,
-    /// Requests in flight changed.
+    /// The number of requests in flight changed.
     InFlight(u32),
-    /// Leases and leaderships held changed.
+    /// The number of held leases and leaderships changed.
     Held(u32),
     /// Time passed.
     Tick,
 }
 
-/// What to do next.
+/// Action for the caller to take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DrainOutput {
-    /// Answer unready, and mark the node as draining in its heartbeats.
+    /// Report unready, and mark the node as draining in its heartbeats.
     SayUnready,
-    /// Stop batch work and return its items; it must not hold up the stop.
+    /// Stop batch work and return its items, which must not delay the stop.
     ReturnBatchItems,
-    /// Refuse new connections and new requests, as not run.
+    /// Refuse new connections, and refuse new requests as not run.
     RefuseNew,
     /// Hand over leases and leaderships.
     HandOver,
-    /// The bound was reached with this many requests in flight. Report it.
+    /// The time limit was reached with requests in flight; to be reported.
     CutOff {
-        /// Requests that are cut off.
+        /// Number of requests that are cut off.
         in_flight: u32,
     },
-    /// The bound was reached with this many leases not handed over.
+    /// The time limit was reached before all leases were handed over.
     LeftBehind {
-        /// Leases that others must wait out.
+        /// Number of leases that other nodes must wait to expire.
         held: u32,
     },
-    /// Exit now.
+    /// Exit the process.
     Exit,
 }
 
-/// A planned stop.
+/// State machine of a planned stop.
 #[derive(Clone, Debug)]
 pub struct DrainPlan {
     settings: DrainSettings,
@@ -100,7 +100,7 @@
 }
 
 impl DrainPlan {
-    /// A node that serves.
+    /// Creates the state machine of a node in normal operation.
     #[must_use]
     pub fn new(settings: DrainSettings) -> Self {
         Self {
@@ -112,13 +112,13 @@
         }
     }
 
-    /// Where the stop stands.
+    /// Returns the current phase.
     #[must_use]
     pub fn phase(&self) -> DrainPhase {
         self.phase
     }
 
-    /// Takes one input and says what to do.
+    /// Handles an input and returns the actions to take.
     pub fn handle(&mut self, now: Timestamp, input: DrainInput) -> Vec<DrainOutput> {
         let mut outputs = Vec::new();
         match input {
@@ -127,7 +127,7 @@
             DrainInput::Held(count) => self.held = count,
             DrainInput::Tick => {}
         }
-        // Several phases may be over at once, so go on until one is not.
+        // Several phases may end at once, so advance until none does.
         while self.advance(now, &mut outputs) {}
         outputs
     }
--- a/crates/membership/src/gateway_set.rs
+++ b/crates/membership/src/gateway_set.rs
@@ -1,4 +1,4 @@
-//! The live gateways, as replicas report them from heartbeats.
+//! The set of live gateways, as replicas report them from heartbeats.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,12 +8,12 @@
 
 use crate::rendezvous;
 
-/// Bounds of the gateway set.
+/// Timeouts of the gateway set.
 #[derive(Clone, Debug, PartialEq)]
 pub struct GatewaySetSettings {
-    /// Silence after which a gateway no longer counts as live.
+    /// Time without a report after which a gateway is no longer live.
     pub live_for: Duration,
-    /// Silence after which its incarnation is forgotten.
+    /// Time without a report after which the incarnation of a gateway is forgotten.
     pub forget_after: Duration,
 }
 
@@ -26,16 +26,16 @@
     }
 }
 
-/// A gateway as a replica reports it.
+/// A gateway as reported by a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct GatewayRecord {
-    /// Node.
+    /// Identifier of the node.
     pub node: NodeId,
-    /// Its life.
+    /// Incarnation of the gateway.
     pub incarnation: Incarnation,
-    /// Where it stands.
+    /// Zone of the gateway.
     pub zone: ZoneName,
-    /// Whether it is stopping as planned.
+    /// Whether the gateway is in a planned stop.
     pub draining: bool,
 }
 
@@ -45,17 +45,17 @@
     last_seen: Timestamp,
 }
 
-/// The gateways that are alive.
+/// The set of live gateways.
 #[derive(Clone, Debug)]
 pub struct GatewaySet {
     settings: GatewaySetSettings,
     members: BTreeMap<NodeId, Member>,
-    /// Non-draining live gateways by zone; rebuilt with every change.
+    /// Live gateways that are not draining, by zone; rebuilt on each change.
     by_zone: BTreeMap<ZoneName, Vec<NodeId>>,
 }
 
 impl GatewaySet {
-    /// An empty set.
+    /// Creates an empty set.
     #[must_use]
     pub fn new(settings: GatewaySetSettings) -> Self {
         Self {
@@ -65,8 +65,8 @@
         }
     }
 
-    /// Merges what a replica said just now. Returns whether the set of
-    /// gateways that may own back ends changed.
+    /// Merges the current report of a replica. Returns whether the set of gateways that
+    /// may own back ends changed.
     pub fn update(&mut self, now: Timestamp, records: Vec<GatewayRecord>) -> bool {
         for record in records {
             self.merge(now, record);
@@ -74,7 +74,8 @@
         self.expire(now)
     }
 
-    /// Drops gateways that fell silent. Returns whether the set changed.
+    /// Removes gateways that stopped sending heartbeats. Returns whether the set of
+    /// gateways that may own back ends changed.
     pub fn expire(&mut self, now: Timestamp) -> bool {
         let forget_after = self.settings.forget_after;
         self.members
@@ -102,8 +103,8 @@
             if older && enabled(Mechanism::IncarnationOrder) {
                 return;
             }
-            // Replicas lag differently, so a planned stop must not be undone
-            // by one that has not heard of it.
+            // Replicas lag differently, so a report from one that does not know of a
+            // planned stop yet must not undo it.
             if record.incarnation == known.incarnation && enabled(Mechanism::StickyLeaving) {
                 record.draining |= known.draining;
             }
@@ -113,33 +114,33 @@
         self.members.insert(node, Member { record, last_seen });
     }
 
-    /// Live gateways that are not draining, by zone.
+    /// Returns the live gateways that are not draining, by zone.
     #[must_use]
     pub fn by_zone(&self) -> &BTreeMap<ZoneName, Vec<NodeId>> {
         &self.by_zone
     }
 
-    /// Every live gateway that is not draining.
+    /// Returns every live gateway that is not draining.
     pub fn nodes(&self) -> impl Iterator<Item = NodeId> + '_ {
         self.by_zone.values().flatten().copied()
     }
 
-    /// What is known of a gateway, live or not.
+    /// Returns the latest record of a gateway, live or not.
     #[must_use]
     pub fn record(&self, node: NodeId) -> Option<&GatewayRecord> {
         self.members.get(&node).map(|member| &member.record)
     }
 
-    /// Whether `node` might own back ends of `zone`: it stands there, or no
-    /// gateway does.
+    /// Whether `node` may own back ends of `zone`: it is in that zone, or no gateway is.
     #[must_use]
     pub fn is_candidate(&self, node: NodeId, zone: &ZoneName) -> bool {
         let stands_there = self.record(node).is_some_and(|record| record.zone == *zone);
         stands_there || self.by_zone.get(zone).is_none_or(Vec::is_empty)
     }
 
-    /// The gateway that should own the batch work of `backend`: the highest
-    /// weight among those of its zone, or of all when its zone has none.
+    /// Returns the gateway that should own the batch work of `backend`: the one with the
+    /// highest rendezvous weight among those of its zone, or among all gateways if the
+    /// zone has none.
     #[must_use]
     pub fn owner_of(&self, backend: BackendId, zone: &ZoneName) -> Option<NodeId> {
         let in_zone = self.by_zone.get(zone).into_iter().flatten().copied();
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,7 +1,8 @@
-//! Which machines serve, merged from the platform list, reports and probes.
+//! Membership and health of the machines that serve requests, merged from the platform
+//! list, reports and probes.
 //!
-//! Everything here is pure: callers pass the time in, and decisions come out
-//! as values. Neither a clock nor a socket nor a random number is used.
+//! This crate does no I/O: callers pass in the time and act on the returned values. It
+//! uses no clock, socket or random numbers.
 
 pub mod directory;
 mod drain;
--- a/crates/membership/src/ownership.rs
+++ b/crates/membership/src/ownership.rs
@@ -1,19 +1,18 @@
-//! Which back ends this gateway owns for batch work, and when it may begin.
+//! Ownership of back ends for batch work, and when a gateway may act as owner.
 //!
-//! Rule: a new owner begins only after the old one released the back end, or
-//! after a whole lease has passed since the new owner became the one that the
-//! gateway set names.
+//! Rule: a new owner starts only after the old one released the back end, or after a full
+//! lease has passed since the gateway set named the new owner.
 //!
-//! Why that suffices. A gateway may act as owner only while a replica answered
-//! one of its heartbeats that was sent less than [`STOP_SHARE`] of a lease ago,
-//! by its own clock. An old owner that hears from replicas learns of the change
-//! within a heartbeat and releases at once. One that hears from none stops at
-//! 0.6 of a lease after its last answered heartbeat. That heartbeat was sent
-//! before it fell silent, so by the time others named a new owner the old one
-//! had at most 0.6 of a lease left; the remaining 0.4 covers replicas that lag
-//! and clocks that run at different rates.
+//! Why this is sufficient: a gateway may act as owner only while a replica has answered
+//! one of its heartbeats that was sent less than [`STOP_SHARE`] of a lease ago, by its
+//! own clock. An old owner that is in contact with replicas learns of the change within a
+//! heartbeat interval and releases at once. One that is cut off from all replicas stops
+//! 0.6 of a lease after its last answered heartbeat. That heartbeat was sent before the
+//! gateway went silent, so by the time others named a new owner, the old one had at most
+//! 0.6 of a lease left. The remaining 0.4 covers replicas that lag and clocks that run at
+//! different rates.
 //!
-//! Two owners at once would only crowd an engine: items are protected by their
+//! Two simultaneous owners would only overload an engine: items are protected by their
 //! own leases in the job groups, not by this rule.
 
 use std::collections::BTreeMap;
@@ -24,13 +23,13 @@
 
 use crate::GatewaySet;
 
-/// Share of a lease after which its holder stops on its own clock.
+/// Fraction of a lease after which its holder stops, on its own clock.
 pub const STOP_SHARE: f64 = 0.6;
 
-/// Bounds of ownership.
+/// Settings of ownership.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OwnershipSettings {
-    /// Length of the lease on a back end.
+    /// Duration of the lease on a back end.
     pub lease: Duration,
 }
 
@@ -42,40 +41,40 @@
     }
 }
 
-/// A change in what this gateway owns.
+/// A change of the back ends that this gateway owns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OwnershipChange {
-    /// It may lease items for this back end.
+    /// The gateway may lease items for this back end.
     Acquired(BackendId),
-    /// It must stop batch work there and tell `next`, if known.
+    /// The gateway must stop batch work on this back end and notify `next`, if known.
     Released {
-        /// Back end.
+        /// Identifier of the back end.
         backend: BackendId,
-        /// Who should own it now.
+        /// The gateway that should own it now.
         next: Option<NodeId>,
     },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Tenure {
-    /// Named as owner; the old owner may still act.
+    /// Named as owner by the gateway set; the previous owner may still be active.
     Waiting { until: Timestamp },
-    /// Acts as owner.
+    /// Active as owner.
     Owning,
 }
 
-/// The back ends that one gateway owns or is about to own.
+/// The back ends that a gateway owns or is about to own.
 #[derive(Clone, Debug)]
 pub struct Ownership {
     node: NodeId,
     settings: OwnershipSettings,
     tenures: BTreeMap<BackendId, Tenure>,
-    /// When the latest answered heartbeat was sent.
+    /// Send time of the latest heartbeat that was answered.
     confirmed: Option<Timestamp>,
 }
 
 impl Ownership {
-    /// Owns nothing yet.
+    /// Creates a state without any owned back ends.
     #[must_use]
     pub fn new(node: NodeId, settings: OwnershipSettings) -> Self {
         Self {
@@ -86,21 +85,21 @@
         }
     }
 
-    /// A replica answered the heartbeat that was sent at `sent`.
+    /// Records that a replica answered the heartbeat sent at `sent`.
     pub fn heartbeat_answered(&mut self, sent: Timestamp) {
         self.confirmed = self.confirmed.max(Some(sent));
     }
 
-    /// Another gateway says that it no longer owns `backend`.
+    /// Records that another gateway released `backend`.
     pub fn released_elsewhere(&mut self, now: Timestamp, backend: BackendId) {
         if let Some(Tenure::Waiting { until }) = self.tenures.get_mut(&backend) {
             *until = now;
         }
     }
 
-    /// Compares the tenures with the gateway set. Call it after each change of
-    /// the set or of the back ends; it hashes every back end that this gateway
-    /// might own against a zone's gateways.
+    /// Updates ownership from the gateway set. Must be called after each change of the
+    /// set or of the back ends. Hashes each back end that this gateway may own against
+    /// the gateways of a zone.
     pub fn refresh<'a>(
         &mut self,
         now: Timestamp,
@@ -131,8 +130,8 @@
         changes
     }
 
-    /// Begins tenures that are due, or stops all when the lease ran out. Call
-    /// it a few times a second.
+    /// Activates ownerships that are due, or releases all if the lease has expired.
+    /// Should be called several times per second.
     pub fn tick(&mut self, now: Timestamp) -> Vec<OwnershipChange> {
         if self.must_stop(now) {
             return self.release_all();
@@ -142,7 +141,7 @@
         changes
     }
 
-    /// Stops every tenure, for a planned stop.
+    /// Releases all back ends, for a planned stop.
     pub fn release_all(&mut self) -> Vec<OwnershipChange> {
         let owned: Vec<BackendId> = self.owned().collect();
         self.tenures.clear();
@@ -155,7 +154,7 @@
             .collect()
     }
 
-    /// The back ends that this gateway owns now.
+    /// Returns the back ends that this gateway currently owns.
     pub fn owned(&self) -> impl Iterator<Item = BackendId> + '_ {
         self.tenures
             .iter()
@@ -163,13 +162,13 @@
             .map(|(backend, _)| *backend)
     }
 
-    /// Whether this gateway owns `backend` now.
+    /// Whether this gateway currently owns `backend`.
     #[must_use]
     pub fn owns(&self, backend: BackendId) -> bool {
         self.tenures.get(&backend) == Some(&Tenure::Owning)
     }
 
-    /// Whether the lease ran out on this gateway's own clock.
+    /// Whether the lease has expired on this gateway's own clock.
     #[must_use]
     pub fn must_stop(&self, now: Timestamp) -> bool {
         let stop_after = self.settings.lease.mul_f64(STOP_SHARE);
--- a/crates/membership/src/rendezvous.rs
+++ b/crates/membership/src/rendezvous.rs
@@ -1,13 +1,13 @@
-//! Highest-random-weight hashing: every node computes the same ranking without
-//! talking to the others, and a change moves only the keys that it concerns.
+//! Rendezvous (highest random weight) hashing: every node computes the same ranking
+//! without communication, and a membership change moves only the affected keys.
 
 use molespan_types::{BackendId, NodeId};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Bytes of a node and a back end together.
+/// Size of a node identifier and a back end identifier together, in bytes.
 const KEY_BYTES: usize = 8;
 
-/// Weight of `node` for `backend`; the highest weight wins.
+/// Returns the weight of `node` for `backend`; the highest weight wins.
 #[must_use]
 pub fn weight(node: NodeId, backend: BackendId) -> u64 {
     let mut key = [0_u8; KEY_BYTES];
@@ -16,7 +16,7 @@
     xxh3_64(&key)
 }
 
-/// The node of `nodes` with the highest weight for `backend`.
+/// Returns the node with the highest weight for `backend`.
 pub fn highest(nodes: impl Iterator<Item = NodeId>, backend: BackendId) -> Option<NodeId> {
     nodes.max_by_key(|node| (weight(*node, backend), *node))
 }
--- a/crates/membership/src/subset.rs
+++ b/crates/membership/src/subset.rs
@@ -1,23 +1,23 @@
-//! Which engines one gateway routes to.
+//! Selection of the engines that a gateway routes to.
 //!
-//! Each gateway takes the engines with its highest rendezvous weights, most of
-//! them in its own zone and a share elsewhere to spill to. On top, it takes the
-//! engines of its zone for which it is among the few highest gateways, so that
-//! none is left with too few gateways by chance.
+//! Each gateway selects the engines with its highest rendezvous weights: most of them in
+//! its own zone, and a share in other zones as spillover capacity. It also selects the
+//! engines of its zone for which it is among the few highest-ranked gateways, so that no
+//! engine happens to be used by too few gateways.
 
 use molespan_types::{BackendId, NodeId, ZoneName};
 
 use crate::GatewaySet;
 use crate::rendezvous::weight;
 
-/// Size of a subset.
+/// Settings of the subset size.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SubsetSettings {
-    /// Engines that a gateway takes by its own weights.
+    /// Number of engines that a gateway selects by rendezvous weight.
     pub size: usize,
-    /// Of these, how many stand in other zones.
+    /// Number of these that are in other zones.
     pub spill: usize,
-    /// Fewest gateways of its zone that each engine gets.
+    /// Minimum number of gateways in its zone that use each engine.
     pub cover: usize,
 }
 
@@ -31,16 +31,16 @@
     }
 }
 
-/// A back end as far as the subset is concerned.
+/// A candidate for a subset.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SubsetBackend {
-    /// Back end.
+    /// Identifier of the back end.
     pub id: BackendId,
-    /// Where it stands.
+    /// Zone of the back end.
     pub zone: ZoneName,
 }
 
-/// The back ends, of one service, that `node` in `zone` routes to; sorted.
+/// Returns the back ends of a service that `node` in `zone` routes to, sorted.
 #[must_use]
 pub fn subset(
     node: NodeId,
@@ -85,7 +85,8 @@
     weighted.into_iter().map(|(_, backend)| backend).collect()
 }
 
-/// Back ends for which fewer than `cover` gateways of the zone outrank `node`.
+/// Returns the back ends for which fewer than `cover` gateways of the zone rank higher
+/// than `node`.
 fn covered_by<'a>(
     node: NodeId,
     zone: &ZoneName,
