--- a/crates/membership/tests/directory.rs
+++ b/crates/membership/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The merged view of back ends, named after what goes wrong.
+//! The directory of back ends: conflicting sources, failures and restarts.
 
 use std::time::Duration;
 
@@ -69,7 +69,7 @@
         .map_or(BackendState::Gone, |backend| backend.state)
 }
 
-/// Runs the inputs one millisecond apart and returns the state after the last.
+/// Applies the inputs one millisecond apart and returns the final state.
 fn run(inputs: Vec<DirectoryInput>) -> BackendState {
     let mut directory = Directory::new(DirectorySettings::default());
     for (millis, input) in inputs.into_iter().enumerate() {
@@ -98,22 +98,22 @@
             BackendState::Gone,
         ),
         (
-            "an older list says live after the engine says leaving",
+            "an older list reports live after the engine reports leaving",
             vec![live(5, 1), report(1, true), live(4, 1)],
             Leaving,
         ),
         (
-            "a newer list says live after the engine says leaving",
+            "a newer list reports live after the engine reports leaving",
             vec![live(5, 1), report(1, true), live(6, 1)],
             Leaving,
         ),
         (
-            "the engine takes its own leaving back",
+            "the engine takes back its own leaving mark",
             vec![live(5, 1), report(1, true), report(1, false)],
             Leaving,
         ),
         (
-            "an older list says leaving",
+            "an older list reports leaving",
             vec![live(5, 1), report(1, false), leaving(2)],
             Leaving,
         ),
@@ -123,22 +123,22 @@
             Leaving,
         ),
         (
-            "the same address returns as a new life",
+            "the same address returns with a new incarnation",
             vec![live(5, 1), report(1, true), live(6, 2), report(2, false)],
             Healthy,
         ),
         (
-            "a late report of the life before",
+            "a late report of the incarnation before",
             vec![live(5, 2), report(2, false), report(1, true)],
             Healthy,
         ),
         (
-            "an old list names the life before as leaving",
+            "an old list reports the incarnation before as leaving",
             vec![live(5, 2), report(2, false), leaving(3)],
             Healthy,
         ),
         (
-            "late failures of work sent to the life before",
+            "late failures of work sent to the incarnation before",
             vec![live(5, 2), report(2, false), failed(), failed(), failed()],
             Healthy,
         ),
@@ -209,7 +209,7 @@
     let mut open_again = Vec::new();
     for millis in (0..20_000).step_by(50) {
         if probes_sent(&mut directory, at(millis)) > 0 {
-            // It answers the probe and fails the first work it gets.
+            // It answers the probe and fails the first request it receives.
             directory.handle(at(millis), probe(FAST));
             assert_eq!(state(&directory), BackendState::Suspect);
             open_again.push(millis);
@@ -313,7 +313,7 @@
     assert_eq!(ejected, [3]);
 }
 
-/// Any input about one engine in lives 1 to 3.
+/// Generates an input about one engine in incarnations 1 to 3.
 fn any_input() -> impl Strategy<Value = DirectoryInput> {
     let life = 1_u64..4;
     let result = prop_oneof![Just(FAST), Just(WorkResult::Failed)];
--- a/crates/membership/tests/gateways.rs
+++ b/crates/membership/tests/gateways.rs
@@ -1,4 +1,4 @@
-//! Gateway set, ownership, subsets and planned stops, named after what goes wrong.
+//! Gateway set, ownership, subsets and planned stops under failures.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -63,7 +63,7 @@
 
 #[test]
 fn only_candidates_own_anything() {
-    // Zone 1 has no gateway, so that its engines are owned from elsewhere.
+    // Zone 1 has no gateway, so its engines are owned by gateways of other zones.
     let set = gateways((0..12).filter(|node| node % 3 != 1), 3);
     for engine in 0..ENGINES {
         let zone = zone(engine % 3);
@@ -119,7 +119,7 @@
     };
     assert!(set.update(at(30), vec![next_life]));
     assert_eq!(set.nodes().count(), 2);
-    // News of the life before change nothing.
+    // Reports of the previous incarnation have no effect.
     set.update(at(40), vec![record(1, 1)]);
     assert_eq!(
         set.record(NodeId(1)).map(|r| r.incarnation),
@@ -135,7 +135,7 @@
     assert_eq!(set.nodes().collect::<Vec<_>>(), [NodeId(0)]);
 }
 
-/// Two gateways, each with its own view, and the moment in which both own.
+/// An old and a new owner, each with its own state, to detect times at which both own.
 struct Pair {
     old: Ownership,
     new: Ownership,
@@ -151,7 +151,7 @@
         side.refresh(now, set, engines.iter().map(|(id, zone)| (*id, zone)))
     }
 
-    /// The old gateway owns everything; the new one knows of it.
+    /// The old gateway owns everything; the new one owns nothing.
     fn start() -> Self {
         let mut old = Ownership::new(NodeId(0), OwnershipSettings::default());
         let new = Ownership::new(NodeId(1), OwnershipSettings::default());
@@ -167,8 +167,8 @@
 #[test]
 fn an_owner_that_is_cut_off_stops_before_the_next_one_begins() {
     let mut pair = Pair::start();
-    // The old gateway hears nothing after the heartbeat of second 5. The
-    // others drop it 3 s after that, and the new one becomes the owner.
+    // The old gateway is cut off after the heartbeat at second 5. The others remove it 3
+    // s later, and the new one becomes the owner.
     let set = gateways(1..2, 1);
     let mut begins = None;
     let mut ends = None;
