--- a/crates/fleet/src/control/hub/mod.rs
+++ b/crates/fleet/src/control/hub/mod.rs
@@ -261,7 +261,7 @@
         let began = self.now();
         let ends = began + wait;
         loop {
-            let (woken, ends) = {
+            let (waiter, ends) = {
                 let mut state = self.lock();
                 let now = self.now();
                 state.note_asked(now);
@@ -287,7 +287,7 @@
             let late = async {
                 self.clock.wait_until(ends).await;
             };
-            future::or(woken.woken(), late).await;
+            future::or(waiter.wait(), late).await;
         }
     }
 
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -116,7 +116,7 @@
 }
 
 /// Capacity of the buffer of decision events. Nothing reads them on these nodes yet.
-const EVENTS: usize = 256;
+const EVENT_BUFFER_CAPACITY: usize = 256;
 
 /// Starts the replica of a node.
 pub(crate) fn start_replica(
@@ -124,7 +124,7 @@
     executor: &Arc<Executor<'static>>,
     logger: &Logger,
 ) -> Result<Arc<ReplicaRole>, DaemonError> {
-    let events = EventBuffer::new(options.node, EVENTS);
+    let events = EventBuffer::new(options.node, EVENT_BUFFER_CAPACITY);
     let role = ReplicaRole::start(ReplicaContext {
         options,
         executor: executor.clone(),
--- a/crates/fleet/src/refusals.rs
+++ b/crates/fleet/src/refusals.rs
@@ -4,13 +4,13 @@
 
 /// Number of distinct refusals that are logged individually. After that, a line is logged
 /// each time the total count doubles.
-const TOLD_ONE_BY_ONE: usize = 256;
+const MAX_LOGGED_INDIVIDUALLY: usize = 256;
 
 /// Counts refusals and selects those to log.
 #[derive(Clone, Debug, Default)]
 pub struct Refusals {
     count: u64,
-    told: BTreeSet<(String, String)>,
+    logged: BTreeSet<(String, String)>,
 }
 
 impl Refusals {
@@ -18,10 +18,10 @@
     /// so far if this one should be logged.
     pub fn note(&mut self, who: &str, what: &str) -> Option<u64> {
         self.count += 1;
-        let is_told = match self.told.len() < TOLD_ONE_BY_ONE {
-            true => self.told.insert((who.to_owned(), what.to_owned())),
+        let should_log = match self.logged.len() < MAX_LOGGED_INDIVIDUALLY {
+            true => self.logged.insert((who.to_owned(), what.to_owned())),
             false => self.count.is_power_of_two(),
         };
-        is_told.then_some(self.count)
+        should_log.then_some(self.count)
     }
 }
--- a/crates/fleet/src/store/peer.rs
+++ b/crates/fleet/src/store/peer.rs
@@ -17,7 +17,7 @@
 use super::call_order::{Arrival, CallNumber, CallOrder};
 use super::handout::Handout;
 use super::open_index::OpenIndex;
-use crate::wakeup::{Invitations, Wakeup};
+use crate::wakeup::{WakeTokens, Wakeup};
 
 /// Lease on the items of a gateway, renewed by each of its requests.
 const LEASE: Duration = Duration::from_millis(2_500);
@@ -48,7 +48,7 @@
     /// When this node last started to confirm its leadership, and whether that succeeded.
     sure: async_lock::Mutex<Option<(Timestamp, bool)>>,
     /// Wakes as many gateways with free capacity as there are items for them.
-    items: Invitations,
+    items: WakeTokens,
     /// Wakes every waiting gateway when an item must be stopped.
     stops: Wakeup,
 }
@@ -85,7 +85,7 @@
             changes: AtomicU64::new(0),
             open: async_lock::Mutex::new(None),
             sure: async_lock::Mutex::new(None),
-            items: Invitations::default(),
+            items: WakeTokens::default(),
             stops: Wakeup::default(),
         }
     }
@@ -154,7 +154,7 @@
             };
             let Some((taken, stop)) = self.hand_out(ask, arrival, &open) else {
                 // Passes on a wake token that this request may have consumed.
-                self.items.wake_some(1);
+                self.items.ensure_available(1);
                 return superseded();
             };
             let idle = taken.is_empty() && stop.is_empty();
@@ -167,10 +167,10 @@
             let wanted = async {
                 match ask.capacity {
                     0 => future::pending().await,
-                    _ => self.items.invited().await,
+                    _ => self.items.consume().await,
                 }
             };
-            future::or(future::or(stops.woken(), wanted), late).await;
+            future::or(future::or(stops.wait(), wanted), late).await;
         }
     }
 
@@ -285,7 +285,7 @@
         if handout.has_ended(&open) {
             self.stops.wake();
         }
-        self.items.wake_some(handout.free(now, &open));
+        self.items.ensure_available(handout.free(now, &open));
     }
 
     /// Returns whether this node is the leader. If not, all leases and requests are
--- a/crates/fleet/src/telling.rs
+++ b/crates/fleet/src/telling.rs
@@ -8,10 +8,11 @@
 where
     T: for<'b> minicbor::Decode<'b, ()>,
 {
-    let told = molespan_state::decode(bytes);
-    told.inspect_err(|error| {
-        warn!(logger, "cannot decode one-way message"; "from" => from.address().to_string(),
+    let decoded = molespan_state::decode(bytes);
+    decoded
+        .inspect_err(|error| {
+            warn!(logger, "cannot decode one-way message"; "from" => from.address().to_string(),
             "what" => what, "bytes" => bytes.len(), "error" => %error);
-    })
-    .ok()
+        })
+        .ok()
 }
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -7,7 +7,7 @@
 use molespan_state::declared::{Bar, Departure, RequestDigest, ServingModel};
 use molespan_types::{NodeId, Timestamp, ZoneName};
 
-use crate::watch::MOST_WATCHED;
+use crate::watch::MAX_WATCHED_NODES;
 
 /// An engine as described by its heartbeats.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
@@ -106,32 +106,32 @@
 /// The cluster topology, merged from the reports of several control nodes.
 #[derive(Clone, Debug, Default)]
 pub struct TopologyView {
-    told: BTreeMap<NodeId, ToldTopology>,
+    reports: BTreeMap<NodeId, ReportedTopology>,
 }
 
 #[derive(Clone, Debug)]
-struct ToldTopology {
+struct ReportedTopology {
     topology: Topology,
-    heard: Timestamp,
+    received_at: Timestamp,
 }
 
 /// Time without any message, not even an empty update, after which the gateway list of a
 /// control node is ignored.
-const TOLD_LATELY: Duration = Duration::from_secs(5);
+const REPORT_TTL: Duration = Duration::from_secs(5);
 
 impl TopologyView {
     /// Records a message of a control node; `topology` is `None` if the topology did not
     /// change.
     pub fn note(&mut self, from: NodeId, topology: Option<Topology>, now: Timestamp) {
-        match (topology, self.told.get_mut(&from)) {
+        match (topology, self.reports.get_mut(&from)) {
             (Some(topology), _) => {
-                let told = ToldTopology {
+                let report = ReportedTopology {
                     topology,
-                    heard: now,
+                    received_at: now,
                 };
-                self.told.insert(from, told);
+                self.reports.insert(from, report);
             }
-            (None, Some(told)) => told.heard = now,
+            (None, Some(report)) => report.received_at = now,
             (None, None) => {}
         }
     }
@@ -142,18 +142,20 @@
     /// because it describes a single control node.
     #[must_use]
     pub fn current(&self, now: Timestamp) -> Topology {
-        let told = self.told.values();
-        let newest = told.max_by_key(|told| (told.topology.applied, told.heard));
-        let mut topology = newest.map(|told| told.topology.clone()).unwrap_or_default();
+        let reports = self.reports.values();
+        let newest = reports.max_by_key(|report| (report.topology.applied, report.received_at));
+        let mut topology = newest
+            .map(|report| report.topology.clone())
+            .unwrap_or_default();
         topology.gateways.clear();
-        let lately = self.told.values().filter(|told| {
-            let silence = now.since(told.heard);
-            silence < TOLD_LATELY
+        let recent = self.reports.values().filter(|report| {
+            let silence = now.since(report.received_at);
+            silence < REPORT_TTL
         });
         topology.gateway_count = 0;
-        for told in lately {
-            topology.gateways.extend(&told.topology.gateways);
-            topology.gateway_count = topology.gateway_count.max(told.topology.gateway_count);
+        for report in recent {
+            topology.gateways.extend(&report.topology.gateways);
+            topology.gateway_count = topology.gateway_count.max(report.topology.gateway_count);
         }
         topology.zone = None;
         topology
@@ -165,16 +167,16 @@
     #[must_use]
     pub fn is_current(&self, limit: Duration, now: Timestamp) -> bool {
         let control = self.current(now).control;
-        let heard = control.iter().filter_map(|node| self.told.get(node));
-        let lately = heard.filter(|told| now.since(told.heard) < limit);
-        lately.count() * 2 > control.len().min(MOST_WATCHED)
+        let member_reports = control.iter().filter_map(|node| self.reports.get(node));
+        let recent = member_reports.filter(|report| now.since(report.received_at) < limit);
+        recent.count() * 2 > control.len().min(MAX_WATCHED_NODES)
     }
 
     /// Returns the control nodes that report `zone` as theirs.
     pub fn control_in(&self, zone: &ZoneName) -> BTreeSet<NodeId> {
-        let told = self.told.iter();
-        let there = told.filter(|(_, told)| told.topology.zone.as_ref() == Some(zone));
-        there.map(|(&node, _)| node).collect()
+        let reports = self.reports.iter();
+        let in_zone = reports.filter(|(_, report)| report.topology.zone.as_ref() == Some(zone));
+        in_zone.map(|(&node, _)| node).collect()
     }
 }
 
--- a/crates/fleet/src/wakeup.rs
+++ b/crates/fleet/src/wakeup.rs
@@ -41,36 +41,36 @@
 
 impl Waiter {
     /// Waits until woken.
-    pub async fn woken(&self) {
+    pub async fn wait(&self) {
         let _closed = self.0.recv().await;
     }
 }
 
 /// Maximum number of wake tokens available at a time.
-const MOST_INVITATIONS: usize = 1_024;
+const MAX_WAKE_TOKENS: usize = 1_024;
 
 /// Wakes a limited number of waiters through tokens. A token that nobody consumes stays
 /// available for the next waiter, and may be outdated by then.
 #[derive(Debug)]
-pub(crate) struct Invitations(Sender<()>, Receiver<()>);
+pub(crate) struct WakeTokens(Sender<()>, Receiver<()>);
 
-impl Default for Invitations {
+impl Default for WakeTokens {
     fn default() -> Self {
-        let (sender, receiver) = async_channel::bounded(MOST_INVITATIONS);
+        let (sender, receiver) = async_channel::bounded(MAX_WAKE_TOKENS);
         Self(sender, receiver)
     }
 }
 
-impl Invitations {
+impl WakeTokens {
     /// Ensures that `count` tokens are available.
-    pub fn wake_some(&self, count: usize) {
-        for _ in self.0.len()..count.min(MOST_INVITATIONS) {
-            let _open_already = self.0.try_send(());
+    pub fn ensure_available(&self, count: usize) {
+        for _ in self.0.len()..count.min(MAX_WAKE_TOKENS) {
+            let _already_available = self.0.try_send(());
         }
     }
 
     /// Waits for a token and consumes it.
-    pub async fn invited(&self) {
+    pub async fn consume(&self) {
         let _taken = self.1.recv().await;
     }
 }
--- a/crates/fleet/src/watch.rs
+++ b/crates/fleet/src/watch.rs
@@ -18,14 +18,14 @@
 use crate::view::ViewUpdate;
 
 /// Longest time for which a control node holds a watch open.
-const WAIT: Duration = Duration::from_secs(2);
+const WATCH_WAIT: Duration = Duration::from_secs(2);
 /// Timeout of a watch request: the wait time plus time for the response.
-const TIMEOUT: Duration = Duration::from_secs(3);
+const WATCH_TIMEOUT: Duration = Duration::from_secs(3);
 /// Delay before a failed watch is retried.
-const RETRY_PAUSE: Duration = Duration::from_millis(100);
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Maximum number of control group members that a node watches. Seeds that are not
 /// members are watched in addition.
-pub(crate) const MOST_WATCHED: usize = 5;
+pub(crate) const MAX_WATCHED_NODES: usize = 5;
 
 /// Receives the updates of control nodes.
 pub trait ViewSink: 'static {
@@ -88,24 +88,24 @@
             sink,
             watches: RefCell::default(),
         });
-        watcher.watch_at(&seeds.iter().copied().collect());
+        watcher.watch_nodes(&seeds.iter().copied().collect());
         watcher
     }
 
     /// Starts watches of new members of `control` and ends those of nodes that are
     /// neither members nor seeds.
-    fn watch_at(self: &Rc<Self>, control: &BTreeSet<NodeId>) {
+    fn watch_nodes(self: &Rc<Self>, control: &BTreeSet<NodeId>) {
         let mut watches = self.watches.borrow_mut();
         watches.retain(|node, _| {
-            let stays = control.contains(node) || self.seeds.contains(node);
-            if !stays {
+            let keep = control.contains(node) || self.seeds.contains(node);
+            if !keep {
                 self.sink.unwatched(*node);
             }
-            stays
+            keep
         });
         let mut members = watches.keys().filter(|node| control.contains(node)).count();
         for &node in control {
-            if members >= MOST_WATCHED || watches.contains_key(&node) {
+            if members >= MAX_WATCHED_NODES || watches.contains_key(&node) {
                 continue;
             }
             members += 1;
@@ -122,22 +122,22 @@
                 node: self.asker.node,
                 kind: self.asker.kind,
                 mark,
-                wait_ms: WAIT.as_millis() as u32,
+                wait_ms: WATCH_WAIT.as_millis() as u32,
                 zone: Some(self.asker.zone.clone()),
                 version: self.sink.version(),
-                told_elsewhere: self.tells_first() != Some(node),
+                told_elsewhere: self.preferred_source() != Some(node),
             });
-            match self.transport.call(node, request, TIMEOUT).await {
+            match self.transport.call(node, request, WATCH_TIMEOUT).await {
                 Ok(Response::View {
-                    mark: newer,
+                    mark: new_mark,
                     update,
                 }) => {
-                    mark = newer;
-                    self.take(node, &update);
+                    mark = new_mark;
+                    self.apply_update(node, &update);
                 }
                 other => {
                     debug!(self.logger, "cannot fetch view"; "from" => node.0, "answer" => ?other);
-                    Timer::after(RETRY_PAUSE).await;
+                    Timer::after(RETRY_DELAY).await;
                 }
             }
         }
@@ -145,28 +145,28 @@
 
     /// Returns the control node that should send a new configuration first: one in the
     /// same zone if possible. Watchers are distributed over the candidates by hash.
-    fn tells_first(&self) -> Option<NodeId> {
+    fn preferred_source(&self) -> Option<NodeId> {
         let near = self.sink.near();
         let watches = self.watches.borrow();
         let watched = watches.keys().copied();
         watched.min_by_key(|node| {
-            let draw = xxh3_64_with_seed(&node.0.to_be_bytes(), u64::from(self.asker.node.0));
-            (!near.contains(node), draw)
+            let hash = xxh3_64_with_seed(&node.0.to_be_bytes(), u64::from(self.asker.node.0));
+            (!near.contains(node), hash)
         })
     }
 
-    fn take(self: &Rc<Self>, from: NodeId, bytes: &[u8]) {
+    fn apply_update(self: &Rc<Self>, from: NodeId, bytes: &[u8]) {
         let Ok(update) = molespan_state::decode::<ViewUpdate>(bytes) else {
             return;
         };
         if let Some(topology) = &update.topology
             && !topology.control.is_empty()
         {
-            // Spawned separately, because `watch_at` may end the watch that is running
+            // Spawned separately, because `watch_nodes` may end the watch that is running
             // this code.
             let watcher = self.clone();
             let control = topology.control.clone();
-            let follow = async move { watcher.watch_at(&control) };
+            let follow = async move { watcher.watch_nodes(&control) };
             self.executor.spawn(follow).detach();
         }
         self.sink.update(from, update);
