--- a/crates/fleet/src/control/api.rs
+++ b/crates/fleet/src/control/api.rs
@@ -93,7 +93,7 @@
     /// Logs an engine whose service the configuration does not name. The engine is kept,
     /// because a later configuration may name the service.
     fn note_service(&self, service: &str) {
-        if !self.hub.is_unknown(service) {
+        if !self.hub.is_unknown_service(service) {
             return;
         }
         if let Some(count) = self.note_refusal(service, "unknown service") {
@@ -115,7 +115,7 @@
         let id = heartbeat.record.id.clone();
         let service = heartbeat.record.service.clone();
         self.note_service(&service);
-        if self.hub.hear(heartbeat.record) {
+        if self.hub.record_heartbeat(heartbeat.record) {
             info!(self.logger, "engine registered"; "engine" => id, "service" => service);
         }
         ControlOutcome::Acknowledged
@@ -134,7 +134,7 @@
     async fn end(&self, name: &str, born: Option<u64>) -> ControlOutcome {
         let life = match born {
             Some(_) => EngineLife { name, born }.id(),
-            None => self.hub.ends(name, unix_millis()),
+            None => self.hub.ended_life(name, unix_millis()),
         };
         self.depart(life, Departure::Gone).await
     }
@@ -203,7 +203,7 @@
     async fn retire(&self, name: String) -> ControlOutcome {
         // Only group members are watched by stores: another node, or one that has just
         // started, does not know all live stores.
-        if !self.hub.control_nodes().contains(&self.own) || !self.hub.knows_stores() {
+        if !self.hub.control_nodes().contains(&self.own) || !self.hub.store_list_is_complete() {
             info!(self.logger, "this node cannot retire a store"; "name" => name);
             return ControlOutcome::Unavailable;
         }
--- a/crates/fleet/src/control/hub/answer.rs
+++ b/crates/fleet/src/control/hub/answer.rs
@@ -12,15 +12,15 @@
 /// Delay after which this node sends a configuration to a watcher that should receive it
 /// from another control node. The delay lets the configuration reach the watcher once
 /// rather than from every control node; a response takes less time than this.
-const LEFT_TO_ANOTHER: Duration = Duration::from_millis(400);
+const CONFIGURATION_FALLBACK_DELAY: Duration = Duration::from_millis(400);
 
 /// Interval between responses to a gateway that has just started and is receiving its
 /// first engines.
-const FIRST_ENGINES_EVERY: Duration = Duration::from_millis(500);
+const FIRST_ENGINES_INTERVAL: Duration = Duration::from_millis(500);
 
 impl State {
     /// Whether a watcher receives more than the topology from this node.
-    fn tells_all(&self, watch: &WatchView) -> bool {
+    fn sends_full_view(&self, watch: &WatchView) -> bool {
         self.is_member && watch.kind == WatcherKind::Gateway
     }
 
@@ -28,8 +28,8 @@
     /// engine that only few gateways use does not wake the other gateways, but is part of
     /// their next update: it must reach them too, because a partitioned control node may
     /// still announce the engine to them.
-    pub fn is_news(&self, watch: &WatchView, since: u64, now: Timestamp) -> bool {
-        if !self.tells_all(watch) {
+    pub fn has_changes(&self, watch: &WatchView, since: u64, now: Timestamp) -> bool {
+        if !self.sends_full_view(watch) {
             return self.topology_changed > since;
         }
         let due = self
@@ -37,20 +37,20 @@
             .is_some_and(|due| now >= due);
         let of_all = [
             self.topology_changed,
-            self.departure_for_all,
+            self.shared_departure_changed,
             self.bars_changed,
         ];
         due || of_all.iter().any(|changed| *changed > since)
             || self.subsets.is_news(watch.node, since)
             || self
-                .whole_services()
+                .unpartitioned_services()
                 .any(|service| self.registry.changed_since(service, since))
     }
 
     /// Returns the time from which this node may send its configuration to a watcher;
     /// `None` if the watcher has it already or needs none.
     pub fn configuration_due(&self, watch: &WatchView, since: u64) -> Option<Timestamp> {
-        if !self.tells_all(watch) {
+        if !self.sends_full_view(watch) {
             return None;
         }
         let held = self.configuration.as_ref()?;
@@ -64,12 +64,12 @@
             return Some(self.configuration_since);
         }
         let watcher = self.watchers.get(&watch.node)?;
-        let behind = watcher.behind_since.unwrap_or(watcher.at);
-        Some(behind.max(self.configuration_since) + LEFT_TO_ANOTHER)
+        let behind = watcher.behind_since.unwrap_or(watcher.last_seen);
+        Some(behind.max(self.configuration_since) + CONFIGURATION_FALLBACK_DELAY)
     }
 
     /// Returns the services of which every gateway uses every engine.
-    fn whole_services(&self) -> impl Iterator<Item = &str> {
+    fn unpartitioned_services(&self) -> impl Iterator<Item = &str> {
         let services = self.subsets.services();
         services.filter(|service| self.subsets.breadth(service).0 == Breadth::Whole)
     }
@@ -81,7 +81,7 @@
             topology,
             ..ViewUpdate::default()
         };
-        if !self.tells_all(watch) {
+        if !self.sends_full_view(watch) {
             return update;
         }
         if self
@@ -103,7 +103,7 @@
         let is_whole = |service: &str| self.subsets.breadth(service).0 == Breadth::Whole;
         update.lost = self.registry.lost_of(since, is_whole);
         for service in self.subsets.services() {
-            self.tell_service(service, watch.node, since, &mut update);
+            self.add_service_changes(service, watch.node, since, &mut update);
         }
         update
     }
@@ -113,29 +113,35 @@
     /// waking all gateways for each of them would take most of the CPU time of a node
     /// that is also starting.
     pub fn first_engines_due(&self, watch: &WatchView, now: Timestamp) -> Option<Timestamp> {
-        let begins = self.tells_all(watch) && self.begins(watch.node);
+        let started_empty = self.sends_full_view(watch) && self.started_empty(watch.node);
         let mut services = self.subsets.services();
         let unsettled =
             services.any(|service| self.subsets.breadth(service).0 == Breadth::Unsettled);
-        (begins && unsettled).then(|| now + FIRST_ENGINES_EVERY)
+        (started_empty && unsettled).then(|| now + FIRST_ENGINES_INTERVAL)
     }
 
-    fn begins(&self, gateway: NodeId) -> bool {
+    fn started_empty(&self, gateway: NodeId) -> bool {
         let watcher = self.watchers.get(&gateway);
-        watcher.is_some_and(|watcher| watcher.begins)
+        watcher.is_some_and(|watcher| watcher.started_empty)
     }
 
     /// Adds provisional engines for a gateway that could serve no requests until the
     /// subsets are assigned. Gateways that already know engines keep using those.
-    fn tell_first(&self, service: &str, gateway: NodeId, since: u64, update: &mut ViewUpdate) {
-        if !self.begins(gateway) {
+    fn add_first_engines(
+        &self,
+        service: &str,
+        gateway: NodeId,
+        since: u64,
+        update: &mut ViewUpdate,
+    ) {
+        if !self.started_empty(gateway) {
             return;
         }
         let engines = self.registry.changed_in(service, since);
         let first = engines.filter(|engine| self.subsets.is_first(gateway, service, &engine.id));
-        let told = update.engines.len();
+        let count_before = update.engines.len();
         update.engines.extend(first.cloned());
-        if update.engines.len() > told {
+        if update.engines.len() > count_before {
             update.parts.push(ServicePart {
                 service: service.to_owned(),
                 users: Some(FIRST_USERS),
@@ -145,7 +151,13 @@
     }
 
     /// Adds the changes of one service for a gateway.
-    fn tell_service(&self, service: &str, gateway: NodeId, since: u64, update: &mut ViewUpdate) {
+    fn add_service_changes(
+        &self,
+        service: &str,
+        gateway: NodeId,
+        since: u64,
+        update: &mut ViewUpdate,
+    ) {
         let (breadth, changed) = self.subsets.breadth(service);
         let rebuilt = changed > since;
         let mut part = ServicePart {
@@ -163,18 +175,18 @@
             return;
         }
         if breadth == Breadth::Unsettled {
-            return self.tell_first(service, gateway, since, update);
+            return self.add_first_engines(service, gateway, since, update);
         }
-        let news = self.subsets.part_after(gateway, service, since);
-        let records = news.engines.iter();
+        let changes = self.subsets.part_after(gateway, service, since);
+        let records = changes.engines.iter();
         let records = records.filter_map(|engine| self.registry.record(engine));
         update.engines.extend(records.cloned());
-        let gone = news.gone.iter();
+        let gone = changes.gone.iter();
         let gone = gone.filter(|engine| self.registry.record(engine).is_none());
         update.lost.extend(gone.map(|engine| engine.to_string()));
-        if rebuilt || news.whole.is_some() {
+        if rebuilt || changes.whole.is_some() {
             part.users = Some(breadth.users() as u32);
-            part.engines = news
+            part.engines = changes
                 .whole
                 .map(|ids| ids.iter().map(ToString::to_string).collect());
             update.parts.push(part);
--- a/crates/fleet/src/control/hub/mod.rs
+++ b/crates/fleet/src/control/hub/mod.rs
@@ -20,26 +20,26 @@
 use crate::view::EngineRecord;
 
 /// Time after its latest watch request for which a node counts as live.
-const PRESENCE: Duration = Duration::from_secs(4);
+const LIVE_TTL: Duration = Duration::from_secs(4);
 /// Gap without any watch request after which this node must have been suspended or
 /// partitioned: every gateway and store sends a new request every 2 s.
-const AWAY: Duration = Duration::from_millis(2_500);
+const MAX_WATCH_GAP: Duration = Duration::from_millis(2_500);
 /// Longest time for which a watch is held open.
-const LONGEST_WAIT: Duration = Duration::from_secs(10);
+const MAX_WATCH_WAIT: Duration = Duration::from_secs(10);
 /// Minimum interval between wakeups of all waiting watches. The first change after a
 /// quiet period is announced at once and subsequent changes are batched: while 10,000
 /// engines register within seconds, each of 836 gateways always has pending changes, and
 /// an interval of 50 ms would cause 17,000 responses per second at 40 microseconds each.
 /// The interval is short compared to the seconds within which a leaving engine or a
 /// configuration must be known everywhere.
-const ANNOUNCED_EVERY: Duration = Duration::from_millis(200);
+const ANNOUNCE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// The cluster view of one control node.
 #[derive(Debug)]
 pub struct Hub {
     clock: BootClock,
     state: Mutex<State>,
-    unannounced: Receiver<()>,
+    change_signal: Receiver<()>,
 }
 
 impl Hub {
@@ -47,21 +47,21 @@
     /// without a heartbeat.
     #[must_use]
     pub fn new(zone: ZoneName, silence: Duration, clock: BootClock) -> Self {
-        let (sender, unannounced) = async_channel::bounded(1);
+        let (sender, change_signal) = async_channel::bounded(1);
         let state = State::new(zone, silence, sender, clock.now());
         Self {
             clock,
             state: Mutex::new(state),
-            unannounced,
+            change_signal,
         }
     }
 
     /// Wakes waiting watches on changes for as long as the future is polled. Without it
     /// they see changes only when they time out.
     pub async fn announce(&self) {
-        while self.unannounced.recv().await.is_ok() {
+        while self.change_signal.recv().await.is_ok() {
             self.lock().wakeup.wake();
-            Timer::after(ANNOUNCED_EVERY).await;
+            Timer::after(ANNOUNCE_INTERVAL).await;
         }
     }
 
@@ -77,21 +77,21 @@
 
     /// Records a heartbeat that an engine sent to this node, unless the engine is
     /// leaving. Returns whether it changed the view.
-    pub fn hear(&self, record: EngineRecord) -> bool {
-        self.take_heartbeat(record, Registry::hear)
+    pub fn record_heartbeat(&self, record: EngineRecord) -> bool {
+        self.apply_heartbeat(record, Registry::record_heartbeat)
     }
 
     /// Records heartbeats that another control node received.
-    pub fn hear_elsewhere(&self, records: Vec<EngineRecord>) {
+    pub fn record_forwarded(&self, records: Vec<EngineRecord>) {
         for record in records {
-            self.take_heartbeat(record, Registry::hear_elsewhere);
+            self.apply_heartbeat(record, Registry::record_forwarded);
         }
     }
 
-    fn take_heartbeat(
+    fn apply_heartbeat(
         &self,
         record: EngineRecord,
-        hear: fn(&mut Registry, EngineRecord, Timestamp, u64) -> bool,
+        record_heartbeat: fn(&mut Registry, EngineRecord, Timestamp, u64) -> bool,
     ) -> bool {
         let now = self.now();
         let mut state = self.lock();
@@ -99,10 +99,10 @@
             return false;
         }
         let change = state.revision + 1;
-        let changed = hear(&mut state.registry, record, now, change);
+        let changed = record_heartbeat(&mut state.registry, record, now, change);
         if changed {
-            state.assign(change);
-            state.changed();
+            state.apply_registry_events(change);
+            state.mark_changed();
         }
         changed
     }
@@ -116,13 +116,13 @@
     /// Returns the identifier of the engine life that a shutdown without a start time
     /// applies to; `now_ms` is in milliseconds since the Unix epoch.
     #[must_use]
-    pub fn ends(&self, name: &str, now_ms: u64) -> String {
-        self.lock().registry.ends(name, now_ms)
+    pub fn ended_life(&self, name: &str, now_ms: u64) -> String {
+        self.lock().registry.ended_life(name, now_ms)
     }
 
     /// Whether a configuration is in force that does not name `service`.
     #[must_use]
-    pub fn is_unknown(&self, service: &str) -> bool {
+    pub fn is_unknown_service(&self, service: &str) -> bool {
         let state = self.lock();
         let held = state.configuration.as_ref();
         held.is_some_and(|held| held.model.service(service).is_none())
@@ -130,8 +130,8 @@
 
     /// Returns the engines that sent a heartbeat to this node at or after `since`.
     #[must_use]
-    pub fn heard_since(&self, since: Timestamp) -> Vec<EngineRecord> {
-        self.lock().registry.heard_since(since)
+    pub fn heartbeats_since(&self, since: Timestamp) -> Vec<EngineRecord> {
+        self.lock().registry.heartbeats_since(since)
     }
 
     /// Expires silent engines, recounts the gateways and reassigns engines to gateways.
@@ -140,28 +140,33 @@
         let mut state = self.lock();
         let change = state.revision + 1;
         let lost = state.registry.expire(now, change);
-        state.assign(change);
+        state.apply_registry_events(change);
         state
             .watchers
-            .retain(|_, watcher| now.since(watcher.at) < PRESENCE);
-        let counted = state.count_gateways(change);
+            .retain(|_, watcher| now.since(watcher.last_seen) < LIVE_TTL);
+        let counted = state.update_gateways(change);
         let planned = state.plan_subsets(now, change);
         if lost || counted || planned {
-            state.changed();
+            state.mark_changed();
         }
     }
 
     /// Applies the state of this node's replica, which includes at least `applied`
     /// entries, and the members of the control group.
-    pub fn take(&self, declared: &DeclaredState, control: BTreeSet<NodeId>, applied: u64) {
+    pub fn apply_declared(
+        &self,
+        declared: &DeclaredState,
+        control: BTreeSet<NodeId>,
+        applied: u64,
+    ) {
         let mut state = self.lock();
         let change = state.revision + 1;
-        let mut changed = state.take_configuration(declared, change, self.now());
-        changed |= state.take_departures(declared, change);
-        changed |= state.take_bars(declared, change);
-        changed |= state.take_topology(declared, control, applied, change);
+        let mut changed = state.apply_configuration(declared, change, self.now());
+        changed |= state.apply_departures(declared, change);
+        changed |= state.apply_bars(declared, change);
+        changed |= state.apply_topology(declared, control, applied, change);
         if changed {
-            state.changed();
+            state.mark_changed();
         }
     }
 
@@ -175,7 +180,7 @@
             // A mark of the old session does not cover what was withheld from its
             // watcher.
             state.session = rand::random();
-            state.changed();
+            state.mark_changed();
         }
     }
 
@@ -193,22 +198,22 @@
 
     /// Returns the number of live gateways.
     #[must_use]
-    pub fn gateways(&self) -> u32 {
+    pub fn gateway_count(&self) -> u32 {
         self.lock().topology.gateway_count()
     }
 
     /// Returns the number of live gateways that are not known to be in one of `zones`.
     #[must_use]
-    pub fn gateways_outside(&self, zones: &BTreeSet<ZoneName>) -> u32 {
+    pub fn gateway_count_outside(&self, zones: &BTreeSet<ZoneName>) -> u32 {
         let state = self.lock();
         let watchers = state.watchers.values();
         let gateways = watchers.filter(|watcher| watcher.kind == WatcherKind::Gateway);
-        let beyond = gateways.filter(|watcher| {
+        let inside = gateways.filter(|watcher| {
             let zone = watcher.zone.as_ref();
             zone.is_some_and(|zone| zones.contains(zone))
         });
-        let beyond = beyond.count() as u32;
-        state.topology.gateway_count().saturating_sub(beyond)
+        let inside = inside.count() as u32;
+        state.topology.gateway_count().saturating_sub(inside)
     }
 
     /// Returns the zone of a live node, if it reported one.
@@ -238,10 +243,10 @@
     /// Whether every live store has had time to contact this node since it started or was
     /// last suspended or partitioned.
     #[must_use]
-    pub fn knows_stores(&self) -> bool {
+    pub fn store_list_is_complete(&self) -> bool {
         let now = self.now();
         let state = self.lock();
-        now.since(state.asked) < AWAY && now.since(state.in_touch_since) >= PRESENCE
+        now.since(state.last_watch_at) < MAX_WATCH_GAP && now.since(state.watched_since) >= LIVE_TTL
     }
 
     /// Returns the live stores.
@@ -250,44 +255,44 @@
         let now = self.now();
         let mut state = self.lock();
         let watchers = &mut state.watchers;
-        watchers.retain(|_, watcher| now.since(watcher.at) < PRESENCE);
-        state.watching(WatcherKind::Store)
+        watchers.retain(|_, watcher| now.since(watcher.last_seen) < LIVE_TTL);
+        state.watchers_of(WatcherKind::Store)
     }
 
     /// Answers a watch, immediately if there are changes, or else when one occurs or the
     /// wait time is over.
     pub async fn watch(&self, watch: &WatchView) -> Response {
-        let wait = Duration::from_millis(u64::from(watch.wait_ms)).min(LONGEST_WAIT);
+        let wait = Duration::from_millis(u64::from(watch.wait_ms)).min(MAX_WATCH_WAIT);
         let began = self.now();
-        let ends = began + wait;
+        let deadline = began + wait;
         loop {
-            let (waiter, ends) = {
+            let (waiter, deadline) = {
                 let mut state = self.lock();
                 let now = self.now();
-                state.note_asked(now);
-                state.note_watcher(watch, now);
+                state.record_watch_request(now);
+                state.record_watcher(watch, now);
                 let since = match watch.mark.session == state.session {
                     true => watch.mark.revision.min(state.revision),
                     false => 0,
                 };
-                if state.is_news(watch, since, now) || now >= ends {
+                if state.has_changes(watch, since, now) || now >= deadline {
                     return Self::response(&state, watch, since, now);
                 }
                 let due = state.configuration_due(watch, since);
                 let first = state.first_engines_due(watch, began);
-                let ends = [due, first]
+                let deadline = [due, first]
                     .into_iter()
                     .flatten()
-                    .fold(ends, Timestamp::min);
-                if now >= ends {
+                    .fold(deadline, Timestamp::min);
+                if now >= deadline {
                     return Self::response(&state, watch, since, now);
                 }
-                (state.wakeup.waiter(), ends)
+                (state.wakeup.waiter(), deadline)
             };
-            let late = async {
-                self.clock.wait_until(ends).await;
+            let timeout = async {
+                self.clock.wait_until(deadline).await;
             };
-            future::or(waiter.wait(), late).await;
+            future::or(waiter.wait(), timeout).await;
         }
     }
 
--- a/crates/fleet/src/control/hub/state.rs
+++ b/crates/fleet/src/control/hub/state.rs
@@ -9,7 +9,7 @@
 use molespan_types::{EngineLife, NodeId, Timestamp, ZoneName, lives_of};
 use molespan_wire::{ViewMark, WatchView, WatcherKind};
 
-use super::{AWAY, PRESENCE};
+use super::{LIVE_TTL, MAX_WATCH_GAP};
 use crate::control::change_log::ChangeLog;
 use crate::control::registry::{News, Registry};
 use crate::view::{ConfigurationInForce, MOST_NAMED, Topology};
@@ -17,23 +17,23 @@
 
 /// Time for which a gateway that is gone keeps its assigned engines. Longer than a
 /// restart takes; meanwhile, other gateways use the same engines.
-const ENGINES_KEPT: Duration = Duration::from_secs(30);
+const ASSIGNMENT_RETENTION: Duration = Duration::from_secs(30);
 /// Time after a start, suspension or partition of this node by which every gateway has
 /// sent a watch request and every engine is known, directly or through another control
 /// node. Gateways and engines send every 2 s, and control nodes forward heartbeats once
 /// per second.
-const SETTLED_AFTER: Duration = PRESENCE;
+const SETTLE_TIME: Duration = LIVE_TTL;
 
 #[derive(Debug)]
 pub struct Watcher {
     pub kind: WatcherKind,
     pub zone: Option<ZoneName>,
-    pub at: Timestamp,
+    pub last_seen: Timestamp,
     /// Since when the watcher has been sending requests with an outdated configuration.
     pub behind_since: Option<Timestamp>,
     /// Whether its first request to this node had an empty mark, so that it may know no
     /// engines yet.
-    pub begins: bool,
+    pub started_empty: bool,
 }
 
 #[derive(Debug)]
@@ -55,7 +55,7 @@
     pub departures: BTreeMap<String, (Departure, u64)>,
     pub departure_log: ChangeLog<String>,
     /// Revision of the latest departure of an engine that any gateway may use.
-    pub departure_for_all: u64,
+    pub shared_departure_changed: u64,
     /// Bars on requests, with the revision at which each changed.
     pub bars: BTreeMap<RequestDigest, (Bar, u64)>,
     pub bars_changed: u64,
@@ -66,19 +66,24 @@
     /// last seen.
     pub gateways: BTreeMap<NodeId, (Option<ZoneName>, Timestamp)>,
     /// When the latest watch request arrived.
-    pub asked: Timestamp,
+    pub last_watch_at: Timestamp,
     /// Since when watch requests have arrived without a long gap.
-    pub in_touch_since: Timestamp,
+    pub watched_since: Timestamp,
     /// Wakes all waiting watches at the next change.
     pub wakeup: Wakeup,
     /// Signals a change for which no watch has been woken yet.
-    pub unannounced: Sender<()>,
+    pub change_signal: Sender<()>,
 }
 
 impl State {
     /// Creates an empty state for a node in `zone`; engines are lost after `silence`
     /// without a heartbeat.
-    pub fn new(zone: ZoneName, silence: Duration, unannounced: Sender<()>, now: Timestamp) -> Self {
+    pub fn new(
+        zone: ZoneName,
+        silence: Duration,
+        change_signal: Sender<()>,
+        now: Timestamp,
+    ) -> Self {
         let topology = Topology {
             zone: Some(zone),
             ..Topology::default()
@@ -94,57 +99,57 @@
             configuration_since: now,
             departures: BTreeMap::new(),
             departure_log: ChangeLog::default(),
-            departure_for_all: 0,
+            shared_departure_changed: 0,
             bars: BTreeMap::new(),
             bars_changed: 0,
             topology,
             topology_changed: 0,
             watchers: BTreeMap::new(),
             gateways: BTreeMap::new(),
-            asked: now,
-            in_touch_since: now,
+            last_watch_at: now,
+            watched_since: now,
             wakeup: Wakeup::default(),
-            unannounced,
+            change_signal,
         }
     }
 
-    pub fn changed(&mut self) {
+    pub fn mark_changed(&mut self) {
         self.revision += 1;
-        let _already_told = self.unannounced.try_send(());
+        let _already_signaled = self.change_signal.try_send(());
     }
 
-    pub fn note_asked(&mut self, now: Timestamp) {
-        if now.since(self.asked) >= AWAY {
-            self.in_touch_since = now;
+    pub fn record_watch_request(&mut self, now: Timestamp) {
+        if now.since(self.last_watch_at) >= MAX_WATCH_GAP {
+            self.watched_since = now;
         }
-        self.asked = now;
+        self.last_watch_at = now;
     }
 
-    pub fn note_watcher(&mut self, watch: &WatchView, now: Timestamp) {
+    pub fn record_watcher(&mut self, watch: &WatchView, now: Timestamp) {
         let newest = self.configuration.as_ref().map_or(0, |held| held.version);
         let is_behind = watch.version.is_some_and(|version| version < newest);
         let before = self.watchers.get(&watch.node);
-        let begins =
-            watch.mark == ViewMark::default() || before.is_some_and(|watcher| watcher.begins);
+        let started_empty = watch.mark == ViewMark::default()
+            || before.is_some_and(|watcher| watcher.started_empty);
         let before = before.and_then(|watcher| watcher.behind_since);
         let watcher = Watcher {
             kind: watch.kind,
             zone: watch.zone.clone(),
-            at: now,
+            last_seen: now,
             behind_since: is_behind.then_some(before.unwrap_or(now)),
-            begins,
+            started_empty,
         };
         self.watchers.insert(watch.node, watcher);
     }
 
-    pub fn watching(&self, kind: WatcherKind) -> BTreeSet<NodeId> {
+    pub fn watchers_of(&self, kind: WatcherKind) -> BTreeSet<NodeId> {
         let watchers = self.watchers.iter();
         let of_kind = watchers.filter(|(_, watcher)| watcher.kind == kind);
         of_kind.map(|(node, _)| *node).collect()
     }
 
-    pub fn count_gateways(&mut self, change: u64) -> bool {
-        let mut gateways = self.watching(WatcherKind::Gateway);
+    pub fn update_gateways(&mut self, change: u64) -> bool {
+        let mut gateways = self.watchers_of(WatcherKind::Gateway);
         let count = gateways.len() as u32;
         if gateways.len() > MOST_NAMED {
             gateways.clear();
@@ -159,7 +164,7 @@
     }
 
     /// Applies registry events to the assignment of engines to gateways.
-    pub fn assign(&mut self, change: u64) {
+    pub fn apply_registry_events(&mut self, change: u64) {
         for news in self.registry.take_news() {
             match news {
                 News::Heard {
@@ -175,19 +180,19 @@
     pub fn plan_subsets(&mut self, now: Timestamp, change: u64) -> bool {
         for (node, watcher) in &self.watchers {
             if watcher.kind == WatcherKind::Gateway {
-                let gateway = (watcher.zone.clone(), watcher.at);
+                let gateway = (watcher.zone.clone(), watcher.last_seen);
                 self.gateways.insert(*node, gateway);
             }
         }
         self.gateways
-            .retain(|_, (_, at)| now.since(*at) < ENGINES_KEPT);
+            .retain(|_, (_, last_seen)| now.since(*last_seen) < ASSIGNMENT_RETENTION);
         let gateways = self.gateways.iter();
         let gateways = gateways.map(|(&node, (zone, _))| (node, zone.clone()));
-        let settled = now.since(self.in_touch_since) >= SETTLED_AFTER;
+        let settled = now.since(self.watched_since) >= SETTLE_TIME;
         self.subsets.plan(&gateways.collect(), settled, change)
     }
 
-    pub fn take_configuration(
+    pub fn apply_configuration(
         &mut self,
         declared: &DeclaredState,
         change: u64,
@@ -209,7 +214,7 @@
         true
     }
 
-    pub fn take_departures(&mut self, declared: &DeclaredState, change: u64) -> bool {
+    pub fn apply_departures(&mut self, declared: &DeclaredState, change: u64) -> bool {
         let mut changed = false;
         for (engine, departure) in declared.departures().iter() {
             let known = self.departures.get(engine).copied();
@@ -217,7 +222,7 @@
                 let engine = engine.to_owned();
                 let before = known.map(|(_, before)| before);
                 if before.is_none() && !self.has_few_users(&engine) {
-                    self.departure_for_all = change;
+                    self.shared_departure_changed = change;
                 }
                 self.departure_log.note(&engine, before, change);
                 self.registry.remove(&engine);
@@ -225,7 +230,7 @@
                 changed = true;
             }
         }
-        self.assign(change);
+        self.apply_registry_events(change);
         changed
     }
 
@@ -247,7 +252,7 @@
         })
     }
 
-    pub fn take_bars(&mut self, declared: &DeclaredState, change: u64) -> bool {
+    pub fn apply_bars(&mut self, declared: &DeclaredState, change: u64) -> bool {
         let held = declared.bars();
         self.bars.retain(|request, _| held.get(request).is_some());
         let mut changed = false;
@@ -262,7 +267,7 @@
         changed
     }
 
-    pub fn take_topology(
+    pub fn apply_topology(
         &mut self,
         declared: &DeclaredState,
         control: BTreeSet<NodeId>,
--- a/crates/fleet/src/control/node.rs
+++ b/crates/fleet/src/control/node.rs
@@ -114,7 +114,7 @@
         match request {
             Request::EnginesHeard { records } => {
                 match molespan_state::decode::<Vec<EngineRecord>>(&records) {
-                    Ok(records) => self.hub.hear_elsewhere(records),
+                    Ok(records) => self.hub.record_forwarded(records),
                     Err(error) => {
                         warn!(self.logger, "cannot decode engines forwarded by another node";
                         "bytes" => records.len(), "error" => %error)
@@ -262,7 +262,7 @@
         let retiring = declared.stores().retiring();
         self.replica.set_members(control.clone(), retiring);
         let applied = status.groups.first().map_or(0, |group| group.applied);
-        self.hub.take(&declared, control, applied);
+        self.hub.apply_declared(&declared, control, applied);
     }
 
     /// Sends recent heartbeats to the other control nodes, so that each node knows all
@@ -273,7 +273,7 @@
             Timer::after(ROUND).await;
             self.hub.expire();
             let now = self.hub.now();
-            let heard = self.hub.heard_since(told);
+            let heard = self.hub.heartbeats_since(told);
             told = now;
             if heard.is_empty() {
                 continue;
--- a/crates/fleet/src/control/registry.rs
+++ b/crates/fleet/src/control/registry.rs
@@ -93,14 +93,14 @@
 
     /// Records a heartbeat that was sent to this node. `change` is the revision that a
     /// change gets. Returns whether there was one.
-    pub fn hear(&mut self, record: EngineRecord, now: Timestamp, change: u64) -> bool {
+    pub fn record_heartbeat(&mut self, record: EngineRecord, now: Timestamp, change: u64) -> bool {
         self.note(record, true, now, change)
     }
 
     /// Records a heartbeat that was sent to another control node. It is ignored unless it
     /// is newer than the known one: otherwise, control nodes that forward heartbeats to
     /// each other would keep a crashed engine alive forever.
-    pub fn hear_elsewhere(&mut self, record: EngineRecord, now: Timestamp, change: u64) -> bool {
+    pub fn record_forwarded(&mut self, record: EngineRecord, now: Timestamp, change: u64) -> bool {
         let known = self.engines.get(&record.id);
         if known.is_some_and(|known| record.sequence <= known.record.sequence) {
             return false;
@@ -233,7 +233,7 @@
     /// Returns the life that a shutdown without a start time applies to. Unless the live
     /// engine reports no start time, this is a life late enough that the departure
     /// applies to every life started by `now_ms`, in milliseconds since the Unix epoch.
-    pub(super) fn ends(&self, name: &str, now_ms: u64) -> String {
+    pub(super) fn ended_life(&self, name: &str, now_ms: u64) -> String {
         if self.engines.contains_key(name) {
             return name.to_owned();
         }
@@ -317,7 +317,7 @@
     /// `since`, to forward to other control nodes. Only the node that received a
     /// heartbeat forwards it; otherwise every node would send every heartbeat to all
     /// others.
-    pub fn heard_since(&self, since: Timestamp) -> Vec<EngineRecord> {
+    pub fn heartbeats_since(&self, since: Timestamp) -> Vec<EngineRecord> {
         let engines = self.engines.values();
         let engines = engines.filter(|entry| entry.called_here && entry.heard >= since);
         engines.map(|entry| entry.record.clone()).collect()
--- a/crates/fleet/src/control/relay.rs
+++ b/crates/fleet/src/control/relay.rs
@@ -170,8 +170,8 @@
         // Gateways in unreachable zones send no requests to engines in reachable ones.
         let beyond = hub.own_zone().map(|zone| relays.reach.out_of_reach(&zone));
         let present = match beyond.filter(|zones| !zones.is_empty()) {
-            Some(zones) => hub.gateways_outside(&zones),
-            None => hub.gateways(),
+            Some(zones) => hub.gateway_count_outside(&zones),
+            None => hub.gateway_count(),
         };
         let relay = &mut relays.work;
         relay.expire(now);
--- a/crates/fleet/tests/control.rs
+++ b/crates/fleet/tests/control.rs
@@ -37,11 +37,11 @@
 fn heartbeats_tell_something_new_only_once() {
     let mut registry = Registry::new(SILENCE);
     let now = Timestamp::from_millis(0);
-    assert!(registry.hear(record("a", "1:1", 1), now, 1));
-    assert!(!registry.hear(record("a", "1:1", 2), now, 2));
+    assert!(registry.record_heartbeat(record("a", "1:1", 1), now, 1));
+    assert!(!registry.record_heartbeat(record("a", "1:1", 2), now, 2));
     // An older heartbeat with other content is ignored.
-    assert!(!registry.hear(record("a", "2:2", 1), now, 3));
-    assert!(registry.hear(record("a", "2:2", 3), now, 4));
+    assert!(!registry.record_heartbeat(record("a", "2:2", 1), now, 3));
+    assert!(registry.record_heartbeat(record("a", "2:2", 3), now, 4));
     assert_eq!(ids(&registry.changed_after(3)), ["a"]);
     assert!(registry.changed_after(4).is_empty());
 }
@@ -49,12 +49,12 @@
 #[test]
 fn silent_engines_are_lost_and_come_back() {
     let mut registry = Registry::new(SILENCE);
-    registry.hear(record("a", "1:1", 1), Timestamp::from_millis(0), 1);
-    registry.hear(record("b", "2:2", 1), Timestamp::from_millis(9_000), 2);
+    registry.record_heartbeat(record("a", "1:1", 1), Timestamp::from_millis(0), 1);
+    registry.record_heartbeat(record("b", "2:2", 1), Timestamp::from_millis(9_000), 2);
     assert!(!registry.expire(Timestamp::from_millis(9_999), 3));
     assert!(registry.expire(Timestamp::from_millis(10_000), 3));
     assert_eq!(registry.lost_after(2), ["a"]);
-    assert!(registry.hear(record("a", "1:1", 2), Timestamp::from_millis(10_001), 4));
+    assert!(registry.record_heartbeat(record("a", "1:1", 2), Timestamp::from_millis(10_001), 4));
     assert!(registry.lost_after(2).is_empty());
 }
 
@@ -62,8 +62,8 @@
 fn an_address_that_another_engine_takes_loses_the_first() {
     let mut registry = Registry::new(SILENCE);
     let now = Timestamp::from_millis(0);
-    registry.hear(record("a", "1:1", 1), now, 1);
-    registry.hear(record("b", "1:1", 1), now, 2);
+    registry.record_heartbeat(record("a", "1:1", 1), now, 1);
+    registry.record_heartbeat(record("b", "1:1", 1), now, 2);
     assert_eq!(registry.lost_after(1), ["a"]);
     assert_eq!(ids(&registry.changed_after(0)), ["b"]);
 }
@@ -72,13 +72,13 @@
 fn a_late_heartbeat_of_an_engine_whose_address_was_taken_takes_nothing_back() {
     let mut registry = Registry::new(SILENCE);
     let now = Timestamp::from_millis(0);
-    registry.hear(record("a", "1:1", 7), now, 1);
-    registry.hear(record("b", "1:1", 1), now, 2);
-    assert!(!registry.hear(record("a", "1:1", 8), now, 3));
+    registry.record_heartbeat(record("a", "1:1", 7), now, 1);
+    registry.record_heartbeat(record("b", "1:1", 1), now, 2);
+    assert!(!registry.record_heartbeat(record("a", "1:1", 8), now, 3));
     assert_eq!(ids(&registry.changed_after(0)), ["b"]);
     assert!(registry.lost_after(2).is_empty());
     // At another address, its heartbeat is accepted.
-    assert!(registry.hear(record("a", "2:2", 9), now, 4));
+    assert!(registry.record_heartbeat(record("a", "2:2", 9), now, 4));
     assert_eq!(ids(&registry.changed_after(0)), ["a", "b"]);
 }
 
@@ -87,11 +87,11 @@
     let skipped = Arc::new(AtomicU64::new(0));
     let hub = || Hub::new("a".into(), SILENCE, BootClock::skipping(skipped.clone()));
     let hubs = [hub(), hub(), hub()];
-    hubs[0].hear(record("a", "1:1", 1));
+    hubs[0].record_heartbeat(record("a", "1:1", 1));
     let mut since = [Timestamp::ZERO; 3];
     for _ in 0..20 {
         let now = [0, 1, 2].map(|place: usize| hubs[place].now());
-        let told = [0, 1, 2].map(|place| hubs[place].heard_since(since[place]));
+        let told = [0, 1, 2].map(|place| hubs[place].heartbeats_since(since[place]));
         since = now;
         for (teller, records) in told.iter().enumerate() {
             let others = hubs
@@ -99,7 +99,7 @@
                 .enumerate()
                 .filter(|(place, _)| *place != teller);
             for (_, other) in others {
-                other.hear_elsewhere(records.clone());
+                other.record_forwarded(records.clone());
             }
         }
         hubs.iter().for_each(Hub::expire);
@@ -114,14 +114,17 @@
 #[test]
 fn a_control_node_tells_others_of_the_engines_that_call_it_alone() {
     let hub = Hub::new("a".into(), SILENCE, BootClock::start());
-    hub.hear(record("a", "1:1", 1));
-    hub.hear_elsewhere(vec![record("b", "2:2", 1)]);
-    assert_eq!(ids(&hub.heard_since(Timestamp::ZERO)), ["a"]);
+    hub.record_heartbeat(record("a", "1:1", 1));
+    hub.record_forwarded(vec![record("b", "2:2", 1)]);
+    assert_eq!(ids(&hub.heartbeats_since(Timestamp::ZERO)), ["a"]);
     // An engine that switches to another control node is forwarded by that node.
-    hub.hear_elsewhere(vec![record("a", "1:1", 2)]);
-    assert_eq!(ids(&hub.heard_since(Timestamp::ZERO)), Vec::<&str>::new());
-    hub.hear(record("b", "2:2", 2));
-    assert_eq!(ids(&hub.heard_since(Timestamp::ZERO)), ["b"]);
+    hub.record_forwarded(vec![record("a", "1:1", 2)]);
+    assert_eq!(
+        ids(&hub.heartbeats_since(Timestamp::ZERO)),
+        Vec::<&str>::new()
+    );
+    hub.record_heartbeat(record("b", "2:2", 2));
+    assert_eq!(ids(&hub.heartbeats_since(Timestamp::ZERO)), ["b"]);
 }
 
 fn watch(hub: &Hub, kind: WatcherKind, mark: ViewMark) -> (ViewMark, ViewUpdate) {
@@ -157,8 +160,8 @@
     let hub = Hub::new("a".into(), SILENCE, BootClock::start());
     let mut machine = ControlMachine::new();
     declared(&mut machine, 3);
-    hub.take(machine.declared(), BTreeSet::from([NodeId(1)]), 1);
-    hub.hear(record("a", "1:1", 1));
+    hub.apply_declared(machine.declared(), BTreeSet::from([NodeId(1)]), 1);
+    hub.record_heartbeat(record("a", "1:1", 1));
     let kind = WatcherKind::Gateway;
     let (mark, update) = watch(&hub, kind, ViewMark::default());
     assert_eq!(update.configuration.map(|held| held.version), Some(3));
@@ -171,12 +174,12 @@
         engine,
         departure,
     }));
-    hub.take(machine.declared(), BTreeSet::from([NodeId(1)]), 1);
+    hub.apply_declared(machine.declared(), BTreeSet::from([NodeId(1)]), 1);
     let (_, update) = watch(&hub, kind, mark);
     assert_eq!(update.departures, [("a".to_owned(), Departure::Draining)]);
     assert_eq!(update.configuration, None);
     // A delayed heartbeat does not bring the engine back.
-    assert!(!hub.hear(record("a", "1:1", 9)));
+    assert!(!hub.record_heartbeat(record("a", "1:1", 9)));
     // The mark of another session is invalid: everything is sent.
     let other = ViewMark {
         session: mark.session.wrapping_add(1),
@@ -192,8 +195,8 @@
     let (mut newer, mut older) = (ControlMachine::new(), ControlMachine::new());
     declared(&mut newer, 9);
     declared(&mut older, 8);
-    hub.take(newer.declared(), BTreeSet::new(), 1);
-    hub.take(older.declared(), BTreeSet::new(), 1);
+    hub.apply_declared(newer.declared(), BTreeSet::new(), 1);
+    hub.apply_declared(older.declared(), BTreeSet::new(), 1);
     let (_, update) = watch(&hub, WatcherKind::Gateway, ViewMark::default());
     assert_eq!(update.configuration.map(|held| held.version), Some(9));
 }
@@ -268,26 +271,29 @@
 fn a_control_node_that_was_suspended_knows_that_what_it_heard_is_old() {
     let skipped = Arc::new(AtomicU64::new(0));
     let hub = Hub::new("a".into(), SILENCE, BootClock::skipping(skipped.clone()));
-    hub.hear(record("a", "1:1", 1));
+    hub.record_heartbeat(record("a", "1:1", 1));
     watch(&hub, WatcherKind::Store, ViewMark::default());
-    assert!(!hub.knows_stores(), "it has just started");
+    assert!(!hub.store_list_is_complete(), "it has just started");
     skipped.fetch_add(2_000_000, Ordering::Relaxed);
     watch(&hub, WatcherKind::Store, ViewMark::default());
     skipped.fetch_add(2_000_000, Ordering::Relaxed);
     watch(&hub, WatcherKind::Store, ViewMark::default());
-    assert!(hub.knows_stores());
+    assert!(hub.store_list_is_complete());
     // Eight seconds that a monotonic clock does not count while suspended.
     skipped.fetch_add(8_000_000, Ordering::Relaxed);
     assert_eq!(hub.live_stores(), BTreeSet::new());
     assert!(
-        !hub.knows_stores(),
+        !hub.store_list_is_complete(),
         "after a suspension it cannot tell that they are gone"
     );
     watch(&hub, WatcherKind::Store, ViewMark::default());
-    assert!(!hub.knows_stores(), "the other stores have not asked yet");
+    assert!(
+        !hub.store_list_is_complete(),
+        "the other stores have not asked yet"
+    );
     hub.expire();
     assert_eq!(
-        hub.heard_since(Timestamp::ZERO),
+        hub.heartbeats_since(Timestamp::ZERO),
         [],
         "the engine has not sent a heartbeat yet"
     );
@@ -325,10 +331,10 @@
         block_on(hub.watch(&watch));
     }
     hub.expire();
-    assert_eq!(hub.gateways(), 4);
-    assert_eq!(hub.gateways_outside(&BTreeSet::new()), 4);
+    assert_eq!(hub.gateway_count(), 4);
+    assert_eq!(hub.gateway_count_outside(&BTreeSet::new()), 4);
     // A gateway without a zone may be on either side.
-    assert_eq!(hub.gateways_outside(&BTreeSet::from(["b".into()])), 2);
+    assert_eq!(hub.gateway_count_outside(&BTreeSet::from(["b".into()])), 2);
     assert_eq!(hub.zone_of(NodeId(2)), Some("b".into()));
     assert_eq!(hub.zone_of(NodeId(4)), None);
     assert_eq!(hub.own_zone(), Some("a".into()));
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/lives.rs
@@ -56,46 +56,46 @@
 fn a_later_life_takes_the_place_of_an_earlier_one_whose_heartbeats_are_passed_over() {
     for address in ["1:1", "2:2"] {
         let mut registry = Registry::new(SILENCE);
-        assert!(registry.hear(record("a#100", "1:1", 900), at(0), 1));
+        assert!(registry.record_heartbeat(record("a#100", "1:1", 900), at(0), 1));
         // The new life numbers its heartbeats from 1 again.
-        assert!(registry.hear(record("a#200", address, 1), at(10), 2));
+        assert!(registry.record_heartbeat(record("a#200", address, 1), at(10), 2));
         assert_eq!(there(&registry), ["a#200"]);
         assert_eq!(registry.lost_after(1), ["a#100"]);
         for late in [record("a#100", "1:1", 901), record("a", address, 1_000)] {
-            assert!(!registry.hear(late.clone(), at(20), 3));
-            assert!(!registry.hear_elsewhere(late, at(20), 3));
+            assert!(!registry.record_heartbeat(late.clone(), at(20), 3));
+            assert!(!registry.record_forwarded(late, at(20), 3));
         }
         registry.remove("a#100");
         assert_eq!(there(&registry), ["a#200"], "a late departure");
-        assert!(!registry.hear(record("a#200", address, 2), at(30), 3));
+        assert!(!registry.record_heartbeat(record("a#200", address, 2), at(30), 3));
         // The new life expires by its own heartbeats.
         assert!(registry.expire(at(10_030), 4));
-        assert!(!registry.hear(record("a#100", "1:1", 902), at(10_040), 5));
+        assert!(!registry.record_heartbeat(record("a#100", "1:1", 902), at(10_040), 5));
         assert!(there(&registry).is_empty());
-        assert!(registry.hear(record("a#200", address, 3), at(10_050), 5));
+        assert!(registry.record_heartbeat(record("a#200", address, 3), at(10_050), 5));
     }
 }
 
 #[test]
 fn a_life_that_another_control_node_heard_of_counts_from_one_too() {
     let mut registry = Registry::new(SILENCE);
-    registry.hear_elsewhere(record("a#100", "1:1", 900), at(0), 1);
-    assert!(registry.hear_elsewhere(record("a#200", "1:1", 1), at(1), 2));
-    assert!(!registry.hear_elsewhere(record("a#200", "1:1", 1), at(2), 3));
+    registry.record_forwarded(record("a#100", "1:1", 900), at(0), 1);
+    assert!(registry.record_forwarded(record("a#200", "1:1", 1), at(1), 2));
+    assert!(!registry.record_forwarded(record("a#200", "1:1", 1), at(2), 3));
     assert_eq!(there(&registry), ["a#200"]);
 }
 
 #[test]
 fn without_a_start_an_identifier_has_one_life() {
     let mut registry = Registry::new(SILENCE);
-    assert!(registry.hear(record("a", "1:1", 9), at(0), 1));
+    assert!(registry.record_heartbeat(record("a", "1:1", 9), at(0), 1));
     assert!(
-        !registry.hear(record("a", "2:2", 8), at(1), 2),
+        !registry.record_heartbeat(record("a", "2:2", 8), at(1), 2),
         "late heartbeat"
     );
-    assert!(registry.hear(record("a", "2:2", 10), at(2), 3));
+    assert!(registry.record_heartbeat(record("a", "2:2", 10), at(2), 3));
     registry.remove("a#100");
-    registry.hear(record("b#1", "3:3", 1), at(3), 4);
+    registry.record_heartbeat(record("b#1", "3:3", 1), at(3), 4);
     registry.remove("b");
     assert_eq!(
         there(&registry),
@@ -114,7 +114,7 @@
         }));
     }
     let hub = Hub::new("z".into(), SILENCE, BootClock::start());
-    hub.take(machine.declared(), BTreeSet::new(), 1);
+    hub.apply_declared(machine.declared(), BTreeSet::new(), 1);
     hub
 }
 
@@ -122,27 +122,27 @@
 fn a_departure_binds_the_life_it_is_of_and_those_before() {
     let hub = hub_with(&[("a#100", Departure::Draining), ("b", Departure::Gone)]);
     for bound in ["a#100", "a#99", "a", "b"] {
-        assert!(!hub.hear(record(bound, "1:1", 50)), "{bound}");
+        assert!(!hub.record_heartbeat(record(bound, "1:1", 50)), "{bound}");
     }
     assert_eq!(hub.departure("a#100"), Some(Departure::Draining));
     assert_eq!(hub.departure("a#101"), None);
     for (place, later) in ["a#101", "b#1"].into_iter().enumerate() {
         let address = format!("1:{place}");
-        assert!(hub.hear(record(later, &address, 1)), "{later}");
+        assert!(hub.record_heartbeat(record(later, &address, 1)), "{later}");
     }
 }
 
 #[test]
 fn an_end_without_a_start_is_of_every_life_begun_until_then() {
     let hub = hub_with(&[]);
-    assert_eq!(hub.ends("a", 500), "a#500", "unknown to this node");
-    hub.hear(record("a", "1:1", 1));
-    assert_eq!(hub.ends("a", 500), "a", "it reports no start time");
-    hub.hear(record("a#100", "1:1", 1));
-    assert_eq!(hub.ends("a", 500), "a#500");
+    assert_eq!(hub.ended_life("a", 500), "a#500", "unknown to this node");
+    hub.record_heartbeat(record("a", "1:1", 1));
+    assert_eq!(hub.ended_life("a", 500), "a", "it reports no start time");
+    hub.record_heartbeat(record("a#100", "1:1", 1));
+    assert_eq!(hub.ended_life("a", 500), "a#500");
     // The clock of the engine is ahead.
-    hub.hear(record("a#700", "1:1", 1));
-    assert_eq!(hub.ends("a", 500), "a#700");
+    hub.record_heartbeat(record("a#700", "1:1", 1));
+    assert_eq!(hub.ended_life("a", 500), "a#700");
 }
 
 #[test]
--- a/crates/fleet/tests/subsets.rs
+++ b/crates/fleet/tests/subsets.rs
@@ -74,7 +74,7 @@
 
     fn hear_all(&self, engines: usize) {
         for place in 0..engines {
-            self.hub.hear(engine(place));
+            self.hub.record_heartbeat(engine(place));
         }
     }
 
@@ -141,7 +141,7 @@
     }
 
     fn take(&mut self) {
-        self.hub.take(
+        self.hub.apply_declared(
             self.machine.declared(),
             BTreeSet::from([NodeId(900_000)]),
             1,
@@ -165,7 +165,7 @@
     );
     let told_of_one = |gateways: usize, engines: usize| {
         let mut fleet = Fleet::settled(gateways, engines);
-        fleet.hub.hear(engine(engines));
+        fleet.hub.record_heartbeat(engine(engines));
         let told = fleet.watch_all(gateways);
         told.iter()
             .filter(|(update, _)| !update.engines.is_empty())
@@ -192,7 +192,7 @@
         assert_eq!(update.departures, [(leaving.clone(), Departure::Draining)]);
     }
     assert!(
-        !fleet.hub.hear(engine(7)),
+        !fleet.hub.record_heartbeat(engine(7)),
         "a late heartbeat must not bring it back"
     );
 }
@@ -223,13 +223,13 @@
         fleet.depart(&engine(7).id);
         let of_departure = woken(&mut fleet, gateways);
         fleet.watch_all(gateways);
-        fleet.hub.hear(engine(engines));
+        fleet.hub.record_heartbeat(engine(engines));
         let of_new = woken(&mut fleet, gateways);
         fleet.watch_all(gateways);
         // Silent engines are lost, one of them some time before the others.
         fleet.wait(SILENCE / 2);
         (0..engines).filter(|&place| place != 9).for_each(|place| {
-            fleet.hub.hear(engine(place));
+            fleet.hub.record_heartbeat(engine(place));
         });
         fleet.watch_all(gateways);
         fleet.wait(SILENCE / 2);
@@ -256,7 +256,7 @@
         id: "i-new".to_owned(),
         ..engine(5)
     };
-    fleet.hub.hear(replacing);
+    fleet.hub.record_heartbeat(replacing);
     let new_users = fleet
         .hub
         .users_of(&["i-new"])
