--- a/crates/fleet/src/control/change_log.rs
+++ b/crates/fleet/src/control/change_log.rs
@@ -16,15 +16,15 @@
 impl<K: Ord + Clone + Default> ChangeLog<K> {
     /// Records that `key` changed at revision `change`, after its previous change at
     /// `before`.
-    pub fn note(&mut self, key: &K, before: Option<u64>, change: u64) {
+    pub fn record(&mut self, key: &K, before: Option<u64>, change: u64) {
         if let Some(before) = before {
-            self.forget(key, before);
+            self.remove(key, before);
         }
         self.0.insert((change, key.clone()));
     }
 
     /// Removes `key`, which last changed at revision `change`.
-    pub fn forget(&mut self, key: &K, change: u64) {
+    pub fn remove(&mut self, key: &K, change: u64) {
         self.0.remove(&(change, key.clone()));
     }
 
@@ -35,7 +35,7 @@
     }
 
     /// Returns the revision of the latest change, or 0 if there is none.
-    pub fn last(&self) -> u64 {
+    pub fn latest(&self) -> u64 {
         self.0.last().map_or(0, |(change, _)| *change)
     }
 }
--- a/crates/fleet/src/control/hub/answer.rs
+++ b/crates/fleet/src/control/hub/answer.rs
@@ -101,7 +101,7 @@
             .filter(|(_, (_, changed))| *changed > since);
         update.bars = bars.map(|(request, (bar, _))| (*request, *bar)).collect();
         let is_whole = |service: &str| self.subsets.breadth(service).0 == Breadth::Whole;
-        update.lost = self.registry.lost_of(since, is_whole);
+        update.lost = self.registry.lost_in(since, is_whole);
         for service in self.subsets.services() {
             self.add_service_changes(service, watch.node, since, &mut update);
         }
--- a/crates/fleet/src/control/hub/state.rs
+++ b/crates/fleet/src/control/hub/state.rs
@@ -11,7 +11,7 @@
 
 use super::{LIVE_TTL, MAX_WATCH_GAP};
 use crate::control::change_log::ChangeLog;
-use crate::control::registry::{News, Registry};
+use crate::control::registry::{Registry, RegistryEvent};
 use crate::view::{ConfigurationInForce, MOST_NAMED, Topology};
 use crate::wakeup::Wakeup;
 
@@ -165,14 +165,16 @@
 
     /// Applies registry events to the assignment of engines to gateways.
     pub fn apply_registry_events(&mut self, change: u64) {
-        for news in self.registry.take_news() {
-            match news {
-                News::Heard {
+        for event in self.registry.take_events() {
+            match event {
+                RegistryEvent::Registered {
                     service,
                     engine,
                     zone,
                 } => self.subsets.insert(&service, &engine, &zone, change),
-                News::Gone { service, engine } => self.subsets.remove(&service, &engine, change),
+                RegistryEvent::Gone { service, engine } => {
+                    self.subsets.remove(&service, &engine, change)
+                }
             }
         }
     }
@@ -224,7 +226,7 @@
                 if before.is_none() && !self.has_few_users(&engine) {
                     self.shared_departure_changed = change;
                 }
-                self.departure_log.note(&engine, before, change);
+                self.departure_log.record(&engine, before, change);
                 self.registry.remove(&engine);
                 self.departures.insert(engine, (departure, change));
                 changed = true;
--- a/crates/fleet/src/control/registry.rs
+++ b/crates/fleet/src/control/registry.rs
@@ -13,14 +13,14 @@
 
 /// Maximum number of displaced engines, and of revisions with lost engines, that are
 /// remembered; the oldest are dropped first.
-const REMEMBERED_LOST: usize = 1_000;
+const MAX_REMEMBERED: usize = 1_000;
 
 #[derive(Clone, Debug)]
 struct Entry {
     record: EngineRecord,
-    heard: Timestamp,
+    last_heartbeat: Timestamp,
     /// Whether the latest heartbeat was sent to this node.
-    called_here: bool,
+    received_here: bool,
     /// Revision of the view at which the engine was added or changed.
     changed: u64,
 }
@@ -34,9 +34,9 @@
 
 /// A change of an engine, used to assign engines to gateways.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum News {
+pub(super) enum RegistryEvent {
     /// The engine was added or changed.
-    Heard {
+    Registered {
         service: String,
         engine: String,
         zone: ZoneName,
@@ -60,8 +60,8 @@
     lost: BTreeMap<u64, Vec<Lost>>,
     /// Revision of the latest loss of an engine, by service.
     last_lost: BTreeMap<String, u64>,
-    /// Events since the last call of `take_news`.
-    news: Vec<News>,
+    /// Events since the last call of `take_events`.
+    events: Vec<RegistryEvent>,
     /// Addresses that engines lost to later ones. A heartbeat delayed by a network
     /// partition may still arrive and must not reclaim the address.
     displaced: BTreeMap<String, String>,
@@ -83,7 +83,7 @@
             slots: 0,
             lost: BTreeMap::new(),
             last_lost: BTreeMap::new(),
-            news: Vec::new(),
+            events: Vec::new(),
             displaced: BTreeMap::new(),
             displaced_order: VecDeque::new(),
             latest: LatestLives::default(),
@@ -94,7 +94,7 @@
     /// Records a heartbeat that was sent to this node. `change` is the revision that a
     /// change gets. Returns whether there was one.
     pub fn record_heartbeat(&mut self, record: EngineRecord, now: Timestamp, change: u64) -> bool {
-        self.note(record, true, now, change)
+        self.apply_heartbeat(record, true, now, change)
     }
 
     /// Records a heartbeat that was sent to another control node. It is ignored unless it
@@ -105,10 +105,16 @@
         if known.is_some_and(|known| record.sequence <= known.record.sequence) {
             return false;
         }
-        self.note(record, false, now, change)
+        self.apply_heartbeat(record, false, now, change)
     }
 
-    fn note(&mut self, record: EngineRecord, here: bool, now: Timestamp, change: u64) -> bool {
+    fn apply_heartbeat(
+        &mut self,
+        record: EngineRecord,
+        here: bool,
+        now: Timestamp,
+        change: u64,
+    ) -> bool {
         if self.latest.has_later(&record.id) {
             return false;
         }
@@ -117,29 +123,29 @@
                 return false;
             }
             if entry.record.is_same_engine(&record) {
-                entry.heard = now;
-                entry.called_here = here;
+                entry.last_heartbeat = now;
+                entry.received_here = here;
                 entry.record = record;
                 return false;
             }
-            self.forget(&record.id);
+            self.remove_entry(&record.id);
         } else if self.displaced.get(&record.id) == Some(&record.address) {
             return false;
         }
-        self.lose_earlier(&record.id, change);
-        self.displace(&record.address, change);
+        self.remove_earlier_lives(&record.id, change);
+        self.release_address(&record.address, change);
         self.insert(record, here, now, change);
         true
     }
 
     /// Removes the earlier lives of an engine that restarted.
-    fn lose_earlier(&mut self, id: &str, change: u64) {
+    fn remove_earlier_lives(&mut self, id: &str, change: u64) {
         let life = EngineLife::of(id);
         let known = lives_of(&self.engines, life.name);
         let earlier = known.filter(|(id, _)| EngineLife::of(id).is_before(&life));
         let earlier: Vec<String> = earlier.map(|(id, _)| id.clone()).collect();
         for id in &earlier {
-            self.lose(id, change);
+            self.mark_lost(id, change);
         }
         self.latest.note(id);
     }
@@ -147,17 +153,17 @@
     fn insert(&mut self, record: EngineRecord, here: bool, now: Timestamp, change: u64) {
         let id = record.id.clone();
         let log = self.changes.entry(record.service.clone()).or_default();
-        log.note(&id, None, change);
+        log.record(&id, None, change);
         self.slots += u64::from(record.slots);
         self.by_address.insert(record.address.clone(), id.clone());
-        self.news.push(News::Heard {
+        self.events.push(RegistryEvent::Registered {
             service: record.service.clone(),
             engine: id.clone(),
             zone: record.zone.clone(),
         });
         let entry = Entry {
-            heard: now,
-            called_here: here,
+            last_heartbeat: now,
+            received_here: here,
             changed: change,
             record,
         };
@@ -165,19 +171,19 @@
     }
 
     /// Removes an engine without recording it as lost.
-    fn forget(&mut self, id: &str) -> Option<Entry> {
+    fn remove_entry(&mut self, id: &str) -> Option<Entry> {
         let entry = self.engines.remove(id)?;
         let EngineRecord {
             service, address, ..
         } = &entry.record;
         self.slots -= u64::from(entry.record.slots);
         if let Some(log) = self.changes.get_mut(service) {
-            log.forget(&entry.record.id, entry.changed);
+            log.remove(&entry.record.id, entry.changed);
         }
         if self.by_address.get(address).map(String::as_str) == Some(id) {
             self.by_address.remove(address);
         }
-        self.news.push(News::Gone {
+        self.events.push(RegistryEvent::Gone {
             service: service.clone(),
             engine: id.to_owned(),
         });
@@ -185,22 +191,22 @@
     }
 
     /// Removes the engine that holds `address`, since another one has registered it.
-    fn displace(&mut self, address: &str, change: u64) {
+    fn release_address(&mut self, address: &str, change: u64) {
         let Some(id) = self.by_address.get(address).cloned() else {
             return;
         };
-        self.lose(&id, change);
+        self.mark_lost(&id, change);
         self.displaced_order.push_back(id.clone());
         self.displaced.insert(id, address.to_owned());
-        while self.displaced_order.len() > REMEMBERED_LOST
+        while self.displaced_order.len() > MAX_REMEMBERED
             && let Some(oldest) = self.displaced_order.pop_front()
         {
             self.displaced.remove(&oldest);
         }
     }
 
-    fn lose(&mut self, id: &str, change: u64) {
-        if let Some(entry) = self.forget(id) {
+    fn mark_lost(&mut self, id: &str, change: u64) {
+        if let Some(entry) = self.remove_entry(id) {
             let service = entry.record.service;
             self.last_lost.insert(service.clone(), change);
             let lost = Lost {
@@ -209,7 +215,7 @@
             };
             self.lost.entry(change).or_default().push(lost);
         }
-        while self.lost.len() > REMEMBERED_LOST {
+        while self.lost.len() > MAX_REMEMBERED {
             self.lost.pop_first();
         }
     }
@@ -218,7 +224,7 @@
     /// reported separately, so the engine is not recorded as lost.
     pub fn remove(&mut self, departed: &str) {
         if let Some(id) = self.bound_by(departed).map(|record| record.id.clone()) {
-            let _known = self.forget(&id);
+            let _known = self.remove_entry(&id);
         }
     }
 
@@ -248,10 +254,10 @@
     /// Removes engines that were silent for too long. Returns whether there were any.
     pub fn expire(&mut self, now: Timestamp, change: u64) -> bool {
         let engines = self.engines.iter();
-        let silent = engines.filter(|(_, entry)| now.since(entry.heard) >= self.silence);
+        let silent = engines.filter(|(_, entry)| now.since(entry.last_heartbeat) >= self.silence);
         let silent: Vec<String> = silent.map(|(id, _)| id.clone()).collect();
         for id in &silent {
-            self.lose(id, change);
+            self.mark_lost(id, change);
         }
         !silent.is_empty()
     }
@@ -284,7 +290,7 @@
 
     /// Whether an engine of a service was added, changed or lost after revision `since`.
     pub(super) fn changed_since(&self, service: &str, since: u64) -> bool {
-        let changed = self.changes.get(service).map_or(0, ChangeLog::last);
+        let changed = self.changes.get(service).map_or(0, ChangeLog::latest);
         let lost = self.last_lost.get(service).copied().unwrap_or_default();
         changed.max(lost) > since
     }
@@ -296,21 +302,21 @@
 
     /// Returns the engines that were lost after revision `change` and have not come back.
     pub fn lost_after(&self, change: u64) -> Vec<String> {
-        self.lost_of(change, |_| true)
+        self.lost_in(change, |_| true)
     }
 
     /// Same as [`lost_after`](Self::lost_after), for the services accepted by
     /// `of_service`.
-    pub(super) fn lost_of(&self, change: u64, of_service: impl Fn(&str) -> bool) -> Vec<String> {
+    pub(super) fn lost_in(&self, change: u64, of_service: impl Fn(&str) -> bool) -> Vec<String> {
         let lost = self.lost.range(change + 1..).flat_map(|(_, lost)| lost);
         let gone = lost.filter(|one| !self.engines.contains_key(&one.id));
-        let told = gone.filter(|one| of_service(&one.service));
-        told.map(|one| one.id.clone()).collect()
+        let matching = gone.filter(|one| of_service(&one.service));
+        matching.map(|one| one.id.clone()).collect()
     }
 
     /// Returns the events since the last call.
-    pub(super) fn take_news(&mut self) -> Vec<News> {
-        std::mem::take(&mut self.news)
+    pub(super) fn take_events(&mut self) -> Vec<RegistryEvent> {
+        std::mem::take(&mut self.events)
     }
 
     /// Returns the engines whose latest heartbeat was sent to this node, at or after
@@ -319,7 +325,7 @@
     /// others.
     pub fn heartbeats_since(&self, since: Timestamp) -> Vec<EngineRecord> {
         let engines = self.engines.values();
-        let engines = engines.filter(|entry| entry.called_here && entry.heard >= since);
+        let engines = engines.filter(|entry| entry.received_here && entry.last_heartbeat >= since);
         engines.map(|entry| entry.record.clone()).collect()
     }
 }
