--- a/crates/fleet/src/control/api.rs
+++ b/crates/fleet/src/control/api.rs
@@ -22,10 +22,10 @@
 const READ_DEADLINE: Duration = Duration::from_millis(900);
 /// Deadline of a change by an operator. The caller may have retried at another node by
 /// then, where repeating the same change is harmless.
-const ORDER_DEADLINE: Duration = Duration::from_millis(2_500);
+const CHANGE_DEADLINE: Duration = Duration::from_millis(2_500);
 /// Largest accepted clock skew of an engine: a start time further in the future is
 /// invalid.
-const CLOCK_SKEW: Duration = Duration::from_secs(5);
+const MAX_CLOCK_SKEW: Duration = Duration::from_secs(5);
 
 /// HTTP interface for engines and operators.
 pub struct ControlApi<D> {
@@ -45,9 +45,9 @@
 impl<D: ControlDialect> Service for ControlApi<D> {
     async fn call(&self, head: RequestHead, body: Vec<u8>) -> Answer {
         let outcome = match self.dialect.call(&head, &body) {
-            Ok(call) => self.carry_out(call).await,
+            Ok(call) => self.execute(call).await,
             Err(problem) => {
-                self.note_problem(&head, &problem);
+                self.log_problem(&head, &problem);
                 ControlOutcome::Problem(problem)
             }
         };
@@ -56,10 +56,10 @@
 }
 
 impl<D: ControlDialect> ControlApi<D> {
-    async fn carry_out(&self, call: ControlCall) -> ControlOutcome {
+    async fn execute(&self, call: ControlCall) -> ControlOutcome {
         match call {
             ControlCall::Heartbeat(heartbeat) => self.heartbeat(heartbeat).await,
-            ControlCall::Gone { engine, born } => self.end(&engine, born).await,
+            ControlCall::Gone { engine, born } => self.end_engine(&engine, born).await,
             ControlCall::Declare(declaration) => self.declare(*declaration).await,
             ControlCall::Read => self.read().await,
             ControlCall::Retire { name } => self.retire(name).await,
@@ -69,34 +69,34 @@
 
     /// Logs a rejected call. An engine repeats its registration, so its problem is logged
     /// once.
-    fn note_problem(&self, head: &RequestHead, problem: &CallProblem) {
+    fn log_problem(&self, head: &RequestHead, problem: &CallProblem) {
         let CallProblem::Registration { engine, problems } = problem else {
             info!(self.logger, "call refused";
                 "method" => &head.method, "path" => head.path(), "problem" => ?problem);
             return;
         };
-        self.note_registration(engine, &problems.join("; "));
+        self.log_registration_problem(engine, &problems.join("; "));
     }
 
-    fn note_registration(&self, engine: &str, problems: &str) {
-        if let Some(count) = self.note_refusal(engine, problems) {
+    fn log_registration_problem(&self, engine: &str, problems: &str) {
+        if let Some(count) = self.record_refusal(engine, problems) {
             warn!(self.logger, "registration refused"; "engine" => engine,
                 "problems" => problems, "refused_so_far" => count);
         }
     }
 
-    fn note_refusal(&self, who: &str, what: &str) -> Option<u64> {
+    fn record_refusal(&self, who: &str, what: &str) -> Option<u64> {
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
         refusals.note(who, what)
     }
 
     /// Logs an engine whose service the configuration does not name. The engine is kept,
     /// because a later configuration may name the service.
-    fn note_service(&self, service: &str) {
+    fn log_unknown_service(&self, service: &str) {
         if !self.hub.is_unknown_service(service) {
             return;
         }
-        if let Some(count) = self.note_refusal(service, "unknown service") {
+        if let Some(count) = self.record_refusal(service, "unknown service") {
             warn!(self.logger, "engine of an unknown service"; "service" => service,
                 "refused_so_far" => count);
         }
@@ -104,25 +104,25 @@
 
     async fn heartbeat(&self, heartbeat: EngineHeartbeat) -> ControlOutcome {
         let life = EngineLife::of(&heartbeat.record.id);
-        let latest = unix_millis() + CLOCK_SKEW.as_millis() as u64;
+        let latest = unix_millis() + MAX_CLOCK_SKEW.as_millis() as u64;
         if life.born.is_some_and(|born| born > latest) {
             let problem = "born: in the future".to_owned();
-            return self.refuse(life.name, problem);
+            return self.reject_registration(life.name, problem);
         }
         if heartbeat.draining {
             return self.depart(heartbeat.record.id, Departure::Draining).await;
         }
         let id = heartbeat.record.id.clone();
         let service = heartbeat.record.service.clone();
-        self.note_service(&service);
+        self.log_unknown_service(&service);
         if self.hub.record_heartbeat(heartbeat.record) {
             info!(self.logger, "engine registered"; "engine" => id, "service" => service);
         }
         ControlOutcome::Acknowledged
     }
 
-    fn refuse(&self, engine: &str, problem: String) -> ControlOutcome {
-        self.note_registration(engine, &problem);
+    fn reject_registration(&self, engine: &str, problem: String) -> ControlOutcome {
+        self.log_registration_problem(engine, &problem);
         ControlOutcome::Problem(CallProblem::Registration {
             engine: engine.to_owned(),
             problems: vec![problem],
@@ -131,7 +131,7 @@
 
     /// Records the shutdown of an engine. Without a start time it applies to every life
     /// started until now.
-    async fn end(&self, name: &str, born: Option<u64>) -> ControlOutcome {
+    async fn end_engine(&self, name: &str, born: Option<u64>) -> ControlOutcome {
         let life = match born {
             Some(_) => EngineLife { name, born }.id(),
             None => self.hub.ended_life(name, unix_millis()),
@@ -176,7 +176,7 @@
             return ControlOutcome::Problem(CallProblem::Invalid { problems });
         }
         let command = DeclaredCommand::Declare(Box::new(declaration));
-        match self.cluster.change_declared(command, ORDER_DEADLINE).await {
+        match self.cluster.change_declared(command, CHANGE_DEADLINE).await {
             Ok(DeclaredReply::Version { version: in_force }) => {
                 info!(self.logger, "configuration acknowledged";
                     "version" => version, "in_force" => in_force);
@@ -212,7 +212,7 @@
             replicas: self.store_replicas,
             alive: self.hub.live_stores(),
         };
-        let reply = self.cluster.change_declared(command, ORDER_DEADLINE).await;
+        let reply = self.cluster.change_declared(command, CHANGE_DEADLINE).await;
         info!(self.logger, "store retirement requested"; "name" => name, "reply" => ?reply);
         match reply {
             Ok(DeclaredReply::Retire(RetireReply::Unknown)) => ControlOutcome::Unknown,
--- a/crates/fleet/src/control/node.rs
+++ b/crates/fleet/src/control/node.rs
@@ -26,15 +26,15 @@
 use super::api::ControlApi;
 use super::dialect::ControlDialect;
 use super::hub::Hub;
-use super::relay::{RelayedWork, relay_work};
+use super::relay::{RelayState, relay_work};
 use crate::membership::{ClusterAddresses, cluster, replica_options, start_replica};
 use crate::view::EngineRecord;
 
 /// Interval between rounds of sending heartbeats to the other control nodes.
-const ROUND: Duration = Duration::from_secs(1);
+const PEER_ROUND_INTERVAL: Duration = Duration::from_secs(1);
 /// Minimum interval between reads of the replica's state. Each read copies the whole
 /// state, and many entries arrive at once when many engines leave.
-const REFRESHED_EVERY: Duration = Duration::from_millis(20);
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Options of a control node.
 #[derive(Clone, Debug)]
@@ -98,7 +98,7 @@
 struct PeerHandler {
     replica: Arc<ReplicaRole>,
     hub: Arc<Hub>,
-    work: Arc<RelayedWork>,
+    work: Arc<RelayState>,
     logger: Logger,
 }
 
@@ -133,16 +133,16 @@
             } => {
                 let usage = usage.as_ref().map(|usage| usage.as_slice());
                 if let Some(demand) = demand {
-                    self.work.note_demand(from, &demand, relayed);
+                    self.work.record_demand(from, &demand, relayed);
                 }
-                self.work.note(from, &shares, usage, relayed);
+                self.work.record_work(from, &shares, usage, relayed);
                 if let Some(blames) = blames {
-                    self.work.note_blames(from, &blames);
+                    self.work.record_blames(from, &blames);
                 }
                 let reach = reach.as_ref().map(|reach| reach.as_slice());
-                self.work.note_reach(from, reach, relayed);
+                self.work.record_reach(from, reach, relayed);
                 if let Some(gateways) = gateways {
-                    self.work.note_spoken_for(from, gateways);
+                    self.work.record_gateway_count(from, gateways);
                 }
             }
             other => self.replica.notify(other),
@@ -176,9 +176,9 @@
             replica: replica.clone(),
             others: wire.clone(),
         });
-        let cluster = cluster(transport, nearest_first(&options.addresses));
+        let cluster = cluster(transport, own_node_first(&options.addresses));
         let server = Server::bind(options.addresses.own_address(), ServerLimits::default())?;
-        let work = Arc::new(RelayedWork::new(logger.clone()));
+        let work = Arc::new(RelayState::new(logger.clone()));
         let relaying = relay_work(own, work.clone(), hub.clone(), wire.clone());
         local.spawn(relaying).detach();
         let handler = PeerHandler {
@@ -212,10 +212,12 @@
         });
         let following = node.clone();
         local
-            .spawn(async move { following.follow(&cluster).await })
+            .spawn(async move { following.follow_replica(&cluster).await })
             .detach();
         let rounds = node.clone();
-        local.spawn(async move { rounds.rounds().await }).detach();
+        local
+            .spawn(async move { rounds.forward_heartbeats().await })
+            .detach();
         let announcing = node.hub.clone();
         executor
             .spawn(async move { announcing.announce().await })
@@ -226,14 +228,14 @@
     }
 
     /// Updates the view as the replica applies entries.
-    async fn follow(&self, cluster: &Cluster) {
+    async fn follow_replica(&self, cluster: &Cluster) {
         loop {
             self.refresh(cluster).await;
-            Timer::after(REFRESHED_EVERY).await;
-            let late = async {
-                Timer::after(ROUND).await;
+            Timer::after(MIN_REFRESH_INTERVAL).await;
+            let timeout = async {
+                Timer::after(PEER_ROUND_INTERVAL).await;
             };
-            future::or(self.replica.changed(), late).await;
+            future::or(self.replica.changed(), timeout).await;
         }
     }
 
@@ -267,14 +269,14 @@
 
     /// Sends recent heartbeats to the other control nodes, so that each node knows all
     /// engines, whichever node those call.
-    async fn rounds(&self) {
-        let mut told = Timestamp::ZERO;
+    async fn forward_heartbeats(&self) {
+        let mut last_round = Timestamp::ZERO;
         loop {
-            Timer::after(ROUND).await;
+            Timer::after(PEER_ROUND_INTERVAL).await;
             self.hub.expire();
             let now = self.hub.now();
-            let heard = self.hub.heartbeats_since(told);
-            told = now;
+            let heard = self.hub.heartbeats_since(last_round);
+            last_round = now;
             if heard.is_empty() {
                 continue;
             }
@@ -314,7 +316,7 @@
     }
 }
 
-fn nearest_first(addresses: &ClusterAddresses) -> Vec<NodeId> {
+fn own_node_first(addresses: &ClusterAddresses) -> Vec<NodeId> {
     let mut nodes = vec![addresses.own];
     nodes.extend(
         addresses
--- a/crates/fleet/src/control/relay.rs
+++ b/crates/fleet/src/control/relay.rs
@@ -21,38 +21,38 @@
 use crate::telling;
 
 /// Interval after which unchanged reports are sent again to other relays and to gateways.
-const REPEATED_AFTER: Duration = Duration::from_millis(400);
+const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Received reports, by kind.
 #[derive(Debug, Default)]
-struct Relays {
+struct RelayTables {
     work: WorkRelay,
     demand: DemandRelay,
     usage: UsageRelay,
     /// Whether reports on the use of tenants' limits arrived since the last time they
     /// were forwarded.
-    usage_came: bool,
+    usage_received: bool,
     suspects: SuspectTable,
     reach: ReachRelay,
 }
 
 /// Reports received from gateways and other relays.
 #[derive(Debug)]
-pub(super) struct RelayedWork {
+pub(super) struct RelayState {
     clock: BootClock,
-    relays: Mutex<Relays>,
+    relays: Mutex<RelayTables>,
     /// Signals that something was received; a relay that no gateway uses stays idle.
-    heard: (Sender<()>, Receiver<()>),
+    received: (Sender<()>, Receiver<()>),
     logger: Logger,
 }
 
-impl RelayedWork {
+impl RelayState {
     /// Creates an empty state.
     pub fn new(logger: Logger) -> Self {
         Self {
             clock: BootClock::start(),
             relays: Mutex::default(),
-            heard: async_channel::bounded(1),
+            received: async_channel::bounded(1),
             logger,
         }
     }
@@ -61,84 +61,90 @@
         self.clock.now()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Relays> {
+    fn lock(&self) -> MutexGuard<'_, RelayTables> {
         self.relays.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// Records the number of gateways that another relay reports for.
-    pub fn note_spoken_for(&self, from: NodeId, gateways: u32) {
+    pub fn record_gateway_count(&self, from: NodeId, gateways: u32) {
         let now = self.now();
         self.lock().work.note_spoken_for(from, gateways, now);
     }
 
     /// Records a report by a gateway or another relay of requests that were running on
     /// engines when those terminated.
-    pub fn note_blames(&self, from: NodeId, blames: &[u8]) {
+    pub fn record_blames(&self, from: NodeId, blames: &[u8]) {
         let Some(blames) = telling::read::<Vec<Blame>>(&self.logger, from, "blames", blames) else {
             return;
         };
         let now = self.now();
         if self.lock().suspects.note(&blames, now) {
-            let _already_told = self.heard.0.try_send(());
+            let _already_signaled = self.received.0.try_send(());
         }
     }
 
     /// Records a report by a gateway or another relay of unreachable zones.
-    pub fn note_reach(&self, from: NodeId, reach: Option<&[u8]>, relayed: bool) {
-        let told = match reach {
+    pub fn record_reach(&self, from: NodeId, reach: Option<&[u8]>, relayed: bool) {
+        let reports = match reach {
             Some(reach) => telling::read(&self.logger, from, "zones out of reach", reach),
             None => Some(Vec::new()),
         };
         // A malformed report does not revoke the earlier ones.
-        let Some(told) = told else {
+        let Some(reports) = reports else {
             return;
         };
         let now = self.now();
-        if self.lock().reach.note(from, teller(relayed), told, now) {
-            let _already_told = self.heard.0.try_send(());
+        if self
+            .lock()
+            .reach
+            .note(from, sender_kind(relayed), reports, now)
+        {
+            let _already_signaled = self.received.0.try_send(());
         }
     }
 
     /// Records a report of demand by a gateway or another relay. It is forwarded together
     /// with the load in the same message.
-    pub fn note_demand(&self, from: NodeId, demand: &[u8], relayed: bool) {
+    pub fn record_demand(&self, from: NodeId, demand: &[u8], relayed: bool) {
         let Some(demand) =
             telling::read::<Vec<ServiceDemand>>(&self.logger, from, "demand", demand)
         else {
             return;
         };
         let now = self.now();
-        self.lock().demand.note(from, teller(relayed), demand, now);
+        self.lock()
+            .demand
+            .note(from, sender_kind(relayed), demand, now);
     }
 
     /// Records a report of load and of the use of tenants' limits by a gateway or another
     /// relay.
-    pub fn note(&self, from: NodeId, shares: &[u8], usage: Option<&[u8]>, relayed: bool) {
+    pub fn record_work(&self, from: NodeId, shares: &[u8], usage: Option<&[u8]>, relayed: bool) {
         let Some(shares) = telling::read::<Vec<WorkShare>>(&self.logger, from, "work", shares)
         else {
             return;
         };
         let usage =
             usage.and_then(|usage| telling::read(&self.logger, from, "use of limits", usage));
-        let teller = teller(relayed);
+        let sender = sender_kind(relayed);
         let now = self.now();
         let changed = {
             let mut relays = self.lock();
             if let Some(usage) = usage {
-                relays.usage.note(from, teller, usage, now);
-                relays.usage_came = true;
+                relays.usage.note(from, sender, usage, now);
+                relays.usage_received = true;
             }
-            relays.work.note(from, teller, shares, now)
+            relays.work.note(from, sender, shares, now)
         };
         // Repeated reports of gateways are forwarded so that they do not expire. Relays
         // that forwarded each other's repeated reports would never become idle.
-        if changed || teller == Teller::Gateway {
-            let _already_told = self.heard.0.try_send(());
+        if changed || sender == Teller::Gateway {
+            let _already_signaled = self.received.0.try_send(());
         }
     }
 }
 
-fn teller(relayed: bool) -> Teller {
+fn sender_kind(relayed: bool) -> Teller {
     match relayed {
         true => Teller::Relay,
         false => Teller::Gateway,
@@ -159,7 +165,7 @@
     demand_by_gateway: BTreeMap<NodeId, Vec<ServiceDemand>>,
 }
 
-impl RelayedWork {
+impl RelayState {
     /// Collects the known load and demand for the gateways that `hub` counts and for the
     /// engines that it assigns to them.
     fn round(&self, hub: &Hub) -> Round {
@@ -168,17 +174,17 @@
         let demand = &mut relays.demand;
         demand.expire(now);
         // Gateways in unreachable zones send no requests to engines in reachable ones.
-        let beyond = hub.own_zone().map(|zone| relays.reach.out_of_reach(&zone));
-        let present = match beyond.filter(|zones| !zones.is_empty()) {
+        let unreachable = hub.own_zone().map(|zone| relays.reach.out_of_reach(&zone));
+        let present = match unreachable.filter(|zones| !zones.is_empty()) {
             Some(zones) => hub.gateway_count_outside(&zones),
             None => hub.gateway_count(),
         };
         let relay = &mut relays.work;
         relay.expire(now);
-        let all_by_told = relay.all_by_told(present, now);
+        let scale = relay.all_by_told(present, now);
         let mut by_gateway = relay.shares_by_user(|engines| hub.users_of(engines));
         let shares = by_gateway.iter_mut().flat_map(|(_, shares)| shares);
-        shares.for_each(|share| share.multiply(all_by_told));
+        shares.for_each(|share| share.multiply(scale));
         Round {
             of_gateways: relay.sum_of_gateways(),
             gateways: relay.gateways(),
@@ -193,7 +199,7 @@
     fn usage(&self) -> Option<(Usage, BTreeMap<NodeId, Usage>)> {
         let now = self.now();
         let relays = &mut *self.lock();
-        if !std::mem::take(&mut relays.usage_came) {
+        if !std::mem::take(&mut relays.usage_received) {
             return None;
         }
         let relay = &mut relays.usage;
@@ -203,7 +209,7 @@
     }
 }
 
-impl RelayedWork {
+impl RelayState {
     /// Encodes the pending reports of requests that were running on engines when those
     /// terminated.
     fn blames(&self) -> Option<Vec<u8>> {
@@ -221,7 +227,7 @@
     by_gateway: BTreeMap<NodeId, Vec<ReachTelling>>,
 }
 
-impl RelayedWork {
+impl RelayState {
     /// Returns the reports of unreachable zones for other relays and for `gateways`.
     fn reach(&self, hub: &Hub, gateways: &[(NodeId, Vec<WorkShare>)]) -> ReachRound {
         let now = self.now();
@@ -237,8 +243,8 @@
         }
         for (gateway, _) in gateways {
             let zone = hub.zone_of(*gateway);
-            let told = zone.and_then(|zone| reach.for_gateway(*gateway, &zone));
-            by_gateway.extend(told.map(|told| (*gateway, vec![told])));
+            let report = zone.and_then(|zone| reach.for_gateway(*gateway, &zone));
+            by_gateway.extend(report.map(|report| (*gateway, vec![report])));
         }
         ReachRound {
             of_gateways,
@@ -253,15 +259,15 @@
 
 /// The load last sent to each gateway, and when.
 #[derive(Default)]
-struct LastTold(BTreeMap<NodeId, (Vec<WorkShare>, Option<Instant>)>);
+struct LastSent(BTreeMap<NodeId, (Vec<WorkShare>, Option<Instant>)>);
 
-impl LastTold {
+impl LastSent {
     /// Whether `shares` must be sent to a gateway: if they changed, or after
-    /// [`REPEATED_AFTER`].
+    /// [`RESEND_INTERVAL`].
     fn is_due(&mut self, gateway: NodeId, shares: &[WorkShare]) -> bool {
         let (before, at) = self.0.entry(gateway).or_default();
-        let lately = at.is_some_and(|at| at.elapsed() < REPEATED_AFTER);
-        if lately && before == shares {
+        let recently = at.is_some_and(|at| at.elapsed() < RESEND_INTERVAL);
+        if recently && before == shares {
             return false;
         }
         before.clear();
@@ -282,20 +288,20 @@
 /// Forwards received reports, at most once per round.
 pub(super) async fn relay_work(
     own: NodeId,
-    work: Arc<RelayedWork>,
+    work: Arc<RelayState>,
     hub: Arc<Hub>,
     wire: Arc<WireTransport>,
 ) {
-    let mut told_relays = (Vec::new(), Instant::now());
-    let mut told_reach = Vec::new();
-    let mut told_gateways = LastTold::default();
-    while work.heard.1.recv().await.is_ok() {
+    let mut sent_to_relays = (Vec::new(), Instant::now());
+    let mut sent_reach = Vec::new();
+    let mut sent_to_gateways = LastSent::default();
+    while work.received.1.recv().await.is_ok() {
         let blames = work.blames();
-        let told = |shares: &[WorkShare],
-                    usage: Option<&Usage>,
-                    reach: &[ReachTelling],
-                    demand: &[ServiceDemand],
-                    gateways| Request::EngineWork {
+        let message = |shares: &[WorkShare],
+                       usage: Option<&Usage>,
+                       reach: &[ReachTelling],
+                       demand: &[ServiceDemand],
+                       gateways| Request::EngineWork {
             from: own,
             shares: molespan_state::encode(&shares).into(),
             relayed: true,
@@ -316,12 +322,12 @@
         let usage = work.usage();
         let (usage_of_gateways, usage_by_gateway) = usage.unzip();
         let usage_by_gateway = usage_by_gateway.unwrap_or_default();
-        let (before, at) = &told_relays;
-        let repeat = at.elapsed() >= REPEATED_AFTER;
-        let reach_news = reach.of_gateways != told_reach;
-        let other_news = usage_of_gateways.is_some() || blames.is_some() || reach_news;
-        let news = repeat || other_news || *before != of_gateways;
-        if !by_gateway.is_empty() && news {
+        let (before, at) = &sent_to_relays;
+        let repeat = at.elapsed() >= RESEND_INTERVAL;
+        let reach_changed = reach.of_gateways != sent_reach;
+        let other_changes = usage_of_gateways.is_some() || blames.is_some() || reach_changed;
+        let must_send = repeat || other_changes || *before != of_gateways;
+        if !by_gateway.is_empty() && must_send {
             let others = hub.control_nodes().into_iter();
             for relay in others.filter(|&node| node != own) {
                 let usage = usage_of_gateways.as_ref();
@@ -329,26 +335,26 @@
                 let demand = &demand_of_gateways;
                 wire.send(
                     relay,
-                    told(&of_gateways, usage, reach, demand, Some(gateways)),
+                    message(&of_gateways, usage, reach, demand, Some(gateways)),
                 );
             }
-            told_reach = reach.of_gateways;
-            told_relays = (of_gateways, Instant::now());
+            sent_reach = reach.of_gateways;
+            sent_to_relays = (of_gateways, Instant::now());
         }
-        told_gateways.retain(&by_gateway);
+        sent_to_gateways.retain(&by_gateway);
         for (gateway, shares) in by_gateway {
             let usage = usage_by_gateway.get(&gateway);
             let reach = reach.by_gateway.get(&gateway);
             // Unreachable zones are sent in every round, so that gateways that have just
             // started receive them too.
-            let other_news = usage.is_some() || blames.is_some() || reach.is_some();
-            if !told_gateways.is_due(gateway, &shares) && !other_news {
+            let other_changes = usage.is_some() || blames.is_some() || reach.is_some();
+            if !sent_to_gateways.is_due(gateway, &shares) && !other_changes {
                 continue;
             }
             let reach = reach.map(Vec::as_slice).unwrap_or_default();
             let demand = demand_by_gateway.get(&gateway);
             let demand = demand.map_or(&[][..], Vec::as_slice);
-            wire.send(gateway, told(&shares, usage, reach, demand, None));
+            wire.send(gateway, message(&shares, usage, reach, demand, None));
         }
         let pause = work.lock().work.pause(hub.slots());
         Timer::after(pause).await;
