--- a/crates/fleet/src/store/call_order.rs
+++ b/crates/fleet/src/store/call_order.rs
@@ -18,19 +18,19 @@
 }
 
 /// Identifies an admitted request, in order of arrival.
-pub type Arrival = u64;
+pub type ArrivalNumber = u64;
 
 /// The latest request of each gateway.
 #[derive(Clone, Debug, Default)]
 pub struct CallOrder {
-    latest: BTreeMap<NodeId, (CallNumber, Arrival)>,
-    arrivals: Arrival,
+    latest: BTreeMap<NodeId, (CallNumber, ArrivalNumber)>,
+    arrivals: ArrivalNumber,
 }
 
 impl CallOrder {
     /// Admits a request of a gateway, which then supersedes the gateway's waiting
     /// requests. Returns `None` if a later request of the same life has already arrived.
-    pub fn arrive(&mut self, node: NodeId, call: CallNumber) -> Option<Arrival> {
+    pub fn admit(&mut self, node: NodeId, call: CallNumber) -> Option<ArrivalNumber> {
         let known = self.latest.get(&node);
         if known.is_some_and(|(latest, _)| latest.life == call.life && latest.number > call.number)
         {
@@ -43,13 +43,13 @@
 
     /// Removes all gateways, which supersedes all waiting requests. Arrival numbers are
     /// not reused, so that none of those requests becomes the latest again.
-    pub fn forget(&mut self) {
+    pub fn clear(&mut self) {
         self.latest.clear();
     }
 
     /// Whether the gateway has sent no later request.
     #[must_use]
-    pub fn is_latest(&self, node: NodeId, arrival: Arrival) -> bool {
+    pub fn is_latest(&self, node: NodeId, arrival: ArrivalNumber) -> bool {
         let latest = self.latest.get(&node);
         latest.is_some_and(|&(_, latest)| latest == arrival)
     }
--- a/crates/fleet/src/store/emptied.rs
+++ b/crates/fleet/src/store/emptied.rs
@@ -6,11 +6,11 @@
 
 /// Stores that were reported as empty.
 #[derive(Clone, Debug, Default)]
-pub struct Emptied {
-    told: BTreeSet<NodeId>,
+pub struct ReportedRetirements {
+    reported: BTreeSet<NodeId>,
 }
 
-impl Emptied {
+impl ReportedRetirements {
     /// Returns the `retiring` stores that are no longer members of a group and have not
     /// been reported. Stores that are no longer retiring are removed, because the same
     /// address may be retired again later with another disk.
@@ -19,16 +19,16 @@
         retiring: &BTreeSet<NodeId>,
         seated: &BTreeSet<NodeId>,
     ) -> BTreeSet<NodeId> {
-        self.told.retain(|node| retiring.contains(node));
+        self.reported.retain(|node| retiring.contains(node));
         let empty = retiring.iter().filter(|node| !seated.contains(node));
         empty
-            .filter(|node| !self.told.contains(node))
+            .filter(|node| !self.reported.contains(node))
             .copied()
             .collect()
     }
 
     /// Records that a store was reported.
-    pub fn note(&mut self, node: NodeId) {
-        self.told.insert(node);
+    pub fn mark_reported(&mut self, node: NodeId) {
+        self.reported.insert(node);
     }
 }
--- a/crates/fleet/src/store/handout.rs
+++ b/crates/fleet/src/store/handout.rs
@@ -11,11 +11,11 @@
 use super::open_index::OpenIndex;
 
 /// Number of recently completed items from which the run time is estimated.
-const RUN_TIMES: usize = 32;
+const RUN_TIME_SAMPLES: usize = 32;
 
 /// Lease of an item to a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Holding {
+pub struct ItemLease {
     /// The gateway that runs the item.
     pub node: NodeId,
     /// When the lease expires.
@@ -26,32 +26,32 @@
 
 /// Leases of all items that gateways run.
 #[derive(Debug)]
-pub struct Handout {
-    lease: Duration,
+pub struct LeaseTable {
+    lease_duration: Duration,
     /// Time before which nothing is handed out, because a new leader does not know yet
     /// which items are running.
-    warm_at: Timestamp,
-    held: BTreeMap<ItemReference, Holding>,
+    warm_until: Timestamp,
+    leases: BTreeMap<ItemReference, ItemLease>,
     /// Latest index of open items.
     open: Arc<OpenIndex>,
     /// Open items without a lease, by due time, so that selecting items does not scan the
     /// leased ones.
-    free: BTreeSet<(u64, ItemReference)>,
+    available: BTreeSet<(u64, ItemReference)>,
     /// Run times of the latest completed items, oldest first.
     run_times: VecDeque<Duration>,
 }
 
-impl Handout {
+impl LeaseTable {
     /// Creates an empty table. Items are handed out only after `warm_up`, so that
     /// gateways can report first what they run.
     #[must_use]
-    pub fn new(now: Timestamp, lease: Duration, warm_up: Duration) -> Self {
+    pub fn new(now: Timestamp, lease_duration: Duration, warm_up: Duration) -> Self {
         Self {
-            lease,
-            warm_at: now + warm_up,
-            held: BTreeMap::new(),
+            lease_duration,
+            warm_until: now + warm_up,
+            leases: BTreeMap::new(),
             open: Arc::default(),
-            free: BTreeSet::new(),
+            available: BTreeSet::new(),
             run_times: VecDeque::new(),
         }
     }
@@ -66,51 +66,51 @@
         running: &BTreeSet<ItemReference>,
         open: &Arc<OpenIndex>,
     ) -> Vec<ItemReference> {
-        self.follow(open);
-        self.note_done(now, node, running);
+        self.update_open_items(open);
+        self.record_run_times(now, node, running);
         // Items that the gateway no longer runs become available again.
-        self.release(|item, holding| holding.node == node && !running.contains(item));
+        self.release(|item, lease| lease.node == node && !running.contains(item));
         let mut stop = Vec::new();
         for &item in running {
-            let taken = self.held.get(&item);
+            let taken = self.leases.get(&item);
             let elsewhere = taken.is_some_and(|one| one.node != node && one.until > now);
             if elsewhere || !open.is_open(item.job) {
                 stop.push(item);
                 continue;
             }
-            let until = now + self.lease;
+            let until = now + self.lease_duration;
             let since = taken.map_or(now, |one| one.since);
-            self.hold(item, Holding { node, until, since });
+            self.insert_lease(item, ItemLease { node, until, since });
         }
         stop
     }
 
     /// Rebuilds the set of available items if the open items changed.
-    fn follow(&mut self, open: &Arc<OpenIndex>) {
+    fn update_open_items(&mut self, open: &Arc<OpenIndex>) {
         if Arc::ptr_eq(&self.open, open) {
             return;
         }
         self.open = open.clone();
-        let free = open.items();
-        let free = free.filter(|(_, item)| !self.held.contains_key(item));
-        self.free = free.collect();
+        let available = open.items();
+        let available = available.filter(|(_, item)| !self.leases.contains_key(item));
+        self.available = available.collect();
     }
 
-    fn hold(&mut self, item: ItemReference, holding: Holding) {
-        self.held.insert(item, holding);
+    fn insert_lease(&mut self, item: ItemReference, lease: ItemLease) {
+        self.leases.insert(item, lease);
         if let Some(due_ms) = self.open.due_ms(item) {
-            self.free.remove(&(due_ms, item));
+            self.available.remove(&(due_ms, item));
         }
     }
 
-    /// Removes the leases for which `ends` returns true.
-    fn release(&mut self, ends: impl Fn(&ItemReference, &Holding) -> bool) {
+    /// Removes the leases for which `should_release` returns true.
+    fn release(&mut self, should_release: impl Fn(&ItemReference, &ItemLease) -> bool) {
         let ended = self
-            .held
-            .extract_if(.., |item, holding| ends(item, holding));
+            .leases
+            .extract_if(.., |item, lease| should_release(item, lease));
         for (item, _) in ended {
             if let Some(due_ms) = self.open.due_ms(item) {
-                self.free.insert((due_ms, item));
+                self.available.insert((due_ms, item));
             }
         }
     }
@@ -125,42 +125,50 @@
         capacity: usize,
         open: &Arc<OpenIndex>,
     ) -> Vec<ItemReference> {
-        if now < self.warm_at {
+        if now < self.warm_until {
             return Vec::new();
         }
-        self.follow(open);
-        self.release(|_, holding| holding.until <= now);
-        let takes_ms = self.run_time().as_millis() as u64;
-        let items: Vec<ItemReference> = self.by_urgency(unix_ms, takes_ms).take(capacity).collect();
+        self.update_open_items(open);
+        self.release(|_, lease| lease.until <= now);
+        let run_time_ms = self.run_time().as_millis() as u64;
+        let items: Vec<ItemReference> = self
+            .by_urgency(unix_ms, run_time_ms)
+            .take(capacity)
+            .collect();
         for &item in &items {
-            let until = now + self.lease;
+            let until = now + self.lease_duration;
             let since = now;
-            self.hold(item, Holding { node, until, since });
+            self.insert_lease(item, ItemLease { node, until, since });
         }
         items
     }
 
     /// Returns the available items in the order of `Urgency`, for items that take
-    /// `takes_ms` at a current time of `unix_ms`.
-    fn by_urgency(&self, unix_ms: u64, takes_ms: u64) -> impl Iterator<Item = ItemReference> {
+    /// `run_time_ms` at a current time of `unix_ms`.
+    fn by_urgency(&self, unix_ms: u64, run_time_ms: u64) -> impl Iterator<Item = ItemReference> {
         const FIRST: ItemReference = ItemReference { job: 0, place: 0 };
-        let in_time = (unix_ms.saturating_add(takes_ms), FIRST);
-        let late = self.free.range(..in_time);
-        let items = self.free.range(in_time..).chain(late);
+        let in_time = (unix_ms.saturating_add(run_time_ms), FIRST);
+        let late = self.available.range(..in_time);
+        let items = self.available.range(in_time..).chain(late);
         items.map(|&(_, item)| item)
     }
 
     /// Records the run times of the items that a gateway completed.
-    fn note_done(&mut self, now: Timestamp, node: NodeId, running: &BTreeSet<ItemReference>) {
-        let ended = self.held.iter().filter(|(item, holding)| {
-            holding.node == node && !running.contains(item) && self.open.is_open(item.job)
+    fn record_run_times(
+        &mut self,
+        now: Timestamp,
+        node: NodeId,
+        running: &BTreeSet<ItemReference>,
+    ) {
+        let ended = self.leases.iter().filter(|(item, lease)| {
+            lease.node == node && !running.contains(item) && self.open.is_open(item.job)
         });
-        for (item, holding) in ended {
+        for (item, lease) in ended {
             if self.open.due_ms(*item).is_some() {
                 continue;
             }
-            self.run_times.push_back(now.since(holding.since));
-            if self.run_times.len() > RUN_TIMES {
+            self.run_times.push_back(now.since(lease.since));
+            if self.run_times.len() > RUN_TIME_SAMPLES {
                 self.run_times.pop_front();
             }
         }
@@ -177,22 +185,22 @@
     }
 
     /// Returns the number of available items.
-    pub fn free(&mut self, now: Timestamp, open: &Arc<OpenIndex>) -> usize {
-        self.follow(open);
-        self.release(|_, holding| holding.until <= now);
-        self.free.len()
+    pub fn available_count(&mut self, now: Timestamp, open: &Arc<OpenIndex>) -> usize {
+        self.update_open_items(open);
+        self.release(|_, lease| lease.until <= now);
+        self.available.len()
     }
 
     /// Whether some gateway runs an item of a job that is no longer open.
     #[must_use]
-    pub fn has_ended(&self, open: &OpenIndex) -> bool {
-        let mut held = self.held.keys();
-        held.any(|item| !open.is_open(item.job))
+    pub fn has_ended_job(&self, open: &OpenIndex) -> bool {
+        let mut leases = self.leases.keys();
+        leases.any(|item| !open.is_open(item.job))
     }
 
     /// Returns the number of leased items.
     #[must_use]
-    pub fn held(&self) -> usize {
-        self.held.len()
+    pub fn leased_count(&self) -> usize {
+        self.leases.len()
     }
 }
--- a/crates/fleet/src/store/mod.rs
+++ b/crates/fleet/src/store/mod.rs
@@ -7,9 +7,9 @@
 mod open_index;
 mod peer;
 
-pub use call_order::{Arrival, CallNumber, CallOrder};
-pub use emptied::Emptied;
-pub use handout::{Handout, Holding};
+pub use call_order::{ArrivalNumber, CallNumber, CallOrder};
+pub use emptied::ReportedRetirements;
+pub use handout::{ItemLease, LeaseTable};
 pub use node::{StoreNode, StoreOptions};
 pub use open_index::OpenIndex;
 pub use peer::OPEN_LIMIT;
--- a/crates/fleet/src/store/node.rs
+++ b/crates/fleet/src/store/node.rs
@@ -25,23 +25,23 @@
 use molespan_wire::{Consistency, Request, Server, ServerLimits, WatcherKind};
 use slog::{Logger, info, warn};
 
-use super::emptied::Emptied;
+use super::emptied::ReportedRetirements;
 use super::peer::PeerHandler;
 use crate::membership::{ClusterAddresses, SEGMENT_BYTES, cluster, replica_options, start_replica};
 use crate::view::{Topology, TopologyView, ViewUpdate};
 use crate::watch::{Asker, ViewSink, ViewWatcher};
 
 /// Interval between rounds of upkeep.
-const ROUND: Duration = Duration::from_millis(500);
+const UPKEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// Minimum interval between wakeups of gateways that wait for items. Each wakeup reads
 /// the open items again, at a cost that grows with their number.
-const WAKE_EVERY: Duration = Duration::from_millis(25);
+const MIN_WAKE_INTERVAL: Duration = Duration::from_millis(25);
 /// Time for which the first start of a cluster waits for the full number of stores.
-const FOUNDING_PATIENCE: Duration = Duration::from_secs(5);
+const FOUNDING_TIMEOUT: Duration = Duration::from_secs(5);
 /// Deadline of a registration.
 const REGISTER_DEADLINE: Duration = Duration::from_secs(2);
 /// Number of upkeep rounds between two removals of jobs past their retention time.
-const ROUNDS_A_CLEANING: u32 = 20;
+const ROUNDS_PER_CLEANUP: u32 = 20;
 
 /// Options of a store node.
 #[derive(Clone, Debug)]
@@ -66,7 +66,7 @@
 
 /// Divisor of the memory limit that gives the size of the log before a snapshot replaces
 /// it. The state is in memory too, and a second time while a snapshot is written or read.
-const LOG_SHARE: u64 = 8;
+const LOG_MEMORY_DIVISOR: u64 = 8;
 /// Minimum and maximum size of the log between two snapshots, in bytes.
 const SNAPSHOT_BYTES: RangeInclusive<u64> = 2 << 20..=64 << 20;
 
@@ -79,7 +79,7 @@
     #[must_use]
     pub fn snapshot_bytes(&self) -> u64 {
         let memory = self.memory.unwrap_or(u64::MAX);
-        (memory / LOG_SHARE).clamp(*SNAPSHOT_BYTES.start(), *SNAPSHOT_BYTES.end())
+        (memory / LOG_MEMORY_DIVISOR).clamp(*SNAPSHOT_BYTES.start(), *SNAPSHOT_BYTES.end())
     }
 
     fn replica(&self) -> ReplicaOptions {
@@ -107,7 +107,7 @@
     topology_view: RefCell<TopologyView>,
     clock: BootClock,
     /// Stores that this node has reported as empty.
-    emptied: RefCell<Emptied>,
+    reported_retirements: RefCell<ReportedRetirements>,
     /// Incarnation of the disk that is registered with the control group.
     registered: RefCell<Option<u32>>,
     logger: Logger,
@@ -167,7 +167,7 @@
             topology: RefCell::default(),
             topology_view: RefCell::default(),
             clock: BootClock::start(),
-            emptied: RefCell::default(),
+            reported_retirements: RefCell::default(),
             registered: RefCell::default(),
             logger: logger.clone(),
             options,
@@ -193,25 +193,25 @@
     async fn wake(&self) {
         loop {
             self.replica.changed().await;
-            self.handler.note_change();
-            let ends = Instant::now() + WAKE_EVERY;
-            while self.changes_before(ends).await {
-                self.handler.note_change();
+            self.handler.record_change();
+            let deadline = Instant::now() + MIN_WAKE_INTERVAL;
+            while self.changes_before(deadline).await {
+                self.handler.record_change();
             }
             self.handler.wake().await;
         }
     }
 
-    async fn changes_before(&self, ends: Instant) -> bool {
+    async fn changes_before(&self, deadline: Instant) -> bool {
         let changed = async {
             self.replica.changed().await;
             true
         };
-        let late = async {
-            Timer::at(ends).await;
+        let timeout = async {
+            Timer::at(deadline).await;
             false
         };
-        future::or(changed, late).await
+        future::or(changed, timeout).await
     }
 
     async fn upkeep(&self) {
@@ -220,15 +220,15 @@
         loop {
             if let Some(status) = self.replica.status().await {
                 self.register(&status, started.elapsed()).await;
-                if self.handler.note_leadership() {
-                    self.complete_retirements(&status).await;
-                    if rounds.is_multiple_of(ROUNDS_A_CLEANING) {
-                        self.forget_old_jobs().await;
+                if self.handler.update_leadership() {
+                    self.report_retirements(&status).await;
+                    if rounds.is_multiple_of(ROUNDS_PER_CLEANUP) {
+                        self.remove_old_jobs().await;
                     }
                 }
             }
             rounds = rounds.wrapping_add(1);
-            Timer::after(ROUND).await;
+            Timer::after(UPKEEP_INTERVAL).await;
         }
     }
 
@@ -236,7 +236,7 @@
     /// allows the batch group to be bootstrapped with fewer stores.
     async fn register(&self, status: &ReplicaStatus, waited: Duration) {
         let founded = !self.topology.borrow().founders.is_empty();
-        let patience_over = !founded && waited >= FOUNDING_PATIENCE;
+        let patience_over = !founded && waited >= FOUNDING_TIMEOUT;
         let known = *self.registered.borrow() == Some(status.incarnation);
         if known && !patience_over {
             return;
@@ -264,7 +264,7 @@
 
     /// Reports each retired store as empty once its node is no longer a member of this
     /// group or the control group.
-    async fn complete_retirements(&self, status: &ReplicaStatus) {
+    async fn report_retirements(&self, status: &ReplicaStatus) {
         let Topology {
             retiring, control, ..
         } = self.topology.borrow().clone();
@@ -274,7 +274,10 @@
         let members = group.voters.iter().chain(&group.learners);
         let members = members.map(|(node, _)| *node);
         let seated: BTreeSet<NodeId> = members.chain(control).collect();
-        let due = self.emptied.borrow_mut().due(&retiring, &seated);
+        let due = self
+            .reported_retirements
+            .borrow_mut()
+            .due(&retiring, &seated);
         if group.voters.len() < self.options.replicas() as usize {
             return;
         }
@@ -287,12 +290,12 @@
             info!(self.logger, "store is empty"; "node" => node.address().to_string(),
                 "noted" => noted.is_ok());
             if noted.is_ok() {
-                self.emptied.borrow_mut().note(node);
+                self.reported_retirements.borrow_mut().mark_reported(node);
             }
         }
     }
 
-    async fn forget_old_jobs(&self) {
+    async fn remove_old_jobs(&self) {
         let ages = self
             .handler
             .query(&BatchQuery::Ages, Consistency::Local)
@@ -310,7 +313,7 @@
                 group: GroupId::BATCH,
                 command: molespan_state::encode(&BatchCommand::Forget { job }).into(),
             };
-            let _next_time = self.replica.handle_peer(request).await;
+            let _retried_next_time = self.replica.handle_peer(request).await;
         }
     }
 
--- a/crates/fleet/src/store/peer.rs
+++ b/crates/fleet/src/store/peer.rs
@@ -14,8 +14,8 @@
 use molespan_types::{GroupId, NodeId, RunOutcome, Timestamp};
 use molespan_wire::{Consistency, Handler, Request, Response, TakeItems};
 
-use super::call_order::{Arrival, CallNumber, CallOrder};
-use super::handout::Handout;
+use super::call_order::{ArrivalNumber, CallNumber, CallOrder};
+use super::handout::LeaseTable;
 use super::open_index::OpenIndex;
 use crate::wakeup::{WakeTokens, Wakeup};
 
@@ -30,7 +30,7 @@
 /// Maximum age of the index of open items that a request may use before the index is read
 /// again. An item that got an outcome in the meantime is dropped when its content is
 /// read.
-const OPEN_HOLDS: Duration = Duration::from_millis(25);
+const OPEN_INDEX_MAX_AGE: Duration = Duration::from_millis(25);
 
 /// Handles the requests of other nodes.
 pub(super) struct PeerHandler {
@@ -38,23 +38,23 @@
     replica: Arc<ReplicaRole>,
     clock: BootClock,
     /// Leases on items; set while this node is the leader.
-    handout: Mutex<Option<Handout>>,
+    leases: Mutex<Option<LeaseTable>>,
     /// Requests for items; only the latest of each gateway is served.
     calls: Mutex<CallOrder>,
     /// Number of changes of the replicated jobs seen so far.
     changes: AtomicU64,
     /// Index of open items, shared by all requests until the jobs change.
-    open: async_lock::Mutex<Option<OpenAsOf>>,
+    open: async_lock::Mutex<Option<CachedOpenIndex>>,
     /// When this node last started to confirm its leadership, and whether that succeeded.
-    sure: async_lock::Mutex<Option<(Timestamp, bool)>>,
+    leadership: async_lock::Mutex<Option<(Timestamp, bool)>>,
     /// Wakes as many gateways with free capacity as there are items for them.
-    items: WakeTokens,
+    item_tokens: WakeTokens,
     /// Wakes every waiting gateway when an item must be stopped.
-    stops: Wakeup,
+    stop_wakeup: Wakeup,
 }
 
 /// Index of open items as of a number of changes.
-struct OpenAsOf {
+struct CachedOpenIndex {
     changes: u64,
     at: Instant,
     index: Arc<OpenIndex>,
@@ -80,13 +80,13 @@
             own,
             replica,
             clock: BootClock::start(),
-            handout: Mutex::new(None),
+            leases: Mutex::new(None),
             calls: Mutex::default(),
             changes: AtomicU64::new(0),
             open: async_lock::Mutex::new(None),
-            sure: async_lock::Mutex::new(None),
-            items: WakeTokens::default(),
-            stops: Wakeup::default(),
+            leadership: async_lock::Mutex::new(None),
+            item_tokens: WakeTokens::default(),
+            stop_wakeup: Wakeup::default(),
         }
     }
 
@@ -125,7 +125,7 @@
             return None;
         };
         let index = Arc::new(OpenIndex::from(work));
-        *open = Some(OpenAsOf {
+        *open = Some(CachedOpenIndex {
             changes,
             at,
             index: index.clone(),
@@ -135,52 +135,52 @@
 
     /// Hands out items, immediately if there are any, or else when some become available.
     async fn take_items(&self, ask: &TakeItems) -> Response {
-        let ends = Instant::now() + Duration::from_millis(u64::from(ask.wait_ms));
-        let Some(arrival) = self.arrive(ask) else {
+        let deadline = Instant::now() + Duration::from_millis(u64::from(ask.wait_ms));
+        let Some(arrival) = self.admit(ask) else {
             return superseded();
         };
         loop {
-            let stops = self.stops.waiter();
+            let stop_waiter = self.stop_wakeup.waiter();
             if self.replica.leader(GroupId::BATCH) != Some(self.own) {
                 return self.not_leader().await;
             }
             // A node that is partitioned or has just resumed may not know of a newer
             // leader.
-            if !self.is_surely_leader().await {
+            if !self.confirm_leadership().await {
                 return self.not_leader().await;
             }
-            let Some(open) = self.open_index(OPEN_HOLDS).await else {
+            let Some(open) = self.open_index(OPEN_INDEX_MAX_AGE).await else {
                 return unavailable();
             };
             let Some((taken, stop)) = self.hand_out(ask, arrival, &open) else {
                 // Passes on a wake token that this request may have consumed.
-                self.items.ensure_available(1);
+                self.item_tokens.ensure_available(1);
                 return superseded();
             };
             let idle = taken.is_empty() && stop.is_empty();
-            if !idle || Instant::now() >= ends {
-                return self.items(taken, &stop).await;
+            if !idle || Instant::now() >= deadline {
+                return self.items_response(taken, &stop).await;
             }
-            let late = async {
-                Timer::at(ends).await;
+            let timeout = async {
+                Timer::at(deadline).await;
             };
-            let wanted = async {
+            let token = async {
                 match ask.capacity {
                     0 => future::pending().await,
-                    _ => self.items.consume().await,
+                    _ => self.item_tokens.consume().await,
                 }
             };
-            future::or(future::or(stops.wait(), wanted), late).await;
+            future::or(future::or(stop_waiter.wait(), token), timeout).await;
         }
     }
 
     /// Whether a quorum confirmed within [`LEADER_SURE_FOR`] that no other node is the
     /// leader.
-    async fn is_surely_leader(&self) -> bool {
+    async fn confirm_leadership(&self) -> bool {
         // Concurrent requests share one round trip to the quorum.
-        let mut sure = self.sure.lock().await;
+        let mut leadership = self.leadership.lock().await;
         let began = self.now();
-        if let Some((at, confirmed)) = *sure
+        if let Some((at, confirmed)) = *leadership
             && began.since(at) < LEADER_SURE_FOR
         {
             return confirmed;
@@ -193,17 +193,17 @@
             true => began,
             false => self.now(),
         };
-        *sure = Some((known_at, confirmed.is_some()));
+        *leadership = Some((known_at, confirmed.is_some()));
         confirmed.is_some()
     }
 
-    fn arrive(&self, ask: &TakeItems) -> Option<Arrival> {
+    fn admit(&self, ask: &TakeItems) -> Option<ArrivalNumber> {
         let call = CallNumber {
             life: ask.life,
             number: ask.number,
         };
         let mut calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
-        calls.arrive(ask.node, call)
+        calls.admit(ask.node, call)
     }
 
     /// Returns the items to run and the items to stop; `None` if a later request of the
@@ -211,7 +211,7 @@
     fn hand_out(
         &self,
         ask: &TakeItems,
-        arrival: Arrival,
+        arrival: ArrivalNumber,
         open: &Arc<OpenIndex>,
     ) -> Option<(Vec<ItemReference>, Vec<ItemReference>)> {
         let calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
@@ -223,14 +223,14 @@
         let running = held
             .map(|&(job, place)| ItemReference { job, place })
             .collect();
-        let mut handout = self.handout.lock().unwrap_or_else(PoisonError::into_inner);
-        let handout = handout.get_or_insert_with(|| Handout::new(now, LEASE, WARM_UP));
-        let stop = handout.renew(now, ask.node, &running, open);
-        let taken = handout.take(now, unix_millis(), ask.node, ask.capacity as usize, open);
+        let mut leases = self.leases.lock().unwrap_or_else(PoisonError::into_inner);
+        let leases = leases.get_or_insert_with(|| LeaseTable::new(now, LEASE, WARM_UP));
+        let stop = leases.renew(now, ask.node, &running, open);
+        let taken = leases.take(now, unix_millis(), ask.node, ask.capacity as usize, open);
         Some((taken, stop))
     }
 
-    async fn items(&self, items: Vec<ItemReference>, stop: &[ItemReference]) -> Response {
+    async fn items_response(&self, items: Vec<ItemReference>, stop: &[ItemReference]) -> Response {
         let found = match items.is_empty() {
             true => Some(BatchAnswer::Items(Vec::new())),
             false => {
@@ -262,7 +262,7 @@
     }
 
     /// Records a change of the jobs.
-    pub fn note_change(&self) {
+    pub fn record_change(&self) {
         self.changes.fetch_add(1, Ordering::SeqCst);
     }
 
@@ -271,31 +271,32 @@
     pub async fn wake(&self) {
         if self.replica.leader(GroupId::BATCH) != Some(self.own) {
             // Their requests are answered with the current leader.
-            self.stops.wake();
+            self.stop_wakeup.wake();
             return;
         }
         let Some(open) = self.open_index(Duration::ZERO).await else {
             return;
         };
         let now = self.now();
-        let mut handout = self.handout.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(handout) = handout.as_mut() else {
+        let mut leases = self.leases.lock().unwrap_or_else(PoisonError::into_inner);
+        let Some(leases) = leases.as_mut() else {
             return;
         };
-        if handout.has_ended(&open) {
-            self.stops.wake();
+        if leases.has_ended_job(&open) {
+            self.stop_wakeup.wake();
         }
-        self.items.ensure_available(handout.free(now, &open));
+        self.item_tokens
+            .ensure_available(leases.available_count(now, &open));
     }
 
     /// Returns whether this node is the leader. If not, all leases and requests are
     /// dropped.
-    pub fn note_leadership(&self) -> bool {
+    pub fn update_leadership(&self) -> bool {
         let leads = self.replica.leader(GroupId::BATCH) == Some(self.own);
         if !leads {
-            *self.handout.lock().unwrap_or_else(PoisonError::into_inner) = None;
+            *self.leases.lock().unwrap_or_else(PoisonError::into_inner) = None;
             let mut calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
-            calls.forget();
+            calls.clear();
         }
         leads
     }
--- a/crates/fleet/tests/call_order.rs
+++ b/crates/fleet/tests/call_order.rs
@@ -14,12 +14,12 @@
 #[test]
 fn a_call_that_is_sent_again_takes_the_place_of_the_first() {
     let mut order = CallOrder::default();
-    let first = order.arrive(ONE, call(7, 1)).expect("first request");
+    let first = order.admit(ONE, call(7, 1)).expect("first request");
     let other = order
-        .arrive(TWO, call(8, 5))
+        .admit(TWO, call(8, 5))
         .expect("request of another gateway");
     assert!(order.is_latest(ONE, first));
-    let again = order.arrive(ONE, call(7, 1)).expect("retried request");
+    let again = order.admit(ONE, call(7, 1)).expect("retried request");
     assert!(!order.is_latest(ONE, first));
     assert!(order.is_latest(ONE, again));
     assert!(order.is_latest(TWO, other));
@@ -28,12 +28,12 @@
 #[test]
 fn a_call_that_was_overtaken_is_not_let_in() {
     let mut order = CallOrder::default();
-    let later = order.arrive(ONE, call(7, 2)).expect("later request");
-    assert_eq!(order.arrive(ONE, call(7, 1)), None);
+    let later = order.admit(ONE, call(7, 2)).expect("later request");
+    assert_eq!(order.admit(ONE, call(7, 1)), None);
     assert!(order.is_latest(ONE, later));
     // A restarted gateway numbers its requests from the start.
     let restarted = order
-        .arrive(ONE, call(3, 1))
+        .admit(ONE, call(3, 1))
         .expect("request after the restart");
     assert!(!order.is_latest(ONE, later));
     assert!(order.is_latest(ONE, restarted));
@@ -42,10 +42,10 @@
 #[test]
 fn a_call_from_before_all_were_forgotten_never_counts_again() {
     let mut order = CallOrder::default();
-    let before = order.arrive(ONE, call(7, 1)).expect("first request");
-    order.forget();
+    let before = order.admit(ONE, call(7, 1)).expect("first request");
+    order.clear();
     assert!(!order.is_latest(ONE, before));
-    let after = order.arrive(ONE, call(7, 2)).expect("next request");
+    let after = order.admit(ONE, call(7, 2)).expect("next request");
     assert!(!order.is_latest(ONE, before));
     assert!(order.is_latest(ONE, after));
 }
@@ -58,7 +58,7 @@
         let mut order = CallOrder::default();
         let arrivals: Vec<_> = numbers
             .iter()
-            .map(|&number| (number, order.arrive(ONE, call(1, number))))
+            .map(|&number| (number, order.admit(ONE, call(1, number))))
             .collect();
         let highest = numbers.iter().max().copied();
         let counting: Vec<_> = arrivals
--- a/crates/fleet/tests/emptied.rs
+++ b/crates/fleet/tests/emptied.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use molespan_fleet::store::Emptied;
+use molespan_fleet::store::ReportedRetirements;
 use molespan_types::NodeId;
 
 fn nodes(numbers: &[u32]) -> BTreeSet<NodeId> {
@@ -11,20 +11,26 @@
 
 #[test]
 fn a_store_is_said_to_be_emptied_once_it_holds_no_place() {
-    let mut emptied = Emptied::default();
-    assert_eq!(emptied.due(&nodes(&[1, 2]), &nodes(&[1, 3])), nodes(&[2]));
-    emptied.note(NodeId(2));
-    assert_eq!(emptied.due(&nodes(&[1, 2]), &nodes(&[1, 3])), nodes(&[]));
-    assert_eq!(emptied.due(&nodes(&[1, 2]), &nodes(&[3])), nodes(&[1]));
+    let mut retirements = ReportedRetirements::default();
+    assert_eq!(
+        retirements.due(&nodes(&[1, 2]), &nodes(&[1, 3])),
+        nodes(&[2])
+    );
+    retirements.mark_reported(NodeId(2));
+    assert_eq!(
+        retirements.due(&nodes(&[1, 2]), &nodes(&[1, 3])),
+        nodes(&[])
+    );
+    assert_eq!(retirements.due(&nodes(&[1, 2]), &nodes(&[3])), nodes(&[1]));
 }
 
 /// Guards against a second retirement of the same address under the same leader never
 /// being reported, so that the operator waited forever.
 #[test]
 fn a_store_that_retires_again_at_its_address_is_said_to_be_emptied_again() {
-    let mut emptied = Emptied::default();
-    emptied.note(NodeId(2));
-    assert_eq!(emptied.due(&nodes(&[]), &nodes(&[2, 3])), nodes(&[]));
-    assert_eq!(emptied.due(&nodes(&[2]), &nodes(&[2, 3])), nodes(&[]));
-    assert_eq!(emptied.due(&nodes(&[2]), &nodes(&[3])), nodes(&[2]));
+    let mut retirements = ReportedRetirements::default();
+    retirements.mark_reported(NodeId(2));
+    assert_eq!(retirements.due(&nodes(&[]), &nodes(&[2, 3])), nodes(&[]));
+    assert_eq!(retirements.due(&nodes(&[2]), &nodes(&[2, 3])), nodes(&[]));
+    assert_eq!(retirements.due(&nodes(&[2]), &nodes(&[3])), nodes(&[2]));
 }
--- a/crates/fleet/tests/handout.rs
+++ b/crates/fleet/tests/handout.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use molespan_fleet::store::{Handout, OPEN_LIMIT, OpenIndex};
+use molespan_fleet::store::{LeaseTable, OPEN_LIMIT, OpenIndex};
 use molespan_state::batch::{
     BatchAnswer, BatchCommand, BatchItem, BatchMachine, BatchQuery, ItemReference, OpenItem,
     OpenWork, SubmitJob,
@@ -43,24 +43,24 @@
     items.iter().copied().collect()
 }
 
-fn warm() -> Handout {
-    Handout::new(at(0), LEASE, Duration::ZERO)
+fn warm() -> LeaseTable {
+    LeaseTable::new(at(0), LEASE, Duration::ZERO)
 }
 
 #[test]
 fn no_item_goes_to_two_gateways_while_its_lease_runs() {
     let work = open(&[item(1, 0), item(1, 1), item(1, 2)]);
-    let mut handout = warm();
+    let mut table = warm();
     assert_eq!(
-        handout.take(at(0), 0, ONE, 2, &work),
+        table.take(at(0), 0, ONE, 2, &work),
         [item(1, 0), item(1, 1)]
     );
-    assert_eq!(handout.take(at(0), 0, TWO, 9, &work), [item(1, 2)]);
-    assert!(handout.take(at(1_999), 0, TWO, 9, &work).is_empty());
+    assert_eq!(table.take(at(0), 0, TWO, 9, &work), [item(1, 2)]);
+    assert!(table.take(at(1_999), 0, TWO, 9, &work).is_empty());
     // The lease of the silent gateway has expired.
-    assert_eq!(handout.take(at(2_000), 0, TWO, 9, &work).len(), 3);
+    assert_eq!(table.take(at(2_000), 0, TWO, 9, &work).len(), 3);
     assert_eq!(
-        handout.renew(at(2_001), ONE, &running(&[item(1, 0)]), &work),
+        table.renew(at(2_001), ONE, &running(&[item(1, 0)]), &work),
         [item(1, 0)]
     );
 }
@@ -68,60 +68,60 @@
 #[test]
 fn a_renewal_keeps_items_and_frees_those_that_ended() {
     let work = open(&[item(1, 0), item(1, 1)]);
-    let mut handout = warm();
-    handout.take(at(0), 0, ONE, 2, &work);
+    let mut table = warm();
+    table.take(at(0), 0, ONE, 2, &work);
     assert!(
-        handout
+        table
             .renew(at(1_500), ONE, &running(&[item(1, 0)]), &work)
             .is_empty()
     );
-    assert_eq!(handout.take(at(1_500), 0, TWO, 9, &work), [item(1, 1)]);
-    assert!(handout.take(at(3_400), 0, TWO, 9, &work).is_empty());
-    assert_eq!(handout.held(), 2);
+    assert_eq!(table.take(at(1_500), 0, TWO, 9, &work), [item(1, 1)]);
+    assert!(table.take(at(3_400), 0, TWO, 9, &work).is_empty());
+    assert_eq!(table.leased_count(), 2);
 }
 
 #[test]
 fn items_of_a_job_that_is_not_open_are_stopped() {
-    let mut handout = warm();
-    handout.take(at(0), 0, ONE, 1, &open(&[item(1, 0)]));
-    let stop = handout.renew(at(10), ONE, &running(&[item(1, 0)]), &open(&[item(2, 0)]));
+    let mut table = warm();
+    table.take(at(0), 0, ONE, 1, &open(&[item(1, 0)]));
+    let stop = table.renew(at(10), ONE, &running(&[item(1, 0)]), &open(&[item(2, 0)]));
     assert_eq!(stop, [item(1, 0)]);
 }
 
 #[test]
 fn a_new_leader_listens_before_it_hands_out() {
     let work = open(&[item(1, 0), item(1, 1)]);
-    let mut handout = Handout::new(at(0), LEASE, Duration::from_millis(500));
-    assert!(handout.take(at(100), 0, TWO, 9, &work).is_empty());
+    let mut table = LeaseTable::new(at(0), LEASE, Duration::from_millis(500));
+    assert!(table.take(at(100), 0, TWO, 9, &work).is_empty());
     assert!(
-        handout
+        table
             .renew(at(200), ONE, &running(&[item(1, 0)]), &work)
             .is_empty()
     );
-    assert_eq!(handout.take(at(500), 0, TWO, 9, &work), [item(1, 1)]);
+    assert_eq!(table.take(at(500), 0, TWO, 9, &work), [item(1, 1)]);
 }
 
 #[test]
 fn gateways_are_woken_only_for_items_that_nobody_runs() {
-    let mut handout = warm();
+    let mut table = warm();
     let work = open(&[item(1, 0), item(1, 1)]);
-    assert_eq!(handout.free(at(0), &work), 2);
-    let taken = handout.take(at(0), 0, ONE, 2, &work);
+    assert_eq!(table.available_count(at(0), &work), 2);
+    let taken = table.take(at(0), 0, ONE, 2, &work);
     assert_eq!(taken.len(), 2);
-    assert_eq!(handout.free(at(0), &work), 0);
+    assert_eq!(table.available_count(at(0), &work), 0);
     // The lease of the silent gateway has expired.
-    assert_eq!(handout.free(at(2_000), &work), 2);
+    assert_eq!(table.available_count(at(2_000), &work), 2);
 }
 
 #[test]
 fn gateways_are_woken_when_a_job_that_they_run_has_ended() {
-    let mut handout = warm();
+    let mut table = warm();
     let work = open(&[item(1, 0), item(2, 0)]);
-    handout.take(at(0), 0, ONE, 2, &work);
-    assert!(!handout.has_ended(&work));
+    table.take(at(0), 0, ONE, 2, &work);
+    assert!(!table.has_ended_job(&work));
     let left = open(&[item(2, 0)]);
-    assert!(handout.has_ended(&left));
-    let stop = handout.renew(at(1), ONE, &running(&[item(1, 0), item(2, 0)]), &left);
+    assert!(table.has_ended_job(&left));
+    let stop = table.renew(at(1), ONE, &running(&[item(1, 0), item(2, 0)]), &left);
     assert_eq!(stop, [item(1, 0)]);
 }
 
@@ -151,34 +151,34 @@
 fn what_is_due_first_goes_out_first_and_what_is_late_last() {
     // The current time is 1,000 ms: the first is late, the third is due next.
     let work = due(&[Some(900), Some(5_000), Some(2_000), None, Some(800)]);
-    let mut handout = warm();
-    let taken = handout.take(at(0), 1_000, ONE, 9, &work);
+    let mut table = warm();
+    let taken = table.take(at(0), 1_000, ONE, 9, &work);
     let order: Vec<u64> = taken.iter().map(|item| item.job).collect();
     assert_eq!(order, [3, 2, 4, 5, 1]);
 }
 
 #[test]
 fn an_item_that_can_no_longer_be_done_in_time_counts_as_late() {
-    let mut handout = warm();
-    assert_eq!(handout.run_time(), Duration::ZERO);
+    let mut table = warm();
+    assert_eq!(table.run_time(), Duration::ZERO);
     // Four items take 1, 2, 3 and 4 s: only the last quarter takes 4 s.
     let mut work = due_work(&[None; 6]);
     let first: Vec<_> = work.items.iter().map(|open| open.item).take(4).collect();
-    handout.take(at(0), 0, ONE, 4, &index(work.clone()));
+    table.take(at(0), 0, ONE, 4, &index(work.clone()));
     for (done, item) in first.iter().enumerate() {
         work.items.retain(|open| open.item != *item);
         let left = running(&first[done + 1..]);
-        handout.renew(
+        table.renew(
             at(1_000 * (done as u64 + 1)),
             ONE,
             &left,
             &index(work.clone()),
         );
     }
-    assert_eq!(handout.run_time(), Duration::from_secs(4));
+    assert_eq!(table.run_time(), Duration::from_secs(4));
     // An item due within 4 s is already treated as late; one due in 5 s is not.
     let work = due(&[Some(13_500), Some(15_000)]);
-    let taken = handout.take(at(9_000), 10_000, TWO, 1, &work);
+    let taken = table.take(at(9_000), 10_000, TWO, 1, &work);
     assert_eq!(taken, [item(2, 0)]);
 }
 
@@ -225,10 +225,10 @@
         at_once in 1..5_usize,
     ) {
         let work = due(&times);
-        let mut handout = warm();
+        let mut table = warm();
         let mut order = Vec::new();
         for _ in 0..=times.len() {
-            order.extend(handout.take(at(0), now_ms, ONE, at_once, &work));
+            order.extend(table.take(at(0), now_ms, ONE, at_once, &work));
         }
         prop_assert_eq!(order.len(), times.len());
         let due_of = |item: &ItemReference| times[item.job as usize - 1].unwrap_or(u64::MAX);
