--- a/crates/membership/src/directory/health.rs
+++ b/crates/membership/src/directory/health.rs
@@ -9,13 +9,13 @@
 use super::record::{BackendState, Entry};
 
 /// Weight of the newest sample in the latency EWMA.
-const LATENCY_WEIGHT: f64 = 0.1;
+const LATENCY_EWMA_WEIGHT: f64 = 0.1;
 /// Minimum number of latency samples before a back end can be an outlier.
-const FEWEST_ANSWERS: u32 = 20;
+const MIN_LATENCY_SAMPLES: u32 = 20;
 /// Minimum number of back ends in a service for its median to be meaningful.
-const FEWEST_PEERS: usize = 3;
+const MIN_MEASURED_PEERS: usize = 3;
 /// Number of doublings after which the probe delay stops growing.
-const MOST_DOUBLINGS: u32 = 16;
+const MAX_DOUBLINGS: u32 = 16;
 /// Time after which an unanswered probe no longer delays the next one.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -31,7 +31,7 @@
     /// EWMA of the time to the first byte, in microseconds.
     latency_micros: f64,
     /// Number of samples in the EWMA.
-    answers: u32,
+    latency_samples: u32,
     /// When the next probe is due.
     next_probe: Timestamp,
     /// When the outstanding probe was sent.
@@ -41,18 +41,18 @@
 }
 
 impl Health {
-    pub(super) fn answered(&mut self, latency: Duration) {
+    pub(super) fn record_success(&mut self, latency: Duration) {
         self.failures = 0;
         self.successes = self.successes.saturating_add(1);
         let micros = latency.as_micros() as f64;
-        if self.answers == 0 {
+        if self.latency_samples == 0 {
             self.latency_micros = micros;
         }
-        self.latency_micros += LATENCY_WEIGHT * (micros - self.latency_micros);
-        self.answers = self.answers.saturating_add(1);
+        self.latency_micros += LATENCY_EWMA_WEIGHT * (micros - self.latency_micros);
+        self.latency_samples = self.latency_samples.saturating_add(1);
     }
 
-    pub(super) fn failed(&mut self) {
+    pub(super) fn record_failure(&mut self) {
         self.successes = 0;
         self.failures = self.failures.saturating_add(1);
     }
@@ -66,11 +66,11 @@
 
     /// Schedules the next probe with an exponentially growing delay.
     pub(super) fn back_off(&mut self, now: Timestamp, settings: &DirectorySettings) {
-        let doublings = self.ejections.min(MOST_DOUBLINGS);
+        let doublings = self.ejections.min(MAX_DOUBLINGS);
         let delay = settings.first_probe_delay * (1 << doublings);
         self.next_probe = now + delay.min(settings.longest_probe_delay);
         self.ejections = self.ejections.saturating_add(1);
-        self.answers = 0;
+        self.latency_samples = 0;
     }
 
     pub(super) fn forget_ejections(&mut self) {
@@ -129,9 +129,9 @@
     let mut measured: Vec<&&Entry> = peers
         .iter()
         .filter(|entry| entry.backend.state == BackendState::Healthy)
-        .filter(|entry| entry.health.answers >= FEWEST_ANSWERS)
+        .filter(|entry| entry.health.latency_samples >= MIN_LATENCY_SAMPLES)
         .collect();
-    if measured.len() < FEWEST_PEERS {
+    if measured.len() < MIN_MEASURED_PEERS {
         return Vec::new();
     }
     measured.sort_by(|a, b| {
--- a/crates/membership/src/directory/machine_list.rs
+++ b/crates/membership/src/directory/machine_list.rs
@@ -29,7 +29,7 @@
             return true;
         }
         let since = *self.lower_since.get_or_insert(now);
-        if now.since(since) < settings.list_restart_after {
+        if now.since(since) < settings.list_reset_after {
             return false;
         }
         self.highest = revision;
@@ -74,25 +74,25 @@
             .entries
             .entry(machine.id)
             .or_insert_with(|| Entry::new(now, machine, revision));
-        let newer_life = machine.incarnation > entry.backend.incarnation;
+        let newer_incarnation = machine.incarnation > entry.backend.incarnation;
         if !entry.admit_incarnation(now, machine.incarnation, outputs) {
             return;
         }
-        if newer_life || (current && revision >= entry.revision) {
-            entry.take_place(machine, revision);
+        if newer_incarnation || (current && revision >= entry.revision) {
+            entry.update_placement(machine, revision);
         }
         match machine.state {
             MachineState::Leaving => {
                 entry.change(now, BackendState::Leaving, ChangeReason::Listed, outputs);
             }
-            MachineState::Live => entry.listed_live(now, outputs),
+            MachineState::Live => entry.handle_listed_live(now, outputs),
         }
     }
 }
 
 impl Entry {
     /// Updates the address, zone and purpose of the machine.
-    fn take_place(&mut self, machine: &Machine, revision: u64) {
+    fn update_placement(&mut self, machine: &Machine, revision: u64) {
         self.backend.kind = machine.kind;
         self.backend.address.clone_from(&machine.address);
         self.backend.zone = machine.zone.clone();
@@ -102,7 +102,7 @@
 
     /// Handles a machine that is listed as live. This never undoes leaving, because the
     /// list may be older than the leaving mark.
-    fn listed_live(&mut self, now: Timestamp, outputs: &mut Vec<DirectoryOutput>) {
+    fn handle_listed_live(&mut self, now: Timestamp, outputs: &mut Vec<DirectoryOutput>) {
         if !enabled(Mechanism::StickyLeaving) && self.backend.state == BackendState::Leaving {
             self.change(now, BackendState::Healthy, ChangeReason::Listed, outputs);
         }
--- a/crates/membership/src/directory/mod.rs
+++ b/crates/membership/src/directory/mod.rs
@@ -32,7 +32,7 @@
     /// Consecutive failures that eject a back end.
     pub failures_to_eject: u32,
     /// Consecutive successes that make a suspect back end healthy.
-    pub successes_to_heal: u32,
+    pub successes_to_recover: u32,
     /// Time from an ejection to the first probe; doubled for each further probe.
     pub first_probe_delay: Duration,
     /// Maximum time between probes.
@@ -51,14 +51,14 @@
     /// Time for which the incarnation of a gone back end is remembered.
     pub forget_after: Duration,
     /// Time for which only lower list revisions must arrive before they are accepted.
-    pub list_restart_after: Duration,
+    pub list_reset_after: Duration,
 }
 
 impl Default for DirectorySettings {
     fn default() -> Self {
         Self {
             failures_to_eject: 3,
-            successes_to_heal: 2,
+            successes_to_recover: 2,
             first_probe_delay: Duration::from_millis(250),
             longest_probe_delay: Duration::from_secs(16),
             discovery_interval: Duration::from_millis(500),
@@ -67,7 +67,7 @@
             largest_outlier_share: 0.3,
             gone_after: Duration::from_secs(5),
             forget_after: Duration::from_secs(3_600),
-            list_restart_after: Duration::from_secs(60),
+            list_reset_after: Duration::from_secs(60),
         }
     }
 }
@@ -253,11 +253,11 @@
         if !enabled(Mechanism::StickyLeaving) && entry.backend.state == BackendState::Leaving {
             entry.change(now, BackendState::Healthy, ChangeReason::Reported, outputs);
         }
-        let back = matches!(
+        let becomes_healthy = matches!(
             entry.backend.state,
             BackendState::Unknown | BackendState::Gone
         );
-        if back {
+        if becomes_healthy {
             entry.change(now, BackendState::Healthy, ChangeReason::Reported, outputs);
         }
     }
--- a/crates/membership/src/directory/record.rs
+++ b/crates/membership/src/directory/record.rs
@@ -179,34 +179,34 @@
         match result {
             WorkResult::Answered(latency) => {
                 self.last_contact = Some(now);
-                self.health.answered(latency);
-                self.answered(now, settings, outputs);
+                self.health.record_success(latency);
+                self.on_success(now, settings, outputs);
             }
             WorkResult::Failed => {
-                self.health.failed();
-                self.failed(now, settings, outputs);
+                self.health.record_failure();
+                self.on_failure(now, settings, outputs);
             }
         }
     }
 
-    fn answered(
+    fn on_success(
         &mut self,
         now: Timestamp,
         settings: &DirectorySettings,
         outputs: &mut Vec<DirectoryOutput>,
     ) {
-        let healed = self.health.successes >= settings.successes_to_heal;
+        let recovered = self.health.successes >= settings.successes_to_recover;
         let to = match self.backend.state {
             BackendState::Unknown | BackendState::Gone => BackendState::Healthy,
             // Half-open: one success admits requests again, further ones make it healthy.
             BackendState::Ejected => BackendState::Suspect,
-            BackendState::Suspect if healed => BackendState::Healthy,
+            BackendState::Suspect if recovered => BackendState::Healthy,
             _ => return,
         };
         self.change(now, to, ChangeReason::Answered, outputs);
     }
 
-    fn failed(
+    fn on_failure(
         &mut self,
         now: Timestamp,
         settings: &DirectorySettings,
--- a/crates/membership/src/gateway_set.rs
+++ b/crates/membership/src/gateway_set.rs
@@ -134,8 +134,8 @@
     /// Whether `node` may own back ends of `zone`: it is in that zone, or no gateway is.
     #[must_use]
     pub fn is_candidate(&self, node: NodeId, zone: &ZoneName) -> bool {
-        let stands_there = self.record(node).is_some_and(|record| record.zone == *zone);
-        stands_there || self.by_zone.get(zone).is_none_or(Vec::is_empty)
+        let is_in_zone = self.record(node).is_some_and(|record| record.zone == *zone);
+        is_in_zone || self.by_zone.get(zone).is_none_or(Vec::is_empty)
     }
 
     /// Returns the gateway that should own the batch work of `backend`: the one with the
--- a/crates/membership/src/ownership.rs
+++ b/crates/membership/src/ownership.rs
@@ -70,7 +70,7 @@
     settings: OwnershipSettings,
     tenures: BTreeMap<BackendId, Tenure>,
     /// Send time of the latest heartbeat that was answered.
-    confirmed: Option<Timestamp>,
+    last_confirmed: Option<Timestamp>,
 }
 
 impl Ownership {
@@ -81,13 +81,13 @@
             node,
             settings,
             tenures: BTreeMap::new(),
-            confirmed: None,
+            last_confirmed: None,
         }
     }
 
     /// Records that a replica answered the heartbeat sent at `sent`.
     pub fn heartbeat_answered(&mut self, sent: Timestamp) {
-        self.confirmed = self.confirmed.max(Some(sent));
+        self.last_confirmed = self.last_confirmed.max(Some(sent));
     }
 
     /// Records that another gateway released `backend`.
@@ -173,7 +173,7 @@
     pub fn must_stop(&self, now: Timestamp) -> bool {
         let stop_after = self.settings.lease.mul_f64(STOP_SHARE);
         let ran_out = self
-            .confirmed
+            .last_confirmed
             .is_none_or(|sent| now.since(sent) >= stop_after);
         ran_out && enabled(Mechanism::OwnerStopsAtExpiry)
     }
