--- a/crates/fleet/tests/call_order.rs
+++ b/crates/fleet/tests/call_order.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_call_that_is_sent_again_takes_the_place_of_the_first() {
+fn a_retried_call_supersedes_the_first() {
     let mut order = CallOrder::default();
     let first = order.admit(ONE, call(7, 1)).expect("first request");
     let other = order
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_call_that_was_overtaken_is_not_let_in() {
+fn an_overtaken_call_is_rejected() {
     let mut order = CallOrder::default();
     let later = order.admit(ONE, call(7, 2)).expect("later request");
     assert_eq!(order.admit(ONE, call(7, 1)), None);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_call_from_before_all_were_forgotten_never_counts_again() {
+fn a_call_from_before_a_clear_is_never_latest_again() {
     let mut order = CallOrder::default();
     let before = order.admit(ONE, call(7, 1)).expect("first request");
     order.clear();
@@ -54,18 +54,18 @@
     /// Regardless of the order in which the requests of one life arrive, the latest is
     /// the one with the highest number; among retries, it is the one that arrived last.
     #[test]
-    fn the_latest_call_counts(numbers in prop::collection::vec(0..6_u64, 1..20)) {
+    fn only_the_latest_call_is_current(numbers in prop::collection::vec(0..6_u64, 1..20)) {
         let mut order = CallOrder::default();
         let arrivals: Vec<_> = numbers
             .iter()
             .map(|&number| (number, order.admit(ONE, call(1, number))))
             .collect();
         let highest = numbers.iter().max().copied();
-        let counting: Vec<_> = arrivals
+        let current: Vec<_> = arrivals
             .iter()
             .filter(|(_, arrival)| arrival.is_some_and(|one| order.is_latest(ONE, one)))
             .collect();
-        prop_assert_eq!(counting.len(), 1);
-        prop_assert_eq!(Some(counting[0].0), highest);
+        prop_assert_eq!(current.len(), 1);
+        prop_assert_eq!(Some(current[0].0), highest);
     }
 }
--- a/crates/fleet/tests/control.rs
+++ b/crates/fleet/tests/control.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn heartbeats_tell_something_new_only_once() {
+fn repeated_heartbeats_are_not_changes() {
     let mut registry = Registry::new(SILENCE);
     let now = Timestamp::from_millis(0);
     assert!(registry.record_heartbeat(record("a", "1:1", 1), now, 1));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_address_that_another_engine_takes_loses_the_first() {
+fn an_engine_is_lost_when_another_takes_its_address() {
     let mut registry = Registry::new(SILENCE);
     let now = Timestamp::from_millis(0);
     registry.record_heartbeat(record("a", "1:1", 1), now, 1);
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_late_heartbeat_of_an_engine_whose_address_was_taken_takes_nothing_back() {
+fn a_late_heartbeat_does_not_reclaim_a_taken_address() {
     let mut registry = Registry::new(SILENCE);
     let now = Timestamp::from_millis(0);
     registry.record_heartbeat(record("a", "1:1", 7), now, 1);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn control_nodes_do_not_keep_a_silent_engine_alive_by_telling_each_other() {
+fn forwarded_heartbeats_do_not_keep_a_silent_engine_alive() {
     let skipped = Arc::new(AtomicU64::new(0));
     let hub = || Hub::new("a".into(), SILENCE, BootClock::skipping(skipped.clone()));
     let hubs = [hub(), hub(), hub()];
@@ -91,13 +91,13 @@
     let mut since = [Timestamp::ZERO; 3];
     for _ in 0..20 {
         let now = [0, 1, 2].map(|place: usize| hubs[place].now());
-        let told = [0, 1, 2].map(|place| hubs[place].heartbeats_since(since[place]));
+        let forwarded = [0, 1, 2].map(|place| hubs[place].heartbeats_since(since[place]));
         since = now;
-        for (teller, records) in told.iter().enumerate() {
+        for (sender, records) in forwarded.iter().enumerate() {
             let others = hubs
                 .iter()
                 .enumerate()
-                .filter(|(place, _)| *place != teller);
+                .filter(|(place, _)| *place != sender);
             for (_, other) in others {
                 other.record_forwarded(records.clone());
             }
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_control_node_tells_others_of_the_engines_that_call_it_alone() {
+fn a_control_node_forwards_only_heartbeats_sent_to_it() {
     let hub = Hub::new("a".into(), SILENCE, BootClock::start());
     hub.record_heartbeat(record("a", "1:1", 1));
     hub.record_forwarded(vec![record("b", "2:2", 1)]);
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_watcher_gets_what_it_missed_and_no_more() {
+fn a_watcher_receives_exactly_the_changes_it_missed() {
     let hub = Hub::new("a".into(), SILENCE, BootClock::start());
     let mut machine = ControlMachine::new();
     declared(&mut machine, 3);
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn an_older_configuration_is_never_told_behind_a_newer_one() {
+fn a_configuration_is_never_replaced_by_an_older_one() {
     let hub = Hub::new("a".into(), SILENCE, BootClock::start());
     let (mut newer, mut older) = (ControlMachine::new(), ControlMachine::new());
     declared(&mut newer, 9);
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn nodes_that_watch_are_counted_by_what_they_are_for() {
+fn watchers_are_counted_by_role() {
     let hub = Hub::new("a".into(), SILENCE, BootClock::start());
     watch(&hub, WatcherKind::Store, ViewMark::default());
     assert_eq!(hub.live_stores(), BTreeSet::from([NodeId(7)]));
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn a_control_node_that_has_just_started_takes_no_gateway_away() {
+fn a_restarted_control_node_removes_no_gateways() {
     let mut view = TopologyView::default();
     let start = Timestamp::ZERO;
     view.note(NodeId(1), Some(topology(7, &[4, 5], &[8, 9])), start);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn control_nodes_tell_where_they_stand() {
+fn control_nodes_report_their_zone() {
     let start = Timestamp::ZERO;
     let mut view = TopologyView::default();
     for (node, zone) in [(1, "a"), (2, "b"), (3, "a")] {
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn a_silent_control_node_counts_no_gateways() {
+fn gateways_of_a_silent_control_node_are_ignored() {
     let mut view = TopologyView::default();
     let start = Timestamp::ZERO;
     let later = start + Duration::from_secs(6);
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn a_control_node_that_was_suspended_knows_that_what_it_heard_is_old() {
+fn a_resumed_control_node_treats_its_view_as_outdated() {
     let skipped = Arc::new(AtomicU64::new(0));
     let hub = Hub::new("a".into(), SILENCE, BootClock::skipping(skipped.clone()));
     hub.record_heartbeat(record("a", "1:1", 1));
@@ -300,15 +300,15 @@
 }
 
 #[test]
-fn a_node_that_was_suspended_does_not_take_its_view_for_current() {
+fn a_resumed_node_does_not_treat_its_view_as_current() {
     let skipped = Arc::new(AtomicU64::new(0));
     let clock = BootClock::skipping(skipped.clone());
     let mut view = TopologyView::default();
-    let told = Topology {
+    let reported = Topology {
         control: BTreeSet::from([NodeId(1)]),
         ..Topology::default()
     };
-    view.note(NodeId(1), Some(told), clock.now());
+    view.note(NodeId(1), Some(reported), clock.now());
     let limit = Duration::from_secs(5);
     assert!(view.is_current(limit, clock.now()));
     skipped.fetch_add(8_000_000, Ordering::Relaxed);
@@ -316,7 +316,7 @@
 }
 
 #[test]
-fn gateways_are_counted_by_where_they_stand() {
+fn gateways_are_counted_by_zone() {
     let hub = Hub::new("a".into(), SILENCE, BootClock::start());
     for (node, zone) in [(1, Some("a")), (2, Some("b")), (3, Some("b")), (4, None)] {
         let watch = WatchView {
--- a/crates/fleet/tests/emptied.rs
+++ b/crates/fleet/tests/emptied.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_store_is_said_to_be_emptied_once_it_holds_no_place() {
+fn a_retired_store_is_reported_once_it_is_no_longer_a_member() {
     let mut retirements = ReportedRetirements::default();
     assert_eq!(
         retirements.due(&nodes(&[1, 2]), &nodes(&[1, 3])),
@@ -27,7 +27,7 @@
 /// Guards against a second retirement of the same address under the same leader never
 /// being reported, so that the operator waited forever.
 #[test]
-fn a_store_that_retires_again_at_its_address_is_said_to_be_emptied_again() {
+fn a_store_retired_again_at_the_same_address_is_reported_again() {
     let mut retirements = ReportedRetirements::default();
     retirements.mark_reported(NodeId(2));
     assert_eq!(retirements.due(&nodes(&[]), &nodes(&[2, 3])), nodes(&[]));
--- a/crates/fleet/tests/handout.rs
+++ b/crates/fleet/tests/handout.rs
@@ -43,14 +43,14 @@
     items.iter().copied().collect()
 }
 
-fn warm() -> LeaseTable {
+fn warmed_up_table() -> LeaseTable {
     LeaseTable::new(at(0), LEASE, Duration::ZERO)
 }
 
 #[test]
 fn no_item_goes_to_two_gateways_while_its_lease_runs() {
     let work = open(&[item(1, 0), item(1, 1), item(1, 2)]);
-    let mut table = warm();
+    let mut table = warmed_up_table();
     assert_eq!(
         table.take(at(0), 0, ONE, 2, &work),
         [item(1, 0), item(1, 1)]
@@ -68,7 +68,7 @@
 #[test]
 fn a_renewal_keeps_items_and_frees_those_that_ended() {
     let work = open(&[item(1, 0), item(1, 1)]);
-    let mut table = warm();
+    let mut table = warmed_up_table();
     table.take(at(0), 0, ONE, 2, &work);
     assert!(
         table
@@ -82,14 +82,14 @@
 
 #[test]
 fn items_of_a_job_that_is_not_open_are_stopped() {
-    let mut table = warm();
+    let mut table = warmed_up_table();
     table.take(at(0), 0, ONE, 1, &open(&[item(1, 0)]));
     let stop = table.renew(at(10), ONE, &running(&[item(1, 0)]), &open(&[item(2, 0)]));
     assert_eq!(stop, [item(1, 0)]);
 }
 
 #[test]
-fn a_new_leader_listens_before_it_hands_out() {
+fn a_new_leader_waits_for_renewals_before_it_leases_items() {
     let work = open(&[item(1, 0), item(1, 1)]);
     let mut table = LeaseTable::new(at(0), LEASE, Duration::from_millis(500));
     assert!(table.take(at(100), 0, TWO, 9, &work).is_empty());
@@ -103,7 +103,7 @@
 
 #[test]
 fn gateways_are_woken_only_for_items_that_nobody_runs() {
-    let mut table = warm();
+    let mut table = warmed_up_table();
     let work = open(&[item(1, 0), item(1, 1)]);
     assert_eq!(table.available_count(at(0), &work), 2);
     let taken = table.take(at(0), 0, ONE, 2, &work);
@@ -115,7 +115,7 @@
 
 #[test]
 fn gateways_are_woken_when_a_job_that_they_run_has_ended() {
-    let mut table = warm();
+    let mut table = warmed_up_table();
     let work = open(&[item(1, 0), item(2, 0)]);
     table.take(at(0), 0, ONE, 2, &work);
     assert!(!table.has_ended_job(&work));
@@ -148,10 +148,10 @@
 }
 
 #[test]
-fn what_is_due_first_goes_out_first_and_what_is_late_last() {
+fn items_are_leased_by_due_time_and_late_ones_last() {
     // The current time is 1,000 ms: the first is late, the third is due next.
     let work = due(&[Some(900), Some(5_000), Some(2_000), None, Some(800)]);
-    let mut table = warm();
+    let mut table = warmed_up_table();
     let taken = table.take(at(0), 1_000, ONE, 9, &work);
     let order: Vec<u64> = taken.iter().map(|item| item.job).collect();
     assert_eq!(order, [3, 2, 4, 5, 1]);
@@ -159,7 +159,7 @@
 
 #[test]
 fn an_item_that_can_no_longer_be_done_in_time_counts_as_late() {
-    let mut table = warm();
+    let mut table = warmed_up_table();
     assert_eq!(table.run_time(), Duration::ZERO);
     // Four items take 1, 2, 3 and 4 s: only the last quarter takes 4 s.
     let mut work = due_work(&[None; 6]);
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn work_that_is_late_does_not_hide_work_that_is_in_time() {
+fn late_items_do_not_hide_items_that_are_in_time() {
     let mut machine = BatchMachine::new();
     let one = BatchItem {
         id: "i".to_owned(),
@@ -211,7 +211,7 @@
     let BatchAnswer::Open(work) = machine.query(&BatchQuery::Open { limit: OPEN_LIMIT }) else {
         panic!("unexpected answer");
     };
-    let taken = warm().take(at(0), 50_000, ONE, 3, &index(work));
+    let taken = warmed_up_table().take(at(0), 50_000, ONE, 3, &index(work));
     assert_eq!(taken, [item(21, 0), item(21, 1), item(21, 2)]);
 }
 
@@ -225,7 +225,7 @@
         at_once in 1..5_usize,
     ) {
         let work = due(&times);
-        let mut table = warm();
+        let mut table = warmed_up_table();
         let mut order = Vec::new();
         for _ in 0..=times.len() {
             order.extend(table.take(at(0), now_ms, ONE, at_once, &work));
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/lives.rs
@@ -29,13 +29,13 @@
     Timestamp::from_millis(ms)
 }
 
-fn there(registry: &Registry) -> Vec<String> {
+fn live_ids(registry: &Registry) -> Vec<String> {
     let records = registry.changed_after(0).into_iter();
     records.map(|record| record.id).collect()
 }
 
 #[test]
-fn an_identifier_is_a_name_and_a_start() {
+fn an_engine_id_consists_of_name_and_start_time() {
     let cases = [
         ("i-1", "i-1", None),
         ("i-1#17", "i-1", Some(17)),
@@ -53,40 +53,40 @@
 }
 
 #[test]
-fn a_later_life_takes_the_place_of_an_earlier_one_whose_heartbeats_are_passed_over() {
+fn a_restarted_engine_replaces_its_earlier_life_and_late_heartbeats_are_ignored() {
     for address in ["1:1", "2:2"] {
         let mut registry = Registry::new(SILENCE);
         assert!(registry.record_heartbeat(record("a#100", "1:1", 900), at(0), 1));
         // The new life numbers its heartbeats from 1 again.
         assert!(registry.record_heartbeat(record("a#200", address, 1), at(10), 2));
-        assert_eq!(there(&registry), ["a#200"]);
+        assert_eq!(live_ids(&registry), ["a#200"]);
         assert_eq!(registry.lost_after(1), ["a#100"]);
         for late in [record("a#100", "1:1", 901), record("a", address, 1_000)] {
             assert!(!registry.record_heartbeat(late.clone(), at(20), 3));
             assert!(!registry.record_forwarded(late, at(20), 3));
         }
         registry.remove("a#100");
-        assert_eq!(there(&registry), ["a#200"], "a late departure");
+        assert_eq!(live_ids(&registry), ["a#200"], "a late departure");
         assert!(!registry.record_heartbeat(record("a#200", address, 2), at(30), 3));
         // The new life expires by its own heartbeats.
         assert!(registry.expire(at(10_030), 4));
         assert!(!registry.record_heartbeat(record("a#100", "1:1", 902), at(10_040), 5));
-        assert!(there(&registry).is_empty());
+        assert!(live_ids(&registry).is_empty());
         assert!(registry.record_heartbeat(record("a#200", address, 3), at(10_050), 5));
     }
 }
 
 #[test]
-fn a_life_that_another_control_node_heard_of_counts_from_one_too() {
+fn a_forwarded_restart_resets_the_heartbeat_sequence() {
     let mut registry = Registry::new(SILENCE);
     registry.record_forwarded(record("a#100", "1:1", 900), at(0), 1);
     assert!(registry.record_forwarded(record("a#200", "1:1", 1), at(1), 2));
     assert!(!registry.record_forwarded(record("a#200", "1:1", 1), at(2), 3));
-    assert_eq!(there(&registry), ["a#200"]);
+    assert_eq!(live_ids(&registry), ["a#200"]);
 }
 
 #[test]
-fn without_a_start_an_identifier_has_one_life() {
+fn an_engine_id_without_start_time_has_a_single_life() {
     let mut registry = Registry::new(SILENCE);
     assert!(registry.record_heartbeat(record("a", "1:1", 9), at(0), 1));
     assert!(
@@ -98,7 +98,7 @@
     registry.record_heartbeat(record("b#1", "3:3", 1), at(3), 4);
     registry.remove("b");
     assert_eq!(
-        there(&registry),
+        live_ids(&registry),
         ["b#1"],
         "an end applies to the lives before it"
     );
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_departure_binds_the_life_it_is_of_and_those_before() {
+fn a_departure_applies_to_its_life_and_earlier_ones() {
     let hub = hub_with(&[("a#100", Departure::Draining), ("b", Departure::Gone)]);
     for bound in ["a#100", "a#99", "a", "b"] {
         assert!(!hub.record_heartbeat(record(bound, "1:1", 50)), "{bound}");
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn an_end_without_a_start_is_of_every_life_begun_until_then() {
+fn a_shutdown_without_start_time_applies_to_all_lives_started_before() {
     let hub = hub_with(&[]);
     assert_eq!(hub.ended_life("a", 500), "a#500", "unknown to this node");
     hub.record_heartbeat(record("a", "1:1", 1));
@@ -146,13 +146,13 @@
 }
 
 #[test]
-fn what_is_refused_all_the_time_is_told_seldom_and_counted() {
+fn recurring_refusals_are_counted_but_rarely_logged() {
     let mut refusals = Refusals::default();
     assert_eq!(refusals.note("a", "no address"), Some(1));
     assert_eq!(refusals.note("a", "no address"), None);
     assert_eq!(refusals.note("a", "no slots"), Some(3));
     let many = (0..1_000_000_u64).map(|number| refusals.note(&number.to_string(), "no address"));
-    let told: Vec<u64> = many.flatten().collect();
-    assert!(told.len() < 300, "{}", told.len());
-    assert_eq!(told.last(), Some(&(1 << 19)));
+    let logged: Vec<u64> = many.flatten().collect();
+    assert!(logged.len() < 300, "{}", logged.len());
+    assert_eq!(logged.last(), Some(&(1 << 19)));
 }
--- a/crates/fleet/tests/subsets.rs
+++ b/crates/fleet/tests/subsets.rs
@@ -64,15 +64,15 @@
             marks: BTreeMap::new(),
             machine: ControlMachine::new(),
         };
-        fleet.hear_all(engines);
+        fleet.send_heartbeats(engines);
         fleet.watch_all(gateways);
-        fleet.pass(6, gateways, engines);
-        fleet.take();
+        fleet.advance(6, gateways, engines);
+        fleet.publish_declared();
         fleet.watch_all(gateways);
         fleet
     }
 
-    fn hear_all(&self, engines: usize) {
+    fn send_heartbeats(&self, engines: usize) {
         for place in 0..engines {
             self.hub.record_heartbeat(engine(place));
         }
@@ -84,10 +84,10 @@
     }
 
     /// Advances the clock by some seconds in which all gateways and engines stay active.
-    fn pass(&mut self, seconds: u64, gateways: usize, engines: usize) {
+    fn advance(&mut self, seconds: u64, gateways: usize, engines: usize) {
         for _ in 0..seconds / 2 {
             self.wait(Duration::from_secs(2));
-            self.hear_all(engines);
+            self.send_heartbeats(engines);
             self.watch_all(gateways);
             self.hub.expire();
         }
@@ -126,7 +126,7 @@
             departure: Departure::Draining,
         };
         self.machine.apply(&ControlCommand::Declared(command));
-        self.take();
+        self.publish_declared();
     }
 
     fn declare(&mut self, version: u64) {
@@ -137,10 +137,10 @@
         };
         let command = DeclaredCommand::Declare(Box::new(declaration));
         self.machine.apply(&ControlCommand::Declared(command));
-        self.take();
+        self.publish_declared();
     }
 
-    fn take(&mut self) {
+    fn publish_declared(&mut self) {
         self.hub.apply_declared(
             self.machine.declared(),
             BTreeSet::from([NodeId(900_000)]),
@@ -150,38 +150,42 @@
 }
 
 #[test]
-fn what_a_gateway_is_told_does_not_grow_with_the_fleet() {
-    let told_at_start = |gateways: usize, engines: usize| {
+fn updates_of_a_gateway_do_not_grow_with_the_fleet() {
+    let bytes_at_start = |gateways: usize, engines: usize| {
         let mut fleet = Fleet::settled(gateways, engines);
         fleet.marks.clear();
-        let told = fleet.watch_all(gateways);
-        let bytes: usize = told.iter().map(|(_, bytes)| bytes).sum();
+        let updates = fleet.watch_all(gateways);
+        let bytes: usize = updates.iter().map(|(_, bytes)| bytes).sum();
         bytes as f64 / gateways as f64
     };
-    let ratio = told_at_start(240, 6_000) / told_at_start(120, 3_000);
+    let ratio = bytes_at_start(240, 6_000) / bytes_at_start(120, 3_000);
     assert!(
         ratio <= 1.2,
         "growth of the bytes told to a gateway at twice the fleet size: {ratio}"
     );
-    let told_of_one = |gateways: usize, engines: usize| {
+    let watchers_of_new_engine = |gateways: usize, engines: usize| {
         let mut fleet = Fleet::settled(gateways, engines);
         fleet.hub.record_heartbeat(engine(engines));
-        let told = fleet.watch_all(gateways);
-        told.iter()
+        let updates = fleet.watch_all(gateways);
+        updates
+            .iter()
             .filter(|(update, _)| !update.engines.is_empty())
             .count()
     };
-    assert_eq!(told_of_one(120, 3_000), told_of_one(240, 6_000));
+    assert_eq!(
+        watchers_of_new_engine(120, 3_000),
+        watchers_of_new_engine(240, 6_000)
+    );
 }
 
 #[test]
-fn every_engine_is_told_to_some_and_a_departure_to_all() {
+fn engines_are_sent_to_some_gateways_and_departures_to_all() {
     let (gateways, engines) = (120, 3_000);
     let mut fleet = Fleet::settled(gateways, engines);
     fleet.marks.clear();
-    let told = fleet.watch_all(gateways);
+    let updates = fleet.watch_all(gateways);
     let mut known: BTreeMap<String, usize> = BTreeMap::new();
-    for record in told.iter().flat_map(|(update, _)| &update.engines) {
+    for record in updates.iter().flat_map(|(update, _)| &update.engines) {
         *known.entry(record.id.clone()).or_default() += 1;
     }
     assert_eq!(known.len(), engines);
@@ -198,7 +202,7 @@
 }
 
 /// Returns the number of gateways whose watch is answered immediately.
-fn woken(fleet: &mut Fleet, gateways: usize) -> usize {
+fn answered_watches(fleet: &mut Fleet, gateways: usize) -> usize {
     let answered = (0..gateways).filter(|&place| {
         let gateway = node(place);
         let watch = WatchView {
@@ -216,15 +220,15 @@
 }
 
 #[test]
-fn an_engine_that_comes_or_leaves_answers_those_who_use_it_alone() {
-    let answered_by = |gateways: usize, engines: usize| {
+fn a_change_of_an_engine_wakes_only_its_users() {
+    let answers_by = |gateways: usize, engines: usize| {
         let mut fleet = Fleet::settled(gateways, engines);
-        assert_eq!(woken(&mut fleet, gateways), 0);
+        assert_eq!(answered_watches(&mut fleet, gateways), 0);
         fleet.depart(&engine(7).id);
-        let of_departure = woken(&mut fleet, gateways);
+        let of_departure = answered_watches(&mut fleet, gateways);
         fleet.watch_all(gateways);
         fleet.hub.record_heartbeat(engine(engines));
-        let of_new = woken(&mut fleet, gateways);
+        let of_new = answered_watches(&mut fleet, gateways);
         fleet.watch_all(gateways);
         // Silent engines are lost, one of them some time before the others.
         fleet.wait(SILENCE / 2);
@@ -235,16 +239,16 @@
         fleet.wait(SILENCE / 2);
         fleet.watch_all(gateways);
         fleet.hub.expire();
-        (of_departure, of_new, woken(&mut fleet, gateways))
+        (of_departure, of_new, answered_watches(&mut fleet, gateways))
     };
-    let (of_departure, of_new, of_lost) = answered_by(120, 3_000);
+    let (of_departure, of_new, of_lost) = answers_by(120, 3_000);
     assert_eq!((of_departure, of_new), (32, 32));
     assert!(of_lost <= 64, "that engine, and the new one: {of_lost}");
-    assert_eq!(answered_by(240, 6_000).0, of_departure);
+    assert_eq!(answers_by(240, 6_000).0, of_departure);
 }
 
 #[test]
-fn an_engine_that_takes_an_address_is_told_to_its_users_and_the_other_taken_back() {
+fn an_engine_that_takes_an_address_replaces_the_other_at_its_users() {
     let gateways = 120;
     let mut fleet = Fleet::settled(gateways, 3_000);
     let users = fleet
@@ -274,15 +278,15 @@
 }
 
 #[test]
-fn gateways_that_go_leave_their_engines_to_others_only_behind_a_restart() {
+fn engines_of_a_lost_gateway_are_reassigned_only_after_time_for_a_restart() {
     let gateways = 120;
     let mut fleet = Fleet::settled(gateways, 3_000);
     let engines: Vec<String> = (0..3_000).map(|place| engine(place).id).collect();
     let engines: Vec<&str> = engines.iter().map(String::as_str).collect();
     let before = fleet.hub.users_of(&engines);
-    fleet.pass(6, 90, 3_000);
+    fleet.advance(6, 90, 3_000);
     assert_eq!(fleet.hub.users_of(&engines), before);
-    fleet.pass(32, 90, 3_000);
+    fleet.advance(32, 90, 3_000);
     for users in fleet.hub.users_of(&engines) {
         let users = users.expect("assigned users");
         assert!(users.iter().all(|user| user.0 <= 90), "{users:?}");
@@ -291,16 +295,16 @@
 }
 
 #[test]
-fn a_control_node_that_begins_anew_takes_no_engines_away() {
+fn a_restarted_control_node_revokes_no_engines() {
     let gateways = 120;
     let mut fleet = Fleet::settled(gateways, 3_000);
     let skipped = Arc::new(AtomicU64::new(0));
     let clock = BootClock::by_hand(skipped.clone());
     fleet.hub = Hub::new("z0".into(), SILENCE, clock);
     fleet.skipped = skipped;
-    fleet.take();
+    fleet.publish_declared();
     for heard in [100, 1_000, 2_000] {
-        fleet.hear_all(heard);
+        fleet.send_heartbeats(heard);
         fleet.hub.expire();
         for (update, _) in fleet.watch_all(gateways) {
             let lists = update.parts.iter().filter(|part| part.engines.is_some());
@@ -312,9 +316,9 @@
     // The gateways know engines and are notified at once of one that leaves.
     fleet.watch_all(gateways);
     fleet.depart(&engine(7).id);
-    assert_eq!(woken(&mut fleet, gateways), gateways);
+    assert_eq!(answered_watches(&mut fleet, gateways), gateways);
     fleet.marks.clear();
-    fleet.pass(6, gateways, 3_000);
+    fleet.advance(6, gateways, 3_000);
     fleet.marks.clear();
     for (update, _) in fleet.watch_all(gateways) {
         let listed = update.parts[0].engines.as_ref().map(Vec::len);
@@ -323,49 +327,49 @@
 }
 
 #[test]
-fn a_control_node_that_was_frozen_gives_no_engines_away_before_it_heard_everybody() {
+fn a_resumed_control_node_reassigns_no_engines_before_it_is_settled() {
     let gateways = 120;
     let mut fleet = Fleet::settled(gateways, 3_000);
     let engines: Vec<String> = (0..3_000).map(|place| engine(place).id).collect();
     let engines: Vec<&str> = engines.iter().map(String::as_str).collect();
     let before = fleet.hub.users_of(&engines);
     fleet.wait(Duration::from_secs(60));
-    fleet.hear_all(3_000);
+    fleet.send_heartbeats(3_000);
     fleet.watch_all(3);
     fleet.hub.expire();
     assert_eq!(fleet.hub.users_of(&engines), before);
-    fleet.pass(6, gateways, 3_000);
+    fleet.advance(6, gateways, 3_000);
     assert_eq!(fleet.hub.users_of(&engines), before);
 }
 
 #[test]
-fn a_configuration_is_told_once_and_by_another_node_when_the_first_does_not() {
+fn a_configuration_is_sent_once_with_fallback_to_another_node() {
     let mut fleet = Fleet::settled(1, 0);
     fleet.declare(7);
-    let told = |fleet: &mut Fleet, version, told_elsewhere| {
+    let sent_version = |fleet: &mut Fleet, version, told_elsewhere| {
         let (update, _) = fleet.watch(0, version, told_elsewhere);
         update.configuration.map(|held| held.version)
     };
-    assert_eq!(told(&mut fleet, 0, true), None);
+    assert_eq!(sent_version(&mut fleet, 0, true), None);
     assert_eq!(
-        told(&mut fleet, 7, true),
+        sent_version(&mut fleet, 7, true),
         None,
         "the gateway has it already"
     );
-    assert_eq!(told(&mut fleet, 0, false), Some(7));
+    assert_eq!(sent_version(&mut fleet, 0, false), Some(7));
     // A gateway that still lacks it receives it here after the delay, however often it
     // asks.
-    assert_eq!(told(&mut fleet, 0, true), None);
+    assert_eq!(sent_version(&mut fleet, 0, true), None);
     fleet.wait(Duration::from_millis(300));
-    assert_eq!(told(&mut fleet, 0, true), None);
+    assert_eq!(sent_version(&mut fleet, 0, true), None);
     fleet.wait(Duration::from_millis(200));
-    assert_eq!(told(&mut fleet, 0, true), Some(7));
+    assert_eq!(sent_version(&mut fleet, 0, true), Some(7));
     fleet.wait(Duration::from_secs(1));
-    assert_eq!(told(&mut fleet, 7, false), None);
+    assert_eq!(sent_version(&mut fleet, 7, false), None);
 }
 
 #[test]
-fn stores_hear_of_the_cluster_alone() {
+fn stores_receive_only_the_topology() {
     let mut fleet = Fleet::settled(3, 100);
     fleet.declare(3);
     let watch = WatchView {
@@ -392,13 +396,16 @@
 }
 
 #[test]
-fn a_control_node_without_the_group_tells_who_holds_it_and_nothing_else() {
+fn a_non_member_sends_only_the_group_members() {
     let mut fleet = Fleet::settled(2, 100);
     fleet.declare(3);
     fleet.hub.set_member(false);
     fleet.marks.clear();
     let (update, _) = fleet.watch(0, 0, false);
-    let control = update.topology.as_ref().map(|told| told.control.clone());
+    let control = update
+        .topology
+        .as_ref()
+        .map(|topology| topology.control.clone());
     assert_eq!(control, Some(BTreeSet::from([NodeId(900_000)])));
     assert_eq!(
         ViewUpdate {
@@ -415,7 +422,7 @@
 }
 
 #[test]
-fn whoever_waits_sleeps_meanwhile() {
+fn a_waiting_watch_does_not_spin() {
     // Waits need a clock that advances by itself.
     let mut fleet = Fleet::settled_by(BootClock::skipping, 1, 10);
     fleet.declare(3);
@@ -446,7 +453,7 @@
 }
 
 #[test]
-fn a_gateway_that_does_not_say_its_zone_or_version_is_served() {
+fn a_gateway_without_zone_or_version_is_served() {
     let mut fleet = Fleet::settled(120, 3_000);
     fleet.declare(3);
     let watch = WatchView {
@@ -478,19 +485,19 @@
 /// with all control nodes: it knows no engines from before, and received none until the
 /// engines were assigned to gateways.
 #[test]
-fn a_gateway_that_starts_with_all_control_nodes_hears_of_engines_at_once() {
+fn a_gateway_that_starts_with_all_control_nodes_receives_engines_at_once() {
     let (gateways, engines) = (120, 3_000);
     let mut fleet = Fleet::settled(gateways, engines);
     let skipped = Arc::new(AtomicU64::new(0));
     fleet.hub = Hub::new("z0".into(), SILENCE, BootClock::by_hand(skipped.clone()));
     fleet.skipped = skipped;
-    fleet.take();
+    fleet.publish_declared();
     // Engines register before any gateway sends a request, and in between.
-    fleet.hear_all(engines / 2);
+    fleet.send_heartbeats(engines / 2);
     fleet.hub.expire();
-    let goes_on = fleet.watch(0, 0, false).0;
+    let established = fleet.watch(0, 0, false).0;
     assert_eq!(
-        goes_on.engines,
+        established.engines,
         [],
         "it keeps the engines known from before"
     );
@@ -498,21 +505,21 @@
     let mut known: BTreeMap<String, usize> = BTreeMap::new();
     for _ in 0..2 {
         for (update, _) in fleet.watch_all(gateways) {
-            let told = update.engines.len();
-            assert!((1..=engines / 10).contains(&told), "{told} engines");
+            let count = update.engines.len();
+            assert!((1..=engines / 10).contains(&count), "{count} engines told");
             assert_eq!(update.parts.len(), 1);
             assert_eq!(update.parts[0].engines, None, "no engines are taken back");
             for engine in update.engines {
                 *known.entry(engine.id).or_default() += 1;
             }
         }
-        fleet.hear_all(engines);
+        fleet.send_heartbeats(engines);
         fleet.wait(Duration::from_millis(500));
     }
     // As in the settled state, with fewer users per engine for a while.
     assert!(known.len() > engines * 9 / 10, "{} known", known.len());
     assert!(known.values().all(|users| *users <= 32), "{known:?}");
-    fleet.pass(6, gateways, engines);
+    fleet.advance(6, gateways, engines);
     for (update, _) in fleet.watch_all(gateways) {
         let part = update.parts.iter().find(|part| part.engines.is_some());
         assert_eq!(part.and_then(|part| part.users), Some(32));
--- a/crates/membership/tests/directory.rs
+++ b/crates/membership/tests/directory.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn sources_that_disagree() {
+fn conflicting_sources_are_merged() {
     use BackendState::{Ejected, Healthy, Leaving, Suspect, Unknown};
     let failed = || work(1, WorkResult::Failed);
     let leaving = |revision| list(revision, vec![machine(7, 1, MachineState::Leaving)]);
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_dead_engine_is_probed_ever_more_rarely() {
+fn a_dead_engine_is_probed_with_exponential_backoff() {
     let mut directory = Directory::new(DirectorySettings::default());
     eject(&mut directory, at(0));
     let mut sent = Vec::new();
@@ -206,19 +206,19 @@
 fn a_flapping_engine_gets_less_work_each_time() {
     let mut directory = Directory::new(DirectorySettings::default());
     eject(&mut directory, at(0));
-    let mut open_again = Vec::new();
+    let mut tried_again = Vec::new();
     for millis in (0..20_000).step_by(50) {
         if probes_sent(&mut directory, at(millis)) > 0 {
             // It answers the probe and fails the first request it receives.
             directory.handle(at(millis), probe(FAST));
             assert_eq!(state(&directory), BackendState::Suspect);
-            open_again.push(millis);
+            tried_again.push(millis);
             directory.handle(at(millis), work(1, WorkResult::Failed));
             assert_eq!(state(&directory), BackendState::Ejected);
         }
     }
     expect_test::expect!["[250, 750, 1750, 3750, 7750, 15750]"]
-        .assert_eq(&format!("{open_again:?}"));
+        .assert_eq(&format!("{tried_again:?}"));
 }
 
 #[test]
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_list_that_does_not_know_a_new_engine_yet() {
+fn an_engine_missing_from_an_older_list_stays_healthy() {
     let mut directory = Directory::new(DirectorySettings::default());
     directory.handle(at(0), live(5, 1));
     directory.handle(at(1), report(1, false));
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_platform_that_was_reset_is_believed_after_a_while() {
+fn lists_of_a_reset_platform_are_accepted_after_a_delay() {
     let mut directory = Directory::new(DirectorySettings::default());
     directory.handle(at(0), live(1_000, 1));
     let mut gone_at = None;
@@ -343,7 +343,7 @@
     })]
 
     #[test]
-    fn no_order_of_news_undoes_leaving_or_steps_back(
+    fn no_order_of_inputs_undoes_leaving_or_lowers_the_incarnation(
         inputs in prop::collection::vec((0_u64..3_000, any_input()), 1..60),
     ) {
         let mut directory = Directory::new(DirectorySettings::default());
--- a/crates/membership/tests/gateways.rs
+++ b/crates/membership/tests/gateways.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_zone_without_gateways_is_owned_from_elsewhere() {
+fn a_zone_without_gateways_is_owned_by_other_zones() {
     let set = gateways((0..12).filter(|node| node % 3 != 1), 3);
     assert!(set.owner_of(BackendId(1), &zone(1)).is_some());
     let none = GatewaySet::new(GatewaySetSettings::default());
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_gateway_owns_what_the_set_names_it_for() {
+fn a_gateway_owns_the_back_ends_it_is_named_for() {
     let zones: Vec<ZoneName> = (0..ENGINES).map(|engine| zone(engine % 3)).collect();
     let backends = || (0..ENGINES).map(BackendId).zip(&zones);
     let mut set = gateways(0..12, 3);
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_small_fleet_is_routed_to_as_a_whole() {
+fn a_gateway_routes_to_every_engine_of_a_small_fleet() {
     let set = gateways(0..3, 3);
     let backends: Vec<SubsetBackend> = (0..13)
         .map(|id| SubsetBackend {
