--- a/crates/fleet/src/control/api.rs
+++ b/crates/fleet/src/control/api.rs
@@ -195,7 +195,7 @@
             return ControlOutcome::Unavailable;
         };
         match declared.configuration() {
-            Some(held) => ControlOutcome::Document(held.document.to_vec()),
+            Some(configuration) => ControlOutcome::Document(configuration.document.to_vec()),
             None => ControlOutcome::Unavailable,
         }
     }
--- a/crates/fleet/src/control/hub/answer.rs
+++ b/crates/fleet/src/control/hub/answer.rs
@@ -35,12 +35,12 @@
         let due = self
             .configuration_due(watch, since)
             .is_some_and(|due| now >= due);
-        let of_all = [
+        let global_changes = [
             self.topology_changed,
             self.shared_departure_changed,
             self.bars_changed,
         ];
-        due || of_all.iter().any(|changed| *changed > since)
+        due || global_changes.iter().any(|changed| *changed > since)
             || self.subsets.is_news(watch.node, since)
             || self
                 .unpartitioned_services()
@@ -53,11 +53,11 @@
         if !self.sends_full_view(watch) {
             return None;
         }
-        let held = self.configuration.as_ref()?;
+        let configuration = self.configuration.as_ref()?;
         let Some(version) = watch.version else {
             return (self.configuration_changed > since).then_some(self.configuration_since);
         };
-        if version >= held.version {
+        if version >= configuration.version {
             return None;
         }
         if !watch.told_elsewhere {
--- a/crates/fleet/src/control/hub/mod.rs
+++ b/crates/fleet/src/control/hub/mod.rs
@@ -124,8 +124,8 @@
     #[must_use]
     pub fn is_unknown_service(&self, service: &str) -> bool {
         let state = self.lock();
-        let held = state.configuration.as_ref();
-        held.is_some_and(|held| held.model.service(service).is_none())
+        let configuration = state.configuration.as_ref();
+        configuration.is_some_and(|configuration| configuration.model.service(service).is_none())
     }
 
     /// Returns the engines that sent a heartbeat to this node at or after `since`.
--- a/crates/fleet/src/control/hub/state.rs
+++ b/crates/fleet/src/control/hub/state.rs
@@ -126,7 +126,10 @@
     }
 
     pub fn record_watcher(&mut self, watch: &WatchView, now: Timestamp) {
-        let newest = self.configuration.as_ref().map_or(0, |held| held.version);
+        let newest = self
+            .configuration
+            .as_ref()
+            .map_or(0, |current| current.version);
         let is_behind = watch.version.is_some_and(|version| version < newest);
         let before = self.watchers.get(&watch.node);
         let started_empty = watch.mark == ViewMark::default()
@@ -144,8 +147,8 @@
 
     pub fn watchers_of(&self, kind: WatcherKind) -> BTreeSet<NodeId> {
         let watchers = self.watchers.iter();
-        let of_kind = watchers.filter(|(_, watcher)| watcher.kind == kind);
-        of_kind.map(|(node, _)| *node).collect()
+        let matching = watchers.filter(|(_, watcher)| watcher.kind == kind);
+        matching.map(|(node, _)| *node).collect()
     }
 
     pub fn update_gateways(&mut self, change: u64) -> bool {
@@ -200,11 +203,11 @@
         change: u64,
         now: Timestamp,
     ) -> bool {
-        let held = self.configuration.as_ref().map(|held| held.version);
+        let current = self.configuration.as_ref().map(|current| current.version);
         let Some(newest) = declared.configuration() else {
             return false;
         };
-        if held.is_some_and(|held| held >= newest.version) {
+        if current.is_some_and(|current| current >= newest.version) {
             return false;
         }
         self.configuration = Some(ConfigurationInForce {
@@ -255,10 +258,11 @@
     }
 
     pub fn apply_bars(&mut self, declared: &DeclaredState, change: u64) -> bool {
-        let held = declared.bars();
-        self.bars.retain(|request, _| held.get(request).is_some());
+        let declared_bars = declared.bars();
+        self.bars
+            .retain(|request, _| declared_bars.get(request).is_some());
         let mut changed = false;
-        for (request, bar) in held.iter() {
+        for (request, bar) in declared_bars.iter() {
             let known = self.bars.get(request).map(|(known, _)| known);
             if known != Some(bar) {
                 self.bars.insert(*request, (*bar, change));
--- a/crates/fleet/src/control/node.rs
+++ b/crates/fleet/src/control/node.rs
@@ -275,15 +275,15 @@
             Timer::after(PEER_ROUND_INTERVAL).await;
             self.hub.expire();
             let now = self.hub.now();
-            let heard = self.hub.heartbeats_since(last_round);
+            let recent = self.hub.heartbeats_since(last_round);
             last_round = now;
-            if heard.is_empty() {
+            if recent.is_empty() {
                 continue;
             }
             let Some(status) = self.replica.status().await else {
                 continue;
             };
-            let records = molespan_state::encode(&heard);
+            let records = molespan_state::encode(&recent);
             for node in members(&status) {
                 if node != self.own {
                     let records = records.clone().into();
@@ -300,8 +300,8 @@
 
     /// Transfers leadership and stops the replica.
     pub async fn stop(&self) {
-        let handed = self.replica.stop().await;
-        info!(self.logger, "stopped"; "handed_over" => handed.handed_over.len());
+        let handover = self.replica.stop().await;
+        info!(self.logger, "stopped"; "handed_over" => handover.handed_over.len());
     }
 }
 
--- a/crates/fleet/src/control/registry.rs
+++ b/crates/fleet/src/control/registry.rs
@@ -309,9 +309,9 @@
     /// `of_service`.
     pub(super) fn lost_in(&self, change: u64, of_service: impl Fn(&str) -> bool) -> Vec<String> {
         let lost = self.lost.range(change + 1..).flat_map(|(_, lost)| lost);
-        let gone = lost.filter(|one| !self.engines.contains_key(&one.id));
-        let matching = gone.filter(|one| of_service(&one.service));
-        matching.map(|one| one.id.clone()).collect()
+        let gone = lost.filter(|engine| !self.engines.contains_key(&engine.id));
+        let matching = gone.filter(|engine| of_service(&engine.service));
+        matching.map(|engine| engine.id.clone()).collect()
     }
 
     /// Returns the events since the last call.
--- a/crates/fleet/src/control/relay.rs
+++ b/crates/fleet/src/control/relay.rs
@@ -279,8 +279,8 @@
     /// Removes gateways that now use another relay.
     fn retain(&mut self, gateways: &[(NodeId, Vec<WorkShare>)]) {
         if self.0.len() > gateways.len() {
-            let held: BTreeSet<NodeId> = gateways.iter().map(|(node, _)| *node).collect();
-            self.0.retain(|node, _| held.contains(node));
+            let current: BTreeSet<NodeId> = gateways.iter().map(|(node, _)| *node).collect();
+            self.0.retain(|node, _| current.contains(node));
         }
     }
 }
--- a/crates/fleet/src/store/emptied.rs
+++ b/crates/fleet/src/store/emptied.rs
@@ -17,10 +17,10 @@
     pub fn due(
         &mut self,
         retiring: &BTreeSet<NodeId>,
-        seated: &BTreeSet<NodeId>,
+        group_members: &BTreeSet<NodeId>,
     ) -> BTreeSet<NodeId> {
         self.reported.retain(|node| retiring.contains(node));
-        let empty = retiring.iter().filter(|node| !seated.contains(node));
+        let empty = retiring.iter().filter(|node| !group_members.contains(node));
         empty
             .filter(|node| !self.reported.contains(node))
             .copied()
--- a/crates/fleet/src/store/handout.rs
+++ b/crates/fleet/src/store/handout.rs
@@ -73,13 +73,13 @@
         let mut stop = Vec::new();
         for &item in running {
             let taken = self.leases.get(&item);
-            let elsewhere = taken.is_some_and(|one| one.node != node && one.until > now);
+            let elsewhere = taken.is_some_and(|lease| lease.node != node && lease.until > now);
             if elsewhere || !open.is_open(item.job) {
                 stop.push(item);
                 continue;
             }
             let until = now + self.lease_duration;
-            let since = taken.map_or(now, |one| one.since);
+            let since = taken.map_or(now, |lease| lease.since);
             self.insert_lease(item, ItemLease { node, until, since });
         }
         stop
--- a/crates/fleet/src/store/node.rs
+++ b/crates/fleet/src/store/node.rs
@@ -273,11 +273,11 @@
         };
         let members = group.voters.iter().chain(&group.learners);
         let members = members.map(|(node, _)| *node);
-        let seated: BTreeSet<NodeId> = members.chain(control).collect();
+        let group_members: BTreeSet<NodeId> = members.chain(control).collect();
         let due = self
             .reported_retirements
             .borrow_mut()
-            .due(&retiring, &seated);
+            .due(&retiring, &group_members);
         if group.voters.len() < self.options.replicas() as usize {
             return;
         }
@@ -324,7 +324,7 @@
 
     /// Transfers leadership and stops the replica.
     pub async fn stop(&self) {
-        let handed = self.replica.stop().await;
-        info!(self.logger, "stopped"; "handed_over" => handed.handed_over.len());
+        let handover = self.replica.stop().await;
+        info!(self.logger, "stopped"; "handed_over" => handover.handed_over.len());
     }
 }
--- a/crates/fleet/src/store/peer.rs
+++ b/crates/fleet/src/store/peer.rs
@@ -63,7 +63,7 @@
 impl Handler for PeerHandler {
     async fn call(&self, request: Request) -> Response {
         match request {
-            Request::TakeItems(ask) => self.take_items(&ask).await,
+            Request::TakeItems(items_request) => self.take_items(&items_request).await,
             other => self.replica.handle_peer(other).await,
         }
     }
@@ -134,9 +134,9 @@
     }
 
     /// Hands out items, immediately if there are any, or else when some become available.
-    async fn take_items(&self, ask: &TakeItems) -> Response {
-        let deadline = Instant::now() + Duration::from_millis(u64::from(ask.wait_ms));
-        let Some(arrival) = self.admit(ask) else {
+    async fn take_items(&self, items_request: &TakeItems) -> Response {
+        let deadline = Instant::now() + Duration::from_millis(u64::from(items_request.wait_ms));
+        let Some(arrival) = self.admit(items_request) else {
             return superseded();
         };
         loop {
@@ -152,7 +152,7 @@
             let Some(open) = self.open_index(OPEN_INDEX_MAX_AGE).await else {
                 return unavailable();
             };
-            let Some((taken, stop)) = self.hand_out(ask, arrival, &open) else {
+            let Some((taken, stop)) = self.hand_out(items_request, arrival, &open) else {
                 // Passes on a wake token that this request may have consumed.
                 self.item_tokens.ensure_available(1);
                 return superseded();
@@ -165,7 +165,7 @@
                 Timer::at(deadline).await;
             };
             let token = async {
-                match ask.capacity {
+                match items_request.capacity {
                     0 => future::pending().await,
                     _ => self.item_tokens.consume().await,
                 }
@@ -197,36 +197,42 @@
         confirmed.is_some()
     }
 
-    fn admit(&self, ask: &TakeItems) -> Option<ArrivalNumber> {
+    fn admit(&self, items_request: &TakeItems) -> Option<ArrivalNumber> {
         let call = CallNumber {
-            life: ask.life,
-            number: ask.number,
+            life: items_request.life,
+            number: items_request.number,
         };
         let mut calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
-        calls.admit(ask.node, call)
+        calls.admit(items_request.node, call)
     }
 
     /// Returns the items to run and the items to stop; `None` if a later request of the
     /// gateway has superseded this one.
     fn hand_out(
         &self,
-        ask: &TakeItems,
+        items_request: &TakeItems,
         arrival: ArrivalNumber,
         open: &Arc<OpenIndex>,
     ) -> Option<(Vec<ItemReference>, Vec<ItemReference>)> {
         let calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
-        if !calls.is_latest(ask.node, arrival) {
+        if !calls.is_latest(items_request.node, arrival) {
             return None;
         }
         let now = self.now();
-        let held = ask.held.iter();
+        let held = items_request.held.iter();
         let running = held
             .map(|&(job, place)| ItemReference { job, place })
             .collect();
         let mut leases = self.leases.lock().unwrap_or_else(PoisonError::into_inner);
         let leases = leases.get_or_insert_with(|| LeaseTable::new(now, LEASE, WARM_UP));
-        let stop = leases.renew(now, ask.node, &running, open);
-        let taken = leases.take(now, unix_millis(), ask.node, ask.capacity as usize, open);
+        let stop = leases.renew(now, items_request.node, &running, open);
+        let taken = leases.take(
+            now,
+            unix_millis(),
+            items_request.node,
+            items_request.capacity as usize,
+            open,
+        );
         Some((taken, stop))
     }
 
--- a/crates/fleet/tests/control.rs
+++ b/crates/fleet/tests/control.rs
@@ -164,7 +164,7 @@
     hub.record_heartbeat(record("a", "1:1", 1));
     let kind = WatcherKind::Gateway;
     let (mark, update) = watch(&hub, kind, ViewMark::default());
-    assert_eq!(update.configuration.map(|held| held.version), Some(3));
+    assert_eq!(update.configuration.map(|current| current.version), Some(3));
     assert_eq!(ids(&update.engines), ["a"]);
     let (mark, update) = watch(&hub, kind, mark);
     assert_eq!(update, ViewUpdate::default());
@@ -186,7 +186,7 @@
         revision: mark.revision,
     };
     let (_, update) = watch(&hub, kind, other);
-    assert_eq!(update.configuration.map(|held| held.version), Some(3));
+    assert_eq!(update.configuration.map(|current| current.version), Some(3));
 }
 
 #[test]
@@ -198,7 +198,7 @@
     hub.apply_declared(newer.declared(), BTreeSet::new(), 1);
     hub.apply_declared(older.declared(), BTreeSet::new(), 1);
     let (_, update) = watch(&hub, WatcherKind::Gateway, ViewMark::default());
-    assert_eq!(update.configuration.map(|held| held.version), Some(9));
+    assert_eq!(update.configuration.map(|current| current.version), Some(9));
 }
 
 #[test]
--- a/crates/fleet/tests/subsets.rs
+++ b/crates/fleet/tests/subsets.rs
@@ -268,8 +268,8 @@
         .expect("assigned users");
     for place in 0..gateways {
         let (update, _) = fleet.watch(place, 0, false);
-        let heard = update.engines.iter().any(|record| record.id == "i-new");
-        assert_eq!(heard, new_users.contains(&node(place)));
+        let received = update.engines.iter().any(|record| record.id == "i-new");
+        assert_eq!(received, new_users.contains(&node(place)));
         assert_eq!(
             update.lost.contains(&engine(5).id),
             users.contains(&node(place))
@@ -303,12 +303,12 @@
     fleet.hub = Hub::new("z0".into(), SILENCE, clock);
     fleet.skipped = skipped;
     fleet.publish_declared();
-    for heard in [100, 1_000, 2_000] {
-        fleet.send_heartbeats(heard);
+    for count in [100, 1_000, 2_000] {
+        fleet.send_heartbeats(count);
         fleet.hub.expire();
         for (update, _) in fleet.watch_all(gateways) {
             let lists = update.parts.iter().filter(|part| part.engines.is_some());
-            assert_eq!(lists.count(), 0, "{heard}: {:?}", update.parts);
+            assert_eq!(lists.count(), 0, "{count}: {:?}", update.parts);
             assert_eq!(update.lost, Vec::<String>::new());
         }
         fleet.wait(Duration::from_secs(1));
@@ -348,7 +348,7 @@
     fleet.declare(7);
     let sent_version = |fleet: &mut Fleet, version, told_elsewhere| {
         let (update, _) = fleet.watch(0, version, told_elsewhere);
-        update.configuration.map(|held| held.version)
+        update.configuration.map(|current| current.version)
     };
     assert_eq!(sent_version(&mut fleet, 0, true), None);
     assert_eq!(
@@ -417,7 +417,7 @@
     // Once it is a member, a watcher receives what was withheld before.
     fleet.hub.set_member(true);
     let (update, _) = fleet.watch(0, 0, false);
-    assert_eq!(update.configuration.map(|held| held.version), Some(3));
+    assert_eq!(update.configuration.map(|current| current.version), Some(3));
     assert_eq!(update.engines.len(), 100);
 }
 
@@ -471,7 +471,7 @@
         panic!("no view");
     };
     let update: ViewUpdate = molespan_state::decode(&update).expect("an update");
-    assert_eq!(update.configuration.map(|held| held.version), Some(3));
+    assert_eq!(update.configuration.map(|current| current.version), Some(3));
     assert!(!update.engines.is_empty());
     let again = WatchView { mark, ..watch };
     let Response::View { update, .. } = block_on(fleet.hub.watch(&again)) else {
--- a/crates/membership/src/directory/health.rs
+++ b/crates/membership/src/directory/health.rs
@@ -88,14 +88,14 @@
         state: BackendState,
         settings: &DirectorySettings,
     ) -> bool {
-        let wanted = matches!(
+        let needs_probe = matches!(
             state,
             BackendState::Unknown | BackendState::Suspect | BackendState::Ejected
         );
         let outstanding = self
             .probing_since
             .is_some_and(|since| now.since(since) < PROBE_TIMEOUT);
-        if !wanted || outstanding || now < self.next_probe {
+        if !needs_probe || outstanding || now < self.next_probe {
             return false;
         }
         self.probing_since = Some(now);
--- a/crates/membership/src/subset.rs
+++ b/crates/membership/src/subset.rs
@@ -52,13 +52,13 @@
     if backends.len() <= settings.size {
         return sorted(backends.iter().map(|backend| backend.id).collect());
     }
-    let (near, far): (Vec<BackendId>, Vec<BackendId>) = split_by_zone(backends, zone);
-    let spill = settings.spill.min(far.len());
-    let near_count = (settings.size - spill).min(near.len());
-    let far_count = settings.size - near_count;
-    let mut chosen = highest_weights(node, &near, near_count);
-    chosen.extend(highest_weights(node, &far, far_count));
-    chosen.extend(covered_by(node, zone, gateways, &near, settings.cover));
+    let (same_zone, other_zones): (Vec<BackendId>, Vec<BackendId>) = split_by_zone(backends, zone);
+    let spill = settings.spill.min(other_zones.len());
+    let same_zone_count = (settings.size - spill).min(same_zone.len());
+    let other_zones_count = settings.size - same_zone_count;
+    let mut chosen = highest_weights(node, &same_zone, same_zone_count);
+    chosen.extend(highest_weights(node, &other_zones, other_zones_count));
+    chosen.extend(covered_by(node, zone, gateways, &same_zone, settings.cover));
     sorted(chosen)
 }
 
@@ -69,10 +69,10 @@
 }
 
 fn split_by_zone(backends: &[SubsetBackend], zone: &ZoneName) -> (Vec<BackendId>, Vec<BackendId>) {
-    let (near, far): (Vec<&SubsetBackend>, Vec<&SubsetBackend>) =
+    let (same_zone, other_zones): (Vec<&SubsetBackend>, Vec<&SubsetBackend>) =
         backends.iter().partition(|backend| backend.zone == *zone);
     let ids = |side: Vec<&SubsetBackend>| side.into_iter().map(|backend| backend.id).collect();
-    (ids(near), ids(far))
+    (ids(same_zone), ids(other_zones))
 }
 
 fn highest_weights(node: NodeId, backends: &[BackendId], count: usize) -> Vec<BackendId> {
@@ -91,11 +91,11 @@
     node: NodeId,
     zone: &ZoneName,
     gateways: &'a GatewaySet,
-    near: &'a [BackendId],
+    same_zone: &'a [BackendId],
     cover: usize,
 ) -> impl Iterator<Item = BackendId> + 'a {
     let peers: &[NodeId] = gateways.by_zone().get(zone).map_or(&[], Vec::as_slice);
-    near.iter().copied().filter(move |backend| {
+    same_zone.iter().copied().filter(move |backend| {
         let own = weight(node, *backend);
         let outranking = peers
             .iter()
