--- a/crates/fleet/src/control/api.rs
+++ b/crates/fleet/src/control/api.rs
@@ -1,4 +1,4 @@
-//! Carrying out the calls of engines and operators.
+//! Executes the calls of engines and operators.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -16,27 +16,28 @@
 use super::hub::Hub;
 use crate::refusals::Refusals;
 
-/// Longest time for a call of an engine, which goes elsewhere after a second.
+/// Deadline of a call by an engine, which tries another node after 1 s.
 const ENGINE_DEADLINE: Duration = Duration::from_millis(900);
-/// Longest time for an operator's read.
+/// Deadline of a read by an operator.
 const READ_DEADLINE: Duration = Duration::from_millis(900);
-/// Longest time for an operator's order. The caller may have gone elsewhere by
-/// then, where the same order is harmless.
-const ORDER_DEADLINE: Duration = Duration::from_millis(2_500);
-/// How far the clock of an engine may be ahead of this node's: beyond that its start is
-/// no start.
-const CLOCK_SKEW: Duration = Duration::from_secs(5);
-
-/// The interface of engines and operators.
+/// Deadline of a change by an operator. The caller may have retried at another node by
+/// then, where repeating the same change is harmless.
+const CHANGE_DEADLINE: Duration = Duration::from_millis(2_500);
+/// Largest accepted clock skew of an engine: a start time further in the future is
+/// invalid.
+const MAX_CLOCK_SKEW: Duration = Duration::from_secs(5);
+
+/// HTTP interface for engines and operators.
 pub struct ControlApi<D> {
     pub dialect: D,
-    /// This node.
+    /// Identifier of this node.
     pub own: NodeId,
     pub hub: Arc<Hub>,
     pub cluster: Arc<Cluster>,
-    /// Stores that must stay when one is to be emptied.
+    /// Number of stores that must remain when one is retired.
     pub store_replicas: u32,
-    /// Registrations that were refused, and engines of services that nobody named.
+    /// Rejected registrations, and engines of services that the configuration does not
+    /// name.
     pub refusals: Mutex<Refusals>,
     pub logger: Logger,
 }
@@ -44,9 +45,9 @@
 impl<D: ControlDialect> Service for ControlApi<D> {
     async fn call(&self, head: RequestHead, body: Vec<u8>) -> Answer {
         let outcome = match self.dialect.call(&head, &body) {
-            Ok(call) => self.carry_out(call).await,
+            Ok(call) => self.execute(call).await,
             Err(problem) => {
-                self.note_problem(&head, &problem);
+                self.log_problem(&head, &problem);
                 ControlOutcome::Problem(problem)
             }
         };
@@ -55,10 +56,10 @@
 }
 
 impl<D: ControlDialect> ControlApi<D> {
-    async fn carry_out(&self, call: ControlCall) -> ControlOutcome {
+    async fn execute(&self, call: ControlCall) -> ControlOutcome {
         match call {
             ControlCall::Heartbeat(heartbeat) => self.heartbeat(heartbeat).await,
-            ControlCall::Gone { engine, born } => self.end(&engine, born).await,
+            ControlCall::Gone { engine, born } => self.end_engine(&engine, born).await,
             ControlCall::Declare(declaration) => self.declare(*declaration).await,
             ControlCall::Read => self.read().await,
             ControlCall::Retire { name } => self.retire(name).await,
@@ -66,35 +67,36 @@
         }
     }
 
-    /// Says that a call is not understood. An engine goes on calling, and is told of once.
-    fn note_problem(&self, head: &RequestHead, problem: &CallProblem) {
+    /// Logs a rejected call. An engine repeats its registration, so its problem is logged
+    /// once.
+    fn log_problem(&self, head: &RequestHead, problem: &CallProblem) {
         let CallProblem::Registration { engine, problems } = problem else {
             info!(self.logger, "call refused";
                 "method" => &head.method, "path" => head.path(), "problem" => ?problem);
             return;
         };
-        self.note_registration(engine, &problems.join("; "));
+        self.log_registration_problem(engine, &problems.join("; "));
     }
 
-    fn note_registration(&self, engine: &str, problems: &str) {
-        if let Some(count) = self.note_refusal(engine, problems) {
+    fn log_registration_problem(&self, engine: &str, problems: &str) {
+        if let Some(count) = self.record_refusal(engine, problems) {
             warn!(self.logger, "registration refused"; "engine" => engine,
                 "problems" => problems, "refused_so_far" => count);
         }
     }
 
-    fn note_refusal(&self, who: &str, what: &str) -> Option<u64> {
+    fn record_refusal(&self, who: &str, what: &str) -> Option<u64> {
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
         refusals.note(who, what)
     }
 
-    /// An engine of a service that no configuration in force names is kept: a
-    /// configuration may follow.
-    fn note_service(&self, service: &str) {
-        if !self.hub.is_unknown(service) {
+    /// Logs an engine whose service the configuration does not name. The engine is kept,
+    /// because a later configuration may name the service.
+    fn log_unknown_service(&self, service: &str) {
+        if !self.hub.is_unknown_service(service) {
             return;
         }
-        if let Some(count) = self.note_refusal(service, "unknown service") {
+        if let Some(count) = self.record_refusal(service, "unknown service") {
             warn!(self.logger, "engine of an unknown service"; "service" => service,
                 "refused_so_far" => count);
         }
@@ -102,43 +104,43 @@
 
     async fn heartbeat(&self, heartbeat: EngineHeartbeat) -> ControlOutcome {
         let life = EngineLife::of(&heartbeat.record.id);
-        let latest = unix_millis() + CLOCK_SKEW.as_millis() as u64;
+        let latest = unix_millis() + MAX_CLOCK_SKEW.as_millis() as u64;
         if life.born.is_some_and(|born| born > latest) {
             let problem = "born: in the future".to_owned();
-            return self.refuse(life.name, problem);
+            return self.reject_registration(life.name, problem);
         }
         if heartbeat.draining {
             return self.depart(heartbeat.record.id, Departure::Draining).await;
         }
         let id = heartbeat.record.id.clone();
         let service = heartbeat.record.service.clone();
-        self.note_service(&service);
-        if self.hub.hear(heartbeat.record) {
-            info!(self.logger, "engine heard"; "engine" => id, "service" => service);
+        self.log_unknown_service(&service);
+        if self.hub.record_heartbeat(heartbeat.record) {
+            info!(self.logger, "engine registered"; "engine" => id, "service" => service);
         }
         ControlOutcome::Acknowledged
     }
 
-    fn refuse(&self, engine: &str, problem: String) -> ControlOutcome {
-        self.note_registration(engine, &problem);
+    fn reject_registration(&self, engine: &str, problem: String) -> ControlOutcome {
+        self.log_registration_problem(engine, &problem);
         ControlOutcome::Problem(CallProblem::Registration {
             engine: engine.to_owned(),
             problems: vec![problem],
         })
     }
 
-    /// An engine ends. Without a start that is each of its lives begun until now.
-    async fn end(&self, name: &str, born: Option<u64>) -> ControlOutcome {
+    /// Records the shutdown of an engine. Without a start time it applies to every life
+    /// started until now.
+    async fn end_engine(&self, name: &str, born: Option<u64>) -> ControlOutcome {
         let life = match born {
             Some(_) => EngineLife { name, born }.id(),
-            None => self.hub.ends(name, unix_millis()),
+            None => self.hub.ended_life(name, unix_millis()),
         };
         self.depart(life, Departure::Gone).await
     }
 
-    /// A departure is acknowledged only once it is committed: the
-    /// acknowledgement binds every gateway, also when this node is cut off
-    /// right behind it.
+    /// Commits a departure before it is acknowledged: an acknowledged departure binds
+    /// every gateway, even if this node is partitioned right afterwards.
     async fn depart(&self, engine: String, departure: Departure) -> ControlOutcome {
         if self
             .hub
@@ -158,7 +160,7 @@
                 ControlOutcome::Acknowledged
             }
             Err(error) => {
-                warn!(self.logger, "departure not committed";
+                warn!(self.logger, "departure could not be committed";
                     "engine" => engine, "error" => %error);
                 ControlOutcome::Unavailable
             }
@@ -174,14 +176,14 @@
             return ControlOutcome::Problem(CallProblem::Invalid { problems });
         }
         let command = DeclaredCommand::Declare(Box::new(declaration));
-        match self.cluster.change_declared(command, ORDER_DEADLINE).await {
+        match self.cluster.change_declared(command, CHANGE_DEADLINE).await {
             Ok(DeclaredReply::Version { version: in_force }) => {
                 info!(self.logger, "configuration acknowledged";
                     "version" => version, "in_force" => in_force);
                 ControlOutcome::Acknowledged
             }
             other => {
-                warn!(self.logger, "configuration not committed";
+                warn!(self.logger, "configuration could not be committed";
                     "version" => version, "answer" => ?other.err());
                 ControlOutcome::Unavailable
             }
@@ -193,16 +195,16 @@
             return ControlOutcome::Unavailable;
         };
         match declared.configuration() {
-            Some(held) => ControlOutcome::Document(held.document.to_vec()),
+            Some(configuration) => ControlOutcome::Document(configuration.document.to_vec()),
             None => ControlOutcome::Unavailable,
         }
     }
 
     async fn retire(&self, name: String) -> ControlOutcome {
-        // Stores watch at members only: another node, or one that has just
-        // started, knows of too few that are alive.
-        if !self.hub.control_nodes().contains(&self.own) || !self.hub.knows_stores() {
-            info!(self.logger, "store not to be emptied by this node"; "name" => name);
+        // Only group members are watched by stores: another node, or one that has just
+        // started, does not know all live stores.
+        if !self.hub.control_nodes().contains(&self.own) || !self.hub.store_list_is_complete() {
+            info!(self.logger, "this node cannot retire a store"; "name" => name);
             return ControlOutcome::Unavailable;
         }
         let command = DeclaredCommand::Retire {
@@ -210,8 +212,8 @@
             replicas: self.store_replicas,
             alive: self.hub.live_stores(),
         };
-        let reply = self.cluster.change_declared(command, ORDER_DEADLINE).await;
-        info!(self.logger, "store to be emptied"; "name" => name, "reply" => ?reply);
+        let reply = self.cluster.change_declared(command, CHANGE_DEADLINE).await;
+        info!(self.logger, "store retirement requested"; "name" => name, "reply" => ?reply);
         match reply {
             Ok(DeclaredReply::Retire(RetireReply::Unknown)) => ControlOutcome::Unknown,
             Ok(DeclaredReply::Retire(RetireReply::TooFew)) => ControlOutcome::TooFewLeft,
--- a/crates/fleet/src/control/hub/state.rs
+++ b/crates/fleet/src/control/hub/state.rs
@@ -1,5 +1,4 @@
-//! What a control node has heard and applied, with the change of the view at which each of
-//! it became as it is.
+//! State of the cluster view, with the revision at which each part last changed.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,72 +9,81 @@
 use molespan_types::{EngineLife, NodeId, Timestamp, ZoneName, lives_of};
 use molespan_wire::{ViewMark, WatchView, WatcherKind};
 
-use super::{AWAY, PRESENCE};
+use super::{LIVE_TTL, MAX_WATCH_GAP};
 use crate::control::change_log::ChangeLog;
-use crate::control::registry::{News, Registry};
+use crate::control::registry::{Registry, RegistryEvent};
 use crate::view::{ConfigurationInForce, MOST_NAMED, Topology};
 use crate::wakeup::Wakeup;
 
-/// How long the engines of a gateway that is gone wait for it: longer than a restart
-/// takes, and there are other gateways for each of them.
-const ENGINES_KEPT: Duration = Duration::from_secs(30);
-/// Time from the start of this node, or from when it was last frozen or cut off, within
-/// which every gateway has asked, and every engine was heard, here or by another control
-/// node: they ask and say so each 2 s, and control nodes pass on what they heard once a
-/// second.
-const SETTLED_AFTER: Duration = PRESENCE;
+/// Time for which a gateway that is gone keeps its assigned engines. Longer than a
+/// restart takes; meanwhile, other gateways use the same engines.
+const ASSIGNMENT_RETENTION: Duration = Duration::from_secs(30);
+/// Time after a start, suspension or partition of this node by which every gateway has
+/// sent a watch request and every engine is known, directly or through another control
+/// node. Gateways and engines send every 2 s, and control nodes forward heartbeats once
+/// per second.
+const SETTLE_TIME: Duration = LIVE_TTL;
 
 #[derive(Debug)]
 pub struct Watcher {
     pub kind: WatcherKind,
     pub zone: Option<ZoneName>,
-    pub at: Timestamp,
-    /// Since when it asks without having the configuration in force.
+    pub last_seen: Timestamp,
+    /// Since when the watcher has been sending requests with an outdated configuration.
     pub behind_since: Option<Timestamp>,
-    /// Whether it had heard nothing from anybody when it first asked here.
-    pub begins: bool,
+    /// Whether its first request to this node had an empty mark, so that it may know no
+    /// engines yet.
+    pub started_empty: bool,
 }
 
 #[derive(Debug)]
 pub struct State {
-    /// Names this view to those who watch it.
+    /// Identifies this view in the marks of its watchers.
     pub session: u64,
     pub revision: u64,
     pub registry: Registry,
-    /// Whether this node holds the control group. Another one is called by engines and
-    /// asked by whoever was given it as a seed; its view is not whole.
+    /// Whether this node is a member of the control group. A non-member may still be
+    /// called by engines, and watched by nodes that were given it as a seed; its view is
+    /// incomplete.
     pub is_member: bool,
-    /// Which gateways use which engines.
+    /// Assignment of engines to gateways.
     pub subsets: Subsets,
     pub configuration: Option<ConfigurationInForce>,
     pub configuration_changed: u64,
-    /// When it came into force here.
+    /// When the configuration came into force on this node.
     pub configuration_since: Timestamp,
     pub departures: BTreeMap<String, (Departure, u64)>,
     pub departure_log: ChangeLog<String>,
-    /// The last change at which an engine left that every gateway may use.
-    pub departure_for_all: u64,
-    /// Bars on requests, with the change of this view that brought them.
+    /// Revision of the latest departure of an engine that any gateway may use.
+    pub shared_departure_changed: u64,
+    /// Bars on requests, with the revision at which each changed.
     pub bars: BTreeMap<RequestDigest, (Bar, u64)>,
     pub bars_changed: u64,
     pub topology: Topology,
     pub topology_changed: u64,
     pub watchers: BTreeMap<NodeId, Watcher>,
-    /// Gateways whose engines are kept for them, with their zones.
+    /// Gateways that keep their assigned engines, with their zones and when they were
+    /// last seen.
     pub gateways: BTreeMap<NodeId, (Option<ZoneName>, Timestamp)>,
-    /// When a node asked last.
-    pub asked: Timestamp,
-    /// Since when nodes ask here all the time.
-    pub in_touch_since: Timestamp,
-    /// Wakes all that wait at the next change.
+    /// When the latest watch request arrived.
+    pub last_watch_at: Timestamp,
+    /// Since when watch requests have arrived without a long gap.
+    pub watched_since: Timestamp,
+    /// Wakes all waiting watches at the next change.
     pub wakeup: Wakeup,
-    /// Told that something changed that nobody was woken for.
-    pub unannounced: Sender<()>,
+    /// Signals a change for which no watch has been woken yet.
+    pub change_signal: Sender<()>,
 }
 
 impl State {
-    /// Nothing was heard yet by a node in `zone`; engines are lost after `silence`.
-    pub fn new(zone: ZoneName, silence: Duration, unannounced: Sender<()>, now: Timestamp) -> Self {
+    /// Creates an empty state for a node in `zone`; engines are lost after `silence`
+    /// without a heartbeat.
+    pub fn new(
+        zone: ZoneName,
+        silence: Duration,
+        change_signal: Sender<()>,
+        now: Timestamp,
+    ) -> Self {
         let topology = Topology {
             zone: Some(zone),
             ..Topology::default()
@@ -91,57 +99,60 @@
             configuration_since: now,
             departures: BTreeMap::new(),
             departure_log: ChangeLog::default(),
-            departure_for_all: 0,
+            shared_departure_changed: 0,
             bars: BTreeMap::new(),
             bars_changed: 0,
             topology,
             topology_changed: 0,
             watchers: BTreeMap::new(),
             gateways: BTreeMap::new(),
-            asked: now,
-            in_touch_since: now,
+            last_watch_at: now,
+            watched_since: now,
             wakeup: Wakeup::default(),
-            unannounced,
+            change_signal,
         }
     }
 
-    pub fn changed(&mut self) {
+    pub fn mark_changed(&mut self) {
         self.revision += 1;
-        let _already_told = self.unannounced.try_send(());
+        let _already_signaled = self.change_signal.try_send(());
     }
 
-    pub fn note_asked(&mut self, now: Timestamp) {
-        if now.since(self.asked) >= AWAY {
-            self.in_touch_since = now;
+    pub fn record_watch_request(&mut self, now: Timestamp) {
+        if now.since(self.last_watch_at) >= MAX_WATCH_GAP {
+            self.watched_since = now;
         }
-        self.asked = now;
+        self.last_watch_at = now;
     }
 
-    pub fn note_watcher(&mut self, watch: &WatchView, now: Timestamp) {
-        let newest = self.configuration.as_ref().map_or(0, |held| held.version);
+    pub fn record_watcher(&mut self, watch: &WatchView, now: Timestamp) {
+        let newest = self
+            .configuration
+            .as_ref()
+            .map_or(0, |current| current.version);
         let is_behind = watch.version.is_some_and(|version| version < newest);
         let before = self.watchers.get(&watch.node);
-        let begins =
-            watch.mark == ViewMark::default() || before.is_some_and(|watcher| watcher.begins);
+        let started_empty = watch.mark == ViewMark::default()
+            || before.is_some_and(|watcher| watcher.started_empty);
         let before = before.and_then(|watcher| watcher.behind_since);
         let watcher = Watcher {
             kind: watch.kind,
             zone: watch.zone.clone(),
-            at: now,
+            last_seen: now,
             behind_since: is_behind.then_some(before.unwrap_or(now)),
-            begins,
+            started_empty,
         };
         self.watchers.insert(watch.node, watcher);
     }
 
-    pub fn watching(&self, kind: WatcherKind) -> BTreeSet<NodeId> {
+    pub fn watchers_of(&self, kind: WatcherKind) -> BTreeSet<NodeId> {
         let watchers = self.watchers.iter();
-        let of_kind = watchers.filter(|(_, watcher)| watcher.kind == kind);
-        of_kind.map(|(node, _)| *node).collect()
+        let matching = watchers.filter(|(_, watcher)| watcher.kind == kind);
+        matching.map(|(node, _)| *node).collect()
     }
 
-    pub fn count_gateways(&mut self, change: u64) -> bool {
-        let mut gateways = self.watching(WatcherKind::Gateway);
+    pub fn update_gateways(&mut self, change: u64) -> bool {
+        let mut gateways = self.watchers_of(WatcherKind::Gateway);
         let count = gateways.len() as u32;
         if gateways.len() > MOST_NAMED {
             gateways.clear();
@@ -155,16 +166,18 @@
         true
     }
 
-    /// Takes what happened to engines over into the choice of who uses them.
-    pub fn assign(&mut self, change: u64) {
-        for news in self.registry.take_news() {
-            match news {
-                News::Heard {
+    /// Applies registry events to the assignment of engines to gateways.
+    pub fn apply_registry_events(&mut self, change: u64) {
+        for event in self.registry.take_events() {
+            match event {
+                RegistryEvent::Registered {
                     service,
                     engine,
                     zone,
                 } => self.subsets.insert(&service, &engine, &zone, change),
-                News::Gone { service, engine } => self.subsets.remove(&service, &engine, change),
+                RegistryEvent::Gone { service, engine } => {
+                    self.subsets.remove(&service, &engine, change)
+                }
             }
         }
     }
@@ -172,29 +185,29 @@
     pub fn plan_subsets(&mut self, now: Timestamp, change: u64) -> bool {
         for (node, watcher) in &self.watchers {
             if watcher.kind == WatcherKind::Gateway {
-                let gateway = (watcher.zone.clone(), watcher.at);
+                let gateway = (watcher.zone.clone(), watcher.last_seen);
                 self.gateways.insert(*node, gateway);
             }
         }
         self.gateways
-            .retain(|_, (_, at)| now.since(*at) < ENGINES_KEPT);
+            .retain(|_, (_, last_seen)| now.since(*last_seen) < ASSIGNMENT_RETENTION);
         let gateways = self.gateways.iter();
         let gateways = gateways.map(|(&node, (zone, _))| (node, zone.clone()));
-        let settled = now.since(self.in_touch_since) >= SETTLED_AFTER;
+        let settled = now.since(self.watched_since) >= SETTLE_TIME;
         self.subsets.plan(&gateways.collect(), settled, change)
     }
 
-    pub fn take_configuration(
+    pub fn apply_configuration(
         &mut self,
         declared: &DeclaredState,
         change: u64,
         now: Timestamp,
     ) -> bool {
-        let held = self.configuration.as_ref().map(|held| held.version);
+        let current = self.configuration.as_ref().map(|current| current.version);
         let Some(newest) = declared.configuration() else {
             return false;
         };
-        if held.is_some_and(|held| held >= newest.version) {
+        if current.is_some_and(|current| current >= newest.version) {
             return false;
         }
         self.configuration = Some(ConfigurationInForce {
@@ -206,7 +219,7 @@
         true
     }
 
-    pub fn take_departures(&mut self, declared: &DeclaredState, change: u64) -> bool {
+    pub fn apply_departures(&mut self, declared: &DeclaredState, change: u64) -> bool {
         let mut changed = false;
         for (engine, departure) in declared.departures().iter() {
             let known = self.departures.get(engine).copied();
@@ -214,19 +227,19 @@
                 let engine = engine.to_owned();
                 let before = known.map(|(_, before)| before);
                 if before.is_none() && !self.has_few_users(&engine) {
-                    self.departure_for_all = change;
+                    self.shared_departure_changed = change;
                 }
-                self.departure_log.note(&engine, before, change);
+                self.departure_log.record(&engine, before, change);
                 self.registry.remove(&engine);
                 self.departures.insert(engine, (departure, change));
                 changed = true;
             }
         }
-        self.assign(change);
+        self.apply_registry_events(change);
         changed
     }
 
-    /// How far an engine is on its way out, in this life or a later one.
+    /// Returns the departure state of an engine, which also binds its earlier lives.
     pub fn departure(&self, id: &str) -> Option<Departure> {
         let life = EngineLife::of(id);
         let departed = lives_of(&self.departures, life.name);
@@ -234,8 +247,8 @@
         binding.map(|(_, (departure, _))| *departure).max()
     }
 
-    /// Whether an engine is known to be used by few gateways. Before it is known who they
-    /// are, whoever knows the engine from before has to hear of it.
+    /// Whether the engine is assigned to only some of the gateways. Until the assignment
+    /// is known, a departure must reach every gateway that may know the engine.
     pub fn has_few_users(&self, engine: &str) -> bool {
         let record = self.registry.bound_by(engine);
         record.is_some_and(|record| {
@@ -244,11 +257,12 @@
         })
     }
 
-    pub fn take_bars(&mut self, declared: &DeclaredState, change: u64) -> bool {
-        let held = declared.bars();
-        self.bars.retain(|request, _| held.get(request).is_some());
+    pub fn apply_bars(&mut self, declared: &DeclaredState, change: u64) -> bool {
+        let declared_bars = declared.bars();
+        self.bars
+            .retain(|request, _| declared_bars.get(request).is_some());
         let mut changed = false;
-        for (request, bar) in held.iter() {
+        for (request, bar) in declared_bars.iter() {
             let known = self.bars.get(request).map(|(known, _)| known);
             if known != Some(bar) {
                 self.bars.insert(*request, (*bar, change));
@@ -259,7 +273,7 @@
         changed
     }
 
-    pub fn take_topology(
+    pub fn apply_topology(
         &mut self,
         declared: &DeclaredState,
         control: BTreeSet<NodeId>,
--- a/crates/fleet/src/control/node.rs
+++ b/crates/fleet/src/control/node.rs
@@ -1,4 +1,4 @@
-//! A control node put together: its replica, its view, its interfaces.
+//! A control node: its replica, its view and its interfaces.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -26,40 +26,40 @@
 use super::api::ControlApi;
 use super::dialect::ControlDialect;
 use super::hub::Hub;
-use super::relay::{RelayedWork, relay_work};
+use super::relay::{RelayState, relay_work};
 use crate::membership::{ClusterAddresses, cluster, replica_options, start_replica};
 use crate::view::EngineRecord;
 
-/// Time between two rounds of telling the other control nodes.
-const ROUND: Duration = Duration::from_secs(1);
-/// Shortest time between two reads of what the replica has applied: each reads and copies
-/// the whole, and entries come many at a time where many engines leave.
-const REFRESHED_EVERY: Duration = Duration::from_millis(20);
+/// Interval between rounds of sending heartbeats to the other control nodes.
+const PEER_ROUND_INTERVAL: Duration = Duration::from_secs(1);
+/// Minimum interval between reads of the replica's state. Each read copies the whole
+/// state, and many entries arrive at once when many engines leave.
+const MIN_REFRESH_INTERVAL: Duration = Duration::from_millis(20);
 
-/// What a control node is started with.
+/// Options of a control node.
 #[derive(Clone, Debug)]
 pub struct ControlOptions {
-    /// Where the nodes are.
+    /// Addresses of the nodes.
     pub addresses: ClusterAddresses,
-    /// Where it stands.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// Where engines and operators call.
+    /// Address of the interface for engines and operators.
     pub api_address: SocketAddr,
-    /// Folder of what must survive.
+    /// Directory of persistent data.
     pub data_folder: PathBuf,
-    /// Whether the disks of all control nodes are blank for the first time, so
-    /// that the seeds found the group.
+    /// Whether the disks of all control nodes are empty because the cluster starts for
+    /// the first time, so that the seeds bootstrap the group.
     pub first_start: bool,
-    /// Losses of machines that are to be borne at once.
+    /// Number of simultaneous machine failures to tolerate.
     pub tolerated_losses: u32,
-    /// An engine that is silent for longer is lost.
+    /// Time without a heartbeat after which an engine is lost.
     pub engine_silence: Duration,
-    /// Bound of handing leadership over before a planned stop.
+    /// Time limit for transferring leadership before a planned stop.
     pub hand_over_within: Duration,
 }
 
 impl ControlOptions {
-    /// Voters of a group that bears the losses.
+    /// Returns the number of voters needed to tolerate the failures.
     #[must_use]
     pub fn voters(&self) -> usize {
         2 * self.tolerated_losses as usize + 1
@@ -94,11 +94,11 @@
     own: NodeId,
 }
 
-/// Answers other nodes.
+/// Handles the requests of other nodes.
 struct PeerHandler {
     replica: Arc<ReplicaRole>,
     hub: Arc<Hub>,
-    work: Arc<RelayedWork>,
+    work: Arc<RelayState>,
     logger: Logger,
 }
 
@@ -114,9 +114,11 @@
         match request {
             Request::EnginesHeard { records } => {
                 match molespan_state::decode::<Vec<EngineRecord>>(&records) {
-                    Ok(records) => self.hub.hear_elsewhere(records),
-                    Err(error) => warn!(self.logger, "engines heard elsewhere not read";
-                        "bytes" => records.len(), "error" => %error),
+                    Ok(records) => self.hub.record_forwarded(records),
+                    Err(error) => {
+                        warn!(self.logger, "cannot decode engines forwarded by another node";
+                        "bytes" => records.len(), "error" => %error)
+                    }
                 }
             }
             Request::EngineWork {
@@ -131,16 +133,16 @@
             } => {
                 let usage = usage.as_ref().map(|usage| usage.as_slice());
                 if let Some(demand) = demand {
-                    self.work.note_demand(from, &demand, relayed);
+                    self.work.record_demand(from, &demand, relayed);
                 }
-                self.work.note(from, &shares, usage, relayed);
+                self.work.record_work(from, &shares, usage, relayed);
                 if let Some(blames) = blames {
-                    self.work.note_blames(from, &blames);
+                    self.work.record_blames(from, &blames);
                 }
                 let reach = reach.as_ref().map(|reach| reach.as_slice());
-                self.work.note_reach(from, reach, relayed);
+                self.work.record_reach(from, reach, relayed);
                 if let Some(gateways) = gateways {
-                    self.work.note_spoken_for(from, gateways);
+                    self.work.record_gateway_count(from, gateways);
                 }
             }
             other => self.replica.notify(other),
@@ -149,10 +151,10 @@
 }
 
 impl ControlNode {
-    /// Starts a control node; its work is done on `executor` and `local`.
+    /// Starts a control node that runs on `executor` and `local`.
     ///
     /// # Errors
-    /// When the data folder or an address cannot be used.
+    /// Returns an error if the data directory or an address cannot be used.
     pub fn start<D: ControlDialect>(
         options: &ControlOptions,
         dialect: D,
@@ -174,9 +176,9 @@
             replica: replica.clone(),
             others: wire.clone(),
         });
-        let cluster = cluster(transport, nearest_first(&options.addresses));
+        let cluster = cluster(transport, own_node_first(&options.addresses));
         let server = Server::bind(options.addresses.own_address(), ServerLimits::default())?;
-        let work = Arc::new(RelayedWork::new(logger.clone()));
+        let work = Arc::new(RelayState::new(logger.clone()));
         let relaying = relay_work(own, work.clone(), hub.clone(), wire.clone());
         local.spawn(relaying).detach();
         let handler = PeerHandler {
@@ -210,10 +212,12 @@
         });
         let following = node.clone();
         local
-            .spawn(async move { following.follow(&cluster).await })
+            .spawn(async move { following.follow_replica(&cluster).await })
             .detach();
         let rounds = node.clone();
-        local.spawn(async move { rounds.rounds().await }).detach();
+        local
+            .spawn(async move { rounds.forward_heartbeats().await })
+            .detach();
         let announcing = node.hub.clone();
         executor
             .spawn(async move { announcing.announce().await })
@@ -223,15 +227,15 @@
         Ok(node)
     }
 
-    /// Keeps the view as new as what the replica has applied.
-    async fn follow(&self, cluster: &Cluster) {
+    /// Updates the view as the replica applies entries.
+    async fn follow_replica(&self, cluster: &Cluster) {
         loop {
             self.refresh(cluster).await;
-            Timer::after(REFRESHED_EVERY).await;
-            let late = async {
-                Timer::after(ROUND).await;
+            Timer::after(MIN_REFRESH_INTERVAL).await;
+            let timeout = async {
+                Timer::after(PEER_ROUND_INTERVAL).await;
             };
-            future::or(self.replica.changed(), late).await;
+            future::or(self.replica.changed(), timeout).await;
         }
     }
 
@@ -260,26 +264,26 @@
         let retiring = declared.stores().retiring();
         self.replica.set_members(control.clone(), retiring);
         let applied = status.groups.first().map_or(0, |group| group.applied);
-        self.hub.take(&declared, control, applied);
+        self.hub.apply_declared(&declared, control, applied);
     }
 
-    /// Tells the other control nodes which engines were heard, so that each
-    /// knows all of them whichever they call.
-    async fn rounds(&self) {
-        let mut told = Timestamp::ZERO;
+    /// Sends recent heartbeats to the other control nodes, so that each node knows all
+    /// engines, whichever node those call.
+    async fn forward_heartbeats(&self) {
+        let mut last_round = Timestamp::ZERO;
         loop {
-            Timer::after(ROUND).await;
+            Timer::after(PEER_ROUND_INTERVAL).await;
             self.hub.expire();
             let now = self.hub.now();
-            let heard = self.hub.heard_since(told);
-            told = now;
-            if heard.is_empty() {
+            let recent = self.hub.heartbeats_since(last_round);
+            last_round = now;
+            if recent.is_empty() {
                 continue;
             }
             let Some(status) = self.replica.status().await else {
                 continue;
             };
-            let records = molespan_state::encode(&heard);
+            let records = molespan_state::encode(&recent);
             for node in members(&status) {
                 if node != self.own {
                     let records = records.clone().into();
@@ -289,20 +293,20 @@
         }
     }
 
-    /// Ends once the replica cannot go on.
+    /// Completes when the replica fails.
     pub async fn failed(&self) {
         let _error = self.replica.ended().await;
     }
 
-    /// Hands leadership over and stops.
+    /// Transfers leadership and stops the replica.
     pub async fn stop(&self) {
-        let handed = self.replica.stop().await;
-        info!(self.logger, "stopped"; "handed_over" => handed.handed_over.len());
+        let handover = self.replica.stop().await;
+        info!(self.logger, "stopped"; "handed_over" => handover.handed_over.len());
     }
 }
 
-/// Nodes that hold the control group, as its log says here, or as others said
-/// where this node holds no part of it.
+/// Returns the members of the control group according to the local log, or as reported by
+/// other nodes if this node is not a member.
 fn members(status: &ReplicaStatus) -> BTreeSet<NodeId> {
     let voters = status.groups.iter().flat_map(|group| &group.voters);
     let voters: BTreeSet<NodeId> = voters.map(|(node, _)| *node).collect();
@@ -312,7 +316,7 @@
     }
 }
 
-fn nearest_first(addresses: &ClusterAddresses) -> Vec<NodeId> {
+fn own_node_first(addresses: &ClusterAddresses) -> Vec<NodeId> {
     let mut nodes = vec![addresses.own];
     nodes.extend(
         addresses
--- a/crates/fleet/src/control/registry.rs
+++ b/crates/fleet/src/control/registry.rs
@@ -1,6 +1,6 @@
-//! Engines that say they are there. Kept in memory: an engine says so again
-//! and again, and a control node that starts anew hears of all within a
-//! heartbeat.
+//! Registry of live engines, built from their heartbeats. It is kept in memory only:
+//! engines repeat their heartbeats, so a restarted control node knows all of them again
+//! within one heartbeat interval.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
@@ -11,68 +11,69 @@
 use super::change_log::ChangeLog;
 use crate::view::EngineRecord;
 
-/// Engines that were lost and are still told of; the oldest go first.
-const REMEMBERED_LOST: usize = 1_000;
+/// Maximum number of displaced engines, and of revisions with lost engines, that are
+/// remembered; the oldest are dropped first.
+const MAX_REMEMBERED: usize = 1_000;
 
 #[derive(Clone, Debug)]
 struct Entry {
     record: EngineRecord,
-    heard: Timestamp,
-    /// Whether it was this node that it called last.
-    called_here: bool,
-    /// Change of the view at which it was new or changed.
+    last_heartbeat: Timestamp,
+    /// Whether the latest heartbeat was sent to this node.
+    received_here: bool,
+    /// Revision of the view at which the engine was added or changed.
     changed: u64,
 }
 
-/// An engine that fell silent or whose address was taken.
+/// An engine that stopped sending heartbeats or whose address was taken by another one.
 #[derive(Clone, Debug)]
 struct Lost {
     id: String,
     service: String,
 }
 
-/// What happened to an engine, for whoever decides which gateways use it.
+/// A change of an engine, used to assign engines to gateways.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum News {
-    /// It is new, or something of it changed.
-    Heard {
+pub(super) enum RegistryEvent {
+    /// The engine was added or changed.
+    Registered {
         service: String,
         engine: String,
         zone: ZoneName,
     },
-    /// It is not there any more.
+    /// The engine was removed.
     Gone { service: String, engine: String },
 }
 
-/// Engines, with the change at which each became as it is.
+/// Live engines, with the revision at which each last changed.
 #[derive(Clone, Debug)]
 pub struct Registry {
     engines: BTreeMap<String, Entry>,
-    /// The engine that has each address: a search through all of them for each that is
-    /// new would cost the square of their number.
+    /// The engine at each address. Scanning all engines for each new one would take
+    /// quadratic time.
     by_address: HashMap<String, String>,
-    /// Engines of each service by the change at which they became as they are.
+    /// Engines of each service by the revision at which they last changed.
     changes: BTreeMap<String, ChangeLog<String>>,
-    /// Slots of all engines together.
+    /// Total number of concurrency slots.
     slots: u64,
-    /// Engines that fell silent or whose address was taken, by the change.
+    /// Engines that stopped sending heartbeats or whose address was taken, by revision.
     lost: BTreeMap<u64, Vec<Lost>>,
-    /// The last change that lost an engine of a service.
+    /// Revision of the latest loss of an engine, by service.
     last_lost: BTreeMap<String, u64>,
-    /// What happened since it was asked for.
-    news: Vec<News>,
-    /// Addresses that engines lost to later ones. A heartbeat that a cut held up
-    /// may still come and must not take the address back.
+    /// Events since the last call of `take_events`.
+    events: Vec<RegistryEvent>,
+    /// Addresses that engines lost to later ones. A heartbeat delayed by a network
+    /// partition may still arrive and must not reclaim the address.
     displaced: BTreeMap<String, String>,
-    /// Their identifiers, the oldest first.
+    /// Identifiers of the displaced engines, oldest first.
     displaced_order: VecDeque<String>,
-    /// The latest start of each engine that tells one.
+    /// Latest known start time of each engine that reports one.
     latest: LatestLives,
     silence: Duration,
 }
 
 impl Registry {
-    /// An empty registry; an engine is lost after `silence`.
+    /// Creates an empty registry; an engine is lost after `silence` without a heartbeat.
     #[must_use]
     pub fn new(silence: Duration) -> Self {
         Self {
@@ -82,7 +83,7 @@
             slots: 0,
             lost: BTreeMap::new(),
             last_lost: BTreeMap::new(),
-            news: Vec::new(),
+            events: Vec::new(),
             displaced: BTreeMap::new(),
             displaced_order: VecDeque::new(),
             latest: LatestLives::default(),
@@ -90,24 +91,30 @@
         }
     }
 
-    /// Takes a heartbeat in that came to this node. `change` is the number that a change
-    /// gets; says whether there was one.
-    pub fn hear(&mut self, record: EngineRecord, now: Timestamp, change: u64) -> bool {
-        self.note(record, true, now, change)
+    /// Records a heartbeat that was sent to this node. `change` is the revision that a
+    /// change gets. Returns whether there was one.
+    pub fn record_heartbeat(&mut self, record: EngineRecord, now: Timestamp, change: u64) -> bool {
+        self.apply_heartbeat(record, true, now, change)
     }
 
-    /// The same of a heartbeat that came to another control node. One that is not newer
-    /// than what is known says nothing: nodes that pass on to each other what they were
-    /// told would keep an engine that has crashed for good.
-    pub fn hear_elsewhere(&mut self, record: EngineRecord, now: Timestamp, change: u64) -> bool {
+    /// Records a heartbeat that was sent to another control node. It is ignored unless it
+    /// is newer than the known one: otherwise, control nodes that forward heartbeats to
+    /// each other would keep a crashed engine alive forever.
+    pub fn record_forwarded(&mut self, record: EngineRecord, now: Timestamp, change: u64) -> bool {
         let known = self.engines.get(&record.id);
         if known.is_some_and(|known| record.sequence <= known.record.sequence) {
             return false;
         }
-        self.note(record, false, now, change)
+        self.apply_heartbeat(record, false, now, change)
     }
 
-    fn note(&mut self, record: EngineRecord, here: bool, now: Timestamp, change: u64) -> bool {
+    fn apply_heartbeat(
+        &mut self,
+        record: EngineRecord,
+        here: bool,
+        now: Timestamp,
+        change: u64,
+    ) -> bool {
         if self.latest.has_later(&record.id) {
             return false;
         }
@@ -116,29 +123,29 @@
                 return false;
             }
             if entry.record.is_same_engine(&record) {
-                entry.heard = now;
-                entry.called_here = here;
+                entry.last_heartbeat = now;
+                entry.received_here = here;
                 entry.record = record;
                 return false;
             }
-            self.forget(&record.id);
+            self.remove_entry(&record.id);
         } else if self.displaced.get(&record.id) == Some(&record.address) {
             return false;
         }
-        self.lose_earlier(&record.id, change);
-        self.displace(&record.address, change);
+        self.remove_earlier_lives(&record.id, change);
+        self.release_address(&record.address, change);
         self.insert(record, here, now, change);
         true
     }
 
-    /// An engine that starts again has ended before.
-    fn lose_earlier(&mut self, id: &str, change: u64) {
+    /// Removes the earlier lives of an engine that restarted.
+    fn remove_earlier_lives(&mut self, id: &str, change: u64) {
         let life = EngineLife::of(id);
         let known = lives_of(&self.engines, life.name);
         let earlier = known.filter(|(id, _)| EngineLife::of(id).is_before(&life));
         let earlier: Vec<String> = earlier.map(|(id, _)| id.clone()).collect();
         for id in &earlier {
-            self.lose(id, change);
+            self.mark_lost(id, change);
         }
         self.latest.note(id);
     }
@@ -146,60 +153,60 @@
     fn insert(&mut self, record: EngineRecord, here: bool, now: Timestamp, change: u64) {
         let id = record.id.clone();
         let log = self.changes.entry(record.service.clone()).or_default();
-        log.note(&id, None, change);
+        log.record(&id, None, change);
         self.slots += u64::from(record.slots);
         self.by_address.insert(record.address.clone(), id.clone());
-        self.news.push(News::Heard {
+        self.events.push(RegistryEvent::Registered {
             service: record.service.clone(),
             engine: id.clone(),
             zone: record.zone.clone(),
         });
         let entry = Entry {
-            heard: now,
-            called_here: here,
+            last_heartbeat: now,
+            received_here: here,
             changed: change,
             record,
         };
         self.engines.insert(id, entry);
     }
 
-    /// Takes an engine out of everything but the memory of those that were lost.
-    fn forget(&mut self, id: &str) -> Option<Entry> {
+    /// Removes an engine without recording it as lost.
+    fn remove_entry(&mut self, id: &str) -> Option<Entry> {
         let entry = self.engines.remove(id)?;
         let EngineRecord {
             service, address, ..
         } = &entry.record;
         self.slots -= u64::from(entry.record.slots);
         if let Some(log) = self.changes.get_mut(service) {
-            log.forget(&entry.record.id, entry.changed);
+            log.remove(&entry.record.id, entry.changed);
         }
         if self.by_address.get(address).map(String::as_str) == Some(id) {
             self.by_address.remove(address);
         }
-        self.news.push(News::Gone {
+        self.events.push(RegistryEvent::Gone {
             service: service.clone(),
             engine: id.to_owned(),
         });
         Some(entry)
     }
 
-    /// An engine that registers an address has it alone.
-    fn displace(&mut self, address: &str, change: u64) {
+    /// Removes the engine that holds `address`, since another one has registered it.
+    fn release_address(&mut self, address: &str, change: u64) {
         let Some(id) = self.by_address.get(address).cloned() else {
             return;
         };
-        self.lose(&id, change);
+        self.mark_lost(&id, change);
         self.displaced_order.push_back(id.clone());
         self.displaced.insert(id, address.to_owned());
-        while self.displaced_order.len() > REMEMBERED_LOST
+        while self.displaced_order.len() > MAX_REMEMBERED
             && let Some(oldest) = self.displaced_order.pop_front()
         {
             self.displaced.remove(&oldest);
         }
     }
 
-    fn lose(&mut self, id: &str, change: u64) {
-        if let Some(entry) = self.forget(id) {
+    fn mark_lost(&mut self, id: &str, change: u64) {
+        if let Some(entry) = self.remove_entry(id) {
             let service = entry.record.service;
             self.last_lost.insert(service.clone(), change);
             let lost = Lost {
@@ -208,20 +215,20 @@
             };
             self.lost.entry(change).or_default().push(lost);
         }
-        while self.lost.len() > REMEMBERED_LOST {
+        while self.lost.len() > MAX_REMEMBERED {
             self.lost.pop_first();
         }
     }
 
-    /// Removes an engine that left, in this life or one before; its departure is told in
-    /// another way.
+    /// Removes an engine, in the life that departed or an earlier one. Departures are
+    /// reported separately, so the engine is not recorded as lost.
     pub fn remove(&mut self, departed: &str) {
         if let Some(id) = self.bound_by(departed).map(|record| record.id.clone()) {
-            let _known = self.forget(&id);
+            let _known = self.remove_entry(&id);
         }
     }
 
-    /// The engine that is there and that a departure binds.
+    /// Returns the live engine that a departure of `departed` applies to.
     pub(super) fn bound_by(&self, departed: &str) -> Option<&EngineRecord> {
         let departed = EngineLife::of(departed);
         let mut lives = lives_of(&self.engines, departed.name);
@@ -229,9 +236,10 @@
         bound.map(|(_, entry)| &entry.record)
     }
 
-    /// The life that an end without a start is of, or a later one that binds all that
-    /// have begun by `now_ms`, milliseconds since 1970.
-    pub(super) fn ends(&self, name: &str, now_ms: u64) -> String {
+    /// Returns the life that a shutdown without a start time applies to. Unless the live
+    /// engine reports no start time, this is a life late enough that the departure
+    /// applies to every life started by `now_ms`, in milliseconds since the Unix epoch.
+    pub(super) fn ended_life(&self, name: &str, now_ms: u64) -> String {
         if self.engines.contains_key(name) {
             return name.to_owned();
         }
@@ -243,18 +251,18 @@
         life.id()
     }
 
-    /// Loses engines that are silent for too long; says whether there were any.
+    /// Removes engines that were silent for too long. Returns whether there were any.
     pub fn expire(&mut self, now: Timestamp, change: u64) -> bool {
         let engines = self.engines.iter();
-        let silent = engines.filter(|(_, entry)| now.since(entry.heard) >= self.silence);
+        let silent = engines.filter(|(_, entry)| now.since(entry.last_heartbeat) >= self.silence);
         let silent: Vec<String> = silent.map(|(id, _)| id.clone()).collect();
         for id in &silent {
-            self.lose(id, change);
+            self.mark_lost(id, change);
         }
         !silent.is_empty()
     }
 
-    /// Engines that are new or changed after `change`.
+    /// Returns the engines that were added or changed after revision `change`.
     pub fn changed_after(&self, change: u64) -> Vec<EngineRecord> {
         let services = self.changes.keys();
         let changed = services.flat_map(|service| self.changed_in(service, change));
@@ -263,7 +271,8 @@
         changed
     }
 
-    /// Engines of a service that are new or changed after `change`.
+    /// Returns the engines of a service that were added or changed after revision
+    /// `change`.
     pub(super) fn changed_in(
         &self,
         service: &str,
@@ -274,47 +283,49 @@
         ids.filter_map(|id| self.record(id))
     }
 
-    /// Slots of all engines together.
+    /// Returns the total number of concurrency slots.
     pub(super) fn slots(&self) -> u64 {
         self.slots
     }
 
-    /// Whether an engine of a service came, changed or was lost behind `since`.
+    /// Whether an engine of a service was added, changed or lost after revision `since`.
     pub(super) fn changed_since(&self, service: &str, since: u64) -> bool {
-        let changed = self.changes.get(service).map_or(0, ChangeLog::last);
+        let changed = self.changes.get(service).map_or(0, ChangeLog::latest);
         let lost = self.last_lost.get(service).copied().unwrap_or_default();
         changed.max(lost) > since
     }
 
-    /// What an engine last said.
+    /// Returns the latest heartbeat of an engine.
     pub(super) fn record(&self, id: &str) -> Option<&EngineRecord> {
         self.engines.get(id).map(|entry| &entry.record)
     }
 
-    /// Engines that were lost after `change` and are not back.
+    /// Returns the engines that were lost after revision `change` and have not come back.
     pub fn lost_after(&self, change: u64) -> Vec<String> {
-        self.lost_of(change, |_| true)
+        self.lost_in(change, |_| true)
     }
 
-    /// The same of the services that `of_service` names.
-    pub(super) fn lost_of(&self, change: u64, of_service: impl Fn(&str) -> bool) -> Vec<String> {
+    /// Same as [`lost_after`](Self::lost_after), for the services accepted by
+    /// `of_service`.
+    pub(super) fn lost_in(&self, change: u64, of_service: impl Fn(&str) -> bool) -> Vec<String> {
         let lost = self.lost.range(change + 1..).flat_map(|(_, lost)| lost);
-        let gone = lost.filter(|one| !self.engines.contains_key(&one.id));
-        let told = gone.filter(|one| of_service(&one.service));
-        told.map(|one| one.id.clone()).collect()
+        let gone = lost.filter(|engine| !self.engines.contains_key(&engine.id));
+        let matching = gone.filter(|engine| of_service(&engine.service));
+        matching.map(|engine| engine.id.clone()).collect()
     }
 
-    /// What happened to engines since this was last called.
-    pub(super) fn take_news(&mut self) -> Vec<News> {
-        std::mem::take(&mut self.news)
+    /// Returns the events since the last call.
+    pub(super) fn take_events(&mut self) -> Vec<RegistryEvent> {
+        std::mem::take(&mut self.events)
     }
 
-    /// Engines that called this node at `since` or later, for telling other control nodes.
-    /// Whom they called last tells of them: if each node told all that it had heard, every
-    /// heartbeat would go from each of them to all others.
-    pub fn heard_since(&self, since: Timestamp) -> Vec<EngineRecord> {
+    /// Returns the engines whose latest heartbeat was sent to this node, at or after
+    /// `since`, to forward to other control nodes. Only the node that received a
+    /// heartbeat forwards it; otherwise every node would send every heartbeat to all
+    /// others.
+    pub fn heartbeats_since(&self, since: Timestamp) -> Vec<EngineRecord> {
         let engines = self.engines.values();
-        let engines = engines.filter(|entry| entry.called_here && entry.heard >= since);
+        let engines = engines.filter(|entry| entry.received_here && entry.last_heartbeat >= since);
         engines.map(|entry| entry.record.clone()).collect()
     }
 }
--- a/crates/fleet/src/control/relay.rs
+++ b/crates/fleet/src/control/relay.rs
@@ -1,4 +1,5 @@
-//! Relaying between gateways what they have at engines and of tenants.
+//! Relays the reports of gateways to other gateways: their load on engines, demand, use
+//! of tenants' limits, requests suspected of crashing engines, and unreachable zones.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -19,38 +20,39 @@
 use super::hub::Hub;
 use crate::telling;
 
-/// Time after which other relays and gateways are told again what did not change.
-const REPEATED_AFTER: Duration = Duration::from_millis(400);
+/// Interval after which unchanged reports are sent again to other relays and to gateways.
+const RESEND_INTERVAL: Duration = Duration::from_millis(400);
 
-/// What was told, by its kind.
+/// Received reports, by kind.
 #[derive(Debug, Default)]
-struct Relays {
+struct RelayTables {
     work: WorkRelay,
     demand: DemandRelay,
     usage: UsageRelay,
-    /// Whether use of tenants' limits came since it was passed on.
-    usage_came: bool,
+    /// Whether reports on the use of tenants' limits arrived since the last time they
+    /// were forwarded.
+    usage_received: bool,
     suspects: SuspectTable,
     reach: ReachRelay,
 }
 
-/// What gateways and other relays told this node.
+/// Reports received from gateways and other relays.
 #[derive(Debug)]
-pub(super) struct RelayedWork {
+pub(super) struct RelayState {
     clock: BootClock,
-    relays: Mutex<Relays>,
-    /// Told that something came; a relay that nobody uses does nothing.
-    heard: (Sender<()>, Receiver<()>),
+    relays: Mutex<RelayTables>,
+    /// Signals that something was received; a relay that no gateway uses stays idle.
+    received: (Sender<()>, Receiver<()>),
     logger: Logger,
 }
 
-impl RelayedWork {
-    /// Nothing was told yet.
+impl RelayState {
+    /// Creates an empty state.
     pub fn new(logger: Logger) -> Self {
         Self {
             clock: BootClock::start(),
             relays: Mutex::default(),
-            heard: async_channel::bounded(1),
+            received: async_channel::bounded(1),
             logger,
         }
     }
@@ -59,122 +61,130 @@
         self.clock.now()
     }
 
-    fn lock(&self) -> MutexGuard<'_, Relays> {
+    fn lock(&self) -> MutexGuard<'_, RelayTables> {
         self.relays.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Another relay speaks for so many gateways.
-    pub fn note_spoken_for(&self, from: NodeId, gateways: u32) {
+    /// Records the number of gateways that another relay reports for.
+    pub fn record_gateway_count(&self, from: NodeId, gateways: u32) {
         let now = self.now();
         self.lock().work.note_spoken_for(from, gateways, now);
     }
 
-    /// Takes in what a gateway, or another relay, told of requests that ran at engines
-    /// as they ended.
-    pub fn note_blames(&self, from: NodeId, blames: &[u8]) {
+    /// Records a report by a gateway or another relay of requests that were running on
+    /// engines when those terminated.
+    pub fn record_blames(&self, from: NodeId, blames: &[u8]) {
         let Some(blames) = telling::read::<Vec<Blame>>(&self.logger, from, "blames", blames) else {
             return;
         };
         let now = self.now();
         if self.lock().suspects.note(&blames, now) {
-            let _already_told = self.heard.0.try_send(());
+            let _already_signaled = self.received.0.try_send(());
         }
     }
 
-    /// Takes in what a gateway, or another relay, told of zones out of reach.
-    pub fn note_reach(&self, from: NodeId, reach: Option<&[u8]>, relayed: bool) {
-        let told = match reach {
+    /// Records a report by a gateway or another relay of unreachable zones.
+    pub fn record_reach(&self, from: NodeId, reach: Option<&[u8]>, relayed: bool) {
+        let reports = match reach {
             Some(reach) => telling::read(&self.logger, from, "zones out of reach", reach),
             None => Some(Vec::new()),
         };
-        // What cannot be read takes back nothing that was told before.
-        let Some(told) = told else {
+        // A malformed report does not revoke the earlier ones.
+        let Some(reports) = reports else {
             return;
         };
         let now = self.now();
-        if self.lock().reach.note(from, teller(relayed), told, now) {
-            let _already_told = self.heard.0.try_send(());
+        if self
+            .lock()
+            .reach
+            .note(from, sender_kind(relayed), reports, now)
+        {
+            let _already_signaled = self.received.0.try_send(());
         }
     }
 
-    /// Takes in what a gateway, or another relay, told of demand. It is passed on with the
-    /// work that comes in the same message.
-    pub fn note_demand(&self, from: NodeId, demand: &[u8], relayed: bool) {
+    /// Records a report of demand by a gateway or another relay. It is forwarded together
+    /// with the load in the same message.
+    pub fn record_demand(&self, from: NodeId, demand: &[u8], relayed: bool) {
         let Some(demand) =
             telling::read::<Vec<ServiceDemand>>(&self.logger, from, "demand", demand)
         else {
             return;
         };
         let now = self.now();
-        self.lock().demand.note(from, teller(relayed), demand, now);
+        self.lock()
+            .demand
+            .note(from, sender_kind(relayed), demand, now);
     }
 
-    /// Takes in what a gateway, or another relay, told.
-    pub fn note(&self, from: NodeId, shares: &[u8], usage: Option<&[u8]>, relayed: bool) {
+    /// Records a report of load and of the use of tenants' limits by a gateway or another
+    /// relay.
+    pub fn record_work(&self, from: NodeId, shares: &[u8], usage: Option<&[u8]>, relayed: bool) {
         let Some(shares) = telling::read::<Vec<WorkShare>>(&self.logger, from, "work", shares)
         else {
             return;
         };
         let usage =
             usage.and_then(|usage| telling::read(&self.logger, from, "use of limits", usage));
-        let teller = teller(relayed);
+        let sender = sender_kind(relayed);
         let now = self.now();
         let changed = {
             let mut relays = self.lock();
             if let Some(usage) = usage {
-                relays.usage.note(from, teller, usage, now);
-                relays.usage_came = true;
+                relays.usage.note(from, sender, usage, now);
+                relays.usage_received = true;
             }
-            relays.work.note(from, teller, shares, now)
+            relays.work.note(from, sender, shares, now)
         };
-        // What gateways repeat is passed on, so that it holds. If relays did
-        // the same with one another's words, they would never come to rest.
-        if changed || teller == Teller::Gateway {
-            let _already_told = self.heard.0.try_send(());
+        // Repeated reports of gateways are forwarded so that they do not expire. Relays
+        // that forwarded each other's repeated reports would never become idle.
+        if changed || sender == Teller::Gateway {
+            let _already_signaled = self.received.0.try_send(());
         }
     }
 }
 
-fn teller(relayed: bool) -> Teller {
+fn sender_kind(relayed: bool) -> Teller {
     match relayed {
         true => Teller::Relay,
         false => Teller::Gateway,
     }
 }
 
-/// What a round passes on of work at engines.
+/// Load and demand to forward in one round.
 struct Round {
-    /// What the gateways of this relay have together, for the other relays.
+    /// Total load of the gateways of this relay, for the other relays.
     of_gateways: Vec<WorkShare>,
-    /// How many they are.
+    /// Number of gateways of this relay.
     gateways: u32,
-    /// What all others have, for each of them.
+    /// For each gateway of this relay, the load of all other gateways.
     by_gateway: Vec<(NodeId, Vec<WorkShare>)>,
-    /// Demand of the gateways of this relay, and of all others for each of them.
+    /// Total demand of the gateways of this relay, and for each of them the demand of all
+    /// others.
     demand_of_gateways: Vec<ServiceDemand>,
     demand_by_gateway: BTreeMap<NodeId, Vec<ServiceDemand>>,
 }
 
-impl RelayedWork {
-    /// Work at engines as far as it is known, for the gateways that the `hub` counts and
-    /// the engines that it has them use.
+impl RelayState {
+    /// Collects the known load and demand for the gateways that `hub` counts and for the
+    /// engines that it assigns to them.
     fn round(&self, hub: &Hub) -> Round {
         let now = self.now();
         let relays = &mut *self.lock();
         let demand = &mut relays.demand;
         demand.expire(now);
-        // Those beyond a cut of a whole zone send nothing to engines on this side.
-        let beyond = hub.own_zone().map(|zone| relays.reach.out_of_reach(&zone));
-        let present = match beyond.filter(|zones| !zones.is_empty()) {
-            Some(zones) => hub.gateways_outside(&zones),
-            None => hub.gateways(),
+        // Gateways in unreachable zones send no requests to engines in reachable ones.
+        let unreachable = hub.own_zone().map(|zone| relays.reach.out_of_reach(&zone));
+        let present = match unreachable.filter(|zones| !zones.is_empty()) {
+            Some(zones) => hub.gateway_count_outside(&zones),
+            None => hub.gateway_count(),
         };
         let relay = &mut relays.work;
         relay.expire(now);
-        let all_by_told = relay.all_by_told(present, now);
+        let scale = relay.all_by_told(present, now);
         let mut by_gateway = relay.shares_by_user(|engines| hub.users_of(engines));
         let shares = by_gateway.iter_mut().flat_map(|(_, shares)| shares);
-        shares.for_each(|share| share.multiply(all_by_told));
+        shares.for_each(|share| share.multiply(scale));
         Round {
             of_gateways: relay.sum_of_gateways(),
             gateways: relay.gateways(),
@@ -184,12 +194,12 @@
         }
     }
 
-    /// Use of tenants' limits by the gateways of this relay, and by all others for
-    /// each of them; `None` when nothing came.
+    /// Returns the use of tenants' limits by the gateways of this relay, and for each of
+    /// them the use by all others; `None` if no report arrived.
     fn usage(&self) -> Option<(Usage, BTreeMap<NodeId, Usage>)> {
         let now = self.now();
         let relays = &mut *self.lock();
-        if !std::mem::take(&mut relays.usage_came) {
+        if !std::mem::take(&mut relays.usage_received) {
             return None;
         }
         let relay = &mut relays.usage;
@@ -199,8 +209,9 @@
     }
 }
 
-impl RelayedWork {
-    /// What is to be told of requests that ran at engines as they ended, encoded.
+impl RelayState {
+    /// Encodes the pending reports of requests that were running on engines when those
+    /// terminated.
     fn blames(&self) -> Option<Vec<u8>> {
         let now = self.now();
         let suspects = &mut self.lock().suspects;
@@ -210,14 +221,14 @@
     }
 }
 
-/// What a round passes on of zones out of reach.
+/// Unreachable zones to forward in one round.
 struct ReachRound {
     of_gateways: Vec<ReachTelling>,
     by_gateway: BTreeMap<NodeId, Vec<ReachTelling>>,
 }
 
-impl RelayedWork {
-    /// What is told of zones out of reach, to other relays and to these gateways.
+impl RelayState {
+    /// Returns the reports of unreachable zones for other relays and for `gateways`.
     fn reach(&self, hub: &Hub, gateways: &[(NodeId, Vec<WorkShare>)]) -> ReachRound {
         let now = self.now();
         let reach = &mut self.lock().reach;
@@ -232,8 +243,8 @@
         }
         for (gateway, _) in gateways {
             let zone = hub.zone_of(*gateway);
-            let told = zone.and_then(|zone| reach.for_gateway(*gateway, &zone));
-            by_gateway.extend(told.map(|told| (*gateway, vec![told])));
+            let report = zone.and_then(|zone| reach.for_gateway(*gateway, &zone));
+            by_gateway.extend(report.map(|report| (*gateway, vec![report])));
         }
         ReachRound {
             of_gateways,
@@ -246,17 +257,17 @@
     (!reach.is_empty()).then(|| molespan_state::encode(&reach))
 }
 
-/// What gateways were told of work at engines, and when.
+/// The load last sent to each gateway, and when.
 #[derive(Default)]
-struct LastTold(BTreeMap<NodeId, (Vec<WorkShare>, Option<Instant>)>);
+struct LastSent(BTreeMap<NodeId, (Vec<WorkShare>, Option<Instant>)>);
 
-impl LastTold {
-    /// Whether a gateway is to be told this: when it is not what it was told last, and
-    /// again after a while.
+impl LastSent {
+    /// Whether `shares` must be sent to a gateway: if they changed, or after
+    /// [`RESEND_INTERVAL`].
     fn is_due(&mut self, gateway: NodeId, shares: &[WorkShare]) -> bool {
         let (before, at) = self.0.entry(gateway).or_default();
-        let lately = at.is_some_and(|at| at.elapsed() < REPEATED_AFTER);
-        if lately && before == shares {
+        let recently = at.is_some_and(|at| at.elapsed() < RESEND_INTERVAL);
+        if recently && before == shares {
             return false;
         }
         before.clear();
@@ -265,32 +276,32 @@
         true
     }
 
-    /// Forgets gateways that go through another relay.
+    /// Removes gateways that now use another relay.
     fn retain(&mut self, gateways: &[(NodeId, Vec<WorkShare>)]) {
         if self.0.len() > gateways.len() {
-            let held: BTreeSet<NodeId> = gateways.iter().map(|(node, _)| *node).collect();
-            self.0.retain(|node, _| held.contains(node));
+            let current: BTreeSet<NodeId> = gateways.iter().map(|(node, _)| *node).collect();
+            self.0.retain(|node, _| current.contains(node));
         }
     }
 }
 
-/// Passes on what comes, at most once a round.
+/// Forwards received reports, at most once per round.
 pub(super) async fn relay_work(
     own: NodeId,
-    work: Arc<RelayedWork>,
+    work: Arc<RelayState>,
     hub: Arc<Hub>,
     wire: Arc<WireTransport>,
 ) {
-    let mut told_relays = (Vec::new(), Instant::now());
-    let mut told_reach = Vec::new();
-    let mut told_gateways = LastTold::default();
-    while work.heard.1.recv().await.is_ok() {
+    let mut sent_to_relays = (Vec::new(), Instant::now());
+    let mut sent_reach = Vec::new();
+    let mut sent_to_gateways = LastSent::default();
+    while work.received.1.recv().await.is_ok() {
         let blames = work.blames();
-        let told = |shares: &[WorkShare],
-                    usage: Option<&Usage>,
-                    reach: &[ReachTelling],
-                    demand: &[ServiceDemand],
-                    gateways| Request::EngineWork {
+        let message = |shares: &[WorkShare],
+                       usage: Option<&Usage>,
+                       reach: &[ReachTelling],
+                       demand: &[ServiceDemand],
+                       gateways| Request::EngineWork {
             from: own,
             shares: molespan_state::encode(&shares).into(),
             relayed: true,
@@ -311,12 +322,12 @@
         let usage = work.usage();
         let (usage_of_gateways, usage_by_gateway) = usage.unzip();
         let usage_by_gateway = usage_by_gateway.unwrap_or_default();
-        let (before, at) = &told_relays;
-        let repeat = at.elapsed() >= REPEATED_AFTER;
-        let reach_news = reach.of_gateways != told_reach;
-        let other_news = usage_of_gateways.is_some() || blames.is_some() || reach_news;
-        let news = repeat || other_news || *before != of_gateways;
-        if !by_gateway.is_empty() && news {
+        let (before, at) = &sent_to_relays;
+        let repeat = at.elapsed() >= RESEND_INTERVAL;
+        let reach_changed = reach.of_gateways != sent_reach;
+        let other_changes = usage_of_gateways.is_some() || blames.is_some() || reach_changed;
+        let must_send = repeat || other_changes || *before != of_gateways;
+        if !by_gateway.is_empty() && must_send {
             let others = hub.control_nodes().into_iter();
             for relay in others.filter(|&node| node != own) {
                 let usage = usage_of_gateways.as_ref();
@@ -324,25 +335,26 @@
                 let demand = &demand_of_gateways;
                 wire.send(
                     relay,
-                    told(&of_gateways, usage, reach, demand, Some(gateways)),
+                    message(&of_gateways, usage, reach, demand, Some(gateways)),
                 );
             }
-            told_reach = reach.of_gateways;
-            told_relays = (of_gateways, Instant::now());
+            sent_reach = reach.of_gateways;
+            sent_to_relays = (of_gateways, Instant::now());
         }
-        told_gateways.retain(&by_gateway);
+        sent_to_gateways.retain(&by_gateway);
         for (gateway, shares) in by_gateway {
             let usage = usage_by_gateway.get(&gateway);
             let reach = reach.by_gateway.get(&gateway);
-            // Told in each round: whoever has just started asks there too.
-            let other_news = usage.is_some() || blames.is_some() || reach.is_some();
-            if !told_gateways.is_due(gateway, &shares) && !other_news {
+            // Unreachable zones are sent in every round, so that gateways that have just
+            // started receive them too.
+            let other_changes = usage.is_some() || blames.is_some() || reach.is_some();
+            if !sent_to_gateways.is_due(gateway, &shares) && !other_changes {
                 continue;
             }
             let reach = reach.map(Vec::as_slice).unwrap_or_default();
             let demand = demand_by_gateway.get(&gateway);
             let demand = demand.map_or(&[][..], Vec::as_slice);
-            wire.send(gateway, told(&shares, usage, reach, demand, None));
+            wire.send(gateway, message(&shares, usage, reach, demand, None));
         }
         let pause = work.lock().work.pause(hub.slots());
         Timer::after(pause).await;
--- a/crates/fleet/src/refusals.rs
+++ b/crates/fleet/src/refusals.rs
@@ -1,26 +1,27 @@
-//! What is refused again and again, told in few lines.
+//! Limits the number of log lines for refusals that keep recurring.
 
 use std::collections::BTreeSet;
 
-/// Different refusals that get a line each; behind them one for each doubling of all.
-const TOLD_ONE_BY_ONE: usize = 256;
+/// Number of distinct refusals that are logged individually. After that, a line is logged
+/// each time the total count doubles.
+const MAX_LOGGED_INDIVIDUALLY: usize = 256;
 
-/// Refusals so far.
+/// Counts refusals and selects those to log.
 #[derive(Clone, Debug, Default)]
 pub struct Refusals {
     count: u64,
-    told: BTreeSet<(String, String)>,
+    logged: BTreeSet<(String, String)>,
 }
 
 impl Refusals {
-    /// `who` was refused for `what`. Says how many refusals there were by now, where that
-    /// is to be told.
+    /// Records that `who` was refused because of `what`. Returns the number of refusals
+    /// so far if this one should be logged.
     pub fn note(&mut self, who: &str, what: &str) -> Option<u64> {
         self.count += 1;
-        let is_told = match self.told.len() < TOLD_ONE_BY_ONE {
-            true => self.told.insert((who.to_owned(), what.to_owned())),
+        let should_log = match self.logged.len() < MAX_LOGGED_INDIVIDUALLY {
+            true => self.logged.insert((who.to_owned(), what.to_owned())),
             false => self.count.is_power_of_two(),
         };
-        is_told.then_some(self.count)
+        should_log.then_some(self.count)
     }
 }
--- a/crates/fleet/src/store/emptied.rs
+++ b/crates/fleet/src/store/emptied.rs
@@ -1,34 +1,34 @@
-//! Which stores a leader is to say of that they are emptied.
+//! Tracks the retirements that the leader has reported as completed.
 
 use std::collections::BTreeSet;
 
 use molespan_types::NodeId;
 
-/// Stores of which it was said.
+/// Stores that were reported as empty.
 #[derive(Clone, Debug, Default)]
-pub struct Emptied {
-    told: BTreeSet<NodeId>,
+pub struct ReportedRetirements {
+    reported: BTreeSet<NodeId>,
 }
 
-impl Emptied {
-    /// Of the `retiring` stores those that hold no place any more and of which it was not
-    /// said. One that retires no longer is forgotten: it may do so again, with another disk
-    /// at its address.
+impl ReportedRetirements {
+    /// Returns the `retiring` stores that are no longer members of a group and have not
+    /// been reported. Stores that are no longer retiring are removed, because the same
+    /// address may be retired again later with another disk.
     pub fn due(
         &mut self,
         retiring: &BTreeSet<NodeId>,
-        seated: &BTreeSet<NodeId>,
+        group_members: &BTreeSet<NodeId>,
     ) -> BTreeSet<NodeId> {
-        self.told.retain(|node| retiring.contains(node));
-        let empty = retiring.iter().filter(|node| !seated.contains(node));
+        self.reported.retain(|node| retiring.contains(node));
+        let empty = retiring.iter().filter(|node| !group_members.contains(node));
         empty
-            .filter(|node| !self.told.contains(node))
+            .filter(|node| !self.reported.contains(node))
             .copied()
             .collect()
     }
 
-    /// It was said of one.
-    pub fn note(&mut self, node: NodeId) {
-        self.told.insert(node);
+    /// Records that a store was reported.
+    pub fn mark_reported(&mut self, node: NodeId) {
+        self.reported.insert(node);
     }
 }
--- a/crates/fleet/src/store/handout.rs
+++ b/crates/fleet/src/store/handout.rs
@@ -1,5 +1,5 @@
-//! Which gateway runs which item. Kept in the leader's memory: an item that is
-//! handed out twice by two leaders runs twice, and its first outcome counts.
+//! Leases of batch items to gateways. They are kept only in the leader's memory: an item
+//! handed out by two leaders runs twice, and its first outcome counts.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::sync::Arc;
@@ -10,54 +10,55 @@
 
 use super::open_index::OpenIndex;
 
-/// Items done lately from which the time that one takes is learnt.
-const RUN_TIMES: usize = 32;
+/// Number of recently completed items from which the run time is estimated.
+const RUN_TIME_SAMPLES: usize = 32;
 
-/// Who runs an item, and until when if the gateway falls silent.
+/// Lease of an item to a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Holding {
-    /// Gateway.
+pub struct ItemLease {
+    /// The gateway that runs the item.
     pub node: NodeId,
-    /// End of the lease.
+    /// When the lease expires.
     pub until: Timestamp,
-    /// When it was handed out, as far as this leader knows.
+    /// When the item was handed out, as far as this leader knows.
     pub since: Timestamp,
 }
 
-/// Items that gateways run.
+/// Leases of all items that gateways run.
 #[derive(Debug)]
-pub struct Handout {
-    lease: Duration,
-    /// A leader that is new does not know yet what runs, and hands nothing out
-    /// before.
-    warm_at: Timestamp,
-    held: BTreeMap<ItemReference, Holding>,
-    /// The open items as they were last seen.
+pub struct LeaseTable {
+    lease_duration: Duration,
+    /// Time before which nothing is handed out, because a new leader does not know yet
+    /// which items are running.
+    warm_until: Timestamp,
+    leases: BTreeMap<ItemReference, ItemLease>,
+    /// Latest index of open items.
     open: Arc<OpenIndex>,
-    /// Those of them that nobody holds, by the time at which they are due: what
-    /// goes out is found without a look at what is out.
-    free: BTreeSet<(u64, ItemReference)>,
-    /// How long the latest items took that are done, oldest first.
+    /// Open items without a lease, by due time, so that selecting items does not scan the
+    /// leased ones.
+    available: BTreeSet<(u64, ItemReference)>,
+    /// Run times of the latest completed items, oldest first.
     run_times: VecDeque<Duration>,
 }
 
-impl Handout {
-    /// Nothing handed out; the first items go out after `warm_up`, so that
-    /// gateways can say before what they run.
+impl LeaseTable {
+    /// Creates an empty table. Items are handed out only after `warm_up`, so that
+    /// gateways can report first what they run.
     #[must_use]
-    pub fn new(now: Timestamp, lease: Duration, warm_up: Duration) -> Self {
+    pub fn new(now: Timestamp, lease_duration: Duration, warm_up: Duration) -> Self {
         Self {
-            lease,
-            warm_at: now + warm_up,
-            held: BTreeMap::new(),
+            lease_duration,
+            warm_until: now + warm_up,
+            leases: BTreeMap::new(),
             open: Arc::default(),
-            free: BTreeSet::new(),
+            available: BTreeSet::new(),
             run_times: VecDeque::new(),
         }
     }
 
-    /// A gateway says what it runs. Returns those items that it should stop:
-    /// their jobs are not open any more, or another gateway runs them.
+    /// Renews the leases of a gateway on the items that it runs. Returns the items that
+    /// it must stop, because their jobs are no longer open or another gateway has the
+    /// lease.
     pub fn renew(
         &mut self,
         now: Timestamp,
@@ -65,57 +66,57 @@
         running: &BTreeSet<ItemReference>,
         open: &Arc<OpenIndex>,
     ) -> Vec<ItemReference> {
-        self.follow(open);
-        self.note_done(now, node, running);
-        // What it held and does not run any more is free.
-        self.release(|item, holding| holding.node == node && !running.contains(item));
+        self.update_open_items(open);
+        self.record_run_times(now, node, running);
+        // Items that the gateway no longer runs become available again.
+        self.release(|item, lease| lease.node == node && !running.contains(item));
         let mut stop = Vec::new();
         for &item in running {
-            let taken = self.held.get(&item);
-            let elsewhere = taken.is_some_and(|one| one.node != node && one.until > now);
+            let taken = self.leases.get(&item);
+            let elsewhere = taken.is_some_and(|lease| lease.node != node && lease.until > now);
             if elsewhere || !open.is_open(item.job) {
                 stop.push(item);
                 continue;
             }
-            let until = now + self.lease;
-            let since = taken.map_or(now, |one| one.since);
-            self.hold(item, Holding { node, until, since });
+            let until = now + self.lease_duration;
+            let since = taken.map_or(now, |lease| lease.since);
+            self.insert_lease(item, ItemLease { node, until, since });
         }
         stop
     }
 
-    /// Sees the open items anew if they changed.
-    fn follow(&mut self, open: &Arc<OpenIndex>) {
+    /// Rebuilds the set of available items if the open items changed.
+    fn update_open_items(&mut self, open: &Arc<OpenIndex>) {
         if Arc::ptr_eq(&self.open, open) {
             return;
         }
         self.open = open.clone();
-        let free = open.items();
-        let free = free.filter(|(_, item)| !self.held.contains_key(item));
-        self.free = free.collect();
+        let available = open.items();
+        let available = available.filter(|(_, item)| !self.leases.contains_key(item));
+        self.available = available.collect();
     }
 
-    fn hold(&mut self, item: ItemReference, holding: Holding) {
-        self.held.insert(item, holding);
+    fn insert_lease(&mut self, item: ItemReference, lease: ItemLease) {
+        self.leases.insert(item, lease);
         if let Some(due_ms) = self.open.due_ms(item) {
-            self.free.remove(&(due_ms, item));
+            self.available.remove(&(due_ms, item));
         }
     }
 
-    /// Frees what is held and `ends`.
-    fn release(&mut self, ends: impl Fn(&ItemReference, &Holding) -> bool) {
+    /// Removes the leases for which `should_release` returns true.
+    fn release(&mut self, should_release: impl Fn(&ItemReference, &ItemLease) -> bool) {
         let ended = self
-            .held
-            .extract_if(.., |item, holding| ends(item, holding));
+            .leases
+            .extract_if(.., |item, lease| should_release(item, lease));
         for (item, _) in ended {
             if let Some(due_ms) = self.open.due_ms(item) {
-                self.free.insert((due_ms, item));
+                self.available.insert((due_ms, item));
             }
         }
     }
 
-    /// Hands out up to `capacity` items that nobody runs, the most urgent ones
-    /// first. `unix_ms` is the time of day.
+    /// Leases up to `capacity` available items to a gateway, the most urgent first.
+    /// `unix_ms` is the current time in milliseconds since the Unix epoch.
     pub fn take(
         &mut self,
         now: Timestamp,
@@ -124,50 +125,58 @@
         capacity: usize,
         open: &Arc<OpenIndex>,
     ) -> Vec<ItemReference> {
-        if now < self.warm_at {
+        if now < self.warm_until {
             return Vec::new();
         }
-        self.follow(open);
-        self.release(|_, holding| holding.until <= now);
-        let takes_ms = self.run_time().as_millis() as u64;
-        let items: Vec<ItemReference> = self.by_urgency(unix_ms, takes_ms).take(capacity).collect();
+        self.update_open_items(open);
+        self.release(|_, lease| lease.until <= now);
+        let run_time_ms = self.run_time().as_millis() as u64;
+        let items: Vec<ItemReference> = self
+            .by_urgency(unix_ms, run_time_ms)
+            .take(capacity)
+            .collect();
         for &item in &items {
-            let until = now + self.lease;
+            let until = now + self.lease_duration;
             let since = now;
-            self.hold(item, Holding { node, until, since });
+            self.insert_lease(item, ItemLease { node, until, since });
         }
         items
     }
 
-    /// What nobody holds in the order of `Urgency`, for work that takes `takes_ms`
-    /// and by a clock that shows `unix_ms`.
-    fn by_urgency(&self, unix_ms: u64, takes_ms: u64) -> impl Iterator<Item = ItemReference> {
+    /// Returns the available items in the order of `Urgency`, for items that take
+    /// `run_time_ms` at a current time of `unix_ms`.
+    fn by_urgency(&self, unix_ms: u64, run_time_ms: u64) -> impl Iterator<Item = ItemReference> {
         const FIRST: ItemReference = ItemReference { job: 0, place: 0 };
-        let in_time = (unix_ms.saturating_add(takes_ms), FIRST);
-        let late = self.free.range(..in_time);
-        let items = self.free.range(in_time..).chain(late);
+        let in_time = (unix_ms.saturating_add(run_time_ms), FIRST);
+        let late = self.available.range(..in_time);
+        let items = self.available.range(in_time..).chain(late);
         items.map(|&(_, item)| item)
     }
 
-    /// Learns from the items that a gateway has done how long one takes.
-    fn note_done(&mut self, now: Timestamp, node: NodeId, running: &BTreeSet<ItemReference>) {
-        let ended = self.held.iter().filter(|(item, holding)| {
-            holding.node == node && !running.contains(item) && self.open.is_open(item.job)
+    /// Records the run times of the items that a gateway completed.
+    fn record_run_times(
+        &mut self,
+        now: Timestamp,
+        node: NodeId,
+        running: &BTreeSet<ItemReference>,
+    ) {
+        let ended = self.leases.iter().filter(|(item, lease)| {
+            lease.node == node && !running.contains(item) && self.open.is_open(item.job)
         });
-        for (item, holding) in ended {
+        for (item, lease) in ended {
             if self.open.due_ms(*item).is_some() {
                 continue;
             }
-            self.run_times.push_back(now.since(holding.since));
-            if self.run_times.len() > RUN_TIMES {
+            self.run_times.push_back(now.since(lease.since));
+            if self.run_times.len() > RUN_TIME_SAMPLES {
                 self.run_times.pop_front();
             }
         }
     }
 
-    /// How long an item takes: three quarters of those done lately took no longer.
-    /// Under more work than fits what goes out is always at the edge of being late,
-    /// so with a shorter time most of it would end late. Nothing before any is done.
+    /// Returns the 75th percentile of recent run times, or zero before any item is done.
+    /// Under overload, the items handed out are always close to their due time, so a
+    /// lower estimate would make most of them late.
     #[must_use]
     pub fn run_time(&self) -> Duration {
         let mut times: Vec<Duration> = self.run_times.iter().copied().collect();
@@ -175,23 +184,23 @@
         times.get(times.len() * 3 / 4).copied().unwrap_or_default()
     }
 
-    /// How many open items nobody holds.
-    pub fn free(&mut self, now: Timestamp, open: &Arc<OpenIndex>) -> usize {
-        self.follow(open);
-        self.release(|_, holding| holding.until <= now);
-        self.free.len()
+    /// Returns the number of available items.
+    pub fn available_count(&mut self, now: Timestamp, open: &Arc<OpenIndex>) -> usize {
+        self.update_open_items(open);
+        self.release(|_, lease| lease.until <= now);
+        self.available.len()
     }
 
-    /// Whether some gateway runs an item of a job that is not open any more.
+    /// Whether some gateway runs an item of a job that is no longer open.
     #[must_use]
-    pub fn has_ended(&self, open: &OpenIndex) -> bool {
-        let mut held = self.held.keys();
-        held.any(|item| !open.is_open(item.job))
+    pub fn has_ended_job(&self, open: &OpenIndex) -> bool {
+        let mut leases = self.leases.keys();
+        leases.any(|item| !open.is_open(item.job))
     }
 
-    /// Items that are handed out.
+    /// Returns the number of leased items.
     #[must_use]
-    pub fn held(&self) -> usize {
-        self.held.len()
+    pub fn leased_count(&self) -> usize {
+        self.leases.len()
     }
 }
--- a/crates/fleet/src/store/node.rs
+++ b/crates/fleet/src/store/node.rs
@@ -1,5 +1,5 @@
-//! A store node put together: its replica, the items that it hands out while
-//! it leads, and what it hears from the control nodes.
+//! A store node: its replica, the items that it hands out while it is the leader, and its
+//! view of the cluster.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -25,50 +25,49 @@
 use molespan_wire::{Consistency, Request, Server, ServerLimits, WatcherKind};
 use slog::{Logger, info, warn};
 
-use super::emptied::Emptied;
+use super::emptied::ReportedRetirements;
 use super::peer::PeerHandler;
 use crate::membership::{ClusterAddresses, SEGMENT_BYTES, cluster, replica_options, start_replica};
 use crate::view::{Topology, TopologyView, ViewUpdate};
 use crate::watch::{Asker, ViewSink, ViewWatcher};
 
-/// Time between two rounds of upkeep.
-const ROUND: Duration = Duration::from_millis(500);
-/// Shortest time between two wakeups of gateways that wait for items. Each reads
-/// the open items anew, which costs the more the more there are.
-const WAKE_EVERY: Duration = Duration::from_millis(25);
-/// How long the first start waits for enough stores.
-const FOUNDING_PATIENCE: Duration = Duration::from_secs(5);
-/// Time for a registration.
+/// Interval between rounds of upkeep.
+const UPKEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum interval between wakeups of gateways that wait for items. Each wakeup reads
+/// the open items again, at a cost that grows with their number.
+const MIN_WAKE_INTERVAL: Duration = Duration::from_millis(25);
+/// Time for which the first start of a cluster waits for the full number of stores.
+const FOUNDING_TIMEOUT: Duration = Duration::from_secs(5);
+/// Deadline of a registration.
 const REGISTER_DEADLINE: Duration = Duration::from_secs(2);
-/// Rounds between two looks for jobs that nobody may ask for any more.
-const ROUNDS_A_CLEANING: u32 = 20;
+/// Number of upkeep rounds between two removals of jobs past their retention time.
+const ROUNDS_PER_CLEANUP: u32 = 20;
 
-/// What a store node is started with.
+/// Options of a store node.
 #[derive(Clone, Debug)]
 pub struct StoreOptions {
-    /// Where the nodes are.
+    /// Addresses of the nodes.
     pub addresses: ClusterAddresses,
-    /// Name that operators use.
+    /// Name of the store for operators.
     pub name: String,
-    /// Where it stands.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// Folder of what must survive.
+    /// Directory of persistent data.
     pub data_folder: PathBuf,
-    /// Losses of machines that are to be borne at once.
+    /// Number of simultaneous machine failures to tolerate.
     pub tolerated_losses: u32,
-    /// Jobs are kept for this long after they were submitted.
+    /// Retention time of jobs after submission.
     pub keep_jobs_for: Duration,
-    /// Bound of handing leadership over before a planned stop.
+    /// Time limit for transferring leadership before a planned stop.
     pub hand_over_within: Duration,
-    /// Bytes of memory that the process may use; none where that is not bounded.
+    /// Memory limit of the process in bytes; `None` if it is unlimited.
     pub memory: Option<u64>,
 }
 
-/// Part of its memory that a store lets its log take before a snapshot does away
-/// with it. The state is in memory beside it, and once more while a snapshot is
-/// written or read.
-const LOG_SHARE: u64 = 8;
-/// Smallest and largest bytes of log between two snapshots.
+/// Divisor of the memory limit that gives the size of the log before a snapshot replaces
+/// it. The state is in memory too, and a second time while a snapshot is written or read.
+const LOG_MEMORY_DIVISOR: u64 = 8;
+/// Minimum and maximum size of the log between two snapshots, in bytes.
 const SNAPSHOT_BYTES: RangeInclusive<u64> = 2 << 20..=64 << 20;
 
 impl StoreOptions {
@@ -76,11 +75,11 @@
         2 * self.tolerated_losses + 1
     }
 
-    /// Bytes of log after which a snapshot is taken.
+    /// Returns the size of the log, in bytes, after which a snapshot is taken.
     #[must_use]
     pub fn snapshot_bytes(&self) -> u64 {
         let memory = self.memory.unwrap_or(u64::MAX);
-        (memory / LOG_SHARE).clamp(*SNAPSHOT_BYTES.start(), *SNAPSHOT_BYTES.end())
+        (memory / LOG_MEMORY_DIVISOR).clamp(*SNAPSHOT_BYTES.start(), *SNAPSHOT_BYTES.end())
     }
 
     fn replica(&self) -> ReplicaOptions {
@@ -107,9 +106,9 @@
     topology: RefCell<Topology>,
     topology_view: RefCell<TopologyView>,
     clock: BootClock,
-    /// Stores of which this one said that they are emptied.
-    emptied: RefCell<Emptied>,
-    /// Life of the disk that the control group knows.
+    /// Stores that this node has reported as empty.
+    reported_retirements: RefCell<ReportedRetirements>,
+    /// Incarnation of the disk that is registered with the control group.
     registered: RefCell<Option<u32>>,
     logger: Logger,
 }
@@ -139,10 +138,10 @@
 }
 
 impl StoreNode {
-    /// Starts a store node; its work is done on `executor` and `local`.
+    /// Starts a store node that runs on `executor` and `local`.
     ///
     /// # Errors
-    /// When the data folder or an address cannot be used.
+    /// Returns an error if the data directory or an address cannot be used.
     pub fn start(
         options: StoreOptions,
         executor: &Arc<Executor<'static>>,
@@ -168,7 +167,7 @@
             topology: RefCell::default(),
             topology_view: RefCell::default(),
             clock: BootClock::start(),
-            emptied: RefCell::default(),
+            reported_retirements: RefCell::default(),
             registered: RefCell::default(),
             logger: logger.clone(),
             options,
@@ -189,29 +188,30 @@
         Ok(node)
     }
 
-    /// Tells gateways that wait for items of changes; of many in a row at once.
+    /// Wakes gateways that wait for items after changes, batching changes in quick
+    /// succession.
     async fn wake(&self) {
         loop {
             self.replica.changed().await;
-            self.handler.note_change();
-            let ends = Instant::now() + WAKE_EVERY;
-            while self.changes_before(ends).await {
-                self.handler.note_change();
+            self.handler.record_change();
+            let deadline = Instant::now() + MIN_WAKE_INTERVAL;
+            while self.changes_before(deadline).await {
+                self.handler.record_change();
             }
             self.handler.wake().await;
         }
     }
 
-    async fn changes_before(&self, ends: Instant) -> bool {
+    async fn changes_before(&self, deadline: Instant) -> bool {
         let changed = async {
             self.replica.changed().await;
             true
         };
-        let late = async {
-            Timer::at(ends).await;
+        let timeout = async {
+            Timer::at(deadline).await;
             false
         };
-        future::or(changed, late).await
+        future::or(changed, timeout).await
     }
 
     async fn upkeep(&self) {
@@ -220,23 +220,23 @@
         loop {
             if let Some(status) = self.replica.status().await {
                 self.register(&status, started.elapsed()).await;
-                if self.handler.note_leadership() {
-                    self.complete_retirements(&status).await;
-                    if rounds.is_multiple_of(ROUNDS_A_CLEANING) {
-                        self.forget_old_jobs().await;
+                if self.handler.update_leadership() {
+                    self.report_retirements(&status).await;
+                    if rounds.is_multiple_of(ROUNDS_PER_CLEANUP) {
+                        self.remove_old_jobs().await;
                     }
                 }
             }
             rounds = rounds.wrapping_add(1);
-            Timer::after(ROUND).await;
+            Timer::after(UPKEEP_INTERVAL).await;
         }
     }
 
-    /// Tells the control group of this life of the disk, and founds with fewer
-    /// stores after a while.
+    /// Registers this incarnation of the disk with the control group. After a while it
+    /// allows the batch group to be bootstrapped with fewer stores.
     async fn register(&self, status: &ReplicaStatus, waited: Duration) {
         let founded = !self.topology.borrow().founders.is_empty();
-        let patience_over = !founded && waited >= FOUNDING_PATIENCE;
+        let patience_over = !founded && waited >= FOUNDING_TIMEOUT;
         let known = *self.registered.borrow() == Some(status.incarnation);
         if known && !patience_over {
             return;
@@ -258,13 +258,13 @@
                 info!(self.logger, "registered"; "incarnation" => status.incarnation);
                 *self.registered.borrow_mut() = Some(status.incarnation);
             }
-            Err(error) => warn!(self.logger, "not registered"; "error" => %error),
+            Err(error) => warn!(self.logger, "could not be registered"; "error" => %error),
         }
     }
 
-    /// Says of each store that was to be emptied that it is, once its machine
-    /// has no place in this group, nor in the control group.
-    async fn complete_retirements(&self, status: &ReplicaStatus) {
+    /// Reports each retired store as empty once its node is no longer a member of this
+    /// group or the control group.
+    async fn report_retirements(&self, status: &ReplicaStatus) {
         let Topology {
             retiring, control, ..
         } = self.topology.borrow().clone();
@@ -273,8 +273,11 @@
         };
         let members = group.voters.iter().chain(&group.learners);
         let members = members.map(|(node, _)| *node);
-        let seated: BTreeSet<NodeId> = members.chain(control).collect();
-        let due = self.emptied.borrow_mut().due(&retiring, &seated);
+        let group_members: BTreeSet<NodeId> = members.chain(control).collect();
+        let due = self
+            .reported_retirements
+            .borrow_mut()
+            .due(&retiring, &group_members);
         if group.voters.len() < self.options.replicas() as usize {
             return;
         }
@@ -287,12 +290,12 @@
             info!(self.logger, "store is empty"; "node" => node.address().to_string(),
                 "noted" => noted.is_ok());
             if noted.is_ok() {
-                self.emptied.borrow_mut().note(node);
+                self.reported_retirements.borrow_mut().mark_reported(node);
             }
         }
     }
 
-    async fn forget_old_jobs(&self) {
+    async fn remove_old_jobs(&self) {
         let ages = self
             .handler
             .query(&BatchQuery::Ages, Consistency::Local)
@@ -310,18 +313,18 @@
                 group: GroupId::BATCH,
                 command: molespan_state::encode(&BatchCommand::Forget { job }).into(),
             };
-            let _next_time = self.replica.handle_peer(request).await;
+            let _retried_next_time = self.replica.handle_peer(request).await;
         }
     }
 
-    /// Ends once the replica cannot go on.
+    /// Completes when the replica fails.
     pub async fn failed(&self) {
         let _error = self.replica.ended().await;
     }
 
-    /// Hands leadership over and stops.
+    /// Transfers leadership and stops the replica.
     pub async fn stop(&self) {
-        let handed = self.replica.stop().await;
-        info!(self.logger, "stopped"; "handed_over" => handed.handed_over.len());
+        let handover = self.replica.stop().await;
+        info!(self.logger, "stopped"; "handed_over" => handover.handed_over.len());
     }
 }
--- a/crates/fleet/src/store/peer.rs
+++ b/crates/fleet/src/store/peer.rs
@@ -1,4 +1,4 @@
-//! Answering gateways that want items, while this node leads.
+//! Serves gateways that request items, while this node is the leader.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -14,47 +14,47 @@
 use molespan_types::{GroupId, NodeId, RunOutcome, Timestamp};
 use molespan_wire::{Consistency, Handler, Request, Response, TakeItems};
 
-use super::call_order::{Arrival, CallNumber, CallOrder};
-use super::handout::Handout;
+use super::call_order::{ArrivalNumber, CallNumber, CallOrder};
+use super::handout::LeaseTable;
 use super::open_index::OpenIndex;
-use crate::wakeup::{Invitations, Wakeup};
+use crate::wakeup::{WakeTokens, Wakeup};
 
-/// A gateway that is silent for longer loses its items.
+/// Lease on the items of a gateway, renewed by each of its requests.
 const LEASE: Duration = Duration::from_millis(2_500);
-/// How long a new leader listens before it hands items out.
+/// Time for which a new leader collects renewals before it hands out items.
 const WARM_UP: Duration = Duration::from_millis(700);
-/// Open items that are looked at, of the oldest jobs first: those of many seconds
-/// of work, since what lies beyond cannot be done first however urgent it is. Some
-/// 50 bytes each in memory.
+/// Maximum number of open items to consider, oldest jobs first. Items beyond the limit
+/// are not selected however urgent they are, so it covers many seconds of work. Each item
+/// takes about 50 bytes of memory.
 pub const OPEN_LIMIT: u32 = 16_384;
-/// How old the order of the open items may be for a call; it is read again for the
-/// first one behind that. An item that got an outcome meanwhile is left out when
-/// what is needed to run it is read.
-const OPEN_HOLDS: Duration = Duration::from_millis(25);
+/// Maximum age of the index of open items that a request may use before the index is read
+/// again. An item that got an outcome in the meantime is dropped when its content is
+/// read.
+const OPEN_INDEX_MAX_AGE: Duration = Duration::from_millis(25);
 
-/// Answers other nodes.
+/// Handles the requests of other nodes.
 pub(super) struct PeerHandler {
     own: NodeId,
     replica: Arc<ReplicaRole>,
     clock: BootClock,
-    /// Set while this node leads.
-    handout: Mutex<Option<Handout>>,
-    /// Calls for items, of which only the latest of a gateway counts.
+    /// Leases on items; set while this node is the leader.
+    leases: Mutex<Option<LeaseTable>>,
+    /// Requests for items; only the latest of each gateway is served.
     calls: Mutex<CallOrder>,
-    /// Changes of the jobs that were noted.
+    /// Number of changes of the replicated jobs seen so far.
     changes: AtomicU64,
-    /// Open work, read once for all that ask until the jobs change.
-    open: async_lock::Mutex<Option<OpenAsOf>>,
-    /// When this node last began to make sure that no other one leads, and whether it is.
-    sure: async_lock::Mutex<Option<(Timestamp, bool)>>,
-    /// Wakes as many gateways with room as there are items for them.
-    items: Invitations,
-    /// Wakes every gateway that waits when some item is to be stopped.
-    stops: Wakeup,
+    /// Index of open items, shared by all requests until the jobs change.
+    open: async_lock::Mutex<Option<CachedOpenIndex>>,
+    /// When this node last started to confirm its leadership, and whether that succeeded.
+    leadership: async_lock::Mutex<Option<(Timestamp, bool)>>,
+    /// Wakes as many gateways with free capacity as there are items for them.
+    item_tokens: WakeTokens,
+    /// Wakes every waiting gateway when an item must be stopped.
+    stop_wakeup: Wakeup,
 }
 
-/// Open work after so many changes.
-struct OpenAsOf {
+/// Index of open items as of a number of changes.
+struct CachedOpenIndex {
     changes: u64,
     at: Instant,
     index: Arc<OpenIndex>,
@@ -63,7 +63,7 @@
 impl Handler for PeerHandler {
     async fn call(&self, request: Request) -> Response {
         match request {
-            Request::TakeItems(ask) => self.take_items(&ask).await,
+            Request::TakeItems(items_request) => self.take_items(&items_request).await,
             other => self.replica.handle_peer(other).await,
         }
     }
@@ -74,19 +74,19 @@
 }
 
 impl PeerHandler {
-    /// Answers for a node that hands nothing out yet.
+    /// Creates a handler for a node that has not handed out any items.
     pub fn new(own: NodeId, replica: Arc<ReplicaRole>) -> Self {
         Self {
             own,
             replica,
             clock: BootClock::start(),
-            handout: Mutex::new(None),
+            leases: Mutex::new(None),
             calls: Mutex::default(),
             changes: AtomicU64::new(0),
             open: async_lock::Mutex::new(None),
-            sure: async_lock::Mutex::new(None),
-            items: Invitations::default(),
-            stops: Wakeup::default(),
+            leadership: async_lock::Mutex::new(None),
+            item_tokens: WakeTokens::default(),
+            stop_wakeup: Wakeup::default(),
         }
     }
 
@@ -94,7 +94,7 @@
         self.clock.now()
     }
 
-    /// Reads the jobs as this replica has them, or as a quorum does.
+    /// Queries the jobs, from the local replica or confirmed by a quorum.
     pub async fn query(&self, query: &BatchQuery, consistency: Consistency) -> Option<BatchAnswer> {
         let request = Request::Query {
             group: GroupId::BATCH,
@@ -107,7 +107,8 @@
         }
     }
 
-    /// The open items, at most `age` old. Calls share one read of them.
+    /// Returns the index of open items. It is read again if the jobs have changed and it
+    /// is older than `age`. Concurrent requests share one read.
     async fn open_index(&self, age: Duration) -> Option<Arc<OpenIndex>> {
         let mut open = self.open.lock().await;
         let changes = self.changes.load(Ordering::SeqCst);
@@ -124,7 +125,7 @@
             return None;
         };
         let index = Arc::new(OpenIndex::from(work));
-        *open = Some(OpenAsOf {
+        *open = Some(CachedOpenIndex {
             changes,
             at,
             index: index.clone(),
@@ -132,101 +133,110 @@
         Some(index)
     }
 
-    /// Hands items out, at once or when some come.
-    async fn take_items(&self, ask: &TakeItems) -> Response {
-        let ends = Instant::now() + Duration::from_millis(u64::from(ask.wait_ms));
-        let Some(arrival) = self.arrive(ask) else {
+    /// Hands out items, immediately if there are any, or else when some become available.
+    async fn take_items(&self, items_request: &TakeItems) -> Response {
+        let deadline = Instant::now() + Duration::from_millis(u64::from(items_request.wait_ms));
+        let Some(arrival) = self.admit(items_request) else {
             return superseded();
         };
         loop {
-            let stops = self.stops.waiter();
+            let stop_waiter = self.stop_wakeup.waiter();
             if self.replica.leader(GroupId::BATCH) != Some(self.own) {
                 return self.not_leader().await;
             }
-            // Cut off or just woken, it does not know of a later leader.
-            if !self.is_surely_leader().await {
+            // A node that is partitioned or has just resumed may not know of a newer
+            // leader.
+            if !self.confirm_leadership().await {
                 return self.not_leader().await;
             }
-            let Some(open) = self.open_index(OPEN_HOLDS).await else {
+            let Some(open) = self.open_index(OPEN_INDEX_MAX_AGE).await else {
                 return unavailable();
             };
-            let Some((taken, stop)) = self.hand_out(ask, arrival, &open) else {
-                // An invitation that it took is for another gateway.
-                self.items.wake_some(1);
+            let Some((taken, stop)) = self.hand_out(items_request, arrival, &open) else {
+                // Passes on a wake token that this request may have consumed.
+                self.item_tokens.ensure_available(1);
                 return superseded();
             };
             let idle = taken.is_empty() && stop.is_empty();
-            if !idle || Instant::now() >= ends {
-                return self.items(taken, &stop).await;
+            if !idle || Instant::now() >= deadline {
+                return self.items_response(taken, &stop).await;
             }
-            let late = async {
-                Timer::at(ends).await;
+            let timeout = async {
+                Timer::at(deadline).await;
             };
-            let wanted = async {
-                match ask.capacity {
+            let token = async {
+                match items_request.capacity {
                     0 => future::pending().await,
-                    _ => self.items.invited().await,
+                    _ => self.item_tokens.consume().await,
                 }
             };
-            future::or(future::or(stops.woken(), wanted), late).await;
+            future::or(future::or(stop_waiter.wait(), token), timeout).await;
         }
     }
 
-    /// Whether no other node led a short while ago: a quorum says so.
-    async fn is_surely_leader(&self) -> bool {
-        // Calls that come at the same time share one round.
-        let mut sure = self.sure.lock().await;
+    /// Whether a quorum confirmed within [`LEADER_SURE_FOR`] that no other node is the
+    /// leader.
+    async fn confirm_leadership(&self) -> bool {
+        // Concurrent requests share one round trip to the quorum.
+        let mut leadership = self.leadership.lock().await;
         let began = self.now();
-        if let Some((at, confirmed)) = *sure
+        if let Some((at, confirmed)) = *leadership
             && began.since(at) < LEADER_SURE_FOR
         {
             return confirmed;
         }
         let query = BatchQuery::Open { limit: 0 };
         let confirmed = self.query(&query, Consistency::Linearizable).await;
-        // Those who waited for a read in vain do not repeat it one after the other.
+        // A failed read is dated to its end, so that the requests that waited for it do
+        // not retry it one after the other.
         let known_at = match confirmed.is_some() {
             true => began,
             false => self.now(),
         };
-        *sure = Some((known_at, confirmed.is_some()));
+        *leadership = Some((known_at, confirmed.is_some()));
         confirmed.is_some()
     }
 
-    fn arrive(&self, ask: &TakeItems) -> Option<Arrival> {
+    fn admit(&self, items_request: &TakeItems) -> Option<ArrivalNumber> {
         let call = CallNumber {
-            life: ask.life,
-            number: ask.number,
+            life: items_request.life,
+            number: items_request.number,
         };
         let mut calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
-        calls.arrive(ask.node, call)
+        calls.admit(items_request.node, call)
     }
 
-    /// What goes out, and what is to be stopped; `None` when the gateway asked
-    /// anew meanwhile.
+    /// Returns the items to run and the items to stop; `None` if a later request of the
+    /// gateway has superseded this one.
     fn hand_out(
         &self,
-        ask: &TakeItems,
-        arrival: Arrival,
+        items_request: &TakeItems,
+        arrival: ArrivalNumber,
         open: &Arc<OpenIndex>,
     ) -> Option<(Vec<ItemReference>, Vec<ItemReference>)> {
         let calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
-        if !calls.is_latest(ask.node, arrival) {
+        if !calls.is_latest(items_request.node, arrival) {
             return None;
         }
         let now = self.now();
-        let held = ask.held.iter();
+        let held = items_request.held.iter();
         let running = held
             .map(|&(job, place)| ItemReference { job, place })
             .collect();
-        let mut handout = self.handout.lock().unwrap_or_else(PoisonError::into_inner);
-        let handout = handout.get_or_insert_with(|| Handout::new(now, LEASE, WARM_UP));
-        let stop = handout.renew(now, ask.node, &running, open);
-        let taken = handout.take(now, unix_millis(), ask.node, ask.capacity as usize, open);
+        let mut leases = self.leases.lock().unwrap_or_else(PoisonError::into_inner);
+        let leases = leases.get_or_insert_with(|| LeaseTable::new(now, LEASE, WARM_UP));
+        let stop = leases.renew(now, items_request.node, &running, open);
+        let taken = leases.take(
+            now,
+            unix_millis(),
+            items_request.node,
+            items_request.capacity as usize,
+            open,
+        );
         Some((taken, stop))
     }
 
-    async fn items(&self, items: Vec<ItemReference>, stop: &[ItemReference]) -> Response {
+    async fn items_response(&self, items: Vec<ItemReference>, stop: &[ItemReference]) -> Response {
         let found = match items.is_empty() {
             true => Some(BatchAnswer::Items(Vec::new())),
             false => {
@@ -243,7 +253,7 @@
         }
     }
 
-    /// Says who leads, in the words of the replica itself.
+    /// Returns the replica's own response, which names the leader.
     async fn not_leader(&self) -> Response {
         let query = BatchQuery::Open { limit: 0 };
         let request = Request::Query {
@@ -257,47 +267,48 @@
         }
     }
 
-    /// Notes that the jobs changed.
-    pub fn note_change(&self) {
+    /// Records a change of the jobs.
+    pub fn record_change(&self) {
         self.changes.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Wakes the gateways for which there is something to hear. To wake all of
-    /// them at each change would cost the leader more the more there are.
+    /// Wakes the gateways that have something to receive. Waking all of them on each
+    /// change would cost the leader more with each additional gateway.
     pub async fn wake(&self) {
         if self.replica.leader(GroupId::BATCH) != Some(self.own) {
-            // They hear who leads now.
-            self.stops.wake();
+            // Their requests are answered with the current leader.
+            self.stop_wakeup.wake();
             return;
         }
         let Some(open) = self.open_index(Duration::ZERO).await else {
             return;
         };
         let now = self.now();
-        let mut handout = self.handout.lock().unwrap_or_else(PoisonError::into_inner);
-        let Some(handout) = handout.as_mut() else {
+        let mut leases = self.leases.lock().unwrap_or_else(PoisonError::into_inner);
+        let Some(leases) = leases.as_mut() else {
             return;
         };
-        if handout.has_ended(&open) {
-            self.stops.wake();
+        if leases.has_ended_job(&open) {
+            self.stop_wakeup.wake();
         }
-        self.items.wake_some(handout.free(now, &open));
+        self.item_tokens
+            .ensure_available(leases.available_count(now, &open));
     }
 
-    /// Whether this node leads. What was handed out before is forgotten when it
-    /// does not.
-    pub fn note_leadership(&self) -> bool {
+    /// Returns whether this node is the leader. If not, all leases and requests are
+    /// dropped.
+    pub fn update_leadership(&self) -> bool {
         let leads = self.replica.leader(GroupId::BATCH) == Some(self.own);
         if !leads {
-            *self.handout.lock().unwrap_or_else(PoisonError::into_inner) = None;
+            *self.leases.lock().unwrap_or_else(PoisonError::into_inner) = None;
             let mut calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
-            calls.forget();
+            calls.clear();
         }
         leads
     }
 }
 
-/// To a call that a later one of the same gateway took the place of. Nobody waits
+/// Response to a request that a later one of the same gateway superseded. Nobody waits
 /// for it any more.
 fn superseded() -> Response {
     not_run("a later call took its place", 0)
--- a/crates/fleet/tests/control.rs
+++ b/crates/fleet/tests/control.rs
@@ -1,5 +1,5 @@
-//! What a control node knows and tells: engines that come, go and are late, and
-//! watchers that come back after whatever they missed.
+//! The view of a control node: engines that register, leave and send delayed heartbeats,
+//! and watchers that resume after missing updates.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn heartbeats_tell_something_new_only_once() {
+fn repeated_heartbeats_are_not_changes() {
     let mut registry = Registry::new(SILENCE);
     let now = Timestamp::from_millis(0);
-    assert!(registry.hear(record("a", "1:1", 1), now, 1));
-    assert!(!registry.hear(record("a", "1:1", 2), now, 2));
-    // A late one that says otherwise is passed over.
-    assert!(!registry.hear(record("a", "2:2", 1), now, 3));
-    assert!(registry.hear(record("a", "2:2", 3), now, 4));
+    assert!(registry.record_heartbeat(record("a", "1:1", 1), now, 1));
+    assert!(!registry.record_heartbeat(record("a", "1:1", 2), now, 2));
+    // An older heartbeat with other content is ignored.
+    assert!(!registry.record_heartbeat(record("a", "2:2", 1), now, 3));
+    assert!(registry.record_heartbeat(record("a", "2:2", 3), now, 4));
     assert_eq!(ids(&registry.changed_after(3)), ["a"]);
     assert!(registry.changed_after(4).is_empty());
 }
@@ -49,57 +49,57 @@
 #[test]
 fn silent_engines_are_lost_and_come_back() {
     let mut registry = Registry::new(SILENCE);
-    registry.hear(record("a", "1:1", 1), Timestamp::from_millis(0), 1);
-    registry.hear(record("b", "2:2", 1), Timestamp::from_millis(9_000), 2);
+    registry.record_heartbeat(record("a", "1:1", 1), Timestamp::from_millis(0), 1);
+    registry.record_heartbeat(record("b", "2:2", 1), Timestamp::from_millis(9_000), 2);
     assert!(!registry.expire(Timestamp::from_millis(9_999), 3));
     assert!(registry.expire(Timestamp::from_millis(10_000), 3));
     assert_eq!(registry.lost_after(2), ["a"]);
-    assert!(registry.hear(record("a", "1:1", 2), Timestamp::from_millis(10_001), 4));
+    assert!(registry.record_heartbeat(record("a", "1:1", 2), Timestamp::from_millis(10_001), 4));
     assert!(registry.lost_after(2).is_empty());
 }
 
 #[test]
-fn an_address_that_another_engine_takes_loses_the_first() {
+fn an_engine_is_lost_when_another_takes_its_address() {
     let mut registry = Registry::new(SILENCE);
     let now = Timestamp::from_millis(0);
-    registry.hear(record("a", "1:1", 1), now, 1);
-    registry.hear(record("b", "1:1", 1), now, 2);
+    registry.record_heartbeat(record("a", "1:1", 1), now, 1);
+    registry.record_heartbeat(record("b", "1:1", 1), now, 2);
     assert_eq!(registry.lost_after(1), ["a"]);
     assert_eq!(ids(&registry.changed_after(0)), ["b"]);
 }
 
 #[test]
-fn a_late_heartbeat_of_an_engine_whose_address_was_taken_takes_nothing_back() {
+fn a_late_heartbeat_does_not_reclaim_a_taken_address() {
     let mut registry = Registry::new(SILENCE);
     let now = Timestamp::from_millis(0);
-    registry.hear(record("a", "1:1", 7), now, 1);
-    registry.hear(record("b", "1:1", 1), now, 2);
-    assert!(!registry.hear(record("a", "1:1", 8), now, 3));
+    registry.record_heartbeat(record("a", "1:1", 7), now, 1);
+    registry.record_heartbeat(record("b", "1:1", 1), now, 2);
+    assert!(!registry.record_heartbeat(record("a", "1:1", 8), now, 3));
     assert_eq!(ids(&registry.changed_after(0)), ["b"]);
     assert!(registry.lost_after(2).is_empty());
-    // At another address it is a heartbeat like any other.
-    assert!(registry.hear(record("a", "2:2", 9), now, 4));
+    // At another address, its heartbeat is accepted.
+    assert!(registry.record_heartbeat(record("a", "2:2", 9), now, 4));
     assert_eq!(ids(&registry.changed_after(0)), ["a", "b"]);
 }
 
 #[test]
-fn control_nodes_do_not_keep_a_silent_engine_alive_by_telling_each_other() {
+fn forwarded_heartbeats_do_not_keep_a_silent_engine_alive() {
     let skipped = Arc::new(AtomicU64::new(0));
     let hub = || Hub::new("a".into(), SILENCE, BootClock::skipping(skipped.clone()));
     let hubs = [hub(), hub(), hub()];
-    hubs[0].hear(record("a", "1:1", 1));
+    hubs[0].record_heartbeat(record("a", "1:1", 1));
     let mut since = [Timestamp::ZERO; 3];
     for _ in 0..20 {
         let now = [0, 1, 2].map(|place: usize| hubs[place].now());
-        let told = [0, 1, 2].map(|place| hubs[place].heard_since(since[place]));
+        let forwarded = [0, 1, 2].map(|place| hubs[place].heartbeats_since(since[place]));
         since = now;
-        for (teller, records) in told.iter().enumerate() {
+        for (sender, records) in forwarded.iter().enumerate() {
             let others = hubs
                 .iter()
                 .enumerate()
-                .filter(|(place, _)| *place != teller);
+                .filter(|(place, _)| *place != sender);
             for (_, other) in others {
-                other.hear_elsewhere(records.clone());
+                other.record_forwarded(records.clone());
             }
         }
         hubs.iter().for_each(Hub::expire);
@@ -112,16 +112,19 @@
 }
 
 #[test]
-fn a_control_node_tells_others_of_the_engines_that_call_it_alone() {
+fn a_control_node_forwards_only_heartbeats_sent_to_it() {
     let hub = Hub::new("a".into(), SILENCE, BootClock::start());
-    hub.hear(record("a", "1:1", 1));
-    hub.hear_elsewhere(vec![record("b", "2:2", 1)]);
-    assert_eq!(ids(&hub.heard_since(Timestamp::ZERO)), ["a"]);
-    // One that calls elsewhere from now on is told by that node.
-    hub.hear_elsewhere(vec![record("a", "1:1", 2)]);
-    assert_eq!(ids(&hub.heard_since(Timestamp::ZERO)), Vec::<&str>::new());
-    hub.hear(record("b", "2:2", 2));
-    assert_eq!(ids(&hub.heard_since(Timestamp::ZERO)), ["b"]);
+    hub.record_heartbeat(record("a", "1:1", 1));
+    hub.record_forwarded(vec![record("b", "2:2", 1)]);
+    assert_eq!(ids(&hub.heartbeats_since(Timestamp::ZERO)), ["a"]);
+    // An engine that switches to another control node is forwarded by that node.
+    hub.record_forwarded(vec![record("a", "1:1", 2)]);
+    assert_eq!(
+        ids(&hub.heartbeats_since(Timestamp::ZERO)),
+        Vec::<&str>::new()
+    );
+    hub.record_heartbeat(record("b", "2:2", 2));
+    assert_eq!(ids(&hub.heartbeats_since(Timestamp::ZERO)), ["b"]);
 }
 
 fn watch(hub: &Hub, kind: WatcherKind, mark: ViewMark) -> (ViewMark, ViewUpdate) {
@@ -153,15 +156,15 @@
 }
 
 #[test]
-fn a_watcher_gets_what_it_missed_and_no_more() {
+fn a_watcher_receives_exactly_the_changes_it_missed() {
     let hub = Hub::new("a".into(), SILENCE, BootClock::start());
     let mut machine = ControlMachine::new();
     declared(&mut machine, 3);
-    hub.take(machine.declared(), BTreeSet::from([NodeId(1)]), 1);
-    hub.hear(record("a", "1:1", 1));
+    hub.apply_declared(machine.declared(), BTreeSet::from([NodeId(1)]), 1);
+    hub.record_heartbeat(record("a", "1:1", 1));
     let kind = WatcherKind::Gateway;
     let (mark, update) = watch(&hub, kind, ViewMark::default());
-    assert_eq!(update.configuration.map(|held| held.version), Some(3));
+    assert_eq!(update.configuration.map(|current| current.version), Some(3));
     assert_eq!(ids(&update.engines), ["a"]);
     let (mark, update) = watch(&hub, kind, mark);
     assert_eq!(update, ViewUpdate::default());
@@ -171,42 +174,42 @@
         engine,
         departure,
     }));
-    hub.take(machine.declared(), BTreeSet::from([NodeId(1)]), 1);
+    hub.apply_declared(machine.declared(), BTreeSet::from([NodeId(1)]), 1);
     let (_, update) = watch(&hub, kind, mark);
     assert_eq!(update.departures, [("a".to_owned(), Departure::Draining)]);
     assert_eq!(update.configuration, None);
-    // A late heartbeat brings the engine back nowhere.
-    assert!(!hub.hear(record("a", "1:1", 9)));
-    // The mark of another start is void: everything is told.
+    // A delayed heartbeat does not bring the engine back.
+    assert!(!hub.record_heartbeat(record("a", "1:1", 9)));
+    // The mark of another session is invalid: everything is sent.
     let other = ViewMark {
         session: mark.session.wrapping_add(1),
         revision: mark.revision,
     };
     let (_, update) = watch(&hub, kind, other);
-    assert_eq!(update.configuration.map(|held| held.version), Some(3));
+    assert_eq!(update.configuration.map(|current| current.version), Some(3));
 }
 
 #[test]
-fn an_older_configuration_is_never_told_behind_a_newer_one() {
+fn a_configuration_is_never_replaced_by_an_older_one() {
     let hub = Hub::new("a".into(), SILENCE, BootClock::start());
     let (mut newer, mut older) = (ControlMachine::new(), ControlMachine::new());
     declared(&mut newer, 9);
     declared(&mut older, 8);
-    hub.take(newer.declared(), BTreeSet::new(), 1);
-    hub.take(older.declared(), BTreeSet::new(), 1);
+    hub.apply_declared(newer.declared(), BTreeSet::new(), 1);
+    hub.apply_declared(older.declared(), BTreeSet::new(), 1);
     let (_, update) = watch(&hub, WatcherKind::Gateway, ViewMark::default());
-    assert_eq!(update.configuration.map(|held| held.version), Some(9));
+    assert_eq!(update.configuration.map(|current| current.version), Some(9));
 }
 
 #[test]
-fn nodes_that_watch_are_counted_by_what_they_are_for() {
+fn watchers_are_counted_by_role() {
     let hub = Hub::new("a".into(), SILENCE, BootClock::start());
     watch(&hub, WatcherKind::Store, ViewMark::default());
     assert_eq!(hub.live_stores(), BTreeSet::from([NodeId(7)]));
     watch(&hub, WatcherKind::Gateway, ViewMark::default());
     hub.expire();
     let (_, update) = watch(&hub, WatcherKind::Gateway, ViewMark::default());
-    let topology = update.topology.expect("it changed");
+    let topology = update.topology.expect("a changed topology");
     assert_eq!(topology.gateways, BTreeSet::from([NodeId(7)]));
 }
 
@@ -221,14 +224,14 @@
 }
 
 #[test]
-fn a_control_node_that_has_just_started_takes_no_gateway_away() {
+fn a_restarted_control_node_removes_no_gateways() {
     let mut view = TopologyView::default();
     let start = Timestamp::ZERO;
     view.note(NodeId(1), Some(topology(7, &[4, 5], &[8, 9])), start);
-    // It counts no gateway yet and has applied less.
+    // It has counted no gateway yet and has applied less.
     view.note(NodeId(2), Some(topology(3, &[4], &[])), start);
     assert_eq!(view.current(start), topology(7, &[4, 5], &[8, 9]));
-    // One without a part of the log tells of gateways only.
+    // A node that has not applied any entries contributes gateways only.
     view.note(NodeId(3), Some(topology(0, &[], &[9, 10])), start);
     assert_eq!(view.current(start), topology(7, &[4, 5], &[8, 9, 10]));
     view.note(NodeId(2), Some(topology(8, &[4, 5, 6], &[8])), start);
@@ -236,7 +239,7 @@
 }
 
 #[test]
-fn control_nodes_tell_where_they_stand() {
+fn control_nodes_report_their_zone() {
     let start = Timestamp::ZERO;
     let mut view = TopologyView::default();
     for (node, zone) in [(1, "a"), (2, "b"), (3, "a")] {
@@ -246,7 +249,7 @@
         let (_, update) = watch(&hub, WatcherKind::Gateway, ViewMark::default());
         view.note(NodeId(node), update.topology, start);
     }
-    // An older one does not say.
+    // An older version does not report its zone.
     view.note(NodeId(4), Some(topology(1, &[], &[])), start);
     assert_eq!(view.control_in(&"a".into()), [1, 3].map(NodeId).into());
     assert_eq!(view.control_in(&"c".into()), BTreeSet::new());
@@ -254,7 +257,7 @@
 }
 
 #[test]
-fn a_silent_control_node_counts_no_gateways() {
+fn gateways_of_a_silent_control_node_are_ignored() {
     let mut view = TopologyView::default();
     let start = Timestamp::ZERO;
     let later = start + Duration::from_secs(6);
@@ -265,37 +268,47 @@
 }
 
 #[test]
-fn a_control_node_that_was_suspended_knows_that_what_it_heard_is_old() {
+fn a_resumed_control_node_treats_its_view_as_outdated() {
     let skipped = Arc::new(AtomicU64::new(0));
     let hub = Hub::new("a".into(), SILENCE, BootClock::skipping(skipped.clone()));
-    hub.hear(record("a", "1:1", 1));
+    hub.record_heartbeat(record("a", "1:1", 1));
     watch(&hub, WatcherKind::Store, ViewMark::default());
-    assert!(!hub.knows_stores(), "it has just started");
+    assert!(!hub.store_list_is_complete(), "it has just started");
     skipped.fetch_add(2_000_000, Ordering::Relaxed);
     watch(&hub, WatcherKind::Store, ViewMark::default());
     skipped.fetch_add(2_000_000, Ordering::Relaxed);
     watch(&hub, WatcherKind::Store, ViewMark::default());
-    assert!(hub.knows_stores());
-    // Eight seconds that a steady clock does not count.
+    assert!(hub.store_list_is_complete());
+    // Eight seconds that a monotonic clock does not count while suspended.
     skipped.fetch_add(8_000_000, Ordering::Relaxed);
     assert_eq!(hub.live_stores(), BTreeSet::new());
-    assert!(!hub.knows_stores(), "not that they are gone");
+    assert!(
+        !hub.store_list_is_complete(),
+        "after a suspension it cannot tell that they are gone"
+    );
     watch(&hub, WatcherKind::Store, ViewMark::default());
-    assert!(!hub.knows_stores(), "the others have not asked yet");
+    assert!(
+        !hub.store_list_is_complete(),
+        "the other stores have not asked yet"
+    );
     hub.expire();
-    assert_eq!(hub.heard_since(Timestamp::ZERO), [], "nor has the engine");
+    assert_eq!(
+        hub.heartbeats_since(Timestamp::ZERO),
+        [],
+        "the engine has not sent a heartbeat yet"
+    );
 }
 
 #[test]
-fn a_node_that_was_suspended_does_not_take_its_view_for_current() {
+fn a_resumed_node_does_not_treat_its_view_as_current() {
     let skipped = Arc::new(AtomicU64::new(0));
     let clock = BootClock::skipping(skipped.clone());
     let mut view = TopologyView::default();
-    let told = Topology {
+    let reported = Topology {
         control: BTreeSet::from([NodeId(1)]),
         ..Topology::default()
     };
-    view.note(NodeId(1), Some(told), clock.now());
+    view.note(NodeId(1), Some(reported), clock.now());
     let limit = Duration::from_secs(5);
     assert!(view.is_current(limit, clock.now()));
     skipped.fetch_add(8_000_000, Ordering::Relaxed);
@@ -303,7 +316,7 @@
 }
 
 #[test]
-fn gateways_are_counted_by_where_they_stand() {
+fn gateways_are_counted_by_zone() {
     let hub = Hub::new("a".into(), SILENCE, BootClock::start());
     for (node, zone) in [(1, Some("a")), (2, Some("b")), (3, Some("b")), (4, None)] {
         let watch = WatchView {
@@ -318,10 +331,10 @@
         block_on(hub.watch(&watch));
     }
     hub.expire();
-    assert_eq!(hub.gateways(), 4);
-    assert_eq!(hub.gateways_outside(&BTreeSet::new()), 4);
-    // One that does not say where it stands may be on either side.
-    assert_eq!(hub.gateways_outside(&BTreeSet::from(["b".into()])), 2);
+    assert_eq!(hub.gateway_count(), 4);
+    assert_eq!(hub.gateway_count_outside(&BTreeSet::new()), 4);
+    // A gateway without a zone may be on either side.
+    assert_eq!(hub.gateway_count_outside(&BTreeSet::from(["b".into()])), 2);
     assert_eq!(hub.zone_of(NodeId(2)), Some("b".into()));
     assert_eq!(hub.zone_of(NodeId(4)), None);
     assert_eq!(hub.own_zone(), Some("a".into()));
--- a/crates/fleet/tests/subsets.rs
+++ b/crates/fleet/tests/subsets.rs
@@ -1,6 +1,6 @@
-//! What a control node tells gateways of a large service: each its part, engines that come
-//! and go to those who use them, a configuration once; and that none of it grows with the
-//! fleet.
+//! Updates that a control node sends to the gateways of a large service: each receives
+//! its subset, changes of engines go to the gateways that use them, and a configuration
+//! is sent once. None of this grows with the size of the fleet.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::Future;
@@ -20,7 +20,7 @@
 const SILENCE: Duration = Duration::from_secs(10);
 const ZONES: usize = 5;
 
-/// A control node, with a clock that is moved by hand, and the gateways that watch it.
+/// A control node with a manually advanced clock, and the gateways that watch it.
 struct Fleet {
     hub: Hub,
     skipped: Arc<AtomicU64>,
@@ -49,12 +49,12 @@
 }
 
 impl Fleet {
-    /// A settled one: every gateway has heard its part.
+    /// Creates a fleet in which every gateway has received its subset.
     fn settled(gateways: usize, engines: usize) -> Self {
         Self::settled_by(BootClock::by_hand, gateways, engines)
     }
 
-    /// The same by another clock.
+    /// Same as `settled`, with another clock.
     fn settled_by(clock: fn(Arc<AtomicU64>) -> BootClock, gateways: usize, engines: usize) -> Self {
         let skipped = Arc::new(AtomicU64::new(0));
         let clock = clock(skipped.clone());
@@ -64,17 +64,17 @@
             marks: BTreeMap::new(),
             machine: ControlMachine::new(),
         };
-        fleet.hear_all(engines);
+        fleet.send_heartbeats(engines);
         fleet.watch_all(gateways);
-        fleet.pass(6, gateways, engines);
-        fleet.take();
+        fleet.advance(6, gateways, engines);
+        fleet.publish_declared();
         fleet.watch_all(gateways);
         fleet
     }
 
-    fn hear_all(&self, engines: usize) {
+    fn send_heartbeats(&self, engines: usize) {
         for place in 0..engines {
-            self.hub.hear(engine(place));
+            self.hub.record_heartbeat(engine(place));
         }
     }
 
@@ -83,17 +83,17 @@
         self.skipped.fetch_add(micros, Ordering::Relaxed);
     }
 
-    /// Lets some seconds pass in which gateways and engines are heard as ever.
-    fn pass(&mut self, seconds: u64, gateways: usize, engines: usize) {
+    /// Advances the clock by some seconds in which all gateways and engines stay active.
+    fn advance(&mut self, seconds: u64, gateways: usize, engines: usize) {
         for _ in 0..seconds / 2 {
             self.wait(Duration::from_secs(2));
-            self.hear_all(engines);
+            self.send_heartbeats(engines);
             self.watch_all(gateways);
             self.hub.expire();
         }
     }
 
-    /// What a gateway hears now, and how many bytes that is.
+    /// Returns the update that a gateway receives now, and its size in bytes.
     fn watch(&mut self, place: usize, version: u64, told_elsewhere: bool) -> (ViewUpdate, usize) {
         let gateway = node(place);
         let watch = WatchView {
@@ -126,7 +126,7 @@
             departure: Departure::Draining,
         };
         self.machine.apply(&ControlCommand::Declared(command));
-        self.take();
+        self.publish_declared();
     }
 
     fn declare(&mut self, version: u64) {
@@ -137,11 +137,11 @@
         };
         let command = DeclaredCommand::Declare(Box::new(declaration));
         self.machine.apply(&ControlCommand::Declared(command));
-        self.take();
+        self.publish_declared();
     }
 
-    fn take(&mut self) {
-        self.hub.take(
+    fn publish_declared(&mut self) {
+        self.hub.apply_declared(
             self.machine.declared(),
             BTreeSet::from([NodeId(900_000)]),
             1,
@@ -150,38 +150,42 @@
 }
 
 #[test]
-fn what_a_gateway_is_told_does_not_grow_with_the_fleet() {
-    let told_at_start = |gateways: usize, engines: usize| {
+fn updates_of_a_gateway_do_not_grow_with_the_fleet() {
+    let bytes_at_start = |gateways: usize, engines: usize| {
         let mut fleet = Fleet::settled(gateways, engines);
         fleet.marks.clear();
-        let told = fleet.watch_all(gateways);
-        let bytes: usize = told.iter().map(|(_, bytes)| bytes).sum();
+        let updates = fleet.watch_all(gateways);
+        let bytes: usize = updates.iter().map(|(_, bytes)| bytes).sum();
         bytes as f64 / gateways as f64
     };
-    let ratio = told_at_start(240, 6_000) / told_at_start(120, 3_000);
+    let ratio = bytes_at_start(240, 6_000) / bytes_at_start(120, 3_000);
     assert!(
         ratio <= 1.2,
-        "bytes told to a gateway at twice the fleet: {ratio}"
+        "growth of the bytes told to a gateway at twice the fleet size: {ratio}"
     );
-    let told_of_one = |gateways: usize, engines: usize| {
+    let watchers_of_new_engine = |gateways: usize, engines: usize| {
         let mut fleet = Fleet::settled(gateways, engines);
-        fleet.hub.hear(engine(engines));
-        let told = fleet.watch_all(gateways);
-        told.iter()
+        fleet.hub.record_heartbeat(engine(engines));
+        let updates = fleet.watch_all(gateways);
+        updates
+            .iter()
             .filter(|(update, _)| !update.engines.is_empty())
             .count()
     };
-    assert_eq!(told_of_one(120, 3_000), told_of_one(240, 6_000));
+    assert_eq!(
+        watchers_of_new_engine(120, 3_000),
+        watchers_of_new_engine(240, 6_000)
+    );
 }
 
 #[test]
-fn every_engine_is_told_to_some_and_a_departure_to_all() {
+fn engines_are_sent_to_some_gateways_and_departures_to_all() {
     let (gateways, engines) = (120, 3_000);
     let mut fleet = Fleet::settled(gateways, engines);
     fleet.marks.clear();
-    let told = fleet.watch_all(gateways);
+    let updates = fleet.watch_all(gateways);
     let mut known: BTreeMap<String, usize> = BTreeMap::new();
-    for record in told.iter().flat_map(|(update, _)| &update.engines) {
+    for record in updates.iter().flat_map(|(update, _)| &update.engines) {
         *known.entry(record.id.clone()).or_default() += 1;
     }
     assert_eq!(known.len(), engines);
@@ -192,13 +196,13 @@
         assert_eq!(update.departures, [(leaving.clone(), Departure::Draining)]);
     }
     assert!(
-        !fleet.hub.hear(engine(7)),
-        "a late heartbeat brings it back nowhere"
+        !fleet.hub.record_heartbeat(engine(7)),
+        "a late heartbeat must not bring it back"
     );
 }
 
-/// How many gateways a change answers at once.
-fn woken(fleet: &mut Fleet, gateways: usize) -> usize {
+/// Returns the number of gateways whose watch is answered immediately.
+fn answered_watches(fleet: &mut Fleet, gateways: usize) -> usize {
     let answered = (0..gateways).filter(|&place| {
         let gateway = node(place);
         let watch = WatchView {
@@ -216,48 +220,56 @@
 }
 
 #[test]
-fn an_engine_that_comes_or_leaves_answers_those_who_use_it_alone() {
-    let answered_by = |gateways: usize, engines: usize| {
+fn a_change_of_an_engine_wakes_only_its_users() {
+    let answers_by = |gateways: usize, engines: usize| {
         let mut fleet = Fleet::settled(gateways, engines);
-        assert_eq!(woken(&mut fleet, gateways), 0);
+        assert_eq!(answered_watches(&mut fleet, gateways), 0);
         fleet.depart(&engine(7).id);
-        let of_departure = woken(&mut fleet, gateways);
+        let of_departure = answered_watches(&mut fleet, gateways);
         fleet.watch_all(gateways);
-        fleet.hub.hear(engine(engines));
-        let of_new = woken(&mut fleet, gateways);
+        fleet.hub.record_heartbeat(engine(engines));
+        let of_new = answered_watches(&mut fleet, gateways);
         fleet.watch_all(gateways);
-        // Silent engines are lost, one of them a while before the others.
+        // Silent engines are lost, one of them some time before the others.
         fleet.wait(SILENCE / 2);
         (0..engines).filter(|&place| place != 9).for_each(|place| {
-            fleet.hub.hear(engine(place));
+            fleet.hub.record_heartbeat(engine(place));
         });
         fleet.watch_all(gateways);
         fleet.wait(SILENCE / 2);
         fleet.watch_all(gateways);
         fleet.hub.expire();
-        (of_departure, of_new, woken(&mut fleet, gateways))
+        (of_departure, of_new, answered_watches(&mut fleet, gateways))
     };
-    let (of_departure, of_new, of_lost) = answered_by(120, 3_000);
+    let (of_departure, of_new, of_lost) = answers_by(120, 3_000);
     assert_eq!((of_departure, of_new), (32, 32));
     assert!(of_lost <= 64, "that engine, and the new one: {of_lost}");
-    assert_eq!(answered_by(240, 6_000).0, of_departure);
+    assert_eq!(answers_by(240, 6_000).0, of_departure);
 }
 
 #[test]
-fn an_engine_that_takes_an_address_is_told_to_its_users_and_the_other_taken_back() {
+fn an_engine_that_takes_an_address_replaces_the_other_at_its_users() {
     let gateways = 120;
     let mut fleet = Fleet::settled(gateways, 3_000);
-    let users = fleet.hub.users_of(&[&engine(5).id]).remove(0).expect("few");
+    let users = fleet
+        .hub
+        .users_of(&[&engine(5).id])
+        .remove(0)
+        .expect("assigned users");
     let replacing = EngineRecord {
         id: "i-new".to_owned(),
         ..engine(5)
     };
-    fleet.hub.hear(replacing);
-    let new_users = fleet.hub.users_of(&["i-new"]).remove(0).expect("few");
+    fleet.hub.record_heartbeat(replacing);
+    let new_users = fleet
+        .hub
+        .users_of(&["i-new"])
+        .remove(0)
+        .expect("assigned users");
     for place in 0..gateways {
         let (update, _) = fleet.watch(place, 0, false);
-        let heard = update.engines.iter().any(|record| record.id == "i-new");
-        assert_eq!(heard, new_users.contains(&node(place)));
+        let received = update.engines.iter().any(|record| record.id == "i-new");
+        assert_eq!(received, new_users.contains(&node(place)));
         assert_eq!(
             update.lost.contains(&engine(5).id),
             users.contains(&node(place))
@@ -266,47 +278,47 @@
 }
 
 #[test]
-fn gateways_that_go_leave_their_engines_to_others_only_behind_a_restart() {
+fn engines_of_a_lost_gateway_are_reassigned_only_after_time_for_a_restart() {
     let gateways = 120;
     let mut fleet = Fleet::settled(gateways, 3_000);
     let engines: Vec<String> = (0..3_000).map(|place| engine(place).id).collect();
     let engines: Vec<&str> = engines.iter().map(String::as_str).collect();
     let before = fleet.hub.users_of(&engines);
-    fleet.pass(6, 90, 3_000);
+    fleet.advance(6, 90, 3_000);
     assert_eq!(fleet.hub.users_of(&engines), before);
-    fleet.pass(32, 90, 3_000);
+    fleet.advance(32, 90, 3_000);
     for users in fleet.hub.users_of(&engines) {
-        let users = users.expect("few");
+        let users = users.expect("assigned users");
         assert!(users.iter().all(|user| user.0 <= 90), "{users:?}");
         assert_eq!(users.len(), 32);
     }
 }
 
 #[test]
-fn a_control_node_that_begins_anew_takes_no_engines_away() {
+fn a_restarted_control_node_revokes_no_engines() {
     let gateways = 120;
     let mut fleet = Fleet::settled(gateways, 3_000);
     let skipped = Arc::new(AtomicU64::new(0));
     let clock = BootClock::by_hand(skipped.clone());
     fleet.hub = Hub::new("z0".into(), SILENCE, clock);
     fleet.skipped = skipped;
-    fleet.take();
-    for heard in [100, 1_000, 2_000] {
-        fleet.hear_all(heard);
+    fleet.publish_declared();
+    for count in [100, 1_000, 2_000] {
+        fleet.send_heartbeats(count);
         fleet.hub.expire();
         for (update, _) in fleet.watch_all(gateways) {
             let lists = update.parts.iter().filter(|part| part.engines.is_some());
-            assert_eq!(lists.count(), 0, "{heard}: {:?}", update.parts);
+            assert_eq!(lists.count(), 0, "{count}: {:?}", update.parts);
             assert_eq!(update.lost, Vec::<String>::new());
         }
         fleet.wait(Duration::from_secs(1));
     }
-    // They know engines, and hear at once of one that leaves.
+    // The gateways know engines and are notified at once of one that leaves.
     fleet.watch_all(gateways);
     fleet.depart(&engine(7).id);
-    assert_eq!(woken(&mut fleet, gateways), gateways);
+    assert_eq!(answered_watches(&mut fleet, gateways), gateways);
     fleet.marks.clear();
-    fleet.pass(6, gateways, 3_000);
+    fleet.advance(6, gateways, 3_000);
     fleet.marks.clear();
     for (update, _) in fleet.watch_all(gateways) {
         let listed = update.parts[0].engines.as_ref().map(Vec::len);
@@ -315,44 +327,49 @@
 }
 
 #[test]
-fn a_control_node_that_was_frozen_gives_no_engines_away_before_it_heard_everybody() {
+fn a_resumed_control_node_reassigns_no_engines_before_it_is_settled() {
     let gateways = 120;
     let mut fleet = Fleet::settled(gateways, 3_000);
     let engines: Vec<String> = (0..3_000).map(|place| engine(place).id).collect();
     let engines: Vec<&str> = engines.iter().map(String::as_str).collect();
     let before = fleet.hub.users_of(&engines);
     fleet.wait(Duration::from_secs(60));
-    fleet.hear_all(3_000);
+    fleet.send_heartbeats(3_000);
     fleet.watch_all(3);
     fleet.hub.expire();
     assert_eq!(fleet.hub.users_of(&engines), before);
-    fleet.pass(6, gateways, 3_000);
+    fleet.advance(6, gateways, 3_000);
     assert_eq!(fleet.hub.users_of(&engines), before);
 }
 
 #[test]
-fn a_configuration_is_told_once_and_by_another_node_when_the_first_does_not() {
+fn a_configuration_is_sent_once_with_fallback_to_another_node() {
     let mut fleet = Fleet::settled(1, 0);
     fleet.declare(7);
-    let told = |fleet: &mut Fleet, version, told_elsewhere| {
+    let sent_version = |fleet: &mut Fleet, version, told_elsewhere| {
         let (update, _) = fleet.watch(0, version, told_elsewhere);
-        update.configuration.map(|held| held.version)
+        update.configuration.map(|current| current.version)
     };
-    assert_eq!(told(&mut fleet, 0, true), None);
-    assert_eq!(told(&mut fleet, 7, true), None, "it has it by now");
-    assert_eq!(told(&mut fleet, 0, false), Some(7));
-    // Whoever still lacks it hears it here, however often it asks meanwhile.
-    assert_eq!(told(&mut fleet, 0, true), None);
+    assert_eq!(sent_version(&mut fleet, 0, true), None);
+    assert_eq!(
+        sent_version(&mut fleet, 7, true),
+        None,
+        "the gateway has it already"
+    );
+    assert_eq!(sent_version(&mut fleet, 0, false), Some(7));
+    // A gateway that still lacks it receives it here after the delay, however often it
+    // asks.
+    assert_eq!(sent_version(&mut fleet, 0, true), None);
     fleet.wait(Duration::from_millis(300));
-    assert_eq!(told(&mut fleet, 0, true), None);
+    assert_eq!(sent_version(&mut fleet, 0, true), None);
     fleet.wait(Duration::from_millis(200));
-    assert_eq!(told(&mut fleet, 0, true), Some(7));
+    assert_eq!(sent_version(&mut fleet, 0, true), Some(7));
     fleet.wait(Duration::from_secs(1));
-    assert_eq!(told(&mut fleet, 7, false), None);
+    assert_eq!(sent_version(&mut fleet, 7, false), None);
 }
 
 #[test]
-fn stores_hear_of_the_cluster_alone() {
+fn stores_receive_only_the_topology() {
     let mut fleet = Fleet::settled(3, 100);
     fleet.declare(3);
     let watch = WatchView {
@@ -379,13 +396,16 @@
 }
 
 #[test]
-fn a_control_node_without_the_group_tells_who_holds_it_and_nothing_else() {
+fn a_non_member_sends_only_the_group_members() {
     let mut fleet = Fleet::settled(2, 100);
     fleet.declare(3);
     fleet.hub.set_member(false);
     fleet.marks.clear();
     let (update, _) = fleet.watch(0, 0, false);
-    let control = update.topology.as_ref().map(|told| told.control.clone());
+    let control = update
+        .topology
+        .as_ref()
+        .map(|topology| topology.control.clone());
     assert_eq!(control, Some(BTreeSet::from([NodeId(900_000)])));
     assert_eq!(
         ViewUpdate {
@@ -394,16 +414,16 @@
         },
         ViewUpdate::default()
     );
-    // Once it holds the group, whoever asks gets what it did not.
+    // Once it is a member, a watcher receives what was withheld before.
     fleet.hub.set_member(true);
     let (update, _) = fleet.watch(0, 0, false);
-    assert_eq!(update.configuration.map(|held| held.version), Some(3));
+    assert_eq!(update.configuration.map(|current| current.version), Some(3));
     assert_eq!(update.engines.len(), 100);
 }
 
 #[test]
-fn whoever_waits_sleeps_meanwhile() {
-    // Waits end by a clock that goes on by itself.
+fn a_waiting_watch_does_not_spin() {
+    // Waits need a clock that advances by itself.
     let mut fleet = Fleet::settled_by(BootClock::skipping, 1, 10);
     fleet.declare(3);
     for kind in [WatcherKind::Store, WatcherKind::Gateway] {
@@ -433,7 +453,7 @@
 }
 
 #[test]
-fn a_gateway_that_does_not_say_its_zone_or_version_is_served() {
+fn a_gateway_without_zone_or_version_is_served() {
     let mut fleet = Fleet::settled(120, 3_000);
     fleet.declare(3);
     let watch = WatchView {
@@ -451,7 +471,7 @@
         panic!("no view");
     };
     let update: ViewUpdate = molespan_state::decode(&update).expect("an update");
-    assert_eq!(update.configuration.map(|held| held.version), Some(3));
+    assert_eq!(update.configuration.map(|current| current.version), Some(3));
     assert!(!update.engines.is_empty());
     let again = WatchView { mark, ..watch };
     let Response::View { update, .. } = block_on(fleet.hub.watch(&again)) else {
@@ -461,40 +481,45 @@
     assert_eq!(update, ViewUpdate::default());
 }
 
-/// It served nobody for four seconds: whoever starts while all control nodes do knows no
-/// engine from before, and was told of none until it was known who uses which.
+/// Guards against a gateway serving no requests for four seconds when it starts together
+/// with all control nodes: it knows no engines from before, and received none until the
+/// engines were assigned to gateways.
 #[test]
-fn a_gateway_that_starts_with_all_control_nodes_hears_of_engines_at_once() {
+fn a_gateway_that_starts_with_all_control_nodes_receives_engines_at_once() {
     let (gateways, engines) = (120, 3_000);
     let mut fleet = Fleet::settled(gateways, engines);
     let skipped = Arc::new(AtomicU64::new(0));
     fleet.hub = Hub::new("z0".into(), SILENCE, BootClock::by_hand(skipped.clone()));
     fleet.skipped = skipped;
-    fleet.take();
-    // Engines register before anybody asks, and while gateways do.
-    fleet.hear_all(engines / 2);
+    fleet.publish_declared();
+    // Engines register before any gateway sends a request, and in between.
+    fleet.send_heartbeats(engines / 2);
     fleet.hub.expire();
-    let goes_on = fleet.watch(0, 0, false).0;
-    assert_eq!(goes_on.engines, [], "it knows engines from before");
+    let established = fleet.watch(0, 0, false).0;
+    assert_eq!(
+        established.engines,
+        [],
+        "it keeps the engines known from before"
+    );
     fleet.marks.clear();
     let mut known: BTreeMap<String, usize> = BTreeMap::new();
     for _ in 0..2 {
         for (update, _) in fleet.watch_all(gateways) {
-            let told = update.engines.len();
-            assert!((1..=engines / 10).contains(&told), "{told} engines");
+            let count = update.engines.len();
+            assert!((1..=engines / 10).contains(&count), "{count} engines told");
             assert_eq!(update.parts.len(), 1);
-            assert_eq!(update.parts[0].engines, None, "nothing is taken back");
+            assert_eq!(update.parts[0].engines, None, "no engines are taken back");
             for engine in update.engines {
                 *known.entry(engine.id).or_default() += 1;
             }
         }
-        fleet.hear_all(engines);
+        fleet.send_heartbeats(engines);
         fleet.wait(Duration::from_millis(500));
     }
-    // As it is once it is settled, with fewer users each for a while.
+    // As in the settled state, with fewer users per engine for a while.
     assert!(known.len() > engines * 9 / 10, "{} known", known.len());
     assert!(known.values().all(|users| *users <= 32), "{known:?}");
-    fleet.pass(6, gateways, engines);
+    fleet.advance(6, gateways, engines);
     for (update, _) in fleet.watch_all(gateways) {
         let part = update.parts.iter().find(|part| part.engines.is_some());
         assert_eq!(part.and_then(|part| part.users), Some(32));
--- a/crates/membership/src/directory/machine_list.rs
+++ b/crates/membership/src/directory/machine_list.rs
@@ -1,4 +1,4 @@
-//! Merging the platform list, which lags and may go back in time.
+//! Merges the platform list, which may lag or go back to an older revision.
 
 use std::collections::BTreeSet;
 
@@ -9,18 +9,19 @@
 use super::record::{BackendState, ChangeReason, Entry};
 use super::{Directory, DirectoryOutput, DirectorySettings};
 
-/// What is remembered of earlier lists.
+/// State kept from earlier lists.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ListHistory {
-    /// Highest revision that is believed.
+    /// Highest accepted revision.
     highest: u64,
-    /// Since when only lower revisions arrived.
+    /// Since when only lower revisions have arrived.
     lower_since: Option<Timestamp>,
 }
 
 impl ListHistory {
-    /// Whether a list of that revision is as new as any before. When only
-    /// lower ones come for long, the platform was reset and they are believed.
+    /// Whether a list of this revision is at least as new as all earlier ones. If only
+    /// lower revisions arrive for a long time, the platform was reset and they are
+    /// accepted.
     fn is_current(&mut self, now: Timestamp, revision: u64, settings: &DirectorySettings) -> bool {
         if revision >= self.highest {
             self.highest = revision;
@@ -28,7 +29,7 @@
             return true;
         }
         let since = *self.lower_since.get_or_insert(now);
-        if now.since(since) < settings.list_restart_after {
+        if now.since(since) < settings.list_reset_after {
             return false;
         }
         self.highest = revision;
@@ -73,25 +74,25 @@
             .entries
             .entry(machine.id)
             .or_insert_with(|| Entry::new(now, machine, revision));
-        let newer_life = machine.incarnation > entry.backend.incarnation;
+        let newer_incarnation = machine.incarnation > entry.backend.incarnation;
         if !entry.admit_incarnation(now, machine.incarnation, outputs) {
             return;
         }
-        if newer_life || (current && revision >= entry.revision) {
-            entry.take_place(machine, revision);
+        if newer_incarnation || (current && revision >= entry.revision) {
+            entry.update_placement(machine, revision);
         }
         match machine.state {
             MachineState::Leaving => {
                 entry.change(now, BackendState::Leaving, ChangeReason::Listed, outputs);
             }
-            MachineState::Live => entry.listed_live(now, outputs),
+            MachineState::Live => entry.handle_listed_live(now, outputs),
         }
     }
 }
 
 impl Entry {
-    /// Takes over where the machine stands and what it is meant for.
-    fn take_place(&mut self, machine: &Machine, revision: u64) {
+    /// Updates the address, zone and purpose of the machine.
+    fn update_placement(&mut self, machine: &Machine, revision: u64) {
         self.backend.kind = machine.kind;
         self.backend.address.clone_from(&machine.address);
         self.backend.zone = machine.zone.clone();
@@ -99,8 +100,9 @@
         self.revision = revision;
     }
 
-    /// A live line never undoes leaving: the list may be older than the mark.
-    fn listed_live(&mut self, now: Timestamp, outputs: &mut Vec<DirectoryOutput>) {
+    /// Handles a machine that is listed as live. This never undoes leaving, because the
+    /// list may be older than the leaving mark.
+    fn handle_listed_live(&mut self, now: Timestamp, outputs: &mut Vec<DirectoryOutput>) {
         if !enabled(Mechanism::StickyLeaving) && self.backend.state == BackendState::Leaving {
             self.change(now, BackendState::Healthy, ChangeReason::Listed, outputs);
         }
--- a/crates/membership/tests/directory.rs
+++ b/crates/membership/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The merged view of back ends, named after what goes wrong.
+//! The directory of back ends: conflicting sources, failures and restarts.
 
 use std::time::Duration;
 
@@ -69,7 +69,7 @@
         .map_or(BackendState::Gone, |backend| backend.state)
 }
 
-/// Runs the inputs one millisecond apart and returns the state after the last.
+/// Applies the inputs one millisecond apart and returns the final state.
 fn run(inputs: Vec<DirectoryInput>) -> BackendState {
     let mut directory = Directory::new(DirectorySettings::default());
     for (millis, input) in inputs.into_iter().enumerate() {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn sources_that_disagree() {
+fn conflicting_sources_are_merged() {
     use BackendState::{Ejected, Healthy, Leaving, Suspect, Unknown};
     let failed = || work(1, WorkResult::Failed);
     let leaving = |revision| list(revision, vec![machine(7, 1, MachineState::Leaving)]);
@@ -98,22 +98,22 @@
             BackendState::Gone,
         ),
         (
-            "an older list says live after the engine says leaving",
+            "an older list reports live after the engine reports leaving",
             vec![live(5, 1), report(1, true), live(4, 1)],
             Leaving,
         ),
         (
-            "a newer list says live after the engine says leaving",
+            "a newer list reports live after the engine reports leaving",
             vec![live(5, 1), report(1, true), live(6, 1)],
             Leaving,
         ),
         (
-            "the engine takes its own leaving back",
+            "the engine takes back its own leaving mark",
             vec![live(5, 1), report(1, true), report(1, false)],
             Leaving,
         ),
         (
-            "an older list says leaving",
+            "an older list reports leaving",
             vec![live(5, 1), report(1, false), leaving(2)],
             Leaving,
         ),
@@ -123,22 +123,22 @@
             Leaving,
         ),
         (
-            "the same address returns as a new life",
+            "the same address returns with a new incarnation",
             vec![live(5, 1), report(1, true), live(6, 2), report(2, false)],
             Healthy,
         ),
         (
-            "a late report of the life before",
+            "a late report of the incarnation before",
             vec![live(5, 2), report(2, false), report(1, true)],
             Healthy,
         ),
         (
-            "an old list names the life before as leaving",
+            "an old list reports the incarnation before as leaving",
             vec![live(5, 2), report(2, false), leaving(3)],
             Healthy,
         ),
         (
-            "late failures of work sent to the life before",
+            "late failures of work sent to the incarnation before",
             vec![live(5, 2), report(2, false), failed(), failed(), failed()],
             Healthy,
         ),
@@ -188,7 +188,7 @@
 }
 
 #[test]
-fn a_dead_engine_is_probed_ever_more_rarely() {
+fn a_dead_engine_is_probed_with_exponential_backoff() {
     let mut directory = Directory::new(DirectorySettings::default());
     eject(&mut directory, at(0));
     let mut sent = Vec::new();
@@ -206,19 +206,19 @@
 fn a_flapping_engine_gets_less_work_each_time() {
     let mut directory = Directory::new(DirectorySettings::default());
     eject(&mut directory, at(0));
-    let mut open_again = Vec::new();
+    let mut tried_again = Vec::new();
     for millis in (0..20_000).step_by(50) {
         if probes_sent(&mut directory, at(millis)) > 0 {
-            // It answers the probe and fails the first work it gets.
+            // It answers the probe and fails the first request it receives.
             directory.handle(at(millis), probe(FAST));
             assert_eq!(state(&directory), BackendState::Suspect);
-            open_again.push(millis);
+            tried_again.push(millis);
             directory.handle(at(millis), work(1, WorkResult::Failed));
             assert_eq!(state(&directory), BackendState::Ejected);
         }
     }
     expect_test::expect!["[250, 750, 1750, 3750, 7750, 15750]"]
-        .assert_eq(&format!("{open_again:?}"));
+        .assert_eq(&format!("{tried_again:?}"));
 }
 
 #[test]
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn a_list_that_does_not_know_a_new_engine_yet() {
+fn an_engine_missing_from_an_older_list_stays_healthy() {
     let mut directory = Directory::new(DirectorySettings::default());
     directory.handle(at(0), live(5, 1));
     directory.handle(at(1), report(1, false));
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_platform_that_was_reset_is_believed_after_a_while() {
+fn lists_of_a_reset_platform_are_accepted_after_a_delay() {
     let mut directory = Directory::new(DirectorySettings::default());
     directory.handle(at(0), live(1_000, 1));
     let mut gone_at = None;
@@ -313,7 +313,7 @@
     assert_eq!(ejected, [3]);
 }
 
-/// Any input about one engine in lives 1 to 3.
+/// Generates an input about one engine in incarnations 1 to 3.
 fn any_input() -> impl Strategy<Value = DirectoryInput> {
     let life = 1_u64..4;
     let result = prop_oneof![Just(FAST), Just(WorkResult::Failed)];
@@ -343,7 +343,7 @@
     })]
 
     #[test]
-    fn no_order_of_news_undoes_leaving_or_steps_back(
+    fn no_order_of_inputs_undoes_leaving_or_lowers_the_incarnation(
         inputs in prop::collection::vec((0_u64..3_000, any_input()), 1..60),
     ) {
         let mut directory = Directory::new(DirectorySettings::default());
