--- a/crates/routing/src/queue/fairness.rs
+++ b/crates/routing/src/queue/fairness.rs
@@ -1,38 +1,39 @@
-//! Turns of tenants: each goes once a round, or as often as its weight says, as long
-//! as it has something that waits. Whoever was idle begins in the round under way, so
-//! that it gains nothing by having waited and loses nothing to who filled the queue.
+//! Fair turns between tenants: a tenant with waiting requests gets one turn per round, or
+//! as many as its weight. A tenant that was idle joins in the current round, so that it
+//! gains nothing from the idle time and is not held back by tenants that filled the
+//! queue.
 
 use std::collections::BTreeMap;
 
-/// Lane of requests that belong to no tenant; no tenant has an empty name.
+/// Lane of requests without a tenant; no tenant has an empty name.
 const NO_TENANT: &str = "";
 
-/// A tenant of which something waits.
+/// Scheduling state of one tenant.
 #[derive(Clone, Copy, Debug, Default)]
 struct Lane {
-    /// Where its next request begins, in rounds.
+    /// Position of its next request, in rounds.
     next: f64,
     waiting: usize,
 }
 
-/// Rounds of the tenants of one queue. Only those with something waiting are kept,
-/// and those that went further than the round under way.
+/// Rounds of the tenants in one queue. Keeps only tenants with waiting requests and
+/// tenants that are ahead of the current round.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Shares {
-    /// The round under way.
+    /// The current round.
     round: u64,
     lanes: BTreeMap<String, Lane>,
 }
 
 impl Shares {
-    /// The round of a request that comes now. Requests of no tenant are all in the round
-    /// under way, unless there are tenants: then they go as one tenant does.
+    /// Returns the round of a request that arrives now. Requests without a tenant are all
+    /// in the current round, unless there are tenants: then they count as one tenant.
     pub fn round(&self, tenant: Option<&str>) -> u64 {
         let lane = self.lanes.get(tenant.unwrap_or(NO_TENANT));
         lane.map_or(self.round, |lane| (lane.next as u64).max(self.round))
     }
 
-    /// A request waits, in the round that [`Shares::round`] says.
+    /// Adds a waiting request in the round that [`Shares::round`] returned.
     pub fn enter(&mut self, tenant: Option<&str>, weight: u32) {
         if tenant.is_none() && self.lanes.is_empty() {
             return;
@@ -53,12 +54,12 @@
         }
     }
 
-    /// A request of a round begins: earlier rounds are over.
+    /// Records that a request of `round` was dispatched; earlier rounds are over.
     pub fn begun(&mut self, round: u64) {
         self.round = self.round.max(round);
     }
 
-    /// A request no longer waits.
+    /// Removes a waiting request.
     pub fn leave(&mut self, tenant: Option<&str>) {
         let Some(lane) = self.lanes.get_mut(tenant.unwrap_or(NO_TENANT)) else {
             return;
@@ -71,12 +72,12 @@
         }
     }
 
-    /// Requests of a tenant that wait.
+    /// Number of waiting requests of a tenant.
     pub fn waiting(&self, tenant: &str) -> usize {
         self.lanes.get(tenant).map_or(0, |lane| lane.waiting)
     }
 
-    /// Nothing waits: all tenants are equal again.
+    /// Makes all tenants equal again, once no request waits.
     pub fn clear(&mut self) {
         self.lanes.clear();
     }
--- a/crates/routing/src/queue/forecast.rs
+++ b/crates/routing/src/queue/forecast.rs
@@ -1,12 +1,13 @@
-//! How fast a queue moves, and so when a turn comes.
+//! Estimates how fast a queue moves, and so how long requests wait.
 //!
-//! Requests begin at a rate that is known only while somebody waits: else they begin
-//! as they come, and there is room for as many at least; and as many can begin as of
-//! those that run here end. Who is late goes behind all who come meanwhile and can be in time;
-//! for it counts what the rate leaves over. As peaks come and go, that is the more
-//! hopeful one of a short and a long look back at what comes. Counts of few say little:
-//! each is taken for off by its root, in the hopeful direction, and the begin that is due
-//! next for one as long as that is not overdue.
+//! The dispatch rate can be measured only while requests wait; otherwise requests are
+//! dispatched as they arrive, which gives a lower bound. The rate at which running
+//! requests end is another lower bound. A late request goes behind all requests that
+//! arrive meanwhile and can start in time, so it gets only what arrivals leave of the
+//! dispatch rate. As load comes in peaks, the lower arrival rate of a short and a long
+//! window counts. Small counts are unreliable: each is corrected by its square root in
+//! the optimistic direction, and the next dispatch counts already as long as it is not
+//! overdue.
 
 use std::time::Duration;
 
@@ -14,44 +15,44 @@
 
 use crate::decay::FadingSum;
 
-/// Time, of waiting and in all, over which the rate of begins is measured.
+/// Time constant of the dispatch rate, in waiting time and in total time.
 const BEGINS_OVER: Duration = Duration::from_secs(2);
-/// Seconds of waiting without which no rate is known.
+/// Seconds of waiting time before a rate counts as known.
 const MEASURED_AFTER: f64 = 0.2;
 /// Weight of the latest request in the mean time for which slots are held.
 const LATEST_WEIGHT: f64 = 1.0 / 32.0;
-/// Time of waiting without a begin after which one says that engines are back: what was
-/// measured before then tells nothing.
+/// Waiting time without a dispatch after which the queue counts as stalled. The next
+/// dispatch then shows that engines are back, and earlier measurements are discarded.
 const STALLED_AFTER: Duration = Duration::from_secs(1);
-/// Times over which arrivals are measured: what comes now, and what comes over a time
-/// for which callers wait, peaks and lulls.
+/// Time constants of the arrival rates: the current rate, and the rate over the time for
+/// which callers wait, which spans peaks and lulls.
 const ARRIVALS_OVER: [Duration; 2] = [Duration::from_millis(500), Duration::from_secs(4)];
 
-/// How a queue moves, in requests a second.
+/// Estimated rates of a queue, in requests per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rates {
-    /// Begin while somebody waits.
+    /// Dispatch rate while requests wait.
     pub begin: f64,
-    /// Come.
+    /// Arrival rate.
     pub come: f64,
 }
 
-/// What is measured of one queue.
+/// Measurements of one queue.
 #[derive(Clone, Debug)]
 pub(super) struct Forecast {
     seen: Timestamp,
-    /// A clock that goes only while somebody waits.
+    /// Clock that advances only while requests wait.
     waited: Timestamp,
-    /// Seconds for which somebody waited.
+    /// Seconds during which requests waited.
     waits: FadingSum,
     begins: FadingSum,
-    /// All begins, by the caller's clock.
+    /// All dispatches, on the caller's clock.
     all_begins: FadingSum,
-    /// Requests that hold a slot.
+    /// Number of requests that hold an engine slot.
     running: u32,
-    /// Mean seconds for which one holds it.
+    /// Mean time in seconds for which a request holds its slot.
     held: f64,
-    /// When the latest request began, by the clock of waits.
+    /// Time of the latest dispatch, on the clock of waiting time.
     began: Option<Timestamp>,
     arrivals: [FadingSum; 2],
 }
@@ -73,7 +74,8 @@
 }
 
 impl Forecast {
-    /// Time passes, in which somebody waited or not.
+    /// Advances the clocks. `anybody_waits` tells whether requests waited since the last
+    /// call.
     pub fn advance(&mut self, now: Timestamp, anybody_waits: bool) {
         let passed = now.since(self.seen);
         self.seen = self.seen.max(now);
@@ -83,14 +85,15 @@
         }
     }
 
-    /// A request came.
+    /// Records an arrival.
     pub fn came(&mut self, now: Timestamp) {
         for arrivals in &mut self.arrivals {
             arrivals.add(1.0, now);
         }
     }
 
-    /// A request began, for which others waited or which had waited itself, or at once.
+    /// Records a dispatch. `waited` is false if it was immediate and no other request
+    /// waited.
     pub fn begun(&mut self, waited: bool) {
         let stalled = self.is_stalled();
         self.began = Some(self.waited);
@@ -104,12 +107,13 @@
         self.all_begins.add(1.0, self.seen);
     }
 
-    /// A request takes a slot of an engine.
+    /// Records that a request occupies an engine slot.
     pub fn started(&mut self) {
         self.running += 1;
     }
 
-    /// One leaves it, and held it for so long if it began.
+    /// Records that a request left its engine slot, and for how long it held the slot if
+    /// an engine started it.
     pub fn ended(&mut self, held: Option<Duration>) {
         self.running = self.running.saturating_sub(1);
         if let Some(held) = held {
@@ -117,21 +121,21 @@
         }
     }
 
-    /// Whether anything was measured yet. A gateway that never began anything may not
-    /// know its engines yet; and slots that were taken together are freed together, so
-    /// that a rate shows only behind the time for which they are held.
+    /// Whether enough was measured for an estimate. A gateway that never dispatched a
+    /// request may not know its engines yet. Slots that were taken together are also
+    /// freed together, so a rate shows only after the time for which slots are held.
     pub fn is_measured(&self) -> bool {
         let needed = self.held.max(MEASURED_AFTER);
         self.began.is_some() && self.waits.at(self.waited) >= needed
     }
 
-    /// Whether nothing began for long, or ever.
+    /// Whether no request was dispatched for [`STALLED_AFTER`] of waiting time, or ever.
     fn is_stalled(&self) -> bool {
         let stalled = |began| self.waited.since(began) >= STALLED_AFTER;
         self.began.is_none_or(stalled)
     }
 
-    /// How the queue moves, in the hopeful case.
+    /// Returns the current rates, estimated optimistically.
     pub fn rates(&self, now: Timestamp) -> Rates {
         let waits = self.waits.at(self.waited);
         let begins = self.begins.at(self.waited);
@@ -146,7 +150,7 @@
         };
         let all = self.all_begins.at(now);
         let at_least = (all + all.sqrt()) / BEGINS_OVER.as_secs_f64();
-        // Those at engines that stand do not end.
+        // Requests at stalled engines do not end.
         let ending = match self.is_stalled() || self.held == 0.0 {
             true => 0.0,
             false => f64::from(self.running) / self.held,
@@ -157,12 +161,14 @@
         }
     }
 
-    /// Wait behind `ahead` whom nobody overtakes; `None` when nothing moves.
+    /// Expected wait behind `ahead` requests that nobody overtakes; `None` if nothing
+    /// moves.
     pub fn wait(&self, ahead: usize) -> Option<Duration> {
         at_rate(ahead, self.rates(self.seen).begin)
     }
 
-    /// Wait behind `ahead` and all who come meanwhile.
+    /// Expected wait behind `ahead` requests and all that arrive meanwhile; `None` if
+    /// arrivals use up the dispatch rate.
     pub fn late_wait(&self, ahead: usize, now: Timestamp) -> Option<Duration> {
         if !self.is_measured() {
             return Some(Duration::ZERO);
--- a/crates/routing/src/queue/mod.rs
+++ b/crates/routing/src/queue/mod.rs
@@ -1,11 +1,11 @@
-//! Whose turn it is to look for an engine, among all online requests of one service
-//! that wait at one gateway, and which of them are refused since it cannot come.
+//! The queue of online requests of one service at one gateway: decides which waiting
+//! requests may look for an engine, and refuses those that cannot be served in time.
 //!
-//! The turn goes to who can still be in time before who is late, then by rank, then
-//! by the fair shares of tenants, and then to who has to begin first; a long answer
-//! counts as if it could wait a little longer. Who would begin only after its caller
-//! has gone is refused as soon as that is foreseeable: on arrival, or when the queue
-//! slows down.
+//! Requests that can still start in time go before late ones. Within each group the order
+//! is by rank, then by the fair shares of tenants, then by the time at which a request
+//! has to start, where a long answer counts as if it could wait slightly longer. A
+//! request that would start only after its caller has left is refused as soon as that is
+//! foreseeable: on arrival, or when the queue slows down.
 
 mod fairness;
 mod forecast;
@@ -26,25 +26,27 @@
 use forecast::Forecast;
 use order::{Key, Sizes};
 
-/// Names one that waits.
+/// Identifies a waiting request.
 pub type Place = u64;
 
-/// How many look for an engine at the same time: one that no engine with room suits
-/// must not hold up those behind it. They are refused for their own time alone: by
-/// looking they find out when there is room again.
+/// Maximum number of requests that look for an engine at the same time, so that a request
+/// that suits no engine with free slots does not block those behind it. These requests
+/// are refused only when their own time is up: their searches detect when there is
+/// capacity again.
 const LOOKERS: usize = 3;
-/// How much longer than the time that is left a wait has to be expected to be. Refusing
-/// one that would be served costs its answer.
+/// Factor by which the expected wait must exceed the remaining time before a request is
+/// refused. Refusing a request that would have been served costs its answer.
 const SURE: f64 = 1.25;
-/// Wait up to which a request counts as begun at once: one look takes as long.
+/// A request that waited less than this counts as dispatched immediately: one search for
+/// an engine takes as long.
 const AT_ONCE: Duration = Duration::from_millis(4);
-/// Time between two searches for those whose turn cannot come.
+/// Minimum time between two scans for requests that cannot be dispatched in time.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(25);
 
-/// Bounds of a queue.
+/// Limits of a queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Most requests that wait.
+    /// Maximum number of waiting requests.
     pub most_waiting: usize,
 }
 
@@ -56,63 +58,65 @@
     }
 }
 
-/// A request that wants an engine.
+/// A request that needs an engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Want<'a> {
-    /// Whose it is; requests of no tenant share no limit of their own.
+    /// Tenant of the request; no per-tenant limit applies to requests without one.
     pub tenant: Option<&'a str>,
-    /// Share of its tenant among others; 0 counts as 1.
+    /// Weight of the tenant relative to others; 0 counts as 1.
     pub weight: u32,
-    /// How urgent it is.
+    /// Priority of the request.
     pub rank: Rank,
-    /// Tokens of its answer as far as it says.
+    /// Size of the answer in tokens, if the request states it.
     pub size: Option<u64>,
-    /// It is in time if an engine begins with it by then.
+    /// The request is in time if an engine starts it before this time.
     pub begins_by: Timestamp,
-    /// Beyond this a begin is of no use to its caller.
+    /// After this time, starting the request is of no use to its caller.
     pub leaves_at: Timestamp,
-    /// Whether it comes back from an engine. Then it is refused for its own time alone.
+    /// Whether the request returns from an engine. If so, it is refused only when its own
+    /// time is up.
     pub again: bool,
 }
 
-/// Why one is refused.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum Reason {
-    /// As many wait as may.
+    /// The queue is full.
     #[display("queue full")]
     Full,
-    /// Its tenant holds as many places as are free.
+    /// The tenant holds as many places in the queue as are still free.
     #[display("tenant's share of the queue full")]
     TenantFull,
-    /// Its turn would come too late.
+    /// The request would be dispatched too late.
     #[display("turn would come too late")]
     Hopeless,
-    /// It waited for as long as was of use.
+    /// The request waited for as long as starting it was of use.
     #[display("waited in vain")]
     Waited,
 }
 
-/// A refusal, and what it was concluded from.
+/// A refusal and the measurements behind it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refused {
-    /// Why.
+    /// Reason for the refusal.
     pub reason: Reason,
-    /// Requests before it.
+    /// Number of requests ahead of it.
     pub ahead: usize,
-    /// How the queue moves.
+    /// Dispatch and arrival rates of the queue.
     pub rates: Rates,
-    /// When the queue as it stands will be served; `None` when that cannot be seen.
+    /// Expected time until the current queue is served; `None` if that cannot be
+    /// foreseen.
     pub room_in: Option<Duration>,
 }
 
-/// What a request that has its turn should know of itself.
+/// Passed to a request that may look for an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Turn {
-    /// Whether it can still be in time.
+    /// Whether the request can still start in time.
     pub in_time: bool,
 }
 
-/// One that waits.
+/// A waiting request.
 #[derive(Clone, Debug)]
 struct Waiting {
     key: Key,
@@ -129,9 +133,9 @@
 pub struct Queue {
     limits: Limits,
     waiting: BTreeMap<Place, Waiting>,
-    /// Who can still be in time, in order.
+    /// Requests that can still start in time, in dispatch order.
     in_time: BTreeSet<Key>,
-    /// The same by the time at which they turn late.
+    /// The same requests by the time at which they become late.
     turns_late: BTreeSet<(Timestamp, Place)>,
     late: BTreeSet<Key>,
     shares: Shares,
@@ -142,7 +146,7 @@
 }
 
 impl Queue {
-    /// An empty one.
+    /// Creates an empty queue.
     #[must_use]
     pub fn new(limits: Limits) -> Self {
         Self {
@@ -159,28 +163,30 @@
         }
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits.
+    /// Whether no request waits.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// How many of them can still be in time.
+    /// Number of waiting requests that can still start in time.
     #[must_use]
     pub fn in_time(&self) -> usize {
         self.in_time.len()
     }
 
-    /// A request comes, or comes back from an engine that did not answer it.
+    /// Adds a request that arrives, or that returns from an engine that did not answer
+    /// it.
     ///
     /// # Errors
-    /// When its turn cannot come, or too many wait.
+    /// Returns a refusal if the queue or the tenant's share of it is full, or if the
+    /// request cannot be dispatched in time.
     pub fn ask(&mut self, want: &Want<'_>, now: Timestamp) -> Result<Place, Refused> {
         self.advance(now);
         if !want.again {
@@ -217,10 +223,10 @@
         Ok(self.last)
     }
 
-    /// Those who may look for an engine now, the first in the order first.
+    /// Returns the requests that may look for an engine now, in dispatch order.
     pub fn lookers(&mut self, now: Timestamp) -> Vec<(Place, Turn)> {
         self.advance(now);
-        // Late ones that are back from an engine go before those that are in time.
+        // Late requests that return from an engine go before those that are in time.
         let back = self.late.iter().take_while(|key| !key.first_time);
         let late = self.late.iter().skip_while(|key| !key.first_time);
         let in_time = self.in_time.iter().map(|key| (key.place, true));
@@ -232,7 +238,8 @@
             .collect()
     }
 
-    /// An engine was found for one. Says whether it was in time.
+    /// Records that an engine was found for a request. Returns whether the request was in
+    /// time; `None` if it does not wait here.
     pub fn begun(&mut self, place: Place, now: Timestamp) -> Option<bool> {
         self.advance(now);
         let waiting = self.remove(place)?;
@@ -242,23 +249,24 @@
         Some(waiting.in_time)
     }
 
-    /// A request takes a slot of an engine.
+    /// Records that a request occupies an engine slot.
     pub fn started(&mut self) {
         self.forecast.started();
     }
 
-    /// One leaves it, and held it for so long if it began.
+    /// Records that a request left its engine slot, and for how long it held the slot if
+    /// an engine started it.
     pub fn ended(&mut self, held: Option<Duration>) {
         self.forecast.ended(held);
     }
 
-    /// One goes without an engine: its caller went away, or no engine suits it.
+    /// Removes a request that gets no engine: its caller left, or no engine suits it.
     pub fn leave(&mut self, place: Place, now: Timestamp) {
         self.advance(now);
         let _waited = self.remove(place);
     }
 
-    /// Takes out those whose turn cannot come any more.
+    /// Removes and returns requests that can no longer be dispatched in time.
     pub fn sweep(&mut self, now: Timestamp) -> Vec<(Place, Refused)> {
         self.advance(now);
         if now.since(self.swept) < SWEEP_INTERVAL {
@@ -288,15 +296,15 @@
         refused
     }
 
-    /// When a request that comes now would have its turn at the latest; `None` when
-    /// that cannot be seen.
+    /// Longest expected wait of a request that arrives now; `None` if no end can be
+    /// foreseen.
     #[must_use]
     pub fn room_in(&self, now: Timestamp) -> Option<Duration> {
         self.forecast.late_wait(self.len(), now)
     }
 
-    /// How long the wait of one is expected to be from now on; `None` when nothing
-    /// was measured, or no end can be seen.
+    /// Expected remaining wait of a request; `None` if nothing was measured yet, or no
+    /// end can be foreseen.
     #[must_use]
     pub fn expected_wait(&self, place: Place, now: Timestamp) -> Option<Duration> {
         let waiting = self.waiting.get(&place)?;
@@ -305,13 +313,14 @@
         self.wait(waiting, in_time_ahead, ahead, now)
     }
 
-    /// How the queue moves.
+    /// Current dispatch and arrival rates.
     #[must_use]
     pub fn rates(&self, now: Timestamp) -> Rates {
         self.forecast.rates(now)
     }
 
-    /// Counts the time that passed, and moves those who cannot be in time any more.
+    /// Advances the clock, and moves requests that can no longer start in time to the
+    /// late ones.
     fn advance(&mut self, now: Timestamp) {
         self.forecast.advance(now, !self.waiting.is_empty());
         while let Some(&(begins_by, place)) = self.turns_late.first() {
@@ -322,7 +331,8 @@
             if let Some(waiting) = self.waiting.get_mut(&place) {
                 self.in_time.remove(&waiting.key);
                 waiting.in_time = false;
-                // As far behind its last useful begin as it was behind the first.
+                // Moves the due time from `begins_by` to `leaves_at`, with the same
+                // adjustment for size.
                 let later = waiting.leaves_at.since(waiting.begins_by);
                 waiting.key.due = waiting.key.due + later;
                 self.late.insert(waiting.key);
@@ -343,7 +353,7 @@
         waiting
     }
 
-    /// Whether one more may wait.
+    /// Checks whether one more request may wait.
     fn has_room(&self, want: &Want<'_>, now: Timestamp) -> Result<(), Refused> {
         let waiting = self.waiting.len();
         let free = self.limits.most_waiting.saturating_sub(waiting);
@@ -383,7 +393,7 @@
         Some(waiting)
     }
 
-    /// Those in time before it, and all before it.
+    /// Number of in-time requests ahead of a request, and of all requests ahead of it.
     fn ahead_of(&self, waiting: &Waiting) -> (usize, usize) {
         match waiting.in_time {
             true => {
@@ -397,14 +407,15 @@
         }
     }
 
-    /// Whether a newcomer's turn cannot come.
+    /// Returns a refusal if a new request cannot be dispatched in time.
     fn hopeless(&self, waiting: &Waiting, now: Timestamp) -> Option<Refused> {
         let (in_time_ahead, ahead) = self.ahead_of(waiting);
         let reason = self.judge(waiting, in_time_ahead, ahead, now)?;
         Some(self.refused(reason, ahead, now))
     }
 
-    /// Why one is to be refused, given those before it.
+    /// Returns why a request has to be refused, if it has to, given the requests ahead of
+    /// it.
     fn judge(
         &self,
         waiting: &Waiting,
@@ -424,7 +435,7 @@
         (!comes).then_some(Reason::Hopeless)
     }
 
-    /// How long one waits behind so many.
+    /// Expected wait of a request behind the given numbers of others.
     fn wait(
         &self,
         waiting: &Waiting,
@@ -437,7 +448,8 @@
             if let Some(wait) = wait.filter(|&wait| now + wait < waiting.begins_by) {
                 return Some(wait);
             }
-            // It will be late, and behind those that are by then.
+            // The request will become late, and then wait behind all that are late by
+            // then.
             return self.forecast.late_wait(ahead + self.late.len(), now);
         }
         self.forecast.late_wait(ahead, now)
--- a/crates/routing/src/queue/order.rs
+++ b/crates/routing/src/queue/order.rs
@@ -1,27 +1,28 @@
-//! The order of those who wait.
+//! The order of waiting requests.
 
 use std::time::Duration;
 
 use molespan_types::Timestamp;
 
-/// Weight of the latest size in the mean.
+/// Weight of the latest answer size in the mean.
 const LATEST_WEIGHT: f64 = 1.0 / 32.0;
-/// Part of the time left within which the size of an answer moves it in the order. A
-/// request goes at most so much behind one of the mean size, however long it is.
+/// Maximum fraction of its remaining time by which the size of its answer moves a request
+/// in the order. A request falls behind one of mean size by no more than that, however
+/// long its answer is.
 const MOVES_WITHIN: f64 = 0.25;
 
-/// How urgent a request is; what sorts first goes first.
+/// Priority of a request; the lowest rank goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Rank {
-    /// That of its tenant.
+    /// Rank of the tenant.
     tenant: u32,
-    /// That of its route.
+    /// Rank of the route.
     route: u32,
 }
 
 impl Rank {
-    /// The rank of a tenant goes before that of a route; a tenant without one is as
-    /// urgent as the route. 0 goes first.
+    /// Creates a rank in which the tenant's rank takes precedence over the route's. A
+    /// tenant without a rank gets that of the route. 0 goes first.
     #[must_use]
     pub fn new(tenant: Option<u32>, route: u32) -> Self {
         Self {
@@ -31,30 +32,30 @@
     }
 }
 
-/// What one is sorted by, among those in time or those who are late.
+/// Sort key of a request, among those in time or among those that are late.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct Key {
-    /// Whether it comes for the first time: who is back from an engine had its turn, and
-    /// has the least time left.
+    /// Whether this is the first attempt. A request that returns from an engine goes
+    /// first: it already had its turn and has the least time left.
     pub first_time: bool,
     pub rank: Rank,
-    /// Round of its tenant.
+    /// Scheduling round of its tenant.
     pub round: u64,
-    /// When it has to begin, moved by its size.
+    /// Time by which it has to start, adjusted for the size of its answer.
     pub due: Timestamp,
     pub place: u64,
 }
 
-/// Sizes of answers, lately.
+/// Recent answer sizes.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Sizes {
-    /// Mean in tokens; none before the first one.
+    /// Mean in tokens; `None` before the first answer size.
     mean: Option<f64>,
 }
 
 impl Sizes {
-    /// `due` for a request of this size of which so much time is left: later for a
-    /// long answer, earlier for a short one.
+    /// Records the size of an answer and adjusts `due` for it, in proportion to the
+    /// remaining time `left`: later for a long answer, earlier for a short one.
     pub fn due(&mut self, due: Timestamp, size: Option<u64>, left: Duration) -> Timestamp {
         let Some(size) = size else {
             return due;
--- a/crates/routing/src/queue/retry.rs
+++ b/crates/routing/src/queue/retry.rs
@@ -1,19 +1,20 @@
-//! When a refused caller should come back.
+//! Retry delays of refused callers.
 
 use std::time::Duration;
 
-/// Part of the time that a caller has left for which it waits at the most before it
-/// comes back.
+/// Largest fraction of its remaining time that a caller waits before it retries.
 const HONOURED: f64 = 1.0 / 3.0;
-/// Shortest time: room that opens now is for those who wait.
+/// Minimum delay: capacity that becomes free now goes to waiting requests.
 const SHORTEST: Duration = Duration::from_millis(150);
-/// Part by which callers who are refused together come back apart.
+/// Fraction by which the retries of callers refused at the same time are spread.
 const SPREAD: f64 = 0.5;
 
-/// When a caller with so much time `left` comes back best, where room returns in
-/// `room_in` if that can be seen; `draw`, from 0 to 1, spreads callers.
+/// Returns when a caller with remaining time `left` should retry, given the time until
+/// there is capacity (`room_in`), if known. `draw`, from 0 to 1, spreads the retries of
+/// callers.
 ///
-/// Where there is no room before its patience ends it is told so by a time beyond it.
+/// If there is no capacity before the caller gives up, the delay is at least `left`,
+/// which tells it not to retry.
 #[must_use]
 pub fn retry_after(room_in: Option<Duration>, left: Duration, draw: f64) -> Duration {
     let Some(room_in) = room_in.filter(|&room_in| room_in < left) else {
--- a/crates/routing/tests/queue/load.rs
+++ b/crates/routing/tests/queue/load.rs
@@ -1,4 +1,4 @@
-//! What callers get of the queue under load.
+//! What callers experience at the queue under load.
 
 use crate::world::{Load, Way, World, play};
 
@@ -9,12 +9,12 @@
     Way::Queue,
     Way::QueueBySize,
 ];
-/// Requests a second that 720 slots of 0.96 s serve.
+/// Requests per second that 720 slots serve if each is held for 0.96 s.
 const SERVED: f64 = 750.0;
-/// Part of what slots allow in time that is to be reached.
+/// Fraction of the in-time requests that the slots allow for that has to be reached.
 const REACHED: f64 = 0.95;
 
-/// Peaks of 1.3 times what fits, 2.4 s in every 5.8 s.
+/// Peaks of 1.3 times the capacity, for 2.4 s of every 5.8 s.
 fn peaks(ms: u64) -> f64 {
     match ms % 5_800 {
         0..2_400 => SERVED * 1.3,
@@ -22,7 +22,7 @@
     }
 }
 
-/// Peaks that just fit.
+/// Peaks just within the capacity.
 fn peaks_that_fit(ms: u64) -> f64 {
     match ms % 5_800 {
         0..2_400 => SERVED * 0.95,
@@ -38,7 +38,7 @@
     SERVED * 0.7
 }
 
-/// What one of 120 gateways gets of the peaks.
+/// Load of one of 120 gateways under the peaks.
 fn peaks_at_one(ms: u64) -> f64 {
     peaks(ms) / 120.0
 }
@@ -58,13 +58,13 @@
     }
 }
 
-/// Plays all ways, and prints what each came to.
+/// Runs a load under every policy and prints the results.
 fn play_all(load: &Load) -> [World; 5] {
     WAYS.map(|way| {
         let world = play(way, load);
         let all = &world.all;
         println!(
-            "{way:?}: in time {:.3}, late {:.3}, refused {:.3}, waiting {:.0} ms, {:.0} ms the longest",
+            "{way:?}: in time {:.3}, late {:.3}, refused {:.3} after waiting {:.0} ms on average, at most {:.0} ms",
             all.in_time_share(),
             f64::from(all.late) / f64::from(all.came),
             f64::from(all.refused) / f64::from(all.came),
@@ -79,7 +79,8 @@
 fn peaks_shorter_than_patience_refuse_nobody_and_fill_slots_with_who_is_in_time() {
     let [unordered, oldest, _, queue, by_size] = play_all(&load(peaks));
     assert_eq!(queue.all.refused + by_size.all.refused, 0);
-    // In a peak what slots serve, and who waits in time at its end; all in a lull.
+    // In a peak: what the slots serve, and the requests in time that wait at its end. In
+    // a lull: all requests.
     let came = 4.0 * (SERVED * 1.3 * 2.4 + SERVED * 0.2 * 3.4);
     let allowed = 4.0 * (SERVED * (2.4 + 0.24) + SERVED * 0.2 * 3.4) / came;
     assert!(queue.all.in_time_share() >= REACHED * allowed);
@@ -95,7 +96,10 @@
     };
     let [unordered, oldest, _, queue, by_size] = play_all(&stop);
     for world in [&queue, &by_size] {
-        assert_eq!(world.all.refused, 0, "all can be served before they leave");
+        assert_eq!(
+            world.all.refused, 0,
+            "all can be served before their callers leave"
+        );
         assert!(world.all.in_time >= unordered.all.in_time.max(oldest.all.in_time));
     }
 }
@@ -105,7 +109,7 @@
     let [_, _, _, queue, by_size] = play_all(&load(endless));
     for world in [&queue, &by_size] {
         assert!(world.all.in_time_share() >= REACHED / 1.3);
-        // A quarter of the time for which a request may wait.
+        // A quarter of the maximum wait.
         assert!(world.all.refused_wait_ms() <= 875.0);
         assert!(world.all.longest_refused_ms < 3_500.0);
     }
@@ -128,8 +132,8 @@
             *refused += world.all.refused;
         }
     }
-    println!("of {came} refused {refused:?}");
-    // Nearly all could be served before they leave.
+    println!("refused of {came}: {refused:?}");
+    // Nearly all requests could be served before their callers leave.
     let wrongly = f64::from(refused[1].saturating_sub(refused[0]));
     assert!(wrongly <= 0.01 * f64::from(came));
 }
@@ -167,7 +171,7 @@
     let world = play(Way::QueueBySize, &ranked);
     let [high, low] = world.by_rank;
     assert!(high.in_time_share() >= 0.99, "{high:?}");
-    // What is left over: 0.35 of what fits, of 0.65 that comes.
+    // Capacity left over by the higher rank: 0.35 of the total, for 0.65 that arrive.
     assert!(low.in_time_share() >= REACHED * 0.35 / 0.65, "{low:?}");
 }
 
@@ -188,7 +192,7 @@
     );
     assert_eq!(
         all.told_to_come, 0,
-        "nobody is told of room that is not seen"
+        "no caller is told to retry without expected capacity"
     );
 }
 
--- a/crates/routing/tests/queue/rules.rs
+++ b/crates/routing/tests/queue/rules.rs
@@ -1,4 +1,4 @@
-//! Each rule of the queue by itself.
+//! The rules of the queue, each on its own.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     Duration::from_millis(ms)
 }
 
-/// One that came at `ms` without a tenant or anything that ranks it.
+/// A request that arrives at `ms`, without a tenant, rank or size.
 fn plain(ms: u64) -> Want<'static> {
     Want {
         tenant: None,
@@ -29,10 +29,10 @@
 }
 
 fn ask(queue: &mut Queue, want: &Want<'_>, ms: u64) -> Place {
-    queue.ask(want, at(ms)).expect("it may wait")
+    queue.ask(want, at(ms)).expect("the queue accepts it")
 }
 
-/// All that wait, in the order of their turns.
+/// All waiting requests in dispatch order.
 fn order(queue: &Queue, ms: u64) -> Vec<Place> {
     let mut queue = queue.clone();
     std::iter::from_fn(|| {
@@ -154,7 +154,7 @@
     }
     let mut begun = Vec::new();
     for ms in 1_011..1_021 {
-        // Each time that one begins, two more come that belong to nobody.
+        // For each dispatch, two more requests without a tenant arrive.
         let anonymous = [0, 1].map(|_| ask(&mut queue, &plain(900), ms));
         let (place, _) = queue.lookers(at(ms))[0];
         queue.begun(place, at(ms));
@@ -181,10 +181,11 @@
     assert!(turn(long) < turn(far));
 }
 
-/// A queue at which `per_second` begin and come for three seconds while some wait.
+/// A queue to which `per_second` requests per second arrive, and from which as many are
+/// dispatched, for three seconds while some wait.
 fn measured(per_second: u64) -> Queue {
     let mut queue = Queue::new(Limits::default());
-    // Those that found room at once say nothing of how many there is room for later.
+    // Requests dispatched at once give no information about later capacity.
     for ms in (1_000..590_000).step_by(100) {
         let place = ask(&mut queue, &plain(ms), ms);
         queue.begun(place, at(ms));
@@ -214,7 +215,8 @@
             }
         }
     }
-    let refused = refused.expect("ten a second come and begin: nothing is left over");
+    let refused =
+        refused.expect("ten per second arrive and are dispatched, so no capacity is left over");
     assert_eq!(refused.reason, Reason::Hopeless);
     assert!(refused.ahead >= 3);
     assert!(
@@ -230,7 +232,7 @@
         queue.ask(&again, at(604_000)).is_ok(),
         "it comes back from an engine"
     );
-    // Nothing begins any more.
+    // From here on no request is dispatched.
     let left = queue.len();
     for ms in (604_000..606_500).step_by(30) {
         queue.sweep(at(ms));
@@ -238,7 +240,7 @@
     assert!(queue.len() < left);
     assert!(
         queue.len() >= 3,
-        "somebody has to see when there is room again"
+        "some requests stay to detect when there is capacity again"
     );
     let lookers = queue.lookers(at(606_500));
     assert_eq!(lookers.len(), 3);
@@ -260,7 +262,7 @@
     }
     assert!(queue.sweep(at(1_150)).is_empty());
     assert_eq!(queue.room_in(at(1_150)), Some(Duration::ZERO));
-    // It never began anything: its engines may be there at any time.
+    // This queue never dispatched a request: its engines may be found at any time.
     assert!(queue.sweep(at(3_000)).is_empty());
     ask(&mut queue, &plain(3_000), 3_000);
 }
@@ -274,7 +276,7 @@
     };
     ask(&mut queue, &again, 606_400);
     while queue.ask(&plain(606_500), at(606_500)).is_ok() {}
-    let &(place, _) = queue.lookers(at(606_600)).first().expect("one waits");
+    let &(place, _) = queue.lookers(at(606_600)).first().expect("a request waits");
     queue.begun(place, at(606_600));
     assert!(queue.ask(&plain(606_600), at(606_600)).is_ok());
 }
@@ -308,7 +310,7 @@
     let left = millis(3_000);
     assert!(retry_after(None, left, 0.5) >= left);
     assert!(retry_after(Some(millis(3_000)), left, 0.5) >= left);
-    // Callers wait for a third of what they have left at the most.
+    // Callers wait for at most a third of their remaining time.
     for draw in [0.0, 0.3, 1.0, 7.0] {
         let told = retry_after(Some(millis(2_000)), left, draw);
         assert!(told <= left / 3, "{told:?}");
@@ -317,7 +319,7 @@
     let soon = retry_after(Some(Duration::ZERO), left, 0.0);
     assert!(soon >= millis(100));
     let later = retry_after(Some(Duration::ZERO), left, 1.0);
-    assert!(later > soon, "they come back apart");
+    assert!(later > soon, "callers come back at different times");
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -327,9 +329,9 @@
         rank: u32,
         size: Option<u64>,
     },
-    /// One of the lookers begins.
+    /// One of the requests that may look for an engine is dispatched.
     Begin(usize),
-    /// One of all that wait goes.
+    /// Any waiting request is removed.
     Leave(usize),
     Sweep,
     Pass(u64),
@@ -347,8 +349,9 @@
 }
 
 proptest! {
-    /// Whatever happens: who waits is either there or was told how it ended, the
-    /// first three have the turn, and nobody late has it before one in time.
+    /// Whatever happens, every waiting request is either still in the queue or was
+    /// reported as ended, the first three may look for an engine, and no late request
+    /// goes before one that is in time.
     #[test]
     fn nobody_is_lost_and_the_first_have_the_turn(
         steps in prop::collection::vec(any_step(), 0..200),
--- a/crates/routing/tests/queue/world.rs
+++ b/crates/routing/tests/queue/world.rs
@@ -1,5 +1,6 @@
-//! One gateway's queue before engines, under virtual time: requests come, begin when
-//! a slot is free and it is their turn, hold it for a while, and leave.
+//! Simulates the queue of one gateway in virtual time: requests arrive, are dispatched
+//! when a slot is free and they are first in the order, hold the slot for a while, and
+//! end.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,34 +12,36 @@
 
 /// Step of the virtual clock, in microseconds.
 const STEP_US: u64 = 1_000;
-/// Target of all requests, what of it is left for the answer, and patience.
+/// Target of all requests, the part of it within which they have to start, and the
+/// patience and maximum wait of callers.
 pub const TARGET_MS: u64 = 300;
 const BEGINS_WITHIN_MS: u64 = 240;
 const PATIENCE_MS: u64 = 5_000;
 const WAITS_MS: u64 = 3_500;
-/// Time from a begin to the first answer: from and up to, in milliseconds.
+/// Minimum and maximum time from the start of a request to its first output, in
+/// milliseconds.
 const ANSWERS_WITHIN_MS: (f64, f64) = (10.0, 70.0);
-/// Chance by which a late request finds a slot before one in time, where nobody
-/// orders them: it looks every 20 ms, the others every 8.
+/// Chance that a late request finds a slot before one in time if nothing orders them: it
+/// looks every 20 ms, the others every 8.
 const LATE_LOOKS: f64 = 0.4;
 
-/// In which order requests begin, and who is refused.
+/// In which order requests are dispatched, and which are refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// Each in time looks for itself, beside them the oldest late one; whoever
-    /// waited for 0.7 of its patience is refused.
+    /// Each request in time looks for an engine on its own, and so does the oldest late
+    /// one. A request that waited for 0.7 of its patience is refused.
     Unordered,
-    /// Who waits for longest first, with the same refusals.
+    /// The oldest request goes first; same refusals.
     OldestFirst,
-    /// Who can be in time first, of those the newest; refusals as before.
+    /// Requests in time go first, the newest of them first; same refusals.
     NewestFirst,
-    /// The queue, told no sizes.
+    /// The queue without answer sizes.
     Queue,
-    /// The queue.
+    /// The queue with answer sizes.
     QueueBySize,
 }
 
-/// What a request was.
+/// A simulated request.
 #[derive(Clone, Debug)]
 struct Request {
     tenant: Option<usize>,
@@ -49,39 +52,39 @@
     size: u64,
 }
 
-/// The load of one play.
+/// Load of one simulation.
 #[derive(Clone, Debug)]
 pub struct Load {
     pub slots: usize,
     pub holds_ms: f64,
-    /// Requests a second at a time in milliseconds.
+    /// Requests per second at a time in milliseconds.
     pub rate: fn(u64) -> f64,
     pub for_ms: u64,
-    /// Engines begin and answer nothing from and until then.
+    /// Period during which engines start and answer nothing.
     pub stopped_ms: (u64, u64),
-    /// Tenants, and the part of all requests that the first of them sends.
+    /// Number of tenants, and the fraction of all requests that the first one sends.
     pub tenants: usize,
     pub first_sends: f64,
-    /// Part of all requests that are less urgent than the others.
+    /// Fraction of all requests with the lower rank.
     pub lower_rank: f64,
-    /// Requests that come before are not counted.
+    /// Requests that arrive earlier are not counted.
     pub counted_from_ms: u64,
     pub seed: u64,
 }
 
-/// How the requests of one kind fared.
+/// Outcomes of one kind of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tally {
     pub came: u32,
     pub in_time: u32,
     pub late: u32,
     pub refused: u32,
-    /// Of those, at once.
+    /// Requests refused on arrival, included in `refused`.
     pub at_once: u32,
-    /// Sum and maximum of the waits of refused ones, in milliseconds.
+    /// Sum and maximum of the waits of refused requests, in milliseconds.
     pub refused_waits_ms: f64,
     pub longest_refused_ms: f64,
-    /// Told to come back before their patience ended.
+    /// Refused requests that were told to retry before their patience ends.
     pub told_to_come: u32,
 }
 
@@ -95,18 +98,17 @@
     }
 }
 
-/// One play.
+/// One simulation.
 pub struct World {
     way: Way,
     load: Load,
     random: ChaCha8Rng,
-    /// What comes is the same whatever the way.
+    /// Separate generator, so that arrivals are the same for every policy.
     arrivals: ChaCha8Rng,
     queue: Queue,
     waiting: BTreeMap<Place, Request>,
     last: Place,
-    /// When each running request ends, and for how long it holds its slot, in
-    /// milliseconds.
+    /// End time and slot time of each running request, in milliseconds.
     running: Vec<(f64, f64)>,
     now_us: u64,
     pub all: Tally,
@@ -115,7 +117,7 @@
     pub longest_queue: usize,
 }
 
-/// Plays a load one way.
+/// Simulates a load under one policy.
 pub fn play(way: Way, load: &Load) -> World {
     let mut world = World {
         way,
@@ -273,7 +275,7 @@
         let now = self.now();
         if self.is_queue() {
             for (place, refused) in self.queue.sweep(now) {
-                let request = self.waiting.remove(&place).expect("it waits");
+                let request = self.waiting.remove(&place).expect("the request waits");
                 self.refuse(&request, refused.room_in);
             }
             return;
@@ -286,12 +288,12 @@
             .map(|(&place, _)| place)
             .collect();
         for place in over {
-            let request = self.waiting.remove(&place).expect("it waits");
+            let request = self.waiting.remove(&place).expect("the request waits");
             self.refuse(&request, Some(Duration::ZERO));
         }
     }
 
-    /// Whose turn it is.
+    /// Returns the request to dispatch next.
     fn next(&mut self) -> Option<Place> {
         let now_ms = self.now_ms();
         if self.is_queue() {
@@ -321,9 +323,9 @@
     fn begin(&mut self, place: Place) {
         let now = self.now();
         let now_ms = self.now_ms();
-        let request = self.waiting.remove(&place).expect("it waits");
+        let request = self.waiting.remove(&place).expect("the request waits");
         if self.is_queue() {
-            self.queue.begun(place, now).expect("it waits");
+            self.queue.begun(place, now).expect("the request waits");
             self.queue.started();
         }
         let (from, to) = ANSWERS_WITHIN_MS;
