--- a/crates/routing/src/queue/fairness.rs
+++ b/crates/routing/src/queue/fairness.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Lane {
     /// Position of its next request, in rounds.
-    next: f64,
+    position: f64,
     waiting: usize,
 }
 
@@ -30,7 +30,7 @@
     /// in the current round, unless there are tenants: then they count as one tenant.
     pub fn round(&self, tenant: Option<&str>) -> u64 {
         let lane = self.lanes.get(tenant.unwrap_or(NO_TENANT));
-        lane.map_or(self.round, |lane| (lane.next as u64).max(self.round))
+        lane.map_or(self.round, |lane| (lane.position as u64).max(self.round))
     }
 
     /// Adds a waiting request in the round that [`Shares::round`] returned.
@@ -43,19 +43,22 @@
         let step = 1.0 / f64::from(weight.max(1));
         match self.lanes.get_mut(tenant) {
             Some(lane) => {
-                lane.next = lane.next.max(round) + step;
+                lane.position = lane.position.max(round) + step;
                 lane.waiting += 1;
             }
             None => {
-                let next = round + step;
-                let lane = Lane { next, waiting: 1 };
+                let position = round + step;
+                let lane = Lane {
+                    position,
+                    waiting: 1,
+                };
                 self.lanes.insert(tenant.to_owned(), lane);
             }
         }
     }
 
     /// Records that a request of `round` was dispatched; earlier rounds are over.
-    pub fn begun(&mut self, round: u64) {
+    pub fn dispatched(&mut self, round: u64) {
         self.round = self.round.max(round);
     }
 
@@ -66,9 +69,9 @@
         };
         lane.waiting = lane.waiting.saturating_sub(1);
         let round = self.round as f64;
-        if lane.waiting == 0 && lane.next <= round {
+        if lane.waiting == 0 && lane.position <= round {
             self.lanes
-                .retain(|_, lane| lane.waiting > 0 || lane.next > round);
+                .retain(|_, lane| lane.waiting > 0 || lane.position > round);
         }
     }
 
--- a/crates/routing/src/queue/forecast.rs
+++ b/crates/routing/src/queue/forecast.rs
@@ -16,9 +16,9 @@
 use crate::decay::FadingSum;
 
 /// Time constant of the dispatch rate, in waiting time and in total time.
-const BEGINS_OVER: Duration = Duration::from_secs(2);
+const DISPATCH_RATE_WINDOW: Duration = Duration::from_secs(2);
 /// Seconds of waiting time before a rate counts as known.
-const MEASURED_AFTER: f64 = 0.2;
+const MIN_WAITING_SECONDS: f64 = 0.2;
 /// Weight of the latest request in the mean time for which slots are held.
 const LATEST_WEIGHT: f64 = 1.0 / 32.0;
 /// Waiting time without a dispatch after which the queue counts as stalled. The next
@@ -26,7 +26,7 @@
 const STALLED_AFTER: Duration = Duration::from_secs(1);
 /// Time constants of the arrival rates: the current rate, and the rate over the time for
 /// which callers wait, which spans peaks and lulls.
-const ARRIVALS_OVER: [Duration; 2] = [Duration::from_millis(500), Duration::from_secs(4)];
+const ARRIVAL_RATE_WINDOWS: [Duration; 2] = [Duration::from_millis(500), Duration::from_secs(4)];
 
 /// Estimated rates of a queue, in requests per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
@@ -40,53 +40,54 @@
 /// Measurements of one queue.
 #[derive(Clone, Debug)]
 pub(super) struct Forecast {
-    seen: Timestamp,
+    last_advance: Timestamp,
     /// Clock that advances only while requests wait.
-    waited: Timestamp,
+    waiting_clock: Timestamp,
     /// Seconds during which requests waited.
-    waits: FadingSum,
-    begins: FadingSum,
+    waiting_seconds: FadingSum,
+    dispatches: FadingSum,
     /// All dispatches, on the caller's clock.
-    all_begins: FadingSum,
+    all_dispatches: FadingSum,
     /// Number of requests that hold an engine slot.
     running: u32,
     /// Mean time in seconds for which a request holds its slot.
-    held: f64,
+    mean_held: f64,
     /// Time of the latest dispatch, on the clock of waiting time.
-    began: Option<Timestamp>,
+    last_dispatch: Option<Timestamp>,
     arrivals: [FadingSum; 2],
 }
 
 impl Default for Forecast {
     fn default() -> Self {
         Self {
-            seen: Timestamp::ZERO,
-            waited: Timestamp::ZERO,
-            waits: FadingSum::new(BEGINS_OVER),
-            begins: FadingSum::new(BEGINS_OVER),
-            all_begins: FadingSum::new(BEGINS_OVER),
+            last_advance: Timestamp::ZERO,
+            waiting_clock: Timestamp::ZERO,
+            waiting_seconds: FadingSum::new(DISPATCH_RATE_WINDOW),
+            dispatches: FadingSum::new(DISPATCH_RATE_WINDOW),
+            all_dispatches: FadingSum::new(DISPATCH_RATE_WINDOW),
             running: 0,
-            held: 0.0,
-            began: None,
-            arrivals: ARRIVALS_OVER.map(FadingSum::new),
+            mean_held: 0.0,
+            last_dispatch: None,
+            arrivals: ARRIVAL_RATE_WINDOWS.map(FadingSum::new),
         }
     }
 }
 
 impl Forecast {
-    /// Advances the clocks. `anybody_waits` tells whether requests waited since the last
+    /// Advances the clocks. `any_waiting` tells whether requests waited since the last
     /// call.
-    pub fn advance(&mut self, now: Timestamp, anybody_waits: bool) {
-        let passed = now.since(self.seen);
-        self.seen = self.seen.max(now);
-        if anybody_waits && !passed.is_zero() {
-            self.waited = self.waited + passed;
-            self.waits.add(passed.as_secs_f64(), self.waited);
+    pub fn advance(&mut self, now: Timestamp, any_waiting: bool) {
+        let elapsed = now.since(self.last_advance);
+        self.last_advance = self.last_advance.max(now);
+        if any_waiting && !elapsed.is_zero() {
+            self.waiting_clock = self.waiting_clock + elapsed;
+            self.waiting_seconds
+                .add(elapsed.as_secs_f64(), self.waiting_clock);
         }
     }
 
     /// Records an arrival.
-    pub fn came(&mut self, now: Timestamp) {
+    pub fn arrived(&mut self, now: Timestamp) {
         for arrivals in &mut self.arrivals {
             arrivals.add(1.0, now);
         }
@@ -94,17 +95,17 @@
 
     /// Records a dispatch. `waited` is false if it was immediate and no other request
     /// waited.
-    pub fn begun(&mut self, waited: bool) {
+    pub fn dispatched(&mut self, waited: bool) {
         let stalled = self.is_stalled();
-        self.began = Some(self.waited);
+        self.last_dispatch = Some(self.waiting_clock);
         if stalled {
-            self.waits = FadingSum::new(BEGINS_OVER);
-            self.begins = FadingSum::new(BEGINS_OVER);
+            self.waiting_seconds = FadingSum::new(DISPATCH_RATE_WINDOW);
+            self.dispatches = FadingSum::new(DISPATCH_RATE_WINDOW);
         }
         if waited {
-            self.begins.add(1.0, self.waited);
+            self.dispatches.add(1.0, self.waiting_clock);
         }
-        self.all_begins.add(1.0, self.seen);
+        self.all_dispatches.add(1.0, self.last_advance);
     }
 
     /// Records that a request occupies an engine slot.
@@ -117,7 +118,7 @@
     pub fn ended(&mut self, held: Option<Duration>) {
         self.running = self.running.saturating_sub(1);
         if let Some(held) = held {
-            self.held += (held.as_secs_f64() - self.held) * LATEST_WEIGHT;
+            self.mean_held += (held.as_secs_f64() - self.mean_held) * LATEST_WEIGHT;
         }
     }
 
@@ -125,46 +126,46 @@
     /// request may not know its engines yet. Slots that were taken together are also
     /// freed together, so a rate shows only after the time for which slots are held.
     pub fn is_measured(&self) -> bool {
-        let needed = self.held.max(MEASURED_AFTER);
-        self.began.is_some() && self.waits.at(self.waited) >= needed
+        let needed = self.mean_held.max(MIN_WAITING_SECONDS);
+        self.last_dispatch.is_some() && self.waiting_seconds.at(self.waiting_clock) >= needed
     }
 
     /// Whether no request was dispatched for [`STALLED_AFTER`] of waiting time, or ever.
     fn is_stalled(&self) -> bool {
-        let stalled = |began| self.waited.since(began) >= STALLED_AFTER;
-        self.began.is_none_or(stalled)
+        let stalled = |last_dispatch| self.waiting_clock.since(last_dispatch) >= STALLED_AFTER;
+        self.last_dispatch.is_none_or(stalled)
     }
 
     /// Returns the current rates, estimated optimistically.
     pub fn rates(&self, now: Timestamp) -> Rates {
-        let waits = self.waits.at(self.waited);
-        let begins = self.begins.at(self.waited);
-        let due = f64::from(u8::from(!self.is_stalled()));
-        let come = self.arrivals.iter().map(|arrivals| {
+        let waiting_seconds = self.waiting_seconds.at(self.waiting_clock);
+        let dispatches = self.dispatches.at(self.waiting_clock);
+        let next = f64::from(u8::from(!self.is_stalled()));
+        let arrival_rates = self.arrivals.iter().map(|arrivals| {
             let count = arrivals.at(now);
             (count - count.sqrt()).max(0.0) / arrivals.fades_over().as_secs_f64()
         });
-        let waiting = match waits > 0.0 {
-            true => (begins + begins.sqrt() + due) / waits,
+        let while_waiting = match waiting_seconds > 0.0 {
+            true => (dispatches + dispatches.sqrt() + next) / waiting_seconds,
             false => 0.0,
         };
-        let all = self.all_begins.at(now);
-        let at_least = (all + all.sqrt()) / BEGINS_OVER.as_secs_f64();
+        let all = self.all_dispatches.at(now);
+        let at_least = (all + all.sqrt()) / DISPATCH_RATE_WINDOW.as_secs_f64();
         // Requests at stalled engines do not end.
-        let ending = match self.is_stalled() || self.held == 0.0 {
+        let ending = match self.is_stalled() || self.mean_held == 0.0 {
             true => 0.0,
-            false => f64::from(self.running) / self.held,
+            false => f64::from(self.running) / self.mean_held,
         };
         Rates {
-            begin: waiting.max(at_least).max(ending),
-            come: come.fold(f64::INFINITY, f64::min),
+            begin: while_waiting.max(at_least).max(ending),
+            come: arrival_rates.fold(f64::INFINITY, f64::min),
         }
     }
 
     /// Expected wait behind `ahead` requests that nobody overtakes; `None` if nothing
     /// moves.
     pub fn wait(&self, ahead: usize) -> Option<Duration> {
-        at_rate(ahead, self.rates(self.seen).begin)
+        time_at_rate(ahead, self.rates(self.last_advance).begin)
     }
 
     /// Expected wait behind `ahead` requests and all that arrive meanwhile; `None` if
@@ -173,12 +174,12 @@
         if !self.is_measured() {
             return Some(Duration::ZERO);
         }
-        let pace = self.rates(now);
-        at_rate(ahead, pace.begin - pace.come)
+        let rates = self.rates(now);
+        time_at_rate(ahead, rates.begin - rates.come)
     }
 }
 
-fn at_rate(ahead: usize, per_second: f64) -> Option<Duration> {
+fn time_at_rate(ahead: usize, per_second: f64) -> Option<Duration> {
     let seconds = (ahead as f64 + 1.0) / per_second;
     match per_second > 0.0 {
         true => Duration::try_from_secs_f64(seconds).ok(),
--- a/crates/routing/src/queue/mod.rs
+++ b/crates/routing/src/queue/mod.rs
@@ -24,7 +24,7 @@
 
 use fairness::Shares;
 use forecast::Forecast;
-use order::{Key, Sizes};
+use order::{AnswerSizes, Key};
 
 /// Identifies a waiting request.
 pub type Place = u64;
@@ -33,13 +33,13 @@
 /// that suits no engine with free slots does not block those behind it. These requests
 /// are refused only when their own time is up: their searches detect when there is
 /// capacity again.
-const LOOKERS: usize = 3;
+const MAX_SEARCHING: usize = 3;
 /// Factor by which the expected wait must exceed the remaining time before a request is
 /// refused. Refusing a request that would have been served costs its answer.
-const SURE: f64 = 1.25;
+const REFUSAL_MARGIN: f64 = 1.25;
 /// A request that waited less than this counts as dispatched immediately: one search for
 /// an engine takes as long.
-const AT_ONCE: Duration = Duration::from_millis(4);
+const IMMEDIATE_WITHIN: Duration = Duration::from_millis(4);
 /// Minimum time between two scans for requests that cannot be dispatched in time.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(25);
 
@@ -120,7 +120,7 @@
 #[derive(Clone, Debug)]
 struct Waiting {
     key: Key,
-    asked: Timestamp,
+    enqueued_at: Timestamp,
     tenant: Option<String>,
     begins_by: Timestamp,
     leaves_at: Timestamp,
@@ -136,13 +136,13 @@
     /// Requests that can still start in time, in dispatch order.
     in_time: BTreeSet<Key>,
     /// The same requests by the time at which they become late.
-    turns_late: BTreeSet<(Timestamp, Place)>,
+    becomes_late: BTreeSet<(Timestamp, Place)>,
     late: BTreeSet<Key>,
     shares: Shares,
-    sizes: Sizes,
+    sizes: AnswerSizes,
     forecast: Forecast,
-    swept: Timestamp,
-    last: Place,
+    last_sweep: Timestamp,
+    last_place: Place,
 }
 
 impl Queue {
@@ -153,13 +153,13 @@
             limits,
             waiting: BTreeMap::new(),
             in_time: BTreeSet::new(),
-            turns_late: BTreeSet::new(),
+            becomes_late: BTreeSet::new(),
             late: BTreeSet::new(),
             shares: Shares::default(),
-            sizes: Sizes::default(),
+            sizes: AnswerSizes::default(),
             forecast: Forecast::default(),
-            swept: Timestamp::ZERO,
-            last: 0,
+            last_sweep: Timestamp::ZERO,
+            last_place: 0,
         }
     }
 
@@ -190,20 +190,20 @@
     pub fn ask(&mut self, want: &Want<'_>, now: Timestamp) -> Result<Place, Refused> {
         self.advance(now);
         if !want.again {
-            self.has_room(want, now)?;
-            self.forecast.came(now);
+            self.check_capacity(want, now)?;
+            self.forecast.arrived(now);
         }
         let round = self.shares.round(want.tenant);
-        self.last += 1;
+        self.last_place += 1;
         let waiting = Waiting {
             key: Key {
                 first_time: !want.again,
                 rank: want.rank,
                 round,
                 due: Timestamp::ZERO,
-                place: self.last,
+                place: self.last_place,
             },
-            asked: now,
+            enqueued_at: now,
             tenant: want.tenant.map(str::to_owned),
             begins_by: want.begins_by,
             leaves_at: want.leaves_at,
@@ -212,7 +212,7 @@
         };
         let waiting = self.with_due(waiting, want.size, now);
         if !want.again
-            && let Some(refused) = self.hopeless(&waiting, now)
+            && let Some(refused) = self.refusal_on_arrival(&waiting, now)
         {
             return Err(refused);
         }
@@ -220,19 +220,19 @@
             self.shares.enter(want.tenant, want.weight);
         }
         self.insert(waiting);
-        Ok(self.last)
+        Ok(self.last_place)
     }
 
     /// Returns the requests that may look for an engine now, in dispatch order.
     pub fn lookers(&mut self, now: Timestamp) -> Vec<(Place, Turn)> {
         self.advance(now);
         // Late requests that return from an engine go before those that are in time.
-        let back = self.late.iter().take_while(|key| !key.first_time);
+        let returned = self.late.iter().take_while(|key| !key.first_time);
         let late = self.late.iter().skip_while(|key| !key.first_time);
         let in_time = self.in_time.iter().map(|key| (key.place, true));
-        let back = back.map(|key| (key.place, false));
+        let returned = returned.map(|key| (key.place, false));
         let late = late.map(|key| (key.place, false));
-        let order = back.chain(in_time).chain(late).take(LOOKERS);
+        let order = returned.chain(in_time).chain(late).take(MAX_SEARCHING);
         order
             .map(|(place, in_time)| (place, Turn { in_time }))
             .collect()
@@ -243,9 +243,9 @@
     pub fn begun(&mut self, place: Place, now: Timestamp) -> Option<bool> {
         self.advance(now);
         let waiting = self.remove(place)?;
-        self.shares.begun(waiting.key.round);
-        let at_once = self.is_empty() && now.since(waiting.asked) < AT_ONCE;
-        self.forecast.begun(!at_once);
+        self.shares.dispatched(waiting.key.round);
+        let immediate = self.is_empty() && now.since(waiting.enqueued_at) < IMMEDIATE_WITHIN;
+        self.forecast.dispatched(!immediate);
         Some(waiting.in_time)
     }
 
@@ -263,16 +263,16 @@
     /// Removes a request that gets no engine: its caller left, or no engine suits it.
     pub fn leave(&mut self, place: Place, now: Timestamp) {
         self.advance(now);
-        let _waited = self.remove(place);
+        let _removed = self.remove(place);
     }
 
     /// Removes and returns requests that can no longer be dispatched in time.
     pub fn sweep(&mut self, now: Timestamp) -> Vec<(Place, Refused)> {
         self.advance(now);
-        if now.since(self.swept) < SWEEP_INTERVAL {
+        if now.since(self.last_sweep) < SWEEP_INTERVAL {
             return Vec::new();
         }
-        self.swept = now;
+        self.last_sweep = now;
         let mut refused = Vec::new();
         let order = self.in_time.iter().chain(&self.late);
         let order: Vec<Place> = order.map(|key| key.place).collect();
@@ -282,8 +282,8 @@
                 continue;
             };
             let in_time = waiting.in_time;
-            match self.judge(waiting, in_time_ahead, ahead, now) {
-                Some(reason) => refused.push((place, self.refused(reason, ahead, now))),
+            match self.refusal_reason(waiting, in_time_ahead, ahead, now) {
+                Some(reason) => refused.push((place, self.refusal(reason, ahead, now))),
                 None => {
                     ahead += 1;
                     in_time_ahead += usize::from(in_time);
@@ -291,7 +291,7 @@
             }
         }
         for (place, _) in &refused {
-            let _waited = self.remove(*place);
+            let _removed = self.remove(*place);
         }
         refused
     }
@@ -310,7 +310,7 @@
         let waiting = self.waiting.get(&place)?;
         let (in_time_ahead, ahead) = self.ahead_of(waiting);
         self.forecast.is_measured().then_some(())?;
-        self.wait(waiting, in_time_ahead, ahead, now)
+        self.wait_behind(waiting, in_time_ahead, ahead, now)
     }
 
     /// Current dispatch and arrival rates.
@@ -323,11 +323,11 @@
     /// late ones.
     fn advance(&mut self, now: Timestamp) {
         self.forecast.advance(now, !self.waiting.is_empty());
-        while let Some(&(begins_by, place)) = self.turns_late.first() {
+        while let Some(&(begins_by, place)) = self.becomes_late.first() {
             if now < begins_by {
                 break;
             }
-            self.turns_late.pop_first();
+            self.becomes_late.pop_first();
             if let Some(waiting) = self.waiting.get_mut(&place) {
                 self.in_time.remove(&waiting.key);
                 waiting.in_time = false;
@@ -354,15 +354,15 @@
     }
 
     /// Checks whether one more request may wait.
-    fn has_room(&self, want: &Want<'_>, now: Timestamp) -> Result<(), Refused> {
+    fn check_capacity(&self, want: &Want<'_>, now: Timestamp) -> Result<(), Refused> {
         let waiting = self.waiting.len();
         let free = self.limits.most_waiting.saturating_sub(waiting);
         if free == 0 {
-            return Err(self.refused(Reason::Full, waiting, now));
+            return Err(self.refusal(Reason::Full, waiting, now));
         }
         match want.tenant {
             Some(tenant) if self.shares.waiting(tenant) >= free => {
-                Err(self.refused(Reason::TenantFull, waiting, now))
+                Err(self.refusal(Reason::TenantFull, waiting, now))
             }
             _ => Ok(()),
         }
@@ -372,7 +372,7 @@
         let key = waiting.key;
         if waiting.in_time {
             self.in_time.insert(key);
-            self.turns_late.insert((waiting.begins_by, key.place));
+            self.becomes_late.insert((waiting.begins_by, key.place));
         } else {
             self.late.insert(key);
         }
@@ -383,7 +383,7 @@
         let waiting = self.waiting.remove(&place)?;
         if waiting.in_time {
             self.in_time.remove(&waiting.key);
-            self.turns_late.remove(&(waiting.begins_by, place));
+            self.becomes_late.remove(&(waiting.begins_by, place));
         } else {
             self.late.remove(&waiting.key);
         }
@@ -408,15 +408,15 @@
     }
 
     /// Returns a refusal if a new request cannot be dispatched in time.
-    fn hopeless(&self, waiting: &Waiting, now: Timestamp) -> Option<Refused> {
+    fn refusal_on_arrival(&self, waiting: &Waiting, now: Timestamp) -> Option<Refused> {
         let (in_time_ahead, ahead) = self.ahead_of(waiting);
-        let reason = self.judge(waiting, in_time_ahead, ahead, now)?;
-        Some(self.refused(reason, ahead, now))
+        let reason = self.refusal_reason(waiting, in_time_ahead, ahead, now)?;
+        Some(self.refusal(reason, ahead, now))
     }
 
     /// Returns why a request has to be refused, if it has to, given the requests ahead of
     /// it.
-    fn judge(
+    fn refusal_reason(
         &self,
         waiting: &Waiting,
         in_time_ahead: usize,
@@ -427,16 +427,16 @@
         if left.is_zero() {
             return Some(Reason::Waited);
         }
-        if ahead < LOOKERS || waiting.again || !self.forecast.is_measured() {
+        if ahead < MAX_SEARCHING || waiting.again || !self.forecast.is_measured() {
             return None;
         }
-        let wait = self.wait(waiting, in_time_ahead, ahead, now);
-        let comes = wait.is_some_and(|wait| wait <= left.mul_f64(SURE));
-        (!comes).then_some(Reason::Hopeless)
+        let wait = self.wait_behind(waiting, in_time_ahead, ahead, now);
+        let is_served = wait.is_some_and(|wait| wait <= left.mul_f64(REFUSAL_MARGIN));
+        (!is_served).then_some(Reason::Hopeless)
     }
 
     /// Expected wait of a request behind the given numbers of others.
-    fn wait(
+    fn wait_behind(
         &self,
         waiting: &Waiting,
         in_time_ahead: usize,
@@ -455,7 +455,7 @@
         self.forecast.late_wait(ahead, now)
     }
 
-    fn refused(&self, reason: Reason, ahead: usize, now: Timestamp) -> Refused {
+    fn refusal(&self, reason: Reason, ahead: usize, now: Timestamp) -> Refused {
         Refused {
             reason,
             ahead,
--- a/crates/routing/src/queue/order.rs
+++ b/crates/routing/src/queue/order.rs
@@ -9,7 +9,7 @@
 /// Maximum fraction of its remaining time by which the size of its answer moves a request
 /// in the order. A request falls behind one of mean size by no more than that, however
 /// long its answer is.
-const MOVES_WITHIN: f64 = 0.25;
+const MAX_SHIFT: f64 = 0.25;
 
 /// Priority of a request; the lowest rank goes first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -48,12 +48,12 @@
 
 /// Recent answer sizes.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Sizes {
+pub(super) struct AnswerSizes {
     /// Mean in tokens; `None` before the first answer size.
     mean: Option<f64>,
 }
 
-impl Sizes {
+impl AnswerSizes {
     /// Records the size of an answer and adjusts `due` for it, in proportion to the
     /// remaining time `left`: later for a long answer, earlier for a short one.
     pub fn due(&mut self, due: Timestamp, size: Option<u64>, left: Duration) -> Timestamp {
@@ -63,11 +63,11 @@
         let size = size as f64;
         let mean = self.mean.unwrap_or(size);
         self.mean = Some(mean + (size - mean) * LATEST_WEIGHT);
-        let beyond = (size / mean.max(1.0) - 1.0).clamp(-1.0, 1.0);
-        let moves = left.mul_f64(MOVES_WITHIN * beyond.abs());
-        match beyond < 0.0 {
-            true => Timestamp(due.0.saturating_sub(moves.as_micros() as u64)),
-            false => due + moves,
+        let deviation = (size / mean.max(1.0) - 1.0).clamp(-1.0, 1.0);
+        let shift = left.mul_f64(MAX_SHIFT * deviation.abs());
+        match deviation < 0.0 {
+            true => Timestamp(due.0.saturating_sub(shift.as_micros() as u64)),
+            false => due + shift,
         }
     }
 }
--- a/crates/routing/src/queue/retry.rs
+++ b/crates/routing/src/queue/retry.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 /// Largest fraction of its remaining time that a caller waits before it retries.
-const HONOURED: f64 = 1.0 / 3.0;
+const MAX_DELAY_FRACTION: f64 = 1.0 / 3.0;
 /// Minimum delay: capacity that becomes free now goes to waiting requests.
-const SHORTEST: Duration = Duration::from_millis(150);
+const MIN_DELAY: Duration = Duration::from_millis(150);
 /// Fraction by which the retries of callers refused at the same time are spread.
 const SPREAD: f64 = 0.5;
 
@@ -18,10 +18,10 @@
 #[must_use]
 pub fn retry_after(room_in: Option<Duration>, left: Duration, draw: f64) -> Duration {
     let Some(room_in) = room_in.filter(|&room_in| room_in < left) else {
-        return left.max(SHORTEST);
+        return left.max(MIN_DELAY);
     };
     let spread = 1.0 + SPREAD * draw.clamp(0.0, 1.0);
-    let earliest = room_in.max(SHORTEST).mul_f64(spread);
-    let latest = left.mul_f64(HONOURED / (1.0 + SPREAD) * spread);
-    earliest.min(latest.max(SHORTEST))
+    let earliest = room_in.max(MIN_DELAY).mul_f64(spread);
+    let latest = left.mul_f64(MAX_DELAY_FRACTION / (1.0 + SPREAD) * spread);
+    earliest.min(latest.max(MIN_DELAY))
 }
