--- a/crates/routing/tests/queue/rules.rs
+++ b/crates/routing/tests/queue/rules.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn who_comes_to_an_empty_queue_has_the_turn_at_once() {
+fn a_request_in_an_empty_queue_may_search_immediately() {
     let mut queue = Queue::new(Limits::default());
     let place = ask(&mut queue, &plain(1_000), 1_000);
     let (first, turn) = queue.lookers(at(1_000))[0];
@@ -55,22 +55,22 @@
 }
 
 #[test]
-fn without_ranks_tenants_or_sizes_the_turn_goes_by_age_and_to_who_is_in_time() {
+fn without_ranks_tenants_or_sizes_order_is_by_age_with_in_time_requests_first() {
     let mut queue = Queue::new(Limits::default());
-    let came = [1_000, 1_100, 1_200, 1_300].map(|ms| ask(&mut queue, &plain(ms), ms));
+    let places = [1_000, 1_100, 1_200, 1_300].map(|ms| ask(&mut queue, &plain(ms), ms));
     assert_eq!(
         order(&queue, 1_300),
-        [1, 2, 3, 0].map(|one: usize| came[one])
+        [1, 2, 3, 0].map(|one: usize| places[one])
     );
     assert_eq!(
         order(&queue, 1_400),
-        [2, 3, 0, 1].map(|one: usize| came[one])
+        [2, 3, 0, 1].map(|one: usize| places[one])
     );
-    assert_eq!(order(&queue, 2_000), came);
+    assert_eq!(order(&queue, 2_000), places);
 }
 
 #[test]
-fn ranks_go_before_age_that_of_a_tenant_first() {
+fn ranks_take_precedence_over_age_and_tenant_ranks_over_route_ranks() {
     let mut queue = Queue::new(Limits::default());
     let ranks = [
         (None, 2),
@@ -100,50 +100,56 @@
 }
 
 #[test]
-fn who_comes_later_goes_before_what_another_tenant_heaped_up() {
+fn a_later_request_goes_before_the_backlog_of_another_tenant() {
     let mut queue = Queue::new(Limits::default());
     let flood = Want {
         tenant: Some("flood"),
         ..plain(1_000)
     };
-    let heap: Vec<Place> = (0..10).map(|_| ask(&mut queue, &flood, 1_000)).collect();
+    let backlog: Vec<Place> = (0..10).map(|_| ask(&mut queue, &flood, 1_000)).collect();
     let one = Want {
         tenant: Some("one"),
         ..plain(1_010)
     };
     let one = ask(&mut queue, &one, 1_010);
-    let weighty = Want {
+    let weighted = Want {
         tenant: Some("weighty"),
         weight: 3,
         ..plain(1_020)
     };
-    let weighty: Vec<Place> = (0..4).map(|_| ask(&mut queue, &weighty, 1_020)).collect();
+    let weighted: Vec<Place> = (0..4).map(|_| ask(&mut queue, &weighted, 1_020)).collect();
     let turns = order(&queue, 1_030);
     let first = [
-        heap[0], one, weighty[0], weighty[1], weighty[2], heap[1], weighty[3],
+        backlog[0],
+        one,
+        weighted[0],
+        weighted[1],
+        weighted[2],
+        backlog[1],
+        weighted[3],
     ];
     assert_eq!(turns[..7], first);
 }
 
 #[test]
-fn who_is_back_from_an_engine_looks_first_however_late_it_is() {
+fn a_request_returned_from_an_engine_searches_first_however_late_it_is() {
     let mut queue = Queue::new(Limits::default());
     for _ in 0..10 {
         ask(&mut queue, &plain(1_000), 1_000);
     }
-    let back = Want {
+    let returned = Want {
         begins_by: at(500),
         leaves_at: at(1_050),
         again: true,
         ..plain(1_000)
     };
-    let back = ask(&mut queue, &back, 1_000);
-    let looking = queue.lookers(at(1_000));
-    assert!(looking.iter().any(|(place, _)| *place == back));
+    let returned = ask(&mut queue, &returned, 1_000);
+    let searching = queue.lookers(at(1_000));
+    assert!(searching.iter().any(|(place, _)| *place == returned));
 }
 
 #[test]
-fn requests_of_no_tenant_hold_up_no_tenant() {
+fn requests_without_a_tenant_delay_no_tenant() {
     let mut queue = Queue::new(Limits::default());
     let keyed = Want {
         tenant: Some("t"),
@@ -165,7 +171,7 @@
 }
 
 #[test]
-fn a_long_answer_lets_short_ones_pass_but_not_for_ever() {
+fn short_answers_overtake_long_ones_within_a_bound() {
     let mut queue = Queue::new(Limits::default());
     let sized = |ms: u64, size: u64| Want {
         size: Some(size),
@@ -203,7 +209,7 @@
 }
 
 #[test]
-fn who_gets_no_turn_is_refused_as_it_comes_and_the_first_are_not() {
+fn hopeless_requests_are_refused_on_arrival_except_the_first_in_order() {
     let mut queue = measured(10);
     let mut refused = None;
     for _ in 0..100 {
@@ -254,7 +260,7 @@
 }
 
 #[test]
-fn nobody_is_refused_by_a_forecast_before_anything_was_measured() {
+fn no_request_is_refused_by_a_forecast_before_anything_was_measured() {
     let mut queue = Queue::new(Limits::default());
     for number in 0..1_000 {
         let ms = 1_000 + number / 10;
@@ -268,7 +274,7 @@
 }
 
 #[test]
-fn a_begin_behind_a_stall_makes_forecasts_hopeful_again() {
+fn a_dispatch_after_a_stall_resets_the_forecast() {
     let mut queue = measured(10);
     let again = Want {
         again: true,
@@ -282,7 +288,7 @@
 }
 
 #[test]
-fn a_hundred_thousand_requests_take_bounded_room_and_tenants_only_their_part() {
+fn a_flood_of_requests_stays_within_the_queue_limit_and_the_share_of_a_tenant() {
     let mut queue = Queue::new(Limits {
         most_waiting: 1_000,
     });
@@ -306,7 +312,7 @@
 }
 
 #[test]
-fn nobody_is_told_to_come_back_to_no_room() {
+fn callers_are_not_told_to_retry_before_there_is_capacity() {
     let left = millis(3_000);
     assert!(retry_after(None, left, 0.5) >= left);
     assert!(retry_after(Some(millis(3_000)), left, 0.5) >= left);
@@ -316,10 +322,10 @@
         assert!(told <= left / 3, "{told:?}");
         assert!(told >= left / 5, "{told:?}");
     }
-    let soon = retry_after(Some(Duration::ZERO), left, 0.0);
-    assert!(soon >= millis(100));
-    let later = retry_after(Some(Duration::ZERO), left, 1.0);
-    assert!(later > soon, "callers come back at different times");
+    let earliest = retry_after(Some(Duration::ZERO), left, 0.0);
+    assert!(earliest >= millis(100));
+    let latest = retry_after(Some(Duration::ZERO), left, 1.0);
+    assert!(latest > earliest, "callers come back at different times");
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -353,7 +359,7 @@
     /// reported as ended, the first three may look for an engine, and no late request
     /// goes before one that is in time.
     #[test]
-    fn nobody_is_lost_and_the_first_have_the_turn(
+    fn no_request_is_lost_and_the_first_in_order_may_search(
         steps in prop::collection::vec(any_step(), 0..200),
     ) {
         let mut queue = Queue::new(Limits { most_waiting: 32 });
--- a/crates/routing/tests/queue/world.rs
+++ b/crates/routing/tests/queue/world.rs
@@ -23,11 +23,11 @@
 const ANSWERS_WITHIN_MS: (f64, f64) = (10.0, 70.0);
 /// Chance that a late request finds a slot before one in time if nothing orders them: it
 /// looks every 20 ms, the others every 8.
-const LATE_LOOKS: f64 = 0.4;
+const LATE_SEARCH_CHANCE: f64 = 0.4;
 
 /// In which order requests are dispatched, and which are refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Policy {
     /// Each request in time looks for an engine on its own, and so does the oldest late
     /// one. A request that waited for 0.7 of its patience is refused.
     Unordered,
@@ -64,7 +64,7 @@
     pub stopped_ms: (u64, u64),
     /// Number of tenants, and the fraction of all requests that the first one sends.
     pub tenants: usize,
-    pub first_sends: f64,
+    pub first_tenant_share: f64,
     /// Fraction of all requests with the lower rank.
     pub lower_rank: f64,
     /// Requests that arrive earlier are not counted.
@@ -75,7 +75,7 @@
 /// Outcomes of one kind of requests.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tally {
-    pub came: u32,
+    pub arrived: u32,
     pub in_time: u32,
     pub late: u32,
     pub refused: u32,
@@ -85,12 +85,12 @@
     pub refused_waits_ms: f64,
     pub longest_refused_ms: f64,
     /// Refused requests that were told to retry before their patience ends.
-    pub told_to_come: u32,
+    pub told_to_retry: u32,
 }
 
 impl Tally {
     pub fn in_time_share(&self) -> f64 {
-        f64::from(self.in_time) / f64::from(self.came.max(1))
+        f64::from(self.in_time) / f64::from(self.arrived.max(1))
     }
 
     pub fn refused_wait_ms(&self) -> f64 {
@@ -99,8 +99,8 @@
 }
 
 /// One simulation.
-pub struct World {
-    way: Way,
+pub struct Simulation {
+    policy: Policy,
     load: Load,
     random: ChaCha8Rng,
     /// Separate generator, so that arrivals are the same for every policy.
@@ -118,9 +118,9 @@
 }
 
 /// Simulates a load under one policy.
-pub fn play(way: Way, load: &Load) -> World {
-    let mut world = World {
-        way,
+pub fn simulate(policy: Policy, load: &Load) -> Simulation {
+    let mut simulation = Simulation {
+        policy,
         random: ChaCha8Rng::seed_from_u64(load.seed),
         arrivals: ChaCha8Rng::seed_from_u64(load.seed + 1),
         queue: Queue::new(Limits::default()),
@@ -134,35 +134,35 @@
         longest_queue: 0,
         load: load.clone(),
     };
-    let begun_us = world.now_us;
+    let started_us = simulation.now_us;
     let mut next_ms = 0.0;
     loop {
-        let ms = (world.now_us - begun_us) / 1_000;
-        let coming = ms < world.load.for_ms;
-        if !coming && world.waiting.is_empty() {
-            return world;
+        let ms = (simulation.now_us - started_us) / 1_000;
+        let arriving = ms < simulation.load.for_ms;
+        if !arriving && simulation.waiting.is_empty() {
+            return simulation;
         }
-        while coming && next_ms <= ms as f64 {
-            world.arrive(ms >= world.load.counted_from_ms);
-            let rate = (world.load.rate)(ms);
-            let draw: f64 = world.arrivals.random_range(1e-9..1.0);
+        while arriving && next_ms <= ms as f64 {
+            simulation.arrive(ms >= simulation.load.counted_from_ms);
+            let rate = (simulation.load.rate)(ms);
+            let draw: f64 = simulation.arrivals.random_range(1e-9..1.0);
             next_ms += -draw.ln() / rate * 1_000.0;
         }
-        let (stops, goes_on) = world.load.stopped_ms;
-        let stopped = (stops..goes_on).contains(&ms);
+        let (stopped_from, stopped_until) = simulation.load.stopped_ms;
+        let stopped = (stopped_from..stopped_until).contains(&ms);
         if stopped {
             let step_ms = STEP_US as f64 / 1_000.0;
-            world
+            simulation
                 .running
                 .iter_mut()
                 .for_each(|(ends, _)| *ends += step_ms);
         }
-        world.step(stopped);
-        world.now_us += STEP_US;
+        simulation.step(stopped);
+        simulation.now_us += STEP_US;
     }
 }
 
-impl World {
+impl Simulation {
     fn now(&self) -> Timestamp {
         Timestamp(self.now_us)
     }
@@ -171,24 +171,24 @@
         self.now_us as f64 / 1_000.0
     }
 
-    fn tally(&mut self, request: &Request, note: impl Fn(&mut Tally)) {
+    fn tally(&mut self, request: &Request, update: impl Fn(&mut Tally)) {
         if !request.counted {
             return;
         }
-        note(&mut self.all);
-        note(&mut self.by_rank[request.rank as usize]);
+        update(&mut self.all);
+        update(&mut self.by_rank[request.rank as usize]);
         if let Some(tenant) = request.tenant {
-            note(&mut self.by_tenant[tenant]);
+            update(&mut self.by_tenant[tenant]);
         }
     }
 
     fn is_queue(&self) -> bool {
-        matches!(self.way, Way::Queue | Way::QueueBySize)
+        matches!(self.policy, Policy::Queue | Policy::QueueBySize)
     }
 
     fn arrive(&mut self, counted: bool) {
         let tenant = (self.load.tenants > 0).then(|| {
-            let first = self.arrivals.random_bool(self.load.first_sends);
+            let first = self.arrivals.random_bool(self.load.first_tenant_share);
             match first || self.load.tenants == 1 {
                 true => 0,
                 false => self.arrivals.random_range(1..self.load.tenants),
@@ -204,7 +204,7 @@
             holds_ms,
             size,
         };
-        self.tally(&request, |tally| tally.came += 1);
+        self.tally(&request, |tally| tally.arrived += 1);
         self.last += 1;
         let asked = match self.is_queue() {
             true => self.ask(&request),
@@ -228,7 +228,7 @@
             tenant: tenant.as_deref(),
             weight: 1,
             rank: Rank::new(None, request.rank),
-            size: (self.way == Way::QueueBySize).then_some(request.size),
+            size: (self.policy == Policy::QueueBySize).then_some(request.size),
             begins_by: arrived + Duration::from_millis(BEGINS_WITHIN_MS),
             leaves_at: arrived + Duration::from_millis(WAITS_MS),
             again: false,
@@ -241,13 +241,13 @@
     fn refuse(&mut self, request: &Request, room_in: Option<Duration>) {
         let waited = self.now_ms() - request.arrived_ms;
         let left = Duration::from_secs_f64((PATIENCE_MS as f64 - waited) / 1_000.0);
-        let told = retry_after(room_in, left, self.random.random());
+        let delay = retry_after(room_in, left, self.random.random());
         self.tally(request, |tally| {
             tally.refused += 1;
             tally.at_once += u32::from(waited == 0.0);
             tally.refused_waits_ms += waited;
             tally.longest_refused_ms = tally.longest_refused_ms.max(waited);
-            tally.told_to_come += u32::from(told < left);
+            tally.told_to_retry += u32::from(delay < left);
         });
     }
 
@@ -281,13 +281,13 @@
             return;
         }
         let now_ms = self.now_ms();
-        let over = |request: &Request| now_ms - request.arrived_ms >= WAITS_MS as f64;
+        let expired = |request: &Request| now_ms - request.arrived_ms >= WAITS_MS as f64;
         let waiting = self.waiting.iter();
-        let over: Vec<Place> = waiting
-            .filter(|(_, request)| over(request))
+        let expired: Vec<Place> = waiting
+            .filter(|(_, request)| expired(request))
             .map(|(&place, _)| place)
             .collect();
-        for place in over {
+        for place in expired {
             let request = self.waiting.remove(&place).expect("the request waits");
             self.refuse(&request, Some(Duration::ZERO));
         }
@@ -302,20 +302,24 @@
         }
         let in_time = |request: &Request| now_ms - request.arrived_ms < BEGINS_WITHIN_MS as f64;
         let oldest = self.waiting.keys().next().copied();
-        let fresh = self.waiting.iter().filter(|(_, one)| in_time(one));
-        let fresh: Vec<Place> = fresh.map(|(&place, _)| place).collect();
-        match self.way {
-            Way::OldestFirst => oldest,
-            Way::NewestFirst => fresh.last().copied().or(oldest),
+        let in_time_places = self.waiting.iter().filter(|(_, one)| in_time(one));
+        let in_time_places: Vec<Place> = in_time_places.map(|(&place, _)| place).collect();
+        match self.policy {
+            Policy::OldestFirst => oldest,
+            Policy::NewestFirst => in_time_places.last().copied().or(oldest),
             _ => {
-                let late = oldest.filter(|oldest| fresh.first() != Some(oldest));
-                let late_looks = if late.is_some() { LATE_LOOKS } else { 0.0 };
-                let all = fresh.len() as f64 + late_looks;
+                let late = oldest.filter(|oldest| in_time_places.first() != Some(oldest));
+                let late_chance = if late.is_some() {
+                    LATE_SEARCH_CHANCE
+                } else {
+                    0.0
+                };
+                let all = in_time_places.len() as f64 + late_chance;
                 if all == 0.0 {
                     return None;
                 }
                 let draw = self.random.random_range(0.0..all);
-                fresh.get(draw as usize).copied().or(late)
+                in_time_places.get(draw as usize).copied().or(late)
             }
         }
     }
