--- a/crates/routing/src/admission/bucket.rs
+++ b/crates/routing/src/admission/bucket.rs
@@ -4,7 +4,7 @@
 
 use molespan_types::Timestamp;
 
-/// Tokens that come back at a steady rate up to a maximum.
+/// A token bucket that refills at a steady rate up to a maximum.
 #[derive(Clone, Debug)]
 pub(super) struct TokenBucket {
     per_second: f64,
@@ -14,7 +14,7 @@
 }
 
 impl TokenBucket {
-    /// A full bucket. It holds at least one token, else nothing could pass.
+    /// Creates a full bucket. It holds at least one token, otherwise nothing could pass.
     pub(super) fn new(now: Timestamp, per_second: u32, burst: u32) -> Self {
         let burst = f64::from(burst.max(1));
         Self {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Changes rate and size and keeps the tokens that are there.
+    /// Changes rate and size and keeps the available tokens.
     pub(super) fn resize(&mut self, now: Timestamp, per_second: u32, burst: u32) {
         self.refill(now);
         self.per_second = f64::from(per_second);
@@ -33,8 +33,8 @@
         self.tokens = self.tokens.min(self.burst);
     }
 
-    /// Takes one token, or says how long until there is one; `None` inside
-    /// the error when the rate is zero.
+    /// Takes one token, or returns the time until one is available; the error holds
+    /// `None` if the rate is zero.
     pub(super) fn take(&mut self, now: Timestamp) -> Result<(), Option<Duration>> {
         self.refill(now);
         if self.tokens >= 1.0 {
--- a/crates/routing/src/admission/mod.rs
+++ b/crates/routing/src/admission/mod.rs
@@ -1,10 +1,9 @@
-//! Whether an online request may go on now, waits in a bounded queue, or is
-//! refused at once.
+//! Decides whether an online request is admitted now, waits in a bounded queue, or is
+//! refused immediately.
 //!
-//! A refusal is final and means that the request did not run. It is given as
-//! soon as it is foreseeable: a request whose turn cannot come before its
-//! deadline is refused on arrival, or as soon as the queue slows down, and is
-//! never held until the deadline.
+//! A refusal is final and means that the request did not run. It is issued as soon as it
+//! is foreseeable: a request that cannot be admitted before its deadline is refused on
+//! arrival, or as soon as the queue slows down, and is never held until the deadline.
 
 mod bucket;
 mod queue;
@@ -24,16 +23,16 @@
 use service::{Service, Waiting};
 use tenant::Tenant;
 
-/// Bounds of admission.
+/// Settings of admission control.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdmissionSettings {
-    /// Policy of a tenant that has none of its own.
+    /// Policy of tenants without one of their own.
     pub default_policy: TenantPolicy,
-    /// Service time that is assumed before the first completion.
+    /// Service time assumed before the first completion.
     pub assumed_service_time: Duration,
-    /// Shortest Retry-After.
+    /// Minimum Retry-After.
     pub shortest_retry_after: Duration,
-    /// Longest Retry-After.
+    /// Maximum Retry-After.
     pub longest_retry_after: Duration,
     /// Time between sweeps for idle tenants.
     pub sweep_interval: Duration,
@@ -51,38 +50,38 @@
     }
 }
 
-/// Names a request that is admitted or queued.
+/// Identifies an admitted or queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
 /// What happens to a request on arrival.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Decision {
-    /// It may go on; release the ticket when it has ended.
+    /// The request may proceed; release the ticket when it has ended.
     Admitted(Ticket),
-    /// It waits; an [`AdmissionOutput`] tells how that ends.
+    /// The request waits; an [`AdmissionOutput`] reports how the wait ends.
     Queued {
-        /// The request.
+        /// Ticket of the request.
         ticket: Ticket,
-        /// Requests of the service that wait, with this one.
+        /// Number of waiting requests of the service, including this one.
         queue_length: usize,
-        /// How long its turn is expected to take.
+        /// Expected time until the request is admitted.
         expected_wait: Duration,
     },
-    /// It is refused for good and did not run.
+    /// The request is refused for good and did not run.
     Refused(Refusal),
 }
 
 /// How the wait of a queued request ended.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdmissionOutput {
-    /// Its turn came; release the ticket when it has ended.
+    /// The request was admitted; release the ticket when it has ended.
     Admitted(Ticket),
-    /// It is refused for good and did not run.
+    /// The request is refused for good and did not run.
     Refused(Ticket, Refusal),
 }
 
-/// Who holds an admitted ticket.
+/// The holder of an admitted ticket.
 #[derive(Clone, Debug)]
 struct Permit {
     tenant: TenantId,
@@ -90,7 +89,7 @@
     admitted: Timestamp,
 }
 
-/// The admission of one gateway.
+/// Admission control of one gateway.
 #[derive(Clone, Debug)]
 pub struct Admission {
     settings: AdmissionSettings,
@@ -103,7 +102,7 @@
 }
 
 impl Admission {
-    /// Knows no service yet.
+    /// Creates an instance without any services.
     #[must_use]
     pub fn new(settings: AdmissionSettings) -> Self {
         Self {
@@ -117,8 +116,8 @@
         }
     }
 
-    /// Puts services and tenant policies in force. Requests that wait for a
-    /// service that is no longer there are refused.
+    /// Applies services and tenant policies. Refuses the waiting requests of services
+    /// that are no longer configured.
     pub fn configure(
         &mut self,
         now: Timestamp,
@@ -151,16 +150,15 @@
         outputs
     }
 
-    /// Sets how many requests of `service` its engines can take from this
-    /// gateway, as learnt by [`crate::pick`]; the lower of this and the
-    /// configured limit counts.
+    /// Sets how many requests of `service` its engines can take from this gateway, as
+    /// learned by [`crate::pick`]. The lower of this and the configured limit applies.
     pub fn set_capacity(&mut self, service: &ServiceName, capacity: u32) {
         if let Some(service) = self.services.get_mut(service) {
             service.set_capacity(capacity);
         }
     }
 
-    /// Decides about a new request.
+    /// Decides on a new request.
     pub fn offer(
         &mut self,
         now: Timestamp,
@@ -200,8 +198,8 @@
         service.enqueue(now, ticket, tenant, weight)
     }
 
-    /// An admitted request ended. `ran` is false when it never reached a back
-    /// end, so that its time says nothing about the service.
+    /// Records that an admitted request ended. `ran` is false if it never reached a back
+    /// end, so that its duration says nothing about the service.
     pub fn release(&mut self, now: Timestamp, ticket: Ticket, ran: bool) -> Vec<AdmissionOutput> {
         let Some(permit) = self.permits.remove(&ticket) else {
             return Vec::new();
@@ -217,7 +215,7 @@
         self.start_waiting(now, &permit.service)
     }
 
-    /// The caller of a queued request went away.
+    /// Removes a queued request whose caller left.
     pub fn abandon(&mut self, ticket: Ticket) {
         for service in self.services.values_mut() {
             if let Some(waiting) = service.remove(ticket) {
@@ -229,9 +227,9 @@
         }
     }
 
-    /// Starts requests for which room appeared, refuses those whose turn no
-    /// longer comes in time, and drops idle tenants. Send one every few
-    /// milliseconds while anything waits.
+    /// Admits waiting requests for which there is capacity, refuses those that can no
+    /// longer be admitted in time, and drops idle tenants. Must be called every few
+    /// milliseconds while requests wait.
     pub fn tick(&mut self, now: Timestamp) -> Vec<AdmissionOutput> {
         let names: Vec<ServiceName> = self.services.keys().cloned().collect();
         let mut outputs = Vec::new();
@@ -241,14 +239,14 @@
         }
         if now.since(self.last_sweep) >= self.settings.sweep_interval {
             self.last_sweep = now;
-            // A full bucket is the same as none, so an idle tenant is nothing
-            // but memory.
+            // A full bucket behaves like a new one, so an idle tenant only takes up
+            // memory.
             self.tenants.retain(|_, tenant| !tenant.is_idle(now));
         }
         outputs
     }
 
-    /// Refuses everything that waits, for a node that turned unready.
+    /// Refuses all waiting requests, for a node that became unready.
     pub fn refuse_waiting(&mut self, code: RefusalCode) -> Vec<AdmissionOutput> {
         let mut outputs = Vec::new();
         for service in self.services.values_mut() {
@@ -258,19 +256,19 @@
         outputs
     }
 
-    /// Requests admitted and not ended.
+    /// Number of requests admitted and not yet ended.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.permits.len()
     }
 
-    /// Requests that wait.
+    /// Number of waiting requests.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.services.values().map(Service::queue_length).sum()
     }
 
-    /// Tenants that take memory now.
+    /// Number of tenants that are kept in memory.
     #[must_use]
     pub fn tracked_tenants(&self) -> usize {
         self.tenants.len()
@@ -293,7 +291,7 @@
         }
     }
 
-    /// Refuses what can no longer get its turn in time.
+    /// Refuses requests that can no longer be admitted in time.
     fn refuse_hopeless(
         &mut self,
         now: Timestamp,
@@ -312,10 +310,10 @@
         }
     }
 
-    /// Tells tenants about requests that left a queue by refusal.
+    /// Updates the in-flight counts of tenants after requests left a queue by refusal.
     fn note_queue_exits(&mut self, outputs: &[AdmissionOutput]) {
-        // The queues hold the tenant; after a bulk refusal the counts are
-        // rebuilt, which is rare and exact.
+        // Only the queues know the tenants of the waiting requests. Rebuilding all counts
+        // is exact, and bulk refusals are rare.
         if outputs.is_empty() {
             return;
         }
--- a/crates/routing/src/admission/queue.rs
+++ b/crates/routing/src/admission/queue.rs
@@ -1,7 +1,7 @@
 //! A queue that serves tenants by deficit round robin.
 //!
-//! Every request costs one unit. A tenant whose turn it is gets its weight in
-//! units and keeps its turn until they are used up or it has nothing waiting.
+//! Every request costs one unit. The tenant at the front gets its weight in units, and
+//! stays at the front until they are used up or it has no waiting requests.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct FairQueue {
     lanes: HashMap<TenantId, Lane>,
-    /// Tenants with something waiting; the front one has its turn.
+    /// Tenants with waiting requests; the front one is served next.
     turns: VecDeque<TenantId>,
     length: usize,
 }
@@ -30,16 +30,16 @@
         self.length
     }
 
-    /// Requests that are expected to be served before a new one of `tenant`:
-    /// for each of its own that wait, one of every other waiting tenant. That
-    /// is exact for equal weights and full lanes, and never above the length.
+    /// Number of requests expected to be served before a new one of `tenant`: for each of
+    /// its own waiting requests, one of every other waiting tenant. This is exact for
+    /// equal weights and full lanes, and never exceeds the queue length.
     pub(super) fn ahead_of_new(&self, tenant: &TenantId) -> usize {
         let tenants = self.turns.len().max(1);
         let rounds = self.len_of(tenant) + 1;
         rounds.saturating_mul(tenants).min(self.length)
     }
 
-    /// Requests of `tenant` that wait.
+    /// Number of waiting requests of `tenant`.
     pub(super) fn len_of(&self, tenant: &TenantId) -> usize {
         self.lanes.get(tenant).map_or(0, |lane| lane.waiting.len())
     }
@@ -59,7 +59,7 @@
         self.length += 1;
     }
 
-    /// What [`FairQueue::pop`] would take.
+    /// Returns the request that [`FairQueue::pop`] would take.
     pub(super) fn next(&self) -> Option<&Waiting> {
         self.lanes.get(self.turns.front()?)?.waiting.front()
     }
@@ -83,7 +83,7 @@
         Some(next)
     }
 
-    /// Removes the requests for which `hopeless` holds, given how many are
+    /// Removes the requests for which `hopeless` returns true, given how many are
     /// expected to be served before each.
     pub(super) fn remove_where(
         &mut self,
@@ -94,7 +94,7 @@
         for lane in self.lanes.values_mut() {
             let mut kept = VecDeque::with_capacity(lane.waiting.len());
             for waiting in lane.waiting.drain(..) {
-                // Only what stays ahead of it counts.
+                // Counts only requests that stay ahead of it.
                 let ahead = (kept.len() * tenants).min(length);
                 if hopeless(&waiting, ahead) {
                     removed.push(waiting);
@@ -106,7 +106,8 @@
         }
         self.length -= removed.len();
         self.drop_empty_lanes();
-        // The map's order is not fixed; callers must see the same each run.
+        // The order of the map varies between runs; sorting makes the result
+        // deterministic.
         removed.sort_by_key(|waiting| waiting.ticket);
         removed
     }
--- a/crates/routing/src/admission/refusal.rs
+++ b/crates/routing/src/admission/refusal.rs
@@ -1,4 +1,4 @@
-//! Typed refusals.
+//! Refusals and their codes.
 
 use std::time::Duration;
 
@@ -11,28 +11,28 @@
 /// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
 pub enum RefusalCode {
-    /// The tenant used up its rate.
+    /// The tenant used up its rate limit.
     #[display("tenant_rate")]
     TenantRate,
-    /// The tenant has as many requests in flight as it may.
+    /// The tenant reached its concurrency limit.
     #[display("tenant_concurrency")]
     TenantConcurrency,
     /// The queue of the service is full.
     #[display("queue_full")]
     QueueFull,
-    /// Its turn would come after its deadline.
+    /// The request would be admitted after its deadline.
     #[display("deadline_unreachable")]
     DeadlineUnreachable,
     /// No such service is configured.
     #[display("unknown_service")]
     UnknownService,
-    /// No back end of the service may take work.
+    /// No back end of the service accepts work.
     #[display("no_backend")]
     NoBackend,
     /// The node cannot confirm that its configuration is current.
     #[display("configuration_not_current")]
     ConfigurationNotCurrent,
-    /// The node is stopping as planned.
+    /// The node is draining for a planned stop.
     #[display("draining")]
     Draining,
 }
@@ -40,14 +40,14 @@
 /// A final refusal: the request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// Why.
+    /// Reason for the refusal.
     pub code: RefusalCode,
-    /// When coming back helps; `None` when it does not.
+    /// Time after which a retry may succeed; `None` if a retry does not help.
     pub retry_after: Option<Duration>,
 }
 
 impl Refusal {
-    /// A refusal that coming back does not change.
+    /// Creates a refusal that a retry does not change.
     #[must_use]
     pub fn permanent(code: RefusalCode) -> Self {
         Self {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// A refusal that may change after `retry_after`.
+    /// Creates a refusal that may change after `retry_after`.
     #[must_use]
     pub fn after(code: RefusalCode, retry_after: Duration) -> Self {
         Self {
@@ -65,8 +65,8 @@
         }
     }
 
-    /// The same with its time within the configured bounds, in whole
-    /// milliseconds; rounded up, so that nobody comes back too early.
+    /// Returns the refusal with its retry time clamped to the configured bounds, in whole
+    /// milliseconds. Rounds up, so that no caller retries too early.
     pub(super) fn bounded(self, settings: &AdmissionSettings) -> Self {
         let (shortest, longest) = (settings.shortest_retry_after, settings.longest_retry_after);
         let retry_after = self.retry_after.map(|after| {
--- a/crates/routing/src/admission/service.rs
+++ b/crates/routing/src/admission/service.rs
@@ -1,4 +1,4 @@
-//! Concurrency and queue of one service.
+//! Concurrency limit and queue of one service.
 
 use std::time::Duration;
 
@@ -8,28 +8,27 @@
 use super::refusal::{Refusal, RefusalCode};
 use super::{AdmissionOutput, AdmissionSettings, Decision, Ticket};
 
-/// Weight of the newest completion in the smoothed service time.
+/// Weight of the latest completion in the smoothed service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.05;
-/// Service times without any completion, while no more may start, after which
+/// Multiple of the service time without any completion, at full concurrency, after which
 /// the service counts as stalled.
 const STALLED_AFTER: f64 = 2.0;
 
-/// Shortest time between two looks through the queue when requests end; a
-/// tick always looks.
+/// Minimum time between two scans of the queue when requests end; a tick always scans.
 const LOOK_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Limits of a service at one gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceLimits {
-    /// Most requests in flight.
+    /// Maximum number of requests in flight.
     pub max_concurrency: u32,
-    /// Most requests queued.
+    /// Maximum number of queued requests.
     pub max_queue: u32,
-    /// Longest time in the queue.
+    /// Maximum time in the queue.
     pub queue_timeout: Duration,
 }
 
-/// A request in a queue.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub(super) struct Waiting {
     pub(super) ticket: Ticket,
@@ -45,14 +44,15 @@
     in_flight: u32,
     queue: FairQueue,
     service_seconds: f64,
-    /// Latest start or end of a request.
+    /// Time of the latest start or end of a request.
     last_change: Timestamp,
-    /// When the queue was last looked through for what comes too late.
+    /// Time of the latest scan of the queue for requests that cannot be admitted in time.
     last_look: Timestamp,
 }
 
 impl Service {
-    /// `in_flight` requests still run from a time when it was configured before.
+    /// Creates the state of a service. `in_flight` requests still run from an earlier
+    /// configuration.
     pub(super) fn new(
         limits: ServiceLimits,
         assumed_service_time: Duration,
@@ -93,15 +93,15 @@
         self.limits.max_concurrency.min(self.capacity).max(1)
     }
 
-    /// Time until `requests` have been served, by the measured rate: the
-    /// concurrency divided by the smoothed service time.
+    /// Time until `requests` have been served at the measured rate: the concurrency
+    /// divided by the smoothed service time.
     fn time_to_serve(&self, requests: usize) -> Duration {
         let per_second = f64::from(self.concurrency()) / self.service_seconds.max(1e-6);
         Duration::from_secs_f64(requests as f64 / per_second)
     }
 
-    /// Time lost to a stall: how long nothing ended although all that may run
-    /// did; zero unless that is far longer than a request takes.
+    /// Time lost to a stall: how long no request has ended although concurrency is used
+    /// up. Zero unless that is far longer than the service time.
     fn stall(&self, now: Timestamp) -> Duration {
         let silent = now.since(self.last_change);
         let full = self.in_flight >= self.concurrency();
@@ -109,7 +109,7 @@
         if stalled { silent } else { Duration::ZERO }
     }
 
-    /// Time until a newcomer of `tenant` gets its turn.
+    /// Expected time until a new request of `tenant` is admitted.
     fn expected_wait(&self, now: Timestamp, tenant: &TenantId) -> Duration {
         let served_until_then = self.queue.ahead_of_new(tenant) + 1;
         self.time_to_serve(served_until_then) + self.stall(now)
@@ -119,9 +119,8 @@
         self.in_flight < self.concurrency() && self.queue.len() == 0
     }
 
-    /// Refuses a newcomer that cannot get its turn in time. A tenant may hold
-    /// as many places in the queue as are still free, so that there are always
-    /// some left for others.
+    /// Refuses a new request that cannot be admitted in time. A tenant may hold as many
+    /// places in the queue as are still free, so that some are always left for others.
     pub(super) fn has_room_for(&self, now: Timestamp, tenant: &TenantId) -> Result<(), Refusal> {
         if self.can_start() {
             return Ok(());
@@ -174,15 +173,15 @@
         }
     }
 
-    /// Whether the queue was looked through long enough ago, or the next
-    /// request in it must not start any more.
+    /// Whether a scan of the queue is due, or the next request in it is past its deadline
+    /// and must not start.
     pub(super) fn is_look_due(&self, now: Timestamp) -> bool {
         let next = self.queue.next();
         let late = next.is_some_and(|waiting| now >= waiting.deadline);
         late || now.since(self.last_look) >= LOOK_INTERVAL
     }
 
-    /// Removes what can no longer get its turn before its deadline.
+    /// Removes requests that can no longer be admitted before their deadline.
     pub(super) fn refuse_hopeless(&mut self, now: Timestamp) -> Vec<(Waiting, Refusal)> {
         self.last_look = now;
         if self.queue.len() == 0 {
@@ -202,7 +201,7 @@
             .collect()
     }
 
-    /// Takes the next request out of the queue if there is room for it.
+    /// Takes the next request out of the queue if concurrency allows.
     pub(super) fn start_next(&mut self, now: Timestamp) -> Option<Waiting> {
         if self.in_flight >= self.concurrency() {
             return None;
--- a/crates/routing/src/admission/tenant.rs
+++ b/crates/routing/src/admission/tenant.rs
@@ -1,4 +1,4 @@
-//! Rate and concurrency of one tenant.
+//! Rate and concurrency limits of one tenant.
 
 use std::time::Duration;
 
@@ -10,13 +10,13 @@
 /// Limits of a tenant at one gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantPolicy {
-    /// Sustained requests a second.
+    /// Sustained requests per second.
     pub requests_per_second: u32,
-    /// Requests that may come at once above that rate.
+    /// Requests above that rate that may arrive at once.
     pub burst: u32,
-    /// Most requests in flight or queued.
+    /// Maximum number of requests in flight or queued.
     pub max_concurrency: u32,
-    /// Share of a contended queue against other tenants.
+    /// Weight relative to other tenants in a contended queue.
     pub weight: u32,
 }
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// State of a tenant that was active lately.
+/// State of a recently active tenant.
 #[derive(Clone, Debug)]
 pub(super) struct Tenant {
     policy: TenantPolicy,
@@ -57,8 +57,8 @@
             .resize(now, policy.requests_per_second, policy.burst);
     }
 
-    /// Counts a new request in, or refuses it. One that is refused for its
-    /// concurrency takes no token.
+    /// Counts a new request as in flight, or refuses it. A request refused for
+    /// concurrency takes no token from the rate limit.
     pub(super) fn take(
         &mut self,
         now: Timestamp,
--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Rates, concurrency, bounded queues and refusals.
+//! Rate limits, concurrency limits, bounded queues and refusals.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Service time that is assumed at first, in milliseconds.
+/// Service time assumed before the first completion, in milliseconds.
 const ASSUMED: u64 = 100;
 
 fn settings(default_policy: TenantPolicy) -> AdmissionSettings {
@@ -112,7 +112,7 @@
 
 #[test]
 fn coming_back_when_told_is_in_time() {
-    // Rates whose interval is no whole number of nanoseconds.
+    // Rates whose interval is not a whole number of nanoseconds.
     for rate in [3, 7, 11, 13] {
         let mut admission = admission(limits(1_000, 10, 1_000), policy(rate, 1, 1_000));
         let mut now = at(0);
@@ -150,7 +150,7 @@
 
 #[test]
 fn a_turn_that_comes_too_late_is_refused_on_arrival() {
-    // One at a time, 100 ms each, 250 ms in the queue at most: two may wait.
+    // One request at a time, 100 ms each, at most 250 ms in the queue: two may wait.
     let mut admission = admission(limits(1, 100, 250), plenty());
     admitted(admission.offer(at(0), &tenant(1), &captions()));
     for _ in 0..2 {
@@ -179,7 +179,7 @@
         queued(admission.offer(at(0), &tenant(number), &captions()));
     }
     let refusal = refused(admission.offer(at(0), &tenant(99), &captions()));
-    // Eight that wait, two at a time, 100 ms each.
+    // Eight waiting requests, two at a time, 100 ms each.
     let expected = Refusal::after(RefusalCode::QueueFull, millis(400));
     assert_eq!(refusal, expected);
 }
@@ -326,7 +326,8 @@
     assert_eq!(outputs, [AdmissionOutput::Refused(waiting, gone)]);
     let refusal = refused(admission.offer(at(1), &tenant(1), &captions()));
     assert_eq!(refusal, gone);
-    // It comes back while the old request still runs: that one counts.
+    // The service returns while the old request still runs, which counts against its
+    // limit.
     let services = BTreeMap::from([(captions(), limits(1, 10, 1_000))]);
     admission.configure(at(2), services, BTreeMap::new());
     let waiting = queued(admission.offer(at(2), &tenant(1), &captions()));
@@ -356,7 +357,7 @@
     assert_eq!(admission.waiting(), 0);
     queued(admission.offer(at(0), &tenant(1), &captions()));
     assert_eq!(admission.release(at(1), running, true).len(), 1);
-    // A ticket ends once, however often it is released.
+    // Releasing a ticket again has no effect.
     assert_eq!(admission.release(at(1), running, true), []);
 }
 
@@ -384,7 +385,7 @@
 const MODEL_TIMEOUT: u64 = 400;
 const MODEL_TENANT_CONCURRENCY: u32 = 6;
 
-/// What a checker knows from the outside.
+/// Reference model, built only from inputs and outputs.
 #[derive(Default)]
 struct Model {
     now: u64,
@@ -459,7 +460,7 @@
             match admission.offer(at(model.now), &tenant(*number), &captions()) {
                 Decision::Admitted(ticket) => {
                     prop_assert!(before < model.concurrency());
-                    prop_assert!(model.waiting.is_empty(), "overtook the queue");
+                    prop_assert!(model.waiting.is_empty(), "admitted ahead of the queue");
                     model.running.insert(ticket, *number);
                     model.offered.push((model.now, *number));
                 }
@@ -497,7 +498,7 @@
             let outputs = admission.tick(at(model.now));
             model.apply(outputs)?;
             let idle = model.running.len() < model.concurrency();
-            prop_assert!(model.waiting.is_empty() || !idle, "room left unused");
+            prop_assert!(model.waiting.is_empty() || !idle, "capacity left unused");
             for (_, since) in model.waiting.values() {
                 prop_assert!(model.now < since + MODEL_TIMEOUT, "held past its deadline");
             }
@@ -530,7 +531,7 @@
             let most = f64::from(burst) + f64::from(rate) * model.now as f64 / 1_000.0;
             prop_assert!(taken as f64 <= most + 1e-6, "rate exceeded");
         }
-        // In the end nothing is left behind.
+        // At the end no state is left.
         while let Some(ticket) = nth(&model.running, 0) {
             model.running.remove(&ticket);
             let outputs = admission.release(at(model.now), ticket, true);
