--- a/crates/routing/src/admission/mod.rs
+++ b/crates/routing/src/admission/mod.rs
@@ -146,7 +146,7 @@
                 .or_insert_with(|| Service::new(limits.clone(), assumed, running as u32))
                 .set_limits(limits);
         }
-        self.note_queue_exits(&outputs);
+        self.recount_in_flight(&outputs);
         outputs
     }
 
@@ -174,7 +174,7 @@
             .tenants
             .entry(tenant.clone())
             .or_insert_with(|| Tenant::new(now, policy));
-        if let Err(refusal) = service.has_room_for(now, tenant) {
+        if let Err(refusal) = service.check_capacity_for(now, tenant) {
             return Decision::Refused(refusal.bounded(&self.settings));
         }
         if let Err(refusal) = state.take(now, service.mean_service_time()) {
@@ -210,8 +210,8 @@
         let Some(service) = self.services.get_mut(&permit.service) else {
             return Vec::new();
         };
-        let took = ran.then(|| now.since(permit.admitted));
-        service.finish(now, took);
+        let duration = ran.then(|| now.since(permit.admitted));
+        service.finish(now, duration);
         self.start_waiting(now, &permit.service)
     }
 
@@ -252,7 +252,7 @@
         for service in self.services.values_mut() {
             outputs.extend(service.refuse_all(code, &self.settings));
         }
-        self.note_queue_exits(&outputs);
+        self.recount_in_flight(&outputs);
         outputs
     }
 
@@ -278,7 +278,7 @@
         let mut outputs = Vec::new();
         loop {
             let service = self.services.get(name);
-            if service.is_some_and(|service| service.is_look_due(now)) {
+            if service.is_some_and(|service| service.is_scan_due(now)) {
                 self.refuse_hopeless(now, name, &mut outputs);
             }
             let service = self.services.get_mut(name);
@@ -311,7 +311,7 @@
     }
 
     /// Updates the in-flight counts of tenants after requests left a queue by refusal.
-    fn note_queue_exits(&mut self, outputs: &[AdmissionOutput]) {
+    fn recount_in_flight(&mut self, outputs: &[AdmissionOutput]) {
         // Only the queues know the tenants of the waiting requests. Rebuilding all counts
         // is exact, and bulk refusals are rare.
         if outputs.is_empty() {
--- a/crates/routing/src/admission/queue.rs
+++ b/crates/routing/src/admission/queue.rs
@@ -21,7 +21,7 @@
 pub(super) struct FairQueue {
     lanes: HashMap<TenantId, Lane>,
     /// Tenants with waiting requests; the front one is served next.
-    turns: VecDeque<TenantId>,
+    rotation: VecDeque<TenantId>,
     length: usize,
 }
 
@@ -34,7 +34,7 @@
     /// its own waiting requests, one of every other waiting tenant. This is exact for
     /// equal weights and full lanes, and never exceeds the queue length.
     pub(super) fn ahead_of_new(&self, tenant: &TenantId) -> usize {
-        let tenants = self.turns.len().max(1);
+        let tenants = self.rotation.len().max(1);
         let rounds = self.len_of(tenant) + 1;
         rounds.saturating_mul(tenants).min(self.length)
     }
@@ -47,7 +47,7 @@
     pub(super) fn push(&mut self, waiting: Waiting, weight: u32) {
         let tenant = waiting.tenant.clone();
         let lane = self.lanes.entry(tenant.clone()).or_insert_with(|| {
-            self.turns.push_back(tenant);
+            self.rotation.push_back(tenant);
             Lane {
                 waiting: VecDeque::new(),
                 weight,
@@ -61,24 +61,24 @@
 
     /// Returns the request that [`FairQueue::pop`] would take.
     pub(super) fn next(&self) -> Option<&Waiting> {
-        self.lanes.get(self.turns.front()?)?.waiting.front()
+        self.lanes.get(self.rotation.front()?)?.waiting.front()
     }
 
     pub(super) fn pop(&mut self) -> Option<Waiting> {
-        let tenant = self.turns.front()?.clone();
+        let tenant = self.rotation.front()?.clone();
         let lane = self.lanes.get_mut(&tenant)?;
         if lane.credit == 0 {
             lane.credit = lane.weight;
         }
         lane.credit -= 1;
-        let turn_over = lane.credit == 0;
+        let credit_used_up = lane.credit == 0;
         let next = lane.waiting.pop_front()?;
         self.length -= 1;
         if lane.waiting.is_empty() {
             self.lanes.remove(&tenant);
-            self.turns.pop_front();
-        } else if turn_over {
-            self.turns.rotate_left(1);
+            self.rotation.pop_front();
+        } else if credit_used_up {
+            self.rotation.rotate_left(1);
         }
         Some(next)
     }
@@ -90,7 +90,7 @@
         mut hopeless: impl FnMut(&Waiting, usize) -> bool,
     ) -> Vec<Waiting> {
         let mut removed = Vec::new();
-        let (tenants, length) = (self.turns.len().max(1), self.length);
+        let (tenants, length) = (self.rotation.len().max(1), self.length);
         for lane in self.lanes.values_mut() {
             let mut kept = VecDeque::with_capacity(lane.waiting.len());
             for waiting in lane.waiting.drain(..) {
@@ -119,6 +119,6 @@
     fn drop_empty_lanes(&mut self) {
         self.lanes.retain(|_, lane| !lane.waiting.is_empty());
         let lanes = &self.lanes;
-        self.turns.retain(|tenant| lanes.contains_key(tenant));
+        self.rotation.retain(|tenant| lanes.contains_key(tenant));
     }
 }
--- a/crates/routing/src/admission/service.rs
+++ b/crates/routing/src/admission/service.rs
@@ -12,10 +12,10 @@
 const SERVICE_TIME_WEIGHT: f64 = 0.05;
 /// Multiple of the service time without any completion, at full concurrency, after which
 /// the service counts as stalled.
-const STALLED_AFTER: f64 = 2.0;
+const STALLED_SERVICE_TIMES: f64 = 2.0;
 
 /// Minimum time between two scans of the queue when requests end; a tick always scans.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+const SCAN_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Limits of a service at one gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -47,7 +47,7 @@
     /// Time of the latest start or end of a request.
     last_change: Timestamp,
     /// Time of the latest scan of the queue for requests that cannot be admitted in time.
-    last_look: Timestamp,
+    last_scan: Timestamp,
 }
 
 impl Service {
@@ -65,7 +65,7 @@
             queue: FairQueue::default(),
             service_seconds: assumed_service_time.as_secs_f64(),
             last_change: Timestamp::ZERO,
-            last_look: Timestamp::ZERO,
+            last_scan: Timestamp::ZERO,
         }
     }
 
@@ -103,10 +103,15 @@
     /// Time lost to a stall: how long no request has ended although concurrency is used
     /// up. Zero unless that is far longer than the service time.
     fn stall(&self, now: Timestamp) -> Duration {
-        let silent = now.since(self.last_change);
+        let since_change = now.since(self.last_change);
         let full = self.in_flight >= self.concurrency();
-        let stalled = full && silent.as_secs_f64() > STALLED_AFTER * self.service_seconds;
-        if stalled { silent } else { Duration::ZERO }
+        let stalled =
+            full && since_change.as_secs_f64() > STALLED_SERVICE_TIMES * self.service_seconds;
+        if stalled {
+            since_change
+        } else {
+            Duration::ZERO
+        }
     }
 
     /// Expected time until a new request of `tenant` is admitted.
@@ -121,7 +126,11 @@
 
     /// Refuses a new request that cannot be admitted in time. A tenant may hold as many
     /// places in the queue as are still free, so that some are always left for others.
-    pub(super) fn has_room_for(&self, now: Timestamp, tenant: &TenantId) -> Result<(), Refusal> {
+    pub(super) fn check_capacity_for(
+        &self,
+        now: Timestamp,
+        tenant: &TenantId,
+    ) -> Result<(), Refusal> {
         if self.can_start() {
             return Ok(());
         }
@@ -164,26 +173,26 @@
         }
     }
 
-    pub(super) fn finish(&mut self, now: Timestamp, took: Option<Duration>) {
+    pub(super) fn finish(&mut self, now: Timestamp, duration: Option<Duration>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.last_change = self.last_change.max(now);
-        if let Some(took) = took {
-            let difference = took.as_secs_f64() - self.service_seconds;
+        if let Some(duration) = duration {
+            let difference = duration.as_secs_f64() - self.service_seconds;
             self.service_seconds += SERVICE_TIME_WEIGHT * difference;
         }
     }
 
     /// Whether a scan of the queue is due, or the next request in it is past its deadline
     /// and must not start.
-    pub(super) fn is_look_due(&self, now: Timestamp) -> bool {
+    pub(super) fn is_scan_due(&self, now: Timestamp) -> bool {
         let next = self.queue.next();
         let late = next.is_some_and(|waiting| now >= waiting.deadline);
-        late || now.since(self.last_look) >= LOOK_INTERVAL
+        late || now.since(self.last_scan) >= SCAN_INTERVAL
     }
 
     /// Removes requests that can no longer be admitted before their deadline.
     pub(super) fn refuse_hopeless(&mut self, now: Timestamp) -> Vec<(Waiting, Refusal)> {
-        self.last_look = now;
+        self.last_scan = now;
         if self.queue.len() == 0 {
             return Vec::new();
         }
