--- a/crates/routing/tests/admission.rs
+++ b/crates/routing/tests/admission.rs
@@ -45,12 +45,12 @@
 }
 
 /// Service time assumed before the first completion, in milliseconds.
-const ASSUMED: u64 = 100;
+const ASSUMED_MS: u64 = 100;
 
 fn settings(default_policy: TenantPolicy) -> AdmissionSettings {
     AdmissionSettings {
         default_policy,
-        assumed_service_time: millis(ASSUMED),
+        assumed_service_time: millis(ASSUMED_MS),
         ..AdmissionSettings::default()
     }
 }
@@ -62,7 +62,7 @@
     admission
 }
 
-fn plenty() -> TenantPolicy {
+fn unlimited() -> TenantPolicy {
     policy(100_000, 100_000, 100_000)
 }
 
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_rate_refuses_at_once_and_says_when_to_come_back() {
+fn a_rate_limit_refuses_immediately_and_returns_the_retry_delay() {
     let mut admission = admission(limits(100, 10, 1_000), policy(4, 2, 100));
     for _ in 0..2 {
         admitted(admission.offer(at(0), &tenant(1), &captions()));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_rate_of_zero_is_permanent() {
+fn a_rate_of_zero_refuses_permanently() {
     let mut admission = admission(limits(100, 10, 1_000), policy(0, 1, 100));
     admitted(admission.offer(at(0), &tenant(1), &captions()));
     let refusal = refused(admission.offer(at(60_000), &tenant(1), &captions()));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn coming_back_when_told_is_in_time() {
+fn a_retry_after_the_returned_delay_is_admitted() {
     // Rates whose interval is not a whole number of nanoseconds.
     for rate in [3, 7, 11, 13] {
         let mut admission = admission(limits(1_000, 10, 1_000), policy(rate, 1, 1_000));
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn concurrency_of_a_tenant_counts_what_runs_and_what_waits() {
+fn concurrency_of_a_tenant_counts_running_and_waiting_requests() {
     let mut admission = admission(limits(1, 10, 1_000), policy(1_000, 1_000, 2));
     let first = admitted(admission.offer(at(0), &tenant(1), &captions()));
     queued(admission.offer(at(0), &tenant(1), &captions()));
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_refused_concurrency_takes_no_token() {
+fn a_refusal_for_concurrency_takes_no_token() {
     let mut admission = admission(limits(10, 10, 1_000), policy(1, 2, 1));
     let first = admitted(admission.offer(at(0), &tenant(1), &captions()));
     for _ in 0..5 {
@@ -149,9 +149,9 @@
 }
 
 #[test]
-fn a_turn_that_comes_too_late_is_refused_on_arrival() {
+fn a_request_that_would_be_admitted_too_late_is_refused_on_arrival() {
     // One request at a time, 100 ms each, at most 250 ms in the queue: two may wait.
-    let mut admission = admission(limits(1, 100, 250), plenty());
+    let mut admission = admission(limits(1, 100, 250), unlimited());
     admitted(admission.offer(at(0), &tenant(1), &captions()));
     for _ in 0..2 {
         queued(admission.offer(at(0), &tenant(1), &captions()));
@@ -163,7 +163,7 @@
 
 #[test]
 fn a_wait_longer_than_the_bound_is_refused_even_from_an_empty_queue() {
-    let mut admission = admission(limits(1, 100, 60), plenty());
+    let mut admission = admission(limits(1, 100, 60), unlimited());
     admitted(admission.offer(at(0), &tenant(1), &captions()));
     let refusal = refused(admission.offer(at(0), &tenant(1), &captions()));
     assert_eq!(refusal.code, RefusalCode::DeadlineUnreachable);
@@ -171,7 +171,7 @@
 
 #[test]
 fn a_full_queue_refuses_with_the_time_to_serve_it() {
-    let mut admission = admission(limits(2, 8, 10_000), plenty());
+    let mut admission = admission(limits(2, 8, 10_000), unlimited());
     for number in 0..2 {
         admitted(admission.offer(at(0), &tenant(number), &captions()));
     }
@@ -188,7 +188,7 @@
 fn retry_after_stays_within_its_bounds() {
     let mut admission = Admission::new(AdmissionSettings {
         longest_retry_after: Duration::from_secs(5),
-        ..settings(plenty())
+        ..settings(unlimited())
     });
     let services = BTreeMap::from([(captions(), limits(1, 1_000, 3_600_000))]);
     admission.configure(at(0), services, BTreeMap::new());
@@ -213,7 +213,7 @@
 
 #[test]
 fn a_queue_that_slows_down_refuses_before_the_deadline() {
-    let mut admission = admission(limits(1, 100, 1_000), plenty());
+    let mut admission = admission(limits(1, 100, 1_000), unlimited());
     let mut running = admitted(admission.offer(at(0), &tenant(1), &captions()));
     let mut waiting = 0;
     while let Decision::Queued { .. } = admission.offer(at(0), &tenant(1), &captions()) {
@@ -234,8 +234,8 @@
 }
 
 #[test]
-fn a_stalled_service_refuses_at_once_instead_of_at_the_deadline() {
-    let mut admission = admission(limits(2, 100, 2_000), plenty());
+fn a_stalled_service_refuses_immediately_instead_of_at_the_deadline() {
+    let mut admission = admission(limits(2, 100, 2_000), unlimited());
     for _ in 0..2 {
         admitted(admission.offer(at(0), &tenant(1), &captions()));
     }
@@ -255,7 +255,7 @@
 
 #[test]
 fn one_tenant_cannot_fill_the_queue_for_the_others() {
-    let mut admission = admission(limits(1, 40, 60_000), plenty());
+    let mut admission = admission(limits(1, 40, 60_000), unlimited());
     admitted(admission.offer(at(0), &tenant(0), &captions()));
     for _ in 0..100 {
         admission.offer(at(0), &tenant(1), &captions());
@@ -266,13 +266,13 @@
 }
 
 #[test]
-fn a_flood_of_one_tenant_does_not_delay_the_turn_of_another() {
-    let mut admission = admission(limits(1, 100, 60_000), plenty());
+fn a_flood_of_one_tenant_does_not_delay_another() {
+    let mut admission = admission(limits(1, 100, 60_000), unlimited());
     let running = admitted(admission.offer(at(0), &tenant(1), &captions()));
     for _ in 0..20 {
         queued(admission.offer(at(0), &tenant(1), &captions()));
     }
-    let patient = queued(admission.offer(at(0), &tenant(2), &captions()));
+    let other = queued(admission.offer(at(0), &tenant(2), &captions()));
     let mut served = Vec::new();
     let mut next = running;
     for now in 1..4 {
@@ -283,15 +283,15 @@
         served.push(ticket);
         next = ticket;
     }
-    assert!(served[..2].contains(&patient), "{served:?}");
+    assert!(served[..2].contains(&other), "{served:?}");
 }
 
 #[test]
 fn weights_divide_a_contended_queue() {
-    let mut admission = Admission::new(settings(plenty()));
+    let mut admission = Admission::new(settings(unlimited()));
     let heavy = TenantPolicy {
         weight: 3,
-        ..plenty()
+        ..unlimited()
     };
     let services = BTreeMap::from([(captions(), limits(1, 400, 600_000))]);
     let policies = BTreeMap::from([(tenant(1), heavy)]);
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn a_removed_service_refuses_what_waits_and_frees_its_tenants() {
+fn a_removed_service_refuses_waiting_requests_and_releases_their_tenants() {
     let mut admission = admission(limits(1, 10, 1_000), policy(1_000, 1_000, 2));
     let running = admitted(admission.offer(at(0), &tenant(1), &captions()));
     let waiting = queued(admission.offer(at(0), &tenant(1), &captions()));
@@ -336,8 +336,8 @@
 }
 
 #[test]
-fn learnt_capacity_bounds_what_runs_and_lets_more_in_when_it_rises() {
-    let mut admission = admission(limits(100, 100, 60_000), plenty());
+fn learned_capacity_limits_running_requests_and_admits_more_when_it_rises() {
+    let mut admission = admission(limits(100, 100, 60_000), unlimited());
     admission.set_capacity(&captions(), 2);
     for _ in 0..2 {
         admitted(admission.offer(at(0), &tenant(1), &captions()));
@@ -349,7 +349,7 @@
 }
 
 #[test]
-fn a_caller_that_went_away_leaves_the_queue() {
+fn an_abandoned_request_leaves_the_queue() {
     let mut admission = admission(limits(1, 10, 60_000), policy(1_000, 1_000, 2));
     let running = admitted(admission.offer(at(0), &tenant(1), &captions()));
     let waiting = queued(admission.offer(at(0), &tenant(1), &captions()));
@@ -449,7 +449,7 @@
     map.keys().nth(position).copied()
 }
 
-fn take_step(
+fn apply_step(
     admission: &mut Admission,
     model: &mut Model,
     step: &Step,
@@ -523,7 +523,7 @@
         let mut admission = admission(limits, policy);
         let mut model = Model { capacity: u32::MAX, ..Model::default() };
         for step in &steps {
-            take_step(&mut admission, &mut model, step)?;
+            apply_step(&mut admission, &mut model, step)?;
             model.check(&admission)?;
         }
         for number in 0..5 {
