--- a/crates/routing/src/quota/flow.rs
+++ b/crates/routing/src/quota/flow.rs
@@ -1,4 +1,4 @@
-//! How many requests come in a second, lately.
+//! Recent request rates.
 
 use std::time::Duration;
 
@@ -6,23 +6,23 @@
 
 use crate::decay::FadingSum;
 
-/// Requests a second, smoothed. The integral over time is the number of requests,
-/// so that whoever adds up a flow misses none, if later by the smoothing.
+/// A smoothed rate in requests per second. Its integral over time is the number of
+/// requests, so that a sum over time misses none, but counts them later by the smoothing.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Flow(FadingSum);
 
 impl Flow {
-    /// No requests yet.
+    /// Creates a flow without requests.
     pub fn new(smoothed_over: Duration) -> Self {
         Self(FadingSum::new(smoothed_over))
     }
 
-    /// Requests a second at this time.
+    /// Requests per second at `now`.
     pub fn at(&self, now: Timestamp) -> f64 {
         self.0.at(now) / self.0.fades_over().as_secs_f64()
     }
 
-    /// `count` requests come; a negative number takes some back.
+    /// Adds `count` requests; a negative count takes some back.
     pub fn add(&mut self, count: f64, now: Timestamp) {
         self.0.add(count, now);
     }
--- a/crates/routing/src/quota/mod.rs
+++ b/crates/routing/src/quota/mod.rs
@@ -1,13 +1,13 @@
-//! Rate limits of tenants that hold over all gateways together.
+//! Rate limits of tenants that apply to all gateways together.
 //!
-//! Each gateway keeps its own estimate of one token bucket that all of them share:
-//! it takes out what it admits, and what the others told that they admit. While
-//! there is plenty it admits whatever comes. When tokens run short each gateway
-//! takes the part of them that its part of all requests is, so that what all of
-//! them admit together is what the bucket yields. Whoever hears of nobody goes on
-//! as before for a while, and then takes no more than an equal part.
+//! Each gateway keeps its own estimate of one token bucket that all of them share: it
+//! subtracts what it admits itself, and what the others report to have admitted. While
+//! there are plenty of tokens it admits every request. When tokens run short, each
+//! gateway takes a share of them that is proportional to its share of all requests, so
+//! that all gateways together admit what the bucket yields. A gateway that receives no
+//! reports continues as before for a while, and then takes no more than an equal share.
 //!
-//! Pure decisions: the caller gives the time and passes the tellings on.
+//! The module does no I/O: the caller passes in the time and delivers the reports.
 
 mod flow;
 mod relay;
--- a/crates/routing/src/quota/relay.rs
+++ b/crates/routing/src/quota/relay.rs
@@ -1,4 +1,4 @@
-//! Passing on what gateways tell of tenants, where there are many gateways.
+//! Forwards the usage reports of gateways in fleets with many gateways.
 
 use std::collections::BTreeMap;
 
@@ -8,8 +8,9 @@
 use super::telling::{TenantKey, TenantUse, Usage};
 use crate::dispatch::Teller;
 
-/// Tenants of one telling that a relay takes in; what is beyond them is not passed
-/// on. Several times as many as are expected, so that no word makes it grow.
+/// Maximum number of tenants that a relay accepts in one report; the rest is not
+/// forwarded. Several times the expected number, so that no report makes the relay grow
+/// without bound.
 const MOST_TENANTS: usize = 8_192;
 
 #[derive(Clone, Debug)]
@@ -19,14 +20,14 @@
     at: Timestamp,
 }
 
-/// What a relay was told of tenants.
+/// Usage reports that a relay received.
 #[derive(Clone, Debug, Default)]
 pub struct UsageRelay {
     told: BTreeMap<NodeId, Told>,
 }
 
 impl UsageRelay {
-    /// Takes in what a gateway, or another relay for its gateways, tells.
+    /// Records the report of a gateway, or of another relay about its gateways.
     pub fn note(&mut self, from: NodeId, teller: Teller, mut usage: Usage, now: Timestamp) {
         usage.tenants.truncate(MOST_TENANTS);
         let told = Told {
@@ -37,19 +38,19 @@
         self.told.insert(from, told);
     }
 
-    /// Forgets those that were silent for too long.
+    /// Drops the reports of nodes that have been silent for too long.
     pub fn expire(&mut self, now: Timestamp) {
         self.told.retain(|_, told| now.since(told.at) < TOLD_HOLDS);
     }
 
-    /// What the gateways of this relay have together, for the other relays.
+    /// Returns the sum over the gateways of this relay, for the other relays.
     #[must_use]
     pub fn of_gateways(&self, now: Timestamp) -> Usage {
         let told = self.told.values();
         sum(told.filter(|told| told.teller == Teller::Gateway), now)
     }
 
-    /// For each gateway of this relay, what all other gateways have together.
+    /// Returns, for each gateway of this relay, the sum over all other gateways.
     #[must_use]
     pub fn by_gateway(&self, now: Timestamp) -> Vec<(NodeId, Usage)> {
         let all = sum(self.told.values(), now);
@@ -61,8 +62,8 @@
     }
 }
 
-/// `all` less `own`, which is part of it. What the gateway itself believes to be
-/// left still counts in it.
+/// Subtracts `own`, which is part of `all`. The gateway's own estimate of the tokens left
+/// stays included.
 fn without(all: &Usage, own: &Told, now: Timestamp) -> Usage {
     let fresh = all.fresh.saturating_sub(own.fresh(now));
     let own = &own.usage;
@@ -87,7 +88,7 @@
 }
 
 impl Told {
-    /// Gateways whose words these are and were told a moment ago.
+    /// Number of gateways in this report that reported recently.
     fn fresh(&self, now: Timestamp) -> u32 {
         match now.since(self.at) < TOLD_LATELY {
             true => self.usage.fresh,
--- a/crates/routing/src/quota/table.rs
+++ b/crates/routing/src/quota/table.rs
@@ -8,32 +8,33 @@
 use super::telling::{TenantKey, TenantUse, Usage, tenant_key};
 use super::tenant::{Limit, Others, Scale, Tenant};
 
-/// How long what others told last is taken to go on when nothing more is heard of
-/// them: a relay that is lost is left within a second. Behind it each side of a cut
-/// takes what its number of gateways entitles it to. What was told last is a sample
-/// with some noise, so that holding it for 5 s went beyond limits in simulated cuts.
+/// How long the latest report of others is assumed to hold when no more arrive; gateways
+/// leave a lost relay within a second. After that, each side of a network partition uses
+/// the part of the limits to which its number of gateways entitles it. The latest report
+/// is a noisy sample: holding it for 5 s exceeded limits in simulated partitions.
 pub(super) const TOLD_HOLDS: Duration = Duration::from_secs(2);
-/// How long a word counts as told a moment ago: a few intervals of telling.
+/// Age up to which a report counts as recent: a few reporting intervals.
 pub(super) const TOLD_LATELY: Duration = Duration::from_millis(1_000);
-/// Behind its start a gateway knows how many tokens are left once it was told, or
-/// after this long at the latest.
+/// Time after its start at which a gateway knows how many tokens are left, unless a
+/// report tells it earlier.
 const SETTLES_AFTER: Duration = Duration::from_secs(5);
-/// Part of all gateways that counts as all of them: some are always on their way.
+/// Fraction of all gateways that counts as all of them: some are always missing from the
+/// reports.
 const ALL_BUT: f64 = 0.95;
-/// A request that is over its tenant's limit.
+/// A request over the limit of its tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refused {
-    /// When a token will be there for it, behind those that were refused before.
+    /// Time until a token is available for it, after those for requests refused earlier.
     pub retry_after: Duration,
     /// Tokens that were left as far as this gateway knew.
     pub left: f64,
-    /// Requests a second that the other gateways had as they told.
+    /// Rate of incoming requests that the other gateways reported, per second.
     pub others_asked: f64,
-    /// Time since some gateway or relay told anything; `None` before.
+    /// Time since the latest report of any gateway or relay; `None` before the first one.
     pub told_ago: Option<Duration>,
 }
 
-/// What others told.
+/// A report of another node.
 #[derive(Clone, Debug)]
 struct Told {
     usage: Usage,
@@ -52,7 +53,7 @@
 }
 
 impl TenantTable {
-    /// No tenants, at a gateway that starts.
+    /// Creates a table without tenants, for a gateway that starts at `now`.
     #[must_use]
     pub fn new(now: Timestamp) -> Self {
         Self {
@@ -64,13 +65,13 @@
         }
     }
 
-    /// How many gateways there are, this one included.
+    /// Sets the number of gateways, including this one.
     pub fn set_gateways(&mut self, gateways: u32, now: Timestamp) {
         self.advance(now);
         self.gateways = gateways.max(1);
     }
 
-    /// Other limits come into force. What was used of a limit before counts on.
+    /// Applies new limits. What was used under the earlier limits still counts.
     pub fn set_limits<'n>(
         &mut self,
         limits: impl Iterator<Item = (&'n str, Limit)>,
@@ -89,7 +90,7 @@
         }
     }
 
-    /// A tenant that had no limit here before.
+    /// Creates the state of a tenant that had no limit here before.
     fn begin(&self, key: TenantKey, limit: Limit, scale: Scale, now: Timestamp) -> Tenant {
         let mut tenant = Tenant::new(limit, self.started);
         tenant.advance(scale, Others::default(), now);
@@ -99,14 +100,14 @@
         tenant
     }
 
-    /// Takes in what another gateway tells of its own requests.
+    /// Records the report of another gateway about its own requests.
     pub fn note_gateway(&mut self, from: NodeId, usage: Usage, now: Timestamp) {
         self.advance(now);
         self.note(from, usage, now);
     }
 
-    /// Takes in what a relay tells of all other gateways. It takes the place of
-    /// what any other relay told.
+    /// Records the report of a relay about all other gateways. It replaces the reports of
+    /// all other nodes.
     pub fn note_relay(&mut self, from: NodeId, usage: Usage, now: Timestamp) {
         self.advance(now);
         self.told.retain(|node, _| *node == from);
@@ -116,7 +117,7 @@
     fn note(&mut self, from: NodeId, usage: Usage, now: Timestamp) {
         let mut by_tenant = HashMap::new();
         for one in &usage.tenants {
-            // Words of tenants that are unknown here are kept nowhere.
+            // Reports about tenants that are unknown here are not kept.
             if self.tenants.contains_key(&one.tenant) {
                 by_tenant.insert(one.tenant, *one);
             }
@@ -137,13 +138,13 @@
         self.told_at = Some(now);
     }
 
-    /// Gateways whose requests are known here, this one included.
+    /// Number of gateways whose requests are known here, including this one.
     fn heard(&self) -> u32 {
         let told = self.told.values().map(|told| told.usage.gateways);
         told.fold(1, u32::saturating_add)
     }
 
-    /// Gateways that told a moment ago, this one included.
+    /// Number of gateways that reported recently, including this one.
     fn fresh(&self, now: Timestamp) -> u32 {
         let told = self.told.values();
         let lately = told.filter(|told| now.since(told.at) < TOLD_LATELY);
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Brings every tenant up to `now`, with what others told until then.
+    /// Advances every tenant to `now`, with the reports received until then.
     fn advance(&mut self, now: Timestamp) {
         self.forget_silent(now);
         let scale = self.scale(now);
@@ -202,10 +203,10 @@
         others
     }
 
-    /// Whether a request of the tenant of this name may go to an engine now.
+    /// Decides whether a request of the named tenant may go to an engine now.
     ///
     /// # Errors
-    /// When the tenant sends more than it may.
+    /// Returns [`Refused`] if the tenant exceeds its limit.
     pub fn admit(&mut self, name: &str, now: Timestamp) -> Result<(), Refused> {
         let key = tenant_key(name);
         self.forget_silent(now);
@@ -227,22 +228,22 @@
         })
     }
 
-    /// A request that was admitted never went to an engine.
+    /// Returns the token of an admitted request that never went to an engine.
     pub fn give_back(&mut self, name: &str, now: Timestamp) {
         if let Some(tenant) = self.tenants.get_mut(&tenant_key(name)) {
             tenant.give_back(now);
         }
     }
 
-    /// Whether tokens of a tenant run short that sends requests here, so that the
-    /// others should hear of them at once.
+    /// Whether tokens run short for a tenant that sends requests here, so that the others
+    /// should receive a report immediately.
     #[must_use]
     pub fn is_short(&self, now: Timestamp) -> bool {
         let mut tenants = self.tenants.values();
         tenants.any(|tenant| tenant.is_short(now))
     }
 
-    /// What this gateway has of its tenants, for telling others.
+    /// Returns the usage report of this gateway.
     pub fn usage(&mut self, now: Timestamp) -> Usage {
         self.advance(now);
         let told = self.tenants.iter();
--- a/crates/routing/src/quota/telling.rs
+++ b/crates/routing/src/quota/telling.rs
@@ -1,36 +1,37 @@
-//! What gateways and relays tell each other of tenants.
+//! Usage reports about tenants that gateways and relays exchange.
 
 use minicbor::{Decode, Encode};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Names a tenant between gateways, in eight bytes however long its name is.
+/// Identifies a tenant between gateways, in eight bytes regardless of the length of its
+/// name.
 pub type TenantKey = u64;
 
-/// The key of the tenant of this name.
+/// Returns the key of the tenant with this name.
 pub(super) fn tenant_key(name: &str) -> TenantKey {
     xxh3_64(name.as_bytes())
 }
 
-/// Requests of one tenant at one gateway, or at several together.
+/// Recent requests of one tenant at one gateway, or at several together.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct TenantUse {
-    /// Tenant.
+    /// Key of the tenant.
     #[n(0)]
     pub tenant: TenantKey,
-    /// Requests admitted in a thousand seconds, as lately.
+    /// Recent rate of admitted requests, per thousand seconds.
     #[n(1)]
     pub admitted: u64,
-    /// Requests that came in a thousand seconds, as lately.
+    /// Recent rate of incoming requests, per thousand seconds.
     #[n(2)]
     pub asked: u64,
-    /// Thousandths of tokens that the teller believes to be left; `None` while it
-    /// does not know.
+    /// Estimate of the tokens left, in thousandths; `None` while the sender does not
+    /// know.
     #[n(3)]
     pub left: Option<i64>,
 }
 
 impl TenantUse {
-    /// Adds what others have. Of two beliefs the lower one counts.
+    /// Adds the usage at others. The lower of two estimates of the tokens left counts.
     pub(super) fn add(&mut self, others: &Self) {
         self.admitted = self.admitted.saturating_add(others.admitted);
         self.asked = self.asked.saturating_add(others.asked);
@@ -41,20 +42,20 @@
     }
 }
 
-/// What one gateway, or several together, tell of their tenants.
+/// Usage report of one gateway, or of several together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Usage {
-    /// Gateways that it is of.
+    /// Number of gateways that the report covers.
     #[n(0)]
     pub gateways: u32,
-    /// How many of them told it a moment ago; the others' words are older.
+    /// Number of these gateways that reported recently; reports of the others are older.
     #[n(3)]
     pub fresh: u32,
-    /// Whether one of them knows how many tokens are left: a tenant that it does
-    /// not name has all of them.
+    /// Whether one of the gateways knows how many tokens are left. If so, a tenant that
+    /// is not listed has all of its tokens.
     #[n(1)]
     pub settled: bool,
-    /// Tenants that sent requests lately or have not all of their tokens.
+    /// Tenants that sent requests recently or do not have all of their tokens.
     #[n(2)]
     pub tenants: Vec<TenantUse>,
 }
--- a/crates/routing/src/quota/tenant.rs
+++ b/crates/routing/src/quota/tenant.rs
@@ -1,5 +1,5 @@
-//! One tenant at one gateway: the tokens that all gateways have left for it, as far as
-//! this one knows, and its part of them.
+//! State of one tenant at one gateway: the tokens left for all gateways, as far as this
+//! one knows, and its share of them.
 
 use std::time::Duration;
 
@@ -8,87 +8,89 @@
 use super::flow::Flow;
 use super::telling::{TenantKey, TenantUse, Usage};
 
-/// Time over which admitted requests are smoothed: the others take them out of the
-/// bucket as much later, and admit too much for as long when a burst begins. As
-/// long as a few tellings, so that these see all of it.
+/// Time over which admitted requests are smoothed. The other gateways subtract them from
+/// the bucket with this delay, and admit too many for as long when a burst begins. A few
+/// reporting intervals, so that reports cover all of it.
 const ADMITTED_OVER: Duration = Duration::from_millis(200);
-/// Time over which requests are smoothed for the part of each gateway: a tenant of
-/// some requests a second is to have a steady one.
+/// Time over which incoming requests are smoothed to compute the share of each gateway,
+/// so that a tenant with a few requests per second gets a steady share.
 const ASKED_OVER: Duration = Duration::from_millis(500);
-/// How long it takes until the others see what a gateway admitted, at the most
-/// while tellings come: an interval of telling, a relay's round, and the way.
+/// Maximum time, while reports arrive, until the others see what a gateway admitted: a
+/// reporting interval, a relay round and the network delay.
 const SEEN_AFTER: Duration = Duration::from_millis(350);
-/// Part of the burst below which tokens run short: at four times the rate the rest of
-/// a burst of one second lasts for some 0.2 s, a few tellings.
+/// Fraction of the burst below which tokens run short. At four times the rate, the rest
+/// of a burst of one second lasts some 0.2 s, a few reporting intervals.
 const SHORT: f64 = 0.7;
-/// Shortest time until a refused caller may come back: an interval of telling while
-/// tokens run short.
+/// Minimum retry delay of a refused caller: the reporting interval while tokens run
+/// short.
 const SOONEST: Duration = Duration::from_millis(50);
-/// Longest time that a refused caller is sent away for: by then the limit or the
-/// other callers may have changed.
+/// Maximum retry delay of a refused caller: by then the limit or the load of other
+/// callers may have changed.
 const LATEST: Duration = Duration::from_secs(5);
-/// Tokens of its part that a gateway may save up where that part is smaller: with
-/// one alone, a token that comes between two requests would be lost (a fifth of
-/// all at four times the limit, over 49 gateways).
+/// Tokens of its share that a gateway may always save up, even if its share of the burst
+/// is smaller. With only one, a token that arrives between two requests would be lost (a
+/// fifth of all tokens at four times the limit, over 49 gateways).
 const LEAST_PART: f64 = 2.0;
-/// Time over which gateways come to agree on what is left: longer than a telling takes,
-/// so that what is on its way counts for little, and short enough that no caller is
-/// refused for long by an old estimate.
+/// Time over which gateways converge on the tokens left: longer than the delay of a
+/// report, so that reports in transit matter little, and short enough that an outdated
+/// estimate does not refuse callers for long.
 const AGREES_OVER: Duration = Duration::from_millis(1_000);
-/// Time over which tokens that are left are given out in parts once they run short: a
-/// few times as long as it takes until the others see what a gateway admitted.
+/// Time over which the tokens left are handed out in shares once they run short: a few
+/// times the delay until the others see what a gateway admitted.
 const SPENT_OVER: Duration = Duration::from_millis(1_000);
-/// Requests a second below which a flow is not told: one in a hundred seconds.
+/// Requests per second below which a tenant's requests are not reported: one in a hundred
+/// seconds.
 const TOLD_FROM: f64 = 0.01;
 
-/// Bound on the requests of a tenant.
+/// Rate limit of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limit {
-    /// Requests a second, for as long as it likes.
+    /// Sustained requests per second.
     pub per_second: f64,
-    /// Requests beyond that rate at once.
+    /// Requests above that rate that may arrive at once.
     pub burst: f64,
 }
 
-/// What one tenant has at this gateway.
+/// State of one tenant at this gateway.
 #[derive(Clone, Debug)]
 pub(super) struct Tenant {
     limit: Limit,
-    /// Tokens left for all gateways, as far as is known here.
+    /// Tokens left for all gateways, as far as this one knows.
     left: f64,
-    /// Tokens of this gateway's part when they run short.
+    /// Tokens in this gateway's share, used when tokens run short.
     part: f64,
-    /// When both were true.
+    /// Time for which both values are valid.
     at: Timestamp,
-    /// Whether `left` is more than a guess of a gateway that has just started.
+    /// Whether `left` is more than the guess of a gateway that has just started.
     settled: bool,
     admitted: Flow,
     asked: Flow,
-    /// When the next refused caller may come back.
+    /// Time at which the next refused caller may retry.
     returns: Timestamp,
 }
 
-/// How much of each limit the gateways have that hear each other.
+/// Fraction of each limit that is available to the gateways in contact with each other.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Scale {
-    /// Part of the rate: all of it, unless others were not heard of for long.
+    /// Fraction of the rate: all of it, unless other gateways have not reported for a
+    /// long time.
     pub rate: f64,
-    /// Part of the burst: that of the gateways that told a moment ago. Those
-    /// beyond a cut may use theirs too.
+    /// Fraction of the burst: that of the gateways that reported recently. Gateways on
+    /// the other side of a network partition may use theirs too.
     pub burst: f64,
 }
 
-/// What the other gateways have of a tenant.
+/// Usage of a tenant at the other gateways.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Others {
     pub admitted: f64,
     pub asked: f64,
-    /// Tokens that one of them believes to be left, the lowest of such numbers.
+    /// Lowest of their estimates of the tokens left.
     pub left: Option<f64>,
 }
 
 impl Tenant {
-    /// No tokens yet, at a gateway that started at `started`.
+    /// Creates a tenant without tokens, at a gateway that started at `started`.
     pub fn new(limit: Limit, started: Timestamp) -> Self {
         Self {
             limit,
@@ -102,18 +104,18 @@
         }
     }
 
-    /// Tokens left for all gateways, as far as is known here.
+    /// Tokens left for all gateways, as far as this one knows.
     pub fn left(&self) -> f64 {
         self.left
     }
 
-    /// By now `left` is more than a guess: as much time has passed since the start as
-    /// limits are judged over.
+    /// Marks `left` as more than a guess: the time over which limits are judged has
+    /// passed since the start.
     pub fn settle_by_time(&mut self) {
         self.settled = true;
     }
 
-    /// A request comes; says whether it is admitted.
+    /// Records an incoming request. Returns whether it is admitted.
     pub fn ask(&mut self, others: Others, now: Timestamp) -> bool {
         self.asked.add(1.0, now);
         let admitted = self.admits(others);
@@ -123,13 +125,13 @@
         admitted
     }
 
-    /// A request that was admitted never went to an engine.
+    /// Returns the token of an admitted request that never went to an engine.
     pub fn give_back(&mut self, now: Timestamp) {
         self.left += 1.0;
         self.admitted.add(-1.0, now);
     }
 
-    /// The same under another limit.
+    /// Returns the same state under another limit.
     pub fn limited_to(&self, limit: Limit) -> Self {
         Self {
             limit,
@@ -139,14 +141,16 @@
         }
     }
 
-    /// Tokens come at the tenant's rate, and others take what they tell.
+    /// Advances to `now`: adds tokens at the tenant's rate, and subtracts what the others
+    /// report.
     pub fn advance(&mut self, scale: Scale, others: Others, now: Timestamp) {
         let seconds = now.since(self.at).as_secs_f64();
         self.at = now;
         let rate = self.limit.per_second * scale.rate;
         let burst = self.limit.burst * scale.burst;
         let left = self.left + (rate - others.admitted) * seconds;
-        // Nobody is made to pay for longer than the limit is judged over.
+        // Bounds the debt, so that a tenant does not repay for longer than limits are
+        // judged over.
         self.left = left.clamp(-(rate + burst), burst.max(1.0));
         self.agree(rate, others, seconds);
         if self.left > 0.0 {
@@ -158,7 +162,7 @@
         }
     }
 
-    /// This gateway's part of the tenant's requests.
+    /// This gateway's share of the tenant's requests.
     fn share(&self, others: Others, now: Timestamp) -> f64 {
         let own = self.asked.at(now);
         let all = own + others.asked;
@@ -166,13 +170,13 @@
     }
 
     fn admits(&self, others: Others) -> bool {
-        // What the others admit meanwhile is not known yet.
+        // What the others admit in the meantime is not known yet.
         let unseen = others.asked * SEEN_AFTER.as_secs_f64();
         let plenty = self.left - unseen >= 1.0;
         plenty || (self.part >= 1.0 && self.left > 0.0)
     }
 
-    /// Whether its tokens run short while requests come here.
+    /// Whether tokens run short while requests arrive here.
     pub fn is_short(&self, now: Timestamp) -> bool {
         self.left < self.limit.burst * SHORT && self.asked.at(now) >= TOLD_FROM
     }
@@ -183,8 +187,8 @@
         self.admitted.add(1.0, now);
     }
 
-    /// Callers that are refused one after the other come back one after the other,
-    /// as the tokens come that they need.
+    /// Returns the retry delay of a refused caller. Callers that are refused in sequence
+    /// retry in sequence, as tokens for them become available.
     pub fn retry_after(&mut self, scale: Scale, others: Others, now: Timestamp) -> Duration {
         let rate = self.limit.per_second * scale.rate;
         let own = rate * self.share(others, now);
@@ -195,14 +199,14 @@
         self.returns.since(now).clamp(SOONEST, LATEST)
     }
 
-    /// Takes over what a gateway that knows believes to be left.
+    /// Adopts the tokens left from a report by a gateway that knows them.
     pub fn settle(&mut self, usage: &Usage, told: Option<&TenantUse>, now: Timestamp) {
         if self.settled || !usage.settled {
             return;
         }
         let left = match told.map(|told| (told.left, told.admitted)) {
-            // What was admitted and not told yet may be known to nobody any more, if
-            // whoever admitted it started anew too.
+            // Requests that were admitted but not reported yet may be known to no gateway
+            // any more, if the one that admitted them restarted too.
             Some((Some(left), admitted)) => {
                 let unseen = admitted as f64 * SEEN_AFTER.as_secs_f64();
                 (left as f64 - unseen) / 1_000.0
@@ -215,9 +219,9 @@
         self.settled = true;
     }
 
-    /// Moves towards what others believe to be left, if that is less: what a gateway
-    /// missed, others have counted. Their numbers are old by a telling, in which more
-    /// tokens may have come at the `rate` than were taken.
+    /// Moves towards the others' estimate of the tokens left if it is lower, since they
+    /// counted what this gateway missed. Their estimate is old by the delay of a report,
+    /// in which more tokens may have been added at `rate` than were taken.
     fn agree(&mut self, rate: f64, others: Others, seconds: f64) {
         let Some(left) = others.left else {
             return;
@@ -228,7 +232,7 @@
         self.left -= beyond.max(0.0) * part;
     }
 
-    /// What is told of it; `None` while there is nothing to tell.
+    /// Returns the report entry of this tenant; `None` while there is nothing to report.
     pub fn told(&self, key: TenantKey, now: Timestamp) -> Option<TenantUse> {
         let admitted = self.admitted.at(now);
         let asked = self.asked.at(now);
@@ -246,7 +250,7 @@
     (per_second * 1_000.0) as u64
 }
 
-/// So many seconds, [`LATEST`] at the most.
+/// Converts seconds to a duration of at most [`LATEST`].
 fn seconds(number: f64) -> Duration {
     match number.is_finite() {
         true => Duration::from_secs_f64(number.clamp(0.0, LATEST.as_secs_f64())),
--- a/crates/routing/tests/quota.rs
+++ b/crates/routing/tests/quota.rs
@@ -1,5 +1,5 @@
-//! Limits of tenants over all gateways together, under virtual time: gateways tell
-//! relays, relays tell each other, and any of it may be cut, silent or new.
+//! Tenant limits across all gateways in virtual time: gateways report to relays, relays
+//! report to each other, and any of them may be cut off, silent or newly started.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,13 +12,13 @@
 use rand_chacha::ChaCha8Rng;
 
 const TENANT: &str = "t";
-/// Steps of the virtual clock.
+/// Step of the virtual clock.
 const STEP_MS: u64 = 10;
-/// Time between two tellings of a gateway.
+/// Reporting interval of a gateway.
 const TOLD_EVERY_MS: u64 = 150;
-/// The same while tokens run short, and between two rounds of a relay.
+/// Reporting interval of a gateway while tokens run short, and of a relay.
 const ROUND_MS: u64 = 50;
-/// Window that the users judge limits over, and what they allow beyond a limit.
+/// Window over which users judge limits, and what they allow beyond a limit.
 const WINDOW_MS: u64 = 5_000;
 const OVERSHOOT: f64 = 0.1;
 const SLACK: f64 = 20.0;
@@ -31,19 +31,19 @@
     NodeId(1_000 + relay as u32)
 }
 
-/// Gateways and relays. Gateway `g` uses relay `g % relays`.
+/// Gateways and relays; gateway `g` uses relay `g % relays`.
 struct Fleet {
     now_ms: u64,
     limit: Limit,
     gateways: Vec<TenantTable>,
     relays: Vec<UsageRelay>,
-    /// Side of a cut on which each relay and its gateways stand.
+    /// Side of a network partition on which each relay and its gateways are.
     sides: Vec<u32>,
-    /// Gateways that neither tell nor hear, though callers reach them.
+    /// Gateways that neither send nor receive reports, although callers reach them.
     cut_off: Vec<bool>,
-    /// Relay that each gateway uses, unless it is its first one.
+    /// Relay of each gateway that does not use its first one.
     moved: BTreeMap<usize, usize>,
-    /// Relays that stand still: they neither hear nor tell.
+    /// Relays that are frozen: they neither receive nor send reports.
     frozen: Vec<bool>,
     /// Times of admitted requests, in milliseconds.
     admitted: Vec<u64>,
@@ -70,7 +70,7 @@
         fleet
     }
 
-    /// A gateway that has just started.
+    /// Creates a gateway that has just started.
     fn blank(&self) -> TenantTable {
         let now = at(self.now_ms);
         let mut table = TenantTable::new(now);
@@ -91,7 +91,7 @@
         self.gateways[gateway] = self.blank();
     }
 
-    /// Lets time pass with `per_second` requests, spread by `weights`.
+    /// Advances time with `per_second` requests, distributed by `weights`.
     fn run(&mut self, for_ms: u64, per_second: f64, weights: &[f64]) {
         let all: f64 = weights.iter().sum();
         for _ in 0..for_ms / STEP_MS {
@@ -127,7 +127,7 @@
         }
     }
 
-    /// What is told in this step. Gateways tell at different times.
+    /// Exchanges the reports due in this step. Gateways report at different times.
     fn exchange(&mut self) {
         let now = at(self.now_ms);
         let due = |place: usize, now_ms: u64, every_ms: u64| {
@@ -159,7 +159,7 @@
         self.moved.get(&gateway).copied().unwrap_or(first)
     }
 
-    /// The gateways of a relay use another one from now on.
+    /// Moves the gateways of one relay to another.
     fn move_gateways(&mut self, from: usize, to: usize) {
         for gateway in 0..self.gateways.len() {
             if self.relay_of(gateway) == from {
@@ -168,7 +168,7 @@
         }
     }
 
-    /// Tokens that each gateway believes to be left.
+    /// Each gateway's estimate of the tokens left.
     fn beliefs(&mut self) -> Vec<f64> {
         let now = at(self.now_ms);
         let gateways = self.gateways.iter_mut();
@@ -195,7 +195,7 @@
         }
     }
 
-    /// Most requests that were admitted within a window, from `from_ms` on.
+    /// Maximum number of requests admitted within a window, from `from_ms` on.
     fn most_in_window(&self, from_ms: u64) -> usize {
         let times: Vec<u64> = self
             .admitted
@@ -227,7 +227,7 @@
     }
 }
 
-/// All gateways the same.
+/// Equal weights for all gateways.
 fn even(gateways: usize) -> Vec<f64> {
     vec![1.0; gateways]
 }
@@ -238,7 +238,7 @@
         let mut fleet = Fleet::new(49, 6, limit(40.0), 1);
         fleet.run(12_000, 0.0, &weights);
         for _ in 0..4 {
-            // Steps like those of the users: a little above the limit for a while.
+            // Load steps like those of the users: slightly above the limit for a while.
             fleet.run(3_600, 10.0, &weights);
             fleet.run(2_400, 47.0, &weights);
         }
@@ -292,7 +292,7 @@
     let from = fleet.now_ms;
     fleet.run(15_000, 120.0, &weights);
     assert!(fleet.most_in_window(from) as f64 <= allowed(low));
-    // And what is allowed is had.
+    // The allowed rate is also available to the tenant.
     assert!(fleet.admitted_since(from) as f64 >= 0.7 * 15.0 * low.per_second);
     fleet.limit_all(limit(200.0));
     fleet.run(2_000, 120.0, &weights);
@@ -325,7 +325,7 @@
         fleet.run(8_000, 100.0, &weights);
         fleet.sides = vec![0, 0, 1, 1];
         fleet.run(1_050, 150.0, &weights);
-        // Each restart comes behind requests that no telling has named yet.
+        // Each restart follows requests that no report covers yet.
         for _ in 0..3 {
             (0..24).for_each(|gateway| fleet.restart(gateway));
             fleet.run(1_050, 150.0, &weights);
@@ -352,8 +352,8 @@
     let beliefs = fleet.beliefs();
     let lowest = beliefs.iter().copied().fold(f64::MAX, f64::min);
     let highest = beliefs.iter().copied().fold(f64::MIN, f64::max);
-    // A gateway that believes that nothing is left refuses everybody, whatever the
-    // others have: what they admit in one interval of telling is no such difference.
+    // A gateway that believes that no tokens are left refuses every request, whatever the
+    // others believe. Estimates may differ by what is admitted in one reporting interval.
     let told_every = TOLD_EVERY_MS as f64 / 1_000.0;
     assert!(
         highest - lowest <= limit.per_second * told_every,
@@ -368,7 +368,7 @@
     let mut fleet = Fleet::new(72, 6, limit, 9);
     fleet.run(12_000, 50.0, &weights);
     fleet.run(4_000, 1_000.0, &weights);
-    // What was admitted last is counted by then.
+    // By then the latest admitted requests are counted.
     fleet.run(700, 0.0, &weights);
     let before = fleet.beliefs();
     fleet.run(200, 0.0, &weights);
@@ -391,7 +391,7 @@
     fleet.run(2_000, 75.0, &weights);
     let from = fleet.now_ms;
     fleet.run(5_000, 175.0, &weights);
-    // The rest of the fleet may use nearly all of the limit meanwhile.
+    // Meanwhile the rest of the fleet may use nearly all of the limit.
     let of_others = 5.0 * 175.0 * 0.23 / 1.23;
     let own = fleet.admitted_since(from) as f64 - of_others;
     assert!(
@@ -412,7 +412,7 @@
             fleet.run(3_400, 100.0, &weights);
             fleet.run(2_400, peak, &weights);
         }
-        // What a bucket that sees everything admits.
+        // Requests that a bucket with complete information admits.
         let of_a_peak = (2.4 * limit.per_second + limit.burst).min(2.4 * peak);
         let ideal = 3.0 * (3.4 * 100.0 + of_a_peak);
         let admitted = fleet.admitted_since(from) as f64;
@@ -428,7 +428,7 @@
     fleet.run(5_000, 20.0, &weights);
     for gateway in 0..8 {
         fleet.restart(gateway);
-        // It takes longer until callers are sent there.
+        // Callers are sent to a new gateway later than this.
         fleet.run(500, 0.0, &weights);
         fleet.run(2_000, 20.0, &weights);
     }
@@ -487,7 +487,7 @@
     assert!(relay.of_gateways(at(2)).tenants.len() < 10_000);
 }
 
-/// What happens to the fleet while a tenant sends.
+/// An event in the fleet while a tenant sends requests.
 #[derive(Clone, Debug)]
 enum Event {
     CutOff(usize),
@@ -517,8 +517,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(120))]
 
-    /// Whatever is cut, lost or started anew, and wherever callers are: in no
-    /// window do all gateways together admit more than the users allow.
+    /// Whatever is cut off, lost or restarted, and wherever callers are, in no window do
+    /// all gateways together admit more than the users allow.
     #[test]
     fn no_window_holds_more_than_the_limit_allows(
         rate in 2.0..120.0_f64,
@@ -550,8 +550,8 @@
     }
 }
 
-/// The other way that was weighed: each gateway has a fixed part of each limit.
-/// Shown here beside the way that stands, so that the choice can be seen.
+/// Shows the rejected alternative, a fixed part of each limit for each gateway, next to
+/// the shared limit.
 #[test]
 fn fixed_parts_refuse_tenants_whose_callers_use_few_gateways() {
     let weights = one_hot(49, 7);
