--- a/crates/routing/src/quota/relay.rs
+++ b/crates/routing/src/quota/relay.rs
@@ -4,17 +4,17 @@
 
 use molespan_types::{NodeId, Timestamp};
 
-use super::table::{TOLD_HOLDS, TOLD_LATELY};
+use super::table::{RECENT_WITHIN, REPORT_TTL};
 use super::telling::{TenantKey, TenantUse, Usage};
 use crate::dispatch::Teller;
 
 /// Maximum number of tenants that a relay accepts in one report; the rest is not
 /// forwarded. Several times the expected number, so that no report makes the relay grow
 /// without bound.
-const MOST_TENANTS: usize = 8_192;
+const MAX_TENANTS: usize = 8_192;
 
 #[derive(Clone, Debug)]
-struct Told {
+struct Report {
     teller: Teller,
     usage: Usage,
     at: Timestamp,
@@ -23,48 +23,52 @@
 /// Usage reports that a relay received.
 #[derive(Clone, Debug, Default)]
 pub struct UsageRelay {
-    told: BTreeMap<NodeId, Told>,
+    reports: BTreeMap<NodeId, Report>,
 }
 
 impl UsageRelay {
     /// Records the report of a gateway, or of another relay about its gateways.
     pub fn note(&mut self, from: NodeId, teller: Teller, mut usage: Usage, now: Timestamp) {
-        usage.tenants.truncate(MOST_TENANTS);
-        let told = Told {
+        usage.tenants.truncate(MAX_TENANTS);
+        let report = Report {
             teller,
             usage,
             at: now,
         };
-        self.told.insert(from, told);
+        self.reports.insert(from, report);
     }
 
     /// Drops the reports of nodes that have been silent for too long.
     pub fn expire(&mut self, now: Timestamp) {
-        self.told.retain(|_, told| now.since(told.at) < TOLD_HOLDS);
+        self.reports
+            .retain(|_, report| now.since(report.at) < REPORT_TTL);
     }
 
     /// Returns the sum over the gateways of this relay, for the other relays.
     #[must_use]
     pub fn of_gateways(&self, now: Timestamp) -> Usage {
-        let told = self.told.values();
-        sum(told.filter(|told| told.teller == Teller::Gateway), now)
+        let reports = self.reports.values();
+        sum(
+            reports.filter(|report| report.teller == Teller::Gateway),
+            now,
+        )
     }
 
     /// Returns, for each gateway of this relay, the sum over all other gateways.
     #[must_use]
     pub fn by_gateway(&self, now: Timestamp) -> Vec<(NodeId, Usage)> {
-        let all = sum(self.told.values(), now);
-        let told = self.told.iter();
-        let gateways = told.filter(|(_, told)| told.teller == Teller::Gateway);
+        let all = sum(self.reports.values(), now);
+        let reports = self.reports.iter();
+        let gateways = reports.filter(|(_, report)| report.teller == Teller::Gateway);
         gateways
-            .map(|(&gateway, told)| (gateway, without(&all, told, now)))
+            .map(|(&gateway, report)| (gateway, subtract(&all, report, now)))
             .collect()
     }
 }
 
 /// Subtracts `own`, which is part of `all`. The gateway's own estimate of the tokens left
 /// stays included.
-fn without(all: &Usage, own: &Told, now: Timestamp) -> Usage {
+fn subtract(all: &Usage, own: &Report, now: Timestamp) -> Usage {
     let fresh = all.fresh.saturating_sub(own.fresh(now));
     let own = &own.usage;
     let own_uses = own.tenants.iter().map(|one| (one.tenant, one));
@@ -87,22 +91,22 @@
     }
 }
 
-impl Told {
+impl Report {
     /// Number of gateways in this report that reported recently.
     fn fresh(&self, now: Timestamp) -> u32 {
-        match now.since(self.at) < TOLD_LATELY {
+        match now.since(self.at) < RECENT_WITHIN {
             true => self.usage.fresh,
             false => 0,
         }
     }
 }
 
-fn sum<'t>(told: impl Iterator<Item = &'t Told>, now: Timestamp) -> Usage {
+fn sum<'t>(reports: impl Iterator<Item = &'t Report>, now: Timestamp) -> Usage {
     let mut all = Usage::default();
     let mut sums: BTreeMap<TenantKey, TenantUse> = BTreeMap::new();
-    for told in told {
-        let usage = &told.usage;
-        all.fresh = all.fresh.saturating_add(told.fresh(now));
+    for report in reports {
+        let usage = &report.usage;
+        all.fresh = all.fresh.saturating_add(report.fresh(now));
         all.gateways = all.gateways.saturating_add(usage.gateways);
         all.settled |= usage.settled;
         for one in &usage.tenants {
--- a/crates/routing/src/quota/table.rs
+++ b/crates/routing/src/quota/table.rs
@@ -12,15 +12,15 @@
 /// leave a lost relay within a second. After that, each side of a network partition uses
 /// the part of the limits to which its number of gateways entitles it. The latest report
 /// is a noisy sample: holding it for 5 s exceeded limits in simulated partitions.
-pub(super) const TOLD_HOLDS: Duration = Duration::from_secs(2);
+pub(super) const REPORT_TTL: Duration = Duration::from_secs(2);
 /// Age up to which a report counts as recent: a few reporting intervals.
-pub(super) const TOLD_LATELY: Duration = Duration::from_millis(1_000);
+pub(super) const RECENT_WITHIN: Duration = Duration::from_millis(1_000);
 /// Time after its start at which a gateway knows how many tokens are left, unless a
 /// report tells it earlier.
-const SETTLES_AFTER: Duration = Duration::from_secs(5);
+const SETTLED_AFTER: Duration = Duration::from_secs(5);
 /// Fraction of all gateways that counts as all of them: some are always missing from the
 /// reports.
-const ALL_BUT: f64 = 0.95;
+const COMPLETE_FROM: f64 = 0.95;
 /// A request over the limit of its tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refused {
@@ -36,7 +36,7 @@
 
 /// A report of another node.
 #[derive(Clone, Debug)]
-struct Told {
+struct Report {
     usage: Usage,
     by_tenant: HashMap<TenantKey, TenantUse>,
     at: Timestamp,
@@ -48,8 +48,8 @@
     started: Timestamp,
     gateways: u32,
     tenants: HashMap<TenantKey, Tenant>,
-    told: BTreeMap<NodeId, Told>,
-    told_at: Option<Timestamp>,
+    reports: BTreeMap<NodeId, Report>,
+    last_report_at: Option<Timestamp>,
 }
 
 impl TenantTable {
@@ -60,8 +60,8 @@
             started: now,
             gateways: 1,
             tenants: HashMap::new(),
-            told: BTreeMap::new(),
-            told_at: None,
+            reports: BTreeMap::new(),
+            last_report_at: None,
         }
     }
 
@@ -84,18 +84,18 @@
             let key = tenant_key(name);
             let tenant = match before.get(&key) {
                 Some(tenant) => tenant.limited_to(limit),
-                None => self.begin(key, limit, scale, now),
+                None => self.new_tenant(key, limit, scale, now),
             };
             self.tenants.insert(key, tenant);
         }
     }
 
     /// Creates the state of a tenant that had no limit here before.
-    fn begin(&self, key: TenantKey, limit: Limit, scale: Scale, now: Timestamp) -> Tenant {
+    fn new_tenant(&self, key: TenantKey, limit: Limit, scale: Scale, now: Timestamp) -> Tenant {
         let mut tenant = Tenant::new(limit, self.started);
         tenant.advance(scale, Others::default(), now);
-        for told in self.told.values() {
-            tenant.settle(&told.usage, told.by_tenant.get(&key), now);
+        for report in self.reports.values() {
+            tenant.settle(&report.usage, report.by_tenant.get(&key), now);
         }
         tenant
     }
@@ -110,7 +110,7 @@
     /// all other nodes.
     pub fn note_relay(&mut self, from: NodeId, usage: Usage, now: Timestamp) {
         self.advance(now);
-        self.told.retain(|node, _| *node == from);
+        self.reports.retain(|node, _| *node == from);
         self.note(from, usage, now);
     }
 
@@ -129,58 +129,63 @@
             tenants: Vec::new(),
             ..usage
         };
-        let told = Told {
+        let report = Report {
             usage,
             by_tenant,
             at: now,
         };
-        self.told.insert(from, told);
-        self.told_at = Some(now);
+        self.reports.insert(from, report);
+        self.last_report_at = Some(now);
     }
 
     /// Number of gateways whose requests are known here, including this one.
-    fn heard(&self) -> u32 {
-        let told = self.told.values().map(|told| told.usage.gateways);
-        told.fold(1, u32::saturating_add)
+    fn known_gateways(&self) -> u32 {
+        let reports = self.reports.values().map(|report| report.usage.gateways);
+        reports.fold(1, u32::saturating_add)
     }
 
     /// Number of gateways that reported recently, including this one.
-    fn fresh(&self, now: Timestamp) -> u32 {
-        let told = self.told.values();
-        let lately = told.filter(|told| now.since(told.at) < TOLD_LATELY);
-        lately.fold(1, |fresh, told| fresh.saturating_add(told.usage.fresh))
+    fn recent_gateways(&self, now: Timestamp) -> u32 {
+        let reports = self.reports.values();
+        let recent = reports.filter(|report| now.since(report.at) < RECENT_WITHIN);
+        recent.fold(1, |fresh, report| fresh.saturating_add(report.usage.fresh))
     }
 
     fn scale(&self, now: Timestamp) -> Scale {
         let part = |gateways: u32| (f64::from(gateways) / f64::from(self.gateways)).min(1.0);
-        let heard = part(self.heard());
+        let covered = part(self.known_gateways());
         Scale {
-            rate: if heard >= ALL_BUT { 1.0 } else { heard },
-            burst: part(self.fresh(now)),
+            rate: if covered >= COMPLETE_FROM {
+                1.0
+            } else {
+                covered
+            },
+            burst: part(self.recent_gateways(now)),
         }
     }
 
     /// Advances every tenant to `now`, with the reports received until then.
     fn advance(&mut self, now: Timestamp) {
-        self.forget_silent(now);
+        self.drop_old_reports(now);
         let scale = self.scale(now);
         let keys: Vec<TenantKey> = self.tenants.keys().copied().collect();
         for key in keys {
-            self.advance_one(key, scale, now);
+            self.advance_tenant(key, scale, now);
         }
     }
 
-    fn forget_silent(&mut self, now: Timestamp) {
-        self.told.retain(|_, told| now.since(told.at) < TOLD_HOLDS);
+    fn drop_old_reports(&mut self, now: Timestamp) {
+        self.reports
+            .retain(|_, report| now.since(report.at) < REPORT_TTL);
     }
 
-    fn advance_one(&mut self, key: TenantKey, scale: Scale, now: Timestamp) {
+    fn advance_tenant(&mut self, key: TenantKey, scale: Scale, now: Timestamp) {
         let others = self.others(key);
         if let Some(tenant) = self.tenants.get_mut(&key) {
             tenant.advance(scale, others, now);
-            let known = now.since(self.started) >= SETTLES_AFTER;
+            let known = now.since(self.started) >= SETTLED_AFTER;
             if known {
-                tenant.settle_by_time();
+                tenant.mark_settled();
             }
         }
     }
@@ -188,9 +193,9 @@
     fn others(&self, key: TenantKey) -> Others {
         let mut others = Others::default();
         for one in self
-            .told
+            .reports
             .values()
-            .filter_map(|told| told.by_tenant.get(&key))
+            .filter_map(|report| report.by_tenant.get(&key))
         {
             others.admitted += one.admitted as f64 / 1_000.0;
             others.asked += one.asked as f64 / 1_000.0;
@@ -209,15 +214,15 @@
     /// Returns [`Refused`] if the tenant exceeds its limit.
     pub fn admit(&mut self, name: &str, now: Timestamp) -> Result<(), Refused> {
         let key = tenant_key(name);
-        self.forget_silent(now);
+        self.drop_old_reports(now);
         let scale = self.scale(now);
-        self.advance_one(key, scale, now);
+        self.advance_tenant(key, scale, now);
         let others = self.others(key);
-        let told_ago = self.told_at.map(|told| now.since(told));
+        let told_ago = self.last_report_at.map(|at| now.since(at));
         let Some(tenant) = self.tenants.get_mut(&key) else {
             return Ok(());
         };
-        if tenant.ask(others, now) {
+        if tenant.request(others, now) {
             return Ok(());
         }
         Err(Refused {
@@ -246,15 +251,15 @@
     /// Returns the usage report of this gateway.
     pub fn usage(&mut self, now: Timestamp) -> Usage {
         self.advance(now);
-        let told = self.tenants.iter();
-        let told = told.filter_map(|(&key, tenant)| tenant.told(key, now));
-        let settled = now.since(self.started) >= SETTLES_AFTER
-            || self.told.values().any(|told| told.usage.settled);
+        let entries = self.tenants.iter();
+        let entries = entries.filter_map(|(&key, tenant)| tenant.report(key, now));
+        let settled = now.since(self.started) >= SETTLED_AFTER
+            || self.reports.values().any(|report| report.usage.settled);
         Usage {
             gateways: 1,
             fresh: 1,
             settled,
-            tenants: told.collect(),
+            tenants: entries.collect(),
         }
     }
 }
