--- a/crates/routing/tests/quota.rs
+++ b/crates/routing/tests/quota.rs
@@ -15,9 +15,9 @@
 /// Step of the virtual clock.
 const STEP_MS: u64 = 10;
 /// Reporting interval of a gateway.
-const TOLD_EVERY_MS: u64 = 150;
+const REPORT_INTERVAL_MS: u64 = 150;
 /// Reporting interval of a gateway while tokens run short, and of a relay.
-const ROUND_MS: u64 = 50;
+const SHORT_REPORT_INTERVAL_MS: u64 = 50;
 /// Window over which users judge limits, and what they allow beyond a limit.
 const WINDOW_MS: u64 = 5_000;
 const OVERSHOOT: f64 = 0.1;
@@ -42,7 +42,7 @@
     /// Gateways that neither send nor receive reports, although callers reach them.
     cut_off: Vec<bool>,
     /// Relay of each gateway that does not use its first one.
-    moved: BTreeMap<usize, usize>,
+    reassigned: BTreeMap<usize, usize>,
     /// Relays that are frozen: they neither receive nor send reports.
     frozen: Vec<bool>,
     /// Times of admitted requests, in milliseconds.
@@ -60,18 +60,18 @@
             relays: vec![UsageRelay::default(); relays],
             sides: vec![0; relays],
             cut_off: vec![false; gateways],
-            moved: BTreeMap::new(),
+            reassigned: BTreeMap::new(),
             frozen: vec![false; relays],
             admitted: Vec::new(),
             refused: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
         };
-        fleet.gateways = (0..gateways).map(|_| fleet.blank()).collect();
+        fleet.gateways = (0..gateways).map(|_| fleet.new_gateway()).collect();
         fleet
     }
 
     /// Creates a gateway that has just started.
-    fn blank(&self) -> TenantTable {
+    fn new_gateway(&self) -> TenantTable {
         let now = at(self.now_ms);
         let mut table = TenantTable::new(now);
         table.set_gateways(self.cut_off.len() as u32, now);
@@ -88,7 +88,7 @@
     }
 
     fn restart(&mut self, gateway: usize) {
-        self.gateways[gateway] = self.blank();
+        self.gateways[gateway] = self.new_gateway();
     }
 
     /// Advances time with `per_second` requests, distributed by `weights`.
@@ -96,7 +96,7 @@
         let all: f64 = weights.iter().sum();
         for _ in 0..for_ms / STEP_MS {
             self.now_ms += STEP_MS;
-            self.exchange();
+            self.exchange_reports();
             for (gateway, weight) in weights.iter().enumerate() {
                 let mean = per_second * weight / all * STEP_MS as f64 / 1_000.0;
                 let arrivals = self.draw(mean);
@@ -128,15 +128,15 @@
     }
 
     /// Exchanges the reports due in this step. Gateways report at different times.
-    fn exchange(&mut self) {
+    fn exchange_reports(&mut self) {
         let now = at(self.now_ms);
         let due = |place: usize, now_ms: u64, every_ms: u64| {
             (now_ms + place as u64 * 10).is_multiple_of(every_ms)
         };
         for gateway in 0..self.gateways.len() {
             let every_ms = match self.gateways[gateway].is_short(now) {
-                true => ROUND_MS,
-                false => TOLD_EVERY_MS,
+                true => SHORT_REPORT_INTERVAL_MS,
+                false => REPORT_INTERVAL_MS,
             };
             if due(gateway, self.now_ms, every_ms) && !self.cut_off[gateway] {
                 let usage = self.gateways[gateway].usage(now);
@@ -148,36 +148,36 @@
             }
         }
         for relay in 0..self.relays.len() {
-            if due(relay, self.now_ms, ROUND_MS) && !self.frozen[relay] {
-                self.tell_from(relay, now);
+            if due(relay, self.now_ms, SHORT_REPORT_INTERVAL_MS) && !self.frozen[relay] {
+                self.report_from(relay, now);
             }
         }
     }
 
     fn relay_of(&self, gateway: usize) -> usize {
         let first = gateway % self.relays.len();
-        self.moved.get(&gateway).copied().unwrap_or(first)
+        self.reassigned.get(&gateway).copied().unwrap_or(first)
     }
 
     /// Moves the gateways of one relay to another.
     fn move_gateways(&mut self, from: usize, to: usize) {
         for gateway in 0..self.gateways.len() {
             if self.relay_of(gateway) == from {
-                self.moved.insert(gateway, to);
+                self.reassigned.insert(gateway, to);
             }
         }
     }
 
     /// Each gateway's estimate of the tokens left.
-    fn beliefs(&mut self) -> Vec<f64> {
+    fn estimates(&mut self) -> Vec<f64> {
         let now = at(self.now_ms);
         let gateways = self.gateways.iter_mut();
-        let told = gateways.filter_map(|gateway| gateway.usage(now).tenants.pop());
-        let left = told.filter_map(|told| told.left);
+        let reported = gateways.filter_map(|gateway| gateway.usage(now).tenants.pop());
+        let left = reported.filter_map(|reported| reported.left);
         left.map(|left| left as f64 / 1_000.0).collect()
     }
 
-    fn tell_from(&mut self, relay: usize, now: Timestamp) {
+    fn report_from(&mut self, relay: usize, now: Timestamp) {
         self.relays[relay].expire(now);
         let sum = self.relays[relay].of_gateways(now);
         for other in 0..self.relays.len() {
@@ -269,18 +269,21 @@
         let limit = limit(30.0);
         let mut fleet = Fleet::new(49, 6, limit, 2);
         fleet.run(12_000, 1.0, &weights);
-        let begins = fleet.now_ms;
+        let start_ms = fleet.now_ms;
         fleet.run(20_000, 120.0, &weights);
         let most = fleet.most_in_window(0);
         assert!(most as f64 <= allowed(limit), "{most}");
-        let had = fleet.admitted_since(begins);
-        println!("{had} {most}");
-        assert!(had as f64 >= 0.9 * 20.0 * limit.per_second, "{had}");
+        let admitted = fleet.admitted_since(start_ms);
+        println!("{admitted} {most}");
+        assert!(
+            admitted as f64 >= 0.9 * 20.0 * limit.per_second,
+            "{admitted}"
+        );
     }
 }
 
 #[test]
-fn a_limit_far_below_what_a_tenant_sends_holds_one_window_later() {
+fn a_limit_lowered_far_below_the_demand_holds_after_one_window() {
     let weights = skewed(49);
     let low = limit(5.0);
     let mut fleet = Fleet::new(49, 6, limit(200.0), 3);
@@ -302,7 +305,7 @@
 }
 
 #[test]
-fn gateways_that_start_together_have_no_second_burst() {
+fn gateways_restarted_together_grant_no_second_burst() {
     let limit = limit(60.0);
     let weights = even(49);
     let mut fleet = Fleet::new(49, 6, limit, 4);
@@ -317,7 +320,7 @@
 }
 
 #[test]
-fn what_gateways_admitted_before_all_of_them_restarted_counts() {
+fn requests_admitted_before_a_restart_of_all_gateways_count() {
     let limit = limit(100.0);
     let weights = even(24);
     let most = (0..40).map(|seed| {
@@ -340,7 +343,7 @@
 }
 
 #[test]
-fn gateways_agree_on_what_is_left_behind_the_loss_of_a_relay() {
+fn gateways_agree_on_the_tokens_left_after_the_loss_of_a_relay() {
     let limit = limit(250.0);
     let weights = even(72);
     let mut fleet = Fleet::new(72, 6, limit, 8);
@@ -349,20 +352,20 @@
     fleet.run(1_000, 290.0, &weights);
     fleet.move_gateways(4, 5);
     fleet.run(5_000, 290.0, &weights);
-    let beliefs = fleet.beliefs();
-    let lowest = beliefs.iter().copied().fold(f64::MAX, f64::min);
-    let highest = beliefs.iter().copied().fold(f64::MIN, f64::max);
+    let estimates = fleet.estimates();
+    let lowest = estimates.iter().copied().fold(f64::MAX, f64::min);
+    let highest = estimates.iter().copied().fold(f64::MIN, f64::max);
     // A gateway that believes that no tokens are left refuses every request, whatever the
     // others believe. Estimates may differ by what is admitted in one reporting interval.
-    let told_every = TOLD_EVERY_MS as f64 / 1_000.0;
+    let report_interval = REPORT_INTERVAL_MS as f64 / 1_000.0;
     assert!(
-        highest - lowest <= limit.per_second * told_every,
-        "{beliefs:.0?}"
+        highest - lowest <= limit.per_second * report_interval,
+        "{estimates:.0?}"
     );
 }
 
 #[test]
-fn an_emptied_bucket_fills_at_its_rate() {
+fn an_empty_bucket_refills_at_its_rate() {
     let limit = limit(250.0);
     let weights = even(72);
     let mut fleet = Fleet::new(72, 6, limit, 9);
@@ -370,9 +373,9 @@
     fleet.run(4_000, 1_000.0, &weights);
     // By then the latest admitted requests are counted.
     fleet.run(700, 0.0, &weights);
-    let before = fleet.beliefs();
+    let before = fleet.estimates();
     fleet.run(200, 0.0, &weights);
-    let after = fleet.beliefs();
+    let after = fleet.estimates();
     let pairs = before.iter().zip(&after);
     let slowest = pairs.map(|(before, after)| after - before);
     let slowest = slowest.fold(f64::MAX, f64::min);
@@ -381,7 +384,7 @@
 }
 
 #[test]
-fn a_gateway_that_hears_nobody_takes_its_part_though_it_is_asked_nothing_else() {
+fn a_gateway_without_reports_takes_only_its_share_when_it_gets_most_requests() {
     let limit = limit(50.0);
     let mut weights = vec![0.01; 24];
     weights[0] = 1.0;
@@ -413,15 +416,15 @@
             fleet.run(2_400, peak, &weights);
         }
         // Requests that a bucket with complete information admits.
-        let of_a_peak = (2.4 * limit.per_second + limit.burst).min(2.4 * peak);
-        let ideal = 3.0 * (3.4 * 100.0 + of_a_peak);
+        let per_peak = (2.4 * limit.per_second + limit.burst).min(2.4 * peak);
+        let ideal = 3.0 * (3.4 * 100.0 + per_peak);
         let admitted = fleet.admitted_since(from) as f64;
         assert!(admitted >= 0.95 * ideal, "{admitted} of {ideal}");
     }
 }
 
 #[test]
-fn a_gateway_that_starts_alone_admits_at_once_what_the_limit_allows() {
+fn a_single_restarted_gateway_admits_immediately_what_the_limit_allows() {
     let weights = even(8);
     let mut fleet = Fleet::new(8, 2, limit(40.0), 5);
     fleet.run(12_000, 0.0, &weights);
@@ -436,7 +439,7 @@
 }
 
 #[test]
-fn what_never_went_to_an_engine_does_not_count() {
+fn requests_never_sent_to_an_engine_do_not_count() {
     let limit = limit(10.0);
     let mut table = TenantTable::new(at(0));
     table.set_limits([(TENANT, limit)].into_iter(), at(0));
@@ -447,7 +450,7 @@
 }
 
 #[test]
-fn refused_callers_are_told_to_come_back_one_after_the_other() {
+fn retry_delays_of_refused_callers_are_spaced_out() {
     let mut table = TenantTable::new(at(0));
     table.set_limits([(TENANT, limit(4.0))].into_iter(), at(0));
     let now = at(10_000);
@@ -458,12 +461,12 @@
         }
     }
     assert_eq!(waits.len(), 8);
-    let apart = waits.windows(2).map(|pair| pair[1] - pair[0]);
-    assert!(apart.min() >= Some(Duration::from_millis(240)));
+    let gaps = waits.windows(2).map(|pair| pair[1] - pair[0]);
+    assert!(gaps.min() >= Some(Duration::from_millis(240)));
 }
 
 #[test]
-fn unknown_tenants_have_no_limit_and_leave_nothing_behind() {
+fn unknown_tenants_have_no_limit_and_no_state() {
     let mut table = TenantTable::new(at(0));
     assert!(table.admit("nobody", at(1)).is_ok());
     let mut usage = Usage {
@@ -553,17 +556,17 @@
 /// Shows the rejected alternative, a fixed part of each limit for each gateway, next to
 /// the shared limit.
 #[test]
-fn fixed_parts_refuse_tenants_whose_callers_use_few_gateways() {
+fn fixed_shares_refuse_tenants_whose_callers_use_few_gateways() {
     let weights = one_hot(49, 7);
     let mut fixed = Fleet::new(49, 6, limit(40.0), 6);
     let part = limit(40.0 / 49.0);
-    let mut alone: BTreeMap<usize, TenantTable> = BTreeMap::new();
+    let mut tables: BTreeMap<usize, TenantTable> = BTreeMap::new();
     for gateway in 0..49 {
         let mut table = TenantTable::new(at(0));
         table.set_limits([(TENANT, part)].into_iter(), at(0));
-        alone.insert(gateway, table);
+        tables.insert(gateway, table);
     }
-    fixed.gateways = alone.into_values().collect();
+    fixed.gateways = tables.into_values().collect();
     fixed.cut_off.fill(true);
     fixed.run(12_000, 20.0, &weights);
     let mut shared = Fleet::new(49, 6, limit(40.0), 6);
