--- a/crates/routing/src/reach/mod.rs
+++ b/crates/routing/src/reach/mod.rs
@@ -1,9 +1,9 @@
-//! Which zones are out of reach from here.
+//! Detects zones that are out of reach from this gateway.
 //!
-//! Several hosts of a zone that cannot be reached, with no answer from the zone since,
-//! are one belief, so that requests need not find out each engine by itself. Connects
-//! that write nothing find out whether a zone in doubt is out of reach, and when it is
-//! back.
+//! If several hosts of a zone cannot be reached and the zone has not answered since, the
+//! whole zone counts as out of reach, so that requests need not find out for each engine
+//! separately. Probes, which connect without sending any data, detect whether a zone in
+//! doubt is out of reach, and when it is reachable again.
 
 mod table;
 mod telling;
@@ -15,13 +15,13 @@
 
 use std::time::Duration;
 
-/// Part of a request's target within which a connection is to be up before another
-/// engine is tried beside it: the rest is enough for that one.
+/// Fraction of a request's target within which a connection has to be established before
+/// another engine is tried in parallel; the rest is enough for that engine.
 const SLOW_PART: f64 = 0.2;
 
-/// How long a connect may take before another engine is tried beside it: a part of the
-/// request's `target`, or twice what connects to that zone take (`usual`), whichever is
-/// more.
+/// Returns how long a connect may take before another engine is tried in parallel: a
+/// fraction of the request's `target`, or twice the usual connect time to that zone
+/// (`usual`), whichever is longer.
 #[must_use]
 pub fn slow_after(target: Duration, usual: Option<Duration>) -> Duration {
     target.mul_f64(SLOW_PART).max(usual.unwrap_or_default() * 2)
--- a/crates/routing/src/reach/table.rs
+++ b/crates/routing/src/reach/table.rs
@@ -9,37 +9,37 @@
 use super::telling::ReachTelling;
 use super::zone::{Change, Evidence, Sign, Zone};
 
-/// Hosts of engines by the zone that they stand in.
+/// Hosts of engines by zone.
 pub type Hosts = BTreeMap<ZoneName, BTreeSet<IpAddr>>;
 
-/// Gateways of the own zone whose word is believed: one alone may be the one that is cut
-/// off.
+/// Number of gateways of this gateway's zone whose report is accepted: a single one may
+/// be cut off itself.
 const BELIEVED_BY: u32 = 2;
 
-/// What is seen of zones from here.
+/// Reachability of all zones as observed by this gateway.
 #[derive(Clone, Debug, Default)]
 pub struct ReachTable {
     zones: BTreeMap<ZoneName, Zone>,
-    /// Zones out of reach that are avoided: none where all of them are.
+    /// Zones out of reach that are avoided; none if all zones are out of reach.
     avoided: BTreeSet<ZoneName>,
     changes: Vec<Change>,
 }
 
 impl ReachTable {
-    /// Whether nothing goes there.
+    /// Whether no requests are sent to the zone.
     #[must_use]
     pub fn is_avoided(&self, zone: &ZoneName) -> bool {
         !self.avoided.is_empty() && self.avoided.contains(zone)
     }
 
-    /// Whether a zone is avoided by what was seen here.
+    /// Whether a zone is avoided because of failures seen here.
     #[must_use]
     pub fn is_found_out(&self, zone: &ZoneName) -> bool {
         let seen = self.zones.get(zone);
         self.is_avoided(zone) && seen.is_some_and(Zone::is_found_out)
     }
 
-    /// Whether nothing goes to some zone.
+    /// Whether any zone is avoided.
     #[must_use]
     pub fn avoids_any(&self) -> bool {
         !self.avoided.is_empty()
@@ -53,8 +53,8 @@
             .map(|(name, _)| name)
     }
 
-    /// An attempt that `began` then did not reach a host of a zone. `hosts` are all that
-    /// are known.
+    /// Records that an attempt started at `began` did not reach a host of a zone. `hosts`
+    /// holds all known hosts.
     pub fn failed(
         &mut self,
         zone: &ZoneName,
@@ -89,7 +89,8 @@
         self.avoid(hosts);
     }
 
-    /// What is told to gateways of the `own` zone: what was found out here.
+    /// Returns the report to gateways of the `own` zone: the zones found out of reach
+    /// here.
     #[must_use]
     pub fn telling(&self, own: &ZoneName) -> Option<ReachTelling> {
         let zones = self.zones.iter().filter(|(_, zone)| zone.is_found_out());
@@ -100,8 +101,9 @@
         })
     }
 
-    /// Other gateways of the own zone tell what they found out. Gives the zones that are
-    /// to be looked at from here. What several tell is believed at once, until then.
+    /// Records a report of other gateways of this gateway's zone. Returns the zones to
+    /// check from here. A zone reported by several gateways counts as out of reach even
+    /// before the check.
     pub fn note_told(
         &mut self,
         told: &ReachTelling,
@@ -126,9 +128,10 @@
         doubted
     }
 
-    /// An attempt that `began` then reached a zone.
+    /// Records that an attempt started at `began` reached a zone.
     pub fn reached(&mut self, zone: &ZoneName, began: Timestamp, by: Sign, now: Timestamp) {
-        // Nothing is kept of zones that never failed: there may be many answers a second.
+        // Nothing is recorded for zones that never failed: there may be many answers per
+        // second.
         let Some(seen) = self.zones.get_mut(zone) else {
             return;
         };
@@ -142,46 +145,46 @@
         self.changes.push(Change::Back { zone, after, by });
     }
 
-    /// A connect to a host of the zone came up after this time.
+    /// Records the time that a connect to a host of the zone took.
     pub fn connected(&mut self, zone: &ZoneName, took: Duration) {
         self.zones.entry(zone.clone()).or_default().connected(took);
     }
 
-    /// Usual time of a connect to a zone, if any came up.
+    /// Usual time that a connect to a zone takes, if any succeeded.
     #[must_use]
     pub fn usual_connect(&self, zone: &ZoneName) -> Option<Duration> {
         self.zones.get(zone).and_then(Zone::usual_connect)
     }
 
-    /// Time for a connect that only asks whether an engine is within reach.
+    /// Timeout of a probe to a zone.
     #[must_use]
     pub fn connect_timeout(&self, zone: &ZoneName) -> Duration {
         let seen = self.zones.get(zone);
         seen.map_or_else(|| Zone::default().connect_timeout(), Zone::connect_timeout)
     }
 
-    /// Whether a host failed lately.
+    /// Whether a host failed recently.
     #[must_use]
     pub fn has_failed(&self, zone: &ZoneName, host: IpAddr, now: Timestamp) -> bool {
         let seen = self.zones.get(zone);
         seen.is_some_and(|seen| seen.has_failed(host, now))
     }
 
-    /// Whether several hosts of a zone failed lately.
+    /// Whether several hosts of a zone failed recently.
     #[must_use]
     pub fn have_several_failed(&self, zone: &ZoneName, now: Timestamp) -> bool {
         let seen = self.zones.get(zone);
         seen.is_some_and(|seen| seen.have_several_failed(now))
     }
 
-    /// Whether to look now whether a zone is out of reach, since one of its engines may
-    /// be, at one host or `wide`, at several; it is noted that somebody does.
+    /// Whether to check now whether a zone is out of reach, since one of its engines may
+    /// be: at one host or, if `wide`, at several. If so, the check counts as done.
     pub fn look(&mut self, zone: &ZoneName, wide: bool, hosts: &Hosts, now: Timestamp) -> bool {
         is_on(zone, hosts) && self.zones.entry(zone.clone()).or_default().look(wide, now)
     }
 
-    /// Zones out of reach that are to be connected to now. One without engines is
-    /// forgotten.
+    /// Returns the zones out of reach that are to be probed now. Drops zones without
+    /// engines.
     pub fn probes(&mut self, hosts: &Hosts, now: Timestamp) -> Vec<ZoneName> {
         let mut due = Vec::new();
         let mut gone = Vec::new();
@@ -200,13 +203,13 @@
         due
     }
 
-    /// Changes of belief since the last call.
+    /// Takes the changes in reachability since the last call.
     pub fn take_changes(&mut self) -> Vec<Change> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Where all zones are out of reach this node is the one that is cut off, and there
-    /// is nowhere better to go.
+    /// Updates the avoided zones. If all zones are out of reach, this node is the one
+    /// that is cut off, and there is no better choice.
     fn avoid(&mut self, hosts: &Hosts) {
         let out: BTreeSet<ZoneName> = self.out().cloned().collect();
         self.avoided = match hosts.keys().all(|zone| out.contains(zone)) {
@@ -216,7 +219,7 @@
     }
 }
 
-/// Whether zones are judged: where they are known, and there are several.
+/// Whether reachability is tracked: the zone is known, and there are several zones.
 fn is_on(zone: &ZoneName, hosts: &Hosts) -> bool {
     hosts.len() > 1 && !zone.as_str().is_empty()
 }
--- a/crates/routing/src/reach/telling.rs
+++ b/crates/routing/src/reach/telling.rs
@@ -1,7 +1,7 @@
-//! What gateways tell each other of zones out of reach.
+//! Reports about zones out of reach that gateways exchange.
 //!
-//! Told by the zone of those who tell: what is out of reach from there may be within
-//! reach from elsewhere.
+//! Reports are kept by the zone of the gateways that sent them: what is out of reach from
+//! there may be reachable from elsewhere.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,16 +10,17 @@
 
 use crate::dispatch::{SHARE_HOLDS, Teller};
 
-/// Gateways of a zone whose word a relay takes for what is out of reach from there.
+/// Number of gateways of a zone that have to find another zone out of reach before a
+/// relay accepts it.
 const BELIEVED_BY: u32 = 2;
 
-/// What gateways of one zone found out.
+/// Findings of the gateways of one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ReachTelling {
-    /// Where they stand.
+    /// Zone of these gateways.
     #[n(0)]
     pub from: ZoneName,
-    /// Zones that are out of reach from there, and how many of them found that.
+    /// Zones that are out of reach from there, and how many of the gateways found each.
     #[n(1)]
     pub out: Vec<(ZoneName, u32)>,
 }
@@ -31,16 +32,16 @@
     at: Timestamp,
 }
 
-/// What a relay was told of zones out of reach. It grows with zones, and with tellers
-/// while there is something to tell.
+/// Reports about zones out of reach that a relay received. Its size grows with the number
+/// of zones, and with the number of reporting nodes while there is something to report.
 #[derive(Clone, Debug, Default)]
 pub struct ReachRelay {
     told: BTreeMap<NodeId, Told>,
 }
 
 impl ReachRelay {
-    /// Takes in all that a gateway, or another relay, tells; nothing for no zone out of
-    /// reach. Says whether that is news.
+    /// Records the complete report of a gateway or of another relay; it is empty if no
+    /// zone is out of reach. Returns whether the report changed.
     pub fn note(
         &mut self,
         from: NodeId,
@@ -60,26 +61,26 @@
         before.is_none_or(|before| before.tellings != self.told[&from].tellings)
     }
 
-    /// Whether nothing is told.
+    /// Whether there are no reports.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.told.is_empty()
     }
 
-    /// Forgets those that were silent for too long.
+    /// Drops the reports of nodes that have been silent for too long.
     pub fn expire(&mut self, now: Timestamp) {
         self.told.retain(|_, told| now.since(told.at) < SHARE_HOLDS);
     }
 
-    /// What the gateways of this relay found out together, for other relays.
+    /// Returns the combined findings of the gateways of this relay, for other relays.
     #[must_use]
     pub fn of_gateways(&self) -> Vec<ReachTelling> {
         let told = self.told.values();
         sum(told.filter(|told| told.teller == Teller::Gateway))
     }
 
-    /// For a gateway in `zone`, what the others of that zone found out; `None` for
-    /// nothing.
+    /// Returns, for a gateway in `zone`, the findings of the other gateways of that zone;
+    /// `None` if there are none.
     #[must_use]
     pub fn for_gateway(&self, gateway: NodeId, zone: &ZoneName) -> Option<ReachTelling> {
         let others = self.told.iter().filter(|(from, _)| **from != gateway);
@@ -87,7 +88,8 @@
         all.into_iter().find(|telling| telling.from == *zone)
     }
 
-    /// Zones that are out of reach from `zone`, as several gateways there found.
+    /// Returns the zones that are out of reach from `zone` according to several gateways
+    /// there.
     #[must_use]
     pub fn out_of_reach(&self, zone: &ZoneName) -> BTreeSet<ZoneName> {
         let all = sum(self.told.values());
--- a/crates/routing/src/reach/zone.rs
+++ b/crates/routing/src/reach/zone.rs
@@ -1,4 +1,4 @@
-//! What was seen of one zone.
+//! Reachability of one zone as observed by this gateway.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -6,46 +6,48 @@
 
 use molespan_types::{Timestamp, ZoneName};
 
-/// Hosts that have to fail, of zones that have as many: enough that engines which crash
-/// each for itself are hardly ever taken for a cut.
+/// Number of hosts that have to fail, in zones that have as many: enough that engines
+/// that crash independently are hardly ever taken for a network partition.
 const FAILED_HOSTS: usize = 5;
-/// Hosts that have to fail in any zone: one alone may have lost its own link.
+/// Number of hosts that have to fail in any zone: a single host may have lost its own
+/// link.
 const FAILED_AT_LEAST: usize = 2;
-/// How long a failure counts: the longest connect a few times over.
+/// How long a failure counts: a few times the longest connect.
 const FAILURE_COUNTS: Duration = Duration::from_millis(1_500);
-/// Time between two looks at a zone that is in doubt.
+/// Time between two checks of a zone in doubt.
 const LOOK_EVERY: Duration = Duration::from_millis(200);
-/// Time between two connects to a zone that is out of reach: callers gain by its return
-/// as soon as it is seen.
+/// Time between two probes of a zone out of reach: callers benefit as soon as its return
+/// is detected.
 const PROBE_EVERY: Duration = Duration::from_millis(100);
-/// How long it is out of reach before it is looked at less often.
+/// How long a zone is out of reach before it is probed less often.
 const PROBED_OFTEN: Duration = Duration::from_secs(10);
-/// Time between two connects from then on.
+/// Time between two probes from then on.
 const PROBE_RARELY: Duration = Duration::from_millis(500);
-/// Shortest time for a connect that only asks whether an engine is within reach.
+/// Minimum timeout of a probe.
 const SHORTEST_CONNECT: Duration = Duration::from_millis(100);
-/// Longest time for one; also as long as it is not known how long they take.
+/// Maximum timeout of a probe, also used while the usual connect time is not known.
 const LONGEST_CONNECT: Duration = Duration::from_millis(300);
-/// Multiple of the usual time of a connect that it may take.
+/// Timeout of a probe as a multiple of the usual connect time.
 const CONNECT_MARGIN: u32 = 4;
-/// Connects over which their usual time is taken.
+/// Number of connects over which the usual connect time is averaged.
 const CONNECTS_COUNTED: u32 = 8;
-/// Hosts that have to fail here until a belief that others told is an own one.
+/// Number of hosts that have to fail here to confirm what other gateways reported.
 const CONFIRMED_BY: usize = 2;
-/// How long nothing is believed of others behind an own sign that a zone is there: what
-/// they told before holds at their relay, and again at the next one, for as long as any
-/// telling.
+/// How long reports of others are ignored after a zone was found reachable from here:
+/// earlier reports are held by their relay, and again by the next one, for as long as any
+/// report.
 const DENIED_FOR: Duration = Duration::from_secs(3);
-/// The same where nothing failed here: those who told may be cut off alone, and stay so.
-const WRONG_FOR: Duration = Duration::from_secs(30);
-/// Time between two looks for one other gateway's word: it may be the one that is cut off,
+/// The same if no host failed here: the gateways that reported may be cut off themselves,
 /// and stay so.
+const WRONG_FOR: Duration = Duration::from_secs(30);
+/// Time between two checks because of a report by a single gateway: it may be the one
+/// that is cut off, and stay so.
 const LOOK_AS_TOLD_EVERY: Duration = Duration::from_secs(5);
 
-/// What showed that a zone is within reach again.
+/// What showed that a zone is reachable again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sign {
-    /// A connect came up that asked for nothing.
+    /// A probe connected.
     Connect,
     /// A request was answered.
     Answer,
@@ -54,7 +56,7 @@
 }
 
 impl Sign {
-    /// Its name in log lines.
+    /// Name in log lines.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -65,77 +67,78 @@
     }
 }
 
-/// Whose word it is that a zone is out of reach.
+/// Why a zone counts as out of reach.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Evidence {
-    /// Hosts failed here.
+    /// Hosts failed at this gateway.
     Own {
-        /// So many.
+        /// Number of failed hosts.
         failed: usize,
-        /// Of so many that are known there.
+        /// Number of known hosts in the zone.
         of: usize,
-        /// Time since the first of these failures was seen.
+        /// Time since the first of these failures.
         age: Duration,
     },
-    /// Other gateways of the own zone say so.
+    /// Other gateways of this gateway's zone reported it.
     Told {
-        /// So many.
+        /// Number of gateways that reported it.
         by: u32,
     },
 }
 
-/// A change of belief.
+/// A change in the reachability of a zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// A zone is out of reach.
+    /// A zone went out of reach.
     Out {
-        /// It.
+        /// The zone.
         zone: ZoneName,
-        /// Why.
+        /// Why it counts as out of reach.
         evidence: Evidence,
     },
-    /// It was told that a zone is out of reach, and hosts of it failed here too.
+    /// Other gateways had reported that a zone is out of reach, and now hosts failed here
+    /// too.
     Confirmed {
-        /// It.
+        /// The zone.
         zone: ZoneName,
-        /// How long it was out of reach by then.
+        /// How long it had been out of reach by then.
         after: Duration,
     },
-    /// A zone is back.
+    /// A zone is reachable again.
     Back {
-        /// It.
+        /// The zone.
         zone: ZoneName,
         /// How long it was out of reach.
         after: Duration,
-        /// What showed that.
+        /// What showed that it is reachable.
         by: Sign,
     },
 }
 
-/// A zone that is out of reach.
+/// State of a zone that is out of reach.
 #[derive(Clone, Copy, Debug)]
 struct Out {
     since: Timestamp,
     next_probe: Timestamp,
-    /// Whether hosts failed here too, so that it holds without a word of others.
+    /// Whether hosts failed here too, so that it does not depend on reports of others.
     own: bool,
 }
 
-/// One zone.
+/// Reachability of one zone.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Zone {
-    /// When it last answered something.
+    /// Time of the latest answer from the zone.
     answered: Timestamp,
-    /// Hosts that failed since, and when.
+    /// Hosts that failed since then, with the time of the latest failure.
     failures: BTreeMap<IpAddr, Timestamp>,
     next_look: Timestamp,
-    /// Whether the last look was at several hosts.
+    /// Whether the latest check covered several hosts.
     looked_wide: bool,
     next_look_as_told: Timestamp,
-    /// Until when nothing is believed of others.
+    /// Time until which reports of others are ignored.
     denied_until: Timestamp,
     out: Option<Out>,
-    /// Usual time of a connect.
+    /// Usual time that a connect takes.
     connect: Option<Duration>,
 }
 
@@ -144,24 +147,25 @@
         self.out.is_some()
     }
 
-    /// Whether a host failed lately.
+    /// Whether a host failed recently.
     pub fn has_failed(&self, host: IpAddr, now: Timestamp) -> bool {
         let failed = self.failures.get(&host);
         failed.is_some_and(|&at| now.since(at) < FAILURE_COUNTS)
     }
 
-    /// Whether it is out of reach by what was seen here.
+    /// Whether the zone is out of reach by failures seen here.
     pub fn is_found_out(&self) -> bool {
         self.out.is_some_and(|out| out.own)
     }
 
-    /// For how long it is out of reach.
+    /// How long the zone has been out of reach; `None` if it is reachable.
     pub fn out_for(&self, now: Timestamp) -> Option<Duration> {
         self.out.map(|out| now.since(out.since))
     }
 
-    /// An attempt that `began` then did not reach a host, of `hosts` that are known. Says
-    /// if the zone is out of reach by what is seen here from now on.
+    /// Records that an attempt started at `began` did not reach a host of the `hosts`
+    /// known ones. Returns the evidence if the zone is out of reach by failures seen here
+    /// from now on.
     pub fn failed(
         &mut self,
         host: IpAddr,
@@ -197,8 +201,8 @@
         })
     }
 
-    /// Several gateways of the own zone say that it is out of reach. Says whether that is
-    /// believed and news.
+    /// Records that several gateways of this gateway's zone report the zone as out of
+    /// reach. Returns whether that is accepted and new.
     pub fn told(&mut self, now: Timestamp) -> bool {
         if self.is_out() || self.denies(now) {
             return false;
@@ -211,8 +215,8 @@
         true
     }
 
-    /// One other gateway says that it is out of reach. Says whether to look; it is noted
-    /// that somebody does.
+    /// Records that one other gateway reports the zone as out of reach. Returns whether
+    /// to check the zone now; if so, the check counts as done.
     pub fn look_as_told(&mut self, now: Timestamp) -> bool {
         if self.is_out() || self.denies(now) || now < self.next_look_as_told {
             return false;
@@ -221,13 +225,14 @@
         true
     }
 
-    /// Whether it was seen here a short while ago that it is there.
+    /// Whether the zone was recently found reachable from here.
     fn denies(&self, now: Timestamp) -> bool {
         now < self.denied_until
     }
 
-    /// An attempt that `began` then reached it. Says, if it was out of reach until now,
-    /// for how long. An answer to what was sent before may have been on its way.
+    /// Records that an attempt started at `began` reached the zone. If the zone was out
+    /// of reach until now, returns for how long. Ignores attempts from before it went out
+    /// of reach: their answer may have been in transit.
     pub fn reached(&mut self, began: Timestamp, now: Timestamp) -> Option<Duration> {
         if self.out.is_some_and(|out| began < out.since) {
             return None;
@@ -240,34 +245,34 @@
         Some(now.since(out.since))
     }
 
-    /// A connect came up after this time.
+    /// Records the time that a connect took.
     pub fn connected(&mut self, took: Duration) {
         let usual = self.connect.unwrap_or(took);
         let sum = usual * (CONNECTS_COUNTED - 1) + took;
         self.connect = Some(sum / CONNECTS_COUNTED);
     }
 
-    /// Usual time of a connect, if any came up.
+    /// Usual time that a connect takes, if any succeeded.
     pub fn usual_connect(&self) -> Option<Duration> {
         self.connect
     }
 
-    /// Time for a connect that only asks whether an engine is within reach.
+    /// Timeout of a probe.
     pub fn connect_timeout(&self) -> Duration {
         let usual = self.connect.map(|usual| usual * CONNECT_MARGIN);
         let timeout = usual.unwrap_or(LONGEST_CONNECT);
         timeout.clamp(SHORTEST_CONNECT, LONGEST_CONNECT)
     }
 
-    /// Whether several hosts failed lately.
+    /// Whether several hosts failed recently.
     pub fn have_several_failed(&self, now: Timestamp) -> bool {
         let failed = self.failures.values();
         let lately = failed.filter(|at| now.since(**at) < FAILURE_COUNTS);
         lately.count() >= FAILED_AT_LEAST
     }
 
-    /// Whether to look now whether it is out of reach, at one host or `wide`, at several;
-    /// it is noted that somebody does.
+    /// Whether to check now whether the zone is out of reach, at one host or, if `wide`,
+    /// at several. If so, the check counts as done.
     pub fn look(&mut self, wide: bool, now: Timestamp) -> bool {
         let looked = now < self.next_look && (self.looked_wide || !wide);
         if self.is_out() || looked {
@@ -278,8 +283,8 @@
         true
     }
 
-    /// Whether to connect there now, since it is out of reach; it is noted that somebody
-    /// does.
+    /// Whether to probe the zone now since it is out of reach. If so, schedules the next
+    /// probe.
     pub fn probe(&mut self, now: Timestamp) -> bool {
         let Some(out) = self.out.as_mut().filter(|out| now >= out.next_probe) else {
             return false;
@@ -292,7 +297,8 @@
         true
     }
 
-    /// No engine of it is known any more. Says, if it was out of reach, for how long.
+    /// Clears the state, since no engine of the zone is known any more. If the zone was
+    /// out of reach, returns for how long.
     pub fn forget(&mut self, now: Timestamp) -> Option<Duration> {
         self.failures.clear();
         self.out.take().map(|out| now.since(out.since))
--- a/crates/routing/tests/reach/main.rs
+++ b/crates/routing/tests/reach/main.rs
@@ -13,14 +13,14 @@
 use world::{Links, Outcome, Play, SLOTS, World, ZONES, facts};
 
 const CONTROL: NodeId = NodeId(900);
-/// Time from a cut by which a request that comes is begun in time.
+/// Time after a cut from which every new request has to start in time.
 const FOUND_WITHIN: u64 = 300;
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(10_000 + millis)
 }
 
-/// A lull: two thirds of the slots are free.
+/// Low load: two thirds of the slots are free.
 fn lull(by_zone: bool, seed: u64) -> Play {
     Play {
         by_zone,
@@ -37,8 +37,8 @@
     outcomes.iter().filter(|one| !one.is_in_time()).count()
 }
 
-/// A zone cut off for 6 s in a lull: requests that came, and those late, of all that came
-/// from `from` behind the cut to its end.
+/// Cuts off a zone for 6 s under low load. Returns the number of requests that arrived
+/// from `from` after the cut until its end, and how many of them were late.
 fn play_cut(play: Play, links: Links, from: u64) -> (usize, usize) {
     let mut world = World::new(play);
     world.run(2_000);
@@ -116,7 +116,7 @@
         });
         back.for_each(|at| assert!(at <= 8_000 + 150, "{at}"));
     }
-    // One connect each 100 ms from each gateway to each zone that it is cut off from.
+    // One connect every 100 ms from each gateway to each zone that it is cut off from.
     assert!(probes <= 16 * 60, "{probes}");
 }
 
@@ -128,7 +128,7 @@
         world.crash(0.19);
         world.run(4_000);
         assert!(world.changes().is_empty(), "{:?}", world.changes());
-        // With the engines that are left there is room for all.
+        // The remaining engines have capacity for all requests.
         let came = world.came(1_500, 4_000);
         assert_eq!(late(&came), 0, "of {}, seed {seed}", came.len());
     }
@@ -146,8 +146,8 @@
         let out = gateway.table.zones_out_of_reach().len();
         assert_eq!(out, if gateway.zone == 1 { 2 } else { 1 });
     }
-    // Gateways that do not hear each other may fill an engine twice, cut or not; what is
-    // out of reach they know as before.
+    // Gateways that receive no reports of each other may put twice the load on an engine,
+    // with or without a cut. They still know what is out of reach.
     let came = world.came(3_000, 5_500);
     assert!(came.iter().all(Outcome::arrived_in_time));
     world.links[1] = Links::Up;
@@ -175,7 +175,7 @@
     }
 }
 
-/// A table of a gateway in zone `a` with so many engines in each zone.
+/// A table of a gateway in zone `a` with the given number of engines in each zone.
 fn table(engines: usize, zones: &[&str]) -> EngineTable {
     let mut table = EngineTable::new("a".into(), 1);
     for number in 0..engines * zones.len() {
@@ -200,7 +200,7 @@
     table.pick(&pick, at(now)).map(|picked| picked.facts.id)
 }
 
-/// Engines of zone `b` of three zones fail.
+/// Lets attempts at engines of zone `b` fail, one of three zones.
 fn fail_of_b(table: &mut EngineTable, engines: std::ops::Range<usize>, now: u64) {
     for number in engines {
         let id = format!("e{}", number * 3 + 1);
@@ -213,11 +213,12 @@
     let mut table = table(10, &ZONES);
     fail_of_b(&mut table, 0..4, 0);
     assert!(table.zones_out_of_reach().is_empty());
-    // An answer in between says that the zone is there, and that these engines are not.
+    // An answer in between shows that the zone is reachable and that these engines are
+    // not.
     table.reached("e28", at(1), Sign::Answer, at(2));
     fail_of_b(&mut table, 4..8, 3);
     assert!(table.zones_out_of_reach().is_empty());
-    // One that failed twice is one.
+    // A host that failed twice counts once.
     fail_of_b(&mut table, 4..8, 4);
     assert!(table.zones_out_of_reach().is_empty());
     fail_of_b(&mut table, 8..9, 5);
@@ -314,7 +315,7 @@
     assert!(table.occupancy(at(1)) > 0.3);
     fail_of_b(&mut table, 0..10, 2);
     assert_eq!(table.occupancy(at(2)), 0.0);
-    // Two thirds of the slots for two thirds of the gateways.
+    // Two thirds of the slots are left for two thirds of the gateways.
     assert_eq!(table.batch_headroom("s", at(2)), room);
     for class in [WorkClass::Online, WorkClass::Batch] {
         for now in 0..200 {
@@ -343,7 +344,7 @@
     assert_eq!(table.zones_out_of_reach(), ["b".into()]);
     assert!(
         table.shares(at(3)).is_empty(),
-        "its links are told of nobody"
+        "others are not told of failures of its links"
     );
     table.reached("e1", at(5), Sign::Connect, at(7));
     assert!(table.zones_out_of_reach().is_empty());
@@ -375,7 +376,7 @@
     };
     assert!(probed(&mut table, 1, 1_001) <= 10);
     probed(&mut table, 1_001, 10_001);
-    // A zone that stays away is looked at less often.
+    // A zone that stays out of reach is probed less often.
     assert!(probed(&mut table, 10_101, 20_101) <= 21);
     for number in 0..10 {
         table.lose(CONTROL, &format!("e{}", number * 3 + 1));
@@ -408,8 +409,8 @@
     assert!(!table.doubt("e4", Doubt::Slow, at(200)).is_empty());
 }
 
-/// Most engines that fail have ended, and a connect to another one says that the zone is
-/// there. Only where that fails too are more of them looked at.
+/// Most engines that fail have crashed, and a connect to another one shows that the zone
+/// is reachable. More engines are probed only if that fails too.
 #[test]
 fn behind_one_failure_one_other_engine_is_looked_at_and_behind_two_several() {
     let mut table = table(10, &ZONES);
@@ -433,8 +434,8 @@
     assert_eq!(slow_after(target, far), Duration::from_millis(180));
 }
 
-/// Where zones are not known, or all engines stand in one, nothing of this is done: every
-/// choice is what it is where nothing was noted.
+/// Without known zones, or with all engines in one zone, reachability is not tracked:
+/// every choice is the same as if nothing had been recorded.
 #[test]
 fn it_is_off_without_several_zones() {
     for zone in ["a", ""] {
@@ -467,9 +468,9 @@
     }
 }
 
-/// What is sent over a connection kept from before is silent where links drop it. That
-/// happens to a gateway until it knows of the cut, by itself or by others of its zone, and
-/// never behind that.
+/// Data sent over a connection kept from before gets no response if the links drop it.
+/// This may happen at a gateway until it knows of the cut, from its own failures or from
+/// other gateways of its zone, and never after that.
 #[test]
 fn kept_connections_lead_nobody_there_who_knows() {
     for seed in 1..=20 {
@@ -498,8 +499,9 @@
     }
 }
 
-/// Of seven tenths of all slots there is room for all on either side of a cut, and 95 in
-/// 100 are to begin in time; each gateway takes its part of what is within reach.
+/// With seven tenths of all slots in use there is capacity for all requests on either
+/// side of a cut, and 95 of 100 have to start in time. Each gateway takes its share of
+/// what is reachable.
 #[test]
 fn each_side_of_a_cut_uses_its_own_slots() {
     for seed in 1..=3 {
@@ -536,7 +538,7 @@
 #[test]
 fn what_several_gateways_of_the_own_zone_tell_is_believed_and_looked_at_at_once() {
     let mut table = table(10, &ZONES);
-    // What is out of reach from elsewhere may be within reach from here.
+    // A zone that is out of reach from elsewhere may be reachable from here.
     assert!(table.note_reach_told(&told("c", "b", 9), at(0)).is_empty());
     assert!(table.zones_out_of_reach().is_empty());
     assert_eq!(table.note_reach_told(&told("a", "b", 2), at(0)).len(), 5);
@@ -549,10 +551,14 @@
     assert!(table.is_out_of_reach("e1"));
     assert!(
         !table.was_found_out_of_reach("e1"),
-        "nothing that waits is ended"
+        "pending attempts are not ended"
     );
-    assert_eq!(table.reach_telling(), None, "nobody's word is told on");
-    // Hosts that fail here make it this gateway's own.
+    assert_eq!(
+        table.reach_telling(),
+        None,
+        "what others told is not passed on"
+    );
+    // Hosts that fail here confirm the report.
     fail_of_b(&mut table, 0..2, 10);
     let changes = table.take_reach_changes(at(10));
     assert!(
@@ -561,16 +567,17 @@
     );
     assert!(table.was_found_out_of_reach("e1"));
     assert_eq!(table.reach_telling(), Some(told("a", "b", 1)));
-    // What is seen here counts for more, and what others told before is not believed anew.
+    // Own observations take precedence, and earlier reports are not accepted again.
     table.reached("e1", at(20), Sign::Connect, at(22));
     table.note_reach_told(&told("a", "b", 5), at(60));
     assert!(table.zones_out_of_reach().is_empty());
-    // A telling from before may be held by two relays, one after the other.
+    // An earlier report may be held by two relays in sequence.
     table.note_reach_told(&told("a", "b", 5), at(22 + 2 * 1_200));
     assert!(table.zones_out_of_reach().is_empty());
     table.note_reach_told(&told("a", "b", 5), at(4_000));
     assert_eq!(table.zones_out_of_reach(), ["b".into()]);
-    // Where nothing failed here those who told may be cut off alone, and stay so.
+    // If no host failed here, the gateways that reported may be cut off themselves, and
+    // stay so.
     table.reached("e1", at(4_001), Sign::Connect, at(4_003));
     table.note_reach_told(&told("a", "b", 5), at(30_000));
     assert!(table.zones_out_of_reach().is_empty());
@@ -582,7 +589,7 @@
     let looked_at = table.note_reach_told(&told("a", "b", 1), at(0));
     assert_eq!(looked_at.len(), 5);
     assert!(table.zones_out_of_reach().is_empty());
-    // It may stay so, and is not looked into all the time.
+    // That gateway may stay cut off, so its report does not trigger checks all the time.
     for now in (50..5_000).step_by(50) {
         assert!(
             table
@@ -609,11 +616,14 @@
     assert_eq!(
         relay.of_gateways(),
         of_gateways,
-        "others would count theirs twice"
+        "other relays would count their gateways twice"
     );
     assert_eq!(relay.out_of_reach(&zone), BTreeSet::from(["b".into()]));
-    assert!(relay.out_of_reach(&"c".into()).is_empty(), "one alone");
-    // Who tells of nothing, or nothing, is forgotten.
+    assert!(
+        relay.out_of_reach(&"c".into()).is_empty(),
+        "a single gateway"
+    );
+    // A node that reports nothing, or sends no report, is forgotten.
     assert!(relay.note(one, Teller::Gateway, Vec::new(), at(10)));
     assert_eq!(relay.for_gateway(other, &zone), Some(told("a", "b", 3)));
     relay.expire(at(1_300));
--- a/crates/routing/tests/reach/world.rs
+++ b/crates/routing/tests/reach/world.rs
@@ -1,5 +1,5 @@
-//! Gateways, relays and engines of three zones in virtual time, with links between zones
-//! that can be cut.
+//! Simulates gateways, relays and engines of three zones in virtual time, with links
+//! between zones that can be cut.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,17 +16,18 @@
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 pub const SLOTS: u32 = 8;
 const CONTROL: NodeId = NodeId(900);
-/// Target of requests, and the part of it within which they are to begin.
+/// Target of requests, and the part of it within which they have to start. All times are
+/// in milliseconds.
 const TARGET: u64 = 300;
 const BEGINS_WITHIN: u64 = 240;
 /// Time for which a request holds a slot.
 const HELD: u64 = 700;
-/// Time that a connect takes where links are up, and the longest time for one.
+/// Time that a connect takes over working links, and its timeout.
 const CONNECT: u64 = 2;
 const CONNECT_TIMEOUT: u64 = 300;
-/// Silence behind which a request that was sent goes elsewhere.
+/// Silence after which a request that was sent goes to another engine.
 const SILENCE: u64 = 450;
-/// Time between two looks of a request for an engine, of tellings and of probes.
+/// Intervals of the searches of a request for an engine, of reports and of probes.
 const LOOK_AGAIN: u64 = 8;
 const ROUND: u64 = 50;
 const TICK: u64 = 20;
@@ -34,25 +35,25 @@
 /// How links between zones fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Links {
-    /// They do not.
+    /// The links work.
     Up,
-    /// What is sent vanishes.
+    /// Data is dropped without notice.
     Drop,
-    /// Connects are refused at once.
+    /// Connects are refused immediately.
     Refuse,
 }
 
-/// What a world is played with.
+/// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Play {
-    /// Whether zones out of reach are found.
+    /// Whether zones out of reach are detected.
     pub by_zone: bool,
     pub gateways: usize,
-    /// Engines of each zone.
+    /// Number of engines in each zone.
     pub engines: usize,
-    /// Requests a second, over all gateways.
+    /// Requests per second over all gateways.
     pub rate: f64,
-    /// Share of requests that go over a connection kept from before.
+    /// Fraction of requests sent over a connection kept from before.
     pub kept: f64,
     pub seed: u64,
 }
@@ -75,7 +76,7 @@
     picked: Picked,
     engine: usize,
     began: u64,
-    /// Whether it is over a connection that was kept, and sent.
+    /// Whether the request was sent over a kept connection.
     kept: bool,
 }
 
@@ -93,26 +94,26 @@
     raced: bool,
 }
 
-/// A request that began, or never did.
+/// A request that started, or never did.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
     pub arrived: u64,
     pub gateway: usize,
-    /// Of its gateway.
+    /// Zone of the gateway.
     pub zone: usize,
-    /// Milliseconds from its arrival until its engine had it.
+    /// Milliseconds from arrival until an engine received the request.
     pub waited: Option<u64>,
-    /// Whether that had no slot for it then.
+    /// Whether that engine had no free slot then.
     pub queued: bool,
 }
 
 impl Outcome {
-    /// Whether its engine had it in time.
+    /// Whether an engine received the request in time.
     pub fn arrived_in_time(&self) -> bool {
         self.waited.is_some_and(|waited| waited <= TARGET)
     }
 
-    /// Whether its engine began with it in time.
+    /// Whether an engine started the request in time.
     pub fn is_in_time(&self) -> bool {
         self.arrived_in_time() && !self.queued
     }
@@ -121,12 +122,12 @@
 pub struct World {
     pub now: u64,
     play: Play,
-    /// How the links of each zone to the others fail.
+    /// How the links from each zone to the others fail.
     pub links: [Links; 3],
     pub gateways: Vec<Gateway>,
     engines: Vec<Engine>,
     relays: Vec<(WorkRelay, ReachRelay)>,
-    /// Whether relays pass anything on.
+    /// Whether relays forward anything.
     pub relays_up: bool,
     open: Vec<Request>,
     running: Vec<(u64, usize, usize)>,
@@ -137,7 +138,7 @@
 }
 
 fn at(millis: u64) -> Timestamp {
-    // Nothing is at the start of the clock.
+    // Keeps the simulation away from the start of the clock.
     Timestamp::from_millis(10_000 + millis)
 }
 
@@ -173,7 +174,7 @@
                 table.learn(CONTROL, facts(number, ZONES[engine.zone]), at(0));
             }
             table.set_gateways(play.gateways as u32);
-            // What engines were seen to do before.
+            // Measurements of the engines from earlier requests.
             table.note_slot_time("s", Duration::from_millis(HELD));
             for id in engines.iter().map(|engine| &engine.id) {
                 table.connected(id, Duration::from_millis(CONNECT));
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Engines of all zones, drawn at random, end at once.
+    /// Terminates a random part of the engines of all zones at once.
     pub fn crash(&mut self, share: f64) {
         let count = (self.engines.len() as f64 * share).round() as usize;
         for place in rand::seq::index::sample(&mut self.random, self.engines.len(), count) {
@@ -210,7 +211,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances time.
     pub fn run(&mut self, millis: u64) {
         let ends = self.now + millis;
         while self.now < ends {
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Requests that came in this span, and how they fared.
+    /// Outcomes of the requests that arrived in this period.
     pub fn came(&self, from: u64, to: u64) -> Vec<Outcome> {
         let began = self.outcomes.iter().copied();
         let open = self.open.iter().map(|request| Outcome {
@@ -284,7 +285,7 @@
         cut.unwrap_or(Links::Up)
     }
 
-    /// What a connect comes to by now.
+    /// Result of a connect so far; `None` while it is pending.
     fn connected(&self, from: usize, engine: usize, began: u64, timeout: u64) -> Option<bool> {
         let took = self.now - began;
         let to = &self.engines[engine];
@@ -297,7 +298,7 @@
         }
     }
 
-    /// Says whether the request began.
+    /// Advances a request. Returns whether it started.
     fn go_on(&mut self, request: &mut Request) -> bool {
         let now = self.now;
         if request.connects.is_empty() {
@@ -361,7 +362,8 @@
         });
     }
 
-    /// Notes which connects came up or failed; the place of one that is up.
+    /// Records which connects succeeded or failed. Returns the index of one that
+    /// succeeded.
     fn settle(&mut self, request: &mut Request) -> Option<usize> {
         let (now, from) = (self.now, self.gateways[request.gateway].zone);
         let mut place = 0;
@@ -405,7 +407,7 @@
         None
     }
 
-    /// Tries another engine beside one whose connect is slow.
+    /// Tries another engine in parallel if a connect is slow.
     fn race(&mut self, request: &mut Request) {
         let now = self.now;
         if !self.play.by_zone || request.raced || request.connects.is_empty() {
@@ -483,7 +485,7 @@
         });
     }
 
-    /// Connects that ask whether engines are within reach.
+    /// Advances the probes that check whether engines are reachable.
     fn look(&mut self) {
         let now = self.now;
         for place in 0..self.gateways.len() {
@@ -524,7 +526,7 @@
         }
     }
 
-    /// A round of telling through one relay a zone.
+    /// Exchanges reports through one relay per zone.
     fn tell(&mut self) {
         if !self.relays_up {
             return;
@@ -579,7 +581,7 @@
         }
     }
 
-    /// Changes of belief at all gateways, by gateway.
+    /// Changes in reachability at all gateways, by gateway.
     pub fn changes(&self) -> BTreeMap<usize, &[(u64, Change)]> {
         let gateways = self.gateways.iter().enumerate();
         gateways
