--- a/crates/routing/src/reach/mod.rs
+++ b/crates/routing/src/reach/mod.rs
@@ -17,12 +17,14 @@
 
 /// Fraction of a request's target within which a connection has to be established before
 /// another engine is tried in parallel; the rest is enough for that engine.
-const SLOW_PART: f64 = 0.2;
+const SLOW_FRACTION: f64 = 0.2;
 
 /// Returns how long a connect may take before another engine is tried in parallel: a
 /// fraction of the request's `target`, or twice the usual connect time to that zone
 /// (`usual`), whichever is longer.
 #[must_use]
 pub fn slow_after(target: Duration, usual: Option<Duration>) -> Duration {
-    target.mul_f64(SLOW_PART).max(usual.unwrap_or_default() * 2)
+    target
+        .mul_f64(SLOW_FRACTION)
+        .max(usual.unwrap_or_default() * 2)
 }
--- a/crates/routing/src/reach/table.rs
+++ b/crates/routing/src/reach/table.rs
@@ -14,7 +14,7 @@
 
 /// Number of gateways of this gateway's zone whose report is accepted: a single one may
 /// be cut off itself.
-const BELIEVED_BY: u32 = 2;
+const MIN_REPORTERS: u32 = 2;
 
 /// Reachability of all zones as observed by this gateway.
 #[derive(Clone, Debug, Default)]
@@ -35,8 +35,8 @@
     /// Whether a zone is avoided because of failures seen here.
     #[must_use]
     pub fn is_found_out(&self, zone: &ZoneName) -> bool {
-        let seen = self.zones.get(zone);
-        self.is_avoided(zone) && seen.is_some_and(Zone::is_found_out)
+        let state = self.zones.get(zone);
+        self.is_avoided(zone) && state.is_some_and(Zone::is_found_out)
     }
 
     /// Whether any zone is avoided.
@@ -63,17 +63,17 @@
         began: Timestamp,
         now: Timestamp,
     ) {
-        if !is_on(zone, hosts) {
+        if !is_tracked(zone, hosts) {
             return;
         }
         let of = hosts.get(zone).map_or(0, BTreeSet::len);
-        let seen = self.zones.entry(zone.clone()).or_default();
-        let before = seen.out_for(now);
-        let Some(evidence) = seen.failed(host, of, began, now) else {
+        let state = self.zones.entry(zone.clone()).or_default();
+        let before = state.out_for(now);
+        let Some(evidence) = state.failed(host, of, began, now) else {
             return;
         };
         match before {
-            None => self.out_of_reach(zone, evidence, hosts),
+            None => self.mark_out_of_reach(zone, evidence, hosts),
             Some(after) => self.changes.push(Change::Confirmed {
                 zone: zone.clone(),
                 after,
@@ -81,12 +81,12 @@
         }
     }
 
-    fn out_of_reach(&mut self, zone: &ZoneName, evidence: Evidence, hosts: &Hosts) {
+    fn mark_out_of_reach(&mut self, zone: &ZoneName, evidence: Evidence, hosts: &Hosts) {
         self.changes.push(Change::Out {
             zone: zone.clone(),
             evidence,
         });
-        self.avoid(hosts);
+        self.update_avoided(hosts);
     }
 
     /// Returns the report to gateways of the `own` zone: the zones found out of reach
@@ -110,37 +110,37 @@
         hosts: &Hosts,
         now: Timestamp,
     ) -> Vec<ZoneName> {
-        let mut doubted = Vec::new();
+        let mut to_check = Vec::new();
         for (name, by) in &told.out {
-            if !is_on(name, hosts) || !hosts.contains_key(name) {
+            if !is_tracked(name, hosts) || !hosts.contains_key(name) {
                 continue;
             }
             let zone = self.zones.entry(name.clone()).or_default();
-            if *by < BELIEVED_BY {
-                if zone.look_as_told(now) {
-                    doubted.push(name.clone());
+            if *by < MIN_REPORTERS {
+                if zone.check_reported(now) {
+                    to_check.push(name.clone());
                 }
-            } else if zone.told(now) {
-                doubted.push(name.clone());
-                self.out_of_reach(name, Evidence::Told { by: *by }, hosts);
+            } else if zone.report(now) {
+                to_check.push(name.clone());
+                self.mark_out_of_reach(name, Evidence::Told { by: *by }, hosts);
             }
         }
-        doubted
+        to_check
     }
 
     /// Records that an attempt started at `began` reached a zone.
     pub fn reached(&mut self, zone: &ZoneName, began: Timestamp, by: Sign, now: Timestamp) {
         // Nothing is recorded for zones that never failed: there may be many answers per
         // second.
-        let Some(seen) = self.zones.get_mut(zone) else {
+        let Some(state) = self.zones.get_mut(zone) else {
             return;
         };
-        if let Some(after) = seen.reached(began, now) {
-            self.back(zone.clone(), after, by);
+        if let Some(after) = state.reached(began, now) {
+            self.mark_reachable(zone.clone(), after, by);
         }
     }
 
-    fn back(&mut self, zone: ZoneName, after: Duration, by: Sign) {
+    fn mark_reachable(&mut self, zone: ZoneName, after: Duration, by: Sign) {
         self.avoided.remove(&zone);
         self.changes.push(Change::Back { zone, after, by });
     }
@@ -159,47 +159,47 @@
     /// Timeout of a probe to a zone.
     #[must_use]
     pub fn connect_timeout(&self, zone: &ZoneName) -> Duration {
-        let seen = self.zones.get(zone);
-        seen.map_or_else(|| Zone::default().connect_timeout(), Zone::connect_timeout)
+        let state = self.zones.get(zone);
+        state.map_or_else(|| Zone::default().connect_timeout(), Zone::connect_timeout)
     }
 
     /// Whether a host failed recently.
     #[must_use]
     pub fn has_failed(&self, zone: &ZoneName, host: IpAddr, now: Timestamp) -> bool {
-        let seen = self.zones.get(zone);
-        seen.is_some_and(|seen| seen.has_failed(host, now))
+        let state = self.zones.get(zone);
+        state.is_some_and(|state| state.has_failed(host, now))
     }
 
     /// Whether several hosts of a zone failed recently.
     #[must_use]
     pub fn have_several_failed(&self, zone: &ZoneName, now: Timestamp) -> bool {
-        let seen = self.zones.get(zone);
-        seen.is_some_and(|seen| seen.have_several_failed(now))
+        let state = self.zones.get(zone);
+        state.is_some_and(|state| state.have_several_failed(now))
     }
 
     /// Whether to check now whether a zone is out of reach, since one of its engines may
     /// be: at one host or, if `wide`, at several. If so, the check counts as done.
     pub fn look(&mut self, zone: &ZoneName, wide: bool, hosts: &Hosts, now: Timestamp) -> bool {
-        is_on(zone, hosts) && self.zones.entry(zone.clone()).or_default().look(wide, now)
+        is_tracked(zone, hosts) && self.zones.entry(zone.clone()).or_default().check(wide, now)
     }
 
     /// Returns the zones out of reach that are to be probed now. Drops zones without
     /// engines.
     pub fn probes(&mut self, hosts: &Hosts, now: Timestamp) -> Vec<ZoneName> {
         let mut due = Vec::new();
-        let mut gone = Vec::new();
+        let mut dropped = Vec::new();
         for (name, zone) in &mut self.zones {
             if !hosts.contains_key(name) {
-                gone.extend(zone.forget(now).map(|after| (name.clone(), after)));
+                dropped.extend(zone.clear(now).map(|after| (name.clone(), after)));
             } else if zone.probe(now) {
                 due.push(name.clone());
             }
         }
-        for (zone, after) in gone {
-            self.back(zone, after, Sign::NoEngines);
+        for (zone, after) in dropped {
+            self.mark_reachable(zone, after, Sign::NoEngines);
         }
         self.zones.retain(|name, _| hosts.contains_key(name));
-        self.avoid(hosts);
+        self.update_avoided(hosts);
         due
     }
 
@@ -210,7 +210,7 @@
 
     /// Updates the avoided zones. If all zones are out of reach, this node is the one
     /// that is cut off, and there is no better choice.
-    fn avoid(&mut self, hosts: &Hosts) {
+    fn update_avoided(&mut self, hosts: &Hosts) {
         let out: BTreeSet<ZoneName> = self.out().cloned().collect();
         self.avoided = match hosts.keys().all(|zone| out.contains(zone)) {
             true => BTreeSet::new(),
@@ -220,6 +220,6 @@
 }
 
 /// Whether reachability is tracked: the zone is known, and there are several zones.
-fn is_on(zone: &ZoneName, hosts: &Hosts) -> bool {
+fn is_tracked(zone: &ZoneName, hosts: &Hosts) -> bool {
     hosts.len() > 1 && !zone.as_str().is_empty()
 }
--- a/crates/routing/src/reach/telling.rs
+++ b/crates/routing/src/reach/telling.rs
@@ -12,7 +12,7 @@
 
 /// Number of gateways of a zone that have to find another zone out of reach before a
 /// relay accepts it.
-const BELIEVED_BY: u32 = 2;
+const MIN_REPORTERS: u32 = 2;
 
 /// Findings of the gateways of one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
@@ -26,9 +26,9 @@
 }
 
 #[derive(Clone, Debug)]
-struct Told {
+struct Report {
     teller: Teller,
-    tellings: Vec<ReachTelling>,
+    findings: Vec<ReachTelling>,
     at: Timestamp,
 }
 
@@ -36,7 +36,7 @@
 /// of zones, and with the number of reporting nodes while there is something to report.
 #[derive(Clone, Debug, Default)]
 pub struct ReachRelay {
-    told: BTreeMap<NodeId, Told>,
+    reports: BTreeMap<NodeId, Report>,
 }
 
 impl ReachRelay {
@@ -46,75 +46,76 @@
         &mut self,
         from: NodeId,
         teller: Teller,
-        tellings: Vec<ReachTelling>,
+        findings: Vec<ReachTelling>,
         now: Timestamp,
     ) -> bool {
-        if tellings.is_empty() {
-            return self.told.remove(&from).is_some();
+        if findings.is_empty() {
+            return self.reports.remove(&from).is_some();
         }
-        let told = Told {
+        let report = Report {
             teller,
-            tellings,
+            findings,
             at: now,
         };
-        let before = self.told.insert(from, told);
-        before.is_none_or(|before| before.tellings != self.told[&from].tellings)
+        let before = self.reports.insert(from, report);
+        before.is_none_or(|before| before.findings != self.reports[&from].findings)
     }
 
     /// Whether there are no reports.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.told.is_empty()
+        self.reports.is_empty()
     }
 
     /// Drops the reports of nodes that have been silent for too long.
     pub fn expire(&mut self, now: Timestamp) {
-        self.told.retain(|_, told| now.since(told.at) < SHARE_HOLDS);
+        self.reports
+            .retain(|_, report| now.since(report.at) < SHARE_HOLDS);
     }
 
     /// Returns the combined findings of the gateways of this relay, for other relays.
     #[must_use]
     pub fn of_gateways(&self) -> Vec<ReachTelling> {
-        let told = self.told.values();
-        sum(told.filter(|told| told.teller == Teller::Gateway))
+        let reports = self.reports.values();
+        sum(reports.filter(|report| report.teller == Teller::Gateway))
     }
 
     /// Returns, for a gateway in `zone`, the findings of the other gateways of that zone;
     /// `None` if there are none.
     #[must_use]
     pub fn for_gateway(&self, gateway: NodeId, zone: &ZoneName) -> Option<ReachTelling> {
-        let others = self.told.iter().filter(|(from, _)| **from != gateway);
-        let all = sum(others.map(|(_, told)| told));
-        all.into_iter().find(|telling| telling.from == *zone)
+        let others = self.reports.iter().filter(|(from, _)| **from != gateway);
+        let all = sum(others.map(|(_, report)| report));
+        all.into_iter().find(|finding| finding.from == *zone)
     }
 
     /// Returns the zones that are out of reach from `zone` according to several gateways
     /// there.
     #[must_use]
     pub fn out_of_reach(&self, zone: &ZoneName) -> BTreeSet<ZoneName> {
-        let all = sum(self.told.values());
-        let here = all.into_iter().filter(|telling| telling.from == *zone);
-        let out = here.flat_map(|telling| telling.out);
-        let believed = out.filter(|(_, by)| *by >= BELIEVED_BY);
-        believed.map(|(zone, _)| zone).collect()
+        let all = sum(self.reports.values());
+        let here = all.into_iter().filter(|finding| finding.from == *zone);
+        let out = here.flat_map(|finding| finding.out);
+        let accepted = out.filter(|(_, by)| *by >= MIN_REPORTERS);
+        accepted.map(|(zone, _)| zone).collect()
     }
 }
 
-fn sum<'t>(told: impl Iterator<Item = &'t Told>) -> Vec<ReachTelling> {
+fn sum<'t>(reports: impl Iterator<Item = &'t Report>) -> Vec<ReachTelling> {
     let mut sums: BTreeMap<&ZoneName, BTreeMap<&ZoneName, u32>> = BTreeMap::new();
-    for telling in told.flat_map(|told| &told.tellings) {
-        let sum = sums.entry(&telling.from).or_default();
-        for (zone, by) in &telling.out {
+    for finding in reports.flat_map(|report| &report.findings) {
+        let sum = sums.entry(&finding.from).or_default();
+        for (zone, by) in &finding.out {
             let count = sum.entry(zone).or_default();
             *count = count.saturating_add(*by);
         }
     }
-    let tellings = sums.into_iter().map(|(from, out)| {
+    let findings = sums.into_iter().map(|(from, out)| {
         let out = out.into_iter().map(|(zone, by)| (zone.clone(), by));
         ReachTelling {
             from: from.clone(),
             out: out.collect(),
         }
     });
-    tellings.collect()
+    findings.collect()
 }
--- a/crates/routing/src/reach/zone.rs
+++ b/crates/routing/src/reach/zone.rs
@@ -11,38 +11,38 @@
 const FAILED_HOSTS: usize = 5;
 /// Number of hosts that have to fail in any zone: a single host may have lost its own
 /// link.
-const FAILED_AT_LEAST: usize = 2;
+const MIN_FAILED_HOSTS: usize = 2;
 /// How long a failure counts: a few times the longest connect.
-const FAILURE_COUNTS: Duration = Duration::from_millis(1_500);
+const FAILURE_TTL: Duration = Duration::from_millis(1_500);
 /// Time between two checks of a zone in doubt.
-const LOOK_EVERY: Duration = Duration::from_millis(200);
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// Time between two probes of a zone out of reach: callers benefit as soon as its return
 /// is detected.
-const PROBE_EVERY: Duration = Duration::from_millis(100);
+const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 /// How long a zone is out of reach before it is probed less often.
-const PROBED_OFTEN: Duration = Duration::from_secs(10);
+const FREQUENT_PROBES_FOR: Duration = Duration::from_secs(10);
 /// Time between two probes from then on.
-const PROBE_RARELY: Duration = Duration::from_millis(500);
+const RARE_PROBE_INTERVAL: Duration = Duration::from_millis(500);
 /// Minimum timeout of a probe.
-const SHORTEST_CONNECT: Duration = Duration::from_millis(100);
+const MIN_PROBE_TIMEOUT: Duration = Duration::from_millis(100);
 /// Maximum timeout of a probe, also used while the usual connect time is not known.
-const LONGEST_CONNECT: Duration = Duration::from_millis(300);
+const MAX_PROBE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Timeout of a probe as a multiple of the usual connect time.
-const CONNECT_MARGIN: u32 = 4;
+const PROBE_TIMEOUT_FACTOR: u32 = 4;
 /// Number of connects over which the usual connect time is averaged.
-const CONNECTS_COUNTED: u32 = 8;
+const CONNECTS_AVERAGED: u32 = 8;
 /// Number of hosts that have to fail here to confirm what other gateways reported.
-const CONFIRMED_BY: usize = 2;
+const CONFIRMING_HOSTS: usize = 2;
 /// How long reports of others are ignored after a zone was found reachable from here:
 /// earlier reports are held by their relay, and again by the next one, for as long as any
 /// report.
-const DENIED_FOR: Duration = Duration::from_secs(3);
+const IGNORE_REPORTS_FOR: Duration = Duration::from_secs(3);
 /// The same if no host failed here: the gateways that reported may be cut off themselves,
 /// and stay so.
-const WRONG_FOR: Duration = Duration::from_secs(30);
+const IGNORE_WRONG_REPORTS_FOR: Duration = Duration::from_secs(30);
 /// Time between two checks because of a report by a single gateway: it may be the one
 /// that is cut off, and stay so.
-const LOOK_AS_TOLD_EVERY: Duration = Duration::from_secs(5);
+const REPORTED_CHECK_INTERVAL: Duration = Duration::from_secs(5);
 
 /// What showed that a zone is reachable again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -128,15 +128,15 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct Zone {
     /// Time of the latest answer from the zone.
-    answered: Timestamp,
+    last_answer: Timestamp,
     /// Hosts that failed since then, with the time of the latest failure.
     failures: BTreeMap<IpAddr, Timestamp>,
-    next_look: Timestamp,
+    next_check: Timestamp,
     /// Whether the latest check covered several hosts.
-    looked_wide: bool,
-    next_look_as_told: Timestamp,
+    last_check_wide: bool,
+    next_reported_check: Timestamp,
     /// Time until which reports of others are ignored.
-    denied_until: Timestamp,
+    ignore_reports_until: Timestamp,
     out: Option<Out>,
     /// Usual time that a connect takes.
     connect: Option<Duration>,
@@ -150,7 +150,7 @@
     /// Whether a host failed recently.
     pub fn has_failed(&self, host: IpAddr, now: Timestamp) -> bool {
         let failed = self.failures.get(&host);
-        failed.is_some_and(|&at| now.since(at) < FAILURE_COUNTS)
+        failed.is_some_and(|&at| now.since(at) < FAILURE_TTL)
     }
 
     /// Whether the zone is out of reach by failures seen here.
@@ -173,24 +173,23 @@
         began: Timestamp,
         now: Timestamp,
     ) -> Option<Evidence> {
-        if began < self.answered {
+        if began < self.last_answer {
             return None;
         }
-        self.failures
-            .retain(|_, at| now.since(*at) < FAILURE_COUNTS);
+        self.failures.retain(|_, at| now.since(*at) < FAILURE_TTL);
         self.failures.insert(host, now);
         let failed = self.failures.len();
-        let wanted = match self.out {
-            None => FAILED_HOSTS.min(hosts).max(FAILED_AT_LEAST),
-            Some(_) => CONFIRMED_BY,
+        let required = match self.out {
+            None => FAILED_HOSTS.min(hosts).max(MIN_FAILED_HOSTS),
+            Some(_) => CONFIRMING_HOSTS,
         };
-        if failed < wanted || self.is_found_out() {
+        if failed < required || self.is_found_out() {
             return None;
         }
         let before = self.out;
         self.out = Some(Out {
             since: before.map_or(now, |out| out.since),
-            next_probe: before.map_or(now + PROBE_EVERY, |out| out.next_probe),
+            next_probe: before.map_or(now + PROBE_INTERVAL, |out| out.next_probe),
             own: true,
         });
         let first = self.failures.values().min().copied().unwrap_or(now);
@@ -203,13 +202,13 @@
 
     /// Records that several gateways of this gateway's zone report the zone as out of
     /// reach. Returns whether that is accepted and new.
-    pub fn told(&mut self, now: Timestamp) -> bool {
-        if self.is_out() || self.denies(now) {
+    pub fn report(&mut self, now: Timestamp) -> bool {
+        if self.is_out() || self.ignores_reports(now) {
             return false;
         }
         self.out = Some(Out {
             since: now,
-            next_probe: now + PROBE_EVERY,
+            next_probe: now + PROBE_INTERVAL,
             own: false,
         });
         true
@@ -217,17 +216,17 @@
 
     /// Records that one other gateway reports the zone as out of reach. Returns whether
     /// to check the zone now; if so, the check counts as done.
-    pub fn look_as_told(&mut self, now: Timestamp) -> bool {
-        if self.is_out() || self.denies(now) || now < self.next_look_as_told {
+    pub fn check_reported(&mut self, now: Timestamp) -> bool {
+        if self.is_out() || self.ignores_reports(now) || now < self.next_reported_check {
             return false;
         }
-        self.next_look_as_told = now + LOOK_AS_TOLD_EVERY;
+        self.next_reported_check = now + REPORTED_CHECK_INTERVAL;
         true
     }
 
     /// Whether the zone was recently found reachable from here.
-    fn denies(&self, now: Timestamp) -> bool {
-        now < self.denied_until
+    fn ignores_reports(&self, now: Timestamp) -> bool {
+        now < self.ignore_reports_until
     }
 
     /// Records that an attempt started at `began` reached the zone. If the zone was out
@@ -237,19 +236,23 @@
         if self.out.is_some_and(|out| began < out.since) {
             return None;
         }
-        self.answered = now;
+        self.last_answer = now;
         self.failures.clear();
         let out = self.out.take()?;
-        let denied_for = if out.own { DENIED_FOR } else { WRONG_FOR };
-        self.denied_until = now + denied_for;
+        let ignore_for = if out.own {
+            IGNORE_REPORTS_FOR
+        } else {
+            IGNORE_WRONG_REPORTS_FOR
+        };
+        self.ignore_reports_until = now + ignore_for;
         Some(now.since(out.since))
     }
 
     /// Records the time that a connect took.
     pub fn connected(&mut self, took: Duration) {
         let usual = self.connect.unwrap_or(took);
-        let sum = usual * (CONNECTS_COUNTED - 1) + took;
-        self.connect = Some(sum / CONNECTS_COUNTED);
+        let sum = usual * (CONNECTS_AVERAGED - 1) + took;
+        self.connect = Some(sum / CONNECTS_AVERAGED);
     }
 
     /// Usual time that a connect takes, if any succeeded.
@@ -259,27 +262,27 @@
 
     /// Timeout of a probe.
     pub fn connect_timeout(&self) -> Duration {
-        let usual = self.connect.map(|usual| usual * CONNECT_MARGIN);
-        let timeout = usual.unwrap_or(LONGEST_CONNECT);
-        timeout.clamp(SHORTEST_CONNECT, LONGEST_CONNECT)
+        let usual = self.connect.map(|usual| usual * PROBE_TIMEOUT_FACTOR);
+        let timeout = usual.unwrap_or(MAX_PROBE_TIMEOUT);
+        timeout.clamp(MIN_PROBE_TIMEOUT, MAX_PROBE_TIMEOUT)
     }
 
     /// Whether several hosts failed recently.
     pub fn have_several_failed(&self, now: Timestamp) -> bool {
         let failed = self.failures.values();
-        let lately = failed.filter(|at| now.since(**at) < FAILURE_COUNTS);
-        lately.count() >= FAILED_AT_LEAST
+        let recent = failed.filter(|at| now.since(**at) < FAILURE_TTL);
+        recent.count() >= MIN_FAILED_HOSTS
     }
 
     /// Whether to check now whether the zone is out of reach, at one host or, if `wide`,
     /// at several. If so, the check counts as done.
-    pub fn look(&mut self, wide: bool, now: Timestamp) -> bool {
-        let looked = now < self.next_look && (self.looked_wide || !wide);
-        if self.is_out() || looked {
+    pub fn check(&mut self, wide: bool, now: Timestamp) -> bool {
+        let checked = now < self.next_check && (self.last_check_wide || !wide);
+        if self.is_out() || checked {
             return false;
         }
-        self.next_look = now + LOOK_EVERY;
-        self.looked_wide = wide;
+        self.next_check = now + CHECK_INTERVAL;
+        self.last_check_wide = wide;
         true
     }
 
@@ -289,17 +292,17 @@
         let Some(out) = self.out.as_mut().filter(|out| now >= out.next_probe) else {
             return false;
         };
-        let pause = match now.since(out.since) < PROBED_OFTEN {
-            true => PROBE_EVERY,
-            false => PROBE_RARELY,
+        let interval = match now.since(out.since) < FREQUENT_PROBES_FOR {
+            true => PROBE_INTERVAL,
+            false => RARE_PROBE_INTERVAL,
         };
-        out.next_probe = now + pause;
+        out.next_probe = now + interval;
         true
     }
 
     /// Clears the state, since no engine of the zone is known any more. If the zone was
     /// out of reach, returns for how long.
-    pub fn forget(&mut self, now: Timestamp) -> Option<Duration> {
+    pub fn clear(&mut self, now: Timestamp) -> Option<Duration> {
         self.failures.clear();
         self.out.take().map(|out| now.since(out.since))
     }
