--- a/crates/routing/tests/reach/main.rs
+++ b/crates/routing/tests/reach/main.rs
@@ -10,19 +10,19 @@
 };
 use molespan_routing::reach::{Change, Evidence, ReachRelay, ReachTelling, Sign, slow_after};
 use molespan_types::{NodeId, Timestamp};
-use world::{Links, Outcome, Play, SLOTS, World, ZONES, facts};
+use world::{Links, Outcome, SLOTS, Scenario, Simulation, ZONES, facts};
 
 const CONTROL: NodeId = NodeId(900);
 /// Time after a cut from which every new request has to start in time.
-const FOUND_WITHIN: u64 = 300;
+const DETECTED_WITHIN: u64 = 300;
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(10_000 + millis)
 }
 
 /// Low load: two thirds of the slots are free.
-fn lull(by_zone: bool, seed: u64) -> Play {
-    Play {
+fn low_load(by_zone: bool, seed: u64) -> Scenario {
+    Scenario {
         by_zone,
         gateways: 12,
         engines: 20,
@@ -39,52 +39,52 @@
 
 /// Cuts off a zone for 6 s under low load. Returns the number of requests that arrived
 /// from `from` after the cut until its end, and how many of them were late.
-fn play_cut(play: Play, links: Links, from: u64) -> (usize, usize) {
-    let mut world = World::new(play);
-    world.run(2_000);
-    world.links[1] = links;
-    world.run(6_000);
-    world.links[1] = Links::Up;
-    world.run(2_000);
-    let came = world.came(2_000 + from, 8_000);
-    (came.len(), late(&came))
+fn simulate_cut(scenario: Scenario, links: Links, from: u64) -> (usize, usize) {
+    let mut simulation = Simulation::new(scenario);
+    simulation.run(2_000);
+    simulation.links[1] = links;
+    simulation.run(6_000);
+    simulation.links[1] = Links::Up;
+    simulation.run(2_000);
+    let arrived = simulation.arrived_between(2_000 + from, 8_000);
+    (arrived.len(), late(&arrived))
 }
 
 #[test]
-fn behind_a_cut_all_begin_in_time_on_what_is_within_reach() {
+fn after_a_cut_all_requests_start_in_time_on_reachable_engines() {
     for links in [Links::Drop, Links::Refuse] {
         for seed in 1..=4 {
-            let (came, late) = play_cut(lull(true, seed), links, FOUND_WITHIN);
-            assert!(came > 1_000);
-            assert_eq!(late, 0, "of {came} {links:?}, seed {seed}");
+            let (arrived, late) = simulate_cut(low_load(true, seed), links, DETECTED_WITHIN);
+            assert!(arrived > 1_000);
+            assert_eq!(late, 0, "of {arrived} {links:?}, seed {seed}");
         }
     }
 }
 
 #[test]
-fn engine_by_engine_many_are_late_in_the_same_lull() {
-    let (came, late) = play_cut(lull(false, 1), Links::Drop, FOUND_WITHIN);
-    assert!(late * 20 > came, "{late} of {came}");
+fn without_zone_detection_many_requests_are_late_under_the_same_load() {
+    let (arrived, late) = simulate_cut(low_load(false, 1), Links::Drop, DETECTED_WITHIN);
+    assert!(late * 20 > arrived, "{late} of {arrived}");
 }
 
 #[test]
-fn those_that_come_as_the_links_are_cut_are_raced() {
+fn requests_that_arrive_as_the_links_are_cut_are_raced() {
     for seed in 1..=4 {
-        let (came, late) = play_cut(lull(true, seed), Links::Drop, 0);
-        assert_eq!(late, 0, "of {came}, seed {seed}");
+        let (arrived, late) = simulate_cut(low_load(true, seed), Links::Drop, 0);
+        assert_eq!(late, 0, "of {arrived}, seed {seed}");
     }
 }
 
 #[test]
-fn each_gateway_finds_out_once_and_sees_the_return_at_once() {
-    let mut world = World::new(lull(true, 5));
-    world.run(2_000);
-    world.links[1] = Links::Drop;
-    world.run(6_000);
-    let probes = world.probes;
-    world.links[1] = Links::Up;
-    world.run(1_000);
-    let changes = world.changes();
+fn each_gateway_detects_the_cut_once_and_the_return_immediately() {
+    let mut simulation = Simulation::new(low_load(true, 5));
+    simulation.run(2_000);
+    simulation.links[1] = Links::Drop;
+    simulation.run(6_000);
+    let probes = simulation.probes;
+    simulation.links[1] = Links::Up;
+    simulation.run(1_000);
+    let changes = simulation.changes();
     assert_eq!(changes.len(), 12, "all gateways");
     for (gateway, changes) in changes {
         let zones = changes.iter().map(|(_, change)| match change {
@@ -102,14 +102,15 @@
             }
         });
         let zones: BTreeSet<String> = zones.collect();
-        let beyond = match world.gateways[gateway].zone {
+        let unreachable = match simulation.gateways[gateway].zone {
             1 => BTreeSet::from(["a".to_owned(), "c".to_owned()]),
             _ => BTreeSet::from(["b".to_owned()]),
         };
-        assert_eq!(zones, beyond, "gateway {gateway}: {changes:?}");
-        let turns = changes.iter();
-        let turns = turns.filter(|(_, change)| !matches!(change, Change::Confirmed { .. }));
-        assert_eq!(turns.count(), zones.len() * 2, "{changes:?}");
+        assert_eq!(zones, unreachable, "gateway {gateway}: {changes:?}");
+        let transitions = changes.iter();
+        let transitions =
+            transitions.filter(|(_, change)| !matches!(change, Change::Confirmed { .. }));
+        assert_eq!(transitions.count(), zones.len() * 2, "{changes:?}");
         let back = changes.iter().filter_map(|(at, change)| match change {
             Change::Back { .. } => Some(*at),
             Change::Out { .. } | Change::Confirmed { .. } => None,
@@ -121,56 +122,60 @@
 }
 
 #[test]
-fn a_fifth_of_all_engines_that_crash_are_no_zone_out_of_reach() {
+fn crashes_of_a_fifth_of_all_engines_put_no_zone_out_of_reach() {
     for seed in 1..=20 {
-        let mut world = World::new(lull(true, seed));
-        world.run(1_000);
-        world.crash(0.19);
-        world.run(4_000);
-        assert!(world.changes().is_empty(), "{:?}", world.changes());
+        let mut simulation = Simulation::new(low_load(true, seed));
+        simulation.run(1_000);
+        simulation.crash(0.19);
+        simulation.run(4_000);
+        assert!(
+            simulation.changes().is_empty(),
+            "{:?}",
+            simulation.changes()
+        );
         // The remaining engines have capacity for all requests.
-        let came = world.came(1_500, 4_000);
-        assert_eq!(late(&came), 0, "of {}, seed {seed}", came.len());
+        let arrived = simulation.arrived_between(1_500, 4_000);
+        assert_eq!(late(&arrived), 0, "of {}, seed {seed}", arrived.len());
     }
 }
 
 #[test]
-fn nothing_is_lost_with_the_relays_while_a_zone_is_cut_off() {
-    let mut world = World::new(lull(true, 6));
-    world.run(2_000);
-    world.links[1] = Links::Drop;
-    world.run(1_000);
-    world.relays_up = false;
-    world.run(3_000);
-    for gateway in &world.gateways {
+fn loss_of_the_relays_during_a_cut_loses_no_knowledge_of_it() {
+    let mut simulation = Simulation::new(low_load(true, 6));
+    simulation.run(2_000);
+    simulation.links[1] = Links::Drop;
+    simulation.run(1_000);
+    simulation.relays_up = false;
+    simulation.run(3_000);
+    for gateway in &simulation.gateways {
         let out = gateway.table.zones_out_of_reach().len();
         assert_eq!(out, if gateway.zone == 1 { 2 } else { 1 });
     }
     // Gateways that receive no reports of each other may put twice the load on an engine,
     // with or without a cut. They still know what is out of reach.
-    let came = world.came(3_000, 5_500);
-    assert!(came.iter().all(Outcome::arrived_in_time));
-    world.links[1] = Links::Up;
-    world.run(150);
-    for gateway in &world.gateways {
+    let arrived = simulation.arrived_between(3_000, 5_500);
+    assert!(arrived.iter().all(Outcome::arrived_in_time));
+    simulation.links[1] = Links::Up;
+    simulation.run(150);
+    for gateway in &simulation.gateways {
         assert!(gateway.table.zones_out_of_reach().is_empty());
     }
 }
 
 #[test]
-fn a_zone_that_flaps_is_used_while_it_is_there() {
-    let mut world = World::new(lull(true, 7));
-    world.run(2_000);
+fn a_flapping_zone_is_used_while_it_is_reachable() {
+    let mut simulation = Simulation::new(low_load(true, 7));
+    simulation.run(2_000);
     for _ in 0..6 {
-        world.links[1] = Links::Drop;
-        world.run(500);
-        world.links[1] = Links::Up;
-        world.run(500);
+        simulation.links[1] = Links::Drop;
+        simulation.run(500);
+        simulation.links[1] = Links::Up;
+        simulation.run(500);
     }
-    world.run(1_000);
-    let came = world.came(2_000, 8_000);
-    assert_eq!(late(&came), 0, "of {}", came.len());
-    for gateway in &world.gateways {
+    simulation.run(1_000);
+    let arrived = simulation.arrived_between(2_000, 8_000);
+    assert_eq!(late(&arrived), 0, "of {}", arrived.len());
+    for gateway in &simulation.gateways {
         assert!(gateway.table.zones_out_of_reach().is_empty());
     }
 }
@@ -201,7 +206,7 @@
 }
 
 /// Lets attempts at engines of zone `b` fail, one of three zones.
-fn fail_of_b(table: &mut EngineTable, engines: std::ops::Range<usize>, now: u64) {
+fn fail_engines_of_b(table: &mut EngineTable, engines: std::ops::Range<usize>, now: u64) {
     for number in engines {
         let id = format!("e{}", number * 3 + 1);
         table.unreached(&id, at(now), at(now));
@@ -211,17 +216,17 @@
 #[test]
 fn a_zone_is_out_of_reach_once_five_hosts_failed_and_none_answered() {
     let mut table = table(10, &ZONES);
-    fail_of_b(&mut table, 0..4, 0);
+    fail_engines_of_b(&mut table, 0..4, 0);
     assert!(table.zones_out_of_reach().is_empty());
     // An answer in between shows that the zone is reachable and that these engines are
     // not.
     table.reached("e28", at(1), Sign::Answer, at(2));
-    fail_of_b(&mut table, 4..8, 3);
+    fail_engines_of_b(&mut table, 4..8, 3);
     assert!(table.zones_out_of_reach().is_empty());
     // A host that failed twice counts once.
-    fail_of_b(&mut table, 4..8, 4);
+    fail_engines_of_b(&mut table, 4..8, 4);
     assert!(table.zones_out_of_reach().is_empty());
-    fail_of_b(&mut table, 8..9, 5);
+    fail_engines_of_b(&mut table, 8..9, 5);
     assert_eq!(table.zones_out_of_reach(), ["b".into()]);
     let changes = table.take_reach_changes(at(5));
     let evidence = Evidence::Own {
@@ -234,7 +239,7 @@
 }
 
 #[test]
-fn attempts_from_before_an_answer_and_old_failures_say_nothing() {
+fn attempts_started_before_an_answer_and_old_failures_do_not_count() {
     let mut table = table(10, &ZONES);
     table.connected("e1", Duration::from_millis(1));
     table.reached("e1", at(100), Sign::Answer, at(110));
@@ -250,7 +255,7 @@
 }
 
 #[test]
-fn engines_of_one_machine_are_one_host() {
+fn engines_of_one_machine_count_as_one_host() {
     let mut table = EngineTable::new("a".into(), 1);
     for number in 0..12 {
         let mut engine = facts(number, ["a", "b"][number % 2]);
@@ -269,15 +274,15 @@
 }
 
 #[test]
-fn one_host_alone_is_no_zone() {
+fn a_single_failed_host_puts_no_zone_out_of_reach() {
     let mut table = table(1, &ZONES);
-    fail_of_b(&mut table, 0..1, 0);
-    fail_of_b(&mut table, 0..1, 1);
+    fail_engines_of_b(&mut table, 0..1, 0);
+    fail_engines_of_b(&mut table, 0..1, 1);
     assert!(table.zones_out_of_reach().is_empty());
 }
 
 #[test]
-fn where_all_zones_are_out_of_reach_none_is_avoided() {
+fn no_zone_is_avoided_if_all_are_out_of_reach() {
     let mut table = table(5, &ZONES);
     for number in 0..15 {
         table.unreached(&format!("e{number}"), at(0), at(10));
@@ -292,7 +297,7 @@
 }
 
 #[test]
-fn its_slots_are_neither_room_nor_load_and_nothing_goes_there() {
+fn slots_of_a_zone_out_of_reach_are_neither_capacity_nor_load_and_get_no_requests() {
     let mut table = table(10, &ZONES);
     table.set_gateways(6);
     let room = table.batch_headroom("s", at(0));
@@ -313,7 +318,7 @@
         .collect();
     table.note_shares(NodeId(7), &shares, at(1));
     assert!(table.occupancy(at(1)) > 0.3);
-    fail_of_b(&mut table, 0..10, 2);
+    fail_engines_of_b(&mut table, 0..10, 2);
     assert_eq!(table.occupancy(at(2)), 0.0);
     // Two thirds of the slots are left for two thirds of the gateways.
     assert_eq!(table.batch_headroom("s", at(2)), room);
@@ -326,7 +331,7 @@
 }
 
 #[test]
-fn what_was_sent_before_is_no_sign_of_return_and_pauses_end_with_it() {
+fn earlier_attempts_are_no_sign_of_a_return_and_a_return_ends_pauses() {
     let mut table = table(10, &ZONES);
     for number in 0..10 {
         let id = format!("e{}", number * 3 + 1);
@@ -339,7 +344,7 @@
     table.take_reach_changes(at(0));
     table.reached("e1", at(0).max(at(0)), Sign::Answer, at(1));
     let before = Timestamp::from_millis(9_000);
-    fail_of_b(&mut table, 0..10, 2);
+    fail_engines_of_b(&mut table, 0..10, 2);
     table.reached("e1", before, Sign::Answer, at(3));
     assert_eq!(table.zones_out_of_reach(), ["b".into()]);
     assert!(
@@ -369,7 +374,7 @@
 #[test]
 fn probes_are_bounded_and_a_zone_without_engines_is_forgotten() {
     let mut table = table(10, &ZONES);
-    fail_of_b(&mut table, 0..10, 0);
+    fail_engines_of_b(&mut table, 0..10, 0);
     let probed = |table: &mut EngineTable, from: u64, to: u64| -> usize {
         let ticks = (from..to).step_by(20);
         ticks.map(|now| table.probes(at(now)).len()).sum()
@@ -397,7 +402,7 @@
 }
 
 #[test]
-fn an_engine_in_doubt_has_others_of_its_zone_looked_at_once_in_a_while() {
+fn an_engine_in_doubt_triggers_probes_of_its_zone_at_a_bounded_rate() {
     let mut table = table(10, &ZONES);
     let probes = table.doubt("e1", Doubt::Slow, at(0));
     let engines: BTreeSet<&str> = probes.iter().map(|one| one.engine.as_str()).collect();
@@ -412,9 +417,9 @@
 /// Most engines that fail have crashed, and a connect to another one shows that the zone
 /// is reachable. More engines are probed only if that fails too.
 #[test]
-fn behind_one_failure_one_other_engine_is_looked_at_and_behind_two_several() {
+fn one_failure_triggers_one_probe_and_two_trigger_several() {
     let mut table = table(10, &ZONES);
-    fail_of_b(&mut table, 0..1, 0);
+    fail_engines_of_b(&mut table, 0..1, 0);
     let probes = table.doubt("e1", Doubt::Failed, at(0));
     let [probe] = probes.as_slice() else {
         panic!("{probes:?}");
@@ -427,7 +432,7 @@
 }
 
 #[test]
-fn a_connect_is_slow_behind_a_part_of_the_target_or_what_is_usual() {
+fn a_connect_is_slow_after_a_fraction_of_the_target_or_twice_the_usual_time() {
     let target = Duration::from_millis(300);
     assert_eq!(slow_after(target, None), Duration::from_millis(60));
     let far = Some(Duration::from_millis(90));
@@ -437,7 +442,7 @@
 /// Without known zones, or with all engines in one zone, reachability is not tracked:
 /// every choice is the same as if nothing had been recorded.
 #[test]
-fn it_is_off_without_several_zones() {
+fn reachability_is_not_tracked_without_several_zones() {
     for zone in ["a", ""] {
         let (mut one, mut other) = (table(10, &[zone]), table(10, &[zone]));
         for now in 0..500 {
@@ -472,20 +477,20 @@
 /// This may happen at a gateway until it knows of the cut, from its own failures or from
 /// other gateways of its zone, and never after that.
 #[test]
-fn kept_connections_lead_nobody_there_who_knows() {
+fn gateways_that_know_of_a_cut_do_not_send_over_kept_connections_across_it() {
     for seed in 1..=20 {
-        let play = Play {
+        let scenario = Scenario {
             kept: 0.4,
             gateways: 36,
-            ..lull(true, seed)
+            ..low_load(true, seed)
         };
-        let mut world = World::new(play);
-        world.run(2_000);
-        world.links[1] = Links::Drop;
-        world.run(6_000);
-        let came = world.came(2_000 + FOUND_WITHIN, 7_500);
-        assert!(late(&came) * 20 <= came.len(), "seed {seed}");
-        let changes = world.changes();
+        let mut simulation = Simulation::new(scenario);
+        simulation.run(2_000);
+        simulation.links[1] = Links::Drop;
+        simulation.run(6_000);
+        let arrived = simulation.arrived_between(2_000 + DETECTED_WITHIN, 7_500);
+        assert!(late(&arrived) * 20 <= arrived.len(), "seed {seed}");
+        let changes = simulation.changes();
         let knew = |one: &Outcome| {
             let zones = if one.zone == 1 { 2 } else { 1 };
             let outs = changes.get(&one.gateway).into_iter().flat_map(|all| *all);
@@ -493,7 +498,7 @@
                 .filter(|(at, change)| matches!(change, Change::Out { .. }) && *at < one.arrived);
             outs.count() >= zones
         };
-        let late = came.iter().filter(|one| !one.is_in_time());
+        let late = arrived.iter().filter(|one| !one.is_in_time());
         let late: Vec<&Outcome> = late.filter(|one| knew(one)).collect();
         assert!(late.is_empty(), "{late:?}, seed {seed}");
     }
@@ -505,30 +510,30 @@
 #[test]
 fn each_side_of_a_cut_uses_its_own_slots() {
     for seed in 1..=3 {
-        let play = Play {
+        let scenario = Scenario {
             rate: 480.0 * 0.7 / 0.7,
             gateways: 36,
-            ..lull(true, seed)
+            ..low_load(true, seed)
         };
-        let mut world = World::new(play);
-        world.run(2_000);
-        world.links[1] = Links::Drop;
-        world.run(6_000);
-        let all = world.came(2_000 + FOUND_WITHIN, 7_500);
+        let mut simulation = Simulation::new(scenario);
+        simulation.run(2_000);
+        simulation.links[1] = Links::Drop;
+        simulation.run(6_000);
+        let all = simulation.arrived_between(2_000 + DETECTED_WITHIN, 7_500);
         for zone in 0..ZONES.len() {
-            let came = all.iter().copied().filter(|one| one.zone == zone);
-            let came: Vec<Outcome> = came.collect();
-            let late = late(&came);
+            let arrived = all.iter().copied().filter(|one| one.zone == zone);
+            let arrived: Vec<Outcome> = arrived.collect();
+            let late = late(&arrived);
             assert!(
-                late * 20 <= came.len(),
+                late * 20 <= arrived.len(),
                 "{late} of {} in {zone}",
-                came.len()
+                arrived.len()
             );
         }
     }
 }
 
-fn told(from: &str, zone: &str, by: u32) -> ReachTelling {
+fn report(from: &str, zone: &str, by: u32) -> ReachTelling {
     ReachTelling {
         from: from.into(),
         out: vec![(zone.into(), by)],
@@ -536,12 +541,16 @@
 }
 
 #[test]
-fn what_several_gateways_of_the_own_zone_tell_is_believed_and_looked_at_at_once() {
+fn reports_of_several_gateways_of_the_own_zone_are_accepted_and_checked_immediately() {
     let mut table = table(10, &ZONES);
     // A zone that is out of reach from elsewhere may be reachable from here.
-    assert!(table.note_reach_told(&told("c", "b", 9), at(0)).is_empty());
+    assert!(
+        table
+            .note_reach_told(&report("c", "b", 9), at(0))
+            .is_empty()
+    );
     assert!(table.zones_out_of_reach().is_empty());
-    assert_eq!(table.note_reach_told(&told("a", "b", 2), at(0)).len(), 5);
+    assert_eq!(table.note_reach_told(&report("a", "b", 2), at(0)).len(), 5);
     let out = |evidence| Change::Out {
         zone: "b".into(),
         evidence,
@@ -559,60 +568,60 @@
         "what others told is not passed on"
     );
     // Hosts that fail here confirm the report.
-    fail_of_b(&mut table, 0..2, 10);
+    fail_engines_of_b(&mut table, 0..2, 10);
     let changes = table.take_reach_changes(at(10));
     assert!(
         matches!(changes.as_slice(), [Change::Confirmed { .. }]),
         "{changes:?}"
     );
     assert!(table.was_found_out_of_reach("e1"));
-    assert_eq!(table.reach_telling(), Some(told("a", "b", 1)));
+    assert_eq!(table.reach_telling(), Some(report("a", "b", 1)));
     // Own observations take precedence, and earlier reports are not accepted again.
     table.reached("e1", at(20), Sign::Connect, at(22));
-    table.note_reach_told(&told("a", "b", 5), at(60));
+    table.note_reach_told(&report("a", "b", 5), at(60));
     assert!(table.zones_out_of_reach().is_empty());
     // An earlier report may be held by two relays in sequence.
-    table.note_reach_told(&told("a", "b", 5), at(22 + 2 * 1_200));
+    table.note_reach_told(&report("a", "b", 5), at(22 + 2 * 1_200));
     assert!(table.zones_out_of_reach().is_empty());
-    table.note_reach_told(&told("a", "b", 5), at(4_000));
+    table.note_reach_told(&report("a", "b", 5), at(4_000));
     assert_eq!(table.zones_out_of_reach(), ["b".into()]);
     // If no host failed here, the gateways that reported may be cut off themselves, and
     // stay so.
     table.reached("e1", at(4_001), Sign::Connect, at(4_003));
-    table.note_reach_told(&told("a", "b", 5), at(30_000));
+    table.note_reach_told(&report("a", "b", 5), at(30_000));
     assert!(table.zones_out_of_reach().is_empty());
 }
 
 #[test]
-fn one_gateway_alone_may_be_the_one_that_is_cut_off() {
+fn the_report_of_a_single_gateway_is_checked_but_not_accepted() {
     let mut table = table(10, &ZONES);
-    let looked_at = table.note_reach_told(&told("a", "b", 1), at(0));
-    assert_eq!(looked_at.len(), 5);
+    let probes = table.note_reach_told(&report("a", "b", 1), at(0));
+    assert_eq!(probes.len(), 5);
     assert!(table.zones_out_of_reach().is_empty());
     // That gateway may stay cut off, so its report does not trigger checks all the time.
     for now in (50..5_000).step_by(50) {
         assert!(
             table
-                .note_reach_told(&told("a", "b", 1), at(now))
+                .note_reach_told(&report("a", "b", 1), at(now))
                 .is_empty()
         );
     }
 }
 
 #[test]
-fn a_relay_adds_up_what_gateways_of_a_zone_found_and_tells_each_without_its_own() {
+fn a_relay_sums_the_findings_of_a_zone_and_excludes_those_of_the_recipient() {
     let mut relay = ReachRelay::default();
     let (one, other, far, other_relay) = (NodeId(1), NodeId(2), NodeId(3), NodeId(9));
-    assert!(relay.note(one, Teller::Gateway, vec![told("a", "b", 1)], at(0)));
-    assert!(!relay.note(one, Teller::Gateway, vec![told("a", "b", 1)], at(1)));
-    relay.note(far, Teller::Gateway, vec![told("c", "b", 1)], at(0));
-    let elsewhere = vec![told("a", "b", 3), told("b", "a", 7)];
+    assert!(relay.note(one, Teller::Gateway, vec![report("a", "b", 1)], at(0)));
+    assert!(!relay.note(one, Teller::Gateway, vec![report("a", "b", 1)], at(1)));
+    relay.note(far, Teller::Gateway, vec![report("c", "b", 1)], at(0));
+    let elsewhere = vec![report("a", "b", 3), report("b", "a", 7)];
     relay.note(other_relay, Teller::Relay, elsewhere, at(0));
     let zone = "a".into();
-    assert_eq!(relay.for_gateway(one, &zone), Some(told("a", "b", 3)));
-    assert_eq!(relay.for_gateway(other, &zone), Some(told("a", "b", 4)));
+    assert_eq!(relay.for_gateway(one, &zone), Some(report("a", "b", 3)));
+    assert_eq!(relay.for_gateway(other, &zone), Some(report("a", "b", 4)));
     assert_eq!(relay.for_gateway(far, &"d".into()), None);
-    let of_gateways = [told("a", "b", 1), told("c", "b", 1)];
+    let of_gateways = [report("a", "b", 1), report("c", "b", 1)];
     assert_eq!(
         relay.of_gateways(),
         of_gateways,
@@ -625,7 +634,7 @@
     );
     // A node that reports nothing, or sends no report, is forgotten.
     assert!(relay.note(one, Teller::Gateway, Vec::new(), at(10)));
-    assert_eq!(relay.for_gateway(other, &zone), Some(told("a", "b", 3)));
+    assert_eq!(relay.for_gateway(other, &zone), Some(report("a", "b", 3)));
     relay.expire(at(1_300));
     assert!(relay.is_empty());
 }
--- a/crates/routing/tests/reach/world.rs
+++ b/crates/routing/tests/reach/world.rs
@@ -19,18 +19,18 @@
 /// Target of requests, and the part of it within which they have to start. All times are
 /// in milliseconds.
 const TARGET: u64 = 300;
-const BEGINS_WITHIN: u64 = 240;
+const START_WITHIN: u64 = 240;
 /// Time for which a request holds a slot.
-const HELD: u64 = 700;
+const SLOT_TIME: u64 = 700;
 /// Time that a connect takes over working links, and its timeout.
-const CONNECT: u64 = 2;
+const CONNECT_TIME: u64 = 2;
 const CONNECT_TIMEOUT: u64 = 300;
 /// Silence after which a request that was sent goes to another engine.
-const SILENCE: u64 = 450;
+const SILENCE_TIMEOUT: u64 = 450;
 /// Intervals of the searches of a request for an engine, of reports and of probes.
-const LOOK_AGAIN: u64 = 8;
-const ROUND: u64 = 50;
-const TICK: u64 = 20;
+const SEARCH_INTERVAL: u64 = 8;
+const REPORT_INTERVAL: u64 = 50;
+const PROBE_TICK: u64 = 20;
 
 /// How links between zones fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
 
 /// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
-pub struct Play {
+pub struct Scenario {
     /// Whether zones out of reach are detected.
     pub by_zone: bool,
     pub gateways: usize,
@@ -68,7 +68,7 @@
 pub struct Gateway {
     pub zone: usize,
     pub table: EngineTable,
-    looks: Vec<Look>,
+    open_probes: Vec<OpenProbe>,
     pub changes: Vec<(u64, Change)>,
 }
 
@@ -80,7 +80,7 @@
     kept: bool,
 }
 
-struct Look {
+struct OpenProbe {
     probe: Probe,
     began: u64,
 }
@@ -119,9 +119,9 @@
     }
 }
 
-pub struct World {
+pub struct Simulation {
     pub now: u64,
-    play: Play,
+    scenario: Scenario,
     /// How the links from each zone to the others fail.
     pub links: [Links; 3],
     pub gateways: Vec<Gateway>,
@@ -156,9 +156,9 @@
     }
 }
 
-impl World {
-    pub fn new(play: Play) -> Self {
-        let engines: Vec<Engine> = (0..play.engines * ZONES.len())
+impl Simulation {
+    pub fn new(scenario: Scenario) -> Self {
+        let engines: Vec<Engine> = (0..scenario.engines * ZONES.len())
             .map(|number| Engine {
                 id: format!("e{number}"),
                 zone: number % ZONES.len(),
@@ -168,28 +168,28 @@
             .collect();
         let gateway = |number: usize| {
             let zone = number % ZONES.len();
-            let seed = play.seed * 1_000 + number as u64;
+            let seed = scenario.seed * 1_000 + number as u64;
             let mut table = EngineTable::new(ZONES[zone].into(), seed);
             for (number, engine) in engines.iter().enumerate() {
                 table.learn(CONTROL, facts(number, ZONES[engine.zone]), at(0));
             }
-            table.set_gateways(play.gateways as u32);
+            table.set_gateways(scenario.gateways as u32);
             // Measurements of the engines from earlier requests.
-            table.note_slot_time("s", Duration::from_millis(HELD));
+            table.note_slot_time("s", Duration::from_millis(SLOT_TIME));
             for id in engines.iter().map(|engine| &engine.id) {
-                table.connected(id, Duration::from_millis(CONNECT));
+                table.connected(id, Duration::from_millis(CONNECT_TIME));
             }
             Gateway {
                 zone,
                 table,
-                looks: Vec::new(),
+                open_probes: Vec::new(),
                 changes: Vec::new(),
             }
         };
         Self {
             now: 0,
             links: [Links::Up; 3],
-            gateways: (0..play.gateways).map(gateway).collect(),
+            gateways: (0..scenario.gateways).map(gateway).collect(),
             relays: vec![Default::default(); ZONES.len()],
             relays_up: true,
             open: Vec::new(),
@@ -197,9 +197,9 @@
             outcomes: Vec::new(),
             probes: 0,
             due: 0.0,
-            random: ChaCha8Rng::seed_from_u64(play.seed),
+            random: ChaCha8Rng::seed_from_u64(scenario.seed),
             engines,
-            play,
+            scenario,
         }
     }
 
@@ -219,17 +219,17 @@
             self.end_requests();
             self.arrive();
             let mut open = std::mem::take(&mut self.open);
-            open.retain_mut(|request| !self.go_on(request));
+            open.retain_mut(|request| !self.advance(request));
             self.open = open;
-            self.look();
-            if self.now.is_multiple_of(ROUND) {
-                self.tell();
+            self.advance_probes();
+            if self.now.is_multiple_of(REPORT_INTERVAL) {
+                self.exchange_reports();
             }
         }
     }
 
     /// Outcomes of the requests that arrived in this period.
-    pub fn came(&self, from: u64, to: u64) -> Vec<Outcome> {
+    pub fn arrived_between(&self, from: u64, to: u64) -> Vec<Outcome> {
         let began = self.outcomes.iter().copied();
         let open = self.open.iter().map(|request| Outcome {
             arrived: request.arrived,
@@ -255,13 +255,13 @@
             let id = self.engines[engine].id.clone();
             table.ended(&id, WorkClass::Online);
             table.freed(&id, at(now));
-            table.note_slot_time("s", Duration::from_millis(HELD));
+            table.note_slot_time("s", Duration::from_millis(SLOT_TIME));
             self.engines[engine].running -= 1;
         }
     }
 
     fn arrive(&mut self) {
-        self.due += self.play.rate / 1_000.0;
+        self.due += self.scenario.rate / 1_000.0;
         while self.due >= 1.0 {
             self.due -= 1.0;
             let gateway = self.random.random_range(0..self.gateways.len());
@@ -290,20 +290,20 @@
         let took = self.now - began;
         let to = &self.engines[engine];
         match self.link(from, to.zone) {
-            Links::Up if to.alive && took >= CONNECT => Some(true),
-            Links::Up if !to.alive && took >= CONNECT => Some(false),
-            Links::Refuse if took >= CONNECT => Some(false),
+            Links::Up if to.alive && took >= CONNECT_TIME => Some(true),
+            Links::Up if !to.alive && took >= CONNECT_TIME => Some(false),
+            Links::Refuse if took >= CONNECT_TIME => Some(false),
             Links::Drop if took >= timeout => Some(false),
             _ => None,
         }
     }
 
     /// Advances a request. Returns whether it started.
-    fn go_on(&mut self, request: &mut Request) -> bool {
+    fn advance(&mut self, request: &mut Request) -> bool {
         let now = self.now;
         if request.connects.is_empty() {
             if now >= request.next {
-                request.next = now + LOOK_AGAIN;
+                request.next = now + SEARCH_INTERVAL;
                 self.pick(request);
             }
             return false;
@@ -320,7 +320,7 @@
 
     fn pick(&mut self, request: &mut Request) {
         let now = self.now;
-        let left = (request.arrived + BEGINS_WITHIN).saturating_sub(now);
+        let left = (request.arrived + START_WITHIN).saturating_sub(now);
         let standing = match left {
             0 => Standing::Late,
             left => Standing::InTime {
@@ -335,7 +335,7 @@
             tried: &request.tried,
             suspect: false,
         };
-        let kept = self.random.random_bool(self.play.kept);
+        let kept = self.random.random_bool(self.scenario.kept);
         let table = &mut self.gateways[request.gateway].table;
         if let Ok(picked) = table.pick(&pick, at(now)) {
             Self::occupy(table, request, picked, kept, now);
@@ -375,13 +375,17 @@
                 ..
             } = request.connects[place];
             let id = self.engines[engine].id.clone();
-            let timeout = if kept { SILENCE } else { CONNECT_TIMEOUT };
-            let came = self.connected(from, engine, began, timeout);
+            let timeout = if kept {
+                SILENCE_TIMEOUT
+            } else {
+                CONNECT_TIMEOUT
+            };
+            let result = self.connected(from, engine, began, timeout);
             let gateway = &mut self.gateways[request.gateway];
             let out = gateway.table.was_found_out_of_reach(&id);
-            match came {
+            match result {
                 Some(true) => {
-                    if self.play.by_zone {
+                    if self.scenario.by_zone {
                         gateway
                             .table
                             .reached(&id, at(began), Sign::Connect, at(now));
@@ -391,10 +395,10 @@
                 None if !out => place += 1,
                 _ => {
                     gateway.table.ended(&id, WorkClass::Online);
-                    if came.is_some() {
+                    if result.is_some() {
                         request.tried.insert(id.clone());
                         gateway.table.failed(&id, Failure::Unreachable, at(now));
-                        if self.play.by_zone {
+                        if self.scenario.by_zone {
                             gateway.table.unreached(&id, at(began), at(now));
                             gateway.doubt(&id, Doubt::Failed, now);
                         }
@@ -410,7 +414,7 @@
     /// Tries another engine in parallel if a connect is slow.
     fn race(&mut self, request: &mut Request) {
         let now = self.now;
-        if !self.play.by_zone || request.raced || request.connects.is_empty() {
+        if !self.scenario.by_zone || request.raced || request.connects.is_empty() {
             return;
         }
         let first = &request.connects[0];
@@ -426,7 +430,7 @@
         }
         request.raced = true;
         gateway.doubt(&id, Doubt::Slow, now);
-        let left = (request.arrived + BEGINS_WITHIN).saturating_sub(now);
+        let left = (request.arrived + START_WITHIN).saturating_sub(now);
         let mut tried = request.tried.clone();
         tried.insert(id.clone());
         let pick = Pick {
@@ -469,13 +473,13 @@
             pace: None,
         };
         gateway.table.report(&engine.id, load, at(now));
-        if self.play.by_zone {
+        if self.scenario.by_zone {
             gateway
                 .table
                 .reached(&engine.id, at(now), Sign::Answer, at(now));
         }
         self.running
-            .push((now + HELD, request.gateway, winner.engine));
+            .push((now + SLOT_TIME, request.gateway, winner.engine));
         self.outcomes.push(Outcome {
             arrived: request.arrived,
             gateway: request.gateway,
@@ -486,39 +490,39 @@
     }
 
     /// Advances the probes that check whether engines are reachable.
-    fn look(&mut self) {
+    fn advance_probes(&mut self) {
         let now = self.now;
         for place in 0..self.gateways.len() {
-            let looks = std::mem::take(&mut self.gateways[place].looks);
+            let open_probes = std::mem::take(&mut self.gateways[place].open_probes);
             let (zone, mut open) = (self.gateways[place].zone, Vec::new());
             let mut failed = Vec::new();
-            for look in looks {
-                let timeout = look.probe.timeout.as_millis() as u64;
-                let engine = number(&look.probe.engine);
-                let came = self.connected(zone, engine, look.began, timeout);
+            for open_probe in open_probes {
+                let timeout = open_probe.probe.timeout.as_millis() as u64;
+                let engine = number(&open_probe.probe.engine);
+                let result = self.connected(zone, engine, open_probe.began, timeout);
                 let table = &mut self.gateways[place].table;
-                let id = &look.probe.engine;
-                match came {
-                    None => open.push(look),
-                    Some(true) => table.reached(id, at(look.began), Sign::Connect, at(now)),
+                let id = &open_probe.probe.engine;
+                match result {
+                    None => open.push(open_probe),
+                    Some(true) => table.reached(id, at(open_probe.began), Sign::Connect, at(now)),
                     Some(false) => {
                         if !table.is_out_of_reach(id) {
                             table.failed(id, Failure::Unreachable, at(now));
                         }
-                        table.unreached(id, at(look.began), at(now));
-                        failed.push(look.probe.engine.clone());
+                        table.unreached(id, at(open_probe.began), at(now));
+                        failed.push(open_probe.probe.engine.clone());
                     }
                 }
             }
             let gateway = &mut self.gateways[place];
-            gateway.looks.extend(open);
+            gateway.open_probes.extend(open);
             for id in failed {
                 gateway.doubt(&id, Doubt::Failed, now);
             }
-            if now.is_multiple_of(TICK) && !gateway.table.zones_out_of_reach().is_empty() {
+            if now.is_multiple_of(PROBE_TICK) && !gateway.table.zones_out_of_reach().is_empty() {
                 let due = gateway.table.probes(at(now));
                 self.probes += due.len() as u64;
-                gateway.ask(due, now);
+                gateway.start_probes(due, now);
             }
             let changes = gateway.table.take_reach_changes(at(now));
             let changes = changes.into_iter().map(|change| (now, change));
@@ -527,7 +531,7 @@
     }
 
     /// Exchanges reports through one relay per zone.
-    fn tell(&mut self) {
+    fn exchange_reports(&mut self) {
         if !self.relays_up {
             return;
         }
@@ -537,8 +541,8 @@
             let (relay, reach) = &mut self.relays[gateway.zone];
             let node = NodeId(place as u32);
             relay.note(node, Teller::Gateway, shares, now);
-            let told = gateway.table.reach_telling().into_iter().collect();
-            reach.note(node, Teller::Gateway, told, now);
+            let findings = gateway.table.reach_telling().into_iter().collect();
+            reach.note(node, Teller::Gateway, findings, now);
         }
         let sums: Vec<_> = self
             .relays
@@ -562,20 +566,20 @@
             relay.expire(now);
             reach.expire(now);
             let own: ZoneName = name.into();
-            let beyond = reach.out_of_reach(&own).len() * self.play.gateways / ZONES.len();
-            let present = self.play.gateways - beyond;
+            let unreachable = reach.out_of_reach(&own).len() * self.scenario.gateways / ZONES.len();
+            let present = self.scenario.gateways - unreachable;
             let all_by_told = relay.all_by_told(present as u32, now);
             for (gateway, mut shares) in relay.shares_by_gateway() {
                 shares
                     .iter_mut()
                     .for_each(|share| share.multiply(all_by_told));
-                let told = reach.for_gateway(gateway, &own);
+                let findings = reach.for_gateway(gateway, &own);
                 let gateway = &mut self.gateways[gateway.0 as usize];
                 let node = NodeId(800 + zone as u32);
                 gateway.table.note_shares(node, &shares, now);
-                if let Some(told) = told.filter(|_| self.play.by_zone) {
-                    let probes = gateway.table.note_reach_told(&told, now);
-                    gateway.ask(probes, self.now);
+                if let Some(findings) = findings.filter(|_| self.scenario.by_zone) {
+                    let probes = gateway.table.note_reach_told(&findings, now);
+                    gateway.start_probes(probes, self.now);
                 }
             }
         }
@@ -594,11 +598,13 @@
 impl Gateway {
     fn doubt(&mut self, id: &str, doubt: Doubt, now: u64) {
         let probes = self.table.doubt(id, doubt, at(now));
-        self.ask(probes, now);
+        self.start_probes(probes, now);
     }
 
-    fn ask(&mut self, probes: Vec<Probe>, now: u64) {
-        let looks = probes.into_iter().map(|probe| Look { probe, began: now });
-        self.looks.extend(looks);
+    fn start_probes(&mut self, probes: Vec<Probe>, now: u64) {
+        let open_probes = probes
+            .into_iter()
+            .map(|probe| OpenProbe { probe, began: now });
+        self.open_probes.extend(open_probes);
     }
 }
