--- a/crates/routing/src/suspects/mod.rs
+++ b/crates/routing/src/suspects/mod.rs
@@ -1,14 +1,14 @@
-//! Requests that crash whichever engine runs them.
+//! Detects requests that crash every engine that runs them.
 //!
-//! An engine that ends takes all that it runs with it, and one request of those may
-//! have been the cause. Each gateway blames what it had there, and all gateways tell
-//! each other: what they know is a set of pairs of a request and an engine that ended
-//! under it, merged by union, so that a crash counts once however often and by whomever
-//! it is told. A request that is answered whole anywhere is blamed for nothing that
-//! came before. Whatever is left with three crashes that nothing else explains is
-//! guilty, and no engine gets it any more.
+//! When an engine ends, all requests that it runs fail, and one of them may have been the
+//! cause. Each gateway blames the requests that it had there, and all gateways exchange
+//! these blames: a set of pairs of a request and an engine that ended while running it,
+//! merged by union, so that a crash counts once however often and by whomever it is
+//! reported. A complete answer from any engine clears the request of all earlier crashes.
+//! A request that is left with three crashes that nothing else explains is guilty, and is
+//! not sent to any engine any more.
 //!
-//! Pure decisions: the caller gives the time and passes the tellings on.
+//! The module does no I/O: the caller passes in the time and delivers the blames.
 
 mod blame;
 mod suspect;
--- a/crates/routing/src/suspects/suspect.rs
+++ b/crates/routing/src/suspects/suspect.rs
@@ -6,32 +6,32 @@
 
 use super::blame::EngineKey;
 
-/// Crashes that are remembered of one request. A guilty one gets no further; more come
-/// only from copies of it that ran at the same time.
+/// Maximum number of crashes kept per request. A guilty request gets no further; more
+/// crashes come only from copies of it that ran at the same time.
 const MOST_CRASHES: usize = 16;
 
-/// One crash.
+/// The end of an engine that was running a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Crash {
     /// When the engine ended, on the clock of this node.
     pub at: Timestamp,
-    /// When this node heard that the request was there.
+    /// When this node learned that the request was running there.
     pub heard: Timestamp,
-    /// Whether the request was answered whole since.
+    /// Whether the request was answered completely since.
     pub cleared: bool,
-    /// Whether this gateway saw it itself.
+    /// Whether this gateway observed the crash itself.
     pub own: bool,
 }
 
-/// A request that ran at engines as they ended.
+/// A request that was running on engines when they ended.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Suspect {
     pub crashes: BTreeMap<EngineKey, Crash>,
 }
 
 impl Suspect {
-    /// Takes a crash in; says whether that is news. Nothing that was cleared is blamed
-    /// again, in whatever order the words come.
+    /// Records a crash. Returns whether that is new. A crash that was cleared is not
+    /// blamed again, in whatever order reports arrive.
     pub fn note(&mut self, engine: EngineKey, crash: Crash) -> bool {
         if let Some(known) = self.crashes.get_mut(&engine) {
             let news = crash.cleared && !known.cleared;
@@ -46,8 +46,8 @@
         true
     }
 
-    /// It was answered whole: clears it of all crashes known here; says whether there
-    /// were any left.
+    /// Clears the request of all crashes known here, after a complete answer. Returns
+    /// whether there were any left to clear.
     pub fn clear(&mut self) -> bool {
         let mut changed = false;
         for crash in self.crashes.values_mut() {
@@ -57,7 +57,7 @@
         changed
     }
 
-    /// Crashes that it is still blamed for.
+    /// Crashes that the request is still blamed for.
     pub fn blamed(&self) -> impl Iterator<Item = (EngineKey, &Crash)> {
         let crashes = self.crashes.iter();
         crashes
@@ -65,18 +65,18 @@
             .map(|(&engine, crash)| (engine, crash))
     }
 
-    /// How many those are.
+    /// Number of crashes that the request is still blamed for.
     pub fn count(&self) -> usize {
         self.blamed().count()
     }
 
-    /// When this node last heard of another crash.
+    /// When this node last learned of another crash.
     pub fn heard(&self) -> Timestamp {
         let heard = self.crashes.values().map(|crash| crash.heard);
         heard.max().unwrap_or(Timestamp::ZERO)
     }
 
-    /// When the last engine ended under it.
+    /// When the latest engine ended while running the request.
     pub fn last(&self) -> Timestamp {
         let ended = self.crashes.values().map(|crash| crash.at);
         ended.max().unwrap_or(Timestamp::ZERO)
--- a/crates/routing/src/suspects/table.rs
+++ b/crates/routing/src/suspects/table.rs
@@ -1,4 +1,5 @@
-//! All requests that ran at engines as they ended, and who of them is guilty.
+//! All requests that were running on engines when they ended, and which of them are
+//! guilty.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -9,106 +10,109 @@
 use super::blame::{Blame, EngineKey};
 use super::suspect::{Crash, Suspect};
 
-/// Crashes that nothing else explains behind which a request is guilty: as many as
-/// operators grant one request. Fewer would refuse requests that were beside a guilty
-/// one twice.
+/// Number of crashes without another explanation after which a request is guilty: as many
+/// as operators allow one request. A lower number would refuse requests that ran beside a
+/// guilty one twice.
 const GUILTY_CRASHES: usize = 3;
-/// Crashes behind which a request is guilty whatever else may explain them. Operators
-/// grant three sends behind the third crash; two of them are used up by this at most.
+/// Number of crashes after which a request is guilty whatever else may explain them.
+/// Operators allow three sends after the third crash; this uses up two of them at most.
 const GUILTY_ANYWAY: usize = 5;
-/// Crashes that nothing explains, lately, for which a request has to have one more:
-/// engines end for reasons of their own then, a machine that flaps or a rack that is
-/// lost, or other requests are about to turn out guilty.
+/// Number of recent crashes without an explanation for which a request needs one more
+/// crash to be guilty. At such times engines end for other reasons, such as a flapping
+/// machine or a lost rack, or other requests are about to be found guilty.
 const UNREST_CRASHES: usize = 2;
-/// What counts as lately there: engines that flap are up for some seconds at a time.
+/// How long such crashes count as recent: flapping engines are up for some seconds at a
+/// time.
 const UNREST: Duration = Duration::from_secs(60);
-/// How long it takes until every gateway has told what it had at an engine that ended:
-/// two looks at the engine's port, 0.12 s, and a telling through two relays.
+/// Time until every gateway has reported what it had at an engine that ended: two checks
+/// of the engine's port, 0.12 s, and a report through two relays.
 const SETTLED_AFTER: Duration = Duration::from_millis(400);
-/// Crashes from which on a batch item waits, and how long: items run for seconds, so
-/// that one is hit by several requests that crash engines before these are known. With
-/// four of them at once no item of 190,000 requests beside them was refused in place of
-/// 70 (tests/suspect_schedules, 60 schedules). Online requests do not wait: as many were
-/// refused, and copies of a guilty one that waited went out together.
+/// Number of crashes from which a batch item waits, and how long. Items run for seconds,
+/// so that several crashing requests can hit the same item before they are identified.
+/// With four such requests at once, no item among the 190,000 requests beside them was
+/// refused, instead of 70 without the wait (tests/suspect_schedules, 60 schedules).
+/// Online requests do not wait: as many were refused with a wait, and waiting copies of a
+/// guilty request were sent together.
 const ITEM_WAITS_FROM: usize = 2;
 const ITEM_WAITS: Duration = Duration::from_secs(3);
-/// How long a request is remembered behind its last crash. One that comes once an hour
-/// must not begin anew each time.
+/// How long a request is remembered after its latest crash, so that one that is sent once
+/// an hour does not start anew each time.
 const REMEMBERED: Duration = Duration::from_secs(3 * 3_600);
-/// Requests that are remembered; beyond it those with the fewest crashes go first, and
-/// of these the oldest. Some 200 bytes each.
+/// Maximum number of remembered requests, some 200 bytes each. Beyond it, those with the
+/// fewest crashes are dropped first, and of these the oldest.
 const MOST_SUSPECTS: usize = 4_096;
-/// Times that news are told: a telling may be lost.
+/// Number of times that a new blame is sent, since a report may be lost.
 const TOLD_TIMES: u32 = 3;
-/// Blames in one telling, some 40 bytes each.
+/// Maximum number of blames in one report, some 40 bytes each.
 const MOST_TOLD: usize = 128;
-/// Blames that are told again in turn, each [`REPEATED_EVERY`], so that whoever was cut
-/// off, or has just started, hears of them all: 0.3 KB a second.
+/// Number of blames that are sent again in rotation every [`REPEATED_EVERY`], so that
+/// nodes that were cut off or have just started receive all of them: 0.3 KB per second.
 const REPEATED: usize = 8;
-/// Time between two of those.
+/// Time between two of these repetitions.
 const REPEATED_EVERY: Duration = Duration::from_secs(1);
-/// Time behind which a gateway that saw no crash of a guilty request asks for its bar:
-/// those that saw one ask first.
+/// Time after which a gateway that observed no crash of a guilty request asks for its
+/// bar: gateways that observed one ask first.
 const OTHERS_ASK_AFTER: Duration = Duration::from_secs(3);
 
 /// Whether a request may be sent to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// The request is not blamed for any crash.
     Free,
-    /// It ran at so many engines as they ended.
+    /// The request was running on engines when they ended.
     Suspect {
-        /// Engines.
+        /// Number of these engines.
         crashes: usize,
     },
-    /// It may be guilty, which shows by then.
+    /// The request may be guilty, which is not decided yet.
     Unsettled {
-        /// When.
+        /// When it can be decided.
         until: Timestamp,
     },
-    /// No engine gets it.
+    /// The request must not be sent to any engine.
     Barred {
-        /// Engines that ended under it, as far as this node knows.
+        /// Number of engines that ended while running it, as far as this node knows.
         crashes: usize,
     },
 }
 
-/// What one node knows of crashes.
+/// Crashes known to one node, and the requests blamed for them.
 #[derive(Clone, Debug, Default)]
 pub struct SuspectTable {
     suspects: BTreeMap<RequestDigest, Suspect>,
-    /// Requests by the engine that ended.
+    /// Requests by the engine that ended while running them.
     at_engine: BTreeMap<EngineKey, BTreeSet<RequestDigest>>,
-    /// Bars that the control group holds, with their ends.
+    /// Bars held by the control group, which keep a request from all engines, with the
+    /// time at which they end.
     bars: BTreeMap<RequestDigest, Timestamp>,
-    /// What is to be told, and how often yet.
+    /// Blames to be sent, and how many more times.
     news: VecDeque<(RequestDigest, EngineKey, u32)>,
-    /// Behind which blame the next one is told again.
+    /// Latest blame that was repeated; the next repetition continues after it.
     repeated: Option<(RequestDigest, EngineKey)>,
     repeated_at: Timestamp,
 }
 
 impl SuspectTable {
-    /// Whether no request has to be looked up: so on all days without a crash.
+    /// Whether no request has to be looked up, as is the case unless engines crash.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty() && self.bars.is_empty()
     }
 
-    /// Requests that are remembered.
+    /// Number of remembered requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Bars that hold here.
+    /// Number of bars that are in force here.
     #[must_use]
     pub fn bars(&self) -> usize {
         self.bars.len()
     }
 
-    /// This gateway had a request at an engine that ended. Says how many crashes it is
-    /// blamed for by now, if this one is news.
+    /// Records that this gateway had a request at an engine that ended. Returns the
+    /// number of crashes that the request is now blamed for, if this one is new.
     pub fn blame(
         &mut self,
         request: RequestDigest,
@@ -125,7 +129,7 @@
         news.then(|| self.crashes(&request))
     }
 
-    /// Takes in what another node tells; says whether any of it is news.
+    /// Records the blames that another node reports. Returns whether any of them is new.
     pub fn note(&mut self, blames: &[Blame], now: Timestamp) -> bool {
         let mut news = false;
         for blame in blames.iter().take(MOST_TOLD) {
@@ -154,7 +158,8 @@
         true
     }
 
-    /// A request was answered whole by an engine. Says whether it was blamed.
+    /// Records that an engine answered a request completely. Returns whether the request
+    /// was blamed.
     pub fn answered(&mut self, request: &RequestDigest) -> bool {
         let Some(suspect) = self.suspects.get_mut(request) else {
             return false;
@@ -169,18 +174,19 @@
         true
     }
 
-    /// The control group holds a bar until `ends`.
+    /// Records that the control group holds a bar until `ends`.
     pub fn bar(&mut self, request: RequestDigest, ends: Timestamp) {
         self.bars.insert(request, ends);
     }
 
-    /// An operator lifted a bar: what was known of the request counts no more.
+    /// Records that an operator lifted a bar: what was known of the request no longer
+    /// counts.
     pub fn lift(&mut self, request: &RequestDigest) {
         self.bars.remove(request);
         self.answered(request);
     }
 
-    /// Crashes that a request is blamed for.
+    /// Number of crashes that a request is blamed for.
     #[must_use]
     pub fn crashes(&self, request: &RequestDigest) -> usize {
         self.suspects.get(request).map_or(0, Suspect::count)
@@ -199,7 +205,7 @@
         if crashes < GUILTY_CRASHES {
             return Verdict::Suspect { crashes };
         }
-        // Who else was there may not have been told yet.
+        // Other requests that were running there may not have been reported yet.
         let until = suspect.heard() + SETTLED_AFTER;
         if now < until {
             return Verdict::Unsettled { until };
@@ -210,8 +216,9 @@
         }
     }
 
-    /// Until when a batch item waits that engines ended under more than once: whoever
-    /// else was the cause has shown by then. `None` when it need not.
+    /// Returns until when a batch item has to wait after several engines ended while
+    /// running it: by then, another request that was the cause has been found. `None` if
+    /// it need not wait.
     #[must_use]
     pub fn item_waits(&self, request: &RequestDigest, now: Timestamp) -> Option<Timestamp> {
         let suspect = self.suspects.get(request)?;
@@ -223,9 +230,9 @@
         self.bars.get(request).is_some_and(|&ends| now < ends)
     }
 
-    /// Whether a request is the cause of its crashes. Of those that were at the same
-    /// engine, the one with the most crashes explains the end of it; where two have
-    /// as many, neither does, and the next crash tells them apart.
+    /// Whether a request is the cause of its crashes. Of the requests at the same engine,
+    /// the one with the most crashes explains its end. If two have as many, neither does,
+    /// and the next crash distinguishes them.
     fn is_guilty(&self, request: &RequestDigest, suspect: &Suspect, now: Timestamp) -> bool {
         let count = suspect.count();
         if count >= GUILTY_ANYWAY {
@@ -239,8 +246,8 @@
         alone.count() >= GUILTY_CRASHES + self.unexplained(suspect, now) / UNREST_CRASHES
     }
 
-    /// Engines that ended lately without this request, and without any that has as many
-    /// crashes as a guilty one.
+    /// Number of engines that ended recently without this request, and without any
+    /// request that is barred or has as many crashes as a guilty one.
     fn unexplained(&self, but: &Suspect, now: Timestamp) -> usize {
         let engines = self.at_engine.iter();
         let unexplained = engines.filter(|(engine, requests)| {
@@ -257,8 +264,8 @@
         unexplained.count()
     }
 
-    /// Guilty requests that no bar holds yet, with their crashes, as far as this
-    /// gateway is one of those to ask for it.
+    /// Returns the guilty requests without a bar and the number of their crashes, if this
+    /// gateway is to ask for the bar.
     #[must_use]
     pub fn to_bar(&self, now: Timestamp) -> Vec<(RequestDigest, usize)> {
         let many = self.suspects.iter();
@@ -273,7 +280,7 @@
             .collect()
     }
 
-    /// Whether a request without a bar may be guilty, now or once it settled.
+    /// Whether a request without a bar may be guilty, now or once that is decided.
     #[must_use]
     pub fn has_candidates(&self, now: Timestamp) -> bool {
         let suspects = self.suspects.iter();
@@ -281,20 +288,20 @@
         many.any(|(request, _)| !self.is_barred(request, now))
     }
 
-    /// How long ago this node heard of the last crash of a request.
+    /// Time since this node learned of the latest crash of a request.
     #[must_use]
     pub fn heard_ago(&self, request: &RequestDigest, now: Timestamp) -> Option<Duration> {
         let suspect = self.suspects.get(request)?;
         Some(now.since(suspect.heard()))
     }
 
-    /// Whether there is something to tell that was not told yet.
+    /// Whether there are new blames to send.
     #[must_use]
     pub fn has_news(&self) -> bool {
         !self.news.is_empty()
     }
 
-    /// What is to be told now: news, and some of the rest in turn.
+    /// Returns the blames to send now: new ones, and some of the others in rotation.
     pub fn tell(&mut self, now: Timestamp) -> Vec<Blame> {
         let mut pairs: Vec<(RequestDigest, EngineKey)> = Vec::new();
         let mut again = VecDeque::new();
@@ -319,7 +326,7 @@
         blames.collect()
     }
 
-    /// The next blames in their order, from the first one on again at its end.
+    /// Returns the next blames in order; after the last one, the next call starts over.
     fn next_repeated(&mut self, room: usize) -> Vec<(RequestDigest, EngineKey)> {
         let from = self.repeated;
         let suspects = match from {
@@ -349,7 +356,7 @@
         })
     }
 
-    /// Forgets what is too old.
+    /// Drops bars that ended and requests that are remembered no longer.
     pub fn expire(&mut self, now: Timestamp) {
         self.bars.retain(|_, ends| now < *ends);
         let suspects = self.suspects.iter();
@@ -360,7 +367,7 @@
         }
     }
 
-    /// Makes room for one that was just taken in.
+    /// Makes room for a request that was just added.
     fn forget_one(&mut self, but: &RequestDigest) {
         let suspects = self.suspects.iter().filter(|(request, _)| *request != but);
         let least = suspects.min_by_key(|(_, suspect)| (suspect.count(), suspect.last()));
--- a/crates/routing/tests/suspect_schedules/main.rs
+++ b/crates/routing/tests/suspect_schedules/main.rs
@@ -1,15 +1,15 @@
-//! Who is refused, and how many engines end, over drawn schedules.
+//! Counts the requests that are refused and the engines that end, over random schedules.
 //!
-//! `SUSPECT_SCHEDULES` sets how many of each kind are drawn; figures of many are in
+//! `SUSPECT_SCHEDULES` sets how many of each kind are drawn; results of many are in
 //! `docs/decisions/0015-crashing-requests.md`.
 
 mod world;
 
 use world::{Outcome, Place, Plan, Rule, World};
 
-/// Schedules of each kind, unless the environment says otherwise.
+/// Number of schedules of each kind, unless the environment variable sets another.
 const SCHEDULES: u64 = 6;
-/// Sends behind the third crash and the grace that operators grant.
+/// Number of sends that operators allow after the third crash and the grace period.
 const GRANTED: usize = 3;
 
 const PLAN: Plan = Plan {
@@ -27,7 +27,7 @@
     items_wait: true,
 };
 
-/// What is drawn: its name and what differs from the first one.
+/// The kinds of schedules: name and parameters.
 fn plans() -> Vec<(&'static str, Plan)> {
     vec![
         ("one crasher", PLAN),
@@ -125,7 +125,7 @@
     assert!(drawn(plan).refused > 0);
 }
 
-/// Prints the ways side by side; `--ignored` with `SUSPECT_SCHEDULES` set.
+/// Prints the variants side by side; run with `--ignored` and `SUSPECT_SCHEDULES` set.
 #[test]
 #[ignore = "a comparison for the decision record, not a check"]
 fn compare() {
--- a/crates/routing/tests/suspect_schedules/world.rs
+++ b/crates/routing/tests/suspect_schedules/world.rs
@@ -1,5 +1,6 @@
-//! A fleet in virtual time: gateways with their tables of suspects, engines that end
-//! under requests or for reasons of their own, tellings that are late, lost and double.
+//! Simulates a fleet in virtual time: gateways with their suspect tables, engines that
+//! end because of requests or for other reasons, and reports that are delayed, lost and
+//! duplicated.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
@@ -12,45 +13,46 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Looks at a port, and what a busy gateway adds.
+/// Time for the checks of a port, and the delay that a busy gateway adds.
 const LOOK_MS: std::ops::Range<u64> = 120..220;
-/// Time between two tellings of a gateway.
+/// Reporting interval of a gateway.
 const TELL_EVERY_MS: u64 = 150;
-/// Delay of a telling, directly or through two relays.
+/// Delay of a report, directly or through two relays.
 const TELLING_MS: std::ops::Range<u64> = 2..130;
-/// Share of the tellings that are lost, and of those that come twice.
+/// Fraction of the reports that are lost, and of those that arrive twice.
 const LOST: f64 = 0.05;
 const DOUBLE: f64 = 0.05;
-/// Until a bar that was asked for is known to gateways in touch.
+/// Time until connected gateways know of a bar that was requested.
 const BAR_MS: u64 = 200;
-/// How long an engine has to have been there to count as one that stays.
+/// How long an engine has to be up to count as settled.
 const SETTLED_MS: u64 = 10_000;
-/// What operators grant behind the third crash before they count, and how much.
+/// Grace period that operators grant after the third crash, and to a gateway that was cut
+/// off, before sends count.
 pub const CONTACT_MS: u64 = 3_000;
 
-/// Who decides that a request is guilty.
+/// Rule that decides which requests are guilty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
-    /// Nobody, as it was before.
+    /// No rule: no request is guilty.
     None,
-    /// Whoever has three crashes.
+    /// Every request with three crashes.
     Count,
-    /// The table.
+    /// As decided by the suspect table.
     Table,
 }
 
-/// Where a request goes that engines ended under before.
+/// Where a request is sent after engines ended while running it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Place {
-    /// Where any other goes.
+    /// To the same engines as other requests.
     AsOthers,
     /// To the engine that runs the fewest requests.
     Emptiest,
-    /// To one that has been there for a while, if one has room.
+    /// To an engine that has been up for a while, if one has a free slot.
     Settled,
 }
 
-/// What a schedule is drawn from.
+/// Parameters of a schedule.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub rule: Rule,
@@ -58,36 +60,37 @@
     pub gateways: usize,
     pub engines: usize,
     pub slots: usize,
-    /// Requests that crash engines, each sent again and again.
+    /// Number of requests that crash engines, each sent repeatedly.
     pub crashers: usize,
-    /// Share of the engines that end and come back by turns.
+    /// Fraction of the engines that end and return repeatedly.
     pub flapping: f64,
-    /// Engines that are lost at once, in the middle.
+    /// Number of engines that are lost at once, halfway through.
     pub lost_at_once: usize,
-    /// Whether gateways are cut off for seconds.
+    /// Whether gateways are cut off for some seconds.
     pub cuts: bool,
-    /// Share of the requests that are batch items, which are tried without a bound.
+    /// Fraction of the requests that are batch items, which are retried without limit.
     pub batch: f64,
     pub seconds: u64,
-    /// Whether batch items wait that engines ended under twice.
+    /// Whether batch items wait after two engines ended while running them.
     pub items_wait: bool,
 }
 
-/// What came of it.
+/// Results of a schedule.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Outcome {
     pub innocents: usize,
-    /// Innocents that were at an engine as it ended.
+    /// Innocent requests that were running on an engine when it ended.
     pub blamed: usize,
-    /// Innocents that were ever refused as guilty.
+    /// Innocent requests that were refused as guilty at least once.
     pub refused: usize,
-    /// Those of them that were batch items.
+    /// Batch items among these.
     pub refused_items: usize,
-    /// Engines that ended under crashers.
+    /// Engines that crashers ended.
     pub ended: usize,
-    /// Most sends of one crasher to engines behind its third crash and the grace.
+    /// Maximum number of sends of one crasher to engines after its third crash and the
+    /// grace period.
     pub most_behind: usize,
-    /// Innocent requests that were broken off by crashers.
+    /// Interruptions of innocent requests by crashers.
     pub broken: usize,
 }
 
@@ -155,7 +158,7 @@
     table: SuspectTable,
     cut: bool,
     cut_until_ms: u64,
-    /// Requests at engines that broke off, to be looked into.
+    /// Requests that were interrupted, by the engine to be checked.
     open: BTreeMap<(usize, u32), Vec<usize>>,
 }
 
@@ -310,7 +313,8 @@
         number
     }
 
-    /// Half of the slots are taken by requests of 0.8 s and items of 4 s.
+    /// Creates a request. Arrivals take up half of the slots, with requests of 0.8 s and
+    /// items of 4 s.
     fn arrives(&mut self) {
         let batch = self.random.random_bool(self.plan.batch);
         let request = self.request(if batch { Kind::Batch } else { Kind::Online });
@@ -320,7 +324,7 @@
         let slots = (self.plan.engines * self.plan.slots) as f64;
         let gap = mean_ms / (slots * 0.5);
         let wait = -gap * (1.0 - self.random.random::<f64>()).ln();
-        // Several within a millisecond come one millisecond apart.
+        // Arrivals within the same millisecond are moved one millisecond apart.
         self.later((wait.round() as u64).max(1), Event::Arrives);
     }
 
@@ -421,7 +425,8 @@
                 self.count_behind(request, gateway);
                 let after = self.random.random_range(30..400);
                 self.later(after, Event::Ends { engine, life });
-                // Its run is told apart at the end by being there.
+                // Needs no `Done` event: `ends` finds the crasher among the running
+                // requests.
             }
             kind => {
                 let mean = if kind == Kind::Batch { 4_000.0 } else { 800.0 };
@@ -494,7 +499,7 @@
         let mut by_crasher = false;
         let mut broken = Vec::new();
         for run in running {
-            let run = self.runs.remove(&run).expect("it runs");
+            let run = self.runs.remove(&run).expect("the request runs");
             if self.requests[run.request].kind == Kind::Crasher {
                 by_crasher = true;
                 self.requests[run.request].crashes.push(self.now_ms);
@@ -532,7 +537,8 @@
                 let look = LOOK_MS.end + self.random.random_range(0..300);
                 self.later(look, Event::Tried { request, gateway });
             }
-            // Its stream goes on at another engine; then its caller sends it again, twice.
+            // The stream is resumed at another engine; after that its caller sends it
+            // again, up to twice.
             Kind::Online if self.requests[request].attempts < 2 => {
                 self.later(1, Event::Tried { request, gateway });
             }
--- a/crates/routing/tests/suspects.rs
+++ b/crates/routing/tests/suspects.rs
@@ -1,4 +1,4 @@
-//! Which requests are blamed for the end of engines, and which of them are guilty.
+//! Which requests are blamed when engines end, and which of them are guilty.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use molespan_types::Timestamp;
 use proptest::prelude::*;
 
-/// Behind which all gateways have told what they had.
+/// Time after which all gateways have reported what they had.
 const SETTLED: u64 = 500;
 
 fn request(number: u64) -> RequestDigest {
@@ -28,7 +28,8 @@
     engine_key(&format!("i-{number}"))
 }
 
-/// A table in which requests were at engines as these ended: (request, engine, time).
+/// A table of requests that were running on engines when these ended: (request, engine,
+/// time).
 fn table(crashes: &[(u64, u64, u64)]) -> SuspectTable {
     let mut table = SuspectTable::default();
     for &(one, at, millis) in crashes {
@@ -81,10 +82,10 @@
     let mut table = table(&[(1, 1, 0), (1, 2, 10)]);
     let before = table.tell(now(20));
     assert!(table.answered(&request(1)));
-    assert!(!table.answered(&request(1)), "there was nothing left");
+    assert!(!table.answered(&request(1)), "nothing was left to clear");
     table.note(&before, now(30));
     assert_eq!(table.verdict(&request(1), now(40)), Verdict::Free);
-    // Others hear that it is cleared, also those that blame it themselves.
+    // Others learn that it is cleared, including those that blame it themselves.
     let mut other = self::table(&[(1, 1, 0), (1, 2, 10), (1, 3, 20)]);
     other.note(&table.tell(now(50)), now(60));
     assert_eq!(other.crashes(&request(1)), 1);
@@ -92,7 +93,7 @@
 
 #[test]
 fn who_was_beside_a_guilty_request_each_time_is_not_guilty() {
-    // The same three engines ended under both: neither is told apart yet.
+    // The same three engines ended with both requests: neither can be identified yet.
     let shared = [
         (1, 1, 0),
         (2, 1, 0),
@@ -104,7 +105,7 @@
     let mut table = table(&shared);
     assert!(!is_barred(&table, 1, 2_000));
     assert!(!is_barred(&table, 2, 2_000));
-    // The next one ends under the first alone.
+    // The next engine ends with the first request only.
     table.blame(request(1), engine(4), now(2_500));
     assert!(is_barred(&table, 1, 4_000));
     assert!(!is_barred(&table, 2, 4_000));
@@ -123,12 +124,12 @@
 
 #[test]
 fn while_engines_end_for_reasons_of_their_own_three_crashes_are_no_proof() {
-    // A rack is lost, each engine with one request.
+    // A rack is lost, with one request on each engine.
     let mut crashes: Vec<(u64, u64, u64)> = (10..14).map(|one| (one, one, 100)).collect();
     crashes.extend([(1, 1, 200), (1, 2, 700), (1, 3, 900)]);
     let mut table = table(&crashes);
     assert!(!is_barred(&table, 1, 2_000));
-    // A minute later that rack says nothing any more.
+    // A minute later the loss of the rack no longer counts.
     assert!(is_barred(&table, 1, 62_000));
     table.blame(request(1), engine(4), now(2_500));
     table.blame(request(1), engine(5), now(2_600));
@@ -150,12 +151,12 @@
     table.lift(&request(1));
     assert!(
         !is_barred(&table, 1, 20_000),
-        "what was known counts no more"
+        "what was known before no longer counts"
     );
     for at in 4..=6 {
         table.blame(request(1), engine(at), now(21_000));
     }
-    assert!(is_barred(&table, 1, 22_000), "new crashes count anew");
+    assert!(is_barred(&table, 1, 22_000), "new crashes count");
 }
 
 #[test]
@@ -194,7 +195,7 @@
     }
     assert!(!table.has_news());
     assert_eq!(table.tell(now(200)), []);
-    // Within some seconds whoever was away hears of each.
+    // Within some seconds a node that was cut off receives all of them.
     let mut other = SuspectTable::default();
     for second in 2..9 {
         other.note(&table.tell(now(second * 1_000)), now(second * 1_000));
@@ -276,7 +277,8 @@
 }
 
 proptest! {
-    /// What tables know depends on what was told and not on its order or repetition.
+    /// What a table knows depends on what was reported, not on the order or on
+    /// repetitions.
     #[test]
     fn tellings_may_come_in_any_order_and_twice(
         told in words(),
