--- a/crates/routing/src/suspects/suspect.rs
+++ b/crates/routing/src/suspects/suspect.rs
@@ -8,7 +8,7 @@
 
 /// Maximum number of crashes kept per request. A guilty request gets no further; more
 /// crashes come only from copies of it that ran at the same time.
-const MOST_CRASHES: usize = 16;
+const MAX_CRASHES: usize = 16;
 
 /// The end of an engine that was running a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -16,7 +16,7 @@
     /// When the engine ended, on the clock of this node.
     pub at: Timestamp,
     /// When this node learned that the request was running there.
-    pub heard: Timestamp,
+    pub learned_at: Timestamp,
     /// Whether the request was answered completely since.
     pub cleared: bool,
     /// Whether this gateway observed the crash itself.
@@ -34,12 +34,12 @@
     /// blamed again, in whatever order reports arrive.
     pub fn note(&mut self, engine: EngineKey, crash: Crash) -> bool {
         if let Some(known) = self.crashes.get_mut(&engine) {
-            let news = crash.cleared && !known.cleared;
+            let newly_cleared = crash.cleared && !known.cleared;
             known.cleared |= crash.cleared;
             known.own |= crash.own;
-            return news;
+            return newly_cleared;
         }
-        if self.crashes.len() >= MOST_CRASHES {
+        if self.crashes.len() >= MAX_CRASHES {
             return false;
         }
         self.crashes.insert(engine, crash);
@@ -71,13 +71,13 @@
     }
 
     /// When this node last learned of another crash.
-    pub fn heard(&self) -> Timestamp {
-        let heard = self.crashes.values().map(|crash| crash.heard);
-        heard.max().unwrap_or(Timestamp::ZERO)
+    pub fn last_learned_at(&self) -> Timestamp {
+        let learned_at = self.crashes.values().map(|crash| crash.learned_at);
+        learned_at.max().unwrap_or(Timestamp::ZERO)
     }
 
     /// When the latest engine ended while running the request.
-    pub fn last(&self) -> Timestamp {
+    pub fn last_crash_at(&self) -> Timestamp {
         let ended = self.crashes.values().map(|crash| crash.at);
         ended.max().unwrap_or(Timestamp::ZERO)
     }
--- a/crates/routing/src/suspects/table.rs
+++ b/crates/routing/src/suspects/table.rs
@@ -16,14 +16,14 @@
 const GUILTY_CRASHES: usize = 3;
 /// Number of crashes after which a request is guilty whatever else may explain them.
 /// Operators allow three sends after the third crash; this uses up two of them at most.
-const GUILTY_ANYWAY: usize = 5;
+const ALWAYS_GUILTY_CRASHES: usize = 5;
 /// Number of recent crashes without an explanation for which a request needs one more
 /// crash to be guilty. At such times engines end for other reasons, such as a flapping
 /// machine or a lost rack, or other requests are about to be found guilty.
-const UNREST_CRASHES: usize = 2;
+const UNEXPLAINED_PER_EXTRA_CRASH: usize = 2;
 /// How long such crashes count as recent: flapping engines are up for some seconds at a
 /// time.
-const UNREST: Duration = Duration::from_secs(60);
+const UNEXPLAINED_WINDOW: Duration = Duration::from_secs(60);
 /// Time until every gateway has reported what it had at an engine that ended: two checks
 /// of the engine's port, 0.12 s, and a report through two relays.
 const SETTLED_AFTER: Duration = Duration::from_millis(400);
@@ -33,26 +33,26 @@
 /// refused, instead of 70 without the wait (tests/suspect_schedules, 60 schedules).
 /// Online requests do not wait: as many were refused with a wait, and waiting copies of a
 /// guilty request were sent together.
-const ITEM_WAITS_FROM: usize = 2;
-const ITEM_WAITS: Duration = Duration::from_secs(3);
+const ITEM_WAIT_CRASHES: usize = 2;
+const ITEM_WAIT: Duration = Duration::from_secs(3);
 /// How long a request is remembered after its latest crash, so that one that is sent once
 /// an hour does not start anew each time.
-const REMEMBERED: Duration = Duration::from_secs(3 * 3_600);
+const SUSPECT_TTL: Duration = Duration::from_secs(3 * 3_600);
 /// Maximum number of remembered requests, some 200 bytes each. Beyond it, those with the
 /// fewest crashes are dropped first, and of these the oldest.
-const MOST_SUSPECTS: usize = 4_096;
+const MAX_SUSPECTS: usize = 4_096;
 /// Number of times that a new blame is sent, since a report may be lost.
-const TOLD_TIMES: u32 = 3;
+const SENDS_PER_BLAME: u32 = 3;
 /// Maximum number of blames in one report, some 40 bytes each.
-const MOST_TOLD: usize = 128;
-/// Number of blames that are sent again in rotation every [`REPEATED_EVERY`], so that
+const MAX_REPORT_BLAMES: usize = 128;
+/// Number of blames that are sent again in rotation every [`REPEAT_INTERVAL`], so that
 /// nodes that were cut off or have just started receive all of them: 0.3 KB per second.
-const REPEATED: usize = 8;
+const REPEATED_BLAMES: usize = 8;
 /// Time between two of these repetitions.
-const REPEATED_EVERY: Duration = Duration::from_secs(1);
+const REPEAT_INTERVAL: Duration = Duration::from_secs(1);
 /// Time after which a gateway that observed no crash of a guilty request asks for its
 /// bar: gateways that observed one ask first.
-const OTHERS_ASK_AFTER: Duration = Duration::from_secs(3);
+const NON_OBSERVER_DELAY: Duration = Duration::from_secs(3);
 
 /// Whether a request may be sent to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -86,10 +86,10 @@
     /// time at which they end.
     bars: BTreeMap<RequestDigest, Timestamp>,
     /// Blames to be sent, and how many more times.
-    news: VecDeque<(RequestDigest, EngineKey, u32)>,
+    unsent: VecDeque<(RequestDigest, EngineKey, u32)>,
     /// Latest blame that was repeated; the next repetition continues after it.
-    repeated: Option<(RequestDigest, EngineKey)>,
-    repeated_at: Timestamp,
+    last_repeated: Option<(RequestDigest, EngineKey)>,
+    last_repeat_at: Timestamp,
 }
 
 impl SuspectTable {
@@ -121,28 +121,28 @@
     ) -> Option<usize> {
         let crash = Crash {
             at: now,
-            heard: now,
+            learned_at: now,
             cleared: false,
             own: true,
         };
-        let news = self.insert(request, engine, crash);
-        news.then(|| self.crashes(&request))
+        let is_new = self.insert(request, engine, crash);
+        is_new.then(|| self.crashes(&request))
     }
 
     /// Records the blames that another node reports. Returns whether any of them is new.
     pub fn note(&mut self, blames: &[Blame], now: Timestamp) -> bool {
-        let mut news = false;
-        for blame in blames.iter().take(MOST_TOLD) {
+        let mut is_new = false;
+        for blame in blames.iter().take(MAX_REPORT_BLAMES) {
             let age = blame.age_ms.saturating_mul(1_000);
             let crash = Crash {
                 at: Timestamp(now.0.saturating_sub(age)),
-                heard: now,
+                learned_at: now,
                 cleared: blame.cleared,
                 own: false,
             };
-            news |= self.insert(blame.request, blame.engine, crash);
+            is_new |= self.insert(blame.request, blame.engine, crash);
         }
-        news
+        is_new
     }
 
     fn insert(&mut self, request: RequestDigest, engine: EngineKey, crash: Crash) -> bool {
@@ -151,9 +151,9 @@
             return false;
         }
         self.at_engine.entry(engine).or_default().insert(request);
-        self.news.push_back((request, engine, TOLD_TIMES));
-        if self.suspects.len() > MOST_SUSPECTS {
-            self.forget_one(&request);
+        self.unsent.push_back((request, engine, SENDS_PER_BLAME));
+        if self.suspects.len() > MAX_SUSPECTS {
+            self.evict_one(&request);
         }
         true
     }
@@ -168,9 +168,9 @@
             return false;
         }
         let engines: Vec<EngineKey> = suspect.crashes.keys().copied().collect();
-        let news = engines.into_iter();
-        self.news
-            .extend(news.map(|engine| (*request, engine, TOLD_TIMES)));
+        let cleared = engines.into_iter();
+        self.unsent
+            .extend(cleared.map(|engine| (*request, engine, SENDS_PER_BLAME)));
         true
     }
 
@@ -206,7 +206,7 @@
             return Verdict::Suspect { crashes };
         }
         // Other requests that were running there may not have been reported yet.
-        let until = suspect.heard() + SETTLED_AFTER;
+        let until = suspect.last_learned_at() + SETTLED_AFTER;
         if now < until {
             return Verdict::Unsettled { until };
         }
@@ -222,8 +222,8 @@
     #[must_use]
     pub fn item_waits(&self, request: &RequestDigest, now: Timestamp) -> Option<Timestamp> {
         let suspect = self.suspects.get(request)?;
-        let until = suspect.heard() + ITEM_WAITS;
-        (suspect.count() >= ITEM_WAITS_FROM && now < until).then_some(until)
+        let until = suspect.last_learned_at() + ITEM_WAIT;
+        (suspect.count() >= ITEM_WAIT_CRASHES && now < until).then_some(until)
     }
 
     fn is_barred(&self, request: &RequestDigest, now: Timestamp) -> bool {
@@ -235,31 +235,32 @@
     /// and the next crash distinguishes them.
     fn is_guilty(&self, request: &RequestDigest, suspect: &Suspect, now: Timestamp) -> bool {
         let count = suspect.count();
-        if count >= GUILTY_ANYWAY {
+        if count >= ALWAYS_GUILTY_CRASHES {
             return true;
         }
-        let alone = suspect.blamed().filter(|&(engine, _)| {
-            let there = self.at_engine.get(&engine).into_iter().flatten();
-            let mut others = there.filter(|other| *other != request);
+        let attributed = suspect.blamed().filter(|&(engine, _)| {
+            let at_engine = self.at_engine.get(&engine).into_iter().flatten();
+            let mut others = at_engine.filter(|other| *other != request);
             others.all(|other| !self.is_barred(other, now) && self.crashes(other) < count)
         });
-        alone.count() >= GUILTY_CRASHES + self.unexplained(suspect, now) / UNREST_CRASHES
+        attributed.count()
+            >= GUILTY_CRASHES + self.unexplained(suspect, now) / UNEXPLAINED_PER_EXTRA_CRASH
     }
 
     /// Number of engines that ended recently without this request, and without any
     /// request that is barred or has as many crashes as a guilty one.
-    fn unexplained(&self, but: &Suspect, now: Timestamp) -> usize {
+    fn unexplained(&self, except: &Suspect, now: Timestamp) -> usize {
         let engines = self.at_engine.iter();
         let unexplained = engines.filter(|(engine, requests)| {
-            let lately = requests.iter().any(|request| {
+            let recent = requests.iter().any(|request| {
                 let crash = self.suspects.get(request);
                 let crash = crash.and_then(|suspect| suspect.crashes.get(engine));
-                crash.is_some_and(|crash| now.since(crash.at) < UNREST)
+                crash.is_some_and(|crash| now.since(crash.at) < UNEXPLAINED_WINDOW)
             });
             let explained = requests
                 .iter()
                 .any(|one| self.crashes(one) >= GUILTY_CRASHES || self.is_barred(one, now));
-            lately && !explained && !but.crashes.contains_key(engine)
+            recent && !explained && !except.crashes.contains_key(engine)
         });
         unexplained.count()
     }
@@ -268,11 +269,11 @@
     /// gateway is to ask for the bar.
     #[must_use]
     pub fn to_bar(&self, now: Timestamp) -> Vec<(RequestDigest, usize)> {
-        let many = self.suspects.iter();
-        let many = many.filter(|(_, suspect)| suspect.count() >= GUILTY_CRASHES);
-        let due = many.filter(|(request, suspect)| {
+        let candidates = self.suspects.iter();
+        let candidates = candidates.filter(|(_, suspect)| suspect.count() >= GUILTY_CRASHES);
+        let due = candidates.filter(|(request, suspect)| {
             let own = suspect.crashes.values().any(|crash| crash.own);
-            let late = now.since(suspect.heard()) >= OTHERS_ASK_AFTER;
+            let late = now.since(suspect.last_learned_at()) >= NON_OBSERVER_DELAY;
             let open = !self.is_barred(request, now) && (own || late);
             open && matches!(self.verdict(request, now), Verdict::Barred { .. })
         });
@@ -284,51 +285,51 @@
     #[must_use]
     pub fn has_candidates(&self, now: Timestamp) -> bool {
         let suspects = self.suspects.iter();
-        let mut many = suspects.filter(|(_, suspect)| suspect.count() >= GUILTY_CRASHES);
-        many.any(|(request, _)| !self.is_barred(request, now))
+        let mut candidates = suspects.filter(|(_, suspect)| suspect.count() >= GUILTY_CRASHES);
+        candidates.any(|(request, _)| !self.is_barred(request, now))
     }
 
     /// Time since this node learned of the latest crash of a request.
     #[must_use]
     pub fn heard_ago(&self, request: &RequestDigest, now: Timestamp) -> Option<Duration> {
         let suspect = self.suspects.get(request)?;
-        Some(now.since(suspect.heard()))
+        Some(now.since(suspect.last_learned_at()))
     }
 
     /// Whether there are new blames to send.
     #[must_use]
     pub fn has_news(&self) -> bool {
-        !self.news.is_empty()
+        !self.unsent.is_empty()
     }
 
     /// Returns the blames to send now: new ones, and some of the others in rotation.
     pub fn tell(&mut self, now: Timestamp) -> Vec<Blame> {
         let mut pairs: Vec<(RequestDigest, EngineKey)> = Vec::new();
         let mut again = VecDeque::new();
-        while pairs.len() < MOST_TOLD
-            && let Some((request, engine, times)) = self.news.pop_front()
+        while pairs.len() < MAX_REPORT_BLAMES
+            && let Some((request, engine, times)) = self.unsent.pop_front()
         {
             pairs.push((request, engine));
             if times > 1 {
                 again.push_back((request, engine, times - 1));
             }
         }
-        self.news.append(&mut again);
-        if now.since(self.repeated_at) >= REPEATED_EVERY {
-            self.repeated_at = now;
-            let room = REPEATED.min(MOST_TOLD - pairs.len());
+        self.unsent.append(&mut again);
+        if now.since(self.last_repeat_at) >= REPEAT_INTERVAL {
+            self.last_repeat_at = now;
+            let room = REPEATED_BLAMES.min(MAX_REPORT_BLAMES - pairs.len());
             let next = self.next_repeated(room);
             pairs.extend(next);
         }
         let blames = pairs
             .into_iter()
-            .filter_map(|(request, engine)| self.told(request, engine, now));
+            .filter_map(|(request, engine)| self.current_blame(request, engine, now));
         blames.collect()
     }
 
     /// Returns the next blames in order; after the last one, the next call starts over.
     fn next_repeated(&mut self, room: usize) -> Vec<(RequestDigest, EngineKey)> {
-        let from = self.repeated;
+        let from = self.last_repeated;
         let suspects = match from {
             Some((request, _)) => self.suspects.range(request..),
             None => self.suspects.range(..),
@@ -339,14 +340,19 @@
         });
         let next: Vec<(RequestDigest, EngineKey)> =
             all.filter(|pair| Some(*pair) > from).take(room).collect();
-        self.repeated = match next.len() < room {
+        self.last_repeated = match next.len() < room {
             true => None,
             false => next.last().copied(),
         };
         next
     }
 
-    fn told(&self, request: RequestDigest, engine: EngineKey, now: Timestamp) -> Option<Blame> {
+    fn current_blame(
+        &self,
+        request: RequestDigest,
+        engine: EngineKey,
+        now: Timestamp,
+    ) -> Option<Blame> {
         let crash = self.suspects.get(&request)?.crashes.get(&engine)?;
         Some(Blame {
             request,
@@ -360,23 +366,26 @@
     pub fn expire(&mut self, now: Timestamp) {
         self.bars.retain(|_, ends| now < *ends);
         let suspects = self.suspects.iter();
-        let old = suspects.filter(|(_, suspect)| now.since(suspect.last()) >= REMEMBERED);
+        let old = suspects.filter(|(_, suspect)| now.since(suspect.last_crash_at()) >= SUSPECT_TTL);
         let old: Vec<RequestDigest> = old.map(|(request, _)| *request).collect();
         for request in &old {
-            self.forget(request);
+            self.remove(request);
         }
     }
 
     /// Makes room for a request that was just added.
-    fn forget_one(&mut self, but: &RequestDigest) {
-        let suspects = self.suspects.iter().filter(|(request, _)| *request != but);
-        let least = suspects.min_by_key(|(_, suspect)| (suspect.count(), suspect.last()));
+    fn evict_one(&mut self, except: &RequestDigest) {
+        let suspects = self
+            .suspects
+            .iter()
+            .filter(|(request, _)| *request != except);
+        let least = suspects.min_by_key(|(_, suspect)| (suspect.count(), suspect.last_crash_at()));
         if let Some(request) = least.map(|(request, _)| *request) {
-            self.forget(&request);
+            self.remove(&request);
         }
     }
 
-    fn forget(&mut self, request: &RequestDigest) {
+    fn remove(&mut self, request: &RequestDigest) {
         let Some(suspect) = self.suspects.remove(request) else {
             return;
         };
