--- a/crates/routing/tests/suspect_schedules/main.rs
+++ b/crates/routing/tests/suspect_schedules/main.rs
@@ -5,12 +5,12 @@
 
 mod world;
 
-use world::{Outcome, Place, Plan, Rule, World};
+use world::{Outcome, Place, Plan, Rule, Simulation};
 
 /// Number of schedules of each kind, unless the environment variable sets another.
-const SCHEDULES: u64 = 6;
+const DEFAULT_SCHEDULES: u64 = 6;
 /// Number of sends that operators allow after the third crash and the grace period.
-const GRANTED: usize = 3;
+const ALLOWED_SENDS: usize = 3;
 
 const PLAN: Plan = Plan {
     rule: Rule::Table,
@@ -85,44 +85,48 @@
     ]
 }
 
-fn schedules() -> u64 {
+fn schedule_count() -> u64 {
     let set = std::env::var("SUSPECT_SCHEDULES").ok();
-    set.and_then(|text| text.parse().ok()).unwrap_or(SCHEDULES)
+    set.and_then(|text| text.parse().ok())
+        .unwrap_or(DEFAULT_SCHEDULES)
 }
 
-fn drawn(plan: Plan) -> Outcome {
+fn run_schedules(plan: Plan) -> Outcome {
     let mut all = Outcome::default();
-    for seed in 0..schedules() {
-        all.add(&World::run(plan, seed));
+    for seed in 0..schedule_count() {
+        all.add(&Simulation::run(plan, seed));
     }
     all
 }
 
 #[test]
-fn no_innocent_in_100_000_is_refused_and_crashers_stay_within_what_is_granted() {
+fn no_innocent_in_100_000_is_refused_and_crashers_stay_within_the_allowed_sends() {
     let mut all = Outcome::default();
     for (name, plan) in plans() {
-        let outcome = drawn(plan);
+        let outcome = run_schedules(plan);
         println!("{name}: {outcome:?}");
-        assert!(outcome.most_behind <= GRANTED, "{name}: {outcome:?}");
+        assert!(
+            outcome.max_sends_after_grace <= ALLOWED_SENDS,
+            "{name}: {outcome:?}"
+        );
         all.add(&outcome);
     }
     assert!(all.refused * 100_000 <= all.innocents, "{all:?}");
 }
 
 #[test]
-fn without_a_rule_crashers_go_on_and_a_count_alone_refuses_innocents() {
+fn without_a_rule_crashers_continue_and_a_mere_count_refuses_innocents() {
     let plan = Plan {
         rule: Rule::None,
         ..PLAN
     };
-    assert!(drawn(plan).most_behind > GRANTED);
+    assert!(run_schedules(plan).max_sends_after_grace > ALLOWED_SENDS);
     let (_, flapping) = plans()[5];
     let plan = Plan {
         rule: Rule::Count,
         ..flapping
     };
-    assert!(drawn(plan).refused > 0);
+    assert!(run_schedules(plan).refused > 0);
 }
 
 /// Prints the variants side by side; run with `--ignored` and `SUSPECT_SCHEDULES` set.
@@ -133,7 +137,7 @@
         for rule in [Rule::Count, Rule::Table] {
             for place in [Place::AsOthers, Place::Emptiest, Place::Settled] {
                 for items_wait in [false, true] {
-                    let outcome = drawn(Plan {
+                    let outcome = run_schedules(Plan {
                         rule,
                         place,
                         items_wait,
--- a/crates/routing/tests/suspect_schedules/world.rs
+++ b/crates/routing/tests/suspect_schedules/world.rs
@@ -14,21 +14,21 @@
 use rand_chacha::ChaCha8Rng;
 
 /// Time for the checks of a port, and the delay that a busy gateway adds.
-const LOOK_MS: std::ops::Range<u64> = 120..220;
+const PORT_CHECK_MS: std::ops::Range<u64> = 120..220;
 /// Reporting interval of a gateway.
-const TELL_EVERY_MS: u64 = 150;
+const REPORT_INTERVAL_MS: u64 = 150;
 /// Delay of a report, directly or through two relays.
-const TELLING_MS: std::ops::Range<u64> = 2..130;
+const REPORT_DELAY_MS: std::ops::Range<u64> = 2..130;
 /// Fraction of the reports that are lost, and of those that arrive twice.
-const LOST: f64 = 0.05;
-const DOUBLE: f64 = 0.05;
+const LOST_FRACTION: f64 = 0.05;
+const DUPLICATED_FRACTION: f64 = 0.05;
 /// Time until connected gateways know of a bar that was requested.
-const BAR_MS: u64 = 200;
+const BAR_DELAY_MS: u64 = 200;
 /// How long an engine has to be up to count as settled.
 const SETTLED_MS: u64 = 10_000;
 /// Grace period that operators grant after the third crash, and to a gateway that was cut
 /// off, before sends count.
-pub const CONTACT_MS: u64 = 3_000;
+pub const GRACE_MS: u64 = 3_000;
 
 /// Rule that decides which requests are guilty.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -89,7 +89,7 @@
     pub ended: usize,
     /// Maximum number of sends of one crasher to engines after its third crash and the
     /// grace period.
-    pub most_behind: usize,
+    pub max_sends_after_grace: usize,
     /// Interruptions of innocent requests by crashers.
     pub broken: usize,
 }
@@ -101,7 +101,7 @@
         self.refused += other.refused;
         self.refused_items += other.refused_items;
         self.ended += other.ended;
-        self.most_behind = self.most_behind.max(other.most_behind);
+        self.max_sends_after_grace = self.max_sends_after_grace.max(other.max_sends_after_grace);
         self.broken += other.broken;
     }
 }
@@ -109,16 +109,41 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrives,
-    Sent { request: usize },
-    Tried { request: usize, gateway: usize },
-    Done { run: usize },
-    Ends { engine: usize, life: u32 },
-    Back { engine: usize },
-    Looked { gateway: usize, life: (usize, u32) },
-    Tells { gateway: usize },
-    Told { to: usize, telling: usize },
-    Barred { request: usize },
-    Cut { gateway: usize, cut: bool },
+    Sent {
+        request: usize,
+    },
+    Tried {
+        request: usize,
+        gateway: usize,
+    },
+    Done {
+        run: usize,
+    },
+    Ends {
+        engine: usize,
+        incarnation: u32,
+    },
+    Back {
+        engine: usize,
+    },
+    PortChecked {
+        gateway: usize,
+        incarnation: (usize, u32),
+    },
+    ReportDue {
+        gateway: usize,
+    },
+    Received {
+        to: usize,
+        report: usize,
+    },
+    Barred {
+        request: usize,
+    },
+    Cut {
+        gateway: usize,
+        cut: bool,
+    },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -134,13 +159,13 @@
     attempts: u32,
     sends: u32,
     crashes: Vec<u64>,
-    behind: usize,
+    sends_after_grace: usize,
     blamed: bool,
     refused: bool,
 }
 
 struct Engine {
-    life: u32,
+    incarnation: u32,
     up: bool,
     running: BTreeSet<usize>,
     flaps: bool,
@@ -151,7 +176,7 @@
     request: usize,
     gateway: usize,
     engine: usize,
-    life: u32,
+    incarnation: u32,
 }
 
 struct Gateway {
@@ -159,10 +184,10 @@
     cut: bool,
     cut_until_ms: u64,
     /// Requests that were interrupted, by the engine to be checked.
-    open: BTreeMap<(usize, u32), Vec<usize>>,
+    unchecked: BTreeMap<(usize, u32), Vec<usize>>,
 }
 
-pub struct World {
+pub struct Simulation {
     plan: Plan,
     random: ChaCha8Rng,
     now_ms: u64,
@@ -174,17 +199,17 @@
     runs: BTreeMap<usize, Run>,
     next_run: usize,
     gateways: Vec<Gateway>,
-    tellings: Vec<Vec<Blame>>,
+    reports: Vec<Vec<Blame>>,
     barred: BTreeSet<usize>,
     outcome: Outcome,
 }
 
-impl World {
+impl Simulation {
     pub fn run(plan: Plan, seed: u64) -> Outcome {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let flapping = (plan.engines as f64 * plan.flapping).round() as usize;
         let engines = (0..plan.engines).map(|number| Engine {
-            life: 0,
+            incarnation: 0,
             up: true,
             running: BTreeSet::new(),
             flaps: number < flapping,
@@ -194,10 +219,10 @@
             table: SuspectTable::default(),
             cut: false,
             cut_until_ms: 0,
-            open: BTreeMap::new(),
+            unchecked: BTreeMap::new(),
         });
-        let tick = random.random_range(0..TELL_EVERY_MS);
-        let mut world = Self {
+        let tick = random.random_range(0..REPORT_INTERVAL_MS);
+        let mut simulation = Self {
             plan,
             now_ms: 1,
             events: BinaryHeap::new(),
@@ -208,63 +233,78 @@
             runs: BTreeMap::new(),
             next_run: 0,
             gateways: gateways.collect(),
-            tellings: Vec::new(),
+            reports: Vec::new(),
             barred: BTreeSet::new(),
             outcome: Outcome::default(),
             random,
         };
-        world.begin(tick);
+        simulation.schedule_start(tick);
         let ends_ms = plan.seconds * 1_000;
-        while let Some(Reverse((at, _, event))) = world.events.pop() {
+        while let Some(Reverse((at, _, event))) = simulation.events.pop() {
             if at > ends_ms {
                 break;
             }
-            world.now_ms = at;
-            world.take(event);
+            simulation.now_ms = at;
+            simulation.handle(event);
         }
-        for request in &world.requests {
+        for request in &simulation.requests {
             match request.kind {
                 Kind::Crasher => {
-                    world.outcome.most_behind = world.outcome.most_behind.max(request.behind);
+                    simulation.outcome.max_sends_after_grace = simulation
+                        .outcome
+                        .max_sends_after_grace
+                        .max(request.sends_after_grace);
                 }
                 _ => {
-                    world.outcome.innocents += 1;
-                    world.outcome.blamed += usize::from(request.blamed);
-                    world.outcome.refused += usize::from(request.refused);
+                    simulation.outcome.innocents += 1;
+                    simulation.outcome.blamed += usize::from(request.blamed);
+                    simulation.outcome.refused += usize::from(request.refused);
                     let item = request.kind == Kind::Batch;
-                    world.outcome.refused_items += usize::from(request.refused && item);
+                    simulation.outcome.refused_items += usize::from(request.refused && item);
                 }
             }
         }
-        world.outcome
+        simulation.outcome
     }
 
-    fn begin(&mut self, tick: u64) {
-        self.at(1, Event::Arrives);
+    fn schedule_start(&mut self, tick: u64) {
+        self.schedule(1, Event::Arrives);
         for gateway in 0..self.plan.gateways {
-            self.at(tick + gateway as u64 * 7, Event::Tells { gateway });
+            self.schedule(tick + gateway as u64 * 7, Event::ReportDue { gateway });
         }
         for _ in 0..self.plan.crashers {
             let request = self.request(Kind::Crasher);
             let first = self.random.random_range(500..8_000);
-            self.at(first, Event::Sent { request });
+            self.schedule(first, Event::Sent { request });
         }
         for engine in 0..self.plan.engines {
             if self.engines[engine].flaps {
                 let first = self.random.random_range(500..6_000);
-                self.at(first, Event::Ends { engine, life: 0 });
+                self.schedule(
+                    first,
+                    Event::Ends {
+                        engine,
+                        incarnation: 0,
+                    },
+                );
             }
         }
         let middle = self.plan.seconds * 500;
         for engine in 0..self.plan.lost_at_once {
-            self.at(middle, Event::Ends { engine, life: 0 });
+            self.schedule(
+                middle,
+                Event::Ends {
+                    engine,
+                    incarnation: 0,
+                },
+            );
         }
         if self.plan.cuts {
             for gateway in 0..self.plan.gateways / 2 {
                 let at = self.random.random_range(1_000..middle);
-                self.at(at, Event::Cut { gateway, cut: true });
+                self.schedule(at, Event::Cut { gateway, cut: true });
                 let ends = at + self.random.random_range(1_000..9_000);
-                self.at(
+                self.schedule(
                     ends,
                     Event::Cut {
                         gateway,
@@ -275,14 +315,14 @@
         }
     }
 
-    fn at(&mut self, at_ms: u64, event: Event) {
+    fn schedule(&mut self, at_ms: u64, event: Event) {
         self.count += 1;
         let at_ms = at_ms.max(self.now_ms);
         self.events.push(Reverse((at_ms, self.count, event)));
     }
 
-    fn later(&mut self, after_ms: u64, event: Event) {
-        self.at(self.now_ms + after_ms, event);
+    fn schedule_after(&mut self, after_ms: u64, event: Event) {
+        self.schedule(self.now_ms + after_ms, event);
     }
 
     fn now(&self) -> Timestamp {
@@ -306,7 +346,7 @@
             attempts: 0,
             sends: 0,
             crashes: Vec::new(),
-            behind: 0,
+            sends_after_grace: 0,
             blamed: false,
             refused: false,
         });
@@ -319,16 +359,16 @@
         let batch = self.random.random_bool(self.plan.batch);
         let request = self.request(if batch { Kind::Batch } else { Kind::Online });
         let gateway = self.random.random_range(0..self.plan.gateways);
-        self.at(self.now_ms, Event::Tried { request, gateway });
+        self.schedule(self.now_ms, Event::Tried { request, gateway });
         let mean_ms = 800.0 * (1.0 - self.plan.batch) + 4_000.0 * self.plan.batch;
         let slots = (self.plan.engines * self.plan.slots) as f64;
         let gap = mean_ms / (slots * 0.5);
         let wait = -gap * (1.0 - self.random.random::<f64>()).ln();
         // Arrivals within the same millisecond are moved one millisecond apart.
-        self.later((wait.round() as u64).max(1), Event::Arrives);
+        self.schedule_after((wait.round() as u64).max(1), Event::Arrives);
     }
 
-    fn take(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         match event {
             Event::Arrives => self.arrives(),
             Event::Sent { request } => {
@@ -338,16 +378,22 @@
                 self.tried(request, gateway);
                 if self.requests[request].kind == Kind::Crasher {
                     let pause = self.random.random_range(100..2_500);
-                    self.later(pause, Event::Sent { request });
+                    self.schedule_after(pause, Event::Sent { request });
                 }
             }
             Event::Tried { request, gateway } => self.tried(request, gateway),
             Event::Done { run } => self.done(run),
-            Event::Ends { engine, life } => self.ends(engine, life),
+            Event::Ends {
+                engine,
+                incarnation,
+            } => self.ends(engine, incarnation),
             Event::Back { engine } => self.back(engine),
-            Event::Looked { gateway, life } => self.looked(gateway, life),
-            Event::Tells { gateway } => self.tells(gateway),
-            Event::Told { to, telling } => self.told(to, telling),
+            Event::PortChecked {
+                gateway,
+                incarnation,
+            } => self.port_checked(gateway, incarnation),
+            Event::ReportDue { gateway } => self.report_due(gateway),
+            Event::Received { to, report } => self.receive(to, report),
             Event::Barred { request } => {
                 let ends = self.now() + Duration::from_secs(3_600);
                 let digest = self.requests[request].digest;
@@ -392,24 +438,24 @@
             }
             Verdict::Unsettled { until } => {
                 let wait = until.since(self.now()).as_millis() as u64 + 1;
-                self.later(wait, Event::Tried { request, gateway });
+                self.schedule_after(wait, Event::Tried { request, gateway });
                 return;
             }
             Verdict::Free | Verdict::Suspect { .. } => {}
         }
         if let Some(until) = self.waits(request, gateway) {
             let wait = until.since(self.now()).as_millis() as u64 + 1;
-            self.later(wait, Event::Tried { request, gateway });
+            self.schedule_after(wait, Event::Tried { request, gateway });
             return;
         }
         let Some(engine) = self.choose(request, gateway) else {
-            self.later(50, Event::Tried { request, gateway });
+            self.schedule_after(50, Event::Tried { request, gateway });
             return;
         };
         self.requests[request].attempts += 1;
         let run = self.next_run;
         self.next_run += 1;
-        let life = self.engines[engine].life;
+        let incarnation = self.engines[engine].incarnation;
         self.engines[engine].running.insert(run);
         self.runs.insert(
             run,
@@ -417,21 +463,27 @@
                 request,
                 gateway,
                 engine,
-                life,
+                incarnation,
             },
         );
         match self.requests[request].kind {
             Kind::Crasher => {
-                self.count_behind(request, gateway);
+                self.count_send_after_grace(request, gateway);
                 let after = self.random.random_range(30..400);
-                self.later(after, Event::Ends { engine, life });
+                self.schedule_after(
+                    after,
+                    Event::Ends {
+                        engine,
+                        incarnation,
+                    },
+                );
                 // Needs no `Done` event: `ends` finds the crasher among the running
                 // requests.
             }
             kind => {
                 let mean = if kind == Kind::Batch { 4_000.0 } else { 800.0 };
                 let takes = mean * self.random.random_range(0.3..1.7);
-                self.later(takes as u64, Event::Done { run });
+                self.schedule_after(takes as u64, Event::Done { run });
             }
         }
     }
@@ -443,55 +495,58 @@
         item.then(|| table.item_waits(&request.digest, self.now()))?
     }
 
-    fn count_behind(&mut self, request: usize, gateway: usize) {
+    fn count_send_after_grace(&mut self, request: usize, gateway: usize) {
         let in_touch = {
             let gateway = &self.gateways[gateway];
-            !gateway.cut && self.now_ms >= gateway.cut_until_ms + CONTACT_MS
+            !gateway.cut && self.now_ms >= gateway.cut_until_ms + GRACE_MS
         };
         let request = &mut self.requests[request];
         let third = request.crashes.get(2).copied();
-        let counts = third.is_some_and(|third| self.now_ms > third + CONTACT_MS);
+        let counts = third.is_some_and(|third| self.now_ms > third + GRACE_MS);
         if counts && in_touch {
-            request.behind += 1;
+            request.sends_after_grace += 1;
         }
     }
 
     fn choose(&mut self, request: usize, gateway: usize) -> Option<usize> {
-        let room: Vec<usize> = (0..self.engines.len())
+        let available: Vec<usize> = (0..self.engines.len())
             .filter(|&one| self.engines[one].up)
             .filter(|&one| self.engines[one].running.len() < self.plan.slots)
             .collect();
         let digest = self.requests[request].digest;
         let suspect = self.gateways[gateway].table.crashes(&digest) > 0;
-        let settled = room.iter().filter(|&&one| {
+        let settled = available.iter().filter(|&&one| {
             let since_ms = self.engines[one].since_ms;
             since_ms == 0 || self.now_ms >= since_ms + SETTLED_MS
         });
         let settled: Vec<usize> = settled.copied().collect();
-        let looked: Vec<usize> = match self.plan.place {
-            Place::Emptiest if suspect => room,
+        let candidates: Vec<usize> = match self.plan.place {
+            Place::Emptiest if suspect => available,
             Place::Settled if suspect && !settled.is_empty() => settled
                 .choose_multiple(&mut self.random, 4)
                 .copied()
                 .collect(),
-            _ => room.choose_multiple(&mut self.random, 4).copied().collect(),
+            _ => available
+                .choose_multiple(&mut self.random, 4)
+                .copied()
+                .collect(),
         };
-        looked
+        candidates
             .into_iter()
             .min_by_key(|&one| self.engines[one].running.len())
     }
 
     fn done(&mut self, run: usize) {
-        let Some(run_of) = self.runs.remove(&run) else {
+        let Some(finished) = self.runs.remove(&run) else {
             return;
         };
-        self.engines[run_of.engine].running.remove(&run);
-        let digest = self.requests[run_of.request].digest;
-        self.gateways[run_of.gateway].table.answered(&digest);
+        self.engines[finished.engine].running.remove(&run);
+        let digest = self.requests[finished.request].digest;
+        self.gateways[finished.gateway].table.answered(&digest);
     }
 
-    fn ends(&mut self, engine: usize, life: u32) {
-        if self.engines[engine].life != life || !self.engines[engine].up {
+    fn ends(&mut self, engine: usize, incarnation: u32) {
+        if self.engines[engine].incarnation != incarnation || !self.engines[engine].up {
             return;
         }
         self.engines[engine].up = false;
@@ -508,43 +563,52 @@
         }
         self.outcome.ended += usize::from(by_crasher);
         for run in broken {
-            self.broke_off(&run, by_crasher);
+            self.interrupted(&run, by_crasher);
         }
         let back = self.random.random_range(1_500..4_000);
-        self.later(back, Event::Back { engine });
+        self.schedule_after(back, Event::Back { engine });
     }
 
-    fn broke_off(&mut self, run: &Run, by_crasher: bool) {
+    fn interrupted(&mut self, run: &Run, by_crasher: bool) {
         let (request, gateway) = (run.request, run.gateway);
         let kind = self.requests[request].kind;
         if kind != Kind::Crasher {
             self.requests[request].blamed = true;
             self.outcome.broken += usize::from(by_crasher);
         }
-        let life = (run.engine, run.life);
-        let open = self.gateways[gateway].open.entry(life).or_default();
-        if open.is_empty() {
-            open.push(request);
-            let look = self.random.random_range(LOOK_MS);
-            self.later(look, Event::Looked { gateway, life });
+        let incarnation = (run.engine, run.incarnation);
+        let unchecked = self.gateways[gateway]
+            .unchecked
+            .entry(incarnation)
+            .or_default();
+        if unchecked.is_empty() {
+            unchecked.push(request);
+            let check = self.random.random_range(PORT_CHECK_MS);
+            self.schedule_after(
+                check,
+                Event::PortChecked {
+                    gateway,
+                    incarnation,
+                },
+            );
         } else {
-            open.push(request);
+            unchecked.push(request);
         }
         match kind {
             Kind::Crasher => {}
             Kind::Batch => {
                 let gateway = self.random.random_range(0..self.plan.gateways);
-                let look = LOOK_MS.end + self.random.random_range(0..300);
-                self.later(look, Event::Tried { request, gateway });
+                let check = PORT_CHECK_MS.end + self.random.random_range(0..300);
+                self.schedule_after(check, Event::Tried { request, gateway });
             }
             // The stream is resumed at another engine; after that its caller sends it
             // again, up to twice.
             Kind::Online if self.requests[request].attempts < 2 => {
-                self.later(1, Event::Tried { request, gateway });
+                self.schedule_after(1, Event::Tried { request, gateway });
             }
             Kind::Online if self.requests[request].sends < 2 => {
                 let pause = self.random.random_range(100..1_500);
-                self.later(pause, Event::Sent { request });
+                self.schedule_after(pause, Event::Sent { request });
             }
             Kind::Online => {}
         }
@@ -552,33 +616,39 @@
 
     fn back(&mut self, engine: usize) {
         let one = &mut self.engines[engine];
-        one.life += 1;
+        one.incarnation += 1;
         one.up = true;
         one.since_ms = self.now_ms;
-        let life = one.life;
+        let incarnation = one.incarnation;
         if one.flaps {
             let up = self.random.random_range(2_000..8_000);
-            self.later(up, Event::Ends { engine, life });
+            self.schedule_after(
+                up,
+                Event::Ends {
+                    engine,
+                    incarnation,
+                },
+            );
         }
     }
 
-    fn looked(&mut self, gateway: usize, life: (usize, u32)) {
+    fn port_checked(&mut self, gateway: usize, incarnation: (usize, u32)) {
         let now = self.now();
         let broken = self.gateways[gateway]
-            .open
-            .remove(&life)
+            .unchecked
+            .remove(&incarnation)
             .unwrap_or_default();
-        let key = engine_key(&format!("i-{}-{}", life.0, life.1));
+        let key = engine_key(&format!("i-{}-{}", incarnation.0, incarnation.1));
         for request in broken {
             let digest = self.requests[request].digest;
             self.gateways[gateway].table.blame(digest, key, now);
         }
-        self.tell(gateway);
+        self.send_report(gateway);
     }
 
-    fn tells(&mut self, gateway: usize) {
-        self.later(TELL_EVERY_MS, Event::Tells { gateway });
-        self.tell(gateway);
+    fn report_due(&mut self, gateway: usize) {
+        self.schedule_after(REPORT_INTERVAL_MS, Event::ReportDue { gateway });
+        self.send_report(gateway);
         let now = self.now();
         if self.plan.rule != Rule::Table || self.gateways[gateway].cut {
             return;
@@ -586,37 +656,37 @@
         for (digest, _) in self.gateways[gateway].table.to_bar(now) {
             let request = self.by_digest[&digest];
             if self.barred.insert(request) {
-                self.later(BAR_MS, Event::Barred { request });
+                self.schedule_after(BAR_DELAY_MS, Event::Barred { request });
             }
         }
     }
 
-    fn tell(&mut self, gateway: usize) {
+    fn send_report(&mut self, gateway: usize) {
         let now = self.now();
         let blames = self.gateways[gateway].table.tell(now);
         if blames.is_empty() || self.gateways[gateway].cut {
             return;
         }
-        self.tellings.push(blames);
-        let telling = self.tellings.len() - 1;
+        self.reports.push(blames);
+        let report = self.reports.len() - 1;
         for to in 0..self.plan.gateways {
-            if to == gateway || self.random.random_bool(LOST) {
+            if to == gateway || self.random.random_bool(LOST_FRACTION) {
                 continue;
             }
-            let times = 1 + u64::from(self.random.random_bool(DOUBLE));
+            let times = 1 + u64::from(self.random.random_bool(DUPLICATED_FRACTION));
             for _ in 0..times {
-                let delay = self.random.random_range(TELLING_MS);
-                self.later(delay, Event::Told { to, telling });
+                let delay = self.random.random_range(REPORT_DELAY_MS);
+                self.schedule_after(delay, Event::Received { to, report });
             }
         }
     }
 
-    fn told(&mut self, to: usize, telling: usize) {
+    fn receive(&mut self, to: usize, report: usize) {
         if self.gateways[to].cut {
             return;
         }
         let now = self.now();
-        let blames = self.tellings[telling].clone();
+        let blames = self.reports[report].clone();
         self.gateways[to].table.note(&blames, now);
     }
 }
--- a/crates/routing/tests/suspects.rs
+++ b/crates/routing/tests/suspects.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 
 /// Time after which all gateways have reported what they had.
-const SETTLED: u64 = 500;
+const SETTLED_MS: u64 = 500;
 
 fn request(number: u64) -> RequestDigest {
     RequestDigest::of(&RequestParts {
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn three_crashes_of_its_own_make_a_request_guilty_and_two_do_not() {
+fn three_crashes_not_shared_with_others_make_a_request_guilty_and_two_do_not() {
     let mut table = table(&[(1, 1, 0), (1, 2, 1_000)]);
     assert_eq!(
         table.verdict(&request(1), now(5_000)),
@@ -57,28 +57,28 @@
         table.verdict(&request(1), now(6_000)),
         Verdict::Unsettled { until: now(6_400) }
     );
-    assert!(is_barred(&table, 1, 6_000 + SETTLED));
+    assert!(is_barred(&table, 1, 6_000 + SETTLED_MS));
     assert_eq!(table.verdict(&request(2), now(9_000)), Verdict::Free);
 }
 
 #[test]
-fn a_crash_counts_once_however_often_and_by_whomever_it_is_told() {
+fn a_crash_counts_once_however_often_and_by_whomever_it_is_reported() {
     let mut table = table(&[(1, 1, 0)]);
-    let told = Blame {
+    let reported = Blame {
         request: request(1),
         engine: engine(1),
         age_ms: 50,
         cleared: false,
     };
     for millis in [100, 200, 90_000] {
-        assert!(!table.note(&[told, told], now(millis)));
+        assert!(!table.note(&[reported, reported], now(millis)));
     }
     assert_eq!(table.blame(request(1), engine(1), now(300)), None);
     assert_eq!(table.crashes(&request(1)), 1);
 }
 
 #[test]
-fn a_whole_answer_clears_and_a_late_word_of_before_does_not_blame_again() {
+fn a_complete_answer_clears_a_request_and_late_reports_do_not_blame_it_again() {
     let mut table = table(&[(1, 1, 0), (1, 2, 10)]);
     let before = table.tell(now(20));
     assert!(table.answered(&request(1)));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn who_was_beside_a_guilty_request_each_time_is_not_guilty() {
+fn a_request_that_ran_beside_a_guilty_one_each_time_is_not_guilty() {
     // The same three engines ended with both requests: neither can be identified yet.
     let shared = [
         (1, 1, 0),
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn whatever_else_may_explain_it_the_fifth_crash_is_the_last() {
+fn the_fifth_crash_bars_a_request_whatever_else_may_explain_it() {
     let both: Vec<(u64, u64, u64)> = (1..=5)
         .flat_map(|at| [(1, at, at * 100), (2, at, at * 100)])
         .collect();
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn while_engines_end_for_reasons_of_their_own_three_crashes_are_no_proof() {
+fn three_crashes_are_no_proof_while_engines_end_for_other_reasons() {
     // A rack is lost, with one request on each engine.
     let mut crashes: Vec<(u64, u64, u64)> = (10..14).map(|one| (one, one, 100)).collect();
     crashes.extend([(1, 1, 200), (1, 2, 700), (1, 3, 900)]);
@@ -160,12 +160,12 @@
 }
 
 #[test]
-fn those_that_saw_a_crash_ask_for_the_bar_and_the_others_later() {
+fn gateways_that_observed_a_crash_ask_for_the_bar_before_the_others() {
     let own = table(&[(1, 1, 0), (1, 2, 100), (1, 3, 200)]);
-    assert_eq!(own.to_bar(now(200 + SETTLED)), [(request(1), 3)]);
-    let mut teller = own.clone();
+    assert_eq!(own.to_bar(now(200 + SETTLED_MS)), [(request(1), 3)]);
+    let mut sender = own.clone();
     let mut other = SuspectTable::default();
-    other.note(&teller.tell(now(250)), now(260));
+    other.note(&sender.tell(now(250)), now(260));
     assert!(other.has_candidates(now(300)));
     assert_eq!(other.to_bar(now(1_000)), []);
     assert_eq!(other.to_bar(now(3_300)), [(request(1), 3)]);
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn an_item_waits_behind_its_second_crash() {
+fn a_batch_item_waits_after_its_second_crash() {
     let mut table = table(&[(1, 1, 0)]);
     assert_eq!(table.item_waits(&request(1), now(10)), None);
     table.blame(request(1), engine(2), now(100));
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn news_are_told_three_times_and_the_rest_in_turn() {
+fn new_blames_are_sent_three_times_and_the_others_in_rotation() {
     let mut table = SuspectTable::default();
     for one in 0..40 {
         table.blame(request(one), engine(one), now(0));
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn a_flood_of_requests_that_crash_engines_forgets_those_with_the_fewest_crashes() {
+fn a_flood_of_crashing_requests_evicts_those_with_the_fewest_crashes() {
     let mut table = table(&[(1, 1, 0), (1, 2, 10)]);
     for one in 100..5_100 {
         table.blame(request(one), engine(one), now(one));
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn crashes_are_forgotten_behind_hours() {
+fn crashes_are_forgotten_after_hours() {
     let mut table = table(&[(1, 1, 0)]);
     table.expire(now(0) + Duration::from_secs(2 * 3_600));
     assert_eq!(table.len(), 1);
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn parts_of_a_request_are_told_apart() {
+fn digests_distinguish_all_parts_of_a_request() {
     let parts = RequestParts {
         tenant: None,
         host: "h",
@@ -266,25 +266,25 @@
     assert_eq!(format!("{same:?}"), same.to_string());
 }
 
-fn words() -> impl Strategy<Value = Vec<Blame>> {
-    let word = (0..4_u64, 0..6_u64, any::<bool>()).prop_map(|(one, at, cleared)| Blame {
+fn blames() -> impl Strategy<Value = Vec<Blame>> {
+    let blame = (0..4_u64, 0..6_u64, any::<bool>()).prop_map(|(one, at, cleared)| Blame {
         request: request(one),
         engine: engine(at),
         age_ms: 0,
         cleared,
     });
-    proptest::collection::vec(word, 0..30)
+    proptest::collection::vec(blame, 0..30)
 }
 
 proptest! {
     /// What a table knows depends on what was reported, not on the order or on
     /// repetitions.
     #[test]
-    fn tellings_may_come_in_any_order_and_twice(
-        told in words(),
-        shuffled in words().prop_shuffle(),
+    fn blames_may_arrive_in_any_order_and_twice(
+        reported in blames(),
+        shuffled in blames().prop_shuffle(),
     ) {
-        let all: Vec<Blame> = told.iter().chain(&shuffled).copied().collect();
+        let all: Vec<Blame> = reported.iter().chain(&shuffled).copied().collect();
         let mut one = SuspectTable::default();
         one.note(&all, now(0));
         let mut other = SuspectTable::default();
