--- a/crates/routing/src/queue/forecast.rs
+++ b/crates/routing/src/queue/forecast.rs
@@ -74,7 +74,7 @@
 }
 
 impl Forecast {
-    /// Advances the clocks. `any_waiting` tells whether requests waited since the last
+    /// Advances the clocks. `any_waiting` says whether requests waited since the last
     /// call.
     pub fn advance(&mut self, now: Timestamp, any_waiting: bool) {
         let elapsed = now.since(self.last_advance);
--- a/crates/routing/src/queue/mod.rs
+++ b/crates/routing/src/queue/mod.rs
@@ -414,8 +414,8 @@
         Some(self.refusal(reason, ahead, now))
     }
 
-    /// Returns why a request has to be refused, if it has to, given the requests ahead of
-    /// it.
+    /// Returns why a request has to be refused, given the requests ahead of it; `None` if
+    /// it may wait.
     fn refusal_reason(
         &self,
         waiting: &Waiting,
--- a/crates/routing/src/quota/table.rs
+++ b/crates/routing/src/quota/table.rs
@@ -15,8 +15,8 @@
 pub(super) const REPORT_TTL: Duration = Duration::from_secs(2);
 /// Age up to which a report counts as recent: a few reporting intervals.
 pub(super) const RECENT_WITHIN: Duration = Duration::from_millis(1_000);
-/// Time after its start at which a gateway knows how many tokens are left, unless a
-/// report tells it earlier.
+/// Time after the start of a gateway from which it counts as knowing how many tokens are
+/// left, unless it learns that from a report earlier.
 const SETTLED_AFTER: Duration = Duration::from_secs(5);
 /// Fraction of all gateways that counts as all of them: some are always missing from the
 /// reports.
--- a/crates/routing/src/suspects/suspect.rs
+++ b/crates/routing/src/suspects/suspect.rs
@@ -6,8 +6,8 @@
 
 use super::blame::EngineKey;
 
-/// Maximum number of crashes kept per request. A guilty request gets no further; more
-/// crashes come only from copies of it that ran at the same time.
+/// Maximum number of crashes kept per request. A guilty request is not sent any more, so
+/// further crashes come only from copies of it that ran at the same time.
 const MAX_CRASHES: usize = 16;
 
 /// The end of an engine that was running a request.
