--- a/crates/routing/src/suspects/table.rs
+++ b/crates/routing/src/suspects/table.rs
@@ -86,7 +86,7 @@
     /// time at which they end.
     bars: BTreeMap<RequestDigest, Timestamp>,
     /// Blames to be sent, and how many more times.
-    unsent: VecDeque<(RequestDigest, EngineKey, u32)>,
+    pending_sends: VecDeque<(RequestDigest, EngineKey, u32)>,
     /// Latest blame that was repeated; the next repetition continues after it.
     last_repeated: Option<(RequestDigest, EngineKey)>,
     last_repeat_at: Timestamp,
@@ -151,7 +151,8 @@
             return false;
         }
         self.at_engine.entry(engine).or_default().insert(request);
-        self.unsent.push_back((request, engine, SENDS_PER_BLAME));
+        self.pending_sends
+            .push_back((request, engine, SENDS_PER_BLAME));
         if self.suspects.len() > MAX_SUSPECTS {
             self.evict_one(&request);
         }
@@ -169,7 +170,7 @@
         }
         let engines: Vec<EngineKey> = suspect.crashes.keys().copied().collect();
         let cleared = engines.into_iter();
-        self.unsent
+        self.pending_sends
             .extend(cleared.map(|engine| (*request, engine, SENDS_PER_BLAME)));
         true
     }
@@ -299,7 +300,7 @@
     /// Whether there are new blames to send.
     #[must_use]
     pub fn has_news(&self) -> bool {
-        !self.unsent.is_empty()
+        !self.pending_sends.is_empty()
     }
 
     /// Returns the blames to send now: new ones, and some of the others in rotation.
@@ -307,14 +308,14 @@
         let mut pairs: Vec<(RequestDigest, EngineKey)> = Vec::new();
         let mut again = VecDeque::new();
         while pairs.len() < MAX_REPORT_BLAMES
-            && let Some((request, engine, times)) = self.unsent.pop_front()
+            && let Some((request, engine, times)) = self.pending_sends.pop_front()
         {
             pairs.push((request, engine));
             if times > 1 {
                 again.push_back((request, engine, times - 1));
             }
         }
-        self.unsent.append(&mut again);
+        self.pending_sends.append(&mut again);
         if now.since(self.last_repeat_at) >= REPEAT_INTERVAL {
             self.last_repeat_at = now;
             let room = REPEATED_BLAMES.min(MAX_REPORT_BLAMES - pairs.len());
