--- a/crates/routing/src/admission/service.rs
+++ b/crates/routing/src/admission/service.rs
@@ -1,4 +1,4 @@
-//! Concurrency and queue of one service.
+//! Concurrency limit and queue of one service.
 
 use std::time::Duration;
 
@@ -8,28 +8,27 @@
 use super::refusal::{Refusal, RefusalCode};
 use super::{AdmissionOutput, AdmissionSettings, Decision, Ticket};
 
-/// Weight of the newest completion in the smoothed service time.
+/// Weight of the latest completion in the smoothed service time.
 const SERVICE_TIME_WEIGHT: f64 = 0.05;
-/// Service times without any completion, while no more may start, after which
+/// Multiple of the service time without any completion, at full concurrency, after which
 /// the service counts as stalled.
-const STALLED_AFTER: f64 = 2.0;
+const STALLED_SERVICE_TIMES: f64 = 2.0;
 
-/// Shortest time between two looks through the queue when requests end; a
-/// tick always looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(5);
+/// Minimum time between two scans of the queue when requests end; a tick always scans.
+const SCAN_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Limits of a service at one gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceLimits {
-    /// Most requests in flight.
+    /// Maximum number of requests in flight.
     pub max_concurrency: u32,
-    /// Most requests queued.
+    /// Maximum number of queued requests.
     pub max_queue: u32,
-    /// Longest time in the queue.
+    /// Maximum time in the queue.
     pub queue_timeout: Duration,
 }
 
-/// A request in a queue.
+/// A queued request.
 #[derive(Clone, Debug)]
 pub(super) struct Waiting {
     pub(super) ticket: Ticket,
@@ -45,14 +44,15 @@
     in_flight: u32,
     queue: FairQueue,
     service_seconds: f64,
-    /// Latest start or end of a request.
+    /// Time of the latest start or end of a request.
     last_change: Timestamp,
-    /// When the queue was last looked through for what comes too late.
-    last_look: Timestamp,
+    /// Time of the latest scan of the queue for requests that cannot be admitted in time.
+    last_scan: Timestamp,
 }
 
 impl Service {
-    /// `in_flight` requests still run from a time when it was configured before.
+    /// Creates the state of a service. `in_flight` requests still run from an earlier
+    /// configuration.
     pub(super) fn new(
         limits: ServiceLimits,
         assumed_service_time: Duration,
@@ -65,7 +65,7 @@
             queue: FairQueue::default(),
             service_seconds: assumed_service_time.as_secs_f64(),
             last_change: Timestamp::ZERO,
-            last_look: Timestamp::ZERO,
+            last_scan: Timestamp::ZERO,
         }
     }
 
@@ -93,23 +93,28 @@
         self.limits.max_concurrency.min(self.capacity).max(1)
     }
 
-    /// Time until `requests` have been served, by the measured rate: the
-    /// concurrency divided by the smoothed service time.
+    /// Time until `requests` have been served at the measured rate: the concurrency
+    /// divided by the smoothed service time.
     fn time_to_serve(&self, requests: usize) -> Duration {
         let per_second = f64::from(self.concurrency()) / self.service_seconds.max(1e-6);
         Duration::from_secs_f64(requests as f64 / per_second)
     }
 
-    /// Time lost to a stall: how long nothing ended although all that may run
-    /// did; zero unless that is far longer than a request takes.
+    /// Time lost to a stall: how long no request has ended although concurrency is used
+    /// up. Zero unless that is far longer than the service time.
     fn stall(&self, now: Timestamp) -> Duration {
-        let silent = now.since(self.last_change);
+        let since_change = now.since(self.last_change);
         let full = self.in_flight >= self.concurrency();
-        let stalled = full && silent.as_secs_f64() > STALLED_AFTER * self.service_seconds;
-        if stalled { silent } else { Duration::ZERO }
+        let stalled =
+            full && since_change.as_secs_f64() > STALLED_SERVICE_TIMES * self.service_seconds;
+        if stalled {
+            since_change
+        } else {
+            Duration::ZERO
+        }
     }
 
-    /// Time until a newcomer of `tenant` gets its turn.
+    /// Expected time until a new request of `tenant` is admitted.
     fn expected_wait(&self, now: Timestamp, tenant: &TenantId) -> Duration {
         let served_until_then = self.queue.ahead_of_new(tenant) + 1;
         self.time_to_serve(served_until_then) + self.stall(now)
@@ -119,10 +124,13 @@
         self.in_flight < self.concurrency() && self.queue.len() == 0
     }
 
-    /// Refuses a newcomer that cannot get its turn in time. A tenant may hold
-    /// as many places in the queue as are still free, so that there are always
-    /// some left for others.
-    pub(super) fn has_room_for(&self, now: Timestamp, tenant: &TenantId) -> Result<(), Refusal> {
+    /// Refuses a new request that cannot be admitted in time. A tenant may hold as many
+    /// places in the queue as are still free, so that some are always left for others.
+    pub(super) fn check_capacity_for(
+        &self,
+        now: Timestamp,
+        tenant: &TenantId,
+    ) -> Result<(), Refusal> {
         if self.can_start() {
             return Ok(());
         }
@@ -165,26 +173,26 @@
         }
     }
 
-    pub(super) fn finish(&mut self, now: Timestamp, took: Option<Duration>) {
+    pub(super) fn finish(&mut self, now: Timestamp, duration: Option<Duration>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.last_change = self.last_change.max(now);
-        if let Some(took) = took {
-            let difference = took.as_secs_f64() - self.service_seconds;
+        if let Some(duration) = duration {
+            let difference = duration.as_secs_f64() - self.service_seconds;
             self.service_seconds += SERVICE_TIME_WEIGHT * difference;
         }
     }
 
-    /// Whether the queue was looked through long enough ago, or the next
-    /// request in it must not start any more.
-    pub(super) fn is_look_due(&self, now: Timestamp) -> bool {
+    /// Whether a scan of the queue is due, or the next request in it is past its deadline
+    /// and must not start.
+    pub(super) fn is_scan_due(&self, now: Timestamp) -> bool {
         let next = self.queue.next();
         let late = next.is_some_and(|waiting| now >= waiting.deadline);
-        late || now.since(self.last_look) >= LOOK_INTERVAL
+        late || now.since(self.last_scan) >= SCAN_INTERVAL
     }
 
-    /// Removes what can no longer get its turn before its deadline.
+    /// Removes requests that can no longer be admitted before their deadline.
     pub(super) fn refuse_hopeless(&mut self, now: Timestamp) -> Vec<(Waiting, Refusal)> {
-        self.last_look = now;
+        self.last_scan = now;
         if self.queue.len() == 0 {
             return Vec::new();
         }
@@ -202,7 +210,7 @@
             .collect()
     }
 
-    /// Takes the next request out of the queue if there is room for it.
+    /// Takes the next request out of the queue if concurrency allows.
     pub(super) fn start_next(&mut self, now: Timestamp) -> Option<Waiting> {
         if self.in_flight >= self.concurrency() {
             return None;
--- a/crates/routing/src/queue/retry.rs
+++ b/crates/routing/src/queue/retry.rs
@@ -1,26 +1,27 @@
-//! When a refused caller should come back.
+//! Retry delays of refused callers.
 
 use std::time::Duration;
 
-/// Part of the time that a caller has left for which it waits at the most before it
-/// comes back.
-const HONOURED: f64 = 1.0 / 3.0;
-/// Shortest time: room that opens now is for those who wait.
-const SHORTEST: Duration = Duration::from_millis(150);
-/// Part by which callers who are refused together come back apart.
+/// Largest fraction of its remaining time that a caller waits before it retries.
+const MAX_DELAY_FRACTION: f64 = 1.0 / 3.0;
+/// Minimum delay: capacity that becomes free now goes to waiting requests.
+const MIN_DELAY: Duration = Duration::from_millis(150);
+/// Fraction by which the retries of callers refused at the same time are spread.
 const SPREAD: f64 = 0.5;
 
-/// When a caller with so much time `left` comes back best, where room returns in
-/// `room_in` if that can be seen; `draw`, from 0 to 1, spreads callers.
+/// Returns when a caller with remaining time `left` should retry, given the time until
+/// there is capacity (`room_in`), if known. `draw`, from 0 to 1, spreads the retries of
+/// callers.
 ///
-/// Where there is no room before its patience ends it is told so by a time beyond it.
+/// If there is no capacity before the caller gives up, the delay is at least `left`,
+/// which tells it not to retry.
 #[must_use]
 pub fn retry_after(room_in: Option<Duration>, left: Duration, draw: f64) -> Duration {
     let Some(room_in) = room_in.filter(|&room_in| room_in < left) else {
-        return left.max(SHORTEST);
+        return left.max(MIN_DELAY);
     };
     let spread = 1.0 + SPREAD * draw.clamp(0.0, 1.0);
-    let earliest = room_in.max(SHORTEST).mul_f64(spread);
-    let latest = left.mul_f64(HONOURED / (1.0 + SPREAD) * spread);
-    earliest.min(latest.max(SHORTEST))
+    let earliest = room_in.max(MIN_DELAY).mul_f64(spread);
+    let latest = left.mul_f64(MAX_DELAY_FRACTION / (1.0 + SPREAD) * spread);
+    earliest.min(latest.max(MIN_DELAY))
 }
--- a/crates/routing/src/quota/table.rs
+++ b/crates/routing/src/quota/table.rs
@@ -8,34 +8,35 @@
 use super::telling::{TenantKey, TenantUse, Usage, tenant_key};
 use super::tenant::{Limit, Others, Scale, Tenant};
 
-/// How long what others told last is taken to go on when nothing more is heard of
-/// them: a relay that is lost is left within a second. Behind it each side of a cut
-/// takes what its number of gateways entitles it to. What was told last is a sample
-/// with some noise, so that holding it for 5 s went beyond limits in simulated cuts.
-pub(super) const TOLD_HOLDS: Duration = Duration::from_secs(2);
-/// How long a word counts as told a moment ago: a few intervals of telling.
-pub(super) const TOLD_LATELY: Duration = Duration::from_millis(1_000);
-/// Behind its start a gateway knows how many tokens are left once it was told, or
-/// after this long at the latest.
-const SETTLES_AFTER: Duration = Duration::from_secs(5);
-/// Part of all gateways that counts as all of them: some are always on their way.
-const ALL_BUT: f64 = 0.95;
-/// A request that is over its tenant's limit.
+/// How long the latest report of others is assumed to hold when no more arrive; gateways
+/// leave a lost relay within a second. After that, each side of a network partition uses
+/// the part of the limits to which its number of gateways entitles it. The latest report
+/// is a noisy sample: holding it for 5 s exceeded limits in simulated partitions.
+pub(super) const REPORT_TTL: Duration = Duration::from_secs(2);
+/// Age up to which a report counts as recent: a few reporting intervals.
+pub(super) const RECENT_WITHIN: Duration = Duration::from_millis(1_000);
+/// Time after the start of a gateway from which it counts as knowing how many tokens are
+/// left, unless it learns that from a report earlier.
+const SETTLED_AFTER: Duration = Duration::from_secs(5);
+/// Fraction of all gateways that counts as all of them: some are always missing from the
+/// reports.
+const COMPLETE_FROM: f64 = 0.95;
+/// A request over the limit of its tenant.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refused {
-    /// When a token will be there for it, behind those that were refused before.
+    /// Time until a token is available for it, after those for requests refused earlier.
     pub retry_after: Duration,
     /// Tokens that were left as far as this gateway knew.
     pub left: f64,
-    /// Requests a second that the other gateways had as they told.
+    /// Rate of incoming requests that the other gateways reported, per second.
     pub others_asked: f64,
-    /// Time since some gateway or relay told anything; `None` before.
+    /// Time since the latest report of any gateway or relay; `None` before the first one.
     pub told_ago: Option<Duration>,
 }
 
-/// What others told.
+/// A report of another node.
 #[derive(Clone, Debug)]
-struct Told {
+struct Report {
     usage: Usage,
     by_tenant: HashMap<TenantKey, TenantUse>,
     at: Timestamp,
@@ -47,30 +48,30 @@
     started: Timestamp,
     gateways: u32,
     tenants: HashMap<TenantKey, Tenant>,
-    told: BTreeMap<NodeId, Told>,
-    told_at: Option<Timestamp>,
+    reports: BTreeMap<NodeId, Report>,
+    last_report_at: Option<Timestamp>,
 }
 
 impl TenantTable {
-    /// No tenants, at a gateway that starts.
+    /// Creates a table without tenants, for a gateway that starts at `now`.
     #[must_use]
     pub fn new(now: Timestamp) -> Self {
         Self {
             started: now,
             gateways: 1,
             tenants: HashMap::new(),
-            told: BTreeMap::new(),
-            told_at: None,
+            reports: BTreeMap::new(),
+            last_report_at: None,
         }
     }
 
-    /// How many gateways there are, this one included.
+    /// Sets the number of gateways, including this one.
     pub fn set_gateways(&mut self, gateways: u32, now: Timestamp) {
         self.advance(now);
         self.gateways = gateways.max(1);
     }
 
-    /// Other limits come into force. What was used of a limit before counts on.
+    /// Applies new limits. What was used under the earlier limits still counts.
     pub fn set_limits<'n>(
         &mut self,
         limits: impl Iterator<Item = (&'n str, Limit)>,
@@ -83,40 +84,40 @@
             let key = tenant_key(name);
             let tenant = match before.get(&key) {
                 Some(tenant) => tenant.limited_to(limit),
-                None => self.begin(key, limit, scale, now),
+                None => self.new_tenant(key, limit, scale, now),
             };
             self.tenants.insert(key, tenant);
         }
     }
 
-    /// A tenant that had no limit here before.
-    fn begin(&self, key: TenantKey, limit: Limit, scale: Scale, now: Timestamp) -> Tenant {
+    /// Creates the state of a tenant that had no limit here before.
+    fn new_tenant(&self, key: TenantKey, limit: Limit, scale: Scale, now: Timestamp) -> Tenant {
         let mut tenant = Tenant::new(limit, self.started);
         tenant.advance(scale, Others::default(), now);
-        for told in self.told.values() {
-            tenant.settle(&told.usage, told.by_tenant.get(&key), now);
+        for report in self.reports.values() {
+            tenant.settle(&report.usage, report.by_tenant.get(&key), now);
         }
         tenant
     }
 
-    /// Takes in what another gateway tells of its own requests.
+    /// Records the report of another gateway about its own requests.
     pub fn note_gateway(&mut self, from: NodeId, usage: Usage, now: Timestamp) {
         self.advance(now);
         self.note(from, usage, now);
     }
 
-    /// Takes in what a relay tells of all other gateways. It takes the place of
-    /// what any other relay told.
+    /// Records the report of a relay about all other gateways. It replaces the reports of
+    /// all other nodes.
     pub fn note_relay(&mut self, from: NodeId, usage: Usage, now: Timestamp) {
         self.advance(now);
-        self.told.retain(|node, _| *node == from);
+        self.reports.retain(|node, _| *node == from);
         self.note(from, usage, now);
     }
 
     fn note(&mut self, from: NodeId, usage: Usage, now: Timestamp) {
         let mut by_tenant = HashMap::new();
         for one in &usage.tenants {
-            // Words of tenants that are unknown here are kept nowhere.
+            // Reports about tenants that are unknown here are not kept.
             if self.tenants.contains_key(&one.tenant) {
                 by_tenant.insert(one.tenant, *one);
             }
@@ -128,58 +129,63 @@
             tenants: Vec::new(),
             ..usage
         };
-        let told = Told {
+        let report = Report {
             usage,
             by_tenant,
             at: now,
         };
-        self.told.insert(from, told);
-        self.told_at = Some(now);
+        self.reports.insert(from, report);
+        self.last_report_at = Some(now);
     }
 
-    /// Gateways whose requests are known here, this one included.
-    fn heard(&self) -> u32 {
-        let told = self.told.values().map(|told| told.usage.gateways);
-        told.fold(1, u32::saturating_add)
+    /// Number of gateways whose requests are known here, including this one.
+    fn known_gateways(&self) -> u32 {
+        let reports = self.reports.values().map(|report| report.usage.gateways);
+        reports.fold(1, u32::saturating_add)
     }
 
-    /// Gateways that told a moment ago, this one included.
-    fn fresh(&self, now: Timestamp) -> u32 {
-        let told = self.told.values();
-        let lately = told.filter(|told| now.since(told.at) < TOLD_LATELY);
-        lately.fold(1, |fresh, told| fresh.saturating_add(told.usage.fresh))
+    /// Number of gateways that reported recently, including this one.
+    fn recent_gateways(&self, now: Timestamp) -> u32 {
+        let reports = self.reports.values();
+        let recent = reports.filter(|report| now.since(report.at) < RECENT_WITHIN);
+        recent.fold(1, |fresh, report| fresh.saturating_add(report.usage.fresh))
     }
 
     fn scale(&self, now: Timestamp) -> Scale {
         let part = |gateways: u32| (f64::from(gateways) / f64::from(self.gateways)).min(1.0);
-        let heard = part(self.heard());
+        let covered = part(self.known_gateways());
         Scale {
-            rate: if heard >= ALL_BUT { 1.0 } else { heard },
-            burst: part(self.fresh(now)),
+            rate: if covered >= COMPLETE_FROM {
+                1.0
+            } else {
+                covered
+            },
+            burst: part(self.recent_gateways(now)),
         }
     }
 
-    /// Brings every tenant up to `now`, with what others told until then.
+    /// Advances every tenant to `now`, with the reports received until then.
     fn advance(&mut self, now: Timestamp) {
-        self.forget_silent(now);
+        self.drop_old_reports(now);
         let scale = self.scale(now);
         let keys: Vec<TenantKey> = self.tenants.keys().copied().collect();
         for key in keys {
-            self.advance_one(key, scale, now);
+            self.advance_tenant(key, scale, now);
         }
     }
 
-    fn forget_silent(&mut self, now: Timestamp) {
-        self.told.retain(|_, told| now.since(told.at) < TOLD_HOLDS);
+    fn drop_old_reports(&mut self, now: Timestamp) {
+        self.reports
+            .retain(|_, report| now.since(report.at) < REPORT_TTL);
     }
 
-    fn advance_one(&mut self, key: TenantKey, scale: Scale, now: Timestamp) {
+    fn advance_tenant(&mut self, key: TenantKey, scale: Scale, now: Timestamp) {
         let others = self.others(key);
         if let Some(tenant) = self.tenants.get_mut(&key) {
             tenant.advance(scale, others, now);
-            let known = now.since(self.started) >= SETTLES_AFTER;
+            let known = now.since(self.started) >= SETTLED_AFTER;
             if known {
-                tenant.settle_by_time();
+                tenant.mark_settled();
             }
         }
     }
@@ -187,9 +193,9 @@
     fn others(&self, key: TenantKey) -> Others {
         let mut others = Others::default();
         for one in self
-            .told
+            .reports
             .values()
-            .filter_map(|told| told.by_tenant.get(&key))
+            .filter_map(|report| report.by_tenant.get(&key))
         {
             others.admitted += one.admitted as f64 / 1_000.0;
             others.asked += one.asked as f64 / 1_000.0;
@@ -202,21 +208,21 @@
         others
     }
 
-    /// Whether a request of the tenant of this name may go to an engine now.
+    /// Decides whether a request of the named tenant may go to an engine now.
     ///
     /// # Errors
-    /// When the tenant sends more than it may.
+    /// Returns [`Refused`] if the tenant exceeds its limit.
     pub fn admit(&mut self, name: &str, now: Timestamp) -> Result<(), Refused> {
         let key = tenant_key(name);
-        self.forget_silent(now);
+        self.drop_old_reports(now);
         let scale = self.scale(now);
-        self.advance_one(key, scale, now);
+        self.advance_tenant(key, scale, now);
         let others = self.others(key);
-        let told_ago = self.told_at.map(|told| now.since(told));
+        let told_ago = self.last_report_at.map(|at| now.since(at));
         let Some(tenant) = self.tenants.get_mut(&key) else {
             return Ok(());
         };
-        if tenant.ask(others, now) {
+        if tenant.request(others, now) {
             return Ok(());
         }
         Err(Refused {
@@ -227,33 +233,33 @@
         })
     }
 
-    /// A request that was admitted never went to an engine.
+    /// Returns the token of an admitted request that never went to an engine.
     pub fn give_back(&mut self, name: &str, now: Timestamp) {
         if let Some(tenant) = self.tenants.get_mut(&tenant_key(name)) {
             tenant.give_back(now);
         }
     }
 
-    /// Whether tokens of a tenant run short that sends requests here, so that the
-    /// others should hear of them at once.
+    /// Whether tokens run short for a tenant that sends requests here, so that the others
+    /// should receive a report immediately.
     #[must_use]
     pub fn is_short(&self, now: Timestamp) -> bool {
         let mut tenants = self.tenants.values();
         tenants.any(|tenant| tenant.is_short(now))
     }
 
-    /// What this gateway has of its tenants, for telling others.
+    /// Returns the usage report of this gateway.
     pub fn usage(&mut self, now: Timestamp) -> Usage {
         self.advance(now);
-        let told = self.tenants.iter();
-        let told = told.filter_map(|(&key, tenant)| tenant.told(key, now));
-        let settled = now.since(self.started) >= SETTLES_AFTER
-            || self.told.values().any(|told| told.usage.settled);
+        let entries = self.tenants.iter();
+        let entries = entries.filter_map(|(&key, tenant)| tenant.report(key, now));
+        let settled = now.since(self.started) >= SETTLED_AFTER
+            || self.reports.values().any(|report| report.usage.settled);
         Usage {
             gateways: 1,
             fresh: 1,
             settled,
-            tenants: told.collect(),
+            tenants: entries.collect(),
         }
     }
 }
--- a/crates/routing/src/suspects/table.rs
+++ b/crates/routing/src/suspects/table.rs
@@ -1,4 +1,5 @@
-//! All requests that ran at engines as they ended, and who of them is guilty.
+//! All requests that were running on engines when they ended, and which of them are
+//! guilty.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -9,106 +10,109 @@
 use super::blame::{Blame, EngineKey};
 use super::suspect::{Crash, Suspect};
 
-/// Crashes that nothing else explains behind which a request is guilty: as many as
-/// operators grant one request. Fewer would refuse requests that were beside a guilty
-/// one twice.
+/// Number of crashes without another explanation after which a request is guilty: as many
+/// as operators allow one request. A lower number would refuse requests that ran beside a
+/// guilty one twice.
 const GUILTY_CRASHES: usize = 3;
-/// Crashes behind which a request is guilty whatever else may explain them. Operators
-/// grant three sends behind the third crash; two of them are used up by this at most.
-const GUILTY_ANYWAY: usize = 5;
-/// Crashes that nothing explains, lately, for which a request has to have one more:
-/// engines end for reasons of their own then, a machine that flaps or a rack that is
-/// lost, or other requests are about to turn out guilty.
-const UNREST_CRASHES: usize = 2;
-/// What counts as lately there: engines that flap are up for some seconds at a time.
-const UNREST: Duration = Duration::from_secs(60);
-/// How long it takes until every gateway has told what it had at an engine that ended:
-/// two looks at the engine's port, 0.12 s, and a telling through two relays.
+/// Number of crashes after which a request is guilty whatever else may explain them.
+/// Operators allow three sends after the third crash; this uses up two of them at most.
+const ALWAYS_GUILTY_CRASHES: usize = 5;
+/// Number of recent crashes without an explanation for which a request needs one more
+/// crash to be guilty. At such times engines end for other reasons, such as a flapping
+/// machine or a lost rack, or other requests are about to be found guilty.
+const UNEXPLAINED_PER_EXTRA_CRASH: usize = 2;
+/// How long such crashes count as recent: flapping engines are up for some seconds at a
+/// time.
+const UNEXPLAINED_WINDOW: Duration = Duration::from_secs(60);
+/// Time until every gateway has reported what it had at an engine that ended: two checks
+/// of the engine's port, 0.12 s, and a report through two relays.
 const SETTLED_AFTER: Duration = Duration::from_millis(400);
-/// Crashes from which on a batch item waits, and how long: items run for seconds, so
-/// that one is hit by several requests that crash engines before these are known. With
-/// four of them at once no item of 190,000 requests beside them was refused in place of
-/// 70 (tests/suspect_schedules, 60 schedules). Online requests do not wait: as many were
-/// refused, and copies of a guilty one that waited went out together.
-const ITEM_WAITS_FROM: usize = 2;
-const ITEM_WAITS: Duration = Duration::from_secs(3);
-/// How long a request is remembered behind its last crash. One that comes once an hour
-/// must not begin anew each time.
-const REMEMBERED: Duration = Duration::from_secs(3 * 3_600);
-/// Requests that are remembered; beyond it those with the fewest crashes go first, and
-/// of these the oldest. Some 200 bytes each.
-const MOST_SUSPECTS: usize = 4_096;
-/// Times that news are told: a telling may be lost.
-const TOLD_TIMES: u32 = 3;
-/// Blames in one telling, some 40 bytes each.
-const MOST_TOLD: usize = 128;
-/// Blames that are told again in turn, each [`REPEATED_EVERY`], so that whoever was cut
-/// off, or has just started, hears of them all: 0.3 KB a second.
-const REPEATED: usize = 8;
-/// Time between two of those.
-const REPEATED_EVERY: Duration = Duration::from_secs(1);
-/// Time behind which a gateway that saw no crash of a guilty request asks for its bar:
-/// those that saw one ask first.
-const OTHERS_ASK_AFTER: Duration = Duration::from_secs(3);
+/// Number of crashes from which a batch item waits, and how long. Items run for seconds,
+/// so that several crashing requests can hit the same item before they are identified.
+/// With four such requests at once, no item among the 190,000 requests beside them was
+/// refused, instead of 70 without the wait (tests/suspect_schedules, 60 schedules).
+/// Online requests do not wait: as many were refused with a wait, and waiting copies of a
+/// guilty request were sent together.
+const ITEM_WAIT_CRASHES: usize = 2;
+const ITEM_WAIT: Duration = Duration::from_secs(3);
+/// How long a request is remembered after its latest crash, so that one that is sent once
+/// an hour does not start anew each time.
+const SUSPECT_TTL: Duration = Duration::from_secs(3 * 3_600);
+/// Maximum number of remembered requests, some 200 bytes each. Beyond it, those with the
+/// fewest crashes are dropped first, and of these the oldest.
+const MAX_SUSPECTS: usize = 4_096;
+/// Number of times that a new blame is sent, since a report may be lost.
+const SENDS_PER_BLAME: u32 = 3;
+/// Maximum number of blames in one report, some 40 bytes each.
+const MAX_REPORT_BLAMES: usize = 128;
+/// Number of blames that are sent again in rotation every [`REPEAT_INTERVAL`], so that
+/// nodes that were cut off or have just started receive all of them: 0.3 KB per second.
+const REPEATED_BLAMES: usize = 8;
+/// Time between two of these repetitions.
+const REPEAT_INTERVAL: Duration = Duration::from_secs(1);
+/// Time after which a gateway that observed no crash of a guilty request asks for its
+/// bar: gateways that observed one ask first.
+const NON_OBSERVER_DELAY: Duration = Duration::from_secs(3);
 
 /// Whether a request may be sent to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// Nothing speaks against it.
+    /// The request is not blamed for any crash.
     Free,
-    /// It ran at so many engines as they ended.
+    /// The request was running on engines when they ended.
     Suspect {
-        /// Engines.
+        /// Number of these engines.
         crashes: usize,
     },
-    /// It may be guilty, which shows by then.
+    /// The request may be guilty, which is not decided yet.
     Unsettled {
-        /// When.
+        /// When it can be decided.
         until: Timestamp,
     },
-    /// No engine gets it.
+    /// The request must not be sent to any engine.
     Barred {
-        /// Engines that ended under it, as far as this node knows.
+        /// Number of engines that ended while running it, as far as this node knows.
         crashes: usize,
     },
 }
 
-/// What one node knows of crashes.
+/// Crashes known to one node, and the requests blamed for them.
 #[derive(Clone, Debug, Default)]
 pub struct SuspectTable {
     suspects: BTreeMap<RequestDigest, Suspect>,
-    /// Requests by the engine that ended.
+    /// Requests by the engine that ended while running them.
     at_engine: BTreeMap<EngineKey, BTreeSet<RequestDigest>>,
-    /// Bars that the control group holds, with their ends.
+    /// Bars held by the control group, which keep a request from all engines, with the
+    /// time at which they end.
     bars: BTreeMap<RequestDigest, Timestamp>,
-    /// What is to be told, and how often yet.
-    news: VecDeque<(RequestDigest, EngineKey, u32)>,
-    /// Behind which blame the next one is told again.
-    repeated: Option<(RequestDigest, EngineKey)>,
-    repeated_at: Timestamp,
+    /// Blames to be sent, and how many more times.
+    pending_sends: VecDeque<(RequestDigest, EngineKey, u32)>,
+    /// Latest blame that was repeated; the next repetition continues after it.
+    last_repeated: Option<(RequestDigest, EngineKey)>,
+    last_repeat_at: Timestamp,
 }
 
 impl SuspectTable {
-    /// Whether no request has to be looked up: so on all days without a crash.
+    /// Whether no request has to be looked up, as is the case unless engines crash.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty() && self.bars.is_empty()
     }
 
-    /// Requests that are remembered.
+    /// Number of remembered requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.suspects.len()
     }
 
-    /// Bars that hold here.
+    /// Number of bars that are in force here.
     #[must_use]
     pub fn bars(&self) -> usize {
         self.bars.len()
     }
 
-    /// This gateway had a request at an engine that ended. Says how many crashes it is
-    /// blamed for by now, if this one is news.
+    /// Records that this gateway had a request at an engine that ended. Returns the
+    /// number of crashes that the request is now blamed for, if this one is new.
     pub fn blame(
         &mut self,
         request: RequestDigest,
@@ -117,28 +121,28 @@
     ) -> Option<usize> {
         let crash = Crash {
             at: now,
-            heard: now,
+            learned_at: now,
             cleared: false,
             own: true,
         };
-        let news = self.insert(request, engine, crash);
-        news.then(|| self.crashes(&request))
+        let is_new = self.insert(request, engine, crash);
+        is_new.then(|| self.crashes(&request))
     }
 
-    /// Takes in what another node tells; says whether any of it is news.
+    /// Records the blames that another node reports. Returns whether any of them is new.
     pub fn note(&mut self, blames: &[Blame], now: Timestamp) -> bool {
-        let mut news = false;
-        for blame in blames.iter().take(MOST_TOLD) {
+        let mut is_new = false;
+        for blame in blames.iter().take(MAX_REPORT_BLAMES) {
             let age = blame.age_ms.saturating_mul(1_000);
             let crash = Crash {
                 at: Timestamp(now.0.saturating_sub(age)),
-                heard: now,
+                learned_at: now,
                 cleared: blame.cleared,
                 own: false,
             };
-            news |= self.insert(blame.request, blame.engine, crash);
+            is_new |= self.insert(blame.request, blame.engine, crash);
         }
-        news
+        is_new
     }
 
     fn insert(&mut self, request: RequestDigest, engine: EngineKey, crash: Crash) -> bool {
@@ -147,14 +151,16 @@
             return false;
         }
         self.at_engine.entry(engine).or_default().insert(request);
-        self.news.push_back((request, engine, TOLD_TIMES));
-        if self.suspects.len() > MOST_SUSPECTS {
-            self.forget_one(&request);
+        self.pending_sends
+            .push_back((request, engine, SENDS_PER_BLAME));
+        if self.suspects.len() > MAX_SUSPECTS {
+            self.evict_one(&request);
         }
         true
     }
 
-    /// A request was answered whole by an engine. Says whether it was blamed.
+    /// Records that an engine answered a request completely. Returns whether the request
+    /// was blamed.
     pub fn answered(&mut self, request: &RequestDigest) -> bool {
         let Some(suspect) = self.suspects.get_mut(request) else {
             return false;
@@ -163,24 +169,25 @@
             return false;
         }
         let engines: Vec<EngineKey> = suspect.crashes.keys().copied().collect();
-        let news = engines.into_iter();
-        self.news
-            .extend(news.map(|engine| (*request, engine, TOLD_TIMES)));
+        let cleared = engines.into_iter();
+        self.pending_sends
+            .extend(cleared.map(|engine| (*request, engine, SENDS_PER_BLAME)));
         true
     }
 
-    /// The control group holds a bar until `ends`.
+    /// Records that the control group holds a bar until `ends`.
     pub fn bar(&mut self, request: RequestDigest, ends: Timestamp) {
         self.bars.insert(request, ends);
     }
 
-    /// An operator lifted a bar: what was known of the request counts no more.
+    /// Records that an operator lifted a bar: what was known of the request no longer
+    /// counts.
     pub fn lift(&mut self, request: &RequestDigest) {
         self.bars.remove(request);
         self.answered(request);
     }
 
-    /// Crashes that a request is blamed for.
+    /// Number of crashes that a request is blamed for.
     #[must_use]
     pub fn crashes(&self, request: &RequestDigest) -> usize {
         self.suspects.get(request).map_or(0, Suspect::count)
@@ -199,8 +206,8 @@
         if crashes < GUILTY_CRASHES {
             return Verdict::Suspect { crashes };
         }
-        // Who else was there may not have been told yet.
-        let until = suspect.heard() + SETTLED_AFTER;
+        // Other requests that were running there may not have been reported yet.
+        let until = suspect.last_learned_at() + SETTLED_AFTER;
         if now < until {
             return Verdict::Unsettled { until };
         }
@@ -210,62 +217,64 @@
         }
     }
 
-    /// Until when a batch item waits that engines ended under more than once: whoever
-    /// else was the cause has shown by then. `None` when it need not.
+    /// Returns until when a batch item has to wait after several engines ended while
+    /// running it: by then, another request that was the cause has been found. `None` if
+    /// it need not wait.
     #[must_use]
     pub fn item_waits(&self, request: &RequestDigest, now: Timestamp) -> Option<Timestamp> {
         let suspect = self.suspects.get(request)?;
-        let until = suspect.heard() + ITEM_WAITS;
-        (suspect.count() >= ITEM_WAITS_FROM && now < until).then_some(until)
+        let until = suspect.last_learned_at() + ITEM_WAIT;
+        (suspect.count() >= ITEM_WAIT_CRASHES && now < until).then_some(until)
     }
 
     fn is_barred(&self, request: &RequestDigest, now: Timestamp) -> bool {
         self.bars.get(request).is_some_and(|&ends| now < ends)
     }
 
-    /// Whether a request is the cause of its crashes. Of those that were at the same
-    /// engine, the one with the most crashes explains the end of it; where two have
-    /// as many, neither does, and the next crash tells them apart.
+    /// Whether a request is the cause of its crashes. Of the requests at the same engine,
+    /// the one with the most crashes explains its end. If two have as many, neither does,
+    /// and the next crash distinguishes them.
     fn is_guilty(&self, request: &RequestDigest, suspect: &Suspect, now: Timestamp) -> bool {
         let count = suspect.count();
-        if count >= GUILTY_ANYWAY {
+        if count >= ALWAYS_GUILTY_CRASHES {
             return true;
         }
-        let alone = suspect.blamed().filter(|&(engine, _)| {
-            let there = self.at_engine.get(&engine).into_iter().flatten();
-            let mut others = there.filter(|other| *other != request);
+        let attributed = suspect.blamed().filter(|&(engine, _)| {
+            let at_engine = self.at_engine.get(&engine).into_iter().flatten();
+            let mut others = at_engine.filter(|other| *other != request);
             others.all(|other| !self.is_barred(other, now) && self.crashes(other) < count)
         });
-        alone.count() >= GUILTY_CRASHES + self.unexplained(suspect, now) / UNREST_CRASHES
+        attributed.count()
+            >= GUILTY_CRASHES + self.unexplained(suspect, now) / UNEXPLAINED_PER_EXTRA_CRASH
     }
 
-    /// Engines that ended lately without this request, and without any that has as many
-    /// crashes as a guilty one.
-    fn unexplained(&self, but: &Suspect, now: Timestamp) -> usize {
+    /// Number of engines that ended recently without this request, and without any
+    /// request that is barred or has as many crashes as a guilty one.
+    fn unexplained(&self, except: &Suspect, now: Timestamp) -> usize {
         let engines = self.at_engine.iter();
         let unexplained = engines.filter(|(engine, requests)| {
-            let lately = requests.iter().any(|request| {
+            let recent = requests.iter().any(|request| {
                 let crash = self.suspects.get(request);
                 let crash = crash.and_then(|suspect| suspect.crashes.get(engine));
-                crash.is_some_and(|crash| now.since(crash.at) < UNREST)
+                crash.is_some_and(|crash| now.since(crash.at) < UNEXPLAINED_WINDOW)
             });
             let explained = requests
                 .iter()
                 .any(|one| self.crashes(one) >= GUILTY_CRASHES || self.is_barred(one, now));
-            lately && !explained && !but.crashes.contains_key(engine)
+            recent && !explained && !except.crashes.contains_key(engine)
         });
         unexplained.count()
     }
 
-    /// Guilty requests that no bar holds yet, with their crashes, as far as this
-    /// gateway is one of those to ask for it.
+    /// Returns the guilty requests without a bar and the number of their crashes, if this
+    /// gateway is to ask for the bar.
     #[must_use]
     pub fn to_bar(&self, now: Timestamp) -> Vec<(RequestDigest, usize)> {
-        let many = self.suspects.iter();
-        let many = many.filter(|(_, suspect)| suspect.count() >= GUILTY_CRASHES);
-        let due = many.filter(|(request, suspect)| {
+        let candidates = self.suspects.iter();
+        let candidates = candidates.filter(|(_, suspect)| suspect.count() >= GUILTY_CRASHES);
+        let due = candidates.filter(|(request, suspect)| {
             let own = suspect.crashes.values().any(|crash| crash.own);
-            let late = now.since(suspect.heard()) >= OTHERS_ASK_AFTER;
+            let late = now.since(suspect.last_learned_at()) >= NON_OBSERVER_DELAY;
             let open = !self.is_barred(request, now) && (own || late);
             open && matches!(self.verdict(request, now), Verdict::Barred { .. })
         });
@@ -273,55 +282,55 @@
             .collect()
     }
 
-    /// Whether a request without a bar may be guilty, now or once it settled.
+    /// Whether a request without a bar may be guilty, now or once that is decided.
     #[must_use]
     pub fn has_candidates(&self, now: Timestamp) -> bool {
         let suspects = self.suspects.iter();
-        let mut many = suspects.filter(|(_, suspect)| suspect.count() >= GUILTY_CRASHES);
-        many.any(|(request, _)| !self.is_barred(request, now))
+        let mut candidates = suspects.filter(|(_, suspect)| suspect.count() >= GUILTY_CRASHES);
+        candidates.any(|(request, _)| !self.is_barred(request, now))
     }
 
-    /// How long ago this node heard of the last crash of a request.
+    /// Time since this node learned of the latest crash of a request.
     #[must_use]
     pub fn heard_ago(&self, request: &RequestDigest, now: Timestamp) -> Option<Duration> {
         let suspect = self.suspects.get(request)?;
-        Some(now.since(suspect.heard()))
+        Some(now.since(suspect.last_learned_at()))
     }
 
-    /// Whether there is something to tell that was not told yet.
+    /// Whether there are new blames to send.
     #[must_use]
     pub fn has_news(&self) -> bool {
-        !self.news.is_empty()
+        !self.pending_sends.is_empty()
     }
 
-    /// What is to be told now: news, and some of the rest in turn.
+    /// Returns the blames to send now: new ones, and some of the others in rotation.
     pub fn tell(&mut self, now: Timestamp) -> Vec<Blame> {
         let mut pairs: Vec<(RequestDigest, EngineKey)> = Vec::new();
         let mut again = VecDeque::new();
-        while pairs.len() < MOST_TOLD
-            && let Some((request, engine, times)) = self.news.pop_front()
+        while pairs.len() < MAX_REPORT_BLAMES
+            && let Some((request, engine, times)) = self.pending_sends.pop_front()
         {
             pairs.push((request, engine));
             if times > 1 {
                 again.push_back((request, engine, times - 1));
             }
         }
-        self.news.append(&mut again);
-        if now.since(self.repeated_at) >= REPEATED_EVERY {
-            self.repeated_at = now;
-            let room = REPEATED.min(MOST_TOLD - pairs.len());
+        self.pending_sends.append(&mut again);
+        if now.since(self.last_repeat_at) >= REPEAT_INTERVAL {
+            self.last_repeat_at = now;
+            let room = REPEATED_BLAMES.min(MAX_REPORT_BLAMES - pairs.len());
             let next = self.next_repeated(room);
             pairs.extend(next);
         }
         let blames = pairs
             .into_iter()
-            .filter_map(|(request, engine)| self.told(request, engine, now));
+            .filter_map(|(request, engine)| self.current_blame(request, engine, now));
         blames.collect()
     }
 
-    /// The next blames in their order, from the first one on again at its end.
+    /// Returns the next blames in order; after the last one, the next call starts over.
     fn next_repeated(&mut self, room: usize) -> Vec<(RequestDigest, EngineKey)> {
-        let from = self.repeated;
+        let from = self.last_repeated;
         let suspects = match from {
             Some((request, _)) => self.suspects.range(request..),
             None => self.suspects.range(..),
@@ -332,14 +341,19 @@
         });
         let next: Vec<(RequestDigest, EngineKey)> =
             all.filter(|pair| Some(*pair) > from).take(room).collect();
-        self.repeated = match next.len() < room {
+        self.last_repeated = match next.len() < room {
             true => None,
             false => next.last().copied(),
         };
         next
     }
 
-    fn told(&self, request: RequestDigest, engine: EngineKey, now: Timestamp) -> Option<Blame> {
+    fn current_blame(
+        &self,
+        request: RequestDigest,
+        engine: EngineKey,
+        now: Timestamp,
+    ) -> Option<Blame> {
         let crash = self.suspects.get(&request)?.crashes.get(&engine)?;
         Some(Blame {
             request,
@@ -349,27 +363,30 @@
         })
     }
 
-    /// Forgets what is too old.
+    /// Drops bars that ended and requests that are remembered no longer.
     pub fn expire(&mut self, now: Timestamp) {
         self.bars.retain(|_, ends| now < *ends);
         let suspects = self.suspects.iter();
-        let old = suspects.filter(|(_, suspect)| now.since(suspect.last()) >= REMEMBERED);
+        let old = suspects.filter(|(_, suspect)| now.since(suspect.last_crash_at()) >= SUSPECT_TTL);
         let old: Vec<RequestDigest> = old.map(|(request, _)| *request).collect();
         for request in &old {
-            self.forget(request);
+            self.remove(request);
         }
     }
 
-    /// Makes room for one that was just taken in.
-    fn forget_one(&mut self, but: &RequestDigest) {
-        let suspects = self.suspects.iter().filter(|(request, _)| *request != but);
-        let least = suspects.min_by_key(|(_, suspect)| (suspect.count(), suspect.last()));
+    /// Makes room for a request that was just added.
+    fn evict_one(&mut self, except: &RequestDigest) {
+        let suspects = self
+            .suspects
+            .iter()
+            .filter(|(request, _)| *request != except);
+        let least = suspects.min_by_key(|(_, suspect)| (suspect.count(), suspect.last_crash_at()));
         if let Some(request) = least.map(|(request, _)| *request) {
-            self.forget(&request);
+            self.remove(&request);
         }
     }
 
-    fn forget(&mut self, request: &RequestDigest) {
+    fn remove(&mut self, request: &RequestDigest) {
         let Some(suspect) = self.suspects.remove(request) else {
             return;
         };
--- a/crates/routing/tests/queue/rules.rs
+++ b/crates/routing/tests/queue/rules.rs
@@ -1,4 +1,4 @@
-//! Each rule of the queue by itself.
+//! The rules of the queue, each on its own.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -15,7 +15,7 @@
     Duration::from_millis(ms)
 }
 
-/// One that came at `ms` without a tenant or anything that ranks it.
+/// A request that arrives at `ms`, without a tenant, rank or size.
 fn plain(ms: u64) -> Want<'static> {
     Want {
         tenant: None,
@@ -29,10 +29,10 @@
 }
 
 fn ask(queue: &mut Queue, want: &Want<'_>, ms: u64) -> Place {
-    queue.ask(want, at(ms)).expect("it may wait")
+    queue.ask(want, at(ms)).expect("the queue accepts it")
 }
 
-/// All that wait, in the order of their turns.
+/// All waiting requests in dispatch order.
 fn order(queue: &Queue, ms: u64) -> Vec<Place> {
     let mut queue = queue.clone();
     std::iter::from_fn(|| {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn who_comes_to_an_empty_queue_has_the_turn_at_once() {
+fn a_request_in_an_empty_queue_may_search_immediately() {
     let mut queue = Queue::new(Limits::default());
     let place = ask(&mut queue, &plain(1_000), 1_000);
     let (first, turn) = queue.lookers(at(1_000))[0];
@@ -55,22 +55,22 @@
 }
 
 #[test]
-fn without_ranks_tenants_or_sizes_the_turn_goes_by_age_and_to_who_is_in_time() {
+fn without_ranks_tenants_or_sizes_order_is_by_age_with_in_time_requests_first() {
     let mut queue = Queue::new(Limits::default());
-    let came = [1_000, 1_100, 1_200, 1_300].map(|ms| ask(&mut queue, &plain(ms), ms));
+    let places = [1_000, 1_100, 1_200, 1_300].map(|ms| ask(&mut queue, &plain(ms), ms));
     assert_eq!(
         order(&queue, 1_300),
-        [1, 2, 3, 0].map(|one: usize| came[one])
+        [1, 2, 3, 0].map(|one: usize| places[one])
     );
     assert_eq!(
         order(&queue, 1_400),
-        [2, 3, 0, 1].map(|one: usize| came[one])
+        [2, 3, 0, 1].map(|one: usize| places[one])
     );
-    assert_eq!(order(&queue, 2_000), came);
+    assert_eq!(order(&queue, 2_000), places);
 }
 
 #[test]
-fn ranks_go_before_age_that_of_a_tenant_first() {
+fn ranks_take_precedence_over_age_and_tenant_ranks_over_route_ranks() {
     let mut queue = Queue::new(Limits::default());
     let ranks = [
         (None, 2),
@@ -100,50 +100,56 @@
 }
 
 #[test]
-fn who_comes_later_goes_before_what_another_tenant_heaped_up() {
+fn a_later_request_goes_before_the_backlog_of_another_tenant() {
     let mut queue = Queue::new(Limits::default());
     let flood = Want {
         tenant: Some("flood"),
         ..plain(1_000)
     };
-    let heap: Vec<Place> = (0..10).map(|_| ask(&mut queue, &flood, 1_000)).collect();
+    let backlog: Vec<Place> = (0..10).map(|_| ask(&mut queue, &flood, 1_000)).collect();
     let one = Want {
         tenant: Some("one"),
         ..plain(1_010)
     };
     let one = ask(&mut queue, &one, 1_010);
-    let weighty = Want {
+    let weighted = Want {
         tenant: Some("weighty"),
         weight: 3,
         ..plain(1_020)
     };
-    let weighty: Vec<Place> = (0..4).map(|_| ask(&mut queue, &weighty, 1_020)).collect();
+    let weighted: Vec<Place> = (0..4).map(|_| ask(&mut queue, &weighted, 1_020)).collect();
     let turns = order(&queue, 1_030);
     let first = [
-        heap[0], one, weighty[0], weighty[1], weighty[2], heap[1], weighty[3],
+        backlog[0],
+        one,
+        weighted[0],
+        weighted[1],
+        weighted[2],
+        backlog[1],
+        weighted[3],
     ];
     assert_eq!(turns[..7], first);
 }
 
 #[test]
-fn who_is_back_from_an_engine_looks_first_however_late_it_is() {
+fn a_request_returned_from_an_engine_searches_first_however_late_it_is() {
     let mut queue = Queue::new(Limits::default());
     for _ in 0..10 {
         ask(&mut queue, &plain(1_000), 1_000);
     }
-    let back = Want {
+    let returned = Want {
         begins_by: at(500),
         leaves_at: at(1_050),
         again: true,
         ..plain(1_000)
     };
-    let back = ask(&mut queue, &back, 1_000);
-    let looking = queue.lookers(at(1_000));
-    assert!(looking.iter().any(|(place, _)| *place == back));
+    let returned = ask(&mut queue, &returned, 1_000);
+    let searching = queue.lookers(at(1_000));
+    assert!(searching.iter().any(|(place, _)| *place == returned));
 }
 
 #[test]
-fn requests_of_no_tenant_hold_up_no_tenant() {
+fn requests_without_a_tenant_delay_no_tenant() {
     let mut queue = Queue::new(Limits::default());
     let keyed = Want {
         tenant: Some("t"),
@@ -154,7 +160,7 @@
     }
     let mut begun = Vec::new();
     for ms in 1_011..1_021 {
-        // Each time that one begins, two more come that belong to nobody.
+        // For each dispatch, two more requests without a tenant arrive.
         let anonymous = [0, 1].map(|_| ask(&mut queue, &plain(900), ms));
         let (place, _) = queue.lookers(at(ms))[0];
         queue.begun(place, at(ms));
@@ -165,7 +171,7 @@
 }
 
 #[test]
-fn a_long_answer_lets_short_ones_pass_but_not_for_ever() {
+fn short_answers_overtake_long_ones_within_a_bound() {
     let mut queue = Queue::new(Limits::default());
     let sized = |ms: u64, size: u64| Want {
         size: Some(size),
@@ -181,10 +187,11 @@
     assert!(turn(long) < turn(far));
 }
 
-/// A queue at which `per_second` begin and come for three seconds while some wait.
+/// A queue to which `per_second` requests per second arrive, and from which as many are
+/// dispatched, for three seconds while some wait.
 fn measured(per_second: u64) -> Queue {
     let mut queue = Queue::new(Limits::default());
-    // Those that found room at once say nothing of how many there is room for later.
+    // Requests dispatched at once give no information about later capacity.
     for ms in (1_000..590_000).step_by(100) {
         let place = ask(&mut queue, &plain(ms), ms);
         queue.begun(place, at(ms));
@@ -202,7 +209,7 @@
 }
 
 #[test]
-fn who_gets_no_turn_is_refused_as_it_comes_and_the_first_are_not() {
+fn hopeless_requests_are_refused_on_arrival_except_the_first_in_order() {
     let mut queue = measured(10);
     let mut refused = None;
     for _ in 0..100 {
@@ -214,7 +221,8 @@
             }
         }
     }
-    let refused = refused.expect("ten a second come and begin: nothing is left over");
+    let refused =
+        refused.expect("ten per second arrive and are dispatched, so no capacity is left over");
     assert_eq!(refused.reason, Reason::Hopeless);
     assert!(refused.ahead >= 3);
     assert!(
@@ -230,7 +238,7 @@
         queue.ask(&again, at(604_000)).is_ok(),
         "it comes back from an engine"
     );
-    // Nothing begins any more.
+    // From here on no request is dispatched.
     let left = queue.len();
     for ms in (604_000..606_500).step_by(30) {
         queue.sweep(at(ms));
@@ -238,7 +246,7 @@
     assert!(queue.len() < left);
     assert!(
         queue.len() >= 3,
-        "somebody has to see when there is room again"
+        "some requests stay to detect when there is capacity again"
     );
     let lookers = queue.lookers(at(606_500));
     assert_eq!(lookers.len(), 3);
@@ -252,7 +260,7 @@
 }
 
 #[test]
-fn nobody_is_refused_by_a_forecast_before_anything_was_measured() {
+fn no_request_is_refused_by_a_forecast_before_anything_was_measured() {
     let mut queue = Queue::new(Limits::default());
     for number in 0..1_000 {
         let ms = 1_000 + number / 10;
@@ -260,13 +268,13 @@
     }
     assert!(queue.sweep(at(1_150)).is_empty());
     assert_eq!(queue.room_in(at(1_150)), Some(Duration::ZERO));
-    // It never began anything: its engines may be there at any time.
+    // This queue never dispatched a request: its engines may be found at any time.
     assert!(queue.sweep(at(3_000)).is_empty());
     ask(&mut queue, &plain(3_000), 3_000);
 }
 
 #[test]
-fn a_begin_behind_a_stall_makes_forecasts_hopeful_again() {
+fn a_dispatch_after_a_stall_resets_the_forecast() {
     let mut queue = measured(10);
     let again = Want {
         again: true,
@@ -274,13 +282,13 @@
     };
     ask(&mut queue, &again, 606_400);
     while queue.ask(&plain(606_500), at(606_500)).is_ok() {}
-    let &(place, _) = queue.lookers(at(606_600)).first().expect("one waits");
+    let &(place, _) = queue.lookers(at(606_600)).first().expect("a request waits");
     queue.begun(place, at(606_600));
     assert!(queue.ask(&plain(606_600), at(606_600)).is_ok());
 }
 
 #[test]
-fn a_hundred_thousand_requests_take_bounded_room_and_tenants_only_their_part() {
+fn a_flood_of_requests_stays_within_the_queue_limit_and_the_share_of_a_tenant() {
     let mut queue = Queue::new(Limits {
         most_waiting: 1_000,
     });
@@ -304,20 +312,20 @@
 }
 
 #[test]
-fn nobody_is_told_to_come_back_to_no_room() {
+fn callers_are_not_told_to_retry_before_there_is_capacity() {
     let left = millis(3_000);
     assert!(retry_after(None, left, 0.5) >= left);
     assert!(retry_after(Some(millis(3_000)), left, 0.5) >= left);
-    // Callers wait for a third of what they have left at the most.
+    // Callers wait for at most a third of their remaining time.
     for draw in [0.0, 0.3, 1.0, 7.0] {
         let told = retry_after(Some(millis(2_000)), left, draw);
         assert!(told <= left / 3, "{told:?}");
         assert!(told >= left / 5, "{told:?}");
     }
-    let soon = retry_after(Some(Duration::ZERO), left, 0.0);
-    assert!(soon >= millis(100));
-    let later = retry_after(Some(Duration::ZERO), left, 1.0);
-    assert!(later > soon, "they come back apart");
+    let earliest = retry_after(Some(Duration::ZERO), left, 0.0);
+    assert!(earliest >= millis(100));
+    let latest = retry_after(Some(Duration::ZERO), left, 1.0);
+    assert!(latest > earliest, "callers come back at different times");
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -327,9 +335,9 @@
         rank: u32,
         size: Option<u64>,
     },
-    /// One of the lookers begins.
+    /// One of the requests that may look for an engine is dispatched.
     Begin(usize),
-    /// One of all that wait goes.
+    /// Any waiting request is removed.
     Leave(usize),
     Sweep,
     Pass(u64),
@@ -347,10 +355,11 @@
 }
 
 proptest! {
-    /// Whatever happens: who waits is either there or was told how it ended, the
-    /// first three have the turn, and nobody late has it before one in time.
+    /// Whatever happens, every waiting request is either still in the queue or was
+    /// reported as ended, the first three may look for an engine, and no late request
+    /// goes before one that is in time.
     #[test]
-    fn nobody_is_lost_and_the_first_have_the_turn(
+    fn no_request_is_lost_and_the_first_in_order_may_search(
         steps in prop::collection::vec(any_step(), 0..200),
     ) {
         let mut queue = Queue::new(Limits { most_waiting: 32 });
