--- a/crates/routing/src/dispatch/avoided.rs
+++ b/crates/routing/src/dispatch/avoided.rs
@@ -1,4 +1,4 @@
-//! Engines that are avoided since they fail others.
+//! Engines avoided because they fail other gateways, or some of all requests.
 
 use std::collections::BTreeSet;
 
@@ -7,21 +7,22 @@
 use super::engine::Engine;
 use super::table::EngineTable;
 
-/// Share of a service's engines that may count as failing for others; beyond it
-/// their word is not heeded, since the cause lies elsewhere and the rest could not
-/// carry the load.
+/// Largest share of a service's engines that may be avoided for failing elsewhere. Beyond
+/// it none is avoided: the cause lies elsewhere, and the remaining engines could not carry
+/// the load.
 const MOST_FAILING: f64 = 0.5;
 
 impl EngineTable {
-    /// Engines of all services that fail for other gateways, or part of all requests.
+    /// Returns engines of all services that fail for other gateways, or fail some of all
+    /// requests.
     #[must_use]
     pub fn failing_for_others(&self, now: Timestamp) -> BTreeSet<String> {
         let failing = failing(self.engines.values(), now);
         failing.into_iter().map(str::to_owned).collect()
     }
 
-    /// Engines of the service that are avoided since they fail for others, or fail
-    /// part of all requests.
+    /// Returns the engines of the service to avoid because they fail for other gateways, or
+    /// fail some of all requests.
     pub(super) fn avoided(&self, service: &str, now: Timestamp) -> BTreeSet<&str> {
         let failing = failing(self.within_reach(service), now);
         let all = self.within_reach(service).count() as f64;
--- a/crates/routing/src/dispatch/candidate.rs
+++ b/crates/routing/src/dispatch/candidate.rs
@@ -1,33 +1,33 @@
-//! What a request would cost at one engine, in prompt tokens that are read before
-//! its own first token.
+//! Cost of a request at one engine, in prompt tokens that are read before its own first
+//! token.
 
 use molespan_types::ZoneName;
 
 use super::engine::EngineFacts;
 use super::table::{Picked, WorkClass};
 
-/// Prompt tokens that a way into another zone weighs as much as.
+/// Cost of sending a request to another zone, in prompt tokens.
 const ZONE_TOKENS: f64 = 150.0;
-/// Prompt tokens that a full set of running requests weighs as much as: it
-/// slows each step a little.
+/// Cost of a full set of running requests, in prompt tokens: it slows each step a little.
 const RUNNING_TOKENS: f64 = 600.0;
-/// Share of the time of reading a prompt that each request running there weighs:
-/// an engine reads a prompt in pieces between the tokens of the others, so that
-/// a long one makes all of their pauses long.
+/// Cost for each request running there, as a share of the time to read the prompt. An
+/// engine reads a prompt in chunks between the tokens of the other requests, so a long
+/// prompt lengthens the pauses of all of them.
 const HELD_UP_SHARE: f64 = 0.15;
-/// Prompt tokens that a request weighs as much as for which there is no slot.
+/// Cost of each request too many that has to wait for a slot, in prompt tokens.
 const WAITING_TOKENS: f64 = 20_000.0;
-/// The same where own batch work gives its slot up at once.
+/// Cost of each request too many where this gateway's batch work frees a slot at once, in
+/// prompt tokens.
 const CUT_HERE_TOKENS: f64 = 300.0;
-/// The same where another gateway's batch work gives its slot up as soon as that
-/// gateway hears of the request.
+/// Cost of each request too many where another gateway's batch work frees a slot once that
+/// gateway learns of the request, in prompt tokens.
 const CUT_ELSEWHERE_TOKENS: f64 = 3_000.0;
 
-/// Prompt tokens that the usual time of an online answer weighs as much as: an engine
-/// that takes longer for it holds the slot for as much longer.
+/// Cost of the usual time of an online answer, in prompt tokens: a slower engine holds the
+/// slot for that much longer.
 const ANSWER_TOKENS: f64 = 1_000.0;
 
-/// An engine that could be chosen.
+/// An engine that a request may be sent to.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate<'e> {
     pub facts: &'e EngineFacts,
@@ -38,14 +38,14 @@
     pub own_batch: f64,
     /// Batch requests of other gateways there.
     pub others_batch: f64,
-    /// How long work takes there; 1 is usual.
+    /// Pace: how long work takes there, where 1 is usual.
     pub pace: f64,
-    /// Prompt tokens that the usual time of its answer weighs as much as.
+    /// Cost of the usual time of the request's answer, in prompt tokens.
     pub answer_tokens: f64,
 }
 
-/// Prompt tokens that the usual time of an answer weighs as much as. Batch work takes
-/// what is left, whose pace has changed before it ends.
+/// Returns the cost of the usual time of an answer, in prompt tokens. Zero for batch work:
+/// it takes what is left, and the pace changes before it ends.
 pub(super) fn answer_tokens(class: WorkClass) -> f64 {
     match class {
         WorkClass::Online => ANSWER_TOKENS,
@@ -54,8 +54,8 @@
 }
 
 impl Candidate<'_> {
-    /// How long a request of `zone` waits for its first token there, in prompt
-    /// tokens.
+    /// Returns the estimated wait of a request from `zone` for its first token there, in
+    /// prompt tokens.
     pub fn cost(&self, zone: &ZoneName) -> f64 {
         let zone = match self.facts.zone == *zone {
             true => 0.0,
@@ -69,8 +69,8 @@
         reading + running + held_up + answering + zone + self.slot_cost(slots)
     }
 
-    /// How long the request waits for a slot. Batch work gives way to it, the
-    /// own one first; behind other online requests it waits for the longest.
+    /// Returns the estimated wait for a slot. Batch work is preempted, this gateway's
+    /// first; behind other online requests the wait is the longest.
     fn slot_cost(&self, slots: f64) -> f64 {
         let wanted = (self.load - slots + 1.0).max(0.0);
         let cut_here = wanted.min(self.own_batch);
--- a/crates/routing/src/dispatch/demand.rs
+++ b/crates/routing/src/dispatch/demand.rs
@@ -1,9 +1,11 @@
-//! Which part of a service's room is one gateway's: its part of the requests that want
-//! an engine, and not of those that have one. Who could not start any would else get
-//! the smallest part, and the smaller the fewer it starts.
+//! This gateway's share of a service's free capacity, in proportion to the requests that
+//! want an engine.
 //!
-//! Gateways tell how many requests wait and come, a few figures a service; relays pass
-//! the sums on.
+//! Sharing by requests that already have an engine would give the smallest share to a
+//! gateway that could not start any, and shrink it further the fewer it starts.
+//!
+//! Gateways report how many requests wait and arrive, a few figures for each service;
+//! relays pass on the sums.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,43 +19,43 @@
 use super::table::EngineTable;
 use crate::decay::FadingSum;
 
-/// Time over which requests that came fade: shorter, chance decides; longer, a burst is
-/// over before it shows.
+/// Decay time of the arrival count. A shorter one makes the estimate noisy; a longer one
+/// detects a burst only after it has passed.
 const ASKED_FADES: Duration = Duration::from_secs(1);
-/// Requests that came are told in so many seconds, to be whole numbers.
+/// Arrivals are reported per this many seconds, so that the rate is a whole number.
 const ASKED_SECONDS: f64 = 1_000.0;
-/// Services of one telling that are taken in. Several times as many as are expected, so
-/// that no word makes memory grow.
+/// Most services that are taken from one report. Several times the expected number; bounds
+/// the memory that a report can take.
 const MOST_SERVICES: usize = 256;
 
-/// Online requests that want engines of a service, at one gateway or several together.
+/// Online requests that want an engine of a service, at one gateway or summed over several.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ServiceDemand {
-    /// Service.
+    /// Service name.
     #[n(0)]
     pub service: String,
-    /// Gateways that it is of.
+    /// Number of gateways summed up.
     #[n(1)]
     pub gateways: u32,
     /// Requests that wait for an engine.
     #[n(2)]
     #[cbor(default)]
     pub waiting: u32,
-    /// Requests that came in a thousand seconds, as lately.
+    /// Recent arrival rate, in requests per 1,000 seconds.
     #[n(3)]
     #[cbor(default)]
     pub asked: u64,
 }
 
 impl ServiceDemand {
-    /// Adds what others have.
+    /// Adds the demand of other gateways.
     fn add(&mut self, others: &Self) {
         self.gateways = self.gateways.saturating_add(others.gateways);
         self.waiting = self.waiting.saturating_add(others.waiting);
         self.asked = self.asked.saturating_add(others.asked);
     }
 
-    /// What is left without a part of it.
+    /// Returns this sum less one `part` of it.
     fn without(&self, part: &Self) -> Self {
         Self {
             service: self.service.clone(),
@@ -63,15 +65,15 @@
         }
     }
 
-    /// Requests that want an engine before others see who started: those that wait, and
-    /// those that come until then.
+    /// Returns the requests that want an engine before other gateways observe who started:
+    /// those that wait now, and those expected to arrive within the visibility delay.
     fn wanted(&self) -> f64 {
         let coming = self.asked as f64 / ASKED_SECONDS * STARTS_SHOW.as_secs_f64();
         f64::from(self.waiting) + coming
     }
 }
 
-/// Requests of this gateway for one service.
+/// Demand of this gateway for one service.
 #[derive(Clone, Copy, Debug)]
 struct Own {
     waiting: u32,
@@ -99,7 +101,7 @@
     }
 }
 
-/// What a node told last, and when.
+/// Latest demand reported by a node, and when.
 #[derive(Clone, Debug)]
 struct Told {
     demands: Vec<ServiceDemand>,
@@ -117,7 +119,7 @@
     }
 }
 
-/// What this gateway knows of the requests for each service.
+/// Demand for each service: this gateway's own and that reported by others.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Demands {
     own: BTreeMap<String, Own>,
@@ -132,13 +134,15 @@
         self.own.get_mut(service).expect("it was just inserted")
     }
 
-    /// Part of a service's room that is this gateway's, of `users` that share it. `None`
-    /// while no other one tells what it wants.
+    /// Returns this gateway's share of a service's free capacity, from 0 to 1, where
+    /// `users` gateways share it. `None` while no other gateway reports demand for the
+    /// service.
     pub fn share(&self, service: &str, users: f64, now: Timestamp) -> Option<f64> {
         let told = self.others.values().filter(|told| told.is_fresh(now));
         let of_service = told.flat_map(|told| &told.demands);
         let others = sum(of_service.filter(|one| one.service == service)).pop()?;
-        // Those who tell nothing want as much as the others.
+        // Gateways that report nothing are assumed to want as much as the average of the
+        // others.
         let silent = (users - 1.0) / f64::from(others.gateways.max(1));
         let others = others.wanted() * silent.max(1.0);
         let own = self.own.get(service).copied().unwrap_or_default();
@@ -148,38 +152,40 @@
 }
 
 impl EngineTable {
-    /// An online request for a service came.
+    /// Records the arrival of an online request for a service.
     pub fn asked(&mut self, service: &str, now: Timestamp) {
         self.demands.own_mut(service).asked.add(1.0, now);
     }
 
-    /// A request begins to wait for an engine of a service.
+    /// Records that a request begins to wait for an engine of a service.
     pub fn begins_to_wait(&mut self, service: &str) {
         self.demands.own_mut(service).waiting += 1;
     }
 
-    /// It has one, or gave up.
+    /// Records that a waiting request got an engine or gave up.
     pub fn ends_to_wait(&mut self, service: &str) {
         let own = self.demands.own_mut(service);
         own.waiting = own.waiting.saturating_sub(1);
     }
 
-    /// Requests of this gateway for each service, for telling others.
+    /// Returns this gateway's demand for each service, to report to others.
     #[must_use]
     pub fn demands(&self, now: Timestamp) -> Vec<ServiceDemand> {
         let own = self.demands.own.iter();
         own.map(|(service, own)| own.told(service, now)).collect()
     }
 
-    /// Another gateway, or a relay for all others, tells which requests it has.
+    /// Records the demand reported by another gateway, or by a relay for all others.
     pub fn note_demands(&mut self, from: NodeId, demands: Vec<ServiceDemand>, now: Timestamp) {
         let others = &mut self.demands.others;
         others.retain(|_, told| told.is_fresh(now));
         others.insert(from, Told::new(demands, now));
     }
 
-    /// These services are served from now on. Demand for each is told, none as well: who
-    /// tells nothing counts as one that wants as much as the others.
+    /// Sets the services that are served from now on. Demand is reported for each of them
+    /// even when it is zero, because a gateway that reports nothing is assumed to want as
+    /// much as the others. Services that are no longer served keep their entry while
+    /// requests wait.
     pub fn serve(&mut self, services: impl Iterator<Item = String>) {
         let before = std::mem::take(&mut self.demands.own);
         self.demands.own = services.map(|service| (service, Own::default())).collect();
@@ -190,28 +196,29 @@
         self.demands.own.extend(kept);
     }
 
-    /// Whether other gateways tell their demand.
+    /// Whether other gateways report their demand.
     #[must_use]
     pub fn hears_demand(&self, now: Timestamp) -> bool {
         let mut others = self.demands.others.values();
         others.any(|told| told.is_fresh(now) && !told.demands.is_empty())
     }
 
-    /// Part of a service's room that is this gateway's by demand, where others tell it.
+    /// Returns this gateway's share of a service's free capacity by demand, from 0 to 1, or
+    /// `None` while no other gateway reports demand for the service.
     #[must_use]
     pub fn part_by_demand(&self, service: &str, now: Timestamp) -> Option<f64> {
         self.demands.share(service, self.users_of(service), now)
     }
 }
 
-/// What a relay was told of demand.
+/// Demand reported to a relay.
 #[derive(Clone, Debug, Default)]
 pub struct DemandRelay {
     told: BTreeMap<NodeId, (Teller, Told)>,
 }
 
 impl DemandRelay {
-    /// Takes in what a gateway, or another relay for its gateways, tells.
+    /// Records the demand reported by a gateway, or by another relay for its gateways.
     pub fn note(
         &mut self,
         from: NodeId,
@@ -222,12 +229,12 @@
         self.told.insert(from, (teller, Told::new(demands, now)));
     }
 
-    /// Forgets those that were silent for too long.
+    /// Removes reports that have expired.
     pub fn expire(&mut self, now: Timestamp) {
         self.told.retain(|_, (_, told)| told.is_fresh(now));
     }
 
-    /// What the gateways of this relay want together, for the other relays.
+    /// Returns the summed demand of this relay's gateways, to report to the other relays.
     #[must_use]
     pub fn of_gateways(&self) -> Vec<ServiceDemand> {
         let told = self.told.values();
@@ -235,7 +242,7 @@
         sum(gateways.flat_map(|(_, told)| &told.demands))
     }
 
-    /// For each gateway of this relay, what all others want together.
+    /// Returns, for each gateway of this relay, the summed demand of all other gateways.
     #[must_use]
     pub fn by_gateway(&self) -> Vec<(NodeId, Vec<ServiceDemand>)> {
         let all = sum(self.told.values().flat_map(|(_, told)| &told.demands));
--- a/crates/routing/src/dispatch/engine.rs
+++ b/crates/routing/src/dispatch/engine.rs
@@ -1,4 +1,4 @@
-//! What is known of one engine.
+//! State of one engine as seen by this gateway.
 
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,35 +14,35 @@
 use super::short::Backoff;
 use super::table::WorkClass;
 
-/// How long a report says something about the work of others.
+/// Age at which an engine's load report no longer counts for the work of other gateways.
 const REPORT_FADES: Duration = Duration::from_secs(2);
-/// How long another gateway's word on its work holds.
+/// Time for which another gateway's report of its work is valid.
 pub(crate) const SHARE_HOLDS: Duration = Duration::from_millis(1_200);
-/// How long batch work keeps away from an engine whose slots online work
-/// wanted: about as long as it takes until all gateways know of each other's
-/// requests there. Coming back too early costs one prompt read again; staying
-/// away longer than a lull between two bursts lasts starves batch work.
+/// Time for which batch work stays away from an engine whose slots online work needed:
+/// about as long as gateways take to observe one another's requests there. Returning too
+/// early costs rereading one prompt; staying away longer than a lull between two bursts
+/// starves batch work.
 const QUIET_TIME: Duration = Duration::from_millis(300);
-/// Other gateways for which an engine has to fail before it counts as failing
-/// here: one of them alone may be the one that is cut off.
+/// Other gateways for which an engine must fail before it counts as failing here: a single
+/// one may itself be cut off.
 const FAILING_FOR: u32 = 2;
-/// How long an answer says that an engine works: about as long as it takes until
-/// a crash was noticed by two gateways.
+/// Time for which an answer counts as evidence that an engine works: about as long as two
+/// gateways take to notice a crash.
 const ANSWER_HOLDS: Duration = Duration::from_secs(1);
-/// How long it takes until the other gateways see that batch work gave way.
+/// Time until the other gateways observe that batch work was preempted.
 const CUT_SHOWS: Duration = Duration::from_millis(150);
-/// First pause of an engine that fails; it doubles.
+/// Initial backoff of a failing engine; doubles with each failure.
 const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// Longest pause.
+/// Longest backoff of a failing engine.
 const LONGEST_PAUSE: Duration = Duration::from_secs(4);
-/// Pause of an engine that is gone: the control nodes lose sight of it before.
+/// Backoff of an engine that is gone. The control nodes stop listing it within this time.
 const GONE_PAUSE: Duration = Duration::from_secs(30);
-/// Pause of an engine that is full.
+/// Backoff of an engine that is full.
 const FULL_PAUSE: Duration = Duration::from_millis(100);
-/// Doublings after which the pause stays.
+/// Doublings after which the backoff no longer grows.
 const MOST_DOUBLINGS: u32 = 3;
 
-/// What an engine says of itself.
+/// What an engine announces about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineFacts {
     /// Identifier of its incarnation.
@@ -51,40 +51,40 @@
     pub service: String,
     /// Address that it serves on.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Zone that it runs in.
     pub zone: ZoneName,
-    /// Requests that it runs at the same time.
+    /// Requests that it runs concurrently.
     pub slots: u32,
 }
 
-/// Work that one gateway has at one engine, as it tells the others.
+/// Work of one gateway, or of several summed up, at one engine, as reported to other nodes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct WorkShare {
-    /// Engine.
+    /// Engine identifier.
     #[n(0)]
     pub engine: String,
-    /// Requests, online and batch.
+    /// Requests in flight, online and batch.
     #[n(1)]
     pub requests: u32,
-    /// Prompt tokens of those that have not begun to answer.
+    /// Prompt tokens of the requests that have not begun to answer.
     #[n(2)]
     pub unread_tokens: u64,
-    /// How many of the requests are batch work.
+    /// Batch requests among them.
     #[n(3)]
     pub batch: u32,
-    /// Gateways that keep away from it since it failed; one for a gateway itself.
+    /// Gateways that avoid the engine because it failed; 0 or 1 in a gateway's own report.
     #[n(4)]
     #[cbor(default)]
     pub failing: u32,
-    /// Gateways that had an answer from it a short while ago.
+    /// Gateways that recently got an answer from it.
     #[n(5)]
     #[cbor(default)]
     pub answering: u32,
-    /// Tenths of online requests that it failed lately.
+    /// Online requests that it recently failed, in tenths.
     #[n(6)]
     #[cbor(default)]
     pub errors: u32,
-    /// Tenths of online requests that it answered lately, those included.
+    /// Online requests that it recently answered, failed ones included, in tenths.
     #[n(7)]
     #[cbor(default)]
     pub answers: u32,
@@ -92,34 +92,36 @@
     #[n(8)]
     #[cbor(default)]
     pub paced: u32,
-    /// Paces of those together, in eighths of what is usual at engines of its service.
+    /// Sum of the paces of those requests, in eighths of the usual time at engines of the
+    /// service.
     #[n(9)]
     #[cbor(default)]
     pub paces: u32,
 }
 
 impl WorkShare {
-    /// Whether it says nothing that matters: good answers alone do not for long.
+    /// Whether it holds nothing worth reporting. Counts of good answers alone are not: they
+    /// lose their meaning soon.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.requests + self.failing + self.answering + self.errors == 0
     }
 
-    /// Whether it says anything to one whom the engine never failed: that it answers others
-    /// matters only where it fails some of them.
+    /// Whether it matters to a gateway whose requests the engine never failed. That the
+    /// engine answers other gateways matters only if it fails some of them.
     #[must_use]
     pub fn is_news_to_others(&self) -> bool {
         self.requests + self.failing + self.errors > 0
     }
 
-    /// So many times as much work; what was experienced stays.
+    /// Scales the work by a factor; failures, answers and paces stay as they are.
     pub fn multiply(&mut self, by: f64) {
         self.requests = (f64::from(self.requests) * by).round() as u32;
         self.batch = (f64::from(self.batch) * by).round() as u32;
         self.unread_tokens = (self.unread_tokens as f64 * by) as u64;
     }
 
-    /// Adds what others have there.
+    /// Adds the work of other gateways there.
     pub fn add(&mut self, others: &Self) {
         self.requests += others.requests;
         self.unread_tokens += others.unread_tokens;
@@ -132,7 +134,7 @@
         self.paces += others.paces;
     }
 
-    /// What is left without a part of it.
+    /// Returns this sum less one `part` of it.
     #[must_use]
     pub fn without(&self, part: &Self) -> Self {
         Self {
@@ -150,27 +152,27 @@
     }
 }
 
-/// How an attempt failed, as far as it tells of the engine's health.
+/// How an attempt failed, as far as it concerns the engine's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It could not be reached.
+    /// The engine could not be reached.
     Unreachable,
-    /// It broke off, or answered what is no answer.
+    /// The engine broke off the answer or sent an invalid one.
     Broken,
-    /// It was silent for too long.
+    /// The engine did not respond in time.
     Silent,
-    /// It has no room.
+    /// The engine has no capacity left.
     Full,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Report {
-    /// Work of others at that time.
+    /// Requests of other gateways at that time.
     others: u32,
     at: Timestamp,
 }
 
-/// What another gateway said.
+/// Report of another gateway on its work at this engine.
 #[derive(Clone, Copy, Debug)]
 struct Share {
     requests: u32,
@@ -183,37 +185,37 @@
     at: Timestamp,
 }
 
-/// One engine.
+/// State of one engine.
 #[derive(Clone, Debug)]
 pub(super) struct Engine {
     pub facts: EngineFacts,
-    /// Control nodes that say it is there.
+    /// Control nodes that list it.
     pub known_by: BTreeSet<NodeId>,
-    /// Since when it is known here.
+    /// When this gateway first learned of it.
     pub known_since: Timestamp,
     online: u32,
     batch: u32,
-    /// Prompt tokens of own requests that have not begun to answer.
+    /// Prompt tokens of this gateway's requests that have not begun to answer.
     unread_tokens: u64,
     shares: BTreeMap<NodeId, Share>,
     report: Option<Report>,
     failures: u32,
-    /// How often in a row it had no room.
+    /// Backoff after consecutive rejections for lack of capacity.
     pub backoff: Backoff,
     paused_until: Timestamp,
-    /// Pause since it failed; one that is only full does not count as failing.
+    /// End of the backoff after a failure; an engine that is only full does not count as
+    /// failing.
     failing_until: Timestamp,
-    /// Until when its last answer says that it works.
+    /// Until when its last answer counts as evidence that it works.
     answering_until: Timestamp,
     crowded_until: Timestamp,
     next_cut: Timestamp,
-    /// Whether an own online request came since it was last looked whether batch work
-    /// gives way.
+    /// Whether this gateway started an online request since the last preemption check.
     came: bool,
     errors: Errors,
-    /// How long work takes here.
+    /// How long work takes at the engine.
     pub pace: Pace,
-    /// Its pace as it was worked out last, and when.
+    /// Last computed pace, and when.
     pub latest_pace: Cell<Option<(f64, Timestamp)>>,
 }
 
@@ -246,17 +248,17 @@
         self.online + self.batch
     }
 
-    /// Own online requests here.
+    /// Returns this gateway's online requests in flight here.
     pub fn own_online(&self) -> u32 {
         self.online
     }
 
-    /// Own batch requests here; they give way at once.
+    /// Returns this gateway's batch requests here; they can be preempted at once.
     pub fn own_batch(&self) -> u32 {
         self.batch
     }
 
-    /// Batch requests of other gateways here, as far as they told.
+    /// Returns the batch requests of other gateways here, as far as they reported them.
     pub fn others_batch(&self, now: Timestamp) -> u32 {
         self.fresh_shares(now).map(|share| share.batch).sum()
     }
@@ -267,7 +269,7 @@
         self.unread_tokens += unread_tokens;
     }
 
-    /// A request began to answer, or ended before.
+    /// Records that a request began to answer, or ended before that.
     pub fn read(&mut self, tokens: u64) {
         self.unread_tokens = self.unread_tokens.saturating_sub(tokens);
     }
@@ -284,8 +286,9 @@
         }
     }
 
-    /// Own work and experience here, for telling others; `None` without any. A
-    /// gateway that is not `sure` of itself tells of no failures.
+    /// Returns this gateway's work and experience here, to report to others; `None` if
+    /// there is none. Failures are left out unless this gateway is `sure` that it isn't cut
+    /// off itself.
     pub fn share(&self, now: Timestamp, sure: bool) -> Option<WorkShare> {
         let counts = self.errors.own(now);
         let pace = self.pace.word(self.own(), now);
@@ -304,7 +307,7 @@
         (!share.is_empty()).then_some(share)
     }
 
-    /// Takes in what another gateway has here; `None` for nothing.
+    /// Records the work that another gateway reports here; `None` for none.
     pub fn note_share(&mut self, from: NodeId, share: Option<&WorkShare>, now: Timestamp) {
         let Some(share) = share else {
             self.shares.remove(&from);
@@ -332,12 +335,13 @@
         self.errors.decide(self.counts_of_others(now), now);
     }
 
-    /// Forgets what another node said of gateways' work here.
+    /// Discards another node's report of gateways' work here.
     pub fn forget_share(&mut self, from: NodeId) {
         self.shares.remove(&from);
     }
 
-    /// Takes in a load that it told; own requests in flight are in it.
+    /// Records a load report of the engine, which includes this gateway's requests in
+    /// flight.
     pub fn report(&mut self, load: EngineLoad, now: Timestamp) {
         let all = load.running.saturating_add(load.waiting);
         self.report = Some(Report {
@@ -358,15 +362,15 @@
         shares.filter(move |share| now.since(share.at) < SHARE_HOLDS)
     }
 
-    /// What others told of its pace, and when.
+    /// Returns what others reported of its pace, and when.
     pub fn told_paces(&self, now: Timestamp) -> impl Iterator<Item = (Word, Timestamp)> {
         let shares = self.fresh_shares(now);
         shares.map(|share| (share.pace, share.at))
     }
 
-    /// Requests that are there as far as is known: the own ones, and those of
-    /// others, which they tell, or which the engine told and which count for
-    /// less the older that is.
+    /// Returns the estimated number of requests there: this gateway's, and those of other
+    /// gateways. If `others_tell`, the latter come from their reports, else from the
+    /// engine's last load report, which counts for less the older it is.
     pub fn load(&self, now: Timestamp, others_tell: bool) -> f64 {
         let own = f64::from(self.own());
         if others_tell {
@@ -380,20 +384,21 @@
         own + f64::from(report.others) * (1.0 - age).max(0.0)
     }
 
-    /// Requests that are there by a report that is not older than `age`, the own ones as
-    /// they are now.
+    /// Returns the number of requests there by a load report no older than `age`, with this
+    /// gateway's requests as they are now; `None` without such a report.
     pub fn fresh_load(&self, now: Timestamp, age: Duration) -> Option<f64> {
         let report = self.report.filter(|report| now.since(report.at) <= age)?;
         Some(f64::from(self.own() + report.others))
     }
 
-    /// Online requests that are there as far as is known: batch work gives way.
+    /// Returns the estimated number of online requests there; batch requests don't count,
+    /// since they can be preempted.
     pub fn online_load(&self, now: Timestamp, others_tell: bool) -> f64 {
         let batch = self.own_batch() + self.others_batch(now);
         (self.load(now, others_tell) - f64::from(batch)).max(0.0)
     }
 
-    /// Prompt tokens that are to be read before those of a new request.
+    /// Returns the prompt tokens to be read before those of a new request.
     pub fn unread_tokens(&self, now: Timestamp) -> u64 {
         let others: u64 = self
             .fresh_shares(now)
@@ -402,10 +407,11 @@
         self.unread_tokens + others
     }
 
-    /// Own batch requests that are to give way so that no online request waits
-    /// for a slot: the own part of what all gateways have too many. `draw`, from 0 up
-    /// to 1, rounds it, so that all parts together are what is too many. One at the
-    /// least where an own online request has just come: others hear of both at once.
+    /// Returns how many of this gateway's batch requests to preempt so that no online
+    /// request waits for a slot: its share of what all gateways have in excess. `draw`,
+    /// from 0 up to 1, rounds the share at random, so that the shares of all gateways add
+    /// up to the excess. At least one is preempted where an online request of this gateway
+    /// has just started: the other gateways then observe both changes at once.
     pub fn batch_to_cut(&mut self, now: Timestamp, others_tell: bool, draw: f64) -> u32 {
         let came = std::mem::take(&mut self.came);
         let excess = self.load(now, others_tell) - f64::from(self.facts.slots);
@@ -428,18 +434,18 @@
         cut.min(self.batch)
     }
 
-    /// Whether online work wanted all slots a short while ago: batch work that
-    /// came now would have to give way again.
+    /// Whether online work recently needed all slots, so that batch work starting now would
+    /// be preempted again.
     pub fn is_crowded(&self, now: Timestamp) -> bool {
         now < self.crowded_until
     }
 
-    /// Whether it failed here, or had no room, a short while ago.
+    /// Whether it is backed off after a recent failure or lack of capacity.
     pub fn is_paused(&self, now: Timestamp) -> bool {
         now < self.paused_until
     }
 
-    /// An online request was answered there, well or as a failure.
+    /// Records that the engine answered an online request, or failed it.
     pub fn answered(&mut self, failed: bool, now: Timestamp) {
         self.errors.note(failed, now);
         self.errors.decide(self.counts_of_others(now), now);
@@ -454,14 +460,14 @@
         all
     }
 
-    /// Whether it fails part of its requests.
+    /// Whether it fails some of its requests.
     pub fn errs(&self, now: Timestamp) -> bool {
         self.errors.is_avoided(self.counts_of_others(now), now)
     }
 
-    /// Whether it failed for several other gateways lately, and answered fewer:
-    /// where some cannot reach it and others can, it works. Those whose own pause
-    /// ends try it again, so that somebody always does.
+    /// Whether it recently failed for several other gateways and answered fewer: if some
+    /// can't reach it and others can, it works. Gateways whose own backoff ends try it
+    /// again, so that the state is always rechecked.
     pub fn fails_others(&self, now: Timestamp) -> bool {
         let failing: u32 = self.fresh_shares(now).map(|share| share.failing).sum();
         let answering: u32 = self.fresh_shares(now).map(|share| share.answering).sum();
@@ -474,7 +480,7 @@
             return self.leave_out(FULL_PAUSE, now);
         }
         self.failures += 1;
-        // One broken answer may be the answer's fault; two are the engine's.
+        // A single broken answer may be the fault of that answer; two point to the engine.
         if failure == Failure::Broken && self.failures < 2 {
             return;
         }
@@ -485,12 +491,13 @@
         self.answering_until = now;
     }
 
-    /// It gets nothing for a while.
+    /// Sends it no requests for a while.
     pub fn leave_out(&mut self, pause: Duration, now: Timestamp) {
         self.paused_until = self.paused_until.max(now + pause);
     }
 
-    /// It is gone for good: an engine that starts again is another one.
+    /// Records that the engine is gone for good; when it restarts, it is a different
+    /// incarnation.
     pub fn displaced(&mut self, now: Timestamp) {
         self.failures += 1;
         self.paused_until = now + GONE_PAUSE;
@@ -504,8 +511,8 @@
         self.failing_until = now;
         self.answering_until = now + ANSWER_HOLDS;
     }
-    /// Its zone was out of reach, and is not any more: it may never have failed itself.
-    /// One that is gone for good stays so.
+    /// Ends the backoff after its zone became reachable again: the failures may have been
+    /// those of the network. An engine that is gone for good stays backed off.
     pub fn within_reach_again(&mut self, now: Timestamp) {
         if self.paused_until > now + LONGEST_PAUSE {
             return;
@@ -515,7 +522,7 @@
         self.failing_until = self.failing_until.min(now);
     }
 
-    /// Whether its last answer came behind a time.
+    /// Whether its last answer came after a time.
     pub fn answered_after(&self, at: Timestamp) -> bool {
         self.answering_until > at + ANSWER_HOLDS
     }
--- a/crates/routing/src/dispatch/errors.rs
+++ b/crates/routing/src/dispatch/errors.rs
@@ -1,8 +1,8 @@
-//! Whether an engine fails part of its requests while it answers the others.
+//! Detects engines that fail some of their requests and answer the others.
 //!
-//! Its health check says nothing of it, and a success between two failures hides
-//! them from whoever counts failures in a row. One gateway of many sees few answers
-//! of an engine, so that all of them count together.
+//! Health checks don't reveal such an engine, and a success between two failures hides them
+//! from a count of consecutive failures. One gateway of many sees few answers of an engine,
+//! so the counts of all gateways are added up.
 
 use std::time::Duration;
 
@@ -10,20 +10,19 @@
 
 use crate::decay::FadingSum;
 
-/// Time over which answers fade. With it an engine is left alone for some 5 s once
-/// it was avoided.
+/// Decay time of the counts. With it an engine is avoided for about 5 s.
 const FADES_OVER: Duration = Duration::from_secs(4);
-/// Answers that a fading count is told in parts of.
+/// Decaying counts are reported in units of 1/10 answer.
 const TOLD_PARTS: f64 = 10.0;
-/// Errors lately from which on an engine may be avoided: fewer may be chance.
+/// Recent errors at which an engine may be avoided; fewer may be chance.
 const AVOIDED_FROM: f64 = 3.0;
-/// Errors lately below which it is tried again.
+/// Recent errors below which an avoided engine is tried again.
 const TRIED_BELOW: f64 = 0.8;
-/// Part of its answers that have to be errors: single broken answers, which every
-/// engine has now and then, stay far below.
+/// Minimum share of errors among recent answers for an engine to be avoided. Every engine
+/// breaks off a single answer now and then; that rate stays far below.
 const ERROR_SHARE: f64 = 0.15;
 
-/// Answers of one engine, to this gateway and to others.
+/// Recent errors and answers of one engine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Errors {
     errors: FadingSum,
@@ -31,7 +30,7 @@
     avoided: bool,
 }
 
-/// Errors and answers lately, in tenths.
+/// Recent errors and answers, in tenths.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Counts {
     pub errors: u32,
@@ -49,7 +48,7 @@
 }
 
 impl Errors {
-    /// The engine answered a request and ran it to a good end, or failed it.
+    /// Records the end of a request, and whether the engine failed it.
     pub fn note(&mut self, failed: bool, now: Timestamp) {
         self.answers.add(1.0, now);
         if failed {
@@ -57,7 +56,7 @@
         }
     }
 
-    /// What this gateway saw, for telling others.
+    /// Returns this gateway's own counts, to report to others.
     pub fn own(&self, now: Timestamp) -> Counts {
         let told = |count: &FadingSum| (count.at(now) * TOLD_PARTS).round() as u32;
         Counts {
@@ -66,7 +65,9 @@
         }
     }
 
-    /// Whether the engine is avoided, by what this gateway saw and `others` told.
+    /// Whether the engine is avoided, by this gateway's counts and those that `others`
+    /// reported. Once avoided, it stays so until its recent errors fall below the lower
+    /// threshold.
     pub fn is_avoided(&self, others: Counts, now: Timestamp) -> bool {
         let errors = self.errors.at(now) + f64::from(others.errors) / TOLD_PARTS;
         let answers = self.answers.at(now) + f64::from(others.answers) / TOLD_PARTS;
@@ -76,7 +77,8 @@
         }
     }
 
-    /// Remembers whether it is avoided by now, so that it stays so for a while.
+    /// Stores the current decision, so that the lower threshold applies while the engine is
+    /// avoided.
     pub fn decide(&mut self, others: Counts, now: Timestamp) {
         self.avoided = self.is_avoided(others, now);
     }
--- a/crates/routing/src/dispatch/lives.rs
+++ b/crates/routing/src/dispatch/lives.rs
@@ -1,16 +1,17 @@
-//! What is remembered of engines that are not there any more: who said that it leaves, and
-//! which life of each name is the latest.
+//! Memory of engines that are gone: which announced their departure, and the latest
+//! incarnation of each engine name.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 use molespan_types::{EngineLife, lives_of};
 
-/// Names and departures that are remembered, so that a late word of an engine does not
-/// bring it back.
+/// Most names and departures that are kept; the oldest are evicted first. They keep a late
+/// message from bringing a departed engine back.
 const REMEMBERED: usize = 10_000;
 
-/// Engines that said they leave. An end that came without a start names a life that never
-/// was, as late as the end: it binds those before.
+/// Engines that announced their departure. A departure whose start was never observed is
+/// recorded under a made-up incarnation that started when it ended; it applies to all
+/// earlier incarnations.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Departures {
     known: BTreeMap<String, ()>,
@@ -18,7 +19,7 @@
 }
 
 impl Departures {
-    /// Notes a departure; says whether that is news.
+    /// Records a departure. Returns whether it is new.
     pub fn note(&mut self, id: &str) -> bool {
         if self.known.insert(id.to_owned(), ()).is_some() {
             return false;
@@ -32,7 +33,7 @@
         true
     }
 
-    /// Whether an engine said that it leaves, in this life or a later one.
+    /// Whether an engine announced its departure, in this incarnation or a later one.
     pub fn bind(&self, id: &str) -> bool {
         let life = EngineLife::of(id);
         let mut departed = lives_of(&self.known, life.name);
@@ -40,7 +41,7 @@
     }
 }
 
-/// The latest start of each engine that told one.
+/// Latest start time of each engine that reported one.
 #[derive(Clone, Debug, Default)]
 pub struct LatestLives {
     starts: HashMap<String, u64>,
@@ -48,7 +49,7 @@
 }
 
 impl LatestLives {
-    /// A life was heard of.
+    /// Records the start time of an incarnation.
     pub fn note(&mut self, id: &str) {
         let EngineLife {
             name,
@@ -70,13 +71,14 @@
         }
     }
 
-    /// The latest start that was heard for a name.
+    /// Returns the latest observed start time for an engine name.
     #[must_use]
     pub fn latest(&self, name: &str) -> Option<u64> {
         self.starts.get(name).copied()
     }
 
-    /// Whether a later life of the same engine was heard: this one has ended.
+    /// Whether a later incarnation of the same engine was observed, so that this one has
+    /// ended.
     #[must_use]
     pub fn has_later(&self, id: &str) -> bool {
         let life = EngineLife::of(id);
--- a/crates/routing/src/dispatch/load.rs
+++ b/crates/routing/src/dispatch/load.rs
@@ -1,47 +1,46 @@
-//! What an engine tells of its load.
+//! Load reports of engines.
 
-/// Most requests that an engine may tell of; more make no sense.
+/// Most requests that a valid report may contain.
 const MOST_REQUESTS: u32 = 1_000_000;
-/// Most slots that an engine may tell of.
+/// Most slots that a valid report may contain.
 const MOST_SLOTS: u32 = 100_000;
-/// Longest time that work may take there, in hundredths of what is usual.
+/// Highest valid pace, in hundredths of the usual time.
 const MOST_PACE: u32 = 10_000;
 
-/// Load that an engine tells in an answer.
+/// Load that an engine reports in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
-    /// Requests that can run at the same time.
+    /// Requests that can run concurrently.
     pub slots: u32,
-    /// How long work takes there now, in hundredths of what is usual there, where it
-    /// tells that.
+    /// Current pace, in hundredths of the usual time there, if the engine reports it.
     pub pace: Option<u32>,
 }
 
-/// What is wrong with a report.
+/// Fault of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadFault {
-    /// Requests or slots are missing or make no sense: it says nothing.
+    /// Requests or slots are missing or out of range; nothing of the report is used.
     Load,
-    /// How long work takes makes no sense; the rest holds.
+    /// The pace is missing or out of range; the rest is used.
     Pace,
 }
 
-/// A report as far as it makes sense.
+/// The valid part of a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// What it says.
+    /// The load, if it is valid.
     pub load: Option<EngineLoad>,
-    /// What is wrong with it.
+    /// The fault, if there is one.
     pub fault: Option<LoadFault>,
 }
 
 impl LoadReport {
-    /// A report of these figures: requests that run and that wait, slots, and how long
-    /// work takes. One that is no whole number from 0 on is `None`.
+    /// Parses the figures of a report: running requests, waiting requests, slots, and
+    /// optionally the pace. A figure that is not a non-negative whole number is `None`.
     #[must_use]
     pub fn read(figures: &[Option<u32>]) -> Self {
         let figure = |place: usize, most: u32| {
--- a/crates/routing/src/dispatch/loss.rs
+++ b/crates/routing/src/dispatch/loss.rs
@@ -1,25 +1,26 @@
-//! What is lost when a run of a batch item gives way.
+//! Cost of preempting a run of a batch item.
 
 use std::cmp::Reverse;
 
 use super::urgency::Urgency;
 
-/// What is lost; the run whose loss sorts first gives way first. Its engine drops what it
-/// read and made, all of which another one reads again, and its item is done later.
+/// Cost of preempting a run; the run with the smallest cost is preempted first. The engine
+/// drops the tokens that the run has read and generated, another engine reads all of them
+/// again, and the item completes later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Loss {
-    /// How soon the item is due: it rises by one where half the time is left, so that
-    /// what is read again decides among those that are due at about the same time.
+    /// Urgency of the item: rises by one each time the remaining time halves, so that the
+    /// tokens to read again decide among items with similar deadlines.
     pressing: u32,
-    /// Tokens that are read again.
+    /// Tokens to read again.
     read_again: u64,
-    /// The run's number, the latest one first.
+    /// Number of the run; the latest one is preempted first.
     number: Reverse<u64>,
 }
 
 impl Loss {
-    /// Of the run `number`, which would have so many tokens read again, of an item of
-    /// this urgency, by a clock that shows `now_ms`.
+    /// Returns the cost of preempting the run `number`, which would have `read_again`
+    /// tokens read again, of an item of this urgency, by a clock that shows `now_ms`.
     #[must_use]
     pub fn of(urgency: Urgency, now_ms: u64, read_again: u64, number: u64) -> Self {
         let left_ms = urgency.due_ms.saturating_sub(now_ms).max(1);
--- a/crates/routing/src/dispatch/mod.rs
+++ b/crates/routing/src/dispatch/mod.rs
@@ -1,7 +1,7 @@
-//! Sending the requests of a declared configuration to registered engines:
-//! which service of a route, and which engine of that service.
+//! Routing of requests to registered engines by the declared configuration: which service
+//! of a route, and which engine of that service.
 //!
-//! Pure decisions: the caller gives the time and tells what happened.
+//! Makes decisions only: the caller passes the time and reports what happened.
 
 mod avoided;
 mod candidate;
--- a/crates/routing/src/dispatch/pace.rs
+++ b/crates/routing/src/dispatch/pace.rs
@@ -1,9 +1,10 @@
-//! How long work takes at an engine now, as a multiple of what it takes at the engines
-//! of its service together.
+//! Pace of engines: how long work takes at an engine now, as a multiple of the mean over
+//! the engines of its service.
 //!
-//! Three sources say so: the time between events of answers that pass here, the same as
-//! other gateways tell it, and what the engine tells of itself. Each counts for less the
-//! older it is, so that an engine of which nothing is heard has its usual pace again.
+//! There are three sources: the time between events of answers that pass through this
+//! gateway, the same as reported by other gateways, and the pace that the engine itself
+//! reports. Each counts for less the older it is, so that an engine without recent
+//! observations returns to its usual pace.
 
 use std::time::Duration;
 
@@ -13,34 +14,34 @@
 use super::table::EngineTable;
 use crate::decay::FadingSum;
 
-/// How long a pace holds once it was worked out, without news: requests that wait look
-/// many times a second.
+/// Time for which a computed pace is cached if there is no new observation: waiting
+/// requests check many times a second.
 const PACE_HOLDS: Duration = Duration::from_millis(20);
-/// Time over which events that were measured here fade: a few of one answer.
+/// Decay time of events measured by this gateway, which covers a few events of one answer.
 const EVENTS_FADE: Duration = Duration::from_millis(150);
-/// Time over which a word fades, of an engine or of other gateways: short, so that
-/// requests follow the pace that an engine has now.
+/// Decay time of a pace reported by an engine or by other gateways. It is short so that
+/// requests follow the engine's current pace.
 const WORD_FADES: Duration = Duration::from_millis(300);
-/// Time over which what is usual fades: it outlasts a slow span.
+/// Decay time of the baseline; it outlasts a slow period.
 const USUAL_FADES: Duration = Duration::from_secs(10);
-/// Events that one word weighs as much as: those of one answer that have not faded.
+/// Weight of one reported pace, in events: those of one answer that have not decayed.
 const WORD_EVENTS: f64 = 3.0;
-/// Events that what is usual there weighs as much as.
+/// Weight of an engine's baseline pace, in events.
 const USUAL_EVENTS: f64 = 1.0;
-/// Events of a service from which on what is usual is known.
+/// Events of a service from which its usual time between events is known.
 const KNOWN_FROM: f64 = 20.0;
-/// Parts of the usual time in which gateways tell each other.
+/// Gateways report paces in units of this fraction of the usual time.
 const TOLD_PARTS: f64 = 8.0;
-/// Distance from the usual pace up to which an engine counts as even with the others:
-/// one gateway measures no better than that.
+/// Deviation from the usual pace up to which an engine counts as equal to the others; one
+/// gateway can't measure more precisely.
 const EVEN: f64 = 0.12;
-/// Paces between which what is usual at an engine may lie: beyond them something is
-/// wrong there, which must not become usual.
+/// Bounds of an engine's baseline pace; a pace beyond them is a fault that must not become
+/// the baseline.
 const USUAL_BOUNDS: (f64, f64) = (0.5, 2.0);
-/// Paces between which a figure is believed.
+/// Bounds to which observed paces are clamped.
 const BOUNDS: (f64, f64) = (0.1, 32.0);
-/// Pace from which on an engine counts as slow: a slot elsewhere is free sooner than
-/// an answer is made there.
+/// Pace from which an engine counts as slow: beyond it, a slot elsewhere becomes free
+/// sooner than an answer completes there.
 const SLOW: f64 = 3.0;
 
 /// Times between events at the engines of one service.
@@ -60,13 +61,13 @@
 }
 
 impl Usual {
-    /// So many events came within a time.
+    /// Records a number of events that came within a time.
     fn note(&mut self, events: f64, took: Duration, now: Timestamp) {
         self.events.add(events, now);
         self.seconds.add(took.as_secs_f64(), now);
     }
 
-    /// Seconds between two events, once enough were measured.
+    /// Returns the mean seconds between two events once enough were measured.
     fn seconds(&self, now: Timestamp) -> Option<f64> {
         let events = self.events.at(now);
         let known = events >= KNOWN_FROM;
@@ -74,7 +75,7 @@
     }
 }
 
-/// A pace, and the events that it weighs as much as.
+/// A weighted sum of paces, with weights in events.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(super) struct Weighed {
     weight: f64,
@@ -87,7 +88,7 @@
         self.sum += weight * pace;
     }
 
-    /// Adds a word of other gateways on some of their requests, `age` old.
+    /// Adds a pace that other gateways reported `age` ago for some of their requests.
     pub fn add_word(&mut self, word: Word, age: Duration) {
         let Some(pace) = word.pace() else {
             return;
@@ -97,12 +98,12 @@
     }
 }
 
-/// What gateways tell each other of an engine's pace; sums of it are one again.
+/// Pace of an engine as gateways report it to each other. Reports can be summed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Word {
     /// Requests there whose pace is known.
     pub requests: u32,
-    /// Their paces together, in eighths of the usual time.
+    /// Sum of their paces, in eighths of the usual time.
     pub eighths: u32,
 }
 
@@ -114,24 +115,24 @@
     }
 }
 
-/// What an engine told of its own pace.
+/// Pace reported by an engine.
 #[derive(Clone, Copy, Debug)]
 struct Told {
-    /// Multiple of what is usual there.
+    /// Multiple of the usual time there.
     pace: f64,
     at: Timestamp,
 }
 
-/// The pace of one engine.
+/// Pace estimate of one engine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Pace {
     events: FadingSum,
-    /// Paces of those events together.
+    /// Sum of the paces of those events.
     paces: FadingSum,
     told: Option<Told>,
-    /// Mean of what the engine tells: what it tells all the time is usual there.
+    /// Mean pace that the engine reports. A pace that it always reports is its baseline.
     mean_told: f64,
-    /// Usual pace there.
+    /// Baseline pace there.
     usual: f64,
     usual_at: Timestamp,
 }
@@ -150,14 +151,15 @@
 }
 
 impl Pace {
-    /// So many events of an answer came within a time; `usual` seconds are usual for one.
+    /// Records a number of events of an answer that came within a time, where one event
+    /// usually takes `usual` seconds.
     fn measure(&mut self, events: f64, took: Duration, usual: f64, now: Timestamp) {
         let pace = bounded(took.as_secs_f64() / events / usual);
         self.events.add(events, now);
         self.paces.add(events * pace, now);
     }
 
-    /// The engine told how long work takes there, in hundredths of what is usual there.
+    /// Records the pace that the engine reports, in hundredths of the usual time there.
     pub fn tell(&mut self, percent: u32, now: Timestamp) {
         let pace = bounded(f64::from(percent) / 100.0);
         let age = self.told.map_or(Duration::ZERO, |told| now.since(told.at));
@@ -166,21 +168,22 @@
         self.told = Some(Told { pace, at: now });
     }
 
-    /// What this gateway knows by itself.
+    /// Returns the pace by this gateway's own observations.
     fn own(&self, now: Timestamp) -> Weighed {
         let mut own = Weighed {
             weight: self.events.at(now),
             sum: self.paces.at(now),
         };
         if let Some(told) = self.told {
-            // What was measured meanwhile says the same, and more surely.
+            // Events measured in the meantime cover the same period and are more reliable.
             let weight = WORD_EVENTS * faded(now.since(told.at)) / (1.0 + own.weight);
             own.add(weight, told.pace / self.mean_told * self.usual);
         }
         own
     }
 
-    /// The same of `requests` there, for telling others; nothing where it knows little.
+    /// Returns the pace by this gateway's own observations of `requests` there, to report
+    /// to others; empty if it has too few.
     pub fn word(&self, requests: u32, now: Timestamp) -> Word {
         let own = self.own(now);
         if own.weight < USUAL_EVENTS || requests == 0 {
@@ -194,7 +197,8 @@
         }
     }
 
-    /// The pace now, by what is known here and what `others` told.
+    /// Returns the current pace by this gateway's observations and those that `others`
+    /// reported.
     pub fn at(&self, others: Weighed, now: Timestamp) -> f64 {
         let own = self.own(now);
         let mut all = Weighed {
@@ -205,10 +209,11 @@
         evened(all.sum / all.weight)
     }
 
-    /// Takes in the pace that it has, so that it becomes the usual one in the end.
+    /// Moves the baseline towards the current pace, so that a lasting pace eventually
+    /// becomes the baseline.
     pub fn get_used(&mut self, others: Weighed, now: Timestamp) {
         let heard = self.own(now).weight + others.weight;
-        // What was not heard of meanwhile may have been otherwise.
+        // Time without observations does not count: the pace may have differed then.
         let age = now.since(self.usual_at).min(SHARE_HOLDS).as_secs_f64();
         self.usual_at = now;
         if heard < USUAL_EVENTS {
@@ -219,7 +224,7 @@
     }
 }
 
-/// What is left of a word of this age.
+/// Returns the remaining weight of a report of this age, from 1 down to 0.
 fn faded(age: Duration) -> f64 {
     match age < SHARE_HOLDS {
         true => (-age.as_secs_f64() / WORD_FADES.as_secs_f64()).exp(),
@@ -227,7 +232,7 @@
     }
 }
 
-/// The pace as far as it differs from the usual one.
+/// Returns the pace, or 1 if it deviates too little from the usual one.
 fn evened(pace: f64) -> f64 {
     match (pace - 1.0).abs() <= EVEN {
         true => 1.0,
@@ -244,12 +249,12 @@
 }
 
 impl EngineTable {
-    /// An online request held a slot of the service for so long.
+    /// Records the time for which an online request held a slot of the service.
     pub fn note_slot_time(&mut self, service: &str, held: Duration) {
         self.slot_times.note(service, held);
     }
 
-    /// So many events of an answer came from an engine within a time.
+    /// Records a number of events of an answer that came from an engine within a time.
     pub fn heard(&mut self, id: &str, events: u32, took: Duration, now: Timestamp) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
@@ -264,19 +269,19 @@
     }
 }
 
-/// How the engines' paces are, for operators.
+/// Summary of the engines' paces, for operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PaceFigures {
-    /// Pace of the engine in the middle.
+    /// Median pace.
     pub median: f64,
     /// Pace of the slowest engine.
     pub slowest: f64,
-    /// Engines that count as slow.
+    /// Number of engines that count as slow.
     pub slow: u32,
 }
 
 impl EngineTable {
-    /// Paces of all engines; `None` where there is no engine.
+    /// Returns a summary of the paces of all engines; `None` if there is no engine.
     #[must_use]
     pub fn pace_figures(&self, now: Timestamp) -> Option<PaceFigures> {
         let engines = self.engines.values();
@@ -290,7 +295,7 @@
         })
     }
 
-    /// Engines that count as slow.
+    /// Returns the engines that count as slow, with their paces.
     #[must_use]
     pub fn slow_engines(&self, now: Timestamp) -> Vec<(String, f64)> {
         let paces = self.engines.iter();
@@ -301,7 +306,8 @@
 }
 
 impl Engine {
-    /// Its pace now: 1 is usual at engines of its service, 2 takes twice as long.
+    /// Returns its current pace: 1 is usual at engines of its service, 2 takes twice as
+    /// long.
     pub fn pace(&self, now: Timestamp) -> f64 {
         if let Some((pace, at)) = self.latest_pace.get()
             && now.since(at) < PACE_HOLDS
@@ -313,8 +319,8 @@
         pace
     }
 
-    /// Its slots, counted in time: a slow one has as many as make up for its pace, and
-    /// one at the least, whose answers say when it is back.
+    /// Returns its effective number of slots. A slow engine's slots are divided by its
+    /// pace, but it keeps at least one, whose answers show when it has recovered.
     pub fn slots(&self, now: Timestamp) -> f64 {
         let slots = f64::from(self.facts.slots);
         let pace = self.pace(now);
@@ -324,7 +330,7 @@
         }
     }
 
-    /// What other gateways told of its pace.
+    /// Returns the weighted sum of the paces that other gateways reported.
     pub fn words(&self, now: Timestamp) -> Weighed {
         let mut words = Weighed::default();
         for (word, at) in self.told_paces(now) {
--- a/crates/routing/src/dispatch/prompt.rs
+++ b/crates/routing/src/dispatch/prompt.rs
@@ -1,4 +1,4 @@
-//! Parts of prompts that several requests share, and which engines read them.
+//! Shared parts of prompts, and which engines read them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,40 +9,40 @@
 /// A part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names its content.
+    /// Identifies its content.
     pub id: String,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// What a prompt costs an engine to read.
+/// Cost of reading a prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PromptCost {
-    /// All its tokens.
+    /// Tokens of the whole prompt.
     pub tokens: u64,
-    /// Tokens of its beginning that other requests share, and what names it;
-    /// none where they are too few to decide where the request runs.
+    /// Shared beginning of the prompt; `None` if it is too short to decide where the
+    /// request runs.
     pub shared: Option<SharedPrompt>,
 }
 
 /// The shared beginning of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharedPrompt {
-    /// Names it.
+    /// Key of its content.
     pub key: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// Shared tokens from which on it pays to look for the engine that holds them.
+/// Shared tokens from which it pays off to look for the engine that holds them.
 const WORTH_KEEPING_TOKENS: u64 = 1_000;
-/// How long an engine is taken to hold what it read.
+/// Time for which an engine is assumed to hold a prompt that it read.
 const HELD_FOR: Duration = Duration::from_secs(20);
-/// Shared prompts that are remembered; the oldest are forgotten first.
+/// Most pairs of shared prompt and engine that are kept; the oldest are evicted first.
 const REMEMBERED: usize = 4_096;
 
 impl PromptCost {
-    /// The cost of a prompt of these parts, the last of which is its own.
+    /// Returns the cost of a prompt made of these parts, the last of which is not shared.
     #[must_use]
     pub fn of(parts: &[PromptPart]) -> Self {
         let tokens = parts.iter().map(|part| u64::from(part.tokens)).sum();
@@ -58,7 +58,7 @@
     }
 }
 
-/// Which engines read which shared prompts lately.
+/// Which engines recently read which shared prompts.
 #[derive(Debug, Default)]
 pub(super) struct Holders {
     read: BTreeMap<(u64, String), Timestamp>,
@@ -84,8 +84,8 @@
     }
 }
 
-/// The engine, of those given by their identifiers, where every gateway looks
-/// first for a shared prompt.
+/// Returns the engine, of the given identifiers, where every gateway looks first for a
+/// shared prompt. Chosen by rendezvous hashing.
 pub(super) fn home<'e>(key: u64, engines: impl Iterator<Item = &'e str>) -> Option<&'e str> {
     engines.max_by_key(|engine| xxh3_64_with_seed(engine.as_bytes(), key))
 }
--- a/crates/routing/src/dispatch/reachable.rs
+++ b/crates/routing/src/dispatch/reachable.rs
@@ -1,4 +1,4 @@
-//! Which engines are within reach, as the zones that they stand in are.
+//! Which engines are reachable, by the reachability of their zones.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -11,62 +11,62 @@
 use super::table::{EngineTable, Pick, Picked};
 use crate::reach::{Change, Hosts, ReachTelling, Sign, slow_after};
 
-/// Engines beside the one in doubt that are looked at to find out whether its zone is
-/// out of reach: with it as many as that takes.
+/// Engines probed besides the suspected one to find out whether its zone is unreachable.
+/// Together with it, as many as that decision needs.
 const LOOKED_AT_BESIDE: usize = 4;
 
-/// Why an engine may be out of reach.
+/// Why an engine may be unreachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Doubt {
-    /// A connect to it is slow, as where links drop what is sent.
+    /// Connecting to it is slow, as when the network drops packets.
     Slow,
-    /// An attempt failed there, as where it has ended.
+    /// An attempt failed there, as when the engine has exited.
     Failed,
 }
 
-/// An engine that is to be connected to, without a request, to find out whether it is
-/// within reach.
+/// A connect to an engine, without a request, that checks whether the engine is reachable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Probe {
-    /// Engine.
+    /// Engine identifier.
     pub engine: String,
-    /// Where it serves.
+    /// Address that it serves on.
     pub address: SocketAddr,
-    /// Time for the connect.
+    /// Timeout of the connect.
     pub timeout: Duration,
 }
 
 impl EngineTable {
-    /// Whether the zone that an engine stands in was found out of reach here: others' word
-    /// alone ends nothing that waits for an answer.
+    /// Whether this gateway itself found an engine's zone unreachable. Reports of other
+    /// gateways alone don't end a request that waits for an answer.
     #[must_use]
     pub fn was_found_out_of_reach(&self, id: &str) -> bool {
         let engine = self.engines.get(id);
         engine.is_some_and(|engine| self.reach.is_found_out(&engine.facts.zone))
     }
 
-    /// Whether nothing goes to the zone that an engine stands in.
+    /// Whether no requests go to the engine's zone.
     #[must_use]
     pub fn is_out_of_reach(&self, id: &str) -> bool {
         let engine = self.engines.get(id);
         engine.is_some_and(|engine| self.reach.is_avoided(&engine.facts.zone))
     }
 
-    /// Zones that are out of reach, by name.
+    /// Returns the zones that are unreachable.
     #[must_use]
     pub fn zones_out_of_reach(&self) -> Vec<ZoneName> {
         self.reach.out().cloned().collect()
     }
 
-    /// Engines of a service that stand where requests may go.
+    /// Returns the engines of a service in zones that requests may go to.
     pub(super) fn within_reach(&self, service: &str) -> impl Iterator<Item = &Engine> {
         let engines = self.of_service(service);
         engines.filter(|engine| !self.reach.is_avoided(&engine.facts.zone))
     }
 
-    /// Gateways that share what is within reach of a service, this one included. Those
-    /// beyond a cut use what is there; how many they are is not told, and taken to be as
-    /// many by slot as here.
+    /// Returns the number of gateways that share the reachable engines of a service, this
+    /// one included. Gateways beyond a network partition use the engines on their side.
+    /// Their number isn't reported; each slot there is assumed to have as many gateways as
+    /// here.
     pub(super) fn sharers(&self, service: &str) -> f64 {
         let users = self.users_of(service);
         if !self.reach.avoids_any() {
@@ -78,8 +78,8 @@
         (users * within / all.max(1.0)).max(1.0)
     }
 
-    /// How long a connect to an engine may take, before another one is tried beside it,
-    /// for a request with such a `target`.
+    /// Returns how long a connect to an engine may take before another engine is tried in
+    /// parallel, for a request with this latency `target`.
     #[must_use]
     pub fn connect_is_slow_after(&self, id: &str, target: Duration) -> Duration {
         let engine = self.engines.get(id);
@@ -87,9 +87,10 @@
         slow_after(target, usual)
     }
 
-    /// Another engine for a request whose connection to the `first` one does not come up:
-    /// of another zone, and of the own one if the first is not. None where zones are not
-    /// known or there is but one.
+    /// Returns an alternative engine for a request whose connect to the `first` one is
+    /// slow: one in the own zone if `first` isn't there, otherwise or failing that one in
+    /// any zone other than that of `first`. `None` if zones are unknown or there is only
+    /// one.
     pub fn pick_beside(&mut self, pick: &Pick<'_>, first: &str, now: Timestamp) -> Option<Picked> {
         let zone = self.engines.get(first)?.facts.zone.clone();
         if self.hosts().len() < 2 || zone.as_str().is_empty() {
@@ -122,7 +123,7 @@
         self.pick(&pick, now).ok()
     }
 
-    /// An attempt that `began` then did not reach an engine.
+    /// Records that an attempt started at `began` did not reach an engine.
     pub fn unreached(&mut self, id: &str, began: Timestamp, now: Timestamp) {
         let Some((zone, host)) = self.place(id) else {
             return;
@@ -131,23 +132,25 @@
         self.reach.failed(&zone, host, &hosts, began, now);
     }
 
-    /// An attempt that `began` then was answered by an engine, or brought a connection up.
+    /// Records that an attempt started at `began` was answered by an engine or established
+    /// a connection.
     pub fn reached(&mut self, id: &str, began: Timestamp, by: Sign, now: Timestamp) {
         if let Some(engine) = self.engines.get(id) {
             self.reach.reached(&engine.facts.zone, began, by, now);
         }
     }
 
-    /// A connect to an engine came up after this time.
+    /// Records the duration of a successful connect to an engine.
     pub fn connected(&mut self, id: &str, took: Duration) {
         if let Some(engine) = self.engines.get(id) {
             self.reach.connected(&engine.facts.zone, took);
         }
     }
 
-    /// What to look at, now that an engine may be out of reach: itself and others of its
-    /// zone that are taken for well; one other alone as long as none but this one failed,
-    /// since most have but ended. Nothing while somebody looks already.
+    /// Returns the probes to run when an engine may be unreachable: the engine itself and
+    /// others of its zone that seem healthy, or a single other one if only this engine
+    /// failed, since usually the engine has just exited. Returns none if a check is already
+    /// in progress.
     pub fn doubt(&mut self, id: &str, doubt: Doubt, now: Timestamp) -> Vec<Probe> {
         let Some((zone, host)) = self.place(id) else {
             return Vec::new();
@@ -165,14 +168,14 @@
         first.into_iter().chain(beside).collect()
     }
 
-    /// What is told to other gateways of the own zone of what is out of reach.
+    /// Returns which zones are unreachable, to report to other gateways of the own zone.
     #[must_use]
     pub fn reach_telling(&self) -> Option<ReachTelling> {
         self.reach.telling(&self.zone)
     }
 
-    /// Other gateways of the own zone tell what is out of reach. Gives what to look at
-    /// from here.
+    /// Records which zones other gateways of the own zone report as unreachable. Returns
+    /// the probes with which this gateway checks them.
     pub fn note_reach_told(&mut self, told: &ReachTelling, now: Timestamp) -> Vec<Probe> {
         if told.from != self.zone {
             return Vec::new();
@@ -183,8 +186,8 @@
         zones.flat_map(|zone| self.look_at(zone, now)).collect()
     }
 
-    /// Engines of a zone that are taken for well, as many as it takes to find it out of
-    /// reach.
+    /// Returns probes of engines of a zone that seem healthy, as many as it takes to find
+    /// the zone unreachable.
     fn look_at(&mut self, zone: &ZoneName, now: Timestamp) -> Vec<Probe> {
         let of_zone = self.engines.values().filter(|one| one.facts.zone == *zone);
         let well = of_zone.filter(|engine| {
@@ -199,7 +202,7 @@
         looked_at.map(|engine| self.probe(engine)).collect()
     }
 
-    /// What to connect to now since its zone is out of reach: one engine of each.
+    /// Returns the probes that are due in unreachable zones, of one engine per zone.
     pub fn probes(&mut self, now: Timestamp) -> Vec<Probe> {
         let hosts = self.hosts();
         let due = self.reach.probes(&hosts, now);
@@ -221,8 +224,8 @@
         }
     }
 
-    /// Changes of what is out of reach since the last call. Engines of a zone that is back
-    /// failed for its links, and are not kept waiting for that.
+    /// Returns the changes in reachability since the last call. Ends the backoff of engines
+    /// in zones that became reachable again, since they failed because of the network.
     pub fn take_reach_changes(&mut self, now: Timestamp) -> Vec<Change> {
         let changes = self.reach.take_changes();
         for change in &changes {
--- a/crates/routing/src/dispatch/relay.rs
+++ b/crates/routing/src/dispatch/relay.rs
@@ -1,9 +1,9 @@
-//! Passing on what gateways have at engines.
+//! Relays for the gateways' reports of their work at engines.
 //!
-//! A few gateways tell each other. Where there are many, that would cost each of
-//! them more the more there are, so each tells one relay. A relay adds up what
-//! its gateways told, tells the sum to the other relays, and tells each of its
-//! gateways what all the others together have.
+//! A few gateways report to each other directly. With many, that would cost each of them
+//! more the more there are, so each gateway reports to one relay. A relay sums up the
+//! reports of its gateways, sends the sum to the other relays, and sends each of its
+//! gateways the work of all others combined.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -13,44 +13,45 @@
 
 use super::engine::{SHARE_HOLDS, WorkShare};
 
-/// A relay that is silent for longer is left for the next one.
+/// Silence after which a gateway switches to the next relay.
 const RELAY_SILENCE: Duration = Duration::from_millis(1_000);
-/// A gateway comes back after this long to the relay that is the first in its
-/// order: a restart takes a few seconds. A look at one that is still silent costs
-/// [`RELAY_SILENCE`] without a word of the others.
+/// Time after which a gateway returns to the first relay in its order: a restart takes a
+/// few seconds. Trying one that is still silent costs [`RELAY_SILENCE`] without reports of
+/// the others.
 const COMES_BACK: Duration = Duration::from_secs(10);
 
-/// How long the gateways of a relay that fell silent are missed at the most.
+/// Longest time for which the gateways of a silent relay are still accounted for.
 const MISSED_FOR: Duration = Duration::from_secs(10);
 
-/// Shortest time between two rounds of passing on.
+/// Shortest interval between two relay rounds.
 const ROUND: Duration = Duration::from_millis(50);
-/// Longest time between them: as long as gateways take to tell in a calm.
+/// Longest interval between two relay rounds: the interval at which gateways report under
+/// low load.
 const CALM_ROUND: Duration = Duration::from_millis(150);
-/// Tellings that a relay passes on in a calm, a second: those of 64 gateways in the
-/// shortest rounds. On paper 3% of a core, at 25 microseconds each; not measured alone.
+/// Messages per second that a relay sends to gateways under low load: those for 64 gateways
+/// in the shortest rounds, about 3% of a core at 25 microseconds each.
 const CALM_TELLINGS: f64 = 1_280.0;
-/// Share of all slots in use up to which it is calm: a request finds a slot whatever the
-/// others sent a moment ago.
+/// Share of all slots in use up to which load counts as low: a request then finds a slot
+/// whatever the other gateways have just sent.
 const CALM_OCCUPANCY: f64 = 0.4;
 
-/// The relay that a gateway uses: one of its zone where there is one, since
-/// relays tell many times a second. Gateways spread over the relays, and each
-/// goes through them in an order of its own when they are silent.
+/// Chooses the relay that a gateway uses: one of its zone if there is one, since relays
+/// send many times a second. Gateways spread over the relays, and each fails over through
+/// them in its own order.
 #[derive(Clone, Debug, Default)]
 pub struct RelayChoice {
-    /// Place in the gateway's order; it wraps.
+    /// Index into the gateway's order, modulo the number of relays.
     place: usize,
-    /// When the first one in the order was left.
+    /// When the gateway last switched away from the first relay in its order.
     left_first: Timestamp,
-    /// When the relay in use was taken or heard.
+    /// When the relay in use was chosen or last sent something.
     heard: Timestamp,
     relay: Option<NodeId>,
 }
 
 impl RelayChoice {
-    /// The relay for the gateway `own` at this time, among `relays`; those of its
-    /// zone are `near`.
+    /// Returns the relay to use at this time for the gateway `own`, among `relays`, of
+    /// which those in `near` are in its zone.
     pub fn relay(
         &mut self,
         own: NodeId,
@@ -80,7 +81,7 @@
         relay
     }
 
-    /// A relay told something.
+    /// Records a message from a relay.
     pub fn heard(&mut self, from: NodeId, now: Timestamp) {
         if self.relay == Some(from) {
             self.heard = now;
@@ -88,16 +89,16 @@
     }
 }
 
-/// Who told a relay something.
+/// Kind of a node that reports to a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Teller {
-    /// A gateway, of its own requests.
+    /// A gateway, reporting its own requests.
     Gateway,
-    /// Another relay, of the requests of its gateways.
+    /// Another relay, reporting the requests of its gateways.
     Relay,
 }
 
-/// What one of them told last.
+/// Latest report of a node.
 #[derive(Clone, Debug)]
 struct Told {
     teller: Teller,
@@ -105,17 +106,17 @@
     at: Timestamp,
 }
 
-/// What a relay was told.
+/// Reports received by a relay.
 #[derive(Clone, Debug, Default)]
 pub struct WorkRelay {
     told: BTreeMap<NodeId, Told>,
-    /// Gateways that each other relay speaks for, and when it said so.
+    /// Number of gateways that each other relay represents, and when it reported that.
     spoken_for: BTreeMap<NodeId, (u32, Timestamp)>,
 }
 
 impl WorkRelay {
-    /// Takes in all that one of them has at engines. Says whether it differs
-    /// from what it told before.
+    /// Records a node's complete report of its work at engines. Returns whether it differs
+    /// from the previous one.
     pub fn note(
         &mut self,
         from: NodeId,
@@ -132,21 +133,21 @@
         before.is_none_or(|before| before.shares != self.told[&from].shares)
     }
 
-    /// Another relay speaks for so many gateways.
+    /// Records how many gateways another relay represents.
     pub fn note_spoken_for(&mut self, from: NodeId, gateways: u32, now: Timestamp) {
         self.spoken_for.insert(from, (gateways, now));
     }
 
-    /// Gateways that tell this relay.
+    /// Returns the number of gateways that report to this relay.
     #[must_use]
     pub fn gateways(&self) -> u32 {
         let told = self.told.values();
         told.filter(|told| told.teller == Teller::Gateway).count() as u32
     }
 
-    /// Time until the next round of passing on, where all engines have so many `slots`:
-    /// short while gateways compete for them, and else as often as the number of its
-    /// gateways allows.
+    /// Returns the time until the next round, where all engines together have this many
+    /// `slots`: short while gateways compete for slots, else as long as the number of this
+    /// relay's gateways requires.
     #[must_use]
     pub fn pause(&self, slots: u64) -> Duration {
         let told = self.told.values().flat_map(|told| &told.shares);
@@ -158,17 +159,17 @@
         spread.clamp(ROUND, CALM_ROUND)
     }
 
-    /// Forgets those that were silent for too long.
+    /// Removes reports that have expired.
     pub fn expire(&mut self, now: Timestamp) {
         self.told.retain(|_, told| now.since(told.at) < SHARE_HOLDS);
         self.spoken_for
             .retain(|_, (_, at)| now.since(*at) < MISSED_FOR);
     }
 
-    /// Work of all gateways as a multiple of what is told: more than 1 while relays
-    /// are cut off from this one, whose gateways send to the same engines all the
-    /// same. Those who left a silent relay for another one are heard again, so that
-    /// no more are missed than are `present` and not heard.
+    /// Returns the factor from reported work to the work of all gateways: above 1 while
+    /// other relays are cut off from this one, since their gateways still send to the same
+    /// engines. Gateways that left a silent relay report through another one, so no more
+    /// are counted as missing than are `present` and not reporting.
     #[must_use]
     pub fn all_by_told(&self, present: u32, now: Timestamp) -> f64 {
         let (mut heard, mut missed) = (self.gateways(), 0);
@@ -182,7 +183,7 @@
         1.0 + f64::from(missed) / f64::from(heard.max(1))
     }
 
-    /// What the gateways of this relay have together, for the other relays.
+    /// Returns the summed work of this relay's gateways, to report to the other relays.
     #[must_use]
     pub fn sum_of_gateways(&self) -> Vec<WorkShare> {
         let told = self.told.values();
@@ -190,15 +191,16 @@
         sum(of_gateways.flat_map(|told| &told.shares))
     }
 
-    /// For each gateway of this relay, what all other gateways have together.
+    /// Returns, for each gateway of this relay, the summed work of all other gateways.
     #[must_use]
     pub fn shares_by_gateway(&self) -> Vec<(NodeId, Vec<WorkShare>)> {
         self.shares_by_user(|engines| vec![None; engines.len()])
     }
 
-    /// The same, at the engines that it uses: `users` names those who use each of the
-    /// engines it is asked for, or `None` where all do. What a gateway hears grows with
-    /// what it uses, and not with all engines in use.
+    /// Like [`Self::shares_by_gateway`], limited to the engines that each gateway uses:
+    /// `users` returns the gateways that use each of the given engines, or `None` where all
+    /// do. A gateway's message then grows with the engines that it uses rather than with
+    /// all engines in use.
     #[must_use]
     pub fn shares_by_user(
         &self,
@@ -246,9 +248,9 @@
     sums.into_values().collect()
 }
 
-/// What all have at an engine less what `own` has there, which is part of it; `None` if
-/// that says nothing. Most engines that are told of have only just answered somebody,
-/// which matters to one whom the engine failed, or of whom it failed others.
+/// Returns the summed work at an engine less the part of `own`; `None` if the rest doesn't
+/// matter to that gateway. Most reported engines have merely answered somebody, which
+/// matters only to a gateway that the engine failed, or if it failed other gateways.
 fn without(all: &WorkShare, own: &[WorkShare]) -> Option<WorkShare> {
     let own = own.iter().find(|own| own.engine == all.engine);
     let rest = own.map_or_else(|| all.clone(), |own| all.without(own));
--- a/crates/routing/src/dispatch/reserve.rs
+++ b/crates/routing/src/dispatch/reserve.rs
@@ -1,8 +1,9 @@
-//! Room that batch work leaves to the online requests that come next.
+//! Headroom that batch work leaves for online requests.
 //!
-//! Where batch work fills every slot, each online request ends a run of it, whose prompt
-//! is read again. As many slots as online requests take until gateways see one another's
-//! are left free in place of that; the slots that online requests leave make up for them.
+//! If batch work filled every slot, each online request would preempt a batch run, whose
+//! prompt another engine would have to read again. Instead, batch work keeps as many slots
+//! free as online requests take before gateways observe one another's requests. The slots
+//! that finishing online requests free balance those that new ones take.
 
 use molespan_types::Timestamp;
 
@@ -10,9 +11,10 @@
 use super::table::EngineTable;
 
 impl EngineTable {
-    /// Slots of a service that batch work leaves free: those that online requests of all
-    /// gateways begin to hold within the time in which others see it. They come as fast as
-    /// they go: as many as hold a slot, in the time for which they hold it.
+    /// Slots of a service that batch work leaves free: the number of online requests that
+    /// all gateways together start before the other gateways observe them. In a steady
+    /// state requests start as often as they end, so this is the number of online requests
+    /// in flight times the visibility delay divided by the mean slot time.
     #[must_use]
     pub fn kept_for_online(&self, service: &str, now: Timestamp) -> f64 {
         let held = self.slot_times.mean(service);
--- a/crates/routing/src/dispatch/room.rs
+++ b/crates/routing/src/dispatch/room.rs
@@ -1,5 +1,7 @@
-//! Which part of the room that engines have one gateway fills. All gateways see the
-//! same room at the same time, and one another's requests only later.
+//! How much of the engines' free capacity one gateway fills.
+//!
+//! All gateways observe the same free slots at the same time, and one another's requests
+//! only later.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -10,41 +12,42 @@
 
 use super::table::{EngineTable, Pick, Standing};
 
-/// How long it takes until the other gateways see that a request started: an interval
-/// of telling, a relay's round, and the way.
+/// Time until the other gateways observe that a request started: one report interval, one
+/// relay round and the network latency.
 pub(super) const STARTS_SHOW: Duration = Duration::from_millis(150);
 
-/// How long a slot that an own request left is this gateway's to fill: about as long
-/// as it takes until the others see that it is free. In a simulated peak of 49 gateways
-/// before 89 and 100 engines of 6 slots, 0.860 and 0.946 of all requests were in time
-/// with it, 0.839 and 0.912 without.
+/// Time for which a slot that a request of this gateway freed is reserved for this gateway:
+/// about as long as the others take to observe that it is free. In a simulated peak of 49
+/// gateways with 89 and 100 engines of 6 slots, 0.860 and 0.946 of all requests were in
+/// time with the reservation, 0.839 and 0.912 without.
 const FREED_HOLDS: Duration = Duration::from_millis(50);
 
-/// Slots that own requests have just left.
+/// Slots that requests of this gateway have just freed.
 #[derive(Debug, Default)]
 pub(super) struct FreedSlots(VecDeque<(String, Timestamp)>);
 
 impl FreedSlots {
-    /// A request left a slot of an engine.
+    /// Records that a request freed a slot of an engine.
     pub fn note(&mut self, engine: &str, now: Timestamp) {
         self.0.retain(|(_, freed)| now.since(*freed) < FREED_HOLDS);
         self.0.push_back((engine.to_owned(), now));
     }
 
-    /// Whether there is no such slot: whoever waits looks many times a second.
+    /// Whether no freed slot is reserved. Fast path, since waiting requests check many
+    /// times a second.
     pub fn is_empty(&self, now: Timestamp) -> bool {
         let latest = self.0.back();
         latest.is_none_or(|(_, freed)| now.since(*freed) >= FREED_HOLDS)
     }
 
-    /// The engine with such a slot that `fits`, the one first that was left first.
+    /// Returns the engine with the oldest reserved slot that `fits`.
     pub fn find(&self, now: Timestamp, fits: impl Fn(&str) -> bool) -> Option<String> {
         let mut held = self.0.iter();
         let found = held.find(|(id, freed)| now.since(*freed) < FREED_HOLDS && fits(id));
         found.map(|(id, _)| id.clone())
     }
 
-    /// A slot of an engine is taken.
+    /// Removes the reservation of one slot of an engine that has been taken.
     pub fn forget(&mut self, engine: &str) {
         if let Some(place) = self.0.iter().position(|(id, _)| id == engine) {
             self.0.remove(place);
@@ -52,20 +55,20 @@
     }
 }
 
-/// Requests that this gateway started and the others do not see yet, and so count as
-/// room.
+/// Requests that this gateway recently started and the others don't observe yet, so that
+/// they still count those slots as free.
 #[derive(Debug)]
 pub(super) struct UnseenStarts {
-    /// Oldest first.
+    /// Start times, oldest first.
     latest: VecDeque<Timestamp>,
-    /// Rounds a part of a request, from 0 up to 1.
+    /// Random number, from 0 up to 1, that rounds a fractional number of requests.
     draw: f64,
     drawn: Timestamp,
     random: ChaCha8Rng,
 }
 
 impl UnseenStarts {
-    /// None yet.
+    /// Returns an empty record.
     pub fn new(seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         Self {
@@ -76,7 +79,7 @@
         }
     }
 
-    /// A request starts.
+    /// Records the start of a request.
     pub fn note(&mut self, now: Timestamp) {
         self.latest.retain(|&start| now.since(start) < STARTS_SHOW);
         self.latest.push_back(now);
@@ -88,8 +91,8 @@
         self.drawn = now;
     }
 
-    /// Requests that this gateway may still start where all may start `room`, of
-    /// which it has a `share`.
+    /// Returns how many more requests this gateway may start, where all gateways together
+    /// may start `room` and this one has a `share` of it.
     pub fn left(&self, share: f64, room: f64, now: Timestamp) -> f64 {
         let latest = self.latest.iter();
         let lately = latest.filter(|&&start| now.since(start) < STARTS_SHOW);
@@ -97,9 +100,9 @@
         ((room + unseen) * share - unseen).max(0.0)
     }
 
-    /// Whether a request may start. Less than one is rounded by chance, so that all
-    /// gateways together fill the room. The draw holds until one starts: drawing at
-    /// each look would round every part up in the end.
+    /// Whether a request may start. A fraction is rounded at random, so that all gateways
+    /// together fill the free capacity. The random number is kept until a request starts:
+    /// drawing at each check would eventually round every fraction up.
     pub fn may_start(&mut self, share: f64, room: f64, now: Timestamp) -> bool {
         if now.since(self.drawn) >= STARTS_SHOW {
             self.draw_anew(now);
@@ -109,9 +112,10 @@
 }
 
 impl EngineTable {
-    /// Whether an online request may start now. Where requests hold slots for longer
-    /// than gateways take to see each other's, all of them would fill the same room:
-    /// then each takes the part of it that its part of all online requests is.
+    /// Whether an online request may start now. If requests hold slots for longer than
+    /// gateways take to observe one another's, all gateways would fill the same free slots;
+    /// instead each takes the share of them that corresponds to its share of all online
+    /// requests.
     pub(super) fn may_start_online(&mut self, pick: &Pick<'_>, now: Timestamp) -> bool {
         if self.slot_times.mean(pick.service) < STARTS_SHOW {
             return true;
--- a/crates/routing/src/dispatch/short.rs
+++ b/crates/routing/src/dispatch/short.rs
@@ -1,10 +1,10 @@
-//! Services whose requests are over before the other gateways hear of them.
+//! Services whose requests end before the other gateways observe them.
 //!
-//! What others told of such engines is past by the time it is heard, so that filling
-//! room by it sends everybody to the same engine at once. An engine's own queue decides
-//! here: a request goes to one that is likely to begin with it in time, one that is
-//! turned away waits at the gateway for about as long as slots are held, and the less
-//! often it comes, the more often in a row that happened.
+//! Reports of other gateways on such engines are outdated on arrival, so filling free slots
+//! by them sends all gateways to the same engine at once. Here each engine's own queue
+//! decides. A request goes to an engine that is likely to start it in time. After a
+//! rejection, the engine is left out for about as long as slots are held, and longer with
+//! each consecutive rejection.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -19,31 +19,33 @@
 
 /// Weight of the latest request in the mean.
 const LATEST_WEIGHT: f64 = 1.0 / 32.0;
-/// Engines that a short request compares. All gateways compare by figures that are
-/// about as old; the more each looks at, the more of them take the same one.
+/// Engines that a short request compares. All gateways compare by figures of about the same
+/// age, so the more engines each considers, the more gateways choose the same one.
 pub(super) const COMPARED: usize = 2;
-/// Times for which requests keep a slot that an engine without room is left out for at
-/// first: by then a slot is likely to be free.
+/// First backoff after a rejection for lack of capacity, in mean slot times; by then a slot
+/// is likely to be free.
 const FIRST_BACKOFF: f64 = 2.0;
-/// Part of a pause by which it is longer or shorter by chance, so that those who were
-/// turned away together do not come back together.
+/// Jitter, as a fraction of the backoff, so that requests that were rejected together don't
+/// retry together.
 const BACKOFF_SPREAD: f64 = 0.5;
-/// Doublings that are reckoned with: behind them every pause is the longest one.
+/// Doublings up to which the exponential backoff is computed; beyond them every backoff is
+/// the longest one.
 const MOST_DOUBLINGS: u32 = 16;
-/// Shortest pause: an engine that answers at once is not asked all the time.
+/// Shortest backoff; keeps requests from being sent again and again to an engine that
+/// rejects them at once.
 const SHORTEST_BACKOFF: Duration = Duration::from_millis(8);
-/// Longest pause: short enough for another look within a request's target.
+/// Longest backoff; short enough for another attempt within a request's target.
 const LONGEST_BACKOFF: Duration = Duration::from_millis(200);
 
-/// Time over which requests that found no room fade.
+/// Decay time of the count of requests that found no capacity.
 const SHORTAGE_FADES: Duration = Duration::from_secs(1);
-/// Requests lately without room from which on a service is short of it: single ones are
-/// chance.
+/// Recent rejected requests from which a service counts as short of capacity; single ones
+/// are chance.
 const SHORT_FROM: f64 = 5.0;
-/// Requests lately below which it is no longer.
+/// Recent rejected requests below which it no longer does.
 const ENOUGH_BELOW: f64 = 0.5;
 
-/// Whether requests of a service lately found engines without room.
+/// Detects whether requests of a service recently found engines without capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct Shortage {
     turned_away: FadingSum,
@@ -60,8 +62,8 @@
 }
 
 impl Shortage {
-    /// An engine answered a request, or had no room for it. Says whether the service is
-    /// short of room from now on, if that changes.
+    /// Records that an engine answered a request, or `turned_away` one for lack of
+    /// capacity. Returns whether the service is now short of capacity, if that changed.
     pub fn note(&mut self, turned_away: bool, now: Timestamp) -> Option<bool> {
         if turned_away {
             self.turned_away.add(1.0, now);
@@ -77,13 +79,13 @@
     }
 }
 
-/// Times in a row that an engine turned requests away for want of room.
+/// Consecutive rejections by an engine for lack of capacity.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Backoff(u32);
 
 impl Backoff {
-    /// It did once more. Gives how long it is left out, where requests keep a slot for
-    /// `kept`.
+    /// Records another rejection. Returns how long to leave the engine out, where requests
+    /// hold a slot for `kept`.
     fn next(&mut self, kept: Duration, random: &mut impl Rng) -> Duration {
         let spread = random.random_range(1.0 - BACKOFF_SPREAD..1.0 + BACKOFF_SPREAD);
         let first = kept.mul_f64(FIRST_BACKOFF * spread);
@@ -93,13 +95,13 @@
     }
 }
 
-/// Mean times for which requests of a service keep a slot of an engine, without their
-/// wait in its queue, as measured here.
+/// Mean times for which requests of a service hold a slot of an engine, without their wait
+/// in its queue, as measured by this gateway.
 #[derive(Clone, Debug, Default)]
 pub(super) struct WorkTimes(BTreeMap<String, f64>);
 
 impl WorkTimes {
-    /// A request of a service kept a slot for so long.
+    /// Records the time for which a request of a service held a slot, in seconds.
     fn note(&mut self, service: &str, kept: f64) {
         match self.0.get_mut(service) {
             Some(mean) => *mean += (kept - *mean) * LATEST_WEIGHT,
@@ -109,7 +111,7 @@
         }
     }
 
-    /// That time, where it is shorter than starts take to show to the other gateways.
+    /// Returns the mean time if it is shorter than other gateways take to observe a start.
     pub fn short(&self, service: &str) -> Option<Duration> {
         let mean = Duration::from_secs_f64(*self.0.get(service)?);
         (!mean.is_zero() && mean < STARTS_SHOW).then_some(mean)
@@ -117,14 +119,15 @@
 }
 
 impl EngineTable {
-    /// An online request was at an engine for so long until it was answered whole, its
-    /// wait there included.
+    /// Records the time from sending an online request to an engine until its complete
+    /// answer, including the wait there.
     pub fn note_time_at(&mut self, id: &str, took: Duration, now: Timestamp) {
         let others_tell = self.others_tell(now);
         let Some(engine) = self.engines.get(id) else {
             return;
         };
-        // As many are there behind a request that leaves as were before it as it came.
+        // In a steady state, a departing request leaves as many requests there as it found
+        // on arrival.
         let behind = engine.fresh_load(now, took);
         let behind = behind.unwrap_or_else(|| engine.load(now, others_tell));
         let slots = f64::from(engine.facts.slots);
@@ -132,7 +135,7 @@
         self.work_times.note(&engine.facts.service, kept);
     }
 
-    /// An engine had no room for a request.
+    /// Records that an engine had no capacity for a request.
     pub(super) fn turned_away(&mut self, id: &str, now: Timestamp) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
@@ -144,15 +147,15 @@
         engine.leave_out(pause, now);
     }
 
-    /// Mean time for which a request of a service keeps a slot, where it is so short that
-    /// engines' queues decide.
+    /// Returns the mean time for which a request of a service holds a slot, if it is short
+    /// enough for the engines' queues to decide.
     #[must_use]
     pub fn short_work_time(&self, service: &str) -> Option<Duration> {
         self.work_times.short(service)
     }
 
-    /// Whether an engine has all that it is to get of such requests, where they are over
-    /// before the other gateways hear of them.
+    /// Whether an engine has reached its limit for such requests, if they end before the
+    /// other gateways observe them; `None` for other services.
     pub(super) fn is_full_of_short(
         &self,
         engine: &Engine,
--- a/crates/routing/src/dispatch/slot_time.rs
+++ b/crates/routing/src/dispatch/slot_time.rs
@@ -1,15 +1,15 @@
-//! How long a request holds a slot of an engine, and so how long one that finds
-//! none free waits there.
+//! How long requests hold a slot of an engine, from which the wait at a full engine is
+//! estimated.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use super::pace::Usual;
 
-/// Weight of the latest request in the mean: some thirty of them make it.
+/// Weight of the latest request in the mean, which covers about 30 requests.
 const LATEST_WEIGHT: f64 = 1.0 / 32.0;
 
-/// Mean times for which online requests hold a slot, by service, as measured here.
+/// Mean slot times of online requests by service, as measured by this gateway.
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlotTimes {
     means: BTreeMap<String, f64>,
@@ -17,7 +17,7 @@
 }
 
 impl SlotTimes {
-    /// A request held a slot of an engine of `service` for so long.
+    /// Records the time for which a request held a slot of an engine of `service`.
     pub fn note(&mut self, service: &str, held: Duration) {
         let held = held.as_secs_f64();
         match self.means.get_mut(service) {
@@ -28,19 +28,19 @@
         }
     }
 
-    /// Mean time for which a request of the service holds a slot.
+    /// Returns the mean slot time of the service's requests, or zero before the first one.
     pub fn mean(&self, service: &str) -> Duration {
         Duration::from_secs_f64(self.means.get(service).copied().unwrap_or_default())
     }
 
-    /// Times between events at engines of the service.
+    /// Returns the times between events at engines of the service.
     pub fn usual(&mut self, service: &str) -> &mut Usual {
         self.usual.entry(service.to_owned()).or_default()
     }
 
-    /// Requests that an engine with so many `slots` and this pace begins with within
-    /// `left`: those for which it has slots, and those whose turn comes by then. All of
-    /// them until any was measured.
+    /// Returns how many requests an engine with this many `slots` and this pace starts
+    /// within `left`: those that get a slot at once, and those that get one by then.
+    /// Unbounded until a slot time was measured.
     pub fn begun_within(&self, service: &str, left: Duration, slots: f64, pace: f64) -> f64 {
         let held = self.mean(service).as_secs_f64() * pace;
         slots + slots * left.as_secs_f64() / held
--- a/crates/routing/src/dispatch/slow.rs
+++ b/crates/routing/src/dispatch/slow.rs
@@ -1,31 +1,32 @@
-//! Which engines count as slow, as it is told to operators.
+//! Reports to operators which engines count as slow.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use molespan_types::Timestamp;
 
-/// How long an engine has to be slow until it is told: a shorter time needs no operator.
+/// Time for which an engine must be slow before it is reported; shorter spans need no
+/// operator.
 const SLOW_FOR: Duration = Duration::from_millis(800);
-/// Changes that are told at once at the most; the others are counted.
+/// Most changes reported at once; the others are only counted.
 const MOST_TOLD: usize = 8;
 
-/// An engine began or ceased to count as slow.
+/// An engine started or stopped counting as slow.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SlowChange {
-    /// It takes so many times as long as is usual.
+    /// The engine takes a multiple of the usual time.
     Slow {
-        /// Engine.
+        /// Engine identifier.
         engine: String,
-        /// Multiple of the usual time.
+        /// Pace, as a multiple of the usual time.
         pace: f64,
     },
-    /// It is back.
+    /// The engine is no longer slow.
     Back {
-        /// Engine.
+        /// Engine identifier.
         engine: String,
     },
-    /// Further changes that are not named.
+    /// Number of further changes that are not listed.
     More(usize),
 }
 
@@ -35,12 +36,13 @@
     told: bool,
 }
 
-/// Engines that were slow at the latest look.
+/// Engines that were slow at the latest check.
 #[derive(Clone, Debug, Default)]
 pub struct SlowWatch(BTreeMap<String, Since>);
 
 impl SlowWatch {
-    /// These engines are slow now; says what is news.
+    /// Updates the engines that are slow now, with their paces, and returns the changes to
+    /// report.
     pub fn look(&mut self, slow: &[(String, f64)], now: Timestamp) -> Vec<SlowChange> {
         let mut changes = Vec::new();
         self.0.retain(|engine, since| {
--- a/crates/routing/src/dispatch/split.rs
+++ b/crates/routing/src/dispatch/split.rs
@@ -1,8 +1,8 @@
 //! Weighted choice that keeps its weights over short spans.
 
-/// Chooses among weighted destinations so that after every choice each has had
-/// its share up to one: the smooth weighted round robin. Independent draws
-/// would stray by the square root of their number.
+/// Smooth weighted round robin: after every choice each destination has received its share
+/// to within one choice. Independent random draws would deviate by the square root of their
+/// number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WeightedSplit {
     weights: Vec<i64>,
@@ -10,8 +10,8 @@
 }
 
 impl WeightedSplit {
-    /// A split over `weights`. `start` shifts where it begins, so that many
-    /// nodes do not all begin with the same destination.
+    /// Returns a split over `weights`. `start` offsets the sequence, so that many nodes
+    /// don't all begin with the same destination.
     #[must_use]
     pub fn new(weights: &[u32], start: u32) -> Self {
         let weights: Vec<i64> = weights.iter().map(|&weight| i64::from(weight)).collect();
@@ -28,7 +28,7 @@
         split
     }
 
-    /// The next destination; `None` when no weight is above zero.
+    /// Returns the index of the next destination, or `None` when no weight is above zero.
     #[allow(clippy::should_implement_trait, reason = "it never ends")]
     pub fn next(&mut self) -> Option<usize> {
         let total: i64 = self.weights.iter().sum();
--- a/crates/routing/src/dispatch/table.rs
+++ b/crates/routing/src/dispatch/table.rs
@@ -1,4 +1,4 @@
-//! All engines, and the choice among them.
+//! Table of all engines, and the choice among them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -20,125 +20,127 @@
 use super::slot_time::SlotTimes;
 use crate::reach::ReachTable;
 
-/// Engines that a short request looks at, drawn at random. Other gateways choose
-/// by the same figures at the same time; if each looked at all engines, all of
-/// them would take the same one until they hear of each other.
+/// Engines that a request with a short prompt considers, drawn at random. Other gateways
+/// choose by the same figures at the same time; if each considered all engines, all of them
+/// would choose the same one until they observe one another's requests.
 const LOOKED_AT: usize = 4;
-/// Prompt tokens from which on a request looks at every engine: there are few
-/// such requests, and where they run matters most.
+/// Prompt tokens from which a request considers every engine: there are few such requests,
+/// and their placement matters most.
 const LONG_PROMPT_TOKENS: u64 = 4_000;
-/// Share of its slots up to which an engine gets batch work: all of them, since
-/// it gives way.
+/// Share of its slots up to which an engine gets batch work: all of them, since batch work
+/// can be preempted.
 const BATCH_LOAD: f64 = 1.0;
 /// Share of its slots up to which an engine gets online work.
 const ONLINE_LOAD: f64 = 1.5;
-/// How long an answer from any engine says that this gateway reaches engines.
+/// Time for which an answer from any engine shows that this gateway is not cut off.
 const ANSWERED_LATELY: Duration = Duration::from_secs(3);
-/// How long an engine has to be there to count as one that stays. A request that
-/// engines ended under goes there: one that flaps is the emptiest of all each time it
-/// comes back. Of 1.54 million innocents 10 were refused in place of 15; alone where
-/// engines flap beside no guilty request, none in place of 3, and beside two 7 either way
-/// (tests/suspect_schedules, 60 schedules of seven kinds).
+/// Time for which an engine must have been known to count as stable. A request under which
+/// engines ended goes to a stable one, because an engine that restarts repeatedly is the
+/// emptiest of all whenever it is back. With this rule, 10 instead of 15 of 1.54 million
+/// innocent requests were refused; where engines restart without any guilty request, 0
+/// instead of 3, and beside two guilty ones, 7 either way (tests/suspect_schedules, 60
+/// schedules of seven kinds).
 const STAYS: Duration = Duration::from_secs(10);
-/// How long gateways count as telling each other what they have.
+/// Time for which a report of another gateway shows that gateways exchange reports.
 const TOLD_LATELY: Duration = Duration::from_millis(1_200);
 
-/// What a request is, as far as engines care.
+/// Class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkClass {
-    /// A caller waits.
+    /// A caller waits for the answer.
     Online,
-    /// It may wait for idle engines.
+    /// The request may wait for idle engines.
     Batch,
 }
 
-/// How an online request stands to its target.
+/// Whether an online request can still meet its latency target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It is answered in time if an engine begins with it within `left`.
+    /// The request meets its target if an engine starts it within `left`.
     InTime {
-        /// That time.
+        /// Remaining time.
         left: Duration,
     },
-    /// It cannot be in time any more. It takes what those leave that can: a slot
-    /// that is free.
+    /// The request can no longer meet its target. It only gets a slot that is free, which
+    /// requests that can meet theirs leave over.
     Late,
 }
 
-/// A request that wants an engine.
+/// A request for an engine.
 #[derive(Clone, Debug)]
 pub struct Pick<'a> {
-    /// Service.
+    /// Service name.
     pub service: &'a str,
-    /// What it is.
+    /// Class of the request.
     pub class: WorkClass,
-    /// How it stands; of no matter to batch work.
+    /// Whether it can meet its target; ignored for batch work.
     pub standing: Standing,
-    /// What its prompt costs to read.
+    /// Cost of reading its prompt.
     pub prompt: PromptCost,
-    /// Engines that it has been to.
+    /// Engines that it was already sent to.
     pub tried: &'a BTreeSet<String>,
-    /// Whether engines ended under it before.
+    /// Whether engines ended while they ran it.
     pub suspect: bool,
 }
 
 /// An engine that was chosen.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Picked {
-    /// It.
+    /// The engine.
     pub facts: EngineFacts,
-    /// Requests there as far as is known, this one not counted.
+    /// Estimated number of requests there, without this one.
     pub load: f64,
-    /// Prompt tokens that it has to read for this one.
+    /// Prompt tokens that it has to read for this request.
     pub unread_tokens: u64,
-    /// Prompt tokens that it has to read before.
+    /// Prompt tokens that it has to read before that.
     pub before_tokens: u64,
-    /// Whether it takes a slot that an own request has just left.
+    /// Whether the request takes a slot that another request of this gateway has just
+    /// freed.
     pub takes_over: bool,
 }
 
 /// Why no engine was chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoEngine {
-    /// None is known that does not leave.
+    /// No engine of the service is known, or all of them are leaving.
     None,
-    /// The request has been to all of them.
+    /// The request was already sent to all of them.
     Tried,
-    /// All that are left fail or have no room.
+    /// All remaining engines fail or have no capacity.
     Busy,
 }
 
-/// All engines that are known.
+/// All known engines.
 #[derive(Debug)]
 pub struct EngineTable {
     pub(super) zone: ZoneName,
     pub(super) engines: BTreeMap<String, Engine>,
     departures: Departures,
-    /// Services whose last engine said that it leaves.
+    /// Services whose last engine announced its departure.
     left: BTreeSet<String>,
     latest: LatestLives,
     holders: Holders,
-    /// When another gateway last told what it has.
+    /// When another gateway last reported its work.
     told: Option<Timestamp>,
-    /// When an engine last answered here.
+    /// When an engine last answered this gateway.
     answered: Option<Timestamp>,
-    /// Gateways, this one included.
+    /// Number of gateways, this one included.
     gateways: u32,
-    /// Gateways that use each engine of a service, where they are few.
+    /// Number of gateways that use each engine of a service, where it is limited.
     users: BTreeMap<String, u32>,
     batch_starts: UnseenStarts,
     pub(super) online_starts: UnseenStarts,
     freed: FreedSlots,
     pub(super) slot_times: SlotTimes,
     pub(super) work_times: WorkTimes,
-    /// Zones that are out of reach.
+    /// Reachability of zones.
     pub(super) reach: ReachTable,
     pub(super) demands: Demands,
     pub(super) random: ChaCha8Rng,
 }
 
 impl EngineTable {
-    /// A table for a node in `zone`.
+    /// Returns an empty table for a node in `zone`.
     #[must_use]
     pub fn new(zone: ZoneName, seed: u64) -> Self {
         Self {
@@ -163,9 +165,9 @@
         }
     }
 
-    /// A control node says that an engine is there. Nothing brings a departed one back,
-    /// or a life behind which another began, and an address belongs to the latest engine
-    /// that has it.
+    /// Records that a control node lists an engine. An engine that departed, or that a
+    /// later incarnation replaced, is not added again. An address belongs to the latest
+    /// engine that has it.
     pub fn learn(&mut self, from: NodeId, facts: EngineFacts, now: Timestamp) {
         if self.departures.bind(&facts.id) || self.latest.has_later(&facts.id) {
             return;
@@ -188,7 +190,8 @@
         engine.known_by.insert(from);
     }
 
-    /// A control node lost sight of an engine. It is gone once all did.
+    /// Records that a control node no longer lists an engine. The engine is removed once no
+    /// control node lists it.
     pub fn lose(&mut self, from: NodeId, id: &str) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.known_by.remove(&from);
@@ -198,8 +201,8 @@
         }
     }
 
-    /// A control node says nothing any more: an engine that it alone knew is gone, and
-    /// it holds up the loss of no other.
+    /// Removes a control node that no longer reports: engines that it alone listed are
+    /// removed, and it no longer delays the removal of others.
     pub fn forget_teller(&mut self, from: NodeId) {
         self.engines.retain(|_, engine| {
             let told = engine.known_by.remove(&from);
@@ -207,8 +210,9 @@
         });
     }
 
-    /// A control node says how many gateways use each engine of a service, `None` for
-    /// all, and, unless nothing was taken from this one, which engines it knows for it.
+    /// Records how many gateways use each engine of a service, `None` for all, as a control
+    /// node reports it. `part` lists the engines that the control node assigns to this
+    /// gateway; it is `None` if none was withdrawn.
     pub fn use_part(
         &mut self,
         from: NodeId,
@@ -231,7 +235,7 @@
         });
     }
 
-    /// Engines that are known.
+    /// Returns the number of known engines.
     #[must_use]
     pub fn len(&self) -> usize {
         self.engines.len()
@@ -243,7 +247,7 @@
         self.engines.is_empty()
     }
 
-    /// Gateways, this one included, that use each engine of a service.
+    /// Returns the number of gateways that use each engine of a service, this one included.
     pub(super) fn users_of(&self, service: &str) -> f64 {
         let users = self.users.get(service).copied();
         f64::from(
@@ -253,13 +257,14 @@
         )
     }
 
-    /// Slots of a service that are this gateway's if all gateways have as many.
+    /// Returns this gateway's slots of a service if all gateways have the same number.
     #[must_use]
     pub fn fair_slots(&self, service: &str) -> f64 {
         f64::from(self.slots(service)) / self.users_of(service)
     }
 
-    /// An engine leaves, in this life and those before. Says whether that is news.
+    /// Records that an engine leaves, in this incarnation and earlier ones. Returns whether
+    /// that is new.
     pub fn depart(&mut self, id: &str) -> bool {
         let departed = EngineLife::of(id);
         let engines = self.engines.iter();
@@ -277,48 +282,48 @@
         self.departures.note(id)
     }
 
-    /// Whether the last engine of a service said that it leaves: unlike one that fell
-    /// silent or was not heard yet it does not come back. Who knows a part of the engines
-    /// is told of others.
+    /// Whether the last engine of a service announced its departure: unlike an engine that
+    /// stopped reporting or was not discovered yet, it will not come back. Always `false`
+    /// for a gateway with a subset of the engines, which is assigned others.
     #[must_use]
     pub fn has_left(&self, service: &str) -> bool {
         self.left.contains(service) && !self.users.contains_key(service)
     }
 
-    /// Another engine answered at its address. The control nodes lose sight of
-    /// it soon; until then it is not chosen, and the others hear of it.
+    /// Records that another engine answered at its address. The control nodes stop listing
+    /// it soon; until then it is not chosen, and other gateways are informed.
     pub fn displaced(&mut self, id: &str, now: Timestamp) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.displaced(now);
         }
     }
 
-    /// Whether new work may still go there.
+    /// Whether new work may still go to the engine.
     #[must_use]
     pub fn is_present(&self, id: &str) -> bool {
         self.engines.contains_key(id)
     }
 
-    /// Where an engine serves, if it is known.
+    /// Returns the address of an engine, if it is known.
     #[must_use]
     pub fn address(&self, id: &str) -> Option<SocketAddr> {
         self.engines.get(id).map(|engine| engine.facts.address)
     }
 
-    /// Whether an engine said that it leaves.
+    /// Whether an engine announced its departure.
     #[must_use]
     pub fn has_departed(&self, id: &str) -> bool {
         self.departures.bind(id)
     }
 
-    /// Whether an engine answered something behind a time.
+    /// Whether an engine answered after a time.
     #[must_use]
     pub fn answered_after(&self, id: &str, at: Timestamp) -> bool {
         let engine = self.engines.get(id);
         engine.is_some_and(|engine| engine.answered_after(at))
     }
 
-    /// A request was sent, with so many tokens to read.
+    /// Records that a request was sent, with the tokens it has to read.
     pub fn started(&mut self, id: &str, class: WorkClass, unread_tokens: u64, now: Timestamp) {
         match class {
             WorkClass::Online => self.online_starts.note(now),
@@ -329,67 +334,67 @@
         }
     }
 
-    /// The same of a request that takes over a slot of an own one: others see as many
-    /// as before.
+    /// Like [`Self::started`], for a request that takes a slot that another request of this
+    /// gateway freed: other gateways observe as many requests as before.
     pub fn took_over(&mut self, id: &str, class: WorkClass, unread_tokens: u64) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.started(class, unread_tokens);
         }
     }
 
-    /// An own request has left a slot of an engine.
+    /// Records that a request of this gateway freed a slot of an engine.
     pub fn freed(&mut self, id: &str, now: Timestamp) {
         self.freed.note(id, now);
     }
 
-    /// A request began to answer, or ended before: its tokens are read.
+    /// Records that a request's tokens are read, because its answer began or it ended.
     pub fn read(&mut self, id: &str, tokens: u64) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.read(tokens);
         }
     }
 
-    /// A request has ended in whatever way.
+    /// Records that a request ended, for whatever reason.
     pub fn ended(&mut self, id: &str, class: WorkClass) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.ended(class);
         }
     }
 
-    /// An engine read a shared prompt.
+    /// Records that an engine read a shared prompt.
     pub fn holds(&mut self, id: &str, key: u64, now: Timestamp) {
         self.holders.note(key, id, now);
     }
 
-    /// An engine told its load.
+    /// Records a load report of an engine.
     pub fn report(&mut self, id: &str, load: EngineLoad, now: Timestamp) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.report(load, now);
         }
     }
 
-    /// What this gateway has at each engine, and how it fared there, for telling
-    /// the others.
+    /// Returns this gateway's work at each engine, and its experience there, to report to
+    /// others.
     #[must_use]
     pub fn shares(&self, now: Timestamp) -> Vec<WorkShare> {
-        // Without an answer from any engine this gateway may be the one that fails.
+        // Without a recent answer from any engine, this gateway may itself be cut off.
         let sure = self
             .answered
             .is_some_and(|answered| now.since(answered) < ANSWERED_LATELY);
         let engines = self.engines.values();
         engines
             .filter_map(|engine| {
-                // Its links may be what fails, and others have their own.
+                // The failure may be that of this gateway's links; others have their own.
                 engine.share(now, sure && !self.reach.is_avoided(&engine.facts.zone))
             })
             .collect()
     }
 
-    /// Another gateway tells all that it has at engines.
+    /// Records another gateway's complete report of its work at engines.
     pub fn note_shares(&mut self, from: NodeId, shares: &[WorkShare], now: Timestamp) {
         self.told = Some(now);
-        // Many times a second, of all engines: a search for each would cost the
-        // square of their number.
+        // Runs many times a second over all engines; a linear search for each would take
+        // quadratic time.
         let shares = shares.iter().map(|share| (share.engine.as_str(), share));
         let shares: BTreeMap<&str, &WorkShare> = shares.collect();
         for (id, engine) in &mut self.engines {
@@ -397,14 +402,14 @@
         }
     }
 
-    /// Forgets what another node told: it is told by somebody else from now on.
+    /// Discards another node's reports, since they come from a different node from now on.
     pub fn forget_shares(&mut self, from: NodeId) {
         for engine in self.engines.values_mut() {
             engine.forget_share(from);
         }
     }
 
-    /// Requests at all engines as a share of their slots.
+    /// Returns the requests at all reachable engines as a share of their slots.
     #[must_use]
     pub fn occupancy(&self, now: Timestamp) -> f64 {
         let others_tell = self.others_tell(now);
@@ -419,7 +424,7 @@
         load / f64::from(slots.max(1))
     }
 
-    /// An attempt failed.
+    /// Records that an attempt failed.
     pub fn failed(&mut self, id: &str, failure: Failure, now: Timestamp) {
         if failure == Failure::Full {
             return self.turned_away(id, now);
@@ -429,7 +434,7 @@
         }
     }
 
-    /// An attempt was answered.
+    /// Records that an attempt was answered.
     pub fn succeeded(&mut self, id: &str, now: Timestamp) {
         self.answered = Some(now);
         if let Some(engine) = self.engines.get_mut(id) {
@@ -437,14 +442,14 @@
         }
     }
 
-    /// An engine answered an online request, well or as a failure of its own.
+    /// Records that an engine answered an online request, or `failed` it.
     pub fn answered(&mut self, id: &str, failed: bool, now: Timestamp) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.answered(failed, now);
         }
     }
 
-    /// Slots of all engines of a service together.
+    /// Returns the total number of slots of all engines of a service.
     #[must_use]
     pub fn slots(&self, service: &str) -> u32 {
         let engines = self.of_service(service);
@@ -460,13 +465,13 @@
         self.told.is_some_and(|told| now.since(told) < TOLD_LATELY)
     }
 
-    /// How many gateways there are, this one included.
+    /// Sets the number of gateways, this one included.
     pub fn set_gateways(&mut self, gateways: u32) {
         self.gateways = gateways.max(1);
     }
 
-    /// Batch requests that this gateway may still start at engines of the
-    /// service: its part of what all of them together would take.
+    /// Returns how many more batch requests this gateway may start at engines of the
+    /// service: its share of what they take from all gateways.
     #[must_use]
     pub fn batch_headroom(&self, service: &str, now: Timestamp) -> f64 {
         let others_tell = self.others_tell(now);
@@ -490,14 +495,14 @@
         self.batch_starts.left(share, room.min(free), now)
     }
 
-    /// Whether a batch request may start now. Less than one is rounded by
-    /// chance, so that all gateways together start what there is room for.
+    /// Whether a batch request may start now. A fraction is rounded at random, so that all
+    /// gateways together start as many as there is capacity for.
     fn may_start_batch(&mut self, service: &str, now: Timestamp) -> bool {
         let draw: f64 = self.random.random();
         self.batch_headroom(service, now) > draw
     }
 
-    /// Online requests up to which an engine gets such a one.
+    /// Returns the number of online requests up to which an engine gets such a request.
     pub(super) fn places(&self, engine: &Engine, pick: &Pick<'_>, now: Timestamp) -> f64 {
         let slots = engine.slots(now);
         match pick.standing {
@@ -510,7 +515,7 @@
         }
     }
 
-    /// Whether an engine has all that it is to get of such requests.
+    /// Whether an engine has reached its limit for such requests.
     fn is_full(&self, engine: &Engine, pick: &Pick<'_>, now: Timestamp) -> bool {
         let others_tell = self.others_tell(now);
         if pick.class == WorkClass::Batch {
@@ -523,7 +528,8 @@
         engine.online_load(now, others_tell) + 1.0 > self.places(engine, pick, now)
     }
 
-    /// Engines at which own batch work is to give way, and how many requests.
+    /// Returns the engines at which this gateway's batch work is to be preempted, with the
+    /// number of requests.
     pub fn batch_to_cut(&mut self, now: Timestamp) -> Vec<(String, u32)> {
         let others_tell = self.others_tell(now);
         let mut cuts = Vec::new();
@@ -540,7 +546,7 @@
     /// Chooses the engine that is likely to answer first.
     ///
     /// # Errors
-    /// When there is none to choose.
+    /// Returns why there is none to choose.
     pub fn pick(&mut self, pick: &Pick<'_>, now: Timestamp) -> Result<Picked, NoEngine> {
         if self.of_service(pick.service).next().is_none() {
             return Err(NoEngine::None);
@@ -563,7 +569,7 @@
         picked.ok_or(NoEngine::Busy)
     }
 
-    /// The engine of those with room that is likely to answer first.
+    /// Returns the engine that is likely to answer first among those with capacity.
     fn choose(&mut self, pick: &Pick<'_>, now: Timestamp) -> Option<Picked> {
         let others_tell = self.others_tell(now);
         let avoided = self.avoided(pick.service, now);
@@ -590,9 +596,9 @@
         best.map(|(_, candidate)| candidate.picked())
     }
 
-    /// An engine whose slot a request of this gateway has just left. Nobody else
-    /// counts it as room yet, so that no other gateway fills it at the same time. A
-    /// long prompt goes where it is cheapest to read.
+    /// Returns an engine whose slot a request of this gateway has just freed. No other
+    /// gateway counts that slot as free yet, so none fills it at the same time. A long
+    /// prompt goes where it is cheapest to read instead.
     fn take_over(&mut self, pick: &Pick<'_>, now: Timestamp) -> Option<Picked> {
         if pick.prompt.tokens >= LONG_PROMPT_TOKENS || self.freed.is_empty(now) {
             return None;
@@ -631,7 +637,7 @@
         facts.service == pick.service && !shut && !self.is_full(engine, pick, now)
     }
 
-    /// The engine that the shared part of a prompt belongs to.
+    /// Returns the engine that the shared part of a prompt is assigned to.
     fn home(&self, pick: &Pick<'_>) -> Option<&str> {
         let shared = pick.prompt.shared?;
         let ids = self.of_service(pick.service);
--- a/crates/routing/src/dispatch/turn.rs
+++ b/crates/routing/src/dispatch/turn.rs
@@ -1,35 +1,34 @@
-//! Whose turn it is to look for an engine, among the batch work that waits at one
-//! gateway.
+//! Serializes the search for an engine among the batch work that waits at one gateway.
 
 use std::collections::BTreeMap;
 
 use super::urgency::Urgency;
 
-/// Names one that waits.
+/// Identifies a waiter.
 pub type Place = u64;
 
-/// The answer to one that wants the turn.
+/// Result of requesting the turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Asked {
-    /// It has the turn.
+    /// The caller has the turn.
     Turn,
-    /// It waits at this place.
+    /// The caller waits under this identifier.
     Waits(Place),
 }
 
-/// One turn, which goes to the most urgent one that waits.
+/// A single turn that passes to the most urgent waiter, like a lock with a priority queue.
 ///
-/// While anybody waits somebody has the turn, so that it is always passed on.
+/// While there are waiters, one caller holds the turn, so that it is always passed on.
 #[derive(Clone, Debug, Default)]
 pub struct TurnQueue {
     taken: bool,
-    /// When what waits is due, in milliseconds since 1970.
+    /// Deadline of each waiter's work, in milliseconds since 1970.
     waiting: BTreeMap<Place, Option<u64>>,
     last: Place,
 }
 
 impl TurnQueue {
-    /// Wants the turn for work that is due at `due_ms`.
+    /// Requests the turn for work that is due at `due_ms`.
     pub fn ask(&mut self, due_ms: Option<u64>) -> Asked {
         if !std::mem::replace(&mut self.taken, true) {
             return Asked::Turn;
@@ -39,7 +38,7 @@
         Asked::Waits(self.last)
     }
 
-    /// Ends the turn; gives the place that has it next, if anybody waits.
+    /// Ends the turn. Returns the waiter that gets it next, if there is one.
     pub fn pass_on(&mut self, now_ms: u64) -> Option<Place> {
         let waiting = self.waiting.iter();
         let urgencies = waiting.map(|(&place, &due_ms)| (Urgency::of(due_ms, now_ms, 0), place));
@@ -53,8 +52,8 @@
         next
     }
 
-    /// Gives up waiting. Says whether it still waited; else it has the turn by
-    /// now, and must pass it on.
+    /// Cancels a wait. Returns whether the caller was still waiting; if not, it holds the
+    /// turn and must pass it on.
     pub fn leave(&mut self, place: Place) -> bool {
         self.waiting.remove(&place).is_some()
     }
--- a/crates/routing/src/dispatch/urgency.rs
+++ b/crates/routing/src/dispatch/urgency.rs
@@ -1,23 +1,21 @@
-//! The order of batch work: by the time at which it is due, as long as it can
-//! still be done by then.
+//! Order of batch work: earliest deadline first among the work that can still meet its
+//! deadline, then the rest.
 //!
-//! Under more work than there is room for, work that is late already would
-//! otherwise make all that comes behind it late too.
+//! Under overload, work that is already late would otherwise make all work behind it late
+//! too.
 
-/// How urgent a piece of batch work is; what sorts first is to be done first.
+/// Urgency of a piece of batch work; the smallest value runs first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Urgency {
-    /// Whether it cannot be done in time any more. It loses little by waiting.
+    /// Whether the deadline can no longer be met. Waiting costs such work little.
     pub late: bool,
-    /// Milliseconds since 1970 by which it is to be done; the latest time for
-    /// work that is never due.
+    /// Deadline in milliseconds since 1970; `u64::MAX` for work without one.
     pub due_ms: u64,
 }
 
 impl Urgency {
-    /// Of work that is due at `due_ms` and takes `takes_ms` from now on, by a
-    /// clock that shows `now_ms`. A wrong clock makes the order worse, nothing
-    /// else.
+    /// Returns the urgency of work that is due at `due_ms` and takes `takes_ms` from now
+    /// on, by a clock that shows `now_ms`. A wrong clock only makes the order worse.
     #[must_use]
     pub fn of(due_ms: Option<u64>, now_ms: u64, takes_ms: u64) -> Self {
         let due_ms = due_ms.unwrap_or(u64::MAX);
--- a/crates/routing/tests/demand.rs
+++ b/crates/routing/tests/demand.rs
@@ -1,4 +1,5 @@
-//! Parts of a service's room by what gateways tell of their demand, under virtual time.
+//! Tests shares of a service's free capacity by the demand that gateways report, in virtual
+//! time.
 
 mod many_gateways;
 
@@ -13,12 +14,12 @@
 use molespan_types::{NodeId, Timestamp};
 
 const GATEWAYS: usize = 36;
-/// Two periods of peaks, in milliseconds.
+/// Simulated time in milliseconds: two peak periods.
 const PLAYED_MS: u64 = 11_600;
 const SEEDS: u64 = 4;
 
-/// Requests that keep slots for longer than gateways take to see each other's, from
-/// uneven callers, and in one zone 40 in 100 more.
+/// Requests that hold slots for longer than gateways take to observe each other's, from
+/// unevenly distributed callers, with 40% more in one zone.
 fn load(demand: f64, peaks: bool, demand_told: bool) -> Load {
     let mut engines = Engines::new(24, 8, 900.0);
     engines.streams = true;
@@ -31,8 +32,8 @@
     }
 }
 
-/// Shares in time: of all, of the zone that fares worst, and at the worst tenth of
-/// gateways, as means over seeds.
+/// Shares of requests in time, as means over seeds: of all requests, of the worst zone, and
+/// at the worst tenth of gateways.
 #[derive(Clone, Copy, Debug, Default)]
 struct Fares {
     all: f64,
@@ -49,13 +50,13 @@
         fares.worst_zone += zones.fold(1.0, f64::min) / SEEDS as f64;
         fares.worst_gateways += seen.worst_gateways() / SEEDS as f64;
     }
-    println!("{demand} of the slots, peaks {peaks}, demand told {demand_told}: {fares:?}");
+    println!("{demand} of the slots, peaks {peaks}, demand reported {demand_told}: {fares:?}");
     fares
 }
 
 #[test]
 fn a_callers_gateway_and_zone_matter_little_where_demand_is_told() {
-    // In peaks 1.03 and 1.22 of all slots are wanted.
+    // In peaks the demand is 1.03 and 1.22 of all slots.
     for (demand, peaks) in [(0.55, true), (0.65, true), (0.95, false), (1.1, false)] {
         let by_running = fares(demand, peaks, false);
         let by_demand = fares(demand, peaks, true);
@@ -66,7 +67,7 @@
             by_demand.worst_gateways > by_running.worst_gateways,
             "{demand}"
         );
-        // It costs all together little.
+        // The overall share drops little.
         assert!(by_demand.all >= by_running.all - 0.02, "{demand}");
     }
 }
@@ -106,15 +107,19 @@
 #[test]
 fn parts_are_those_of_what_waits_and_comes() {
     let mut table = table();
-    // 15 requests of the others wait or come within 150 ms.
+    // 15 requests of other gateways wait or arrive within 150 ms.
     table.note_demands(RELAY, vec![demand(35, 12, 20)], at(0));
-    // This gateway has only just started.
+    // This gateway has just started.
     table.begins_to_wait("s");
-    let part = table.part_by_demand("s", at(0)).expect("they tell");
+    let part = table
+        .part_by_demand("s", at(0))
+        .expect("demand is reported");
     assert!((part - 1.0 / 16.0).abs() < 0.001, "{part}");
     table.begins_to_wait("s");
     table.begins_to_wait("s");
-    let part = table.part_by_demand("s", at(0)).expect("they tell");
+    let part = table
+        .part_by_demand("s", at(0))
+        .expect("demand is reported");
     assert!((part - 3.0 / 18.0).abs() < 0.001, "{part}");
     for _ in 0..3 {
         table.ends_to_wait("s");
@@ -127,11 +132,14 @@
 fn who_tells_nothing_counts_as_one_that_wants_as_much_as_the_others() {
     let mut table = table();
     table.note_demands(RELAY, vec![demand(7, 7, 0)], at(0));
-    let part = table.part_by_demand("s", at(0)).expect("they tell");
+    let part = table
+        .part_by_demand("s", at(0))
+        .expect("demand is reported");
     assert!((part - 1.0 / 36.0).abs() < 0.001, "{part}");
 }
 
-/// How many requests find an engine at once, where others have half of all slots.
+/// Returns how many requests find an engine at once, where other gateways use half of all
+/// slots.
 fn starts(table: &mut EngineTable, at_ms: u64) -> usize {
     let shares = (1..=10).map(|number| WorkShare {
         engine: format!("e{number}"),
@@ -174,7 +182,7 @@
     assert!(!silent.hears_demand(at(0)));
     assert_eq!(silent.part_by_demand("s", at(0)), None);
     let by_running = starts(&mut silent, 1_200);
-    // Words of demand that are too old, as when a relay fell silent, or of other services.
+    // Demand reports that have expired, as when a relay fell silent, or of other services.
     let mut cut_off = table();
     cut_off.note_slot_time("s", kept);
     cut_off.note_demands(RELAY, vec![demand(35, 1, 0)], at(0));
@@ -186,7 +194,7 @@
     assert!(cut_off.hears_demand(at(1_200)));
     assert_eq!(cut_off.part_by_demand("s", at(1_200)), None);
     assert_eq!(starts(&mut cut_off, 1_200), by_running);
-    // Where others want little, more of the room is this gateway's.
+    // If other gateways want little, this gateway's share is larger.
     let mut told = table();
     told.note_slot_time("s", kept);
     told.note_demands(RELAY, vec![demand(35, 1, 0)], at(1_200));
@@ -217,8 +225,8 @@
 
 #[test]
 fn a_word_without_later_fields_is_read() {
-    // As a node tells it that knows of the service and its gateways alone.
+    // Encoded by a node that knows only the service and gateways fields.
     let bytes = [0x82, 0x61, b's', 0x05];
-    let told: ServiceDemand = minicbor::decode(&bytes).expect("it is read");
+    let told: ServiceDemand = minicbor::decode(&bytes).expect("it is decoded");
     assert_eq!(told, demand(5, 0, 0));
 }
--- a/crates/routing/tests/dispatch.rs
+++ b/crates/routing/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which service of a route, and which engine of it.
+//! Tests the choice of a route's service, and of an engine of that service.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 use molespan_types::{NodeId, Timestamp};
 use proptest::prelude::*;
 
-/// Far from its target.
+/// A request with ample time until its target.
 const IN_TIME: Standing = Standing::InTime {
     left: Duration::from_secs(1),
 };
@@ -38,7 +38,7 @@
     Timestamp::from_millis(millis)
 }
 
-/// Chooses an engine for a request without a prompt.
+/// Picks an engine for a request without a prompt.
 fn choose(
     table: &mut EngineTable,
     class: WorkClass,
@@ -72,8 +72,8 @@
 }
 
 proptest! {
-    /// After any number of choices each destination has had its share, up to
-    /// one choice for each destination.
+    /// After any number of choices each destination has received its share to within one
+    /// choice for each destination.
     #[test]
     fn a_split_keeps_its_weights_at_every_moment(
         weights in prop::collection::vec(0..100_u32, 1..5),
@@ -127,7 +127,8 @@
 
 #[test]
 fn engines_that_fail_pause_and_come_back() {
-    // How it fails, how often, and whether it is passed over right after.
+    // Kind of failure, number of failures, and whether the engine is backed off right
+    // after.
     let cases = [
         (Failure::Unreachable, 1, true),
         (Failure::Silent, 1, true),
@@ -161,7 +162,7 @@
     table.lose(CONTROL, "e1");
     assert!(
         table.is_present("e1"),
-        "another control node still hears it"
+        "another control node still lists it"
     );
     table.lose(NodeId(2), "e1");
     assert_eq!(online(&mut table, 0), Err(NoEngine::None));
@@ -192,7 +193,7 @@
         table.started("e1", WorkClass::Batch, 0, now(0));
         started += 1;
     }
-    assert_eq!(started, 8, "batch fills the slots, and waits for none");
+    assert_eq!(started, 8, "batch fills the slots and doesn't queue");
     assert_eq!(table.batch_headroom("s", now(0)), 0.0);
     assert_eq!(online(&mut table, 0), Ok("e1".to_owned()));
     table.started("e1", WorkClass::Online, 0, now(0));
@@ -256,7 +257,7 @@
     let (second, unread) = pick_prompt(&mut table, &prompt, 0);
     assert_ne!(second, home);
     assert_eq!(unread, 15_000);
-    // The second engine holds it from now on, and is as good as the first.
+    // The second engine holds the prompt from now on, and is as good as the first.
     let key = PromptCost::of(&prompt).shared.expect("long enough").key;
     table.holds(&second, key, now(0));
     assert_eq!(pick_prompt(&mut table, &prompt, 0), (second, 2_000));
@@ -281,7 +282,7 @@
     for _ in 0..20 {
         assert_eq!(online(&mut table, 0), Ok("e3".to_owned()));
     }
-    // What a gateway does not repeat is over, and so is one that is silent.
+    // Work that a gateway no longer reports is over, and so is that of a silent gateway.
     table.started("e3", WorkClass::Online, 30_000, now(0));
     assert_eq!(online(&mut table, 2_000), Ok("e2".to_owned()));
     table.note_shares(NodeId(9), &[share], now(3_000));
@@ -310,12 +311,12 @@
     table.note_shares(NodeId(7), &told, now(0));
     let slots = 3.0 * 8.0;
     assert!((table.occupancy(now(0)) - 7.0 / slots).abs() < 1e-9);
-    // What it does not name any more is gone.
+    // Work at engines missing from the next report is over.
     table.note_shares(NodeId(7), &[share(1, 2)], now(1));
     assert!((table.occupancy(now(1)) - 2.0 / slots).abs() < 1e-9);
 }
 
-/// What other gateways, as a relay adds them up, find of an engine.
+/// Experience of other gateways with an engine, as summed up by a relay.
 fn experience(engine: &str, failing: u32, answering: u32) -> WorkShare {
     WorkShare {
         errors: 0,
@@ -332,7 +333,8 @@
 
 #[test]
 fn an_engine_that_fails_for_others_is_avoided_before_it_fails_here() {
-    // Gateways for which it fails, and that it answers; whether it is chosen.
+    // Gateways for which the engine fails, gateways that it answers, and whether it is
+    // chosen.
     let cases = [
         (0, 0, true),
         (1, 0, true),
@@ -352,7 +354,7 @@
             "{failing} {answering}"
         );
         assert_eq!(table.failing_for_others(now(1)).is_empty(), chosen);
-        // Nobody says so any more.
+        // The reports have expired.
         assert_eq!(online(&mut table, 1_300), Ok("e1".to_owned()));
     }
 }
@@ -390,7 +392,7 @@
 fn a_gateway_tells_how_it_fared_at_engines() {
     let mut table = table(&[(1, "near"), (2, "near"), (3, "near"), (4, "near")]);
     table.failed("e1", Failure::Unreachable, now(0));
-    assert_eq!(table.shares(now(0)), [], "no engine answered it yet");
+    assert_eq!(table.shares(now(0)), [], "no engine has answered yet");
     table.succeeded("e2", now(0));
     table.failed("e3", Failure::Full, now(0));
     table.displaced("e4", now(0));
@@ -398,9 +400,9 @@
     let [e1, e2, e4] = [("e1", 1, 0), ("e2", 0, 1), ("e4", 1, 0)]
         .map(|(engine, failing, answering)| experience(engine, failing, answering));
     assert_eq!(told(&table, 100), [e1, e2, e4.clone()]);
-    // The pause is over, the answer is old; what is gone stays gone.
+    // The backoff is over and the answer too old; the engine that is gone stays reported.
     assert_eq!(told(&table, 1_100), [e4]);
-    // Without an answer from any engine it may be cut off itself.
+    // Without a recent answer from any engine the gateway itself may be cut off.
     assert_eq!(told(&table, 3_000), []);
     table.succeeded("e2", now(1_150));
     table.failed("e2", Failure::Unreachable, now(1_200));
@@ -430,7 +432,8 @@
 
 #[test]
 fn batch_gives_way_when_slots_run_out_and_gateways_share_the_burden() {
-    // Own batch and online requests, those of another gateway, and what is cut.
+    // This gateway's batch and online requests, those of another gateway, and the number to
+    // preempt.
     let cases = [
         ((4, 4), (0, 0), 0..=0),
         ((4, 5), (0, 0), 1..=1),
@@ -466,7 +469,8 @@
             cut.contains(&cuts),
             "{batch} {online} {other_batch} {other_online}: {cuts}"
         );
-        // The others see it only later: nothing is cut twice meanwhile.
+        // The other gateways observe the preemption only later; nothing is preempted twice
+        // in the meantime.
         assert!(cuts == 0 || table.batch_to_cut(now(10)).is_empty());
     }
 }
@@ -479,7 +483,7 @@
     }
     assert!(
         table.batch_to_cut(now(0)).is_empty(),
-        "there is no batch to cut"
+        "there is no batch work to preempt"
     );
     for _ in 0..9 {
         table.ended("e1", WorkClass::Online);
@@ -498,7 +502,7 @@
 
 #[test]
 fn gateways_that_choose_at_the_same_moment_do_not_all_choose_the_same_engine() {
-    // One engine is idle and all others run something; every gateway sees that.
+    // One engine is idle and all others run a request; every gateway observes that.
     let engines: Vec<(u8, &str)> = (1..=24).map(|number| (number, "near")).collect();
     let mut chosen: BTreeMap<String, u32> = BTreeMap::new();
     for gateway in 0..48 {
@@ -512,7 +516,10 @@
         let engine = online(&mut table, 0).expect("an engine");
         *chosen.entry(engine).or_default() += 1;
     }
-    assert!(chosen["e1"] >= 2, "it is preferred: {chosen:?}");
+    assert!(
+        chosen["e1"] >= 2,
+        "the idle engine is preferred: {chosen:?}"
+    );
     assert!(chosen.values().all(|&count| count <= 16), "{chosen:?}");
 }
 
@@ -522,13 +529,13 @@
     let mut table = table(&[(1, "near"), (2, "far")]);
     table.started("e1", WorkClass::Online, 0, now(0));
     assert_eq!(pick_prompt(&mut table, &prompt, 0).0, "e2");
-    // A short one does not leave its zone for that.
+    // A short prompt does not leave its zone for that.
     assert_eq!(online(&mut table, 0), Ok("e1".to_owned()));
 }
 
 #[test]
 fn gateways_start_no_more_batch_requests_at_once_than_there_is_room_for() {
-    // Eight gateways that hear of each other only later, and 32 slots.
+    // Eight gateways that don't observe each other's requests yet, and 32 slots.
     let mut started = 0;
     for gateway in 0..8 {
         let mut table = EngineTable::new("near".into(), gateway);
@@ -550,7 +557,7 @@
     for engine in [["e1"; 9], ["e2"; 9]].concat().into_iter().chain(["e3"; 6]) {
         table.started(engine, WorkClass::Online, 0, now(0));
     }
-    // The third engine has room, but the requests that wait will want it.
+    // The third engine has free slots, but the waiting requests will need them.
     assert_eq!(
         pick(&mut table, WorkClass::Batch, &[], 0),
         Err(NoEngine::Busy)
@@ -571,8 +578,8 @@
 
 #[test]
 fn an_online_request_goes_where_own_batch_work_gives_way_at_once() {
-    // All slots are taken: by online work, by another gateway's batch work, and
-    // by own batch work.
+    // All slots are in use: by online work, by another gateway's batch work, and by this
+    // gateway's batch work.
     let mut table = table(&[(1, "near"), (2, "near"), (3, "near")]);
     let shares = ["e1", "e2"].map(|engine| WorkShare {
         errors: 0,
@@ -590,7 +597,7 @@
         table.started("e3", WorkClass::Batch, 0, now(0));
     }
     assert_eq!(online(&mut table, 0), Ok("e3".to_owned()));
-    // Without own batch work, the other gateway's gives way.
+    // Without batch work of this gateway, the other gateway's is preempted.
     for _ in 0..8 {
         table.ended("e3", WorkClass::Batch);
         table.started("e3", WorkClass::Online, 0, now(0));
@@ -598,8 +605,8 @@
     assert_eq!(online(&mut table, 0), Ok("e2".to_owned()));
 }
 
-/// A request that stands as `standing`, at an engine of 8 slots whose requests hold
-/// one for 400 ms and that has `online` and `batch` requests.
+/// Picks for a request with this `standing`, at an engine of 8 slots whose requests hold
+/// one for 400 ms and that runs `online` and `batch` requests.
 fn standing(standing: Standing, online: u32, batch: u32) -> Result<String, NoEngine> {
     let mut table = table(&[(1, "near")]);
     for _ in 0..200 {
@@ -619,8 +626,8 @@
     let left = |ms| Standing::InTime {
         left: Duration::from_millis(ms),
     };
-    // Standing, online and batch requests there, whether it is sent. One that finds
-    // no slot waits 50 ms for each request before it that does not run.
+    // Standing, online and batch requests there, and whether the request is sent. A request
+    // that finds no slot waits 50 ms for each request queued before it.
     let cases = [
         (left(1), 7, 0, true),
         (left(1), 8, 0, false),
@@ -628,7 +635,7 @@
         (left(60), 9, 0, false),
         (left(160), 10, 0, true),
         (left(10_000), 12, 0, false),
-        // Batch work gives way.
+        // Batch work is preempted.
         (left(1), 7, 8, true),
         (Standing::Late, 7, 0, true),
         (Standing::Late, 7, 1, true),
@@ -644,8 +651,8 @@
     }
 }
 
-/// Requests that 40 gateways start at once, five tries each, at two engines with 8
-/// slots each, before they see one another's.
+/// Returns the requests that 40 gateways start at the same time, with five attempts each,
+/// at two engines with 8 slots each, before they observe one another's requests.
 fn started_at_once(standing: Standing, slot_time: Duration) -> u32 {
     let mut started = 0;
     for seed in 0..40 {
@@ -667,7 +674,7 @@
 #[test]
 fn gateways_start_no_more_requests_at_once_than_there_is_room_for() {
     let held = Duration::from_millis(400);
-    // 16 slots, and 4 requests at each engine whose turn comes within 200 ms.
+    // 16 slots, and 4 requests at each engine that get a slot within 200 ms.
     let cases = [
         (Standing::Late, 8..=24),
         (
@@ -689,8 +696,8 @@
     assert_eq!(started, 200);
 }
 
-/// Two gateways before two engines, where `e1` fails every other request while it
-/// looks the less loaded one.
+/// Two gateways with two engines, where `e1` fails every other request and appears less
+/// loaded.
 fn gateways_of_an_erring_engine() -> [EngineTable; 2] {
     [1, 2].map(|seed| {
         let mut table = EngineTable::new("near".into(), seed);
@@ -714,11 +721,11 @@
         at += 10;
         assert!(errors <= 4, "{errors}");
     }
-    // Whoever has seen none of it hears of it.
+    // A gateway that has observed no failure learns of it by reports.
     assert_eq!(online(&mut other, at), Ok("e1".to_owned()));
     other.note_shares(NodeId(9), &one.shares(now(at)), now(at));
     assert_eq!(online(&mut other, at), Ok("e2".to_owned()));
-    // It is tried again later, and stays in use when it is sound by then.
+    // The engine is tried again later, and stays in use if it has recovered.
     assert_eq!(online(&mut one, at + 3_000), Ok("e2".to_owned()));
     assert_eq!(online(&mut one, at + 8_000), Ok("e1".to_owned()));
     for more in 0..50 {
@@ -751,7 +758,7 @@
         |table: &mut EngineTable, class, at| choose(table, class, Standing::Late, &[], at).ok();
     for class in [WorkClass::Online, WorkClass::Batch] {
         let mut table = tables();
-        // Two slots are free for 40 gateways: this one's part is far below one.
+        // Two slots are free for 40 gateways: this gateway's share is far below one.
         let mut started = 0;
         for at in 0..20 {
             started += usize::from(take(&mut table, class, at).is_some());
@@ -765,7 +772,7 @@
         });
         assert_eq!(taken.as_deref(), Some("e2"));
         table.took_over("e2", class, 0);
-        // It is full now, and the slot was one.
+        // The engine is full now, since only one slot was freed.
         assert!((11..60).all(|at| take(&mut table, class, at).is_none_or(|one| !one.takes_over)));
         let mut table = tables();
         table.freed("e2", now(10));
@@ -773,7 +780,7 @@
     }
 }
 
-/// What others have at an engine of 8 slots.
+/// Work of other gateways at an engine of 8 slots.
 fn full_but_one(engine: &str) -> WorkShare {
     WorkShare {
         engine: engine.to_owned(),
@@ -790,7 +797,7 @@
 
 #[test]
 fn a_request_that_engines_ended_under_goes_to_one_that_stays() {
-    // One engine came back a moment ago, and is the emptiest for it.
+    // One engine has just restarted, and therefore has the lowest load.
     let mut table = table(&[(1, "near")]);
     table.started("e1", WorkClass::Online, 0, now(0));
     table.learn(CONTROL, facts(2, "near"), now(10_000));
@@ -808,7 +815,7 @@
     };
     assert_eq!(to(false, 11_000).as_deref(), Ok("e2"));
     assert_eq!(to(true, 11_000).as_deref(), Ok("e1"));
-    // Ten seconds later both have stayed.
+    // Ten seconds later both count as stable.
     assert_eq!(to(true, 21_000).as_deref(), Ok("e2"));
 }
 
@@ -824,16 +831,16 @@
     table.learn(OTHER_CONTROL, facts(3, "near"), now(0));
     let part = ids(&["e2"]);
     table.use_part(CONTROL, "s", Some(24), Some(&part));
-    // The other control node still reckons that this gateway uses it.
+    // The other control node still assigns the engine to this gateway.
     assert!(table.is_present("e3"));
     assert!(!table.is_present("e1"));
     table.use_part(OTHER_CONTROL, "s", Some(24), Some(&part));
     assert_eq!(table.len(), 1);
     assert_eq!(online(&mut table, 0), Ok("e2".to_owned()));
-    // Another service's engines stay.
+    // Engines of another service are kept.
     table.use_part(CONTROL, "other", Some(24), Some(&BTreeSet::new()));
     assert!(table.is_present("e2"));
-    // It is not known to have left, and may be given back.
+    // The engine did not announce a departure, and may be assigned again.
     assert!(!table.has_departed("e1"));
     table.learn(CONTROL, facts(1, "near"), now(1));
     assert!(table.is_present("e1"));
@@ -845,7 +852,7 @@
     table.learn(OTHER_CONTROL, facts(1, "near"), now(0));
     table.forget_teller(CONTROL);
     assert!(table.is_present("e1"));
-    assert!(!table.is_present("e2"), "nobody else knows it");
+    assert!(!table.is_present("e2"), "no other control node lists it");
     table.lose(OTHER_CONTROL, "e1");
     assert!(!table.is_present("e1"));
 }
@@ -861,7 +868,7 @@
     assert_eq!(table.fair_slots("s"), 400.0 / 25.0);
     table.use_part(CONTROL, "s", None, None);
     assert_eq!(table.fair_slots("s"), 400.0 / 800.0);
-    // There are not even as many gateways.
+    // There are fewer gateways than that.
     table.use_part(CONTROL, "s", Some(25), None);
     table.set_gateways(5);
     assert_eq!(table.fair_slots("s"), 400.0 / 5.0);
--- a/crates/routing/tests/lives.rs
+++ b/crates/routing/tests/lives.rs
@@ -1,5 +1,5 @@
-//! Engines that start again under their name: nothing of an earlier life counts for a
-//! later one, and an earlier one's late word changes nothing.
+//! Tests engines that restart under the same name: no state of an earlier incarnation
+//! applies to a later one, and late messages about an earlier one have no effect.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
     Timestamp::from_millis(ms)
 }
 
-/// A life of an engine, at an address of its own.
+/// An incarnation of an engine, at its own address.
 fn facts(id: &str, port: u16) -> EngineFacts {
     EngineFacts {
         id: id.to_owned(),
@@ -61,7 +61,7 @@
         }
         assert_eq!(pick(&mut table, 1), Err(NoEngine::Busy));
         table.learn(CONTROL, facts("e#200", port), now(1));
-        assert_eq!(table.len(), 1, "it lives once at a time");
+        assert_eq!(table.len(), 1, "one incarnation at a time");
         assert_eq!(pick(&mut table, 1).as_deref(), Ok("e#200"));
         assert_eq!(table.occupancy(now(1)), 0.0);
     }
@@ -73,7 +73,8 @@
     table.started("e#100", WorkClass::Online, 0, now(0));
     table.learn(CONTROL, facts("e#200", 2), now(1));
     table.started("e#200", WorkClass::Online, 0, now(1));
-    // What an answer, a control node that was cut off, and other gateways say of it.
+    // Late messages about it: from an answer, from a control node that was cut off, and
+    // from other gateways.
     table.ended("e#100", WorkClass::Online);
     for _ in 0..4 {
         table.failed("e#100", Failure::Unreachable, now(1));
@@ -137,7 +138,8 @@
 
 #[test]
 fn an_end_without_a_start_binds_the_lives_begun_until_then() {
-    // The end, as a control node dates it, and whether each life is bound by it.
+    // The departure as dated by a control node, the incarnation, and whether the departure
+    // applies to it.
     let cases = [
         ("e#150", "e#100", true),
         ("e#150", "e#150", true),
@@ -146,7 +148,7 @@
         ("e#150", "e", true),
         ("e#150", "e2#100", false),
         ("e#150", "e2", false),
-        // An engine that tells no starts has one life.
+        // An engine that reports no start time has a single incarnation.
         ("e", "e", true),
         ("e", "e#100", false),
     ];
@@ -157,8 +159,8 @@
         let mut behind = EngineTable::new("z".into(), 7);
         behind.depart(end);
         behind.learn(CONTROL, facts(life, 1), now(1));
-        assert_eq!(behind.is_empty(), is_bound, "{life} behind {end}");
-        assert_eq!(behind.has_departed(life), is_bound, "{life} behind {end}");
+        assert_eq!(behind.is_empty(), is_bound, "{life} after {end}");
+        assert_eq!(behind.has_departed(life), is_bound, "{life} after {end}");
     }
 }
 
@@ -189,9 +191,12 @@
     table.learn(CONTROL, facts("f", 2), now(0));
     assert!(!table.has_left("s"));
     table.depart("e#100");
-    assert!(!table.has_left("s"), "one stays");
+    assert!(!table.has_left("s"), "one engine is left");
     table.lose(CONTROL, "f");
-    assert!(!table.has_left("s"), "it fell silent, and may be back");
+    assert!(
+        !table.has_left("s"),
+        "it stopped reporting and may come back"
+    );
     table.learn(CONTROL, facts("f", 2), now(1));
     table.depart("f");
     assert!(table.has_left("s"));
@@ -199,5 +204,8 @@
     assert!(!table.has_left("s"));
     table.use_part(CONTROL, "s", Some(32), None);
     table.depart("e#101");
-    assert!(!table.has_left("s"), "others use other engines of it");
+    assert!(
+        !table.has_left("s"),
+        "other gateways use other engines of it"
+    );
 }
--- a/crates/routing/tests/many_gateways/mod.rs
+++ b/crates/routing/tests/many_gateways/mod.rs
@@ -1,4 +1,4 @@
-//! A service before many gateways, without a network: engines with slots and a
+//! Simulation of a service with many gateways, without a network: engines with slots and a
 //! queue, gateways that choose by their tables, and relays between them.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
@@ -15,43 +15,45 @@
 use rand_chacha::ChaCha8Rng;
 
 const SERVICE: &str = "s";
-/// Requests that an engine queues before it turns one away.
+/// Requests that an engine queues before it rejects one.
 const QUEUED: usize = 24;
 /// Longest time for which a request holds a slot, as a multiple of the mean.
 const LONGEST_WORK: f64 = 7.3;
-/// Mean of it with the few that take several times as long, as a part of that time.
+/// Mean slot time including the few requests that take several times as long, as a multiple
+/// of the nominal mean.
 pub const MEAN_WORK: f64 = 1.04;
-/// Target of requests, and the part of it by which an engine has to begin.
+/// Latency target of requests, and the part of it within which an engine must start them.
 const TARGET_MS: u64 = 300;
 const BEGINS_BY_MS: u64 = 240;
 /// How long callers wait, and the part of it after which a late request is refused.
 const PATIENCE_MS: u64 = 1_500;
 const WAITS_MS: u64 = 1_050;
-/// Silence after which a request goes elsewhere.
+/// Time without a response after which a request is sent elsewhere.
 const SILENCE_MS: u64 = 450;
-/// Way between a gateway and an engine, or a relay.
+/// Network latency between a gateway and an engine or a relay.
 const WAY_MS: u64 = 1;
-/// Time between two looks for an engine, in time and late.
+/// Time between two attempts to find an engine, in time and late.
 const LOOK_MS: u64 = 8;
 const LATE_LOOK_MS: u64 = 20;
-/// Time between two tellings of a gateway, and two rounds of a relay.
+/// Time between two reports of a gateway, and two rounds of a relay.
 const TELLING_MS: u64 = 50;
 const RELAYS: usize = 3;
-/// Steps of the load: a peak of so many times the mean, and when it begins in a period.
+/// Load steps: factors of the mean in peaks and lulls, the period, and when the peak begins
+/// in it.
 const PEAK: f64 = 1.87;
 const LULL: f64 = 0.383;
 const PERIOD_MS: u64 = 5_800;
 const PEAK_FROM_MS: u64 = 3_400;
 const TELLER: NodeId = NodeId(9_999);
 
-/// What an engine does out of the ordinary, from `from_ms` on.
+/// Fault of an engine.
 #[derive(Clone, Copy, Debug)]
 pub enum Trouble {
-    /// It works so many times slower.
+    /// The engine works slower by this factor.
     Slow(f64),
-    /// It takes requests and says nothing.
+    /// The engine accepts requests and never responds.
     Dark,
-    /// It leaves, and the gateways hear of it.
+    /// The engine leaves, and the gateways are informed.
     Gone,
 }
 
@@ -59,13 +61,13 @@
 #[derive(Clone, Debug)]
 pub struct Engines {
     count: usize,
-    /// Requests that each works on.
+    /// Requests that each runs concurrently.
     pub slots: usize,
     /// Mean time for which a request holds a slot, in milliseconds.
     pub work_ms: f64,
-    /// Whether an answer begins as soon as a slot is had, and not as it ends.
+    /// Whether an answer begins when a slot is assigned, rather than when it ends.
     pub streams: bool,
-    /// What the first one does, and when it begins.
+    /// When the first engine becomes faulty, in milliseconds, and its fault.
     pub trouble: Option<(u64, Trouble)>,
 }
 
@@ -81,32 +83,32 @@
     }
 }
 
-/// What is asked of the service.
+/// Load on the service.
 #[derive(Clone, Debug)]
 pub struct Load {
     pub gateways: usize,
     pub engines: Engines,
-    /// Mean part of all slots that requests want.
+    /// Mean share of all slots that requests want.
     pub demand: f64,
-    /// Whether they come in steps.
+    /// Whether the load changes in steps.
     pub peaks: bool,
-    /// Whether gateways tell what they want.
+    /// Whether gateways report their demand.
     pub demand_told: bool,
 }
 
-/// What callers and engines saw.
+/// Results as seen by callers and engines.
 #[derive(Clone, Debug, Default)]
 pub struct Seen {
     pub asked: u64,
     pub in_time: u64,
     pub late: u64,
     pub refused: u64,
-    /// Requests that may have run and had no answer.
+    /// Requests that may have run and got no answer.
     pub lost: u64,
-    /// Arrivals at engines, and those turned away.
+    /// Arrivals at engines, and those rejected.
     pub arrivals: u64,
     pub turned_away: u64,
-    /// Mean time of requests in time, in milliseconds, summed.
+    /// Total time of requests in time, in milliseconds.
     in_time_ms: u64,
     /// Requests and those in time, by gateway.
     pub by_gateway: Vec<(u64, u64)>,
@@ -125,7 +127,8 @@
         self.lost as f64 / self.asked.max(1) as f64
     }
 
-    /// Share in time of the callers of each zone; gateway `g` stands in zone `g % 3`.
+    /// Returns the share in time for the callers of each zone; gateway `g` is in zone `g %
+    /// 3`.
     pub fn by_zone(&self) -> [f64; 3] {
         [0, 1, 2].map(|zone| {
             let of_zone = self.by_gateway.iter().skip(zone).step_by(3);
@@ -134,7 +137,7 @@
         })
     }
 
-    /// Share in time at the tenth of gateways that fares worst.
+    /// Returns the share in time at the worst tenth of gateways.
     pub fn worst_gateways(&self) -> f64 {
         let asked = self.by_gateway.iter().filter(|(asked, _)| *asked > 0);
         let shares = asked.map(|&(asked, in_time)| in_time as f64 / asked as f64);
@@ -169,7 +172,7 @@
     arrived: u64,
     next_look: u64,
     tried: BTreeSet<String>,
-    /// Where it is, and since when.
+    /// Engine that the request is at, and since when.
     at: Option<(usize, u64)>,
     attempt: u32,
     runs: u32,
@@ -179,12 +182,12 @@
 
 #[derive(Clone, Debug, Default)]
 struct Engine {
-    /// Requests that run, with the attempt, and when they end.
+    /// Running requests: when they end, with the attempt.
     running: Vec<(u64, Id, u32)>,
     queue: VecDeque<(Id, u32)>,
 }
 
-/// What is on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 enum Message {
     ToEngine(usize, Id, u32),
@@ -237,7 +240,7 @@
             table
         };
         let tables = (0..load.gateways).map(table).collect();
-        // Callers are uneven, and those of one zone are more.
+        // Callers are unevenly distributed, and one zone has more.
         let weights: Vec<f64> = (0..load.gateways)
             .map(|gateway| {
                 let zone = if gateway % 3 == 2 { 1.4 } else { 1.0 };
@@ -265,7 +268,8 @@
         }
     }
 
-    /// Plays so many milliseconds, and then lets what is there end.
+    /// Runs for `for_ms` milliseconds, and then until all callers have an answer or gave
+    /// up.
     pub fn run(mut self, for_ms: u64) -> Seen {
         while self.now < for_ms + PATIENCE_MS {
             self.now += 1;
@@ -381,7 +385,8 @@
         }
     }
 
-    /// Work of a request: most take about the mean, a few several times as much.
+    /// Returns the slot time of a request in milliseconds: most take about the mean, a few
+    /// several times as much.
     fn work_ms(&mut self) -> f64 {
         let normal: f64 = (0..12).map(|_| self.random.random::<f64>()).sum::<f64>() - 6.0;
         let mean = self.load.engines.work_ms;
@@ -411,7 +416,7 @@
                 let Some((id, attempt)) = self.engines[engine].queue.pop_front() else {
                     break;
                 };
-                // A caller or a gateway that left ends its request.
+                // A caller or a gateway that gave up has ended its request.
                 let held = self.requests.get(&id);
                 if held.is_none_or(|request| request.attempt != attempt) {
                     continue;
@@ -447,7 +452,7 @@
         }
     }
 
-    /// A request is answered, at this age.
+    /// Records an answered request of this age in milliseconds.
     fn count(&mut self, gateway: usize, age: u64) {
         match age <= TARGET_MS {
             true => {
@@ -487,15 +492,15 @@
         table.note_slot_time(SERVICE, Duration::from_millis(held));
         let took = Duration::from_millis(self.now - since);
         table.note_time_at(&name(engine), took, now);
-        let request = self.requests.remove(&id).expect("it is there");
+        let request = self.requests.remove(&id).expect("the request exists");
         if request.began.is_none() {
             self.count(gateway, self.now - request.arrived);
         }
     }
 
-    /// A request looks again: at once, in the standing that its age gives it.
+    /// Lets a request retry at once, in time or late by its age.
     fn wait_again(&mut self, id: Id) {
-        let request = self.requests.get_mut(&id).expect("it is there");
+        let request = self.requests.get_mut(&id).expect("the request exists");
         request.next_look = self.now;
         let gateway = request.gateway;
         if self.now - request.arrived < BEGINS_BY_MS {
@@ -550,7 +555,7 @@
         }
     }
 
-    /// Ends what is over, and what an engine was silent on for too long.
+    /// Ends requests whose caller has given up, and attempts that time out.
     fn time_out(&mut self) {
         let now = self.now;
         let over = self.requests.iter().filter(|(_, request)| {
@@ -563,7 +568,7 @@
         let over: Vec<Id> = over.map(|(&id, _)| id).collect();
         for id in over {
             let left = self.leave(id);
-            let request = self.requests.get_mut(&id).expect("it is there");
+            let request = self.requests.get_mut(&id).expect("the request exists");
             let gateway = request.gateway;
             if let Some((engine, _)) = left {
                 request.runs += 1;
@@ -580,7 +585,7 @@
             }
             self.in_time[gateway].retain(|one| *one != id);
             self.late[gateway].retain(|one| *one != id);
-            let request = self.requests.remove(&id).expect("it is there");
+            let request = self.requests.remove(&id).expect("the request exists");
             match request.runs {
                 0 => self.seen.refused += 1,
                 _ => self.seen.lost += 1,
@@ -588,7 +593,7 @@
         }
     }
 
-    /// Requests that wait at gateways look for an engine.
+    /// Lets waiting requests try to find an engine.
     fn look(&mut self) {
         for gateway in 0..self.load.gateways {
             for id in std::mem::take(&mut self.in_time[gateway]) {
@@ -605,7 +610,7 @@
                 }
                 let left = Duration::from_millis(BEGINS_BY_MS - age);
                 if !self.start(id, Standing::InTime { left }) {
-                    let request = self.requests.get_mut(&id).expect("it is there");
+                    let request = self.requests.get_mut(&id).expect("the request exists");
                     request.next_look = self.now + LOOK_MS;
                     self.in_time[gateway].push(id);
                 }
@@ -614,7 +619,7 @@
         }
     }
 
-    /// Of the late requests of a gateway the oldest one looks.
+    /// Lets the oldest late request of a gateway try.
     fn look_late(&mut self, gateway: usize) {
         let now = self.now;
         let (over, waiting): (VecDeque<Id>, VecDeque<Id>) = std::mem::take(&mut self.late[gateway])
@@ -622,7 +627,7 @@
             .partition(|id| now - self.requests[id].arrived >= WAITS_MS);
         self.late[gateway] = waiting;
         for id in over {
-            let request = self.requests.remove(&id).expect("it is there");
+            let request = self.requests.remove(&id).expect("the request exists");
             match request.runs {
                 0 => self.seen.refused += 1,
                 _ => self.seen.lost += 1,
@@ -638,7 +643,7 @@
         if self.start(id, Standing::Late) {
             self.late[gateway].retain(|one| *one != id);
         } else {
-            let request = self.requests.get_mut(&id).expect("it is there");
+            let request = self.requests.get_mut(&id).expect("the request exists");
             request.next_look = now + LATE_LOOK_MS;
         }
     }
@@ -670,7 +675,7 @@
             false => table.started(&facts.id, WorkClass::Online, 0, now),
         }
         let engine: usize = facts.id[1..].parse().expect("a number");
-        let request = self.requests.get_mut(&id).expect("it is there");
+        let request = self.requests.get_mut(&id).expect("the request exists");
         request.at = Some((engine, self.now));
         let attempt = request.attempt;
         self.send(Message::ToEngine(engine, id, attempt));
--- a/crates/routing/tests/pace/fleet.rs
+++ b/crates/routing/tests/pace/fleet.rs
@@ -1,4 +1,5 @@
-//! Gateways before engines of uneven pace, in virtual time and without a network.
+//! Simulation of gateways and engines of uneven pace, in virtual time and without a
+//! network.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -22,68 +23,69 @@
 const SECOND: Time = 1_000 * MS;
 /// Usual time between two events.
 const STEP: Time = 50 * MS;
-/// Time until the first event where a slot is free.
+/// Time until the first event if a slot is free.
 const FIRST: Time = 6 * MS;
-/// Time that a request may wait until an engine begins with it.
+/// Time within which an engine must start a request.
 const BEGINS_WITHIN: Time = 240 * MS;
 const TARGET: Time = 300 * MS;
 /// Longest wait of a late request.
 const PATIENCE: Time = 3_500 * MS;
-/// Longest pause between events in time.
+/// Longest pause between events of an answer that counts as in time.
 const PAUSE: Time = 400 * MS;
-/// Time between two tellings, which take effect as long behind.
+/// Time between two reports, which take effect after the same time again.
 const TELLS: Time = 50 * MS;
-/// Time between two looks of a request, and of one in its turn.
+/// Time between two attempts to find an engine, of a request in time and of the oldest late
+/// one.
 const LOOKS: Time = 8 * MS;
 const TURN_LOOKS: Time = 20 * MS;
-/// Length of the spans in which an engine's pace is drawn.
+/// Length of the spans for which an engine's pace is drawn.
 const SPAN: Time = 600 * MS;
 
-/// What gateways go by.
+/// Sources of pace that gateways use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sources {
-    /// What engines tell.
+    /// Paces that engines report.
     pub told: bool,
-    /// Time between events as measured.
+    /// Measured time between events.
     pub measured: bool,
 }
 
-/// A part of the engines that is slow for a while.
+/// Some engines that are slow for a while.
 #[derive(Clone, Copy, Debug)]
 pub struct Slow {
-    /// The first so many engines.
+    /// Number of slow engines, from the first one.
     pub engines: usize,
     pub by: f64,
     pub from: Time,
     pub until: Time,
 }
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
 pub struct Play {
     pub gateways: usize,
     pub engines: usize,
     pub sources: Sources,
-    /// Slots that online requests want in a peak and in a lull, as a share of all.
+    /// Slots that online requests need in a peak and in a lull, as a share of all.
     pub peak: f64,
     pub lull: f64,
-    /// Paces of engines by turns.
+    /// Paces that are assigned to the engines in turn.
     pub speeds: [f64; 3],
-    /// Share of the spans in which an engine is slower, and by how much.
+    /// Share of the spans in which an engine is slower, and by what factor.
     pub noise: (f64, f64),
     pub slow: Option<Slow>,
-    /// Whether engines tell the pace of a slow one.
+    /// Whether the pace that engines report includes the slowdown in `slow`.
     pub tells_slow: bool,
     pub batch: bool,
     pub ends: Time,
     pub seed: u64,
 }
 
-/// What came of it.
+/// Outcome of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
     pub arrived: u32,
-    /// Answers that came to their end.
+    /// Completed answers.
     pub ended: u32,
     pub in_time: u32,
     /// Answers with a pause that was too long.
@@ -94,11 +96,11 @@
     pub online_events: u64,
     pub batch_events: u64,
     pub cuts: u32,
-    /// Online requests that slow engines began with while they were slow.
+    /// Online requests that slow engines started while they were slow.
     pub began_slow: u32,
-    /// Times behind the begin of the slow time.
+    /// Start times of those requests, since the slow period began.
     pub slow_starts: Vec<Time>,
-    /// Online requests that those engines began with in the second behind.
+    /// Online requests that those engines started in the second after it.
     pub began_behind: u32,
 }
 
@@ -107,7 +109,7 @@
         f64::from(self.in_time) / f64::from(self.arrived)
     }
 
-    /// Seconds of a slot for an event.
+    /// Returns the slot seconds per event.
     pub fn slot_seconds(&self) -> f64 {
         self.held / self.online_events as f64
     }
@@ -141,7 +143,7 @@
 struct Engine {
     running: Vec<usize>,
     queue: VecDeque<usize>,
-    /// Paces that it will tell.
+    /// The engine's own pace.
     speed: f64,
     spans: Vec<f64>,
 }
@@ -159,7 +161,7 @@
     due: BinaryHeap<Reverse<(Time, u64, Event)>>,
     number: u64,
     random: ChaCha8Rng,
-    /// Draws online requests, the same ones whatever is decided.
+    /// Draws online requests; separate, so that they are the same whatever is decided.
     arrivals: ChaCha8Rng,
     pub outcome: Outcome,
 }
@@ -238,7 +240,7 @@
         self.due.push(Reverse((time, self.number, event)));
     }
 
-    /// Plays to the end.
+    /// Runs the simulation to its end.
     pub fn run(mut self) -> Outcome {
         while let Some(Reverse((now, _, event))) = self.due.pop() {
             if now >= self.play.ends {
@@ -260,7 +262,7 @@
         }
     }
 
-    /// Requests a second now.
+    /// Returns the current arrival rate in requests per second.
     fn rate(&self, now: Time) -> f64 {
         let slots = self.play.engines as f64 * f64::from(SLOTS);
         let share = match now % 5_800_000 < 3_400_000 {
@@ -379,7 +381,7 @@
         }
     }
 
-    /// Pace of the engine's machine, the own speed of the engine not counted.
+    /// Returns the pace of the engine's machine, without the engine's own pace.
     fn machine_pace(&self, engine: usize, now: Time) -> f64 {
         let slow = self
             .play
@@ -461,7 +463,7 @@
         }
     }
 
-    /// A request leaves its slot, or the queue.
+    /// Removes a request from its slot or from the queue.
     fn leaves(&mut self, request: usize, now: Time) {
         let one = &mut self.requests[request];
         one.over = true;
@@ -493,7 +495,7 @@
         if one.class == WorkClass::Batch {
             return;
         }
-        let first = one.began.expect("it began") - one.arrived;
+        let first = one.began.expect("the request has begun") - one.arrived;
         self.outcome.ended += 1;
         self.outcome.paused += u32::from(one.paused);
         self.outcome.in_time += u32::from(first <= TARGET && !one.paused);
--- a/crates/routing/tests/pace/main.rs
+++ b/crates/routing/tests/pace/main.rs
@@ -1,4 +1,4 @@
-//! Work goes by how long it takes at each engine now.
+//! Tests routing by the current pace of engines.
 
 mod fleet;
 mod peaks;
@@ -33,8 +33,8 @@
     measured: true,
 };
 
-/// 40 gateways before 30 engines, a third of them slower by themselves, each slow for a
-/// part of the time.
+/// 40 gateways with 30 engines. A third of the engines are slower by nature, and each is
+/// slow for a part of the time.
 fn play(sources: Sources, seed: u64) -> Play {
     Play {
         gateways: 40,
@@ -52,7 +52,7 @@
     }
 }
 
-/// The same, and four engines turn slow in a peak for five seconds.
+/// Like [`play`], with four engines that turn slow in a peak for five seconds.
 fn slow_play(sources: Sources, seed: u64) -> Play {
     Play {
         slow: Some(Slow {
@@ -65,7 +65,7 @@
     }
 }
 
-/// What came of a few plays together.
+/// Returns the summed outcome of a few simulations.
 fn played(play: impl Fn(u64) -> Play) -> Outcome {
     let mut all = Outcome::default();
     for seed in 0..8 {
@@ -87,7 +87,7 @@
 fn line(name: &str, all: &Outcome) {
     println!(
         "{name}: in time {:.4}, paused {:.4}, refused {}, {:.2} ms an event, batch events {}, \
-         cuts {}, began at slow engines {}, in the second behind {}",
+         preemptions {}, began at slow engines {}, in the second after {}",
         all.good(),
         f64::from(all.paused) / f64::from(all.arrived),
         all.refused,
@@ -142,7 +142,7 @@
     Timestamp::from_millis(millis)
 }
 
-/// A gateway before `e1`, which is empty, and `e2`, which has one request.
+/// A gateway with `e1`, which is empty, and `e2`, which has one request.
 fn gateway() -> EngineTable {
     let mut table = EngineTable::new("near".into(), 1);
     for number in 1..=2 {
@@ -182,14 +182,14 @@
     }
 }
 
-/// Events of an answer, one each so many milliseconds, from a time on.
+/// Feeds events of an answer, one every `step` milliseconds, between two times.
 fn hear(table: &mut EngineTable, engine: &str, step: u64, from: u64, until: u64) {
     for at in (from + step..=until).step_by(step as usize) {
         table.heard(engine, 1, Duration::from_millis(step), now(at));
     }
 }
 
-/// The same, where what is usual was heard before: 50 ms.
+/// Like [`gateway`], after it has learned the usual time between events, 50 ms.
 fn gateway_that_knows() -> EngineTable {
     let mut table = gateway();
     hear(&mut table, "e2", 50, 0, 5_000);
@@ -203,7 +203,7 @@
     table.report("e1", told(400), now(0));
     assert_eq!(chosen(&mut table, 0), "e2");
     assert_eq!(chosen(&mut table, 300), "e2");
-    // It is silent from then on.
+    // The engine reports nothing after that.
     assert_eq!(chosen(&mut table, 1_300), "e1");
 }
 
@@ -214,10 +214,10 @@
         table.report("e1", told(400), now(at));
         hear(&mut table, "e1", 50, at, at + 50);
         hear(&mut table, "e2", 50, at, at + 50);
-        // It never counts as slow for it.
+        // The reports never make it count as slow.
         assert_eq!(table.slow_engines(now(at + 50)), []);
     }
-    // It has told of it for so long that this is usual there.
+    // It has reported this for so long that it has become the baseline.
     assert_eq!(chosen(&mut table, 30_000), "e1");
 }
 
@@ -230,12 +230,12 @@
         hear(&mut table, "e1", 50, at, at + 200);
     }
     assert_eq!(chosen(&mut table, 6_000), "e1");
-    // It turns slow: one event says so, and it is avoided.
+    // It turns slow: a single event shows that, and it is avoided.
     table.heard("e1", 1, Duration::from_millis(400), now(6_400));
     table.report("e1", told(50), now(6_400));
     table.heard("e1", 1, Duration::from_millis(400), now(6_800));
     assert_eq!(chosen(&mut table, 6_800), "e2");
-    // And used again as soon as it is back.
+    // It is used again as soon as it recovers.
     hear(&mut table, "e1", 50, 6_800, 7_200);
     assert_eq!(chosen(&mut table, 7_200), "e1");
 }
@@ -257,16 +257,16 @@
     let (_, shares) = told
         .iter()
         .find(|(node, _)| *node == NodeId(11))
-        .expect("told");
+        .expect("the relay reports to it");
     other.note_shares(RELAY, shares, now(5_310));
     assert_eq!(chosen(&mut other, 5_310), "e2");
-    // Of its own word nothing comes back to the one that told.
+    // A gateway's own report does not come back to it.
     let (_, back) = told
         .iter()
         .find(|(node, _)| *node == NodeId(10))
-        .expect("told");
+        .expect("the relay reports to it");
     assert!(back.iter().all(|share| share.paced + share.paces == 0));
-    // The word of a gateway that says no more holds for a second or so.
+    // The report of a gateway that stops reporting is valid for about a second.
     assert_eq!(chosen(&mut other, 6_600), "e1");
 }
 
@@ -280,7 +280,7 @@
     assert!((8.0..9.0).contains(&headroom), "{headroom}");
 }
 
-/// What a node without paces tells, and reads.
+/// Share as encoded and decoded by a node without paces.
 #[derive(Encode, Decode)]
 struct OldShare {
     #[n(0)]
@@ -314,12 +314,12 @@
         answers: 10,
     };
     let bytes = minicbor::to_vec(&old).expect("encoded");
-    let mut share: WorkShare = minicbor::decode(&bytes).expect("an older node's share");
+    let mut share: WorkShare = minicbor::decode(&bytes).expect("decoded from an older node");
     assert_eq!((share.requests, share.answers), (3, 10));
     assert_eq!((share.paced, share.paces), (0, 0));
     (share.paced, share.paces) = (3, 24);
     let bytes = minicbor::to_vec(&share).expect("encoded");
-    let old: OldShare = minicbor::decode(&bytes).expect("a newer node's share");
+    let old: OldShare = minicbor::decode(&bytes).expect("decoded from a newer node");
     assert_eq!((old.requests, old.answers), (3, 10));
 }
 
@@ -367,7 +367,7 @@
     let mut watch = SlowWatch::default();
     let slow = vec![("e1".to_owned(), 4.0)];
     assert_eq!(watch.look(&slow, now(0)), []);
-    // A short span is not told.
+    // A short slow span is not reported.
     assert_eq!(watch.look(&[], now(600)), []);
     assert_eq!(watch.look(&slow, now(1_000)), []);
     let engine = "e1".to_owned();
@@ -376,7 +376,7 @@
     assert_eq!(watch.look(&slow, now(3_000)), []);
     let engine = "e1".to_owned();
     assert_eq!(watch.look(&[], now(4_000)), [SlowChange::Back { engine }]);
-    // Many at once are counted.
+    // Of many changes at once some are only counted.
     let many: Vec<_> = (0..50).map(|number| (format!("e{number}"), 4.0)).collect();
     watch.look(&many, now(5_000));
     let news = watch.look(&many, now(6_000));
--- a/crates/routing/tests/pace/peaks.rs
+++ b/crates/routing/tests/pace/peaks.rs
@@ -1,4 +1,5 @@
-//! Batch work fills what online work leaves, and gives way where that loses least.
+//! Tests that batch work fills the capacity that online work leaves, and that preemption
+//! hits the run with the least loss.
 
 use std::time::Duration;
 
@@ -7,7 +8,7 @@
 use super::fleet::{Fleet, Play};
 use super::{BOTH, RELAY, gateway, now, play};
 
-/// Online work that comes evenly beside batch work for every slot.
+/// Steady online work beside batch work for every slot.
 fn lull(seed: u64) -> Play {
     Play {
         gateways: 117,
@@ -25,20 +26,20 @@
     let seconds = play.ends as f64 / 1e6;
     let all = Fleet::new(play).run();
     super::line("lull", &all);
-    // One that makes room for a request, and one that others began there before they
-    // heard of it.
+    // One run that makes room for the request, and one that another gateway started there
+    // before it observed the request.
     let cuts = f64::from(all.cuts) / f64::from(all.arrived);
-    assert!(cuts < 2.0, "{cuts} runs cut an online request");
+    assert!(cuts < 2.0, "{cuts} runs preempted per online request");
     let good = f64::from(all.in_time) / f64::from(all.ended);
     assert!(good > 0.98, "{good}");
-    // An event takes 1.23 times 50 ms there in the mean, by the paces that are played.
+    // With the simulated paces, an event takes 1.23 times 50 ms there on average.
     let made = (all.online_events + all.batch_events) as f64;
     let full = slots * seconds / (0.050 * 1.23 * 1.1);
     assert!(made > full * 0.85, "{made} of {full}");
 }
 
-/// A gateway that knows for how long requests hold slots, and of so many online requests
-/// of others.
+/// A gateway that has measured slot times, and observes `others` online requests of other
+/// gateways.
 fn beside_online(others: u32) -> EngineTable {
     let mut table = gateway();
     table.ended("e2", WorkClass::Online);
@@ -57,13 +58,13 @@
 #[test]
 fn room_is_kept_as_online_requests_come_and_given_back_when_they_do_not() {
     let mut table = beside_online(4);
-    // A slot is held for 600 ms, and a start shows within 150.
+    // A slot is held for 600 ms, and a start is observed within 150 ms.
     assert!((table.kept_for_online("s", now(0)) - 1.0).abs() < 1e-6);
     assert!((table.batch_headroom("s", now(0)) - 11.0).abs() < 1e-6);
     table.note_shares(RELAY, &[], now(100));
     assert_eq!(table.kept_for_online("s", now(100)), 0.0);
     assert_eq!(table.batch_headroom("s", now(100)), 16.0);
-    // Batch work alone keeps nothing back from itself.
+    // Batch work reserves nothing for itself.
     let batch = WorkShare {
         engine: "e1".to_owned(),
         requests: 4,
@@ -87,7 +88,7 @@
     let mut table = gateway();
     table.note_slot_time("s", Duration::from_millis(20));
     assert_eq!(table.kept_for_online("s", now(0)), 0.0);
-    // Nor before any was measured.
+    // Nor before any slot time was measured.
     assert_eq!(gateway().kept_for_online("s", now(0)), 0.0);
 }
 
@@ -124,12 +125,13 @@
         };
         table.note_shares(RELAY, std::slice::from_ref(&others), now(0));
         assert_eq!(table.batch_to_cut(now(1)), []);
-        // Its own request finds no slot: one run makes room at once, whatever is drawn.
+        // A request of this gateway finds no slot: one run is preempted at once, whatever
+        // is drawn.
         table.started("e1", WorkClass::Online, 0, now(2));
         assert_eq!(table.batch_to_cut(now(2)), [("e1".to_owned(), 1)]);
         table.ended("e1", WorkClass::Batch);
         assert_eq!(table.batch_to_cut(now(3)), []);
-        // A request that finds a slot ends nothing.
+        // A request that finds a slot preempts nothing.
         table.ended("e1", WorkClass::Batch);
         table.started("e1", WorkClass::Online, 0, now(4));
         assert_eq!(table.batch_to_cut(now(4)), []);
--- a/crates/routing/tests/relay.rs
+++ b/crates/routing/tests/relay.rs
@@ -1,4 +1,4 @@
-//! What gateways have at engines, told through relays.
+//! Tests reports of gateways' work at engines passed on by relays.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -42,8 +42,8 @@
     let told = told(&relay);
     assert_eq!(told[&A], [share("x", 8, 57, 2)]);
     assert_eq!(told[&B], [share("x", 7, 107, 3), share("y", 1, 0, 0)]);
-    assert_eq!(told.len(), 2, "relays are told something else");
-    // Other relays hear of the own gateways only, or all would be counted twice.
+    assert_eq!(told.len(), 2, "only gateways receive these");
+    // Other relays receive only this relay's own gateways, or all would be counted twice.
     let sum = relay.sum_of_gateways();
     assert_eq!(sum, [share("x", 5, 150, 1), share("y", 1, 0, 0)]);
 }
@@ -106,7 +106,7 @@
             .relay(own, &relays, &BTreeSet::new(), at(2_000))
             .unwrap();
         assert_ne!(second, first);
-        // A word of the one that was left keeps nobody.
+        // A message from the relay that was left does not make the gateway keep it.
         choice.heard(first, at(2_900));
         assert_ne!(
             choice.relay(own, &relays, &BTreeSet::new(), at(3_100)),
@@ -127,7 +127,7 @@
         let mut relay = |millis| choice.relay(own, &relays, &near, at(millis)).unwrap();
         assert_eq!(relay(0), NodeId(3));
         assert_ne!(relay(1_100), NodeId(3), "it was silent");
-        // Each of the others is silent too; the first is not asked again at once.
+        // Each of the others is silent too; the first one is not tried again right away.
         let mut used = BTreeSet::new();
         for millis in [2_200, 3_300, 4_400] {
             used.insert(relay(millis));
@@ -138,7 +138,7 @@
         choice.heard(last, at(10_900));
         let mut relay = |millis| choice.relay(own, &relays, &near, at(millis)).unwrap();
         assert_eq!(relay(11_000), last);
-        assert_eq!(relay(11_200), NodeId(3), "10 s behind its silence");
+        assert_eq!(relay(11_200), NodeId(3), "10 s after it fell silent");
         assert_ne!(relay(12_300), NodeId(3), "it is still silent");
     }
 }
@@ -165,12 +165,12 @@
     }
     relay.note_spoken_for(NodeId(1), 8, at(0));
     relay.note_spoken_for(NodeId(2), 16, at(0));
-    // Time, gateways that are there, work of all by what is told.
+    // Time, gateways that are present, and expected ratio of all work to reported work.
     let cases = [
         (1_000, 32, 1.0),
-        // Both relays are silent, and their gateways still there.
+        // Both relays are silent, and their gateways still present.
         (2_000, 32, 4.0),
-        // Some of them are not.
+        // Some of them are not present.
         (2_000, 20, 2.5),
         (2_000, 8, 1.0),
         (9_900, 32, 4.0),
@@ -214,9 +214,9 @@
         let users = |engine: &&str| match *engine {
             "a" => Some(vec![NodeId(1)]),
             "b" => Some(vec![NodeId(1), NodeId(2)]),
-            // All use it.
+            // All gateways use it.
             "c" => None,
-            // Nobody of this relay does.
+            // None of this relay's gateways uses it.
             _ => Some(vec![NodeId(7)]),
         };
         engines.iter().map(users).collect()
@@ -246,7 +246,7 @@
     assert_eq!(pause(50, 1, 1_000), 50);
     assert_eq!(pause(128, 1, 1_000), 100);
     assert_eq!(pause(10_000, 1, 100_000), 150);
-    // When gateways compete for slots they hear of each other soon.
+    // When gateways compete for slots, reports are relayed often.
     assert_eq!(pause(128, 4, 1_000), 50);
 }
 
@@ -274,13 +274,13 @@
         engines.collect::<Vec<String>>()
     };
     assert_eq!(engines(&told[&B]), ["errs", "fails"]);
-    // It fails nobody else, and whom it failed hears so.
+    // The engine fails no other gateway, and A knows of its own failure.
     assert_eq!(engines(&told[&A]), Vec::<String>::new());
     relay.note(B, Teller::Gateway, vec![fared("errs", 0, 1, 0)], at(0));
     assert_eq!(engines(&self::told(&relay)[&A]), ["errs"]);
     let of_b = vec![fared("answers", 0, 1, 0), fared("fails", 0, 1, 0)];
     relay.note(B, Teller::Gateway, of_b, at(0));
-    // Other relays add up who answers, and hear of all.
+    // Other relays sum up which gateways are answered, and receive all engines.
     assert_eq!(
         engines(&relay.sum_of_gateways()),
         ["answers", "errs", "fails"]
--- a/crates/routing/tests/short_requests.rs
+++ b/crates/routing/tests/short_requests.rs
@@ -1,6 +1,6 @@
-//! Short requests of a small service before many gateways, under virtual time: a request
-//! is over before the other gateways hear of it, and engines turn away what they have no
-//! room for.
+//! Tests short requests of a small service with many gateways, in virtual time: a request
+//! ends before the other gateways observe it, and engines reject what they have no capacity
+//! for.
 
 mod many_gateways;
 
@@ -13,15 +13,15 @@
 };
 use molespan_types::{NodeId, Timestamp};
 
-/// Gateways before the service, most of which have few of its callers.
+/// Gateways of the service, most of which have few of its callers.
 const GATEWAYS: usize = 117;
-/// Time that is played, in milliseconds: three periods of peaks.
+/// Simulated time in milliseconds: three peak periods.
 const PLAYED_MS: u64 = 17_400;
-/// When an engine gets into trouble.
+/// When an engine becomes faulty, in milliseconds.
 const TROUBLE_MS: u64 = 5_000;
 
-/// A service of `engines`, whose callers want `demand` of its slots on the mean, all the
-/// time or in `peaks`.
+/// A service of `engines`, whose callers want `demand` of its slots on average, steadily or
+/// in `peaks`.
 fn load(engines: usize, demand: f64, peaks: bool) -> Load {
     Load {
         gateways: GATEWAYS,
@@ -46,7 +46,7 @@
 
 #[test]
 fn what_there_is_room_for_is_in_time_and_rarely_turned_away() {
-    // Three engines, and the one that is left of them; in peaks up to 0.8 of all slots.
+    // Three engines, and the only one left of them; in peaks up to 0.8 of all slots.
     for (engines, demand, peaks) in [(3, 0.8, false), (1, 0.8, false), (3, 0.43, true)] {
         let seen = play(load(engines, demand, peaks));
         assert!(seen.share_turned_away() <= 0.02, "{}", seen.line());
@@ -58,7 +58,8 @@
 fn under_more_than_there_is_room_for_what_fits_is_in_time() {
     for engines in [1, 3] {
         let seen = play(load(engines, 1.3, false));
-        // Of 1.3 times what fits, 1 / 1.3; a twentieth of it may be lost to chance.
+        // Of 1.3 times the capacity, 1 / 1.3 fits; up to a twentieth of it may be lost to
+        // chance.
         let fits = 1.0 / (1.3 * many_gateways::MEAN_WORK);
         assert!(seen.share_in_time() >= fits * 0.95, "{}", seen.line());
         assert!(seen.share_lost() <= 0.01, "{}", seen.line());
@@ -68,7 +69,7 @@
 #[test]
 fn what_peaks_leave_over_is_done_late_between_them() {
     let seen = play(load(1, 0.76, true));
-    // Peaks bring 0.774 of all requests, and want 0.76 * 1.87 times the slots.
+    // Peaks bring 0.774 of all requests, and need 0.76 * 1.87 times the slots.
     let fits = 0.774 / (0.76 * 1.87 * many_gateways::MEAN_WORK) + 0.226;
     assert!(seen.share_in_time() >= fits * 0.95, "{}", seen.line());
     assert!(seen.share_lost() <= 0.01, "{}", seen.line());
@@ -76,7 +77,7 @@
 
 #[test]
 fn an_engine_in_trouble_drowns_no_other_one() {
-    // What is left of three engines has room for all.
+    // The engines that remain of three have capacity for all requests.
     let troubles = [
         (0.5, Trouble::Gone),
         (0.5, Trouble::Slow(4.0)),
@@ -102,7 +103,7 @@
     assert!(seen.share_in_time() >= 0.95, "{}", seen.line());
 }
 
-/// A table of one engine with 8 slots, at which requests were for `took`.
+/// A table of one engine with 8 slots, at which a request took `took`.
 fn table(took: Option<Duration>) -> EngineTable {
     let mut table = EngineTable::new("near".into(), 1);
     let facts = EngineFacts {
@@ -136,7 +137,7 @@
     let left = Duration::from_secs(1);
     let mut table = table(Some(Duration::from_millis(10)));
     let mut now_ms = 0;
-    // Shortest and longest pause, which chance spreads by a half.
+    // Shortest and longest backoff; jitter spreads it by half.
     for (shortest, longest) in [(10, 30), (20, 60), (40, 120), (80, 200), (160, 200)] {
         table.failed("e1", Failure::Full, Timestamp::from_millis(now_ms));
         assert!(!finds_an_engine(&mut table, left, now_ms + shortest - 1));
@@ -150,7 +151,7 @@
 
 #[test]
 fn requests_that_others_hear_of_in_time_are_sent_as_before() {
-    // Nothing was measured yet, or slots are kept for longer than tellings take.
+    // Nothing was measured yet, or slots are held for longer than reports take.
     for took in [None, Some(Duration::from_secs(1))] {
         let left = Duration::from_secs(1);
         let mut table = table(took);
@@ -170,7 +171,7 @@
 
 #[test]
 fn an_engine_gets_what_it_begins_with_in_time_and_no_more() {
-    // With 10 ms each, 8 slots begin with 8 more in every 10 ms.
+    // At 10 ms each, 8 slots start 8 more requests every 10 ms.
     let mut table = table(Some(Duration::from_millis(10)));
     let left = Duration::from_millis(20);
     for _ in 0..24 {
--- a/crates/routing/tests/turn.rs
+++ b/crates/routing/tests/turn.rs
@@ -1,4 +1,4 @@
-//! The turn to look for an engine, among batch work that waits.
+//! Tests the queue that serializes the search for an engine among waiting batch work.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
     let due = [Some(900), Some(3_000), None, Some(2_000), Some(2_000)];
     let places = due.map(|due_ms| match queue.ask(due_ms) {
         Asked::Waits(place) => place,
-        Asked::Turn => panic!("two have the turn"),
+        Asked::Turn => panic!("two callers have the turn"),
     });
     let order: Vec<Place> = std::iter::from_fn(|| queue.pass_on(NOW_MS)).collect();
     assert_eq!(order, [3, 4, 1, 2, 0].map(|place: usize| places[place]));
@@ -25,7 +25,7 @@
 enum Step {
     Ask(Option<u64>),
     PassOn,
-    /// One that asked gives up, whether it waits or has the turn by now.
+    /// A requester gives up, whether it waits or already has the turn.
     Leave(usize),
 }
 
@@ -38,15 +38,15 @@
 }
 
 proptest! {
-    /// Nobody has the turn beside another one, and it is never lost while
-    /// anybody waits, whoever gives up at whatever moment.
+    /// At most one caller has the turn, and the turn is never lost while others wait,
+    /// whoever gives up and whenever.
     #[test]
     fn one_has_the_turn_as_long_as_anybody_waits(
         steps in prop::collection::vec(any_step(), 0..60),
     ) {
         let mut queue = TurnQueue::default();
         let mut waiting: BTreeMap<Place, Option<u64>> = BTreeMap::new();
-        // The one that has the turn; its place if it waited before.
+        // The caller that has the turn, with its waiter identifier if it waited before.
         let mut holder: Option<Option<Place>> = None;
         for step in steps {
             let passes = match step {
