--- a/crates/routing/src/dispatch/avoided.rs
+++ b/crates/routing/src/dispatch/avoided.rs
@@ -10,7 +10,7 @@
 /// Largest share of a service's engines that may be avoided for failing elsewhere. Beyond
 /// it none is avoided: the cause lies elsewhere, and the remaining engines could not carry
 /// the load.
-const MOST_FAILING: f64 = 0.5;
+const MAX_FAILING_SHARE: f64 = 0.5;
 
 impl EngineTable {
     /// Returns engines of all services that fail for other gateways, or fail some of all
@@ -26,7 +26,7 @@
     pub(super) fn avoided(&self, service: &str, now: Timestamp) -> BTreeSet<&str> {
         let failing = failing(self.within_reach(service), now);
         let all = self.within_reach(service).count() as f64;
-        match failing.len() as f64 <= all * MOST_FAILING {
+        match failing.len() as f64 <= all * MAX_FAILING_SHARE {
             true => failing,
             false => BTreeSet::new(),
         }
--- a/crates/routing/src/dispatch/candidate.rs
+++ b/crates/routing/src/dispatch/candidate.rs
@@ -13,15 +13,15 @@
 /// Cost for each request running there, as a share of the time to read the prompt. An
 /// engine reads a prompt in chunks between the tokens of the other requests, so a long
 /// prompt lengthens the pauses of all of them.
-const HELD_UP_SHARE: f64 = 0.15;
+const DELAY_SHARE: f64 = 0.15;
 /// Cost of each request too many that has to wait for a slot, in prompt tokens.
 const WAITING_TOKENS: f64 = 20_000.0;
 /// Cost of each request too many where this gateway's batch work frees a slot at once, in
 /// prompt tokens.
-const CUT_HERE_TOKENS: f64 = 300.0;
+const PREEMPT_OWN_TOKENS: f64 = 300.0;
 /// Cost of each request too many where another gateway's batch work frees a slot once that
 /// gateway learns of the request, in prompt tokens.
-const CUT_ELSEWHERE_TOKENS: f64 = 3_000.0;
+const PREEMPT_OTHERS_TOKENS: f64 = 3_000.0;
 
 /// Cost of the usual time of an online answer, in prompt tokens: a slower engine holds the
 /// slot for that much longer.
@@ -64,7 +64,7 @@
         let slots = f64::from(self.facts.slots);
         let reading = (self.before_tokens + self.unread_tokens) as f64 * self.pace;
         let running = self.load / slots.max(1.0) * RUNNING_TOKENS;
-        let held_up = self.load * self.unread_tokens as f64 * HELD_UP_SHARE;
+        let held_up = self.load * self.unread_tokens as f64 * DELAY_SHARE;
         let answering = (self.pace - 1.0) * self.answer_tokens;
         reading + running + held_up + answering + zone + self.slot_cost(slots)
     }
@@ -76,7 +76,9 @@
         let cut_here = wanted.min(self.own_batch);
         let cut_elsewhere = (wanted - cut_here).min(self.others_batch);
         let waiting = wanted - cut_here - cut_elsewhere;
-        cut_here * CUT_HERE_TOKENS + cut_elsewhere * CUT_ELSEWHERE_TOKENS + waiting * WAITING_TOKENS
+        cut_here * PREEMPT_OWN_TOKENS
+            + cut_elsewhere * PREEMPT_OTHERS_TOKENS
+            + waiting * WAITING_TOKENS
     }
 
     pub fn picked(&self) -> Picked {
--- a/crates/routing/src/dispatch/demand.rs
+++ b/crates/routing/src/dispatch/demand.rs
@@ -15,18 +15,18 @@
 
 use super::engine::SHARE_HOLDS;
 use super::relay::Teller;
-use super::room::STARTS_SHOW;
+use super::room::START_VISIBILITY_DELAY;
 use super::table::EngineTable;
 use crate::decay::FadingSum;
 
 /// Decay time of the arrival count. A shorter one makes the estimate noisy; a longer one
 /// detects a burst only after it has passed.
-const ASKED_FADES: Duration = Duration::from_secs(1);
+const ARRIVAL_DECAY: Duration = Duration::from_secs(1);
 /// Arrivals are reported per this many seconds, so that the rate is a whole number.
-const ASKED_SECONDS: f64 = 1_000.0;
+const ARRIVAL_RATE_SECONDS: f64 = 1_000.0;
 /// Most services that are taken from one report. Several times the expected number; bounds
 /// the memory that a report can take.
-const MOST_SERVICES: usize = 256;
+const MAX_SERVICES: usize = 256;
 
 /// Online requests that want an engine of a service, at one gateway or summed over several.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
@@ -68,7 +68,8 @@
     /// Returns the requests that want an engine before other gateways observe who started:
     /// those that wait now, and those expected to arrive within the visibility delay.
     fn wanted(&self) -> f64 {
-        let coming = self.asked as f64 / ASKED_SECONDS * STARTS_SHOW.as_secs_f64();
+        let coming =
+            self.asked as f64 / ARRIVAL_RATE_SECONDS * START_VISIBILITY_DELAY.as_secs_f64();
         f64::from(self.waiting) + coming
     }
 }
@@ -84,19 +85,19 @@
     fn default() -> Self {
         Self {
             waiting: 0,
-            asked: FadingSum::new(ASKED_FADES),
+            asked: FadingSum::new(ARRIVAL_DECAY),
         }
     }
 }
 
 impl Own {
     fn told(&self, service: &str, now: Timestamp) -> ServiceDemand {
-        let asked = self.asked.at(now) / ASKED_FADES.as_secs_f64();
+        let asked = self.asked.at(now) / ARRIVAL_DECAY.as_secs_f64();
         ServiceDemand {
             service: service.to_owned(),
             gateways: 1,
             waiting: self.waiting,
-            asked: (asked * ASKED_SECONDS) as u64,
+            asked: (asked * ARRIVAL_RATE_SECONDS) as u64,
         }
     }
 }
@@ -110,7 +111,7 @@
 
 impl Told {
     fn new(mut demands: Vec<ServiceDemand>, at: Timestamp) -> Self {
-        demands.truncate(MOST_SERVICES);
+        demands.truncate(MAX_SERVICES);
         Self { demands, at }
     }
 
--- a/crates/routing/src/dispatch/engine.rs
+++ b/crates/routing/src/dispatch/engine.rs
@@ -15,32 +15,32 @@
 use super::table::WorkClass;
 
 /// Age at which an engine's load report no longer counts for the work of other gateways.
-const REPORT_FADES: Duration = Duration::from_secs(2);
+const REPORT_MAX_AGE: Duration = Duration::from_secs(2);
 /// Time for which another gateway's report of its work is valid.
 pub(crate) const SHARE_HOLDS: Duration = Duration::from_millis(1_200);
 /// Time for which batch work stays away from an engine whose slots online work needed:
 /// about as long as gateways take to observe one another's requests there. Returning too
 /// early costs rereading one prompt; staying away longer than a lull between two bursts
 /// starves batch work.
-const QUIET_TIME: Duration = Duration::from_millis(300);
+const BATCH_HOLDOFF: Duration = Duration::from_millis(300);
 /// Other gateways for which an engine must fail before it counts as failing here: a single
 /// one may itself be cut off.
-const FAILING_FOR: u32 = 2;
+const MIN_FAILING_GATEWAYS: u32 = 2;
 /// Time for which an answer counts as evidence that an engine works: about as long as two
 /// gateways take to notice a crash.
-const ANSWER_HOLDS: Duration = Duration::from_secs(1);
+const ANSWER_TTL: Duration = Duration::from_secs(1);
 /// Time until the other gateways observe that batch work was preempted.
-const CUT_SHOWS: Duration = Duration::from_millis(150);
+const PREEMPTION_VISIBILITY_DELAY: Duration = Duration::from_millis(150);
 /// Initial backoff of a failing engine; doubles with each failure.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
 /// Longest backoff of a failing engine.
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 /// Backoff of an engine that is gone. The control nodes stop listing it within this time.
-const GONE_PAUSE: Duration = Duration::from_secs(30);
+const GONE_BACKOFF: Duration = Duration::from_secs(30);
 /// Backoff of an engine that is full.
-const FULL_PAUSE: Duration = Duration::from_millis(100);
+const FULL_BACKOFF: Duration = Duration::from_millis(100);
 /// Doublings after which the backoff no longer grows.
-const MOST_DOUBLINGS: u32 = 3;
+const MAX_DOUBLINGS: u32 = 3;
 
 /// What an engine announces about itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -380,7 +380,7 @@
         let Some(report) = self.report else {
             return own;
         };
-        let age = now.since(report.at).as_secs_f64() / REPORT_FADES.as_secs_f64();
+        let age = now.since(report.at).as_secs_f64() / REPORT_MAX_AGE.as_secs_f64();
         own + f64::from(report.others) * (1.0 - age).max(0.0)
     }
 
@@ -418,7 +418,7 @@
         if excess <= 0.0 {
             return 0;
         }
-        self.crowded_until = now + QUIET_TIME;
+        self.crowded_until = now + BATCH_HOLDOFF;
         if self.batch == 0 || (now < self.next_cut && !came) {
             return 0;
         }
@@ -429,7 +429,7 @@
         let cut = (excess * part + draw) as u32;
         let cut = cut.max(u32::from(came));
         if cut > 0 {
-            self.next_cut = now + CUT_SHOWS;
+            self.next_cut = now + PREEMPTION_VISIBILITY_DELAY;
         }
         cut.min(self.batch)
     }
@@ -472,20 +472,20 @@
         let failing: u32 = self.fresh_shares(now).map(|share| share.failing).sum();
         let answering: u32 = self.fresh_shares(now).map(|share| share.answering).sum();
         let answering = answering + u32::from(now < self.answering_until);
-        failing >= FAILING_FOR && failing > answering
+        failing >= MIN_FAILING_GATEWAYS && failing > answering
     }
 
     pub fn failed(&mut self, failure: Failure, now: Timestamp) {
         if failure == Failure::Full {
-            return self.leave_out(FULL_PAUSE, now);
+            return self.leave_out(FULL_BACKOFF, now);
         }
         self.failures += 1;
         // A single broken answer may be the fault of that answer; two point to the engine.
         if failure == Failure::Broken && self.failures < 2 {
             return;
         }
-        let doublings = (self.failures - 1).min(MOST_DOUBLINGS);
-        let pause = (FIRST_PAUSE * 2_u32.pow(doublings)).min(LONGEST_PAUSE);
+        let doublings = (self.failures - 1).min(MAX_DOUBLINGS);
+        let pause = (INITIAL_BACKOFF * 2_u32.pow(doublings)).min(MAX_BACKOFF);
         self.paused_until = self.paused_until.max(now + pause);
         self.failing_until = self.paused_until;
         self.answering_until = now;
@@ -500,7 +500,7 @@
     /// incarnation.
     pub fn displaced(&mut self, now: Timestamp) {
         self.failures += 1;
-        self.paused_until = now + GONE_PAUSE;
+        self.paused_until = now + GONE_BACKOFF;
         self.failing_until = self.paused_until;
         self.answering_until = now;
     }
@@ -509,12 +509,12 @@
         self.failures = 0;
         self.backoff = Backoff::default();
         self.failing_until = now;
-        self.answering_until = now + ANSWER_HOLDS;
+        self.answering_until = now + ANSWER_TTL;
     }
     /// Ends the backoff after its zone became reachable again: the failures may have been
     /// those of the network. An engine that is gone for good stays backed off.
     pub fn within_reach_again(&mut self, now: Timestamp) {
-        if self.paused_until > now + LONGEST_PAUSE {
+        if self.paused_until > now + MAX_BACKOFF {
             return;
         }
         self.failures = 0;
@@ -524,6 +524,6 @@
 
     /// Whether its last answer came after a time.
     pub fn answered_after(&self, at: Timestamp) -> bool {
-        self.answering_until > at + ANSWER_HOLDS
+        self.answering_until > at + ANSWER_TTL
     }
 }
--- a/crates/routing/src/dispatch/errors.rs
+++ b/crates/routing/src/dispatch/errors.rs
@@ -11,16 +11,16 @@
 use crate::decay::FadingSum;
 
 /// Decay time of the counts. With it an engine is avoided for about 5 s.
-const FADES_OVER: Duration = Duration::from_secs(4);
+const DECAY_TIME: Duration = Duration::from_secs(4);
 /// Decaying counts are reported in units of 1/10 answer.
-const TOLD_PARTS: f64 = 10.0;
+const COUNT_SCALE: f64 = 10.0;
 /// Recent errors at which an engine may be avoided; fewer may be chance.
-const AVOIDED_FROM: f64 = 3.0;
+const AVOID_THRESHOLD: f64 = 3.0;
 /// Recent errors below which an avoided engine is tried again.
-const TRIED_BELOW: f64 = 0.8;
+const RETRY_THRESHOLD: f64 = 0.8;
 /// Minimum share of errors among recent answers for an engine to be avoided. Every engine
 /// breaks off a single answer now and then; that rate stays far below.
-const ERROR_SHARE: f64 = 0.15;
+const MIN_ERROR_RATE: f64 = 0.15;
 
 /// Recent errors and answers of one engine.
 #[derive(Clone, Copy, Debug)]
@@ -40,8 +40,8 @@
 impl Default for Errors {
     fn default() -> Self {
         Self {
-            errors: FadingSum::new(FADES_OVER),
-            answers: FadingSum::new(FADES_OVER),
+            errors: FadingSum::new(DECAY_TIME),
+            answers: FadingSum::new(DECAY_TIME),
             avoided: false,
         }
     }
@@ -58,7 +58,7 @@
 
     /// Returns this gateway's own counts, to report to others.
     pub fn own(&self, now: Timestamp) -> Counts {
-        let told = |count: &FadingSum| (count.at(now) * TOLD_PARTS).round() as u32;
+        let told = |count: &FadingSum| (count.at(now) * COUNT_SCALE).round() as u32;
         Counts {
             errors: told(&self.errors),
             answers: told(&self.answers),
@@ -69,11 +69,11 @@
     /// reported. Once avoided, it stays so until its recent errors fall below the lower
     /// threshold.
     pub fn is_avoided(&self, others: Counts, now: Timestamp) -> bool {
-        let errors = self.errors.at(now) + f64::from(others.errors) / TOLD_PARTS;
-        let answers = self.answers.at(now) + f64::from(others.answers) / TOLD_PARTS;
+        let errors = self.errors.at(now) + f64::from(others.errors) / COUNT_SCALE;
+        let answers = self.answers.at(now) + f64::from(others.answers) / COUNT_SCALE;
         match self.avoided {
-            true => errors >= TRIED_BELOW,
-            false => errors >= AVOIDED_FROM && errors >= answers * ERROR_SHARE,
+            true => errors >= RETRY_THRESHOLD,
+            false => errors >= AVOID_THRESHOLD && errors >= answers * MIN_ERROR_RATE,
         }
     }
 
--- a/crates/routing/src/dispatch/lives.rs
+++ b/crates/routing/src/dispatch/lives.rs
@@ -7,7 +7,7 @@
 
 /// Most names and departures that are kept; the oldest are evicted first. They keep a late
 /// message from bringing a departed engine back.
-const REMEMBERED: usize = 10_000;
+const MAX_REMEMBERED: usize = 10_000;
 
 /// Engines that announced their departure. A departure whose start was never observed is
 /// recorded under a made-up incarnation that started when it ended; it applies to all
@@ -25,7 +25,7 @@
             return false;
         }
         self.order.push_back(id.to_owned());
-        if self.order.len() > REMEMBERED
+        if self.order.len() > MAX_REMEMBERED
             && let Some(oldest) = self.order.pop_front()
         {
             self.known.remove(&oldest);
@@ -64,7 +64,7 @@
         }
         self.starts.insert(name.to_owned(), born);
         self.order.push_back(name.to_owned());
-        if self.order.len() > REMEMBERED
+        if self.order.len() > MAX_REMEMBERED
             && let Some(oldest) = self.order.pop_front()
         {
             self.starts.remove(&oldest);
--- a/crates/routing/src/dispatch/load.rs
+++ b/crates/routing/src/dispatch/load.rs
@@ -1,11 +1,11 @@
 //! Load reports of engines.
 
 /// Most requests that a valid report may contain.
-const MOST_REQUESTS: u32 = 1_000_000;
+const MAX_REQUESTS: u32 = 1_000_000;
 /// Most slots that a valid report may contain.
-const MOST_SLOTS: u32 = 100_000;
+const MAX_SLOTS: u32 = 100_000;
 /// Highest valid pace, in hundredths of the usual time.
-const MOST_PACE: u32 = 10_000;
+const MAX_PACE: u32 = 10_000;
 
 /// Load that an engine reports in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,14 +47,14 @@
             let figure = figures.get(place).copied().flatten();
             figure.filter(|figure| *figure <= most)
         };
-        let requests = figure(0, MOST_REQUESTS).zip(figure(1, MOST_REQUESTS));
-        let Some(((running, waiting), slots)) = requests.zip(figure(2, MOST_SLOTS)) else {
+        let requests = figure(0, MAX_REQUESTS).zip(figure(1, MAX_REQUESTS));
+        let Some(((running, waiting), slots)) = requests.zip(figure(2, MAX_SLOTS)) else {
             return Self {
                 load: None,
                 fault: Some(LoadFault::Load),
             };
         };
-        let pace = figure(3, MOST_PACE).filter(|pace| *pace > 0);
+        let pace = figure(3, MAX_PACE).filter(|pace| *pace > 0);
         let bad_pace = figures.len() > 3 && pace.is_none();
         Self {
             load: Some(EngineLoad {
--- a/crates/routing/src/dispatch/pace.rs
+++ b/crates/routing/src/dispatch/pace.rs
@@ -16,33 +16,33 @@
 
 /// Time for which a computed pace is cached if there is no new observation: waiting
 /// requests check many times a second.
-const PACE_HOLDS: Duration = Duration::from_millis(20);
+const PACE_CACHE_TTL: Duration = Duration::from_millis(20);
 /// Decay time of events measured by this gateway, which covers a few events of one answer.
-const EVENTS_FADE: Duration = Duration::from_millis(150);
+const EVENT_DECAY: Duration = Duration::from_millis(150);
 /// Decay time of a pace reported by an engine or by other gateways. It is short so that
 /// requests follow the engine's current pace.
-const WORD_FADES: Duration = Duration::from_millis(300);
+const REPORT_DECAY: Duration = Duration::from_millis(300);
 /// Decay time of the baseline; it outlasts a slow period.
-const USUAL_FADES: Duration = Duration::from_secs(10);
+const BASELINE_DECAY: Duration = Duration::from_secs(10);
 /// Weight of one reported pace, in events: those of one answer that have not decayed.
-const WORD_EVENTS: f64 = 3.0;
+const REPORT_WEIGHT: f64 = 3.0;
 /// Weight of an engine's baseline pace, in events.
-const USUAL_EVENTS: f64 = 1.0;
+const BASELINE_WEIGHT: f64 = 1.0;
 /// Events of a service from which its usual time between events is known.
-const KNOWN_FROM: f64 = 20.0;
+const MIN_EVENTS: f64 = 20.0;
 /// Gateways report paces in units of this fraction of the usual time.
-const TOLD_PARTS: f64 = 8.0;
+const PACE_SCALE: f64 = 8.0;
 /// Deviation from the usual pace up to which an engine counts as equal to the others; one
 /// gateway can't measure more precisely.
-const EVEN: f64 = 0.12;
+const EQUAL_MARGIN: f64 = 0.12;
 /// Bounds of an engine's baseline pace; a pace beyond them is a fault that must not become
 /// the baseline.
-const USUAL_BOUNDS: (f64, f64) = (0.5, 2.0);
+const BASELINE_BOUNDS: (f64, f64) = (0.5, 2.0);
 /// Bounds to which observed paces are clamped.
-const BOUNDS: (f64, f64) = (0.1, 32.0);
+const PACE_BOUNDS: (f64, f64) = (0.1, 32.0);
 /// Pace from which an engine counts as slow: beyond it, a slot elsewhere becomes free
 /// sooner than an answer completes there.
-const SLOW: f64 = 3.0;
+const SLOW_PACE: f64 = 3.0;
 
 /// Times between events at the engines of one service.
 #[derive(Clone, Copy, Debug)]
@@ -54,8 +54,8 @@
 impl Default for Usual {
     fn default() -> Self {
         Self {
-            events: FadingSum::new(USUAL_FADES),
-            seconds: FadingSum::new(USUAL_FADES),
+            events: FadingSum::new(BASELINE_DECAY),
+            seconds: FadingSum::new(BASELINE_DECAY),
         }
     }
 }
@@ -70,7 +70,7 @@
     /// Returns the mean seconds between two events once enough were measured.
     fn seconds(&self, now: Timestamp) -> Option<f64> {
         let events = self.events.at(now);
-        let known = events >= KNOWN_FROM;
+        let known = events >= MIN_EVENTS;
         known.then(|| self.seconds.at(now) / events)
     }
 }
@@ -94,7 +94,7 @@
             return;
         };
         let requests = f64::from(word.requests);
-        self.add(requests * WORD_EVENTS * faded(age), pace);
+        self.add(requests * REPORT_WEIGHT * faded(age), pace);
     }
 }
 
@@ -110,7 +110,7 @@
 impl Word {
     fn pace(self) -> Option<f64> {
         let requests = f64::from(self.requests);
-        let pace = f64::from(self.eighths) / TOLD_PARTS / requests;
+        let pace = f64::from(self.eighths) / PACE_SCALE / requests;
         (self.requests > 0).then(|| bounded(pace))
     }
 }
@@ -140,8 +140,8 @@
 impl Default for Pace {
     fn default() -> Self {
         Self {
-            events: FadingSum::new(EVENTS_FADE),
-            paces: FadingSum::new(EVENTS_FADE),
+            events: FadingSum::new(EVENT_DECAY),
+            paces: FadingSum::new(EVENT_DECAY),
             told: None,
             mean_told: 1.0,
             usual: 1.0,
@@ -163,7 +163,7 @@
     pub fn tell(&mut self, percent: u32, now: Timestamp) {
         let pace = bounded(f64::from(percent) / 100.0);
         let age = self.told.map_or(Duration::ZERO, |told| now.since(told.at));
-        let part = 1.0 - (-age.as_secs_f64() / USUAL_FADES.as_secs_f64()).exp();
+        let part = 1.0 - (-age.as_secs_f64() / BASELINE_DECAY.as_secs_f64()).exp();
         self.mean_told += (pace - self.mean_told) * part;
         self.told = Some(Told { pace, at: now });
     }
@@ -176,7 +176,7 @@
         };
         if let Some(told) = self.told {
             // Events measured in the meantime cover the same period and are more reliable.
-            let weight = WORD_EVENTS * faded(now.since(told.at)) / (1.0 + own.weight);
+            let weight = REPORT_WEIGHT * faded(now.since(told.at)) / (1.0 + own.weight);
             own.add(weight, told.pace / self.mean_told * self.usual);
         }
         own
@@ -186,11 +186,11 @@
     /// to others; empty if it has too few.
     pub fn word(&self, requests: u32, now: Timestamp) -> Word {
         let own = self.own(now);
-        if own.weight < USUAL_EVENTS || requests == 0 {
+        if own.weight < BASELINE_WEIGHT || requests == 0 {
             return Word::default();
         }
         let pace = evened(own.sum / own.weight);
-        let eighths = (pace * TOLD_PARTS).round() as u32;
+        let eighths = (pace * PACE_SCALE).round() as u32;
         Word {
             requests,
             eighths: requests * eighths,
@@ -205,7 +205,7 @@
             weight: own.weight + others.weight,
             sum: own.sum + others.sum,
         };
-        all.add(USUAL_EVENTS, self.usual);
+        all.add(BASELINE_WEIGHT, self.usual);
         evened(all.sum / all.weight)
     }
 
@@ -216,10 +216,10 @@
         // Time without observations does not count: the pace may have differed then.
         let age = now.since(self.usual_at).min(SHARE_HOLDS).as_secs_f64();
         self.usual_at = now;
-        if heard < USUAL_EVENTS {
+        if heard < BASELINE_WEIGHT {
             return;
         }
-        let part = 1.0 - (-age / USUAL_FADES.as_secs_f64()).exp();
+        let part = 1.0 - (-age / BASELINE_DECAY.as_secs_f64()).exp();
         self.usual += (usually(self.at(others, now)) - self.usual) * part;
     }
 }
@@ -227,25 +227,25 @@
 /// Returns the remaining weight of a report of this age, from 1 down to 0.
 fn faded(age: Duration) -> f64 {
     match age < SHARE_HOLDS {
-        true => (-age.as_secs_f64() / WORD_FADES.as_secs_f64()).exp(),
+        true => (-age.as_secs_f64() / REPORT_DECAY.as_secs_f64()).exp(),
         false => 0.0,
     }
 }
 
 /// Returns the pace, or 1 if it deviates too little from the usual one.
 fn evened(pace: f64) -> f64 {
-    match (pace - 1.0).abs() <= EVEN {
+    match (pace - 1.0).abs() <= EQUAL_MARGIN {
         true => 1.0,
         false => pace,
     }
 }
 
 fn bounded(pace: f64) -> f64 {
-    pace.clamp(BOUNDS.0, BOUNDS.1)
+    pace.clamp(PACE_BOUNDS.0, PACE_BOUNDS.1)
 }
 
 fn usually(pace: f64) -> f64 {
-    pace.clamp(USUAL_BOUNDS.0, USUAL_BOUNDS.1)
+    pace.clamp(BASELINE_BOUNDS.0, BASELINE_BOUNDS.1)
 }
 
 impl EngineTable {
@@ -287,7 +287,7 @@
         let engines = self.engines.values();
         let mut paces: Vec<f64> = engines.map(|engine| engine.pace(now)).collect();
         paces.sort_by(f64::total_cmp);
-        let slow = paces.iter().filter(|&&pace| pace >= SLOW).count() as u32;
+        let slow = paces.iter().filter(|&&pace| pace >= SLOW_PACE).count() as u32;
         Some(PaceFigures {
             median: *paces.get(paces.len() / 2)?,
             slowest: *paces.last()?,
@@ -300,7 +300,7 @@
     pub fn slow_engines(&self, now: Timestamp) -> Vec<(String, f64)> {
         let paces = self.engines.iter();
         let paces = paces.map(|(id, engine)| (id, engine.pace(now)));
-        let slow = paces.filter(|(_, pace)| *pace >= SLOW);
+        let slow = paces.filter(|(_, pace)| *pace >= SLOW_PACE);
         slow.map(|(id, pace)| (id.clone(), pace)).collect()
     }
 }
@@ -310,7 +310,7 @@
     /// long.
     pub fn pace(&self, now: Timestamp) -> f64 {
         if let Some((pace, at)) = self.latest_pace.get()
-            && now.since(at) < PACE_HOLDS
+            && now.since(at) < PACE_CACHE_TTL
         {
             return pace;
         }
@@ -324,7 +324,7 @@
     pub fn slots(&self, now: Timestamp) -> f64 {
         let slots = f64::from(self.facts.slots);
         let pace = self.pace(now);
-        match pace >= SLOW {
+        match pace >= SLOW_PACE {
             true => (slots / pace).max(1.0),
             false => slots,
         }
--- a/crates/routing/src/dispatch/prompt.rs
+++ b/crates/routing/src/dispatch/prompt.rs
@@ -35,11 +35,11 @@
 }
 
 /// Shared tokens from which it pays off to look for the engine that holds them.
-const WORTH_KEEPING_TOKENS: u64 = 1_000;
+const MIN_SHARED_TOKENS: u64 = 1_000;
 /// Time for which an engine is assumed to hold a prompt that it read.
-const HELD_FOR: Duration = Duration::from_secs(20);
+const HOLD_TTL: Duration = Duration::from_secs(20);
 /// Most pairs of shared prompt and engine that are kept; the oldest are evicted first.
-const REMEMBERED: usize = 4_096;
+const MAX_REMEMBERED: usize = 4_096;
 
 impl PromptCost {
     /// Returns the cost of a prompt made of these parts, the last of which is not shared.
@@ -48,7 +48,7 @@
         let tokens = parts.iter().map(|part| u64::from(part.tokens)).sum();
         let shared = parts.split_last().and_then(|(own, shared)| {
             let tokens = tokens - u64::from(own.tokens);
-            let last = shared.last().filter(|_| tokens >= WORTH_KEEPING_TOKENS)?;
+            let last = shared.last().filter(|_| tokens >= MIN_SHARED_TOKENS)?;
             Some(SharedPrompt {
                 key: xxh3_64(last.id.as_bytes()),
                 tokens,
@@ -71,7 +71,7 @@
         if self.read.insert(place.clone(), now).is_none() {
             self.order.push_back(place);
         }
-        if self.order.len() > REMEMBERED
+        if self.order.len() > MAX_REMEMBERED
             && let Some(oldest) = self.order.pop_front()
         {
             self.read.remove(&oldest);
@@ -80,7 +80,7 @@
 
     pub fn holds(&self, key: u64, engine: &str, now: Timestamp) -> bool {
         let read = self.read.get(&(key, engine.to_owned()));
-        read.is_some_and(|at| now.since(*at) < HELD_FOR)
+        read.is_some_and(|at| now.since(*at) < HOLD_TTL)
     }
 }
 
--- a/crates/routing/src/dispatch/reachable.rs
+++ b/crates/routing/src/dispatch/reachable.rs
@@ -13,7 +13,7 @@
 
 /// Engines probed besides the suspected one to find out whether its zone is unreachable.
 /// Together with it, as many as that decision needs.
-const LOOKED_AT_BESIDE: usize = 4;
+const EXTRA_PROBES: usize = 4;
 
 /// Why an engine may be unreachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -162,7 +162,7 @@
         }
         let mut beside = self.look_at(&zone, now);
         beside.retain(|probe| probe.address.ip() != host);
-        beside.truncate(if wide { LOOKED_AT_BESIDE } else { 1 });
+        beside.truncate(if wide { EXTRA_PROBES } else { 1 });
         let first = self.engines.get(id).filter(|_| wide);
         let first = first.map(|engine| self.probe(engine));
         first.into_iter().chain(beside).collect()
@@ -198,7 +198,7 @@
         well.shuffle(&mut self.random);
         let mut asked = BTreeSet::new();
         well.retain(|engine| asked.insert(engine.facts.address.ip()));
-        let looked_at = well.into_iter().take(LOOKED_AT_BESIDE + 1);
+        let looked_at = well.into_iter().take(EXTRA_PROBES + 1);
         looked_at.map(|engine| self.probe(engine)).collect()
     }
 
--- a/crates/routing/src/dispatch/relay.rs
+++ b/crates/routing/src/dispatch/relay.rs
@@ -18,22 +18,22 @@
 /// Time after which a gateway returns to the first relay in its order: a restart takes a
 /// few seconds. Trying one that is still silent costs [`RELAY_SILENCE`] without reports of
 /// the others.
-const COMES_BACK: Duration = Duration::from_secs(10);
+const RETURN_AFTER: Duration = Duration::from_secs(10);
 
 /// Longest time for which the gateways of a silent relay are still accounted for.
-const MISSED_FOR: Duration = Duration::from_secs(10);
+const MISSING_TTL: Duration = Duration::from_secs(10);
 
 /// Shortest interval between two relay rounds.
-const ROUND: Duration = Duration::from_millis(50);
+const MIN_ROUND: Duration = Duration::from_millis(50);
 /// Longest interval between two relay rounds: the interval at which gateways report under
 /// low load.
-const CALM_ROUND: Duration = Duration::from_millis(150);
+const MAX_ROUND: Duration = Duration::from_millis(150);
 /// Messages per second that a relay sends to gateways under low load: those for 64 gateways
 /// in the shortest rounds, about 3% of a core at 25 microseconds each.
-const CALM_TELLINGS: f64 = 1_280.0;
+const LOW_LOAD_MESSAGES: f64 = 1_280.0;
 /// Share of all slots in use up to which load counts as low: a request then finds a slot
 /// whatever the other gateways have just sent.
-const CALM_OCCUPANCY: f64 = 0.4;
+const LOW_LOAD_OCCUPANCY: f64 = 0.4;
 
 /// Chooses the relay that a gateway uses: one of its zone if there is one, since relays
 /// send many times a second. Gateways spread over the relays, and each fails over through
@@ -70,7 +70,7 @@
             }
             self.place += 1;
             self.heard = now;
-        } else if self.place > 0 && now.since(self.left_first) > COMES_BACK {
+        } else if self.place > 0 && now.since(self.left_first) > RETURN_AFTER {
             self.place = 0;
         }
         let relay = order.get(self.place.checked_rem(order.len())?).copied();
@@ -152,18 +152,18 @@
     pub fn pause(&self, slots: u64) -> Duration {
         let told = self.told.values().flat_map(|told| &told.shares);
         let requests: u64 = told.map(|share| u64::from(share.requests)).sum();
-        if requests as f64 > slots as f64 * CALM_OCCUPANCY {
-            return ROUND;
+        if requests as f64 > slots as f64 * LOW_LOAD_OCCUPANCY {
+            return MIN_ROUND;
         }
-        let spread = Duration::from_secs_f64(f64::from(self.gateways()) / CALM_TELLINGS);
-        spread.clamp(ROUND, CALM_ROUND)
+        let spread = Duration::from_secs_f64(f64::from(self.gateways()) / LOW_LOAD_MESSAGES);
+        spread.clamp(MIN_ROUND, MAX_ROUND)
     }
 
     /// Removes reports that have expired.
     pub fn expire(&mut self, now: Timestamp) {
         self.told.retain(|_, told| now.since(told.at) < SHARE_HOLDS);
         self.spoken_for
-            .retain(|_, (_, at)| now.since(*at) < MISSED_FOR);
+            .retain(|_, (_, at)| now.since(*at) < MISSING_TTL);
     }
 
     /// Returns the factor from reported work to the work of all gateways: above 1 while
--- a/crates/routing/src/dispatch/reserve.rs
+++ b/crates/routing/src/dispatch/reserve.rs
@@ -7,7 +7,7 @@
 
 use molespan_types::Timestamp;
 
-use super::room::STARTS_SHOW;
+use super::room::START_VISIBILITY_DELAY;
 use super::table::EngineTable;
 
 impl EngineTable {
@@ -18,12 +18,12 @@
     #[must_use]
     pub fn kept_for_online(&self, service: &str, now: Timestamp) -> f64 {
         let held = self.slot_times.mean(service);
-        if held <= STARTS_SHOW {
+        if held <= START_VISIBILITY_DELAY {
             return 0.0;
         }
         let others_tell = self.others_tell(now);
         let engines = self.of_service(service);
         let online: f64 = engines.map(|one| one.online_load(now, others_tell)).sum();
-        online * STARTS_SHOW.as_secs_f64() / held.as_secs_f64()
+        online * START_VISIBILITY_DELAY.as_secs_f64() / held.as_secs_f64()
     }
 }
--- a/crates/routing/src/dispatch/room.rs
+++ b/crates/routing/src/dispatch/room.rs
@@ -14,13 +14,13 @@
 
 /// Time until the other gateways observe that a request started: one report interval, one
 /// relay round and the network latency.
-pub(super) const STARTS_SHOW: Duration = Duration::from_millis(150);
+pub(super) const START_VISIBILITY_DELAY: Duration = Duration::from_millis(150);
 
 /// Time for which a slot that a request of this gateway freed is reserved for this gateway:
 /// about as long as the others take to observe that it is free. In a simulated peak of 49
 /// gateways with 89 and 100 engines of 6 slots, 0.860 and 0.946 of all requests were in
 /// time with the reservation, 0.839 and 0.912 without.
-const FREED_HOLDS: Duration = Duration::from_millis(50);
+const FREED_SLOT_TTL: Duration = Duration::from_millis(50);
 
 /// Slots that requests of this gateway have just freed.
 #[derive(Debug, Default)]
@@ -29,7 +29,8 @@
 impl FreedSlots {
     /// Records that a request freed a slot of an engine.
     pub fn note(&mut self, engine: &str, now: Timestamp) {
-        self.0.retain(|(_, freed)| now.since(*freed) < FREED_HOLDS);
+        self.0
+            .retain(|(_, freed)| now.since(*freed) < FREED_SLOT_TTL);
         self.0.push_back((engine.to_owned(), now));
     }
 
@@ -37,13 +38,13 @@
     /// times a second.
     pub fn is_empty(&self, now: Timestamp) -> bool {
         let latest = self.0.back();
-        latest.is_none_or(|(_, freed)| now.since(*freed) >= FREED_HOLDS)
+        latest.is_none_or(|(_, freed)| now.since(*freed) >= FREED_SLOT_TTL)
     }
 
     /// Returns the engine with the oldest reserved slot that `fits`.
     pub fn find(&self, now: Timestamp, fits: impl Fn(&str) -> bool) -> Option<String> {
         let mut held = self.0.iter();
-        let found = held.find(|(id, freed)| now.since(*freed) < FREED_HOLDS && fits(id));
+        let found = held.find(|(id, freed)| now.since(*freed) < FREED_SLOT_TTL && fits(id));
         found.map(|(id, _)| id.clone())
     }
 
@@ -81,7 +82,8 @@
 
     /// Records the start of a request.
     pub fn note(&mut self, now: Timestamp) {
-        self.latest.retain(|&start| now.since(start) < STARTS_SHOW);
+        self.latest
+            .retain(|&start| now.since(start) < START_VISIBILITY_DELAY);
         self.latest.push_back(now);
         self.draw_anew(now);
     }
@@ -95,7 +97,7 @@
     /// may start `room` and this one has a `share` of it.
     pub fn left(&self, share: f64, room: f64, now: Timestamp) -> f64 {
         let latest = self.latest.iter();
-        let lately = latest.filter(|&&start| now.since(start) < STARTS_SHOW);
+        let lately = latest.filter(|&&start| now.since(start) < START_VISIBILITY_DELAY);
         let unseen = lately.count() as f64;
         ((room + unseen) * share - unseen).max(0.0)
     }
@@ -104,7 +106,7 @@
     /// together fill the free capacity. The random number is kept until a request starts:
     /// drawing at each check would eventually round every fraction up.
     pub fn may_start(&mut self, share: f64, room: f64, now: Timestamp) -> bool {
-        if now.since(self.drawn) >= STARTS_SHOW {
+        if now.since(self.drawn) >= START_VISIBILITY_DELAY {
             self.draw_anew(now);
         }
         self.left(share, room, now) > self.draw
@@ -117,7 +119,7 @@
     /// instead each takes the share of them that corresponds to its share of all online
     /// requests.
     pub(super) fn may_start_online(&mut self, pick: &Pick<'_>, now: Timestamp) -> bool {
-        if self.slot_times.mean(pick.service) < STARTS_SHOW {
+        if self.slot_times.mean(pick.service) < START_VISIBILITY_DELAY {
             return true;
         }
         let others_tell = self.others_tell(now);
--- a/crates/routing/src/dispatch/short.rs
+++ b/crates/routing/src/dispatch/short.rs
@@ -13,7 +13,7 @@
 use rand::Rng;
 
 use super::engine::{Engine, Failure};
-use super::room::STARTS_SHOW;
+use super::room::START_VISIBILITY_DELAY;
 use super::table::{EngineTable, Pick, Standing};
 use crate::decay::FadingSum;
 
@@ -21,29 +21,29 @@
 const LATEST_WEIGHT: f64 = 1.0 / 32.0;
 /// Engines that a short request compares. All gateways compare by figures of about the same
 /// age, so the more engines each considers, the more gateways choose the same one.
-pub(super) const COMPARED: usize = 2;
+pub(super) const COMPARED_ENGINES: usize = 2;
 /// First backoff after a rejection for lack of capacity, in mean slot times; by then a slot
 /// is likely to be free.
-const FIRST_BACKOFF: f64 = 2.0;
+const INITIAL_BACKOFF_SLOT_TIMES: f64 = 2.0;
 /// Jitter, as a fraction of the backoff, so that requests that were rejected together don't
 /// retry together.
-const BACKOFF_SPREAD: f64 = 0.5;
+const BACKOFF_JITTER: f64 = 0.5;
 /// Doublings up to which the exponential backoff is computed; beyond them every backoff is
 /// the longest one.
-const MOST_DOUBLINGS: u32 = 16;
+const MAX_DOUBLINGS: u32 = 16;
 /// Shortest backoff; keeps requests from being sent again and again to an engine that
 /// rejects them at once.
-const SHORTEST_BACKOFF: Duration = Duration::from_millis(8);
+const MIN_BACKOFF: Duration = Duration::from_millis(8);
 /// Longest backoff; short enough for another attempt within a request's target.
-const LONGEST_BACKOFF: Duration = Duration::from_millis(200);
+const MAX_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Decay time of the count of requests that found no capacity.
-const SHORTAGE_FADES: Duration = Duration::from_secs(1);
+const SHORTAGE_DECAY: Duration = Duration::from_secs(1);
 /// Recent rejected requests from which a service counts as short of capacity; single ones
 /// are chance.
-const SHORT_FROM: f64 = 5.0;
+const SHORTAGE_THRESHOLD: f64 = 5.0;
 /// Recent rejected requests below which it no longer does.
-const ENOUGH_BELOW: f64 = 0.5;
+const RECOVERY_THRESHOLD: f64 = 0.5;
 
 /// Detects whether requests of a service recently found engines without capacity.
 #[derive(Clone, Copy, Debug)]
@@ -55,7 +55,7 @@
 impl Default for Shortage {
     fn default() -> Self {
         Self {
-            turned_away: FadingSum::new(SHORTAGE_FADES),
+            turned_away: FadingSum::new(SHORTAGE_DECAY),
             short: false,
         }
     }
@@ -70,8 +70,8 @@
         }
         let lately = self.turned_away.at(now);
         let short = match self.short {
-            true => lately >= ENOUGH_BELOW,
-            false => lately >= SHORT_FROM,
+            true => lately >= RECOVERY_THRESHOLD,
+            false => lately >= SHORTAGE_THRESHOLD,
         };
         let changes = short != self.short;
         self.short = short;
@@ -87,11 +87,11 @@
     /// Records another rejection. Returns how long to leave the engine out, where requests
     /// hold a slot for `kept`.
     fn next(&mut self, kept: Duration, random: &mut impl Rng) -> Duration {
-        let spread = random.random_range(1.0 - BACKOFF_SPREAD..1.0 + BACKOFF_SPREAD);
-        let first = kept.mul_f64(FIRST_BACKOFF * spread);
-        let pause = first * 2_u32.pow(self.0.min(MOST_DOUBLINGS));
+        let spread = random.random_range(1.0 - BACKOFF_JITTER..1.0 + BACKOFF_JITTER);
+        let first = kept.mul_f64(INITIAL_BACKOFF_SLOT_TIMES * spread);
+        let pause = first * 2_u32.pow(self.0.min(MAX_DOUBLINGS));
         self.0 += 1;
-        pause.clamp(SHORTEST_BACKOFF, LONGEST_BACKOFF)
+        pause.clamp(MIN_BACKOFF, MAX_BACKOFF)
     }
 }
 
@@ -114,7 +114,7 @@
     /// Returns the mean time if it is shorter than other gateways take to observe a start.
     pub fn short(&self, service: &str) -> Option<Duration> {
         let mean = Duration::from_secs_f64(*self.0.get(service)?);
-        (!mean.is_zero() && mean < STARTS_SHOW).then_some(mean)
+        (!mean.is_zero() && mean < START_VISIBILITY_DELAY).then_some(mean)
     }
 }
 
--- a/crates/routing/src/dispatch/slow.rs
+++ b/crates/routing/src/dispatch/slow.rs
@@ -7,9 +7,9 @@
 
 /// Time for which an engine must be slow before it is reported; shorter spans need no
 /// operator.
-const SLOW_FOR: Duration = Duration::from_millis(800);
+const MIN_SLOW_DURATION: Duration = Duration::from_millis(800);
 /// Most changes reported at once; the others are only counted.
-const MOST_TOLD: usize = 8;
+const MAX_REPORTED: usize = 8;
 
 /// An engine started or stopped counting as slow.
 #[derive(Clone, Debug, PartialEq)]
@@ -58,7 +58,7 @@
                 at: now,
                 told: false,
             });
-            if !since.told && now.since(since.at) >= SLOW_FOR {
+            if !since.told && now.since(since.at) >= MIN_SLOW_DURATION {
                 since.told = true;
                 changes.push(SlowChange::Slow {
                     engine: engine.clone(),
@@ -66,9 +66,9 @@
                 });
             }
         }
-        let more = changes.len().saturating_sub(MOST_TOLD);
+        let more = changes.len().saturating_sub(MAX_REPORTED);
         if more > 0 {
-            changes.truncate(MOST_TOLD);
+            changes.truncate(MAX_REPORTED);
             changes.push(SlowChange::More(more));
         }
         changes
--- a/crates/routing/src/dispatch/table.rs
+++ b/crates/routing/src/dispatch/table.rs
@@ -16,33 +16,33 @@
 use super::load::EngineLoad;
 use super::prompt::{Holders, PromptCost, home};
 use super::room::{FreedSlots, UnseenStarts};
-use super::short::{COMPARED, WorkTimes};
+use super::short::{COMPARED_ENGINES, WorkTimes};
 use super::slot_time::SlotTimes;
 use crate::reach::ReachTable;
 
 /// Engines that a request with a short prompt considers, drawn at random. Other gateways
 /// choose by the same figures at the same time; if each considered all engines, all of them
 /// would choose the same one until they observe one another's requests.
-const LOOKED_AT: usize = 4;
+const CONSIDERED_ENGINES: usize = 4;
 /// Prompt tokens from which a request considers every engine: there are few such requests,
 /// and their placement matters most.
 const LONG_PROMPT_TOKENS: u64 = 4_000;
 /// Share of its slots up to which an engine gets batch work: all of them, since batch work
 /// can be preempted.
-const BATCH_LOAD: f64 = 1.0;
+const MAX_BATCH_LOAD: f64 = 1.0;
 /// Share of its slots up to which an engine gets online work.
-const ONLINE_LOAD: f64 = 1.5;
+const MAX_ONLINE_LOAD: f64 = 1.5;
 /// Time for which an answer from any engine shows that this gateway is not cut off.
-const ANSWERED_LATELY: Duration = Duration::from_secs(3);
+const ANSWER_TTL: Duration = Duration::from_secs(3);
 /// Time for which an engine must have been known to count as stable. A request under which
 /// engines ended goes to a stable one, because an engine that restarts repeatedly is the
 /// emptiest of all whenever it is back. With this rule, 10 instead of 15 of 1.54 million
 /// innocent requests were refused; where engines restart without any guilty request, 0
 /// instead of 3, and beside two guilty ones, 7 either way (tests/suspect_schedules, 60
 /// schedules of seven kinds).
-const STAYS: Duration = Duration::from_secs(10);
+const STABLE_AFTER: Duration = Duration::from_secs(10);
 /// Time for which a report of another gateway shows that gateways exchange reports.
-const TOLD_LATELY: Duration = Duration::from_millis(1_200);
+const REPORT_TTL: Duration = Duration::from_millis(1_200);
 
 /// Class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -380,7 +380,7 @@
         // Without a recent answer from any engine, this gateway may itself be cut off.
         let sure = self
             .answered
-            .is_some_and(|answered| now.since(answered) < ANSWERED_LATELY);
+            .is_some_and(|answered| now.since(answered) < ANSWER_TTL);
         let engines = self.engines.values();
         engines
             .filter_map(|engine| {
@@ -462,7 +462,7 @@
     }
 
     pub(super) fn others_tell(&self, now: Timestamp) -> bool {
-        self.told.is_some_and(|told| now.since(told) < TOLD_LATELY)
+        self.told.is_some_and(|told| now.since(told) < REPORT_TTL)
     }
 
     /// Sets the number of gateways, this one included.
@@ -510,7 +510,7 @@
             Standing::InTime { left } => {
                 let times = &self.slot_times;
                 let begun = times.begun_within(pick.service, left, slots, engine.pace(now));
-                begun.min(slots * ONLINE_LOAD)
+                begun.min(slots * MAX_ONLINE_LOAD)
             }
         }
     }
@@ -520,7 +520,7 @@
         let others_tell = self.others_tell(now);
         if pick.class == WorkClass::Batch {
             let slots = engine.slots(now);
-            return engine.load(now, others_tell) >= slots * BATCH_LOAD;
+            return engine.load(now, others_tell) >= slots * MAX_BATCH_LOAD;
         }
         if let Some(full) = self.is_full_of_short(engine, pick, now) {
             return full;
@@ -577,7 +577,7 @@
         let engines = self.engines.values();
         let engines = engines.filter(|engine| self.is_open(engine, pick, &avoided, now));
         let mut open: Vec<&Engine> = engines.collect();
-        let stays = |engine: &&Engine| now.since(engine.known_since) >= STAYS;
+        let stays = |engine: &&Engine| now.since(engine.known_since) >= STABLE_AFTER;
         if pick.suspect && open.iter().any(stays) {
             open.retain(stays);
         }
@@ -586,8 +586,10 @@
             .map(|one| self.candidate(one, pick, home, others_tell, now));
         let mut candidates: Vec<Candidate<'_>> = candidates.collect();
         let looked_at = match pick.prompt.tokens < LONG_PROMPT_TOKENS {
-            true if self.work_times.short(pick.service).is_some() => COMPARED.min(candidates.len()),
-            true => LOOKED_AT.min(candidates.len()),
+            true if self.work_times.short(pick.service).is_some() => {
+                COMPARED_ENGINES.min(candidates.len())
+            }
+            true => CONSIDERED_ENGINES.min(candidates.len()),
             false => candidates.len(),
         };
         let (looked_at, _) = candidates.partial_shuffle(&mut self.random, looked_at);
