--- a/crates/routing/src/dispatch/demand.rs
+++ b/crates/routing/src/dispatch/demand.rs
@@ -76,12 +76,12 @@
 
 /// Demand of this gateway for one service.
 #[derive(Clone, Copy, Debug)]
-struct Own {
+struct OwnDemand {
     waiting: u32,
     asked: FadingSum,
 }
 
-impl Default for Own {
+impl Default for OwnDemand {
     fn default() -> Self {
         Self {
             waiting: 0,
@@ -90,8 +90,8 @@
     }
 }
 
-impl Own {
-    fn told(&self, service: &str, now: Timestamp) -> ServiceDemand {
+impl OwnDemand {
+    fn reported(&self, service: &str, now: Timestamp) -> ServiceDemand {
         let asked = self.asked.at(now) / ARRIVAL_DECAY.as_secs_f64();
         ServiceDemand {
             service: service.to_owned(),
@@ -104,12 +104,12 @@
 
 /// Latest demand reported by a node, and when.
 #[derive(Clone, Debug)]
-struct Told {
+struct ReportedDemand {
     demands: Vec<ServiceDemand>,
     at: Timestamp,
 }
 
-impl Told {
+impl ReportedDemand {
     fn new(mut demands: Vec<ServiceDemand>, at: Timestamp) -> Self {
         demands.truncate(MAX_SERVICES);
         Self { demands, at }
@@ -122,15 +122,15 @@
 
 /// Demand for each service: this gateway's own and that reported by others.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Demands {
-    own: BTreeMap<String, Own>,
-    others: BTreeMap<NodeId, Told>,
+pub(super) struct DemandTable {
+    own: BTreeMap<String, OwnDemand>,
+    others: BTreeMap<NodeId, ReportedDemand>,
 }
 
-impl Demands {
-    fn own_mut(&mut self, service: &str) -> &mut Own {
+impl DemandTable {
+    fn own_mut(&mut self, service: &str) -> &mut OwnDemand {
         if !self.own.contains_key(service) {
-            self.own.insert(service.to_owned(), Own::default());
+            self.own.insert(service.to_owned(), OwnDemand::default());
         }
         self.own.get_mut(service).expect("it was just inserted")
     }
@@ -139,15 +139,18 @@
     /// `users` gateways share it. `None` while no other gateway reports demand for the
     /// service.
     pub fn share(&self, service: &str, users: f64, now: Timestamp) -> Option<f64> {
-        let told = self.others.values().filter(|told| told.is_fresh(now));
-        let of_service = told.flat_map(|told| &told.demands);
+        let reported = self
+            .others
+            .values()
+            .filter(|reported| reported.is_fresh(now));
+        let of_service = reported.flat_map(|reported| &reported.demands);
         let others = sum(of_service.filter(|one| one.service == service)).pop()?;
         // Gateways that report nothing are assumed to want as much as the average of the
         // others.
-        let silent = (users - 1.0) / f64::from(others.gateways.max(1));
-        let others = others.wanted() * silent.max(1.0);
+        let reporting_factor = (users - 1.0) / f64::from(others.gateways.max(1));
+        let others = others.wanted() * reporting_factor.max(1.0);
         let own = self.own.get(service).copied().unwrap_or_default();
-        let own = own.told(service, now).wanted().max(1.0);
+        let own = own.reported(service, now).wanted().max(1.0);
         Some(own / (own + others))
     }
 }
@@ -173,14 +176,15 @@
     #[must_use]
     pub fn demands(&self, now: Timestamp) -> Vec<ServiceDemand> {
         let own = self.demands.own.iter();
-        own.map(|(service, own)| own.told(service, now)).collect()
+        own.map(|(service, own)| own.reported(service, now))
+            .collect()
     }
 
     /// Records the demand reported by another gateway, or by a relay for all others.
     pub fn note_demands(&mut self, from: NodeId, demands: Vec<ServiceDemand>, now: Timestamp) {
         let others = &mut self.demands.others;
-        others.retain(|_, told| told.is_fresh(now));
-        others.insert(from, Told::new(demands, now));
+        others.retain(|_, reported| reported.is_fresh(now));
+        others.insert(from, ReportedDemand::new(demands, now));
     }
 
     /// Sets the services that are served from now on. Demand is reported for each of them
@@ -189,11 +193,13 @@
     /// requests wait.
     pub fn serve(&mut self, services: impl Iterator<Item = String>) {
         let before = std::mem::take(&mut self.demands.own);
-        self.demands.own = services.map(|service| (service, Own::default())).collect();
+        self.demands.own = services
+            .map(|service| (service, OwnDemand::default()))
+            .collect();
         let kept = before.into_iter();
         let kept =
             kept.filter(|(name, own)| own.waiting > 0 || self.demands.own.contains_key(name));
-        let kept: Vec<(String, Own)> = kept.collect();
+        let kept: Vec<(String, OwnDemand)> = kept.collect();
         self.demands.own.extend(kept);
     }
 
@@ -201,7 +207,7 @@
     #[must_use]
     pub fn hears_demand(&self, now: Timestamp) -> bool {
         let mut others = self.demands.others.values();
-        others.any(|told| told.is_fresh(now) && !told.demands.is_empty())
+        others.any(|reported| reported.is_fresh(now) && !reported.demands.is_empty())
     }
 
     /// Returns this gateway's share of a service's free capacity by demand, from 0 to 1, or
@@ -215,7 +221,7 @@
 /// Demand reported to a relay.
 #[derive(Clone, Debug, Default)]
 pub struct DemandRelay {
-    told: BTreeMap<NodeId, (Teller, Told)>,
+    reported: BTreeMap<NodeId, (Teller, ReportedDemand)>,
 }
 
 impl DemandRelay {
@@ -227,28 +233,33 @@
         demands: Vec<ServiceDemand>,
         now: Timestamp,
     ) {
-        self.told.insert(from, (teller, Told::new(demands, now)));
+        self.reported
+            .insert(from, (teller, ReportedDemand::new(demands, now)));
     }
 
     /// Removes reports that have expired.
     pub fn expire(&mut self, now: Timestamp) {
-        self.told.retain(|_, (_, told)| told.is_fresh(now));
+        self.reported
+            .retain(|_, (_, reported)| reported.is_fresh(now));
     }
 
     /// Returns the summed demand of this relay's gateways, to report to the other relays.
     #[must_use]
     pub fn of_gateways(&self) -> Vec<ServiceDemand> {
-        let told = self.told.values();
-        let gateways = told.filter(|(teller, _)| *teller == Teller::Gateway);
-        sum(gateways.flat_map(|(_, told)| &told.demands))
+        let reported = self.reported.values();
+        let gateways = reported.filter(|(teller, _)| *teller == Teller::Gateway);
+        sum(gateways.flat_map(|(_, reported)| &reported.demands))
     }
 
     /// Returns, for each gateway of this relay, the summed demand of all other gateways.
     #[must_use]
     pub fn by_gateway(&self) -> Vec<(NodeId, Vec<ServiceDemand>)> {
-        let all = sum(self.told.values().flat_map(|(_, told)| &told.demands));
-        let told = self.told.iter();
-        let gateways = told.filter(|(_, (teller, _))| *teller == Teller::Gateway);
+        let all = sum(self
+            .reported
+            .values()
+            .flat_map(|(_, reported)| &reported.demands));
+        let reported = self.reported.iter();
+        let gateways = reported.filter(|(_, (teller, _))| *teller == Teller::Gateway);
         gateways
             .map(|(&gateway, (_, own))| (gateway, without(&all, &own.demands)))
             .collect()
--- a/crates/routing/src/dispatch/engine.rs
+++ b/crates/routing/src/dispatch/engine.rs
@@ -10,7 +10,7 @@
 
 use super::errors::{Counts, Errors};
 use super::load::EngineLoad;
-use super::pace::{Pace, Word};
+use super::pace::{Pace, PaceReport};
 use super::short::Backoff;
 use super::table::WorkClass;
 
@@ -110,7 +110,7 @@
     /// Whether it matters to a gateway whose requests the engine never failed. That the
     /// engine answers other gateways matters only if it fails some of them.
     #[must_use]
-    pub fn is_news_to_others(&self) -> bool {
+    pub fn matters_to_others(&self) -> bool {
         self.requests + self.failing + self.errors > 0
     }
 
@@ -181,7 +181,7 @@
     failing: u32,
     answering: u32,
     counts: Counts,
-    pace: Word,
+    pace: PaceReport,
     at: Timestamp,
 }
 
@@ -291,7 +291,7 @@
     /// off itself.
     pub fn share(&self, now: Timestamp, sure: bool) -> Option<WorkShare> {
         let counts = self.errors.own(now);
-        let pace = self.pace.word(self.own(), now);
+        let pace = self.pace.report(self.own(), now);
         let share = WorkShare {
             errors: counts.errors,
             answers: counts.answers,
@@ -323,7 +323,7 @@
                 errors: share.errors,
                 answers: share.answers,
             },
-            pace: Word {
+            pace: PaceReport {
                 requests: share.paced,
                 eighths: share.paces,
             },
@@ -331,7 +331,7 @@
         };
         self.shares.insert(from, share);
         self.latest_pace.set(None);
-        self.pace.get_used(self.words(now), now);
+        self.pace.update_baseline(self.reported_pace(now), now);
         self.errors.decide(self.counts_of_others(now), now);
     }
 
@@ -352,7 +352,7 @@
             self.facts.slots = load.slots;
         }
         if let Some(pace) = load.pace {
-            self.pace.tell(pace, now);
+            self.pace.record_reported(pace, now);
             self.latest_pace.set(None);
         }
     }
@@ -363,17 +363,17 @@
     }
 
     /// Returns what others reported of its pace, and when.
-    pub fn told_paces(&self, now: Timestamp) -> impl Iterator<Item = (Word, Timestamp)> {
+    pub fn reported_paces(&self, now: Timestamp) -> impl Iterator<Item = (PaceReport, Timestamp)> {
         let shares = self.fresh_shares(now);
         shares.map(|share| (share.pace, share.at))
     }
 
     /// Returns the estimated number of requests there: this gateway's, and those of other
-    /// gateways. If `others_tell`, the latter come from their reports, else from the
+    /// gateways. If `others_report`, the latter come from their reports, else from the
     /// engine's last load report, which counts for less the older it is.
-    pub fn load(&self, now: Timestamp, others_tell: bool) -> f64 {
+    pub fn load(&self, now: Timestamp, others_report: bool) -> f64 {
         let own = f64::from(self.own());
-        if others_tell {
+        if others_report {
             let others: u32 = self.fresh_shares(now).map(|share| share.requests).sum();
             return own + f64::from(others);
         }
@@ -393,9 +393,9 @@
 
     /// Returns the estimated number of online requests there; batch requests don't count,
     /// since they can be preempted.
-    pub fn online_load(&self, now: Timestamp, others_tell: bool) -> f64 {
+    pub fn online_load(&self, now: Timestamp, others_report: bool) -> f64 {
         let batch = self.own_batch() + self.others_batch(now);
-        (self.load(now, others_tell) - f64::from(batch)).max(0.0)
+        (self.load(now, others_report) - f64::from(batch)).max(0.0)
     }
 
     /// Returns the prompt tokens to be read before those of a new request.
@@ -412,9 +412,9 @@
     /// from 0 up to 1, rounds the share at random, so that the shares of all gateways add
     /// up to the excess. At least one is preempted where an online request of this gateway
     /// has just started: the other gateways then observe both changes at once.
-    pub fn batch_to_cut(&mut self, now: Timestamp, others_tell: bool, draw: f64) -> u32 {
+    pub fn batch_to_cut(&mut self, now: Timestamp, others_report: bool, draw: f64) -> u32 {
         let came = std::mem::take(&mut self.came);
-        let excess = self.load(now, others_tell) - f64::from(self.facts.slots);
+        let excess = self.load(now, others_report) - f64::from(self.facts.slots);
         if excess <= 0.0 {
             return 0;
         }
--- a/crates/routing/src/dispatch/errors.rs
+++ b/crates/routing/src/dispatch/errors.rs
@@ -58,10 +58,10 @@
 
     /// Returns this gateway's own counts, to report to others.
     pub fn own(&self, now: Timestamp) -> Counts {
-        let told = |count: &FadingSum| (count.at(now) * COUNT_SCALE).round() as u32;
+        let scaled = |count: &FadingSum| (count.at(now) * COUNT_SCALE).round() as u32;
         Counts {
-            errors: told(&self.errors),
-            answers: told(&self.answers),
+            errors: scaled(&self.errors),
+            answers: scaled(&self.answers),
         }
     }
 
--- a/crates/routing/src/dispatch/pace.rs
+++ b/crates/routing/src/dispatch/pace.rs
@@ -46,12 +46,12 @@
 
 /// Times between events at the engines of one service.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Usual {
+pub(super) struct EventIntervals {
     events: FadingSum,
     seconds: FadingSum,
 }
 
-impl Default for Usual {
+impl Default for EventIntervals {
     fn default() -> Self {
         Self {
             events: FadingSum::new(BASELINE_DECAY),
@@ -60,7 +60,7 @@
     }
 }
 
-impl Usual {
+impl EventIntervals {
     /// Records a number of events that came within a time.
     fn note(&mut self, events: f64, took: Duration, now: Timestamp) {
         self.events.add(events, now);
@@ -77,47 +77,47 @@
 
 /// A weighted sum of paces, with weights in events.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Weighed {
+pub(super) struct WeightedPace {
     weight: f64,
     sum: f64,
 }
 
-impl Weighed {
+impl WeightedPace {
     fn add(&mut self, weight: f64, pace: f64) {
         self.weight += weight;
         self.sum += weight * pace;
     }
 
     /// Adds a pace that other gateways reported `age` ago for some of their requests.
-    pub fn add_word(&mut self, word: Word, age: Duration) {
-        let Some(pace) = word.pace() else {
+    pub fn add_report(&mut self, report: PaceReport, age: Duration) {
+        let Some(pace) = report.pace() else {
             return;
         };
-        let requests = f64::from(word.requests);
-        self.add(requests * REPORT_WEIGHT * faded(age), pace);
+        let requests = f64::from(report.requests);
+        self.add(requests * REPORT_WEIGHT * remaining_weight(age), pace);
     }
 }
 
 /// Pace of an engine as gateways report it to each other. Reports can be summed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Word {
+pub(super) struct PaceReport {
     /// Requests there whose pace is known.
     pub requests: u32,
     /// Sum of their paces, in eighths of the usual time.
     pub eighths: u32,
 }
 
-impl Word {
+impl PaceReport {
     fn pace(self) -> Option<f64> {
         let requests = f64::from(self.requests);
         let pace = f64::from(self.eighths) / PACE_SCALE / requests;
-        (self.requests > 0).then(|| bounded(pace))
+        (self.requests > 0).then(|| clamp_pace(pace))
     }
 }
 
 /// Pace reported by an engine.
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct ReportedPace {
     /// Multiple of the usual time there.
     pace: f64,
     at: Timestamp,
@@ -129,12 +129,12 @@
     events: FadingSum,
     /// Sum of the paces of those events.
     paces: FadingSum,
-    told: Option<Told>,
+    reported: Option<ReportedPace>,
     /// Mean pace that the engine reports. A pace that it always reports is its baseline.
-    mean_told: f64,
+    mean_reported: f64,
     /// Baseline pace there.
-    usual: f64,
-    usual_at: Timestamp,
+    baseline: f64,
+    baseline_at: Timestamp,
 }
 
 impl Default for Pace {
@@ -142,10 +142,10 @@
         Self {
             events: FadingSum::new(EVENT_DECAY),
             paces: FadingSum::new(EVENT_DECAY),
-            told: None,
-            mean_told: 1.0,
-            usual: 1.0,
-            usual_at: Timestamp::ZERO,
+            reported: None,
+            mean_reported: 1.0,
+            baseline: 1.0,
+            baseline_at: Timestamp::ZERO,
         }
     }
 }
@@ -154,44 +154,47 @@
     /// Records a number of events of an answer that came within a time, where one event
     /// usually takes `usual` seconds.
     fn measure(&mut self, events: f64, took: Duration, usual: f64, now: Timestamp) {
-        let pace = bounded(took.as_secs_f64() / events / usual);
+        let pace = clamp_pace(took.as_secs_f64() / events / usual);
         self.events.add(events, now);
         self.paces.add(events * pace, now);
     }
 
     /// Records the pace that the engine reports, in hundredths of the usual time there.
-    pub fn tell(&mut self, percent: u32, now: Timestamp) {
-        let pace = bounded(f64::from(percent) / 100.0);
-        let age = self.told.map_or(Duration::ZERO, |told| now.since(told.at));
+    pub fn record_reported(&mut self, percent: u32, now: Timestamp) {
+        let pace = clamp_pace(f64::from(percent) / 100.0);
+        let age = self
+            .reported
+            .map_or(Duration::ZERO, |reported| now.since(reported.at));
         let part = 1.0 - (-age.as_secs_f64() / BASELINE_DECAY.as_secs_f64()).exp();
-        self.mean_told += (pace - self.mean_told) * part;
-        self.told = Some(Told { pace, at: now });
+        self.mean_reported += (pace - self.mean_reported) * part;
+        self.reported = Some(ReportedPace { pace, at: now });
     }
 
     /// Returns the pace by this gateway's own observations.
-    fn own(&self, now: Timestamp) -> Weighed {
-        let mut own = Weighed {
+    fn own(&self, now: Timestamp) -> WeightedPace {
+        let mut own = WeightedPace {
             weight: self.events.at(now),
             sum: self.paces.at(now),
         };
-        if let Some(told) = self.told {
+        if let Some(reported) = self.reported {
             // Events measured in the meantime cover the same period and are more reliable.
-            let weight = REPORT_WEIGHT * faded(now.since(told.at)) / (1.0 + own.weight);
-            own.add(weight, told.pace / self.mean_told * self.usual);
+            let weight =
+                REPORT_WEIGHT * remaining_weight(now.since(reported.at)) / (1.0 + own.weight);
+            own.add(weight, reported.pace / self.mean_reported * self.baseline);
         }
         own
     }
 
     /// Returns the pace by this gateway's own observations of `requests` there, to report
     /// to others; empty if it has too few.
-    pub fn word(&self, requests: u32, now: Timestamp) -> Word {
+    pub fn report(&self, requests: u32, now: Timestamp) -> PaceReport {
         let own = self.own(now);
         if own.weight < BASELINE_WEIGHT || requests == 0 {
-            return Word::default();
+            return PaceReport::default();
         }
-        let pace = evened(own.sum / own.weight);
+        let pace = snap_to_usual(own.sum / own.weight);
         let eighths = (pace * PACE_SCALE).round() as u32;
-        Word {
+        PaceReport {
             requests,
             eighths: requests * eighths,
         }
@@ -199,33 +202,33 @@
 
     /// Returns the current pace by this gateway's observations and those that `others`
     /// reported.
-    pub fn at(&self, others: Weighed, now: Timestamp) -> f64 {
+    pub fn at(&self, others: WeightedPace, now: Timestamp) -> f64 {
         let own = self.own(now);
-        let mut all = Weighed {
+        let mut all = WeightedPace {
             weight: own.weight + others.weight,
             sum: own.sum + others.sum,
         };
-        all.add(BASELINE_WEIGHT, self.usual);
-        evened(all.sum / all.weight)
+        all.add(BASELINE_WEIGHT, self.baseline);
+        snap_to_usual(all.sum / all.weight)
     }
 
     /// Moves the baseline towards the current pace, so that a lasting pace eventually
     /// becomes the baseline.
-    pub fn get_used(&mut self, others: Weighed, now: Timestamp) {
-        let heard = self.own(now).weight + others.weight;
+    pub fn update_baseline(&mut self, others: WeightedPace, now: Timestamp) {
+        let observed = self.own(now).weight + others.weight;
         // Time without observations does not count: the pace may have differed then.
-        let age = now.since(self.usual_at).min(SHARE_HOLDS).as_secs_f64();
-        self.usual_at = now;
-        if heard < BASELINE_WEIGHT {
+        let age = now.since(self.baseline_at).min(SHARE_HOLDS).as_secs_f64();
+        self.baseline_at = now;
+        if observed < BASELINE_WEIGHT {
             return;
         }
         let part = 1.0 - (-age / BASELINE_DECAY.as_secs_f64()).exp();
-        self.usual += (usually(self.at(others, now)) - self.usual) * part;
+        self.baseline += (clamp_baseline(self.at(others, now)) - self.baseline) * part;
     }
 }
 
 /// Returns the remaining weight of a report of this age, from 1 down to 0.
-fn faded(age: Duration) -> f64 {
+fn remaining_weight(age: Duration) -> f64 {
     match age < SHARE_HOLDS {
         true => (-age.as_secs_f64() / REPORT_DECAY.as_secs_f64()).exp(),
         false => 0.0,
@@ -233,18 +236,18 @@
 }
 
 /// Returns the pace, or 1 if it deviates too little from the usual one.
-fn evened(pace: f64) -> f64 {
+fn snap_to_usual(pace: f64) -> f64 {
     match (pace - 1.0).abs() <= EQUAL_MARGIN {
         true => 1.0,
         false => pace,
     }
 }
 
-fn bounded(pace: f64) -> f64 {
+fn clamp_pace(pace: f64) -> f64 {
     pace.clamp(PACE_BOUNDS.0, PACE_BOUNDS.1)
 }
 
-fn usually(pace: f64) -> f64 {
+fn clamp_baseline(pace: f64) -> f64 {
     pace.clamp(BASELINE_BOUNDS.0, BASELINE_BOUNDS.1)
 }
 
@@ -260,7 +263,7 @@
             return;
         };
         let events = f64::from(events);
-        let usual = self.slot_times.usual(&engine.facts.service);
+        let usual = self.slot_times.event_intervals(&engine.facts.service);
         usual.note(events, took, now);
         if let Some(usual) = usual.seconds(now) {
             engine.pace.measure(events, took, usual, now);
@@ -314,7 +317,7 @@
         {
             return pace;
         }
-        let pace = self.pace.at(self.words(now), now);
+        let pace = self.pace.at(self.reported_pace(now), now);
         self.latest_pace.set(Some((pace, now)));
         pace
     }
@@ -331,11 +334,11 @@
     }
 
     /// Returns the weighted sum of the paces that other gateways reported.
-    pub fn words(&self, now: Timestamp) -> Weighed {
-        let mut words = Weighed::default();
-        for (word, at) in self.told_paces(now) {
-            words.add_word(word, now.since(at));
+    pub fn reported_pace(&self, now: Timestamp) -> WeightedPace {
+        let mut reports = WeightedPace::default();
+        for (report, at) in self.reported_paces(now) {
+            reports.add_report(report, now.since(at));
         }
-        words
+        reports
     }
 }
--- a/crates/routing/src/dispatch/relay.rs
+++ b/crates/routing/src/dispatch/relay.rs
@@ -45,7 +45,7 @@
     /// When the gateway last switched away from the first relay in its order.
     left_first: Timestamp,
     /// When the relay in use was chosen or last sent something.
-    heard: Timestamp,
+    last_heard: Timestamp,
     relay: Option<NodeId>,
 }
 
@@ -64,19 +64,19 @@
             let draw = xxh3_64_with_seed(&relay.0.to_be_bytes(), u64::from(own.0));
             (!near.contains(relay), draw)
         });
-        if self.relay.is_some() && now.since(self.heard) > RELAY_SILENCE {
+        if self.relay.is_some() && now.since(self.last_heard) > RELAY_SILENCE {
             if self.place == 0 {
                 self.left_first = now;
             }
             self.place += 1;
-            self.heard = now;
+            self.last_heard = now;
         } else if self.place > 0 && now.since(self.left_first) > RETURN_AFTER {
             self.place = 0;
         }
         let relay = order.get(self.place.checked_rem(order.len())?).copied();
         if relay != self.relay {
             self.relay = relay;
-            self.heard = now;
+            self.last_heard = now;
         }
         relay
     }
@@ -84,7 +84,7 @@
     /// Records a message from a relay.
     pub fn heard(&mut self, from: NodeId, now: Timestamp) {
         if self.relay == Some(from) {
-            self.heard = now;
+            self.last_heard = now;
         }
     }
 }
@@ -100,7 +100,7 @@
 
 /// Latest report of a node.
 #[derive(Clone, Debug)]
-struct Told {
+struct NodeReport {
     teller: Teller,
     shares: Vec<WorkShare>,
     at: Timestamp,
@@ -109,9 +109,9 @@
 /// Reports received by a relay.
 #[derive(Clone, Debug, Default)]
 pub struct WorkRelay {
-    told: BTreeMap<NodeId, Told>,
+    reported: BTreeMap<NodeId, NodeReport>,
     /// Number of gateways that each other relay represents, and when it reported that.
-    spoken_for: BTreeMap<NodeId, (u32, Timestamp)>,
+    represented: BTreeMap<NodeId, (u32, Timestamp)>,
 }
 
 impl WorkRelay {
@@ -124,25 +124,27 @@
         shares: Vec<WorkShare>,
         now: Timestamp,
     ) -> bool {
-        let told = Told {
+        let reported = NodeReport {
             teller,
             shares,
             at: now,
         };
-        let before = self.told.insert(from, told);
-        before.is_none_or(|before| before.shares != self.told[&from].shares)
+        let before = self.reported.insert(from, reported);
+        before.is_none_or(|before| before.shares != self.reported[&from].shares)
     }
 
     /// Records how many gateways another relay represents.
     pub fn note_spoken_for(&mut self, from: NodeId, gateways: u32, now: Timestamp) {
-        self.spoken_for.insert(from, (gateways, now));
+        self.represented.insert(from, (gateways, now));
     }
 
     /// Returns the number of gateways that report to this relay.
     #[must_use]
     pub fn gateways(&self) -> u32 {
-        let told = self.told.values();
-        told.filter(|told| told.teller == Teller::Gateway).count() as u32
+        let reported = self.reported.values();
+        reported
+            .filter(|reported| reported.teller == Teller::Gateway)
+            .count() as u32
     }
 
     /// Returns the time until the next round, where all engines together have this many
@@ -150,8 +152,8 @@
     /// relay's gateways requires.
     #[must_use]
     pub fn pause(&self, slots: u64) -> Duration {
-        let told = self.told.values().flat_map(|told| &told.shares);
-        let requests: u64 = told.map(|share| u64::from(share.requests)).sum();
+        let reported = self.reported.values().flat_map(|reported| &reported.shares);
+        let requests: u64 = reported.map(|share| u64::from(share.requests)).sum();
         if requests as f64 > slots as f64 * LOW_LOAD_OCCUPANCY {
             return MIN_ROUND;
         }
@@ -161,8 +163,9 @@
 
     /// Removes reports that have expired.
     pub fn expire(&mut self, now: Timestamp) {
-        self.told.retain(|_, told| now.since(told.at) < SHARE_HOLDS);
-        self.spoken_for
+        self.reported
+            .retain(|_, reported| now.since(reported.at) < SHARE_HOLDS);
+        self.represented
             .retain(|_, (_, at)| now.since(*at) < MISSING_TTL);
     }
 
@@ -172,23 +175,23 @@
     /// are counted as missing than are `present` and not reporting.
     #[must_use]
     pub fn all_by_told(&self, present: u32, now: Timestamp) -> f64 {
-        let (mut heard, mut missed) = (self.gateways(), 0);
-        for (gateways, at) in self.spoken_for.values() {
+        let (mut reporting, mut missing) = (self.gateways(), 0);
+        for (gateways, at) in self.represented.values() {
             match now.since(*at) < SHARE_HOLDS {
-                true => heard += gateways,
-                false => missed += gateways,
+                true => reporting += gateways,
+                false => missing += gateways,
             }
         }
-        let missed = missed.min(present.saturating_sub(heard));
-        1.0 + f64::from(missed) / f64::from(heard.max(1))
+        let missing = missing.min(present.saturating_sub(reporting));
+        1.0 + f64::from(missing) / f64::from(reporting.max(1))
     }
 
     /// Returns the summed work of this relay's gateways, to report to the other relays.
     #[must_use]
     pub fn sum_of_gateways(&self) -> Vec<WorkShare> {
-        let told = self.told.values();
-        let of_gateways = told.filter(|told| told.teller == Teller::Gateway);
-        sum(of_gateways.flat_map(|told| &told.shares))
+        let reported = self.reported.values();
+        let of_gateways = reported.filter(|reported| reported.teller == Teller::Gateway);
+        sum(of_gateways.flat_map(|reported| &reported.shares))
     }
 
     /// Returns, for each gateway of this relay, the summed work of all other gateways.
@@ -206,23 +209,23 @@
         &self,
         users: impl Fn(&[&str]) -> Vec<Option<Vec<NodeId>>>,
     ) -> Vec<(NodeId, Vec<WorkShare>)> {
-        let all = sum(self.told.values().flat_map(|told| &told.shares));
+        let all = sum(self.reported.values().flat_map(|reported| &reported.shares));
         let engines: Vec<&str> = all.iter().map(|share| share.engine.as_str()).collect();
         let users = users(&engines);
-        let told = self.told.iter();
-        let gateways = told.filter(|(_, told)| told.teller == Teller::Gateway);
-        let mut by_gateway: BTreeMap<NodeId, (&Told, Vec<WorkShare>)> = gateways
-            .map(|(&gateway, told)| (gateway, (told, Vec::new())))
+        let reported = self.reported.iter();
+        let gateways = reported.filter(|(_, reported)| reported.teller == Teller::Gateway);
+        let mut by_gateway: BTreeMap<NodeId, (&NodeReport, Vec<WorkShare>)> = gateways
+            .map(|(&gateway, reported)| (gateway, (reported, Vec::new())))
             .collect();
         for (share, users) in all.iter().zip(users) {
             match users {
                 None => by_gateway
                     .values_mut()
-                    .for_each(|(told, shares)| shares.extend(without(share, &told.shares))),
+                    .for_each(|(reported, shares)| shares.extend(without(share, &reported.shares))),
                 Some(users) => {
                     for user in users {
-                        if let Some((told, shares)) = by_gateway.get_mut(&user) {
-                            shares.extend(without(share, &told.shares));
+                        if let Some((reported, shares)) = by_gateway.get_mut(&user) {
+                            shares.extend(without(share, &reported.shares));
                         }
                     }
                 }
@@ -255,6 +258,6 @@
     let own = own.iter().find(|own| own.engine == all.engine);
     let rest = own.map_or_else(|| all.clone(), |own| all.without(own));
     let failed_own = own.is_some_and(|own| own.errors > 0);
-    let matters = rest.is_news_to_others() || (failed_own && !rest.is_empty());
+    let matters = rest.matters_to_others() || (failed_own && !rest.is_empty());
     matters.then_some(rest)
 }
--- a/crates/routing/src/dispatch/reserve.rs
+++ b/crates/routing/src/dispatch/reserve.rs
@@ -21,9 +21,9 @@
         if held <= START_VISIBILITY_DELAY {
             return 0.0;
         }
-        let others_tell = self.others_tell(now);
+        let others_report = self.others_report(now);
         let engines = self.of_service(service);
-        let online: f64 = engines.map(|one| one.online_load(now, others_tell)).sum();
+        let online: f64 = engines.map(|one| one.online_load(now, others_report)).sum();
         online * START_VISIBILITY_DELAY.as_secs_f64() / held.as_secs_f64()
     }
 }
--- a/crates/routing/src/dispatch/room.rs
+++ b/crates/routing/src/dispatch/room.rs
@@ -122,12 +122,12 @@
         if self.slot_times.mean(pick.service) < START_VISIBILITY_DELAY {
             return true;
         }
-        let others_tell = self.others_tell(now);
+        let others_report = self.others_report(now);
         let mut room = 0.0;
         let mut own = 0.0;
         let mut all = 0.0;
         for engine in self.within_reach(pick.service) {
-            let online = engine.online_load(now, others_tell);
+            let online = engine.online_load(now, others_report);
             own += f64::from(engine.own_online());
             all += online;
             if !engine.is_paused(now) {
--- a/crates/routing/src/dispatch/short.rs
+++ b/crates/routing/src/dispatch/short.rs
@@ -122,14 +122,14 @@
     /// Records the time from sending an online request to an engine until its complete
     /// answer, including the wait there.
     pub fn note_time_at(&mut self, id: &str, took: Duration, now: Timestamp) {
-        let others_tell = self.others_tell(now);
+        let others_report = self.others_report(now);
         let Some(engine) = self.engines.get(id) else {
             return;
         };
         // In a steady state, a departing request leaves as many requests there as it found
         // on arrival.
         let behind = engine.fresh_load(now, took);
-        let behind = behind.unwrap_or_else(|| engine.load(now, others_tell));
+        let behind = behind.unwrap_or_else(|| engine.load(now, others_report));
         let slots = f64::from(engine.facts.slots);
         let kept = took.as_secs_f64() * slots / slots.max(behind);
         self.work_times.note(&engine.facts.service, kept);
@@ -165,7 +165,7 @@
         let kept = self.work_times.short(pick.service)?;
         let slots = f64::from(engine.facts.slots);
         let there = engine.fresh_load(now, kept);
-        let there = there.unwrap_or_else(|| engine.load(now, self.others_tell(now)));
+        let there = there.unwrap_or_else(|| engine.load(now, self.others_report(now)));
         let places = match pick.standing {
             Standing::Late => slots,
             Standing::InTime { left } => slots + slots * left.as_secs_f64() / kept.as_secs_f64(),
--- a/crates/routing/src/dispatch/slot_time.rs
+++ b/crates/routing/src/dispatch/slot_time.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use super::pace::Usual;
+use super::pace::EventIntervals;
 
 /// Weight of the latest request in the mean, which covers about 30 requests.
 const LATEST_WEIGHT: f64 = 1.0 / 32.0;
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, Default)]
 pub(super) struct SlotTimes {
     means: BTreeMap<String, f64>,
-    usual: BTreeMap<String, Usual>,
+    event_intervals: BTreeMap<String, EventIntervals>,
 }
 
 impl SlotTimes {
@@ -34,8 +34,8 @@
     }
 
     /// Returns the times between events at engines of the service.
-    pub fn usual(&mut self, service: &str) -> &mut Usual {
-        self.usual.entry(service.to_owned()).or_default()
+    pub fn event_intervals(&mut self, service: &str) -> &mut EventIntervals {
+        self.event_intervals.entry(service.to_owned()).or_default()
     }
 
     /// Returns how many requests an engine with this many `slots` and this pace starts
--- a/crates/routing/src/dispatch/slow.rs
+++ b/crates/routing/src/dispatch/slow.rs
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Since {
     at: Timestamp,
-    told: bool,
+    reported: bool,
 }
 
 /// Engines that were slow at the latest check.
@@ -47,7 +47,7 @@
         let mut changes = Vec::new();
         self.0.retain(|engine, since| {
             let stays = slow.iter().any(|(one, _)| one == engine);
-            if !stays && since.told {
+            if !stays && since.reported {
                 let engine = engine.clone();
                 changes.push(SlowChange::Back { engine });
             }
@@ -56,10 +56,10 @@
         for (engine, pace) in slow {
             let since = self.0.entry(engine.clone()).or_insert(Since {
                 at: now,
-                told: false,
+                reported: false,
             });
-            if !since.told && now.since(since.at) >= MIN_SLOW_DURATION {
-                since.told = true;
+            if !since.reported && now.since(since.at) >= MIN_SLOW_DURATION {
+                since.reported = true;
                 changes.push(SlowChange::Slow {
                     engine: engine.clone(),
                     pace: *pace,
--- a/crates/routing/src/dispatch/table.rs
+++ b/crates/routing/src/dispatch/table.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 
 use super::candidate::{Candidate, answer_tokens};
-use super::demand::Demands;
+use super::demand::DemandTable;
 use super::engine::{Engine, EngineFacts, Failure, WorkShare};
 use super::lives::{Departures, LatestLives};
 use super::load::EngineLoad;
@@ -121,7 +121,7 @@
     latest: LatestLives,
     holders: Holders,
     /// When another gateway last reported its work.
-    told: Option<Timestamp>,
+    last_report: Option<Timestamp>,
     /// When an engine last answered this gateway.
     answered: Option<Timestamp>,
     /// Number of gateways, this one included.
@@ -135,7 +135,7 @@
     pub(super) work_times: WorkTimes,
     /// Reachability of zones.
     pub(super) reach: ReachTable,
-    pub(super) demands: Demands,
+    pub(super) demands: DemandTable,
     pub(super) random: ChaCha8Rng,
 }
 
@@ -150,7 +150,7 @@
             left: BTreeSet::new(),
             latest: LatestLives::default(),
             holders: Holders::default(),
-            told: None,
+            last_report: None,
             answered: None,
             gateways: 1,
             users: BTreeMap::new(),
@@ -160,7 +160,7 @@
             slot_times: SlotTimes::default(),
             work_times: WorkTimes::default(),
             reach: ReachTable::default(),
-            demands: Demands::default(),
+            demands: DemandTable::default(),
             random: ChaCha8Rng::seed_from_u64(seed),
         }
     }
@@ -205,8 +205,8 @@
     /// removed, and it no longer delays the removal of others.
     pub fn forget_teller(&mut self, from: NodeId) {
         self.engines.retain(|_, engine| {
-            let told = engine.known_by.remove(&from);
-            !told || !engine.known_by.is_empty()
+            let listed = engine.known_by.remove(&from);
+            !listed || !engine.known_by.is_empty()
         });
     }
 
@@ -392,7 +392,7 @@
 
     /// Records another gateway's complete report of its work at engines.
     pub fn note_shares(&mut self, from: NodeId, shares: &[WorkShare], now: Timestamp) {
-        self.told = Some(now);
+        self.last_report = Some(now);
         // Runs many times a second over all engines; a linear search for each would take
         // quadratic time.
         let shares = shares.iter().map(|share| (share.engine.as_str(), share));
@@ -412,12 +412,12 @@
     /// Returns the requests at all reachable engines as a share of their slots.
     #[must_use]
     pub fn occupancy(&self, now: Timestamp) -> f64 {
-        let others_tell = self.others_tell(now);
+        let others_report = self.others_report(now);
         let engines = self.engines.values();
         let engines = engines.filter(|engine| !self.reach.is_avoided(&engine.facts.zone));
         let (load, slots) = engines.fold((0.0, 0), |(load, slots), engine| {
             (
-                load + engine.load(now, others_tell),
+                load + engine.load(now, others_report),
                 slots + engine.facts.slots,
             )
         });
@@ -461,8 +461,9 @@
         engines.filter(move |engine| engine.facts.service == service)
     }
 
-    pub(super) fn others_tell(&self, now: Timestamp) -> bool {
-        self.told.is_some_and(|told| now.since(told) < REPORT_TTL)
+    pub(super) fn others_report(&self, now: Timestamp) -> bool {
+        self.last_report
+            .is_some_and(|reported| now.since(reported) < REPORT_TTL)
     }
 
     /// Sets the number of gateways, this one included.
@@ -474,10 +475,10 @@
     /// service: its share of what they take from all gateways.
     #[must_use]
     pub fn batch_headroom(&self, service: &str, now: Timestamp) -> f64 {
-        let others_tell = self.others_tell(now);
+        let others_report = self.others_report(now);
         let of_service: Vec<&Engine> = self.within_reach(service).collect();
         let slots: u32 = of_service.iter().map(|one| one.facts.slots).sum();
-        let loads = of_service.iter().map(|one| one.load(now, others_tell));
+        let loads = of_service.iter().map(|one| one.load(now, others_report));
         let kept = self.kept_for_online(service, now);
         let free = f64::from(slots) - loads.sum::<f64>() - kept;
         let avoided = self.avoided(service, now);
@@ -488,7 +489,7 @@
         let room: f64 = usable
             .map(|engine| {
                 let slots = engine.slots(now);
-                (slots - engine.load(now, others_tell)).max(0.0)
+                (slots - engine.load(now, others_report)).max(0.0)
             })
             .sum();
         let share = 1.0 / self.sharers(service);
@@ -517,25 +518,25 @@
 
     /// Whether an engine has reached its limit for such requests.
     fn is_full(&self, engine: &Engine, pick: &Pick<'_>, now: Timestamp) -> bool {
-        let others_tell = self.others_tell(now);
+        let others_report = self.others_report(now);
         if pick.class == WorkClass::Batch {
             let slots = engine.slots(now);
-            return engine.load(now, others_tell) >= slots * MAX_BATCH_LOAD;
+            return engine.load(now, others_report) >= slots * MAX_BATCH_LOAD;
         }
         if let Some(full) = self.is_full_of_short(engine, pick, now) {
             return full;
         }
-        engine.online_load(now, others_tell) + 1.0 > self.places(engine, pick, now)
+        engine.online_load(now, others_report) + 1.0 > self.places(engine, pick, now)
     }
 
     /// Returns the engines at which this gateway's batch work is to be preempted, with the
     /// number of requests.
     pub fn batch_to_cut(&mut self, now: Timestamp) -> Vec<(String, u32)> {
-        let others_tell = self.others_tell(now);
+        let others_report = self.others_report(now);
         let mut cuts = Vec::new();
         for (id, engine) in &mut self.engines {
             let draw = self.random.random();
-            let cut = engine.batch_to_cut(now, others_tell, draw);
+            let cut = engine.batch_to_cut(now, others_report, draw);
             if cut > 0 {
                 cuts.push((id.clone(), cut));
             }
@@ -571,7 +572,7 @@
 
     /// Returns the engine that is likely to answer first among those with capacity.
     fn choose(&mut self, pick: &Pick<'_>, now: Timestamp) -> Option<Picked> {
-        let others_tell = self.others_tell(now);
+        let others_report = self.others_report(now);
         let avoided = self.avoided(pick.service, now);
         let home = self.home(pick);
         let engines = self.engines.values();
@@ -583,7 +584,7 @@
         }
         let candidates = open
             .into_iter()
-            .map(|one| self.candidate(one, pick, home, others_tell, now));
+            .map(|one| self.candidate(one, pick, home, others_report, now));
         let mut candidates: Vec<Candidate<'_>> = candidates.collect();
         let looked_at = match pick.prompt.tokens < LONG_PROMPT_TOKENS {
             true if self.work_times.short(pick.service).is_some() => {
@@ -612,8 +613,8 @@
         };
         let id = self.freed.find(now, open)?;
         let engine = self.engines.get(&id)?;
-        let others_tell = self.others_tell(now);
-        let candidate = self.candidate(engine, pick, self.home(pick), others_tell, now);
+        let others_report = self.others_report(now);
+        let candidate = self.candidate(engine, pick, self.home(pick), others_report, now);
         let picked = Picked {
             takes_over: true,
             ..candidate.picked()
@@ -651,7 +652,7 @@
         engine: &'e Engine,
         pick: &Pick<'_>,
         home: Option<&str>,
-        others_tell: bool,
+        others_report: bool,
         now: Timestamp,
     ) -> Candidate<'e> {
         let facts = &engine.facts;
@@ -661,7 +662,7 @@
         let kept_tokens = held.map_or(0, |shared| shared.tokens);
         Candidate {
             facts,
-            load: engine.load(now, others_tell),
+            load: engine.load(now, others_report),
             unread_tokens: pick.prompt.tokens.saturating_sub(kept_tokens),
             before_tokens: engine.unread_tokens(now),
             own_batch: f64::from(engine.own_batch()),
