--- a/crates/routing/src/dispatch/avoided.rs
+++ b/crates/routing/src/dispatch/avoided.rs
@@ -34,6 +34,7 @@
 }
 
 fn failing<'e>(engines: impl Iterator<Item = &'e Engine>, now: Timestamp) -> BTreeSet<&'e str> {
-    let failing = engines.filter(|engine| engine.fails_others(now) || engine.errs(now));
+    let failing =
+        engines.filter(|engine| engine.fails_for_others(now) || engine.fails_some_requests(now));
     failing.map(|engine| engine.facts.id.as_str()).collect()
 }
--- a/crates/routing/src/dispatch/candidate.rs
+++ b/crates/routing/src/dispatch/candidate.rs
@@ -64,20 +64,20 @@
         let slots = f64::from(self.facts.slots);
         let reading = (self.before_tokens + self.unread_tokens) as f64 * self.pace;
         let running = self.load / slots.max(1.0) * RUNNING_TOKENS;
-        let held_up = self.load * self.unread_tokens as f64 * DELAY_SHARE;
+        let delaying = self.load * self.unread_tokens as f64 * DELAY_SHARE;
         let answering = (self.pace - 1.0) * self.answer_tokens;
-        reading + running + held_up + answering + zone + self.slot_cost(slots)
+        reading + running + delaying + answering + zone + self.slot_cost(slots)
     }
 
     /// Returns the estimated wait for a slot. Batch work is preempted, this gateway's
     /// first; behind other online requests the wait is the longest.
     fn slot_cost(&self, slots: f64) -> f64 {
         let wanted = (self.load - slots + 1.0).max(0.0);
-        let cut_here = wanted.min(self.own_batch);
-        let cut_elsewhere = (wanted - cut_here).min(self.others_batch);
-        let waiting = wanted - cut_here - cut_elsewhere;
-        cut_here * PREEMPT_OWN_TOKENS
-            + cut_elsewhere * PREEMPT_OTHERS_TOKENS
+        let preempted_own = wanted.min(self.own_batch);
+        let preempted_others = (wanted - preempted_own).min(self.others_batch);
+        let waiting = wanted - preempted_own - preempted_others;
+        preempted_own * PREEMPT_OWN_TOKENS
+            + preempted_others * PREEMPT_OTHERS_TOKENS
             + waiting * WAITING_TOKENS
     }
 
--- a/crates/routing/src/dispatch/engine.rs
+++ b/crates/routing/src/dispatch/engine.rs
@@ -8,7 +8,7 @@
 use minicbor::{Decode, Encode};
 use molespan_types::{NodeId, Timestamp, ZoneName};
 
-use super::errors::{Counts, Errors};
+use super::errors::{Counts, ErrorStats};
 use super::load::EngineLoad;
 use super::pace::{Pace, PaceReport};
 use super::short::Backoff;
@@ -202,17 +202,17 @@
     failures: u32,
     /// Backoff after consecutive rejections for lack of capacity.
     pub backoff: Backoff,
-    paused_until: Timestamp,
+    backoff_until: Timestamp,
     /// End of the backoff after a failure; an engine that is only full does not count as
     /// failing.
     failing_until: Timestamp,
     /// Until when its last answer counts as evidence that it works.
     answering_until: Timestamp,
-    crowded_until: Timestamp,
-    next_cut: Timestamp,
+    batch_holdoff_until: Timestamp,
+    next_preemption: Timestamp,
     /// Whether this gateway started an online request since the last preemption check.
-    came: bool,
-    errors: Errors,
+    online_started: bool,
+    errors: ErrorStats,
     /// How long work takes at the engine.
     pub pace: Pace,
     /// Last computed pace, and when.
@@ -232,13 +232,13 @@
             report: None,
             failures: 0,
             backoff: Backoff::default(),
-            paused_until: Timestamp::ZERO,
+            backoff_until: Timestamp::ZERO,
             failing_until: Timestamp::ZERO,
             answering_until: Timestamp::ZERO,
-            crowded_until: Timestamp::ZERO,
-            next_cut: Timestamp::ZERO,
-            came: false,
-            errors: Errors::default(),
+            batch_holdoff_until: Timestamp::ZERO,
+            next_preemption: Timestamp::ZERO,
+            online_started: false,
+            errors: ErrorStats::default(),
             pace: Pace::default(),
             latest_pace: Cell::default(),
         }
@@ -265,7 +265,7 @@
 
     pub fn started(&mut self, class: WorkClass, unread_tokens: u64) {
         *self.count(class) += 1;
-        self.came |= class == WorkClass::Online;
+        self.online_started |= class == WorkClass::Online;
         self.unread_tokens += unread_tokens;
     }
 
@@ -332,7 +332,7 @@
         self.shares.insert(from, share);
         self.latest_pace.set(None);
         self.pace.update_baseline(self.reported_pace(now), now);
-        self.errors.decide(self.counts_of_others(now), now);
+        self.errors.update_avoided(self.counts_of_others(now), now);
     }
 
     /// Discards another node's report of gateways' work here.
@@ -413,42 +413,42 @@
     /// up to the excess. At least one is preempted where an online request of this gateway
     /// has just started: the other gateways then observe both changes at once.
     pub fn batch_to_cut(&mut self, now: Timestamp, others_report: bool, draw: f64) -> u32 {
-        let came = std::mem::take(&mut self.came);
+        let online_started = std::mem::take(&mut self.online_started);
         let excess = self.load(now, others_report) - f64::from(self.facts.slots);
         if excess <= 0.0 {
             return 0;
         }
-        self.crowded_until = now + BATCH_HOLDOFF;
-        if self.batch == 0 || (now < self.next_cut && !came) {
+        self.batch_holdoff_until = now + BATCH_HOLDOFF;
+        if self.batch == 0 || (now < self.next_preemption && !online_started) {
             return 0;
         }
-        let part = match now < self.next_cut {
+        let share = match now < self.next_preemption {
             true => 0.0,
             false => f64::from(self.batch) / f64::from(self.batch + self.others_batch(now)),
         };
-        let cut = (excess * part + draw) as u32;
-        let cut = cut.max(u32::from(came));
+        let cut = (excess * share + draw) as u32;
+        let cut = cut.max(u32::from(online_started));
         if cut > 0 {
-            self.next_cut = now + PREEMPTION_VISIBILITY_DELAY;
+            self.next_preemption = now + PREEMPTION_VISIBILITY_DELAY;
         }
         cut.min(self.batch)
     }
 
     /// Whether online work recently needed all slots, so that batch work starting now would
     /// be preempted again.
-    pub fn is_crowded(&self, now: Timestamp) -> bool {
-        now < self.crowded_until
+    pub fn is_batch_held_off(&self, now: Timestamp) -> bool {
+        now < self.batch_holdoff_until
     }
 
     /// Whether it is backed off after a recent failure or lack of capacity.
-    pub fn is_paused(&self, now: Timestamp) -> bool {
-        now < self.paused_until
+    pub fn is_backed_off(&self, now: Timestamp) -> bool {
+        now < self.backoff_until
     }
 
     /// Records that the engine answered an online request, or failed it.
     pub fn answered(&mut self, failed: bool, now: Timestamp) {
         self.errors.note(failed, now);
-        self.errors.decide(self.counts_of_others(now), now);
+        self.errors.update_avoided(self.counts_of_others(now), now);
     }
 
     fn counts_of_others(&self, now: Timestamp) -> Counts {
@@ -461,14 +461,14 @@
     }
 
     /// Whether it fails some of its requests.
-    pub fn errs(&self, now: Timestamp) -> bool {
+    pub fn fails_some_requests(&self, now: Timestamp) -> bool {
         self.errors.is_avoided(self.counts_of_others(now), now)
     }
 
     /// Whether it recently failed for several other gateways and answered fewer: if some
     /// can't reach it and others can, it works. Gateways whose own backoff ends try it
     /// again, so that the state is always rechecked.
-    pub fn fails_others(&self, now: Timestamp) -> bool {
+    pub fn fails_for_others(&self, now: Timestamp) -> bool {
         let failing: u32 = self.fresh_shares(now).map(|share| share.failing).sum();
         let answering: u32 = self.fresh_shares(now).map(|share| share.answering).sum();
         let answering = answering + u32::from(now < self.answering_until);
@@ -477,7 +477,7 @@
 
     pub fn failed(&mut self, failure: Failure, now: Timestamp) {
         if failure == Failure::Full {
-            return self.leave_out(FULL_BACKOFF, now);
+            return self.back_off(FULL_BACKOFF, now);
         }
         self.failures += 1;
         // A single broken answer may be the fault of that answer; two point to the engine.
@@ -485,23 +485,23 @@
             return;
         }
         let doublings = (self.failures - 1).min(MAX_DOUBLINGS);
-        let pause = (INITIAL_BACKOFF * 2_u32.pow(doublings)).min(MAX_BACKOFF);
-        self.paused_until = self.paused_until.max(now + pause);
-        self.failing_until = self.paused_until;
+        let backoff = (INITIAL_BACKOFF * 2_u32.pow(doublings)).min(MAX_BACKOFF);
+        self.backoff_until = self.backoff_until.max(now + backoff);
+        self.failing_until = self.backoff_until;
         self.answering_until = now;
     }
 
     /// Sends it no requests for a while.
-    pub fn leave_out(&mut self, pause: Duration, now: Timestamp) {
-        self.paused_until = self.paused_until.max(now + pause);
+    pub fn back_off(&mut self, backoff: Duration, now: Timestamp) {
+        self.backoff_until = self.backoff_until.max(now + backoff);
     }
 
     /// Records that the engine is gone for good; when it restarts, it is a different
     /// incarnation.
     pub fn displaced(&mut self, now: Timestamp) {
         self.failures += 1;
-        self.paused_until = now + GONE_BACKOFF;
-        self.failing_until = self.paused_until;
+        self.backoff_until = now + GONE_BACKOFF;
+        self.failing_until = self.backoff_until;
         self.answering_until = now;
     }
 
@@ -513,12 +513,12 @@
     }
     /// Ends the backoff after its zone became reachable again: the failures may have been
     /// those of the network. An engine that is gone for good stays backed off.
-    pub fn within_reach_again(&mut self, now: Timestamp) {
-        if self.paused_until > now + MAX_BACKOFF {
+    pub fn end_backoff(&mut self, now: Timestamp) {
+        if self.backoff_until > now + MAX_BACKOFF {
             return;
         }
         self.failures = 0;
-        self.paused_until = self.paused_until.min(now);
+        self.backoff_until = self.backoff_until.min(now);
         self.failing_until = self.failing_until.min(now);
     }
 
--- a/crates/routing/src/dispatch/errors.rs
+++ b/crates/routing/src/dispatch/errors.rs
@@ -24,7 +24,7 @@
 
 /// Recent errors and answers of one engine.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Errors {
+pub(super) struct ErrorStats {
     errors: FadingSum,
     answers: FadingSum,
     avoided: bool,
@@ -37,7 +37,7 @@
     pub answers: u32,
 }
 
-impl Default for Errors {
+impl Default for ErrorStats {
     fn default() -> Self {
         Self {
             errors: FadingSum::new(DECAY_TIME),
@@ -47,7 +47,7 @@
     }
 }
 
-impl Errors {
+impl ErrorStats {
     /// Records the end of a request, and whether the engine failed it.
     pub fn note(&mut self, failed: bool, now: Timestamp) {
         self.answers.add(1.0, now);
@@ -79,7 +79,7 @@
 
     /// Stores the current decision, so that the lower threshold applies while the engine is
     /// avoided.
-    pub fn decide(&mut self, others: Counts, now: Timestamp) {
+    pub fn update_avoided(&mut self, others: Counts, now: Timestamp) {
         self.avoided = self.is_avoided(others, now);
     }
 }
--- a/crates/routing/src/dispatch/reachable.rs
+++ b/crates/routing/src/dispatch/reachable.rs
@@ -192,7 +192,7 @@
         let of_zone = self.engines.values().filter(|one| one.facts.zone == *zone);
         let well = of_zone.filter(|engine| {
             let failed = self.reach.has_failed(zone, engine.facts.address.ip(), now);
-            !failed && !engine.is_paused(now)
+            !failed && !engine.is_backed_off(now)
         });
         let mut well: Vec<&Engine> = well.collect();
         well.shuffle(&mut self.random);
@@ -234,7 +234,7 @@
             };
             let engines = self.engines.values_mut();
             let of_zone = engines.filter(|engine| engine.facts.zone == *zone);
-            of_zone.for_each(|engine| engine.within_reach_again(now));
+            of_zone.for_each(|engine| engine.end_backoff(now));
         }
         changes
     }
--- a/crates/routing/src/dispatch/room.rs
+++ b/crates/routing/src/dispatch/room.rs
@@ -130,7 +130,7 @@
             let online = engine.online_load(now, others_report);
             own += f64::from(engine.own_online());
             all += online;
-            if !engine.is_paused(now) {
+            if !engine.is_backed_off(now) {
                 room += (self.places(engine, pick, now) - online).max(0.0);
             }
         }
--- a/crates/routing/src/dispatch/short.rs
+++ b/crates/routing/src/dispatch/short.rs
@@ -48,27 +48,27 @@
 /// Detects whether requests of a service recently found engines without capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct Shortage {
-    turned_away: FadingSum,
+    rejections: FadingSum,
     short: bool,
 }
 
 impl Default for Shortage {
     fn default() -> Self {
         Self {
-            turned_away: FadingSum::new(SHORTAGE_DECAY),
+            rejections: FadingSum::new(SHORTAGE_DECAY),
             short: false,
         }
     }
 }
 
 impl Shortage {
-    /// Records that an engine answered a request, or `turned_away` one for lack of
+    /// Records that an engine answered a request, or `rejected` one for lack of
     /// capacity. Returns whether the service is now short of capacity, if that changed.
-    pub fn note(&mut self, turned_away: bool, now: Timestamp) -> Option<bool> {
-        if turned_away {
-            self.turned_away.add(1.0, now);
+    pub fn note(&mut self, rejected: bool, now: Timestamp) -> Option<bool> {
+        if rejected {
+            self.rejections.add(1.0, now);
         }
-        let lately = self.turned_away.at(now);
+        let lately = self.rejections.at(now);
         let short = match self.short {
             true => lately >= RECOVERY_THRESHOLD,
             false => lately >= SHORTAGE_THRESHOLD,
@@ -89,9 +89,9 @@
     fn next(&mut self, kept: Duration, random: &mut impl Rng) -> Duration {
         let spread = random.random_range(1.0 - BACKOFF_JITTER..1.0 + BACKOFF_JITTER);
         let first = kept.mul_f64(INITIAL_BACKOFF_SLOT_TIMES * spread);
-        let pause = first * 2_u32.pow(self.0.min(MAX_DOUBLINGS));
+        let backoff = first * 2_u32.pow(self.0.min(MAX_DOUBLINGS));
         self.0 += 1;
-        pause.clamp(MIN_BACKOFF, MAX_BACKOFF)
+        backoff.clamp(MIN_BACKOFF, MAX_BACKOFF)
     }
 }
 
@@ -136,15 +136,15 @@
     }
 
     /// Records that an engine had no capacity for a request.
-    pub(super) fn turned_away(&mut self, id: &str, now: Timestamp) {
+    pub(super) fn record_rejection(&mut self, id: &str, now: Timestamp) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
         let Some(kept) = self.work_times.short(&engine.facts.service) else {
             return engine.failed(Failure::Full, now);
         };
-        let pause = engine.backoff.next(kept, &mut self.random);
-        engine.leave_out(pause, now);
+        let backoff = engine.backoff.next(kept, &mut self.random);
+        engine.back_off(backoff, now);
     }
 
     /// Returns the mean time for which a request of a service holds a slot, if it is short
--- a/crates/routing/src/dispatch/table.rs
+++ b/crates/routing/src/dispatch/table.rs
@@ -427,7 +427,7 @@
     /// Records that an attempt failed.
     pub fn failed(&mut self, id: &str, failure: Failure, now: Timestamp) {
         if failure == Failure::Full {
-            return self.turned_away(id, now);
+            return self.record_rejection(id, now);
         }
         if let Some(engine) = self.engines.get_mut(id) {
             engine.failed(failure, now);
@@ -484,7 +484,7 @@
         let avoided = self.avoided(service, now);
         let usable = of_service
             .iter()
-            .filter(|engine| !engine.is_paused(now) && !engine.is_crowded(now))
+            .filter(|engine| !engine.is_backed_off(now) && !engine.is_batch_held_off(now))
             .filter(|engine| !avoided.contains(engine.facts.id.as_str()));
         let room: f64 = usable
             .map(|engine| {
@@ -632,11 +632,11 @@
         now: Timestamp,
     ) -> bool {
         let facts = &engine.facts;
-        let failing = engine.is_paused(now) || avoided.contains(facts.id.as_str());
+        let failing = engine.is_backed_off(now) || avoided.contains(facts.id.as_str());
         let failing = failing || self.reach.is_avoided(&facts.zone);
         let tried = pick.tried.contains(&facts.id);
-        let crowded = pick.class == WorkClass::Batch && engine.is_crowded(now);
-        let shut = failing || tried || crowded;
+        let batch_held_off = pick.class == WorkClass::Batch && engine.is_batch_held_off(now);
+        let shut = failing || tried || batch_held_off;
         facts.service == pick.service && !shut && !self.is_full(engine, pick, now)
     }
 
