--- a/crates/routing/src/dispatch/avoided.rs
+++ b/crates/routing/src/dispatch/avoided.rs
@@ -24,8 +24,8 @@
     /// Returns the engines of the service to avoid because they fail for other gateways, or
     /// fail some of all requests.
     pub(super) fn avoided(&self, service: &str, now: Timestamp) -> BTreeSet<&str> {
-        let failing = failing(self.within_reach(service), now);
-        let all = self.within_reach(service).count() as f64;
+        let failing = failing(self.reachable_engines(service), now);
+        let all = self.reachable_engines(service).count() as f64;
         match failing.len() as f64 <= all * MAX_FAILING_SHARE {
             true => failing,
             false => BTreeSet::new(),
--- a/crates/routing/src/dispatch/lives.rs
+++ b/crates/routing/src/dispatch/lives.rs
@@ -34,10 +34,10 @@
     }
 
     /// Whether an engine announced its departure, in this incarnation or a later one.
-    pub fn bind(&self, id: &str) -> bool {
-        let life = EngineLife::of(id);
-        let mut departed = lives_of(&self.known, life.name);
-        departed.any(|(id, ())| life.is_bound_by(&EngineLife::of(id)))
+    pub fn applies_to(&self, id: &str) -> bool {
+        let incarnation = EngineLife::of(id);
+        let mut departed = lives_of(&self.known, incarnation.name);
+        departed.any(|(id, ())| incarnation.is_bound_by(&EngineLife::of(id)))
     }
 }
 
@@ -81,8 +81,8 @@
     /// ended.
     #[must_use]
     pub fn has_later(&self, id: &str) -> bool {
-        let life = EngineLife::of(id);
-        let later = self.latest(life.name);
-        later.is_some() && life.born < later
+        let incarnation = EngineLife::of(id);
+        let later = self.latest(incarnation.name);
+        later.is_some() && incarnation.born < later
     }
 }
--- a/crates/routing/src/dispatch/load.rs
+++ b/crates/routing/src/dispatch/load.rs
@@ -43,9 +43,9 @@
     /// optionally the pace. A figure that is not a non-negative whole number is `None`.
     #[must_use]
     pub fn read(figures: &[Option<u32>]) -> Self {
-        let figure = |place: usize, most: u32| {
+        let figure = |place: usize, max: u32| {
             let figure = figures.get(place).copied().flatten();
-            figure.filter(|figure| *figure <= most)
+            figure.filter(|figure| *figure <= max)
         };
         let requests = figure(0, MAX_REQUESTS).zip(figure(1, MAX_REQUESTS));
         let Some(((running, waiting), slots)) = requests.zip(figure(2, MAX_SLOTS)) else {
--- a/crates/routing/src/dispatch/loss.rs
+++ b/crates/routing/src/dispatch/loss.rs
@@ -11,26 +11,26 @@
 pub struct Loss {
     /// Urgency of the item: rises by one each time the remaining time halves, so that the
     /// tokens to read again decide among items with similar deadlines.
-    pressing: u32,
+    urgency_level: u32,
     /// Tokens to read again.
-    read_again: u64,
+    reread_tokens: u64,
     /// Number of the run; the latest one is preempted first.
     number: Reverse<u64>,
 }
 
 impl Loss {
-    /// Returns the cost of preempting the run `number`, which would have `read_again`
+    /// Returns the cost of preempting the run `number`, which would have `reread_tokens`
     /// tokens read again, of an item of this urgency, by a clock that shows `now_ms`.
     #[must_use]
-    pub fn of(urgency: Urgency, now_ms: u64, read_again: u64, number: u64) -> Self {
+    pub fn of(urgency: Urgency, now_ms: u64, reread_tokens: u64, number: u64) -> Self {
         let left_ms = urgency.due_ms.saturating_sub(now_ms).max(1);
-        let pressing = match urgency.late {
+        let urgency_level = match urgency.late {
             true => 0,
             false => left_ms.leading_zeros() + 1,
         };
         Self {
-            pressing,
-            read_again,
+            urgency_level,
+            reread_tokens,
             number: Reverse(number),
         }
     }
--- a/crates/routing/src/dispatch/prompt.rs
+++ b/crates/routing/src/dispatch/prompt.rs
@@ -60,16 +60,16 @@
 
 /// Which engines recently read which shared prompts.
 #[derive(Debug, Default)]
-pub(super) struct Holders {
+pub(super) struct PromptHolders {
     read: BTreeMap<(u64, String), Timestamp>,
     order: VecDeque<(u64, String)>,
 }
 
-impl Holders {
+impl PromptHolders {
     pub fn note(&mut self, key: u64, engine: &str, now: Timestamp) {
-        let place = (key, engine.to_owned());
-        if self.read.insert(place.clone(), now).is_none() {
-            self.order.push_back(place);
+        let pair = (key, engine.to_owned());
+        if self.read.insert(pair.clone(), now).is_none() {
+            self.order.push_back(pair);
         }
         if self.order.len() > MAX_REMEMBERED
             && let Some(oldest) = self.order.pop_front()
@@ -86,6 +86,9 @@
 
 /// Returns the engine, of the given identifiers, where every gateway looks first for a
 /// shared prompt. Chosen by rendezvous hashing.
-pub(super) fn home<'e>(key: u64, engines: impl Iterator<Item = &'e str>) -> Option<&'e str> {
+pub(super) fn preferred_engine<'e>(
+    key: u64,
+    engines: impl Iterator<Item = &'e str>,
+) -> Option<&'e str> {
     engines.max_by_key(|engine| xxh3_64_with_seed(engine.as_bytes(), key))
 }
--- a/crates/routing/src/dispatch/reachable.rs
+++ b/crates/routing/src/dispatch/reachable.rs
@@ -58,7 +58,7 @@
     }
 
     /// Returns the engines of a service in zones that requests may go to.
-    pub(super) fn within_reach(&self, service: &str) -> impl Iterator<Item = &Engine> {
+    pub(super) fn reachable_engines(&self, service: &str) -> impl Iterator<Item = &Engine> {
         let engines = self.of_service(service);
         engines.filter(|engine| !self.reach.is_avoided(&engine.facts.zone))
     }
@@ -67,14 +67,14 @@
     /// one included. Gateways beyond a network partition use the engines on their side.
     /// Their number isn't reported; each slot there is assumed to have as many gateways as
     /// here.
-    pub(super) fn sharers(&self, service: &str) -> f64 {
+    pub(super) fn sharing_gateways(&self, service: &str) -> f64 {
         let users = self.users_of(service);
         if !self.reach.avoids_any() {
             return users;
         }
         let slots = |engine: &Engine| f64::from(engine.facts.slots);
         let all: f64 = self.of_service(service).map(slots).sum();
-        let within: f64 = self.within_reach(service).map(slots).sum();
+        let within: f64 = self.reachable_engines(service).map(slots).sum();
         (users * within / all.max(1.0)).max(1.0)
     }
 
@@ -97,23 +97,23 @@
             return None;
         }
         let own = self.zone.clone();
-        let at_home = |at: &ZoneName| *at == own;
-        let elsewhere = |at: &ZoneName| *at != zone;
+        let in_own_zone = |at: &ZoneName| *at == own;
+        let outside_first_zone = |at: &ZoneName| *at != zone;
         let near = match zone == own {
             true => None,
-            false => self.pick_where(pick, at_home, now),
+            false => self.pick_where(pick, in_own_zone, now),
         };
-        near.or_else(|| self.pick_where(pick, elsewhere, now))
+        near.or_else(|| self.pick_where(pick, outside_first_zone, now))
     }
 
     fn pick_where(
         &mut self,
         pick: &Pick<'_>,
-        fits: impl Fn(&ZoneName) -> bool,
+        allowed: impl Fn(&ZoneName) -> bool,
         now: Timestamp,
     ) -> Option<Picked> {
         let engines = self.of_service(pick.service);
-        let others = engines.filter(|engine| !fits(&engine.facts.zone));
+        let others = engines.filter(|engine| !allowed(&engine.facts.zone));
         let others = others.map(|engine| engine.facts.id.clone());
         let tried: BTreeSet<String> = others.chain(pick.tried.iter().cloned()).collect();
         let pick = Pick {
@@ -160,12 +160,12 @@
         if !self.reach.look(&zone, wide, &hosts, now) {
             return Vec::new();
         }
-        let mut beside = self.look_at(&zone, now);
-        beside.retain(|probe| probe.address.ip() != host);
-        beside.truncate(if wide { EXTRA_PROBES } else { 1 });
+        let mut others = self.probe_zone(&zone, now);
+        others.retain(|probe| probe.address.ip() != host);
+        others.truncate(if wide { EXTRA_PROBES } else { 1 });
         let first = self.engines.get(id).filter(|_| wide);
         let first = first.map(|engine| self.probe(engine));
-        first.into_iter().chain(beside).collect()
+        first.into_iter().chain(others).collect()
     }
 
     /// Returns which zones are unreachable, to report to other gateways of the own zone.
@@ -183,23 +183,23 @@
         let hosts = self.hosts();
         let doubted = self.reach.note_told(told, &hosts, now);
         let zones = doubted.iter();
-        zones.flat_map(|zone| self.look_at(zone, now)).collect()
+        zones.flat_map(|zone| self.probe_zone(zone, now)).collect()
     }
 
     /// Returns probes of engines of a zone that seem healthy, as many as it takes to find
     /// the zone unreachable.
-    fn look_at(&mut self, zone: &ZoneName, now: Timestamp) -> Vec<Probe> {
+    fn probe_zone(&mut self, zone: &ZoneName, now: Timestamp) -> Vec<Probe> {
         let of_zone = self.engines.values().filter(|one| one.facts.zone == *zone);
-        let well = of_zone.filter(|engine| {
+        let healthy = of_zone.filter(|engine| {
             let failed = self.reach.has_failed(zone, engine.facts.address.ip(), now);
             !failed && !engine.is_backed_off(now)
         });
-        let mut well: Vec<&Engine> = well.collect();
-        well.shuffle(&mut self.random);
-        let mut asked = BTreeSet::new();
-        well.retain(|engine| asked.insert(engine.facts.address.ip()));
-        let looked_at = well.into_iter().take(EXTRA_PROBES + 1);
-        looked_at.map(|engine| self.probe(engine)).collect()
+        let mut healthy: Vec<&Engine> = healthy.collect();
+        healthy.shuffle(&mut self.random);
+        let mut seen_hosts = BTreeSet::new();
+        healthy.retain(|engine| seen_hosts.insert(engine.facts.address.ip()));
+        let probed = healthy.into_iter().take(EXTRA_PROBES + 1);
+        probed.map(|engine| self.probe(engine)).collect()
     }
 
     /// Returns the probes that are due in unreachable zones, of one engine per zone.
--- a/crates/routing/src/dispatch/relay.rs
+++ b/crates/routing/src/dispatch/relay.rs
@@ -41,9 +41,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct RelayChoice {
     /// Index into the gateway's order, modulo the number of relays.
-    place: usize,
+    position: usize,
     /// When the gateway last switched away from the first relay in its order.
-    left_first: Timestamp,
+    left_first_at: Timestamp,
     /// When the relay in use was chosen or last sent something.
     last_heard: Timestamp,
     relay: Option<NodeId>,
@@ -65,15 +65,15 @@
             (!near.contains(relay), draw)
         });
         if self.relay.is_some() && now.since(self.last_heard) > RELAY_SILENCE {
-            if self.place == 0 {
-                self.left_first = now;
+            if self.position == 0 {
+                self.left_first_at = now;
             }
-            self.place += 1;
+            self.position += 1;
             self.last_heard = now;
-        } else if self.place > 0 && now.since(self.left_first) > RETURN_AFTER {
-            self.place = 0;
+        } else if self.position > 0 && now.since(self.left_first_at) > RETURN_AFTER {
+            self.position = 0;
         }
-        let relay = order.get(self.place.checked_rem(order.len())?).copied();
+        let relay = order.get(self.position.checked_rem(order.len())?).copied();
         if relay != self.relay {
             self.relay = relay;
             self.last_heard = now;
--- a/crates/routing/src/dispatch/reserve.rs
+++ b/crates/routing/src/dispatch/reserve.rs
@@ -17,13 +17,13 @@
     /// in flight times the visibility delay divided by the mean slot time.
     #[must_use]
     pub fn kept_for_online(&self, service: &str, now: Timestamp) -> f64 {
-        let held = self.slot_times.mean(service);
-        if held <= START_VISIBILITY_DELAY {
+        let slot_time = self.slot_times.mean(service);
+        if slot_time <= START_VISIBILITY_DELAY {
             return 0.0;
         }
         let others_report = self.others_report(now);
         let engines = self.of_service(service);
         let online: f64 = engines.map(|one| one.online_load(now, others_report)).sum();
-        online * START_VISIBILITY_DELAY.as_secs_f64() / held.as_secs_f64()
+        online * START_VISIBILITY_DELAY.as_secs_f64() / slot_time.as_secs_f64()
     }
 }
--- a/crates/routing/src/dispatch/room.rs
+++ b/crates/routing/src/dispatch/room.rs
@@ -59,23 +59,23 @@
 /// Requests that this gateway recently started and the others don't observe yet, so that
 /// they still count those slots as free.
 #[derive(Debug)]
-pub(super) struct UnseenStarts {
+pub(super) struct UnobservedStarts {
     /// Start times, oldest first.
     latest: VecDeque<Timestamp>,
     /// Random number, from 0 up to 1, that rounds a fractional number of requests.
     draw: f64,
-    drawn: Timestamp,
+    drawn_at: Timestamp,
     random: ChaCha8Rng,
 }
 
-impl UnseenStarts {
+impl UnobservedStarts {
     /// Returns an empty record.
     pub fn new(seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         Self {
             latest: VecDeque::new(),
             draw: random.random(),
-            drawn: Timestamp::ZERO,
+            drawn_at: Timestamp::ZERO,
             random,
         }
     }
@@ -85,31 +85,31 @@
         self.latest
             .retain(|&start| now.since(start) < START_VISIBILITY_DELAY);
         self.latest.push_back(now);
-        self.draw_anew(now);
+        self.redraw(now);
     }
 
-    fn draw_anew(&mut self, now: Timestamp) {
+    fn redraw(&mut self, now: Timestamp) {
         self.draw = self.random.random();
-        self.drawn = now;
+        self.drawn_at = now;
     }
 
     /// Returns how many more requests this gateway may start, where all gateways together
-    /// may start `room` and this one has a `share` of it.
-    pub fn left(&self, share: f64, room: f64, now: Timestamp) -> f64 {
+    /// may start `free_slots` and this one has a `share` of it.
+    pub fn left(&self, share: f64, free_slots: f64, now: Timestamp) -> f64 {
         let latest = self.latest.iter();
         let lately = latest.filter(|&&start| now.since(start) < START_VISIBILITY_DELAY);
-        let unseen = lately.count() as f64;
-        ((room + unseen) * share - unseen).max(0.0)
+        let unobserved = lately.count() as f64;
+        ((free_slots + unobserved) * share - unobserved).max(0.0)
     }
 
     /// Whether a request may start. A fraction is rounded at random, so that all gateways
     /// together fill the free capacity. The random number is kept until a request starts:
     /// drawing at each check would eventually round every fraction up.
-    pub fn may_start(&mut self, share: f64, room: f64, now: Timestamp) -> bool {
-        if now.since(self.drawn) >= START_VISIBILITY_DELAY {
-            self.draw_anew(now);
+    pub fn may_start(&mut self, share: f64, free_slots: f64, now: Timestamp) -> bool {
+        if now.since(self.drawn_at) >= START_VISIBILITY_DELAY {
+            self.redraw(now);
         }
-        self.left(share, room, now) > self.draw
+        self.left(share, free_slots, now) > self.draw
     }
 }
 
@@ -123,23 +123,24 @@
             return true;
         }
         let others_report = self.others_report(now);
-        let mut room = 0.0;
+        let mut free_slots = 0.0;
         let mut own = 0.0;
         let mut all = 0.0;
-        for engine in self.within_reach(pick.service) {
+        for engine in self.reachable_engines(pick.service) {
             let online = engine.online_load(now, others_report);
             own += f64::from(engine.own_online());
             all += online;
             if !engine.is_backed_off(now) {
-                room += (self.places(engine, pick, now) - online).max(0.0);
+                free_slots += (self.online_capacity(engine, pick, now) - online).max(0.0);
             }
         }
-        let by_running = || (own + 1.0) / (all + self.sharers(pick.service));
+        let by_running = || (own + 1.0) / (all + self.sharing_gateways(pick.service));
         let in_time = matches!(pick.standing, Standing::InTime { .. });
         let share = in_time
             .then(|| self.part_by_demand(pick.service, now))
             .flatten();
         let share = share.unwrap_or_else(by_running);
-        self.online_starts.may_start(share.min(1.0), room, now)
+        self.online_starts
+            .may_start(share.min(1.0), free_slots, now)
     }
 }
--- a/crates/routing/src/dispatch/short.rs
+++ b/crates/routing/src/dispatch/short.rs
@@ -85,10 +85,10 @@
 
 impl Backoff {
     /// Records another rejection. Returns how long to leave the engine out, where requests
-    /// hold a slot for `kept`.
-    fn next(&mut self, kept: Duration, random: &mut impl Rng) -> Duration {
-        let spread = random.random_range(1.0 - BACKOFF_JITTER..1.0 + BACKOFF_JITTER);
-        let first = kept.mul_f64(INITIAL_BACKOFF_SLOT_TIMES * spread);
+    /// hold a slot for `slot_time`.
+    fn next(&mut self, slot_time: Duration, random: &mut impl Rng) -> Duration {
+        let jitter = random.random_range(1.0 - BACKOFF_JITTER..1.0 + BACKOFF_JITTER);
+        let first = slot_time.mul_f64(INITIAL_BACKOFF_SLOT_TIMES * jitter);
         let backoff = first * 2_u32.pow(self.0.min(MAX_DOUBLINGS));
         self.0 += 1;
         backoff.clamp(MIN_BACKOFF, MAX_BACKOFF)
@@ -102,17 +102,17 @@
 
 impl WorkTimes {
     /// Records the time for which a request of a service held a slot, in seconds.
-    fn note(&mut self, service: &str, kept: f64) {
+    fn note(&mut self, service: &str, slot_time: f64) {
         match self.0.get_mut(service) {
-            Some(mean) => *mean += (kept - *mean) * LATEST_WEIGHT,
+            Some(mean) => *mean += (slot_time - *mean) * LATEST_WEIGHT,
             None => {
-                self.0.insert(service.to_owned(), kept);
+                self.0.insert(service.to_owned(), slot_time);
             }
         }
     }
 
     /// Returns the mean time if it is shorter than other gateways take to observe a start.
-    pub fn short(&self, service: &str) -> Option<Duration> {
+    pub fn short_mean(&self, service: &str) -> Option<Duration> {
         let mean = Duration::from_secs_f64(*self.0.get(service)?);
         (!mean.is_zero() && mean < START_VISIBILITY_DELAY).then_some(mean)
     }
@@ -128,11 +128,11 @@
         };
         // In a steady state, a departing request leaves as many requests there as it found
         // on arrival.
-        let behind = engine.fresh_load(now, took);
-        let behind = behind.unwrap_or_else(|| engine.load(now, others_report));
+        let remaining = engine.fresh_load(now, took);
+        let remaining = remaining.unwrap_or_else(|| engine.load(now, others_report));
         let slots = f64::from(engine.facts.slots);
-        let kept = took.as_secs_f64() * slots / slots.max(behind);
-        self.work_times.note(&engine.facts.service, kept);
+        let slot_time = took.as_secs_f64() * slots / slots.max(remaining);
+        self.work_times.note(&engine.facts.service, slot_time);
     }
 
     /// Records that an engine had no capacity for a request.
@@ -140,10 +140,10 @@
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
-        let Some(kept) = self.work_times.short(&engine.facts.service) else {
+        let Some(slot_time) = self.work_times.short_mean(&engine.facts.service) else {
             return engine.failed(Failure::Full, now);
         };
-        let backoff = engine.backoff.next(kept, &mut self.random);
+        let backoff = engine.backoff.next(slot_time, &mut self.random);
         engine.back_off(backoff, now);
     }
 
@@ -151,25 +151,27 @@
     /// enough for the engines' queues to decide.
     #[must_use]
     pub fn short_work_time(&self, service: &str) -> Option<Duration> {
-        self.work_times.short(service)
+        self.work_times.short_mean(service)
     }
 
     /// Whether an engine has reached its limit for such requests, if they end before the
     /// other gateways observe them; `None` for other services.
-    pub(super) fn is_full_of_short(
+    pub(super) fn is_full_for_short_requests(
         &self,
         engine: &Engine,
         pick: &Pick<'_>,
         now: Timestamp,
     ) -> Option<bool> {
-        let kept = self.work_times.short(pick.service)?;
+        let slot_time = self.work_times.short_mean(pick.service)?;
         let slots = f64::from(engine.facts.slots);
-        let there = engine.fresh_load(now, kept);
-        let there = there.unwrap_or_else(|| engine.load(now, self.others_report(now)));
-        let places = match pick.standing {
+        let load = engine.fresh_load(now, slot_time);
+        let load = load.unwrap_or_else(|| engine.load(now, self.others_report(now)));
+        let capacity = match pick.standing {
             Standing::Late => slots,
-            Standing::InTime { left } => slots + slots * left.as_secs_f64() / kept.as_secs_f64(),
+            Standing::InTime { left } => {
+                slots + slots * left.as_secs_f64() / slot_time.as_secs_f64()
+            }
         };
-        Some(there + 1.0 > places)
+        Some(load + 1.0 > capacity)
     }
 }
--- a/crates/routing/src/dispatch/slot_time.rs
+++ b/crates/routing/src/dispatch/slot_time.rs
@@ -18,12 +18,12 @@
 
 impl SlotTimes {
     /// Records the time for which a request held a slot of an engine of `service`.
-    pub fn note(&mut self, service: &str, held: Duration) {
-        let held = held.as_secs_f64();
+    pub fn note(&mut self, service: &str, slot_time: Duration) {
+        let slot_time = slot_time.as_secs_f64();
         match self.means.get_mut(service) {
-            Some(mean) => *mean += (held - *mean) * LATEST_WEIGHT,
+            Some(mean) => *mean += (slot_time - *mean) * LATEST_WEIGHT,
             None => {
-                self.means.insert(service.to_owned(), held);
+                self.means.insert(service.to_owned(), slot_time);
             }
         }
     }
@@ -41,8 +41,8 @@
     /// Returns how many requests an engine with this many `slots` and this pace starts
     /// within `left`: those that get a slot at once, and those that get one by then.
     /// Unbounded until a slot time was measured.
-    pub fn begun_within(&self, service: &str, left: Duration, slots: f64, pace: f64) -> f64 {
-        let held = self.mean(service).as_secs_f64() * pace;
-        slots + slots * left.as_secs_f64() / held
+    pub fn starts_within(&self, service: &str, left: Duration, slots: f64, pace: f64) -> f64 {
+        let slot_time = self.mean(service).as_secs_f64() * pace;
+        slots + slots * left.as_secs_f64() / slot_time
     }
 }
--- a/crates/routing/src/dispatch/slow.rs
+++ b/crates/routing/src/dispatch/slow.rs
@@ -31,14 +31,14 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Since {
+struct SlowSince {
     at: Timestamp,
     reported: bool,
 }
 
 /// Engines that were slow at the latest check.
 #[derive(Clone, Debug, Default)]
-pub struct SlowWatch(BTreeMap<String, Since>);
+pub struct SlowWatch(BTreeMap<String, SlowSince>);
 
 impl SlowWatch {
     /// Updates the engines that are slow now, with their paces, and returns the changes to
@@ -46,15 +46,15 @@
     pub fn look(&mut self, slow: &[(String, f64)], now: Timestamp) -> Vec<SlowChange> {
         let mut changes = Vec::new();
         self.0.retain(|engine, since| {
-            let stays = slow.iter().any(|(one, _)| one == engine);
-            if !stays && since.reported {
+            let still_slow = slow.iter().any(|(one, _)| one == engine);
+            if !still_slow && since.reported {
                 let engine = engine.clone();
                 changes.push(SlowChange::Back { engine });
             }
-            stays
+            still_slow
         });
         for (engine, pace) in slow {
-            let since = self.0.entry(engine.clone()).or_insert(Since {
+            let since = self.0.entry(engine.clone()).or_insert(SlowSince {
                 at: now,
                 reported: false,
             });
--- a/crates/routing/src/dispatch/table.rs
+++ b/crates/routing/src/dispatch/table.rs
@@ -14,8 +14,8 @@
 use super::engine::{Engine, EngineFacts, Failure, WorkShare};
 use super::lives::{Departures, LatestLives};
 use super::load::EngineLoad;
-use super::prompt::{Holders, PromptCost, home};
-use super::room::{FreedSlots, UnseenStarts};
+use super::prompt::{PromptCost, PromptHolders, preferred_engine};
+use super::room::{FreedSlots, UnobservedStarts};
 use super::short::{COMPARED_ENGINES, WorkTimes};
 use super::slot_time::SlotTimes;
 use crate::reach::ReachTable;
@@ -117,19 +117,19 @@
     pub(super) engines: BTreeMap<String, Engine>,
     departures: Departures,
     /// Services whose last engine announced its departure.
-    left: BTreeSet<String>,
+    departed_services: BTreeSet<String>,
     latest: LatestLives,
-    holders: Holders,
+    holders: PromptHolders,
     /// When another gateway last reported its work.
     last_report: Option<Timestamp>,
     /// When an engine last answered this gateway.
-    answered: Option<Timestamp>,
+    last_answer: Option<Timestamp>,
     /// Number of gateways, this one included.
     gateways: u32,
     /// Number of gateways that use each engine of a service, where it is limited.
     users: BTreeMap<String, u32>,
-    batch_starts: UnseenStarts,
-    pub(super) online_starts: UnseenStarts,
+    batch_starts: UnobservedStarts,
+    pub(super) online_starts: UnobservedStarts,
     freed: FreedSlots,
     pub(super) slot_times: SlotTimes,
     pub(super) work_times: WorkTimes,
@@ -147,15 +147,15 @@
             zone,
             engines: BTreeMap::new(),
             departures: Departures::default(),
-            left: BTreeSet::new(),
+            departed_services: BTreeSet::new(),
             latest: LatestLives::default(),
-            holders: Holders::default(),
+            holders: PromptHolders::default(),
             last_report: None,
-            answered: None,
+            last_answer: None,
             gateways: 1,
             users: BTreeMap::new(),
-            batch_starts: UnseenStarts::new(seed.wrapping_add(1)),
-            online_starts: UnseenStarts::new(seed.wrapping_add(2)),
+            batch_starts: UnobservedStarts::new(seed.wrapping_add(1)),
+            online_starts: UnobservedStarts::new(seed.wrapping_add(2)),
             freed: FreedSlots::default(),
             slot_times: SlotTimes::default(),
             work_times: WorkTimes::default(),
@@ -169,18 +169,18 @@
     /// later incarnation replaced, is not added again. An address belongs to the latest
     /// engine that has it.
     pub fn learn(&mut self, from: NodeId, facts: EngineFacts, now: Timestamp) {
-        if self.departures.bind(&facts.id) || self.latest.has_later(&facts.id) {
+        if self.departures.applies_to(&facts.id) || self.latest.has_later(&facts.id) {
             return;
         }
         if !self.engines.contains_key(&facts.id) {
-            let life = EngineLife::of(&facts.id);
+            let incarnation = EngineLife::of(&facts.id);
             self.engines.retain(|id, engine| {
-                let ended = EngineLife::of(id).is_before(&life);
+                let ended = EngineLife::of(id).is_before(&incarnation);
                 !ended && engine.facts.address != facts.address
             });
             self.latest.note(&facts.id);
         }
-        self.left.remove(&facts.service);
+        self.departed_services.remove(&facts.service);
         let id = facts.id.clone();
         let engine = self
             .engines
@@ -276,7 +276,7 @@
             .retain(|id, _| !EngineLife::of(id).is_bound_by(&departed));
         for service in services {
             if self.of_service(&service).next().is_none() {
-                self.left.insert(service);
+                self.departed_services.insert(service);
             }
         }
         self.departures.note(id)
@@ -287,7 +287,7 @@
     /// for a gateway with a subset of the engines, which is assigned others.
     #[must_use]
     pub fn has_left(&self, service: &str) -> bool {
-        self.left.contains(service) && !self.users.contains_key(service)
+        self.departed_services.contains(service) && !self.users.contains_key(service)
     }
 
     /// Records that another engine answered at its address. The control nodes stop listing
@@ -313,7 +313,7 @@
     /// Whether an engine announced its departure.
     #[must_use]
     pub fn has_departed(&self, id: &str) -> bool {
-        self.departures.bind(id)
+        self.departures.applies_to(id)
     }
 
     /// Whether an engine answered after a time.
@@ -379,7 +379,7 @@
     pub fn shares(&self, now: Timestamp) -> Vec<WorkShare> {
         // Without a recent answer from any engine, this gateway may itself be cut off.
         let sure = self
-            .answered
+            .last_answer
             .is_some_and(|answered| now.since(answered) < ANSWER_TTL);
         let engines = self.engines.values();
         engines
@@ -436,7 +436,7 @@
 
     /// Records that an attempt was answered.
     pub fn succeeded(&mut self, id: &str, now: Timestamp) {
-        self.answered = Some(now);
+        self.last_answer = Some(now);
         if let Some(engine) = self.engines.get_mut(id) {
             engine.succeeded(now);
         }
@@ -476,11 +476,11 @@
     #[must_use]
     pub fn batch_headroom(&self, service: &str, now: Timestamp) -> f64 {
         let others_report = self.others_report(now);
-        let of_service: Vec<&Engine> = self.within_reach(service).collect();
+        let of_service: Vec<&Engine> = self.reachable_engines(service).collect();
         let slots: u32 = of_service.iter().map(|one| one.facts.slots).sum();
         let loads = of_service.iter().map(|one| one.load(now, others_report));
-        let kept = self.kept_for_online(service, now);
-        let free = f64::from(slots) - loads.sum::<f64>() - kept;
+        let reserved = self.kept_for_online(service, now);
+        let free = f64::from(slots) - loads.sum::<f64>() - reserved;
         let avoided = self.avoided(service, now);
         let usable = of_service
             .iter()
@@ -492,7 +492,7 @@
                 (slots - engine.load(now, others_report)).max(0.0)
             })
             .sum();
-        let share = 1.0 / self.sharers(service);
+        let share = 1.0 / self.sharing_gateways(service);
         self.batch_starts.left(share, room.min(free), now)
     }
 
@@ -504,14 +504,14 @@
     }
 
     /// Returns the number of online requests up to which an engine gets such a request.
-    pub(super) fn places(&self, engine: &Engine, pick: &Pick<'_>, now: Timestamp) -> f64 {
+    pub(super) fn online_capacity(&self, engine: &Engine, pick: &Pick<'_>, now: Timestamp) -> f64 {
         let slots = engine.slots(now);
         match pick.standing {
             Standing::Late => slots,
             Standing::InTime { left } => {
                 let times = &self.slot_times;
-                let begun = times.begun_within(pick.service, left, slots, engine.pace(now));
-                begun.min(slots * MAX_ONLINE_LOAD)
+                let startable = times.starts_within(pick.service, left, slots, engine.pace(now));
+                startable.min(slots * MAX_ONLINE_LOAD)
             }
         }
     }
@@ -523,10 +523,10 @@
             let slots = engine.slots(now);
             return engine.load(now, others_report) >= slots * MAX_BATCH_LOAD;
         }
-        if let Some(full) = self.is_full_of_short(engine, pick, now) {
+        if let Some(full) = self.is_full_for_short_requests(engine, pick, now) {
             return full;
         }
-        engine.online_load(now, others_report) + 1.0 > self.places(engine, pick, now)
+        engine.online_load(now, others_report) + 1.0 > self.online_capacity(engine, pick, now)
     }
 
     /// Returns the engines at which this gateway's batch work is to be preempted, with the
@@ -574,27 +574,27 @@
     fn choose(&mut self, pick: &Pick<'_>, now: Timestamp) -> Option<Picked> {
         let others_report = self.others_report(now);
         let avoided = self.avoided(pick.service, now);
-        let home = self.home(pick);
+        let preferred_engine = self.preferred_engine(pick);
         let engines = self.engines.values();
         let engines = engines.filter(|engine| self.is_open(engine, pick, &avoided, now));
         let mut open: Vec<&Engine> = engines.collect();
-        let stays = |engine: &&Engine| now.since(engine.known_since) >= STABLE_AFTER;
-        if pick.suspect && open.iter().any(stays) {
-            open.retain(stays);
+        let is_stable = |engine: &&Engine| now.since(engine.known_since) >= STABLE_AFTER;
+        if pick.suspect && open.iter().any(is_stable) {
+            open.retain(is_stable);
         }
         let candidates = open
             .into_iter()
-            .map(|one| self.candidate(one, pick, home, others_report, now));
+            .map(|one| self.candidate(one, pick, preferred_engine, others_report, now));
         let mut candidates: Vec<Candidate<'_>> = candidates.collect();
-        let looked_at = match pick.prompt.tokens < LONG_PROMPT_TOKENS {
-            true if self.work_times.short(pick.service).is_some() => {
+        let considered = match pick.prompt.tokens < LONG_PROMPT_TOKENS {
+            true if self.work_times.short_mean(pick.service).is_some() => {
                 COMPARED_ENGINES.min(candidates.len())
             }
             true => CONSIDERED_ENGINES.min(candidates.len()),
             false => candidates.len(),
         };
-        let (looked_at, _) = candidates.partial_shuffle(&mut self.random, looked_at);
-        let costs = looked_at.iter().map(|one| (one.cost(&self.zone), one));
+        let (considered, _) = candidates.partial_shuffle(&mut self.random, considered);
+        let costs = considered.iter().map(|one| (one.cost(&self.zone), one));
         let best = costs.min_by(|(one, _), (other, _)| one.total_cmp(other));
         best.map(|(_, candidate)| candidate.picked())
     }
@@ -614,7 +614,13 @@
         let id = self.freed.find(now, open)?;
         let engine = self.engines.get(&id)?;
         let others_report = self.others_report(now);
-        let candidate = self.candidate(engine, pick, self.home(pick), others_report, now);
+        let candidate = self.candidate(
+            engine,
+            pick,
+            self.preferred_engine(pick),
+            others_report,
+            now,
+        );
         let picked = Picked {
             takes_over: true,
             ..candidate.picked()
@@ -636,34 +642,35 @@
         let failing = failing || self.reach.is_avoided(&facts.zone);
         let tried = pick.tried.contains(&facts.id);
         let batch_held_off = pick.class == WorkClass::Batch && engine.is_batch_held_off(now);
-        let shut = failing || tried || batch_held_off;
-        facts.service == pick.service && !shut && !self.is_full(engine, pick, now)
+        let excluded = failing || tried || batch_held_off;
+        facts.service == pick.service && !excluded && !self.is_full(engine, pick, now)
     }
 
     /// Returns the engine that the shared part of a prompt is assigned to.
-    fn home(&self, pick: &Pick<'_>) -> Option<&str> {
+    fn preferred_engine(&self, pick: &Pick<'_>) -> Option<&str> {
         let shared = pick.prompt.shared?;
         let ids = self.of_service(pick.service);
-        home(shared.key, ids.map(|engine| engine.facts.id.as_str()))
+        preferred_engine(shared.key, ids.map(|engine| engine.facts.id.as_str()))
     }
 
     fn candidate<'e>(
         &self,
         engine: &'e Engine,
         pick: &Pick<'_>,
-        home: Option<&str>,
+        preferred_engine: Option<&str>,
         others_report: bool,
         now: Timestamp,
     ) -> Candidate<'e> {
         let facts = &engine.facts;
         let held = pick.prompt.shared.filter(|shared| {
-            home == Some(facts.id.as_str()) || self.holders.holds(shared.key, &facts.id, now)
+            preferred_engine == Some(facts.id.as_str())
+                || self.holders.holds(shared.key, &facts.id, now)
         });
-        let kept_tokens = held.map_or(0, |shared| shared.tokens);
+        let held_tokens = held.map_or(0, |shared| shared.tokens);
         Candidate {
             facts,
             load: engine.load(now, others_report),
-            unread_tokens: pick.prompt.tokens.saturating_sub(kept_tokens),
+            unread_tokens: pick.prompt.tokens.saturating_sub(held_tokens),
             before_tokens: engine.unread_tokens(now),
             own_batch: f64::from(engine.own_batch()),
             others_batch: f64::from(engine.others_batch(now)),
