--- a/crates/routing/tests/demand.rs
+++ b/crates/routing/tests/demand.rs
@@ -15,12 +15,12 @@
 
 const GATEWAYS: usize = 36;
 /// Simulated time in milliseconds: two peak periods.
-const PLAYED_MS: u64 = 11_600;
+const SIMULATED_MS: u64 = 11_600;
 const SEEDS: u64 = 4;
 
 /// Requests that hold slots for longer than gateways take to observe each other's, from
 /// unevenly distributed callers, with 40% more in one zone.
-fn load(demand: f64, peaks: bool, demand_told: bool) -> Load {
+fn load(demand: f64, peaks: bool, demand_reported: bool) -> Load {
     let mut engines = Engines::new(24, 8, 900.0);
     engines.streams = true;
     Load {
@@ -28,38 +28,38 @@
         engines,
         demand,
         peaks,
-        demand_told,
+        demand_reported,
     }
 }
 
 /// Shares of requests in time, as means over seeds: of all requests, of the worst zone, and
 /// at the worst tenth of gateways.
 #[derive(Clone, Copy, Debug, Default)]
-struct Fares {
+struct SharesInTime {
     all: f64,
     worst_zone: f64,
     worst_gateways: f64,
 }
 
-fn fares(demand: f64, peaks: bool, demand_told: bool) -> Fares {
-    let mut fares = Fares::default();
+fn shares_in_time(demand: f64, peaks: bool, demand_reported: bool) -> SharesInTime {
+    let mut shares = SharesInTime::default();
     for seed in 1..=SEEDS {
-        let seen = Play::new(load(demand, peaks, demand_told), seed).run(PLAYED_MS);
+        let seen = Play::new(load(demand, peaks, demand_reported), seed).run(SIMULATED_MS);
         let zones = seen.by_zone().into_iter();
-        fares.all += seen.share_in_time() / SEEDS as f64;
-        fares.worst_zone += zones.fold(1.0, f64::min) / SEEDS as f64;
-        fares.worst_gateways += seen.worst_gateways() / SEEDS as f64;
+        shares.all += seen.share_in_time() / SEEDS as f64;
+        shares.worst_zone += zones.fold(1.0, f64::min) / SEEDS as f64;
+        shares.worst_gateways += seen.worst_gateways() / SEEDS as f64;
     }
-    println!("{demand} of the slots, peaks {peaks}, demand reported {demand_told}: {fares:?}");
-    fares
+    println!("{demand} of the slots, peaks {peaks}, demand reported {demand_reported}: {shares:?}");
+    shares
 }
 
 #[test]
-fn a_callers_gateway_and_zone_matter_little_where_demand_is_told() {
+fn reported_demand_evens_out_gateways_and_zones() {
     // In peaks the demand is 1.03 and 1.22 of all slots.
     for (demand, peaks) in [(0.55, true), (0.65, true), (0.95, false), (1.1, false)] {
-        let by_running = fares(demand, peaks, false);
-        let by_demand = fares(demand, peaks, true);
+        let by_running = shares_in_time(demand, peaks, false);
+        let by_demand = shares_in_time(demand, peaks, true);
         assert!(by_demand.worst_zone >= by_demand.all - 0.05, "{demand}");
         assert!(by_demand.worst_gateways >= by_demand.all - 0.15, "{demand}");
         assert!(by_demand.worst_zone > by_running.worst_zone, "{demand}");
@@ -93,19 +93,19 @@
     Timestamp::from_millis(ms)
 }
 
-fn demand(gateways: u32, waiting: u32, asked_a_second: u64) -> ServiceDemand {
+fn demand(gateways: u32, waiting: u32, arrivals_per_second: u64) -> ServiceDemand {
     ServiceDemand {
         service: "s".to_owned(),
         gateways,
         waiting,
-        asked: asked_a_second * 1_000,
+        asked: arrivals_per_second * 1_000,
     }
 }
 
 const RELAY: NodeId = NodeId(1_000);
 
 #[test]
-fn parts_are_those_of_what_waits_and_comes() {
+fn shares_follow_waiting_and_arriving_requests() {
     let mut table = table();
     // 15 requests of other gateways wait or arrive within 150 ms.
     table.note_demands(RELAY, vec![demand(35, 12, 20)], at(0));
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn who_tells_nothing_counts_as_one_that_wants_as_much_as_the_others() {
+fn silent_gateways_count_with_average_demand() {
     let mut table = table();
     table.note_demands(RELAY, vec![demand(7, 7, 0)], at(0));
     let part = table
@@ -140,7 +140,7 @@
 
 /// Returns how many requests find an engine at once, where other gateways use half of all
 /// slots.
-fn starts(table: &mut EngineTable, at_ms: u64) -> usize {
+fn count_starts(table: &mut EngineTable, at_ms: u64) -> usize {
     let shares = (1..=10).map(|number| WorkShare {
         engine: format!("e{number}"),
         requests: 4,
@@ -175,13 +175,13 @@
 }
 
 #[test]
-fn without_a_word_of_demand_parts_are_those_of_what_runs() {
+fn shares_follow_running_requests_without_demand_reports() {
     let kept = Duration::from_secs(1);
     let mut silent = table();
     silent.note_slot_time("s", kept);
     assert!(!silent.hears_demand(at(0)));
     assert_eq!(silent.part_by_demand("s", at(0)), None);
-    let by_running = starts(&mut silent, 1_200);
+    let by_running = count_starts(&mut silent, 1_200);
     // Demand reports that have expired, as when a relay fell silent, or of other services.
     let mut cut_off = table();
     cut_off.note_slot_time("s", kept);
@@ -193,21 +193,21 @@
     cut_off.note_demands(NodeId(1_001), vec![elsewhere], at(1_199));
     assert!(cut_off.hears_demand(at(1_200)));
     assert_eq!(cut_off.part_by_demand("s", at(1_200)), None);
-    assert_eq!(starts(&mut cut_off, 1_200), by_running);
+    assert_eq!(count_starts(&mut cut_off, 1_200), by_running);
     // If other gateways want little, this gateway's share is larger.
-    let mut told = table();
-    told.note_slot_time("s", kept);
-    told.note_demands(RELAY, vec![demand(35, 1, 0)], at(1_200));
-    assert!(starts(&mut told, 1_200) > by_running);
+    let mut reported = table();
+    reported.note_slot_time("s", kept);
+    reported.note_demands(RELAY, vec![demand(35, 1, 0)], at(1_200));
+    assert!(count_starts(&mut reported, 1_200) > by_running);
 }
 
 #[test]
-fn relays_pass_on_sums_that_do_not_grow_with_gateways() {
+fn relayed_demand_does_not_grow_with_gateways() {
     let mut relays = [DemandRelay::default(), DemandRelay::default()];
     for gateway in 0..100 {
         let relay = &mut relays[gateway as usize % 2];
-        let told = vec![demand(1, gateway, 1)];
-        relay.note(NodeId(gateway), Teller::Gateway, told, at(0));
+        let reported = vec![demand(1, gateway, 1)];
+        relay.note(NodeId(gateway), Teller::Gateway, reported, at(0));
     }
     let [near, far] = &mut relays;
     let sum = far.of_gateways();
@@ -224,9 +224,9 @@
 }
 
 #[test]
-fn a_word_without_later_fields_is_read() {
+fn report_without_later_fields_is_decoded() {
     // Encoded by a node that knows only the service and gateways fields.
     let bytes = [0x82, 0x61, b's', 0x05];
-    let told: ServiceDemand = minicbor::decode(&bytes).expect("it is decoded");
-    assert_eq!(told, demand(5, 0, 0));
+    let reported: ServiceDemand = minicbor::decode(&bytes).expect("it is decoded");
+    assert_eq!(reported, demand(5, 0, 0));
 }
--- a/crates/routing/tests/dispatch.rs
+++ b/crates/routing/tests/dispatch.rs
@@ -75,7 +75,7 @@
     /// After any number of choices each destination has received its share to within one
     /// choice for each destination.
     #[test]
-    fn a_split_keeps_its_weights_at_every_moment(
+    fn weighted_split_keeps_weights_after_every_choice(
         weights in prop::collection::vec(0..100_u32, 1..5),
         start in 0..1_000_u32,
     ) {
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn the_least_loaded_engine_is_chosen_and_the_own_zone_first() {
+fn picks_least_loaded_engine_and_prefers_own_zone() {
     let mut table = table(&[(1, "near"), (2, "far")]);
     assert_eq!(online(&mut table, 0), Ok("e1".to_owned()));
     table.started("e1", WorkClass::Online, 0, now(0));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn work_of_others_counts_less_the_older_the_report_is() {
+fn load_report_loses_weight_with_age() {
     let mut table = table(&[(1, "near"), (2, "near")]);
     let load = EngineLoad {
         running: 4,
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn engines_that_fail_pause_and_come_back() {
+fn failing_engines_back_off_and_return() {
     // Kind of failure, number of failures, and whether the engine is backed off right
     // after.
     let cases = [
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_departed_engine_never_comes_back_and_a_lost_one_may() {
+fn departed_engine_is_not_listed_again_but_lost_one_may_be() {
     let mut table = table(&[(1, "near")]);
     table.learn(NodeId(2), facts(1, "near"), Timestamp::ZERO);
     table.lose(CONTROL, "e1");
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn batch_gets_only_what_online_work_leaves() {
+fn batch_uses_only_slots_free_of_online_work() {
     let mut table = table(&[(1, "near")]);
     let mut started = 0;
     while pick(&mut table, WorkClass::Batch, &[], 0).is_ok() {
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn engines_that_were_tried_are_passed_over() {
+fn tried_engines_are_skipped() {
     let mut table = table(&[(1, "near"), (2, "far")]);
     let found = pick(&mut table, WorkClass::Online, &["e1"], 0);
     assert_eq!(found, Ok("e2".to_owned()));
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn short_shared_prompts_decide_nothing() {
+fn short_shared_prompts_are_ignored() {
     assert_eq!(
         PromptCost::of(&[part("a", 500), part("own", 9_000)]).shared,
         None
@@ -245,7 +245,7 @@
 }
 
 #[test]
-fn a_long_shared_prompt_goes_where_it_is_held_until_waiting_there_costs_more() {
+fn long_shared_prompt_goes_to_its_holder_until_waiting_costs_more() {
     let prompt = [part("album", 13_000), part("own", 2_000)];
     let mut table = table(&[(1, "near"), (2, "far"), (3, "far")]);
     let (home, unread) = pick_prompt(&mut table, &prompt, 0);
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn a_telling_counts_whole_in_whatever_order_it_names_engines() {
+fn report_replaces_previous_one_in_any_engine_order() {
     let mut table = table(&[(1, "a"), (2, "a"), (3, "a")]);
     let share = |number: u8, requests| WorkShare {
         errors: 0,
@@ -307,8 +307,8 @@
         answering: 0,
         ..WorkShare::default()
     };
-    let told = [share(3, 5), share(9, 7), share(1, 2)];
-    table.note_shares(NodeId(7), &told, now(0));
+    let reported = [share(3, 5), share(9, 7), share(1, 2)];
+    table.note_shares(NodeId(7), &reported, now(0));
     let slots = 3.0 * 8.0;
     assert!((table.occupancy(now(0)) - 7.0 / slots).abs() < 1e-9);
     // Work at engines missing from the next report is over.
@@ -317,7 +317,7 @@
 }
 
 /// Experience of other gateways with an engine, as summed up by a relay.
-fn experience(engine: &str, failing: u32, answering: u32) -> WorkShare {
+fn outcome_share(engine: &str, failing: u32, answering: u32) -> WorkShare {
     WorkShare {
         errors: 0,
         answers: 0,
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn an_engine_that_fails_for_others_is_avoided_before_it_fails_here() {
+fn engine_failing_for_other_gateways_is_avoided() {
     // Gateways for which the engine fails, gateways that it answers, and whether it is
     // chosen.
     let cases = [
@@ -346,7 +346,11 @@
     ];
     for (failing, answering, chosen) in cases {
         let mut table = table(&[(1, "near"), (2, "far")]);
-        table.note_shares(NodeId(7), &[experience("e1", failing, answering)], now(0));
+        table.note_shares(
+            NodeId(7),
+            &[outcome_share("e1", failing, answering)],
+            now(0),
+        );
         let engine = if chosen { "e1" } else { "e2" };
         assert_eq!(
             online(&mut table, 1),
@@ -360,15 +364,15 @@
 }
 
 #[test]
-fn the_word_of_others_takes_no_more_than_half_of_a_service_away() {
+fn reports_of_others_exclude_at_most_half_of_a_service() {
     let engines = [1, 2, 3, 4].map(|number| (number, "near"));
     for failing in 0..=4_usize {
         let mut table = table(&engines);
-        let told: Vec<WorkShare> = ["e1", "e2", "e3", "e4"][..failing]
+        let reported: Vec<WorkShare> = ["e1", "e2", "e3", "e4"][..failing]
             .iter()
-            .map(|engine| experience(engine, 50, 0))
+            .map(|engine| outcome_share(engine, 50, 0))
             .collect();
-        table.note_shares(NodeId(7), &told, now(0));
+        table.note_shares(NodeId(7), &reported, now(0));
         let mut used = BTreeSet::new();
         for _ in 0..200 {
             used.insert(online(&mut table, 1).expect("an engine"));
@@ -379,40 +383,43 @@
 }
 
 #[test]
-fn an_answer_here_counts_against_what_others_say() {
+fn own_answer_counts_against_failure_reports() {
     let mut table = table(&[(1, "near"), (2, "far")]);
     table.succeeded("e1", now(0));
-    table.note_shares(NodeId(7), &[experience("e1", 2, 1)], now(0));
+    table.note_shares(NodeId(7), &[outcome_share("e1", 2, 1)], now(0));
     assert_eq!(online(&mut table, 10), Ok("e1".to_owned()));
-    table.note_shares(NodeId(7), &[experience("e1", 3, 1)], now(20));
+    table.note_shares(NodeId(7), &[outcome_share("e1", 3, 1)], now(20));
     assert_eq!(online(&mut table, 30), Ok("e2".to_owned()));
 }
 
 #[test]
-fn a_gateway_tells_how_it_fared_at_engines() {
+fn gateway_reports_failures_and_answers_of_engines() {
     let mut table = table(&[(1, "near"), (2, "near"), (3, "near"), (4, "near")]);
     table.failed("e1", Failure::Unreachable, now(0));
     assert_eq!(table.shares(now(0)), [], "no engine has answered yet");
     table.succeeded("e2", now(0));
     table.failed("e3", Failure::Full, now(0));
     table.displaced("e4", now(0));
-    let told = |table: &EngineTable, millis| table.shares(now(millis));
+    let reported = |table: &EngineTable, millis| table.shares(now(millis));
     let [e1, e2, e4] = [("e1", 1, 0), ("e2", 0, 1), ("e4", 1, 0)]
-        .map(|(engine, failing, answering)| experience(engine, failing, answering));
-    assert_eq!(told(&table, 100), [e1, e2, e4.clone()]);
+        .map(|(engine, failing, answering)| outcome_share(engine, failing, answering));
+    assert_eq!(reported(&table, 100), [e1, e2, e4.clone()]);
     // The backoff is over and the answer too old; the engine that is gone stays reported.
-    assert_eq!(told(&table, 1_100), [e4]);
+    assert_eq!(reported(&table, 1_100), [e4]);
     // Without a recent answer from any engine the gateway itself may be cut off.
-    assert_eq!(told(&table, 3_000), []);
+    assert_eq!(reported(&table, 3_000), []);
     table.succeeded("e2", now(1_150));
     table.failed("e2", Failure::Unreachable, now(1_200));
     table.succeeded("e2", now(1_300));
-    let told = told(&table, 1_400);
-    assert!(told.contains(&experience("e2", 0, 1)), "{told:?}");
+    let reported = reported(&table, 1_400);
+    assert!(
+        reported.contains(&outcome_share("e2", 0, 1)),
+        "{reported:?}"
+    );
 }
 
 #[test]
-fn an_engine_whose_address_another_one_has_is_not_tried_again() {
+fn displaced_engine_is_not_tried_again() {
     let mut table = table(&[(1, "near"), (2, "far")]);
     table.displaced("e1", now(0));
     for millis in [1, 600, 5_000, 20_000] {
@@ -431,7 +438,7 @@
 }
 
 #[test]
-fn batch_gives_way_when_slots_run_out_and_gateways_share_the_burden() {
+fn batch_is_preempted_when_slots_run_out_and_gateways_share_preemptions() {
     // This gateway's batch and online requests, those of another gateway, and the number to
     // preempt.
     let cases = [
@@ -476,7 +483,7 @@
 }
 
 #[test]
-fn batch_keeps_away_for_a_while_from_where_it_gave_way() {
+fn batch_avoids_engine_for_a_while_after_preemption() {
     let mut table = table(&[(1, "near")]);
     for _ in 0..9 {
         table.started("e1", WorkClass::Online, 0, now(0));
@@ -501,7 +508,7 @@
 }
 
 #[test]
-fn gateways_that_choose_at_the_same_moment_do_not_all_choose_the_same_engine() {
+fn concurrent_picks_do_not_all_choose_same_engine() {
     // One engine is idle and all others run a request; every gateway observes that.
     let engines: Vec<(u8, &str)> = (1..=24).map(|number| (number, "near")).collect();
     let mut chosen: BTreeMap<String, u32> = BTreeMap::new();
@@ -524,7 +531,7 @@
 }
 
 #[test]
-fn a_long_prompt_goes_where_it_holds_up_few() {
+fn long_prompt_goes_where_it_delays_fewest_requests() {
     let prompt = [part("album", 900), part("own", 40_000)];
     let mut table = table(&[(1, "near"), (2, "far")]);
     table.started("e1", WorkClass::Online, 0, now(0));
@@ -534,7 +541,7 @@
 }
 
 #[test]
-fn gateways_start_no_more_batch_requests_at_once_than_there_is_room_for() {
+fn concurrent_batch_starts_stay_within_capacity() {
     // Eight gateways that don't observe each other's requests yet, and 32 slots.
     let mut started = 0;
     for gateway in 0..8 {
@@ -552,7 +559,7 @@
 }
 
 #[test]
-fn no_batch_request_starts_while_a_burst_has_a_request_for_every_slot() {
+fn no_batch_starts_while_burst_needs_every_slot() {
     let mut table = table(&[(1, "near"), (2, "near"), (3, "near")]);
     for engine in [["e1"; 9], ["e2"; 9]].concat().into_iter().chain(["e3"; 6]) {
         table.started(engine, WorkClass::Online, 0, now(0));
@@ -577,7 +584,7 @@
 }
 
 #[test]
-fn an_online_request_goes_where_own_batch_work_gives_way_at_once() {
+fn online_request_prefers_engine_with_own_preemptible_batch() {
     // All slots are in use: by online work, by another gateway's batch work, and by this
     // gateway's batch work.
     let mut table = table(&[(1, "near"), (2, "near"), (3, "near")]);
@@ -622,7 +629,7 @@
 }
 
 #[test]
-fn a_request_waits_at_an_engine_only_as_long_as_it_is_in_time() {
+fn request_queues_at_engine_only_if_target_can_be_met() {
     let left = |ms| Standing::InTime {
         left: Duration::from_millis(ms),
     };
@@ -653,7 +660,7 @@
 
 /// Returns the requests that 40 gateways start at the same time, with five attempts each,
 /// at two engines with 8 slots each, before they observe one another's requests.
-fn started_at_once(standing: Standing, slot_time: Duration) -> u32 {
+fn count_concurrent_starts(standing: Standing, slot_time: Duration) -> u32 {
     let mut started = 0;
     for seed in 0..40 {
         let mut table = EngineTable::new("near".into(), seed);
@@ -672,7 +679,7 @@
 }
 
 #[test]
-fn gateways_start_no_more_requests_at_once_than_there_is_room_for() {
+fn concurrent_online_starts_stay_within_capacity() {
     let held = Duration::from_millis(400);
     // 16 slots, and 4 requests at each engine that get a slot within 200 ms.
     let cases = [
@@ -685,20 +692,20 @@
         ),
     ];
     for (standing, room) in cases {
-        let started = started_at_once(standing, held);
+        let started = count_concurrent_starts(standing, held);
         assert!(room.contains(&started), "{standing:?}: {started}");
     }
 }
 
 #[test]
-fn requests_that_end_before_others_see_them_are_not_held_back() {
-    let started = started_at_once(IN_TIME, Duration::from_millis(20));
+fn short_requests_are_not_held_back() {
+    let started = count_concurrent_starts(IN_TIME, Duration::from_millis(20));
     assert_eq!(started, 200);
 }
 
 /// Two gateways with two engines, where `e1` fails every other request and appears less
 /// loaded.
-fn gateways_of_an_erring_engine() -> [EngineTable; 2] {
+fn gateways_with_failing_engine() -> [EngineTable; 2] {
     [1, 2].map(|seed| {
         let mut table = EngineTable::new("near".into(), seed);
         table.learn(CONTROL, facts(1, "near"), Timestamp::ZERO);
@@ -709,8 +716,8 @@
 }
 
 #[test]
-fn an_engine_that_fails_part_of_its_requests_is_avoided_by_all_who_hear_of_it() {
-    let [mut one, mut other] = gateways_of_an_erring_engine();
+fn engine_failing_some_requests_is_avoided_by_informed_gateways() {
+    let [mut one, mut other] = gateways_with_failing_engine();
     let mut at = 0;
     let mut errors = 0;
     while online(&mut one, at) == Ok("e1".to_owned()) {
@@ -735,8 +742,8 @@
 }
 
 #[test]
-fn single_broken_answers_take_no_engine_away() {
-    let [mut one, _] = gateways_of_an_erring_engine();
+fn rare_broken_answers_do_not_exclude_engine() {
+    let [mut one, _] = gateways_with_failing_engine();
     for request in 0..2_000 {
         one.answered("e1", request % 20 == 0, now(request * 10));
         assert_eq!(online(&mut one, request * 10), Ok("e1".to_owned()));
@@ -744,14 +751,21 @@
 }
 
 #[test]
-fn a_gateway_takes_over_the_slot_that_its_request_left_and_no_other() {
+fn gateway_takes_over_only_the_slot_its_own_request_freed() {
     let tables = || {
         let mut table = EngineTable::new("near".into(), 3);
         table.learn(CONTROL, facts(1, "near"), Timestamp::ZERO);
         table.learn(CONTROL, facts(2, "near"), Timestamp::ZERO);
         table.set_gateways(40);
         table.note_slot_time("s", Duration::from_secs(1));
-        table.note_shares(NodeId(9), &[full_but_one("e1"), full_but_one("e2")], now(0));
+        table.note_shares(
+            NodeId(9),
+            &[
+                share_with_one_free_slot("e1"),
+                share_with_one_free_slot("e2"),
+            ],
+            now(0),
+        );
         table
     };
     let take =
@@ -781,7 +795,7 @@
 }
 
 /// Work of other gateways at an engine of 8 slots.
-fn full_but_one(engine: &str) -> WorkShare {
+fn share_with_one_free_slot(engine: &str) -> WorkShare {
     WorkShare {
         engine: engine.to_owned(),
         requests: 7,
@@ -796,7 +810,7 @@
 }
 
 #[test]
-fn a_request_that_engines_ended_under_goes_to_one_that_stays() {
+fn suspect_request_goes_to_stable_engine() {
     // One engine has just restarted, and therefore has the lowest load.
     let mut table = table(&[(1, "near")]);
     table.started("e1", WorkClass::Online, 0, now(0));
@@ -826,7 +840,7 @@
 }
 
 #[test]
-fn engines_that_go_to_other_gateways_are_used_no_more() {
+fn engines_assigned_to_other_gateways_are_dropped() {
     let mut table = table(&[(1, "near"), (2, "near"), (3, "near")]);
     table.learn(OTHER_CONTROL, facts(3, "near"), now(0));
     let part = ids(&["e2"]);
@@ -847,7 +861,7 @@
 }
 
 #[test]
-fn a_control_node_that_was_replaced_holds_up_no_loss() {
+fn replaced_control_node_does_not_delay_engine_removal() {
     let mut table = table(&[(1, "near"), (2, "near")]);
     table.learn(OTHER_CONTROL, facts(1, "near"), now(0));
     table.forget_teller(CONTROL);
@@ -858,7 +872,7 @@
 }
 
 #[test]
-fn batch_room_is_shared_among_the_gateways_that_use_the_engines() {
+fn batch_headroom_is_shared_among_gateways_using_the_engines() {
     let engines: Vec<(u8, &str)> = (1..=50).map(|number| (number, "near")).collect();
     let mut table = table(&engines);
     table.set_gateways(800);
--- a/crates/routing/tests/lives.rs
+++ b/crates/routing/tests/lives.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn nothing_of_an_earlier_life_counts_for_a_later_one() {
+fn state_of_earlier_incarnation_does_not_apply_to_later_one() {
     for port in [1, 2] {
         let mut table = table_of("e#100");
         for _ in 0..8 {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_earlier_lifes_late_word_changes_nothing_of_the_later_one() {
+fn late_messages_about_earlier_incarnation_have_no_effect() {
     let mut table = table_of("e#100");
     table.started("e#100", WorkClass::Online, 0, now(0));
     table.learn(CONTROL, facts("e#200", 2), now(1));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_later_life_that_was_lost_is_not_followed_by_an_earlier_one() {
+fn earlier_incarnation_is_not_added_after_later_one_was_lost() {
     let mut table = table_of("e#100");
     table.learn(CONTROL, facts("e#200", 2), now(1));
     table.lose(CONTROL, "e#200");
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn an_engine_that_left_serves_when_it_is_back_as_a_later_life() {
+fn departed_engine_serves_again_as_later_incarnation() {
     let mut table = table_of("e#100");
     assert!(table.depart("e#100"));
     assert!(!table.depart("e#100"));
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn an_end_without_a_start_binds_the_lives_begun_until_then() {
+fn departure_without_start_applies_to_earlier_incarnations() {
     // The departure as dated by a control node, the incarnation, and whether the departure
     // applies to it.
     let cases = [
@@ -152,20 +152,24 @@
         ("e", "e", true),
         ("e", "e#100", false),
     ];
-    for (end, life, is_bound) in cases {
-        let mut before = table_of(life);
+    for (end, incarnation, is_bound) in cases {
+        let mut before = table_of(incarnation);
         before.depart(end);
-        assert_eq!(before.is_empty(), is_bound, "{life} before {end}");
-        let mut behind = EngineTable::new("z".into(), 7);
-        behind.depart(end);
-        behind.learn(CONTROL, facts(life, 1), now(1));
-        assert_eq!(behind.is_empty(), is_bound, "{life} after {end}");
-        assert_eq!(behind.has_departed(life), is_bound, "{life} after {end}");
+        assert_eq!(before.is_empty(), is_bound, "{incarnation} before {end}");
+        let mut after = EngineTable::new("z".into(), 7);
+        after.depart(end);
+        after.learn(CONTROL, facts(incarnation, 1), now(1));
+        assert_eq!(after.is_empty(), is_bound, "{incarnation} after {end}");
+        assert_eq!(
+            after.has_departed(incarnation),
+            is_bound,
+            "{incarnation} after {end}"
+        );
     }
 }
 
 #[test]
-fn ends_of_two_lives_are_two_crashes_and_one_end_is_one() {
+fn crashes_are_counted_once_per_incarnation() {
     let request = RequestDigest::of(&RequestParts {
         tenant: None,
         host: "h",
@@ -186,7 +190,7 @@
 }
 
 #[test]
-fn a_service_has_left_with_its_last_engine_until_another_one_is_heard() {
+fn service_has_left_until_another_engine_is_listed() {
     let mut table = table_of("e#100");
     table.learn(CONTROL, facts("f", 2), now(0));
     assert!(!table.has_left("s"));
--- a/crates/routing/tests/many_gateways/mod.rs
+++ b/crates/routing/tests/many_gateways/mod.rs
@@ -16,7 +16,7 @@
 
 const SERVICE: &str = "s";
 /// Requests that an engine queues before it rejects one.
-const QUEUED: usize = 24;
+const MAX_QUEUED: usize = 24;
 /// Longest time for which a request holds a slot, as a multiple of the mean.
 const LONGEST_WORK: f64 = 7.3;
 /// Mean slot time including the few requests that take several times as long, as a multiple
@@ -24,19 +24,19 @@
 pub const MEAN_WORK: f64 = 1.04;
 /// Latency target of requests, and the part of it within which an engine must start them.
 const TARGET_MS: u64 = 300;
-const BEGINS_BY_MS: u64 = 240;
+const START_WITHIN_MS: u64 = 240;
 /// How long callers wait, and the part of it after which a late request is refused.
-const PATIENCE_MS: u64 = 1_500;
-const WAITS_MS: u64 = 1_050;
+const CALLER_TIMEOUT_MS: u64 = 1_500;
+const MAX_WAIT_MS: u64 = 1_050;
 /// Time without a response after which a request is sent elsewhere.
-const SILENCE_MS: u64 = 450;
+const RESPONSE_TIMEOUT_MS: u64 = 450;
 /// Network latency between a gateway and an engine or a relay.
-const WAY_MS: u64 = 1;
+const LATENCY_MS: u64 = 1;
 /// Time between two attempts to find an engine, in time and late.
-const LOOK_MS: u64 = 8;
-const LATE_LOOK_MS: u64 = 20;
+const RETRY_MS: u64 = 8;
+const LATE_RETRY_MS: u64 = 20;
 /// Time between two reports of a gateway, and two rounds of a relay.
-const TELLING_MS: u64 = 50;
+const REPORT_MS: u64 = 50;
 const RELAYS: usize = 3;
 /// Load steps: factors of the mean in peaks and lulls, the period, and when the peak begins
 /// in it.
@@ -44,15 +44,15 @@
 const LULL: f64 = 0.383;
 const PERIOD_MS: u64 = 5_800;
 const PEAK_FROM_MS: u64 = 3_400;
-const TELLER: NodeId = NodeId(9_999);
+const CONTROL: NodeId = NodeId(9_999);
 
 /// Fault of an engine.
 #[derive(Clone, Copy, Debug)]
-pub enum Trouble {
+pub enum Fault {
     /// The engine works slower by this factor.
     Slow(f64),
     /// The engine accepts requests and never responds.
-    Dark,
+    Unresponsive,
     /// The engine leaves, and the gateways are informed.
     Gone,
 }
@@ -68,7 +68,7 @@
     /// Whether an answer begins when a slot is assigned, rather than when it ends.
     pub streams: bool,
     /// When the first engine becomes faulty, in milliseconds, and its fault.
-    pub trouble: Option<(u64, Trouble)>,
+    pub fault: Option<(u64, Fault)>,
 }
 
 impl Engines {
@@ -78,7 +78,7 @@
             slots,
             work_ms,
             streams: false,
-            trouble: None,
+            fault: None,
         }
     }
 }
@@ -93,7 +93,7 @@
     /// Whether the load changes in steps.
     pub peaks: bool,
     /// Whether gateways report their demand.
-    pub demand_told: bool,
+    pub demand_reported: bool,
 }
 
 /// Results as seen by callers and engines.
@@ -107,7 +107,7 @@
     pub lost: u64,
     /// Arrivals at engines, and those rejected.
     pub arrivals: u64,
-    pub turned_away: u64,
+    pub rejected: u64,
     /// Total time of requests in time, in milliseconds.
     in_time_ms: u64,
     /// Requests and those in time, by gateway.
@@ -119,8 +119,8 @@
         self.in_time as f64 / self.asked.max(1) as f64
     }
 
-    pub fn share_turned_away(&self) -> f64 {
-        self.turned_away as f64 / self.arrivals.max(1) as f64
+    pub fn share_rejected(&self) -> f64 {
+        self.rejected as f64 / self.arrivals.max(1) as f64
     }
 
     pub fn share_lost(&self) -> f64 {
@@ -158,7 +158,7 @@
             self.refused as f64 / asked,
             self.lost as f64 / asked,
             self.arrivals,
-            self.share_turned_away(),
+            self.share_rejected(),
             self.in_time_ms as f64 / self.in_time.max(1) as f64,
         )
     }
@@ -170,7 +170,7 @@
 struct Request {
     gateway: usize,
     arrived: u64,
-    next_look: u64,
+    next_try: u64,
     tried: BTreeSet<String>,
     /// Engine that the request is at, and since when.
     at: Option<(usize, u64)>,
@@ -235,7 +235,7 @@
                     zone: format!("z{}", engine % 3).as_str().into(),
                     slots: load.engines.slots as u32,
                 };
-                table.learn(TELLER, facts, at(0));
+                table.learn(CONTROL, facts, at(0));
             }
             table
         };
@@ -271,17 +271,17 @@
     /// Runs for `for_ms` milliseconds, and then until all callers have an answer or gave
     /// up.
     pub fn run(mut self, for_ms: u64) -> Seen {
-        while self.now < for_ms + PATIENCE_MS {
+        while self.now < for_ms + CALLER_TIMEOUT_MS {
             self.now += 1;
             if self.now < for_ms {
                 self.arrive();
             }
-            self.trouble();
+            self.apply_fault();
             self.deliver();
             self.serve();
             self.exchange();
             self.time_out();
-            self.look();
+            self.try_waiting();
         }
         self.seen
     }
@@ -303,7 +303,7 @@
                 let request = Request {
                     gateway,
                     arrived: self.now,
-                    next_look: self.now,
+                    next_try: self.now,
                     tried: BTreeSet::new(),
                     at: None,
                     attempt: 0,
@@ -321,8 +321,8 @@
         }
     }
 
-    fn trouble(&mut self) {
-        if let Some((from, Trouble::Gone)) = self.load.engines.trouble
+    fn apply_fault(&mut self) {
+        if let Some((from, Fault::Gone)) = self.load.engines.fault
             && self.now == from
         {
             for table in &mut self.tables {
@@ -332,20 +332,20 @@
     }
 
     fn slowness(&self, engine: usize) -> f64 {
-        match self.load.engines.trouble {
-            Some((from, Trouble::Slow(by))) if engine == 0 && self.now >= from => by,
+        match self.load.engines.fault {
+            Some((from, Fault::Slow(by))) if engine == 0 && self.now >= from => by,
             _ => 1.0,
         }
     }
 
-    fn is_dark(&self, engine: usize) -> bool {
-        let trouble = self.load.engines.trouble;
-        matches!(trouble, Some((from, Trouble::Dark)) if engine == 0 && self.now >= from)
+    fn is_unresponsive(&self, engine: usize) -> bool {
+        let fault = self.load.engines.fault;
+        matches!(fault, Some((from, Fault::Unresponsive)) if engine == 0 && self.now >= from)
     }
 
     fn send(&mut self, message: Message) {
         self.messages
-            .entry(self.now + WAY_MS)
+            .entry(self.now + LATENCY_MS)
             .or_default()
             .push(message);
     }
@@ -364,19 +364,19 @@
 
     fn at_engine(&mut self, engine: usize, id: Id, attempt: u32) {
         self.seen.arrivals += 1;
-        if self.is_dark(engine) {
+        if self.is_unresponsive(engine) {
             return;
         }
-        if self.engines[engine].queue.len() >= QUEUED {
-            self.seen.turned_away += 1;
-            let load = self.told_load(engine);
+        if self.engines[engine].queue.len() >= MAX_QUEUED {
+            self.seen.rejected += 1;
+            let load = self.load_report(engine);
             self.send(Message::Answer(engine, id, attempt, false, load));
             return;
         }
         self.engines[engine].queue.push_back((id, attempt));
     }
 
-    fn told_load(&self, engine: usize) -> EngineLoad {
+    fn load_report(&self, engine: usize) -> EngineLoad {
         EngineLoad {
             running: self.engines[engine].running.len() as u32,
             waiting: self.engines[engine].queue.len() as u32,
@@ -400,7 +400,7 @@
 
     fn serve(&mut self) {
         for engine in 0..self.engines.len() {
-            if self.is_dark(engine) {
+            if self.is_unresponsive(engine) {
                 continue;
             }
             let now = self.now;
@@ -409,7 +409,7 @@
             self.engines[engine].running = running;
             let ended: Vec<(u64, Id, u32)> = ended;
             for (_, id, attempt) in ended {
-                let load = self.told_load(engine);
+                let load = self.load_report(engine);
                 self.send(Message::Answer(engine, id, attempt, true, load));
             }
             while self.engines[engine].running.len() < self.load.engines.slots {
@@ -432,7 +432,7 @@
         }
     }
 
-    fn leave(&mut self, id: Id) -> Option<(usize, u64)> {
+    fn end_attempt(&mut self, id: Id) -> Option<(usize, u64)> {
         let request = self.requests.get_mut(&id)?;
         let (engine, since) = request.at.take()?;
         request.attempt += 1;
@@ -479,13 +479,13 @@
         table.report(&name(engine), load, now);
         if !ran {
             table.failed(&name(engine), Failure::Full, now);
-            self.leave(id);
-            self.wait_again(id);
+            self.end_attempt(id);
+            self.requeue(id);
             return;
         }
         table.answered(&name(engine), false, now);
         table.succeeded(&name(engine), now);
-        self.leave(id);
+        self.end_attempt(id);
         let table = &mut self.tables[gateway];
         table.freed(&name(engine), now);
         let held = request_began.map_or(0, |began| self.now - began);
@@ -499,14 +499,14 @@
     }
 
     /// Lets a request retry at once, in time or late by its age.
-    fn wait_again(&mut self, id: Id) {
+    fn requeue(&mut self, id: Id) {
         let request = self.requests.get_mut(&id).expect("the request exists");
-        request.next_look = self.now;
+        request.next_try = self.now;
         let gateway = request.gateway;
-        if self.now - request.arrived < BEGINS_BY_MS {
+        if self.now - request.arrived < START_WITHIN_MS {
             self.tables[gateway].begins_to_wait(SERVICE);
         }
-        match self.now - request.arrived < BEGINS_BY_MS {
+        match self.now - request.arrived < START_WITHIN_MS {
             true => self.in_time[gateway].push(id),
             false => self.late[gateway].push_back(id),
         }
@@ -515,18 +515,18 @@
     fn exchange(&mut self) {
         let now = at(self.now);
         for gateway in 0..self.tables.len() {
-            if (self.now + gateway as u64 * 7).is_multiple_of(TELLING_MS) {
+            if (self.now + gateway as u64 * 7).is_multiple_of(REPORT_MS) {
                 let shares = self.tables[gateway].shares(now);
                 let from = NodeId(gateway as u32);
                 self.relays[gateway % RELAYS].note(from, Teller::Gateway, shares, now);
-                if self.load.demand_told {
+                if self.load.demand_reported {
                     let demands = self.tables[gateway].demands(now);
                     self.demand_relays[gateway % RELAYS].note(from, Teller::Gateway, demands, now);
                 }
             }
         }
         for relay in 0..RELAYS {
-            if !(self.now + relay as u64 * 17).is_multiple_of(TELLING_MS) {
+            if !(self.now + relay as u64 * 17).is_multiple_of(REPORT_MS) {
                 continue;
             }
             let from = NodeId(1_000 + relay as u32);
@@ -561,13 +561,13 @@
         let over = self.requests.iter().filter(|(_, request)| {
             let silent = request
                 .at
-                .is_some_and(|(_, since)| now - since >= SILENCE_MS);
-            let over = now - request.arrived >= PATIENCE_MS;
+                .is_some_and(|(_, since)| now - since >= RESPONSE_TIMEOUT_MS);
+            let over = now - request.arrived >= CALLER_TIMEOUT_MS;
             request.began.is_none() && (over || silent)
         });
         let over: Vec<Id> = over.map(|(&id, _)| id).collect();
         for id in over {
-            let left = self.leave(id);
+            let left = self.end_attempt(id);
             let request = self.requests.get_mut(&id).expect("the request exists");
             let gateway = request.gateway;
             if let Some((engine, _)) = left {
@@ -576,11 +576,11 @@
                 let table = &mut self.tables[gateway];
                 table.failed(&name(engine), Failure::Silent, at(now));
             }
-            if now - request.arrived < PATIENCE_MS && request.runs < 3 {
-                self.wait_again(id);
+            if now - request.arrived < CALLER_TIMEOUT_MS && request.runs < 3 {
+                self.requeue(id);
                 continue;
             }
-            if left.is_none() && now - self.requests[&id].arrived < BEGINS_BY_MS {
+            if left.is_none() && now - self.requests[&id].arrived < START_WITHIN_MS {
                 self.tables[gateway].ends_to_wait(SERVICE);
             }
             self.in_time[gateway].retain(|one| *one != id);
@@ -594,37 +594,37 @@
     }
 
     /// Lets waiting requests try to find an engine.
-    fn look(&mut self) {
+    fn try_waiting(&mut self) {
         for gateway in 0..self.load.gateways {
             for id in std::mem::take(&mut self.in_time[gateway]) {
                 let request = &self.requests[&id];
                 let age = self.now - request.arrived;
-                if age >= BEGINS_BY_MS {
+                if age >= START_WITHIN_MS {
                     self.tables[gateway].ends_to_wait(SERVICE);
                     self.late[gateway].push_back(id);
                     continue;
                 }
-                if request.next_look > self.now {
+                if request.next_try > self.now {
                     self.in_time[gateway].push(id);
                     continue;
                 }
-                let left = Duration::from_millis(BEGINS_BY_MS - age);
+                let left = Duration::from_millis(START_WITHIN_MS - age);
                 if !self.start(id, Standing::InTime { left }) {
                     let request = self.requests.get_mut(&id).expect("the request exists");
-                    request.next_look = self.now + LOOK_MS;
+                    request.next_try = self.now + RETRY_MS;
                     self.in_time[gateway].push(id);
                 }
             }
-            self.look_late(gateway);
+            self.try_late(gateway);
         }
     }
 
     /// Lets the oldest late request of a gateway try.
-    fn look_late(&mut self, gateway: usize) {
+    fn try_late(&mut self, gateway: usize) {
         let now = self.now;
         let (over, waiting): (VecDeque<Id>, VecDeque<Id>) = std::mem::take(&mut self.late[gateway])
             .into_iter()
-            .partition(|id| now - self.requests[id].arrived >= WAITS_MS);
+            .partition(|id| now - self.requests[id].arrived >= MAX_WAIT_MS);
         self.late[gateway] = waiting;
         for id in over {
             let request = self.requests.remove(&id).expect("the request exists");
@@ -637,14 +637,14 @@
         let Some(id) = oldest.min_by_key(|id| self.requests[id].arrived) else {
             return;
         };
-        if self.requests[&id].next_look > now {
+        if self.requests[&id].next_try > now {
             return;
         }
         if self.start(id, Standing::Late) {
             self.late[gateway].retain(|one| *one != id);
         } else {
             let request = self.requests.get_mut(&id).expect("the request exists");
-            request.next_look = now + LATE_LOOK_MS;
+            request.next_try = now + LATE_RETRY_MS;
         }
     }
 
--- a/crates/routing/tests/pace/fleet.rs
+++ b/crates/routing/tests/pace/fleet.rs
@@ -26,18 +26,18 @@
 /// Time until the first event if a slot is free.
 const FIRST: Time = 6 * MS;
 /// Time within which an engine must start a request.
-const BEGINS_WITHIN: Time = 240 * MS;
+const START_WITHIN: Time = 240 * MS;
 const TARGET: Time = 300 * MS;
 /// Longest wait of a late request.
 const PATIENCE: Time = 3_500 * MS;
 /// Longest pause between events of an answer that counts as in time.
 const PAUSE: Time = 400 * MS;
 /// Time between two reports, which take effect after the same time again.
-const TELLS: Time = 50 * MS;
+const REPORT_INTERVAL: Time = 50 * MS;
 /// Time between two attempts to find an engine, of a request in time and of the oldest late
 /// one.
-const LOOKS: Time = 8 * MS;
-const TURN_LOOKS: Time = 20 * MS;
+const RETRY_INTERVAL: Time = 8 * MS;
+const LATE_RETRY_INTERVAL: Time = 20 * MS;
 /// Length of the spans for which an engine's pace is drawn.
 const SPAN: Time = 600 * MS;
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sources {
     /// Paces that engines report.
-    pub told: bool,
+    pub reported: bool,
     /// Measured time between events.
     pub measured: bool,
 }
@@ -75,7 +75,7 @@
     pub noise: (f64, f64),
     pub slow: Option<Slow>,
     /// Whether the pace that engines report includes the slowdown in `slow`.
-    pub tells_slow: bool,
+    pub reports_slowdown: bool,
     pub batch: bool,
     pub ends: Time,
     pub seed: u64,
@@ -101,7 +101,7 @@
     /// Start times of those requests, since the slow period began.
     pub slow_starts: Vec<Time>,
     /// Online requests that those engines started in the second after it.
-    pub began_behind: u32,
+    pub began_after: u32,
 }
 
 impl Outcome {
@@ -117,12 +117,12 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives,
-    Looks(usize),
-    Emits(usize),
-    Tells,
-    Heard,
-    BatchLooks(usize),
+    Arrival,
+    TryStart(usize),
+    Emit(usize),
+    SendReports,
+    ReceiveReports,
+    StartBatch(usize),
 }
 
 #[derive(Clone, Debug)]
@@ -157,7 +157,7 @@
     /// Batch runs of each gateway at each engine.
     runs: BTreeMap<(usize, usize), Vec<usize>>,
     relay: WorkRelay,
-    on_way: Vec<(usize, Vec<WorkShare>)>,
+    in_transit: Vec<(usize, Vec<WorkShare>)>,
     due: BinaryHeap<Reverse<(Time, u64, Event)>>,
     number: u64,
     random: ChaCha8Rng,
@@ -217,7 +217,7 @@
             late: vec![VecDeque::new(); play.gateways],
             runs: BTreeMap::new(),
             relay: WorkRelay::default(),
-            on_way: Vec::new(),
+            in_transit: Vec::new(),
             due: BinaryHeap::new(),
             number: 0,
             random,
@@ -225,11 +225,11 @@
             outcome: Outcome::default(),
             play,
         };
-        fleet.plan(0, Event::Arrives);
-        fleet.plan(0, Event::Tells);
+        fleet.plan(0, Event::Arrival);
+        fleet.plan(0, Event::SendReports);
         if play.batch {
             for gateway in 0..play.gateways {
-                fleet.plan(gateway as u64 * 171, Event::BatchLooks(gateway));
+                fleet.plan(gateway as u64 * 171, Event::StartBatch(gateway));
             }
         }
         fleet
@@ -246,19 +246,19 @@
             if now >= self.play.ends {
                 break;
             }
-            self.happens(event, now);
+            self.handle(event, now);
         }
         self.outcome
     }
 
-    fn happens(&mut self, event: Event, now: Time) {
+    fn handle(&mut self, event: Event, now: Time) {
         match event {
-            Event::Arrives => self.arrives(now),
-            Event::Looks(request) => self.looks(request, now),
-            Event::Emits(request) => self.emits(request, now),
-            Event::Tells => self.tells(now),
-            Event::Heard => self.heard(now),
-            Event::BatchLooks(gateway) => self.batch_looks(gateway, now),
+            Event::Arrival => self.on_arrival(now),
+            Event::TryStart(request) => self.try_start(request, now),
+            Event::Emit(request) => self.on_event(request, now),
+            Event::SendReports => self.send_reports(now),
+            Event::ReceiveReports => self.receive_reports(now),
+            Event::StartBatch(gateway) => self.start_batch(gateway, now),
         }
     }
 
@@ -272,14 +272,14 @@
         share * slots / 0.96
     }
 
-    fn arrives(&mut self, now: Time) {
+    fn on_arrival(&mut self, now: Time) {
         let gateway = self.arrivals.random_range(0..self.play.gateways);
         let events = self.arrivals.random_range(7..=30);
         let request = self.add(gateway, WorkClass::Online, events, now);
         self.outcome.arrived += 1;
-        self.looks(request, now);
+        self.try_start(request, now);
         let wait = -self.arrivals.random::<f64>().max(1e-9).ln() / self.rate(now);
-        self.plan(now + (wait * SECOND as f64) as Time, Event::Arrives);
+        self.plan(now + (wait * SECOND as f64) as Time, Event::Arrival);
     }
 
     fn add(&mut self, gateway: usize, class: WorkClass, events: u32, now: Time) -> usize {
@@ -316,17 +316,20 @@
         self.tables[one.gateway].pick(&pick, at(now)).ok()
     }
 
-    fn looks(&mut self, request: usize, now: Time) {
+    fn try_start(&mut self, request: usize, now: Time) {
         let one = &self.requests[request];
-        let (gateway, begins_by) = (one.gateway, one.arrived + BEGINS_WITHIN);
+        let (gateway, start_by) = (one.gateway, one.arrived + START_WITHIN);
         if one.over {
             return;
         }
-        if now < begins_by {
-            let left = Duration::from_micros(begins_by - now);
+        if now < start_by {
+            let left = Duration::from_micros(start_by - now);
             match self.pick(request, Standing::InTime { left }, now) {
-                Some(picked) => self.sends(request, &picked, now),
-                None => self.plan((now + LOOKS).min(begins_by), Event::Looks(request)),
+                Some(picked) => self.send(request, &picked, now),
+                None => self.plan(
+                    (now + RETRY_INTERVAL).min(start_by),
+                    Event::TryStart(request),
+                ),
             }
             return;
         }
@@ -344,13 +347,13 @@
             && let Some(picked) = self.pick(request, Standing::Late, now)
         {
             self.late[gateway].pop_front();
-            self.sends(request, &picked, now);
+            self.send(request, &picked, now);
             return;
         }
-        self.plan(now + TURN_LOOKS, Event::Looks(request));
+        self.plan(now + LATE_RETRY_INTERVAL, Event::TryStart(request));
     }
 
-    fn sends(&mut self, request: usize, picked: &Picked, now: Time) {
+    fn send(&mut self, request: usize, picked: &Picked, now: Time) {
         let (gateway, class) = (self.requests[request].gateway, self.requests[request].class);
         let engine = number(&picked.facts.id);
         let table = &mut self.tables[gateway];
@@ -365,19 +368,19 @@
                 .or_default()
                 .push(request);
         } else {
-            self.gives_way(gateway, now);
+            self.preempt_batch(gateway, now);
         }
         self.engines[engine].queue.push_back(request);
-        self.begins(engine, now);
+        self.fill_slots(engine, now);
     }
 
-    fn begins(&mut self, engine: usize, now: Time) {
+    fn fill_slots(&mut self, engine: usize, now: Time) {
         while self.engines[engine].running.len() < SLOTS as usize {
             let Some(request) = self.engines[engine].queue.pop_front() else {
                 return;
             };
             self.engines[engine].running.push(request);
-            self.plan(now + FIRST, Event::Emits(request));
+            self.plan(now + FIRST, Event::Emit(request));
         }
     }
 
@@ -390,9 +393,9 @@
         self.engines[engine].spans[(now / SPAN) as usize] * slow.map_or(1.0, |slow| slow.by)
     }
 
-    fn told_load(&self, engine: usize, now: Time) -> EngineLoad {
+    fn load_report(&self, engine: usize, now: Time) -> EngineLoad {
         let now = now.saturating_sub(50 * MS);
-        let pace = match self.play.tells_slow {
+        let pace = match self.play.reports_slowdown {
             true => self.machine_pace(engine, now),
             false => self.engines[engine].spans[(now / SPAN) as usize],
         };
@@ -400,18 +403,18 @@
             running: self.engines[engine].running.len() as u32,
             waiting: self.engines[engine].queue.len() as u32,
             slots: SLOTS,
-            pace: self.play.sources.told.then_some((pace * 100.0) as u32),
+            pace: self.play.sources.reported.then_some((pace * 100.0) as u32),
         }
     }
 
-    fn emits(&mut self, request: usize, now: Time) {
+    fn on_event(&mut self, request: usize, now: Time) {
         let one = &mut self.requests[request];
         if one.over {
             return;
         }
         let (gateway, engine) = (one.gateway, one.engine);
         let name = id(engine);
-        let first = one.began.is_none();
+        let is_first = one.began.is_none();
         let took = now - one.last;
         one.last = now;
         one.events -= 1;
@@ -420,8 +423,8 @@
             WorkClass::Online => self.outcome.online_events += 1,
             WorkClass::Batch => self.outcome.batch_events += 1,
         }
-        if first {
-            self.first(request, now);
+        if is_first {
+            self.on_first_event(request, now);
         } else {
             if took > PAUSE && class == WorkClass::Online {
                 self.requests[request].paused = true;
@@ -436,15 +439,15 @@
             return;
         }
         let step = STEP as f64 * self.engines[engine].speed * self.machine_pace(engine, now);
-        self.plan(now + step as Time, Event::Emits(request));
+        self.plan(now + step as Time, Event::Emit(request));
     }
 
-    fn first(&mut self, request: usize, now: Time) {
+    fn on_first_event(&mut self, request: usize, now: Time) {
         let one = &mut self.requests[request];
         one.began = Some(now);
         let (gateway, engine, class) = (one.gateway, one.engine, one.class);
         let name = id(engine);
-        let load = self.told_load(engine, now);
+        let load = self.load_report(engine, now);
         let table = &mut self.tables[gateway];
         table.read(&name, 250);
         table.report(&name, load, at(now));
@@ -458,13 +461,13 @@
                 self.outcome.slow_starts.push(now - slow.from);
             }
             if (slow.until..slow.until + SECOND).contains(&now) {
-                self.outcome.began_behind += 1;
+                self.outcome.began_after += 1;
             }
         }
     }
 
     /// Removes a request from its slot or from the queue.
-    fn leaves(&mut self, request: usize, now: Time) {
+    fn remove(&mut self, request: usize, now: Time) {
         let one = &mut self.requests[request];
         one.over = true;
         let (gateway, engine, class, began) = (one.gateway, one.engine, one.class, one.began);
@@ -486,22 +489,22 @@
                 self.outcome.held += (now - began) as f64 / SECOND as f64;
             }
         }
-        self.begins(engine, now);
+        self.fill_slots(engine, now);
     }
 
     fn ends(&mut self, request: usize, now: Time) {
-        self.leaves(request, now);
+        self.remove(request, now);
         let one = &self.requests[request];
         if one.class == WorkClass::Batch {
             return;
         }
-        let first = one.began.expect("the request has begun") - one.arrived;
+        let first_delay = one.began.expect("the request has begun") - one.arrived;
         self.outcome.ended += 1;
         self.outcome.paused += u32::from(one.paused);
-        self.outcome.in_time += u32::from(first <= TARGET && !one.paused);
+        self.outcome.in_time += u32::from(first_delay <= TARGET && !one.paused);
     }
 
-    fn gives_way(&mut self, gateway: usize, now: Time) {
+    fn preempt_batch(&mut self, gateway: usize, now: Time) {
         for (engine, count) in self.tables[gateway].batch_to_cut(at(now)) {
             let engine = number(&engine);
             let runs = self
@@ -511,12 +514,12 @@
                 .unwrap_or_default();
             for run in runs.into_iter().rev().take(count as usize) {
                 self.outcome.cuts += 1;
-                self.leaves(run, now);
+                self.remove(run, now);
             }
         }
     }
 
-    fn batch_looks(&mut self, gateway: usize, now: Time) {
+    fn start_batch(&mut self, gateway: usize, now: Time) {
         for _ in 0..4 {
             let events = self.random.random_range(90..=160);
             let request = self.add(gateway, WorkClass::Batch, events, now);
@@ -524,30 +527,30 @@
                 self.requests.pop();
                 break;
             };
-            self.sends(request, &picked, now);
+            self.send(request, &picked, now);
         }
-        self.plan(now + TURN_LOOKS, Event::BatchLooks(gateway));
+        self.plan(now + LATE_RETRY_INTERVAL, Event::StartBatch(gateway));
     }
 
-    fn tells(&mut self, now: Time) {
+    fn send_reports(&mut self, now: Time) {
         for (gateway, table) in self.tables.iter().enumerate() {
             let from = NodeId(gateway as u32 + 1);
             self.relay
                 .note(from, Teller::Gateway, table.shares(at(now)), at(now));
         }
-        let told = self.relay.shares_by_gateway();
-        self.on_way = told
+        let reported = self.relay.shares_by_gateway();
+        self.in_transit = reported
             .into_iter()
             .map(|(gateway, shares)| (gateway.0 as usize - 1, shares))
             .collect();
-        self.plan(now + TELLS - 1, Event::Heard);
-        self.plan(now + TELLS, Event::Tells);
+        self.plan(now + REPORT_INTERVAL - 1, Event::ReceiveReports);
+        self.plan(now + REPORT_INTERVAL, Event::SendReports);
     }
 
-    fn heard(&mut self, now: Time) {
-        for (gateway, shares) in std::mem::take(&mut self.on_way) {
+    fn receive_reports(&mut self, now: Time) {
+        for (gateway, shares) in std::mem::take(&mut self.in_transit) {
             self.tables[gateway].note_shares(RELAY, &shares, at(now));
-            self.gives_way(gateway, now);
+            self.preempt_batch(gateway, now);
         }
     }
 }
--- a/crates/routing/tests/pace/main.rs
+++ b/crates/routing/tests/pace/main.rs
@@ -16,20 +16,20 @@
 
 const CONTROL: NodeId = NodeId(1);
 const RELAY: NodeId = NodeId(2);
-const NOTHING: Sources = Sources {
-    told: false,
+const NO_SOURCES: Sources = Sources {
+    reported: false,
     measured: false,
 };
-const TOLD: Sources = Sources {
-    told: true,
+const REPORTED: Sources = Sources {
+    reported: true,
     measured: false,
 };
 const MEASURED: Sources = Sources {
-    told: false,
+    reported: false,
     measured: true,
 };
 const BOTH: Sources = Sources {
-    told: true,
+    reported: true,
     measured: true,
 };
 
@@ -45,7 +45,7 @@
         speeds: [1.0, 1.0, 1.3],
         noise: (0.15, 2.5),
         slow: None,
-        tells_slow: true,
+        reports_slowdown: true,
         batch: true,
         ends: 9_000_000,
         seed,
@@ -66,7 +66,7 @@
 }
 
 /// Returns the summed outcome of a few simulations.
-fn played(play: impl Fn(u64) -> Play) -> Outcome {
+fn run_all(play: impl Fn(u64) -> Play) -> Outcome {
     let mut all = Outcome::default();
     for seed in 0..8 {
         let one = Fleet::new(play(seed)).run();
@@ -79,7 +79,7 @@
         all.batch_events += one.batch_events;
         all.cuts += one.cuts;
         all.began_slow += one.began_slow;
-        all.began_behind += one.began_behind;
+        all.began_after += one.began_after;
     }
     all
 }
@@ -95,45 +95,45 @@
         all.batch_events,
         all.cuts,
         all.began_slow,
-        all.began_behind,
+        all.began_after,
     );
 }
 
 #[test]
-fn work_takes_less_time_of_slots_where_gateways_go_by_pace() {
-    let before = played(|seed| play(NOTHING, seed));
+fn routing_by_pace_reduces_slot_time() {
+    let before = run_all(|seed| play(NO_SOURCES, seed));
     line("nothing", &before);
     for (name, sources) in [("measured", MEASURED), ("both", BOTH)] {
-        let all = played(|seed| play(sources, seed));
+        let all = run_all(|seed| play(sources, seed));
         line(name, &all);
         assert!(all.slot_seconds() < before.slot_seconds(), "{name}");
     }
 }
 
 #[test]
-fn engines_that_turn_slow_get_less_and_come_back() {
-    let before = played(|seed| slow_play(NOTHING, seed));
-    let all = played(|seed| slow_play(BOTH, seed));
+fn slow_engines_get_less_work_and_recover() {
+    let before = run_all(|seed| slow_play(NO_SOURCES, seed));
+    let all = run_all(|seed| slow_play(BOTH, seed));
     line("nothing", &before);
     line("both", &all);
     assert!(all.in_time >= before.in_time);
     assert!(all.paused < before.paused);
     assert!(all.slot_seconds() < before.slot_seconds());
     assert!(all.began_slow < before.began_slow);
-    assert!(all.began_behind > 0);
+    assert!(all.began_after > 0);
 }
 
 #[test]
-fn where_nothing_is_apart_every_decision_is_what_it_was() {
+fn even_paces_change_no_decision() {
     let even = |sources| Play {
         speeds: [1.0; 3],
         noise: (0.0, 1.0),
         ends: 6_500_000,
         ..play(sources, 7)
     };
-    let before = Fleet::new(even(NOTHING)).run();
+    let before = Fleet::new(even(NO_SOURCES)).run();
     assert!(before.cuts > 0 && before.in_time > 0);
-    for sources in [TOLD, MEASURED, BOTH] {
+    for sources in [REPORTED, MEASURED, BOTH] {
         assert_eq!(Fleet::new(even(sources)).run(), before, "{sources:?}");
     }
 }
@@ -173,7 +173,7 @@
     picked.facts.id
 }
 
-fn told(pace: u32) -> EngineLoad {
+fn reported(pace: u32) -> EngineLoad {
     EngineLoad {
         running: 0,
         waiting: 0,
@@ -183,24 +183,24 @@
 }
 
 /// Feeds events of an answer, one every `step` milliseconds, between two times.
-fn hear(table: &mut EngineTable, engine: &str, step: u64, from: u64, until: u64) {
+fn feed_events(table: &mut EngineTable, engine: &str, step: u64, from: u64, until: u64) {
     for at in (from + step..=until).step_by(step as usize) {
         table.heard(engine, 1, Duration::from_millis(step), now(at));
     }
 }
 
 /// Like [`gateway`], after it has learned the usual time between events, 50 ms.
-fn gateway_that_knows() -> EngineTable {
+fn gateway_with_baseline() -> EngineTable {
     let mut table = gateway();
-    hear(&mut table, "e2", 50, 0, 5_000);
+    feed_events(&mut table, "e2", 50, 0, 5_000);
     table
 }
 
 #[test]
-fn an_engine_that_tells_of_slow_work_gets_it_once_that_is_old() {
+fn engine_reporting_slow_pace_is_used_after_report_expires() {
     let mut table = gateway();
     assert_eq!(chosen(&mut table, 0), "e1");
-    table.report("e1", told(400), now(0));
+    table.report("e1", reported(400), now(0));
     assert_eq!(chosen(&mut table, 0), "e2");
     assert_eq!(chosen(&mut table, 300), "e2");
     // The engine reports nothing after that.
@@ -208,12 +208,12 @@
 }
 
 #[test]
-fn an_engine_that_goes_on_telling_of_slow_work_is_used_by_what_is_measured() {
-    let mut table = gateway_that_knows();
+fn engine_constantly_reporting_slow_pace_is_used_by_measurements() {
+    let mut table = gateway_with_baseline();
     for at in (5_000..30_000).step_by(50) {
-        table.report("e1", told(400), now(at));
-        hear(&mut table, "e1", 50, at, at + 50);
-        hear(&mut table, "e2", 50, at, at + 50);
+        table.report("e1", reported(400), now(at));
+        feed_events(&mut table, "e1", 50, at, at + 50);
+        feed_events(&mut table, "e2", 50, at, at + 50);
         // The reports never make it count as slow.
         assert_eq!(table.slow_engines(now(at + 50)), []);
     }
@@ -222,30 +222,30 @@
 }
 
 #[test]
-fn an_engine_that_tells_of_fast_work_and_is_measured_slow_is_avoided() {
-    let mut table = gateway_that_knows();
+fn engine_reporting_fast_pace_but_measured_slow_is_avoided() {
+    let mut table = gateway_with_baseline();
     assert_eq!(chosen(&mut table, 5_000), "e1");
     for at in (5_000..6_000).step_by(200) {
-        table.report("e1", told(50), now(at));
-        hear(&mut table, "e1", 50, at, at + 200);
+        table.report("e1", reported(50), now(at));
+        feed_events(&mut table, "e1", 50, at, at + 200);
     }
     assert_eq!(chosen(&mut table, 6_000), "e1");
     // It turns slow: a single event shows that, and it is avoided.
     table.heard("e1", 1, Duration::from_millis(400), now(6_400));
-    table.report("e1", told(50), now(6_400));
+    table.report("e1", reported(50), now(6_400));
     table.heard("e1", 1, Duration::from_millis(400), now(6_800));
     assert_eq!(chosen(&mut table, 6_800), "e2");
     // It is used again as soon as it recovers.
-    hear(&mut table, "e1", 50, 6_800, 7_200);
+    feed_events(&mut table, "e1", 50, 6_800, 7_200);
     assert_eq!(chosen(&mut table, 7_200), "e1");
 }
 
 #[test]
-fn gateways_that_measured_nothing_go_by_what_others_measured() {
-    let mut one = gateway_that_knows();
+fn gateways_without_measurements_use_those_of_others() {
+    let mut one = gateway_with_baseline();
     one.started("e1", WorkClass::Online, 0, now(5_000));
     one.heard("e1", 1, Duration::from_millis(300), now(5_300));
-    hear(&mut one, "e2", 50, 5_000, 5_300);
+    feed_events(&mut one, "e2", 50, 5_000, 5_300);
     let mut relay = WorkRelay::default();
     let shares = one.shares(now(5_300));
     relay.note(NodeId(10), Teller::Gateway, shares, now(5_300));
@@ -253,15 +253,15 @@
     let mut other = gateway();
     other.started("e2", WorkClass::Online, 0, now(5_300));
     assert_eq!(chosen(&mut other, 5_300), "e1");
-    let told = relay.shares_by_gateway();
-    let (_, shares) = told
+    let reported = relay.shares_by_gateway();
+    let (_, shares) = reported
         .iter()
         .find(|(node, _)| *node == NodeId(11))
         .expect("the relay reports to it");
     other.note_shares(RELAY, shares, now(5_310));
     assert_eq!(chosen(&mut other, 5_310), "e2");
     // A gateway's own report does not come back to it.
-    let (_, back) = told
+    let (_, back) = reported
         .iter()
         .find(|(node, _)| *node == NodeId(10))
         .expect("the relay reports to it");
@@ -271,9 +271,9 @@
 }
 
 #[test]
-fn a_slow_engine_is_left_one_place_whose_answers_say_when_it_is_back() {
-    let mut table = gateway_that_knows();
-    table.report("e1", told(1_000), now(5_000));
+fn slow_engine_keeps_one_slot_to_detect_recovery() {
+    let mut table = gateway_with_baseline();
+    table.report("e1", reported(1_000), now(5_000));
     let facts = table.pace_figures(now(5_000)).expect("there are engines");
     assert!(facts.slowest > 5.0 && facts.slow == 1, "{facts:?}");
     let headroom = table.batch_headroom("s", now(5_000));
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn nodes_with_and_without_paces_read_each_other() {
+fn nodes_with_and_without_paces_decode_each_other() {
     let old = OldShare {
         engine: "e1".to_owned(),
         requests: 3,
@@ -324,7 +324,7 @@
 }
 
 #[test]
-fn a_report_holds_as_far_as_it_makes_sense() {
+fn valid_parts_of_report_are_used() {
     let load = |pace| {
         Some(EngineLoad {
             running: 3,
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn operators_are_told_once_of_an_engine_that_stays_slow() {
+fn slow_engine_is_reported_to_operators_once() {
     let mut watch = SlowWatch::default();
     let slow = vec![("e1".to_owned(), 4.0)];
     assert_eq!(watch.look(&slow, now(0)), []);
--- a/crates/routing/tests/pace/peaks.rs
+++ b/crates/routing/tests/pace/peaks.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn online_requests_of_a_lull_find_slots_free_and_batch_work_has_the_others() {
+fn online_requests_find_free_slots_and_batch_uses_the_rest() {
     let play = lull(1);
     let slots = play.engines as f64 * 8.0;
     let seconds = play.ends as f64 / 1e6;
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn room_is_kept_as_online_requests_come_and_given_back_when_they_do_not() {
+fn headroom_follows_online_requests() {
     let mut table = beside_online(4);
     // A slot is held for 600 ms, and a start is observed within 150 ms.
     assert!((table.kept_for_online("s", now(0)) - 1.0).abs() < 1e-6);
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_relay_that_falls_silent_keeps_no_room_for_what_it_told() {
+fn silent_relay_keeps_no_headroom() {
     let table = beside_online(8);
     assert!(table.kept_for_online("s", now(1_100)) > 1.9);
     assert_eq!(table.kept_for_online("s", now(1_300)), 0.0);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn requests_that_are_over_before_others_see_them_keep_no_room() {
+fn short_requests_keep_no_headroom() {
     let mut table = gateway();
     table.note_slot_time("s", Duration::from_millis(20));
     assert_eq!(table.kept_for_online("s", now(0)), 0.0);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_run_gives_way_that_loses_least() {
+fn run_with_least_loss_is_preempted_first() {
     let at = 1_000_000;
     let loss = |due_in: Option<u64>, read_again, number| {
         let urgency = Urgency::of(due_in.map(|due_in| at + due_in), at, 0);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn an_own_run_gives_way_to_an_own_request_and_to_no_other() {
+fn own_run_is_preempted_only_for_own_request() {
     for _ in 0..20 {
         let mut table = gateway();
         for _ in 0..4 {
--- a/crates/routing/tests/relay.rs
+++ b/crates/routing/tests/relay.rs
@@ -27,30 +27,30 @@
     }
 }
 
-fn told(relay: &WorkRelay) -> BTreeMap<NodeId, Vec<WorkShare>> {
+fn reported(relay: &WorkRelay) -> BTreeMap<NodeId, Vec<WorkShare>> {
     relay.shares_by_gateway().into_iter().collect()
 }
 
 #[test]
-fn a_gateway_hears_of_all_but_itself() {
+fn gateway_receives_work_of_all_others() {
     let mut relay = WorkRelay::default();
-    let of_a = vec![share("x", 2, 100, 1), share("y", 1, 0, 0)];
-    assert!(relay.note(A, Teller::Gateway, of_a.clone(), at(0)));
-    assert!(!relay.note(A, Teller::Gateway, of_a, at(1)));
+    let from_a = vec![share("x", 2, 100, 1), share("y", 1, 0, 0)];
+    assert!(relay.note(A, Teller::Gateway, from_a.clone(), at(0)));
+    assert!(!relay.note(A, Teller::Gateway, from_a, at(1)));
     relay.note(B, Teller::Gateway, vec![share("x", 3, 50, 0)], at(0));
     relay.note(OTHER_RELAY, Teller::Relay, vec![share("x", 5, 7, 2)], at(0));
-    let told = told(&relay);
-    assert_eq!(told[&A], [share("x", 8, 57, 2)]);
-    assert_eq!(told[&B], [share("x", 7, 107, 3), share("y", 1, 0, 0)]);
-    assert_eq!(told.len(), 2, "only gateways receive these");
+    let reported = reported(&relay);
+    assert_eq!(reported[&A], [share("x", 8, 57, 2)]);
+    assert_eq!(reported[&B], [share("x", 7, 107, 3), share("y", 1, 0, 0)]);
+    assert_eq!(reported.len(), 2, "only gateways receive these");
     // Other relays receive only this relay's own gateways, or all would be counted twice.
     let sum = relay.sum_of_gateways();
     assert_eq!(sum, [share("x", 5, 150, 1), share("y", 1, 0, 0)]);
 }
 
 #[test]
-fn how_gateways_fared_is_added_up_and_told_without_the_own_part() {
-    let fared = |failing, answering| WorkShare {
+fn failures_and_answers_are_summed_without_own_part() {
+    let outcome = |failing, answering| WorkShare {
         errors: 0,
         answers: 0,
         failing,
@@ -58,38 +58,38 @@
         ..share("x", 0, 0, 0)
     };
     let mut relay = WorkRelay::default();
-    relay.note(A, Teller::Gateway, vec![fared(1, 0)], at(0));
-    relay.note(B, Teller::Gateway, vec![fared(0, 1)], at(0));
-    relay.note(OTHER_RELAY, Teller::Relay, vec![fared(5, 2)], at(0));
-    let told = told(&relay);
-    assert_eq!(told[&A], [fared(5, 3)]);
-    assert_eq!(told[&B], [fared(6, 2)]);
-    assert_eq!(relay.sum_of_gateways(), [fared(1, 1)]);
+    relay.note(A, Teller::Gateway, vec![outcome(1, 0)], at(0));
+    relay.note(B, Teller::Gateway, vec![outcome(0, 1)], at(0));
+    relay.note(OTHER_RELAY, Teller::Relay, vec![outcome(5, 2)], at(0));
+    let reported = reported(&relay);
+    assert_eq!(reported[&A], [outcome(5, 3)]);
+    assert_eq!(reported[&B], [outcome(6, 2)]);
+    assert_eq!(relay.sum_of_gateways(), [outcome(1, 1)]);
 }
 
 #[test]
-fn what_a_silent_gateway_had_is_forgotten() {
+fn report_of_silent_gateway_expires() {
     let mut relay = WorkRelay::default();
     relay.note(A, Teller::Gateway, vec![share("x", 2, 0, 0)], at(0));
     relay.note(B, Teller::Gateway, vec![], at(1_000));
     relay.expire(at(1_250));
-    assert_eq!(told(&relay), BTreeMap::from([(B, vec![])]));
+    assert_eq!(reported(&relay), BTreeMap::from([(B, vec![])]));
     assert!(relay.sum_of_gateways().is_empty());
 }
 
 #[test]
-fn messages_grow_with_the_gateways_and_not_with_their_square() {
+fn messages_grow_linearly_with_gateways() {
     for gateways in [10, 100, 1_000] {
         let mut relay = WorkRelay::default();
         for gateway in 0..gateways {
             relay.note(NodeId(100 + gateway), Teller::Gateway, vec![], at(0));
         }
-        assert_eq!(told(&relay).len(), gateways as usize);
+        assert_eq!(reported(&relay).len(), gateways as usize);
     }
 }
 
 #[test]
-fn gateways_spread_over_relays_and_leave_a_silent_one() {
+fn gateways_spread_over_relays_and_leave_silent_relay() {
     let relays: BTreeSet<NodeId> = (1..=5).map(NodeId).collect();
     let mut used: BTreeMap<NodeId, u32> = BTreeMap::new();
     for gateway in 100..200 {
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn gateways_use_a_relay_of_their_zone_and_come_back_to_it() {
+fn gateways_use_relay_of_own_zone_and_return_to_it() {
     let relays: BTreeSet<NodeId> = (1..=5).map(NodeId).collect();
     let near = BTreeSet::from([NodeId(3)]);
     for gateway in 100..200 {
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn without_relays_there_is_none_to_use() {
+fn no_relay_is_chosen_without_relays() {
     let mut choice = RelayChoice::default();
     assert_eq!(
         choice.relay(A, &BTreeSet::new(), &BTreeSet::new(), at(0)),
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn gateways_beyond_a_cut_between_relays_are_reckoned_with() {
+fn gateways_of_partitioned_relays_are_accounted_for() {
     let mut relay = WorkRelay::default();
     for gateway in 0..8 {
         relay.note(NodeId(100 + gateway), Teller::Gateway, vec![], at(0));
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_gateway_hears_of_the_engines_that_it_uses_alone() {
+fn gateway_receives_only_engines_that_it_uses() {
     let mut relay = WorkRelay::default();
     let shares = |engines: &[&str]| {
         engines
@@ -221,7 +221,7 @@
         };
         engines.iter().map(users).collect()
     });
-    let told: Vec<(u32, Vec<(&str, u32)>)> = by_gateway
+    let reported: Vec<(u32, Vec<(&str, u32)>)> = by_gateway
         .iter()
         .map(|(gateway, shares)| {
             let shares = shares.iter();
@@ -230,11 +230,11 @@
         })
         .collect();
     let expected = [(1, vec![("b", 1), ("c", 1)]), (2, vec![("b", 1), ("c", 1)])];
-    assert_eq!(told, expected);
+    assert_eq!(reported, expected);
 }
 
 #[test]
-fn a_relay_of_many_gateways_takes_its_time_in_a_calm() {
+fn relay_with_many_gateways_slows_down_under_low_load() {
     let pause = |gateways: u32, requests: u32, slots: u64| {
         let mut relay = WorkRelay::default();
         for gateway in 1..=gateways {
@@ -251,8 +251,8 @@
 }
 
 #[test]
-fn engines_that_only_answered_are_not_told_on() {
-    let fared = |engine: &str, failing, answering, errors| WorkShare {
+fn engines_that_only_answered_are_not_passed_on() {
+    let outcome = |engine: &str, failing, answering, errors| WorkShare {
         failing,
         answering,
         errors,
@@ -260,26 +260,26 @@
         ..share(engine, 0, 0, 0)
     };
     let mut relay = WorkRelay::default();
-    let of_a = vec![
-        fared("answers", 0, 1, 0),
-        fared("errs", 0, 1, 3),
-        fared("fails", 1, 0, 0),
+    let from_a = vec![
+        outcome("answers", 0, 1, 0),
+        outcome("errs", 0, 1, 3),
+        outcome("fails", 1, 0, 0),
     ];
-    relay.note(A, Teller::Gateway, of_a, at(0));
-    let of_b = vec![fared("answers", 0, 1, 0), fared("fails", 0, 1, 0)];
-    relay.note(B, Teller::Gateway, of_b, at(0));
-    let told = told(&relay);
+    relay.note(A, Teller::Gateway, from_a, at(0));
+    let from_b = vec![outcome("answers", 0, 1, 0), outcome("fails", 0, 1, 0)];
+    relay.note(B, Teller::Gateway, from_b, at(0));
+    let reported = reported(&relay);
     let engines = |shares: &[WorkShare]| {
         let engines = shares.iter().map(|share| share.engine.clone());
         engines.collect::<Vec<String>>()
     };
-    assert_eq!(engines(&told[&B]), ["errs", "fails"]);
+    assert_eq!(engines(&reported[&B]), ["errs", "fails"]);
     // The engine fails no other gateway, and A knows of its own failure.
-    assert_eq!(engines(&told[&A]), Vec::<String>::new());
-    relay.note(B, Teller::Gateway, vec![fared("errs", 0, 1, 0)], at(0));
-    assert_eq!(engines(&self::told(&relay)[&A]), ["errs"]);
-    let of_b = vec![fared("answers", 0, 1, 0), fared("fails", 0, 1, 0)];
-    relay.note(B, Teller::Gateway, of_b, at(0));
+    assert_eq!(engines(&reported[&A]), Vec::<String>::new());
+    relay.note(B, Teller::Gateway, vec![outcome("errs", 0, 1, 0)], at(0));
+    assert_eq!(engines(&self::reported(&relay)[&A]), ["errs"]);
+    let from_b = vec![outcome("answers", 0, 1, 0), outcome("fails", 0, 1, 0)];
+    relay.note(B, Teller::Gateway, from_b, at(0));
     // Other relays sum up which gateways are answered, and receive all engines.
     assert_eq!(
         engines(&relay.sum_of_gateways()),
--- a/crates/routing/tests/short_requests.rs
+++ b/crates/routing/tests/short_requests.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use many_gateways::{Engines, Load, Play, Seen, Trouble};
+use many_gateways::{Engines, Fault, Load, Play, Seen};
 use molespan_routing::dispatch::{
     EngineFacts, EngineTable, Failure, Pick, PromptCost, Shortage, Standing, WorkClass,
 };
@@ -16,9 +16,9 @@
 /// Gateways of the service, most of which have few of its callers.
 const GATEWAYS: usize = 117;
 /// Simulated time in milliseconds: three peak periods.
-const PLAYED_MS: u64 = 17_400;
+const SIMULATED_MS: u64 = 17_400;
 /// When an engine becomes faulty, in milliseconds.
-const TROUBLE_MS: u64 = 5_000;
+const FAULT_MS: u64 = 5_000;
 
 /// A service of `engines`, whose callers want `demand` of its slots on average, steadily or
 /// in `peaks`.
@@ -28,34 +28,34 @@
         engines: Engines::new(engines, 6, 30.0),
         demand,
         peaks,
-        demand_told: false,
+        demand_reported: false,
     }
 }
 
-fn in_trouble(demand: f64, trouble: Trouble) -> Load {
+fn load_with_fault(demand: f64, fault: Fault) -> Load {
     let mut load = load(3, demand, false);
-    load.engines.trouble = Some((TROUBLE_MS, trouble));
+    load.engines.fault = Some((FAULT_MS, fault));
     load
 }
 
 fn play(load: Load) -> Seen {
-    let seen = Play::new(load.clone(), 1).run(PLAYED_MS);
+    let seen = Play::new(load.clone(), 1).run(SIMULATED_MS);
     println!("{load:?}: {}", seen.line());
     seen
 }
 
 #[test]
-fn what_there_is_room_for_is_in_time_and_rarely_turned_away() {
+fn load_within_capacity_is_in_time_and_rarely_rejected() {
     // Three engines, and the only one left of them; in peaks up to 0.8 of all slots.
     for (engines, demand, peaks) in [(3, 0.8, false), (1, 0.8, false), (3, 0.43, true)] {
         let seen = play(load(engines, demand, peaks));
-        assert!(seen.share_turned_away() <= 0.02, "{}", seen.line());
+        assert!(seen.share_rejected() <= 0.02, "{}", seen.line());
         assert!(seen.share_in_time() >= 0.95, "{}", seen.line());
     }
 }
 
 #[test]
-fn under_more_than_there_is_room_for_what_fits_is_in_time() {
+fn under_overload_what_fits_is_in_time() {
     for engines in [1, 3] {
         let seen = play(load(engines, 1.3, false));
         // Of 1.3 times the capacity, 1 / 1.3 fits; up to a twentieth of it may be lost to
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn what_peaks_leave_over_is_done_late_between_them() {
+fn requests_left_over_by_peaks_complete_late_between_them() {
     let seen = play(load(1, 0.76, true));
     // Peaks bring 0.774 of all requests, and need 0.76 * 1.87 times the slots.
     let fits = 0.774 / (0.76 * 1.87 * many_gateways::MEAN_WORK) + 0.226;
@@ -76,30 +76,26 @@
 }
 
 #[test]
-fn an_engine_in_trouble_drowns_no_other_one() {
+fn faulty_engine_does_not_overload_others() {
     // The engines that remain of three have capacity for all requests.
-    let troubles = [
-        (0.5, Trouble::Gone),
-        (0.5, Trouble::Slow(4.0)),
-        (0.5, Trouble::Dark),
+    let faults = [
+        (0.5, Fault::Gone),
+        (0.5, Fault::Slow(4.0)),
+        (0.5, Fault::Unresponsive),
     ];
-    for (demand, trouble) in troubles {
-        let seen = play(in_trouble(demand, trouble));
-        assert!(seen.share_in_time() >= 0.95, "{trouble:?} {}", seen.line());
-        assert!(
-            seen.share_turned_away() <= 0.02,
-            "{trouble:?} {}",
-            seen.line()
-        );
+    for (demand, fault) in faults {
+        let seen = play(load_with_fault(demand, fault));
+        assert!(seen.share_in_time() >= 0.95, "{fault:?} {}", seen.line());
+        assert!(seen.share_rejected() <= 0.02, "{fault:?} {}", seen.line());
     }
 }
 
 #[test]
-fn a_few_gateways_with_many_callers_each_use_all_room() {
+fn few_gateways_with_many_callers_use_all_capacity() {
     let mut load = load(3, 0.8, false);
     load.gateways = 3;
     let seen = play(load);
-    assert!(seen.share_turned_away() <= 0.02, "{}", seen.line());
+    assert!(seen.share_rejected() <= 0.02, "{}", seen.line());
     assert!(seen.share_in_time() >= 0.95, "{}", seen.line());
 }
 
@@ -133,7 +129,7 @@
 }
 
 #[test]
-fn an_engine_without_room_is_left_out_for_about_two_slot_times_and_longer_each_time() {
+fn full_engine_backs_off_two_slot_times_and_longer_each_time() {
     let left = Duration::from_secs(1);
     let mut table = table(Some(Duration::from_millis(10)));
     let mut now_ms = 0;
@@ -150,7 +146,7 @@
 }
 
 #[test]
-fn requests_that_others_hear_of_in_time_are_sent_as_before() {
+fn long_requests_are_not_limited_by_engine_queues() {
     // Nothing was measured yet, or slots are held for longer than reports take.
     for took in [None, Some(Duration::from_secs(1))] {
         let left = Duration::from_secs(1);
@@ -170,7 +166,7 @@
 }
 
 #[test]
-fn an_engine_gets_what_it_begins_with_in_time_and_no_more() {
+fn engine_gets_only_requests_it_can_start_in_time() {
     // At 10 ms each, 8 slots start 8 more requests every 10 ms.
     let mut table = table(Some(Duration::from_millis(10)));
     let left = Duration::from_millis(20);
@@ -183,13 +179,13 @@
 }
 
 #[test]
-fn a_service_is_short_of_room_while_engines_turn_requests_away() {
+fn service_is_short_of_capacity_while_engines_reject_requests() {
     let mut shortage = Shortage::default();
     let mut changes = Vec::new();
     for at_ms in (0..10_000).step_by(50) {
-        let turned_away = (1_000..2_000).contains(&at_ms);
+        let rejected = (1_000..2_000).contains(&at_ms);
         let now = Timestamp::from_millis(at_ms);
-        changes.extend(shortage.note(turned_away, now).map(|short| (at_ms, short)));
+        changes.extend(shortage.note(rejected, now).map(|short| (at_ms, short)));
     }
     assert_eq!(changes.len(), 2, "{changes:?}");
     assert!(changes[0].1 && changes[0].0 < 2_000, "{changes:?}");
@@ -197,7 +193,7 @@
 }
 
 #[test]
-fn single_requests_without_room_are_no_shortage() {
+fn single_rejections_are_no_shortage() {
     let mut shortage = Shortage::default();
     for second in 0..60 {
         let now = Timestamp::from_millis(second * 1_000);
--- a/crates/routing/tests/turn.rs
+++ b/crates/routing/tests/turn.rs
@@ -8,7 +8,7 @@
 const NOW_MS: u64 = 1_000;
 
 #[test]
-fn the_turn_goes_to_what_is_due_first_and_to_what_is_late_last() {
+fn turn_goes_to_earliest_deadline_and_late_work_last() {
     let mut queue = TurnQueue::default();
     assert_eq!(queue.ask(Some(5_000)), Asked::Turn);
     let due = [Some(900), Some(3_000), None, Some(2_000), Some(2_000)];
@@ -41,7 +41,7 @@
     /// At most one caller has the turn, and the turn is never lost while others wait,
     /// whoever gives up and whenever.
     #[test]
-    fn one_has_the_turn_as_long_as_anybody_waits(
+    fn exactly_one_caller_has_turn_while_others_wait(
         steps in prop::collection::vec(any_step(), 0..60),
     ) {
         let mut queue = TurnQueue::default();
