--- a/crates/routing/src/pick/engine_load.rs
+++ b/crates/routing/src/pick/engine_load.rs
@@ -1,4 +1,5 @@
-//! Load of one engine: its report, corrected by own requests since.
+//! Load of one engine: its last report, corrected by the requests that this gateway started
+//! and finished since.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,29 +10,30 @@
 use super::limit::{AdaptiveLimit, LimitSettings};
 use super::{Candidate, Finish};
 
-/// Own requests whose end is remembered until a report covers it.
+/// Most ended requests of this gateway that are kept until a report covers them.
 const MOST_REMEMBERED_ENDS: usize = 1_024;
 
-/// The load of an engine as it was at `observed`, on this node's clock.
+/// Load of an engine at the time `observed`, by this node's clock.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LoadSample {
     /// Engine.
     pub backend: BackendId,
-    /// Its life.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
-    /// Rises with every report.
+    /// Sequence number; increases with every report.
     pub sequence: u64,
-    /// When it was so: arrival less the report's age and half the round trip.
+    /// Estimated time of the observation: time of arrival minus the report's age and half
+    /// the round trip.
     pub observed: Timestamp,
-    /// Online requests running and waiting.
+    /// Online requests, running and waiting.
     pub online: u32,
-    /// Of these, how many wait.
+    /// Waiting online requests.
     pub online_waiting: u32,
-    /// Batch requests running and waiting.
+    /// Batch requests, running and waiting.
     pub batch: u32,
-    /// Of these, how many run.
+    /// Running batch requests.
     pub batch_running: u32,
-    /// Most requests in the running batch; 0 when the source does not say.
+    /// Most requests that run concurrently; 0 if the source doesn't report it.
     pub max_running: u32,
     /// Share of KV memory in use, 0.0 to 1.0.
     pub kv_used: f64,
@@ -40,7 +42,7 @@
 }
 
 impl LoadSample {
-    /// A sample from a direct report that was observed at `observed`.
+    /// Returns a sample of a direct report observed at `observed`.
     #[must_use]
     pub fn from_report(report: &LoadReport, observed: Timestamp) -> Self {
         Self {
@@ -59,7 +61,7 @@
     }
 }
 
-/// An own request in flight.
+/// A request of this gateway in flight.
 #[derive(Clone, Copy, Debug)]
 struct InFlight {
     started: Timestamp,
@@ -67,14 +69,14 @@
     blocks: u32,
 }
 
-/// What is known of one engine.
+/// State of one engine.
 #[derive(Clone, Debug)]
 pub(super) struct EngineLoad {
     candidate: Candidate,
     report: Option<LoadSample>,
-    /// Own requests in flight, oldest first.
+    /// Requests of this gateway in flight, oldest first.
     in_flight: VecDeque<InFlight>,
-    /// Start and end of own requests that a report may still count.
+    /// Start and end of requests of this gateway that a report may still include.
     ended: VecDeque<(Timestamp, Timestamp)>,
     limit: AdaptiveLimit,
 }
@@ -115,12 +117,12 @@
         self.limit.current()
     }
 
-    /// Online requests in the last report; 0 without one.
+    /// Returns the online requests in the last report, or 0 without one.
     pub(super) fn reported(&self) -> u32 {
         self.report.as_ref().map_or(0, |report| report.online)
     }
 
-    /// Takes a report unless an equal or later one is known.
+    /// Records a report unless the same or a later one was recorded.
     pub(super) fn observe(&mut self, sample: LoadSample, settings: &LimitSettings) {
         if sample.incarnation != self.candidate.incarnation {
             return;
@@ -138,7 +140,7 @@
         self.report = Some(sample);
     }
 
-    /// A request was sent of whose prompt `blocks` are not cached there.
+    /// Records that a request was sent; `blocks` of its prompt are not cached there.
     pub(super) fn started(&mut self, now: Timestamp, blocks: u32) {
         let started = now;
         self.in_flight.push_back(InFlight { started, blocks });
@@ -164,9 +166,9 @@
             .observe_finish(now, request.blocks, finish, settings);
     }
 
-    /// Online requests there: the report, plus own ones started since it was
-    /// observed, minus own ones that it counted and that have ended since. A
-    /// report that is too old is replaced by the own requests alone.
+    /// Returns the estimated online requests there: those of the report, plus this
+    /// gateway's started since it was observed, minus this gateway's that it included and
+    /// that have ended since. If the report is too old, only this gateway's requests count.
     pub(super) fn load(&self, now: Timestamp, valid_for: Duration) -> f64 {
         let own = self.in_flight.len() as f64;
         let Some(report) = &self.report else {
@@ -189,7 +191,8 @@
         estimate.max(own)
     }
 
-    /// Whether batch work was there and no online work holds it back now.
+    /// Whether batch work probably runs there now: the last report includes some, and no
+    /// online work holds it back.
     pub(super) fn is_disturbed(&self, now: Timestamp, valid_for: Duration) -> bool {
         let has_batch = self.report.as_ref().is_some_and(|report| {
             let fresh = now.since(report.observed) <= valid_for;
--- a/crates/routing/src/pick/limit.rs
+++ b/crates/routing/src/pick/limit.rs
@@ -1,10 +1,9 @@
-//! Adaptive concurrency limit of one engine: additive increase,
-//! multiplicative decrease.
+//! Adaptive concurrency limit of one engine: additive increase, multiplicative decrease.
 //!
-//! The limit falls when online requests wait inside the engine, when the time
-//! to the first byte rises far above the best that was seen for prompts of that
-//! size, or when the engine refuses for its load. It rises by a fraction with each good report while the
-//! limit is in use. An engine's own maximum bounds it.
+//! The limit decreases when online requests wait inside the engine, when the time to the
+//! first byte rises far above the best observed for prompts of similar size, or when the
+//! engine rejects a request because of its load. It increases by a fraction with each good
+//! report while the limit is in use. The engine's own maximum bounds it.
 
 use std::time::Duration;
 
@@ -13,32 +12,33 @@
 use super::Finish;
 use super::engine_load::LoadSample;
 
-/// Weight of the newest answer in the smoothed slowness.
+/// Weight of the latest answer in the smoothed slowness.
 const SLOWNESS_WEIGHT: f64 = 0.2;
-/// Classes of prompts by the blocks to process, each twice as long as the last.
+/// Number of prompt classes by the blocks to process, each covering twice the size of the
+/// one before.
 const PROMPT_CLASSES: usize = 14;
-/// Rate at which the best first-byte time forgets, per answer.
+/// Rate at which the best first-byte time rises, per answer.
 const BEST_DRIFT: f32 = 0.002;
-/// Shortest first-byte time that is told apart, in seconds.
+/// Lower bound of first-byte times, in seconds.
 const SHORTEST_FIRST_BYTE: f32 = 1e-6;
 
-/// Bounds of the limit.
+/// Settings of the adaptive limit.
 #[derive(Clone, Debug, PartialEq)]
 pub struct LimitSettings {
-    /// Limit before anything is learnt.
+    /// Limit before any observation.
     pub initial: u32,
     /// Lowest limit.
     pub lowest: u32,
     /// Highest limit.
     pub highest: u32,
-    /// Added per good sign while the limit is in use.
+    /// Added for each good report while the limit is in use.
     pub increase: f64,
-    /// Factor on a bad sign.
+    /// Factor applied on a sign of overload.
     pub decrease: f64,
-    /// Smoothed ratio of first-byte times to the best of their class from which
-    /// it is a bad sign.
+    /// Smoothed ratio of first-byte times to the best of their class above which an engine
+    /// counts as overloaded.
     pub slow_factor: f64,
-    /// Shortest time between two decreases: one crowd is one bad sign.
+    /// Shortest time between two decreases, so that one burst counts as a single sign.
     pub decrease_interval: Duration,
 }
 
@@ -56,13 +56,13 @@
     }
 }
 
-/// The limit and what it was learnt from.
+/// The limit and the observations that it is based on.
 #[derive(Clone, Debug)]
 pub(super) struct AdaptiveLimit {
     limit: f64,
     engine_maximum: Option<u32>,
     load: u32,
-    /// Best time to the first byte in seconds by class of prompt; 0 unknown.
+    /// Best time to the first byte in seconds by prompt class; 0 if unknown.
     best_first_byte: [f32; PROMPT_CLASSES],
     /// Smoothed ratio of first-byte times to the best of their class.
     slowness: f64,
@@ -125,7 +125,8 @@
         if *best == 0.0 {
             *best = seconds;
         }
-        // The best creeps up, so that one lucky answer does not rule forever.
+        // The best time rises slowly, so that a single fast answer doesn't set the standard
+        // forever.
         *best = (*best * (1.0 + BEST_DRIFT)).min(seconds);
         let ratio = f64::from(seconds / *best);
         self.slowness += SLOWNESS_WEIGHT * (ratio - self.slowness);
--- a/crates/routing/src/pick/mod.rs
+++ b/crates/routing/src/pick/mod.rs
@@ -1,14 +1,14 @@
-//! Which engine gets an online request.
+//! Choice of the engine for an online request.
 //!
-//! The order of the rules is: engines of the own zone, unless that zone is
-//! loaded and others are not; among these the one that holds the longest part
-//! of the prompt in its cache, as long as its load stays near the least, or one
-//! of another zone that holds clearly more; else the less loaded of two drawn
-//! at random, or an engine on which batch work yields already, so that no
-//! other has to be disturbed.
+//! The rules apply in this order. Engines of the own zone come first, unless that zone is
+//! loaded and others are not. Among these, the engine that caches the longest part of the
+//! prompt is chosen if its load is near the least, or one of another zone that caches
+//! clearly more. Otherwise the less loaded of two random engines is chosen, or an engine on
+//! which batch work already yields, so that batch work on no other engine is interrupted.
 //!
-//! Load is what the engine last reported, corrected by what this gateway
-//! started and finished there since: reports lag, own requests are known.
+//! Load is what the engine last reported, corrected by the requests that this gateway
+//! started and finished there since: reports lag, while the gateway's own requests are
+//! known.
 
 mod engine_load;
 mod limit;
@@ -33,31 +33,33 @@
 use engine_load::EngineLoad;
 use prefix::PrefixIndex;
 
-/// Bounds of engine choice.
+/// Settings of the engine choice.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PickSettings {
-    /// How engines are chosen.
+    /// Policy by which engines are chosen.
     pub policy: PickPolicy,
-    /// Load per unit of limit in the own zone from which others are used too.
+    /// Load per unit of limit in the own zone from which other zones are used too.
     pub spill_at: f64,
-    /// By how much a remote engine's load per limit must be lower to be used.
+    /// Difference in load per unit of limit by which a remote engine must be below the own
+    /// zone to be used.
     pub spill_margin: f64,
-    /// An engine with the prompt's prefix is taken if its load is at most the
-    /// least load times this factor, plus the slack, plus a request for each so
-    /// many blocks that it holds.
+    /// Factor of the affinity rule: an engine that caches the prompt's prefix is chosen if
+    /// its load is at most the least load times this factor, plus [`Self::affinity_slack`],
+    /// plus one request for every [`Self::affinity_blocks_per_request`] blocks that it
+    /// caches.
     pub affinity_factor: f64,
-    /// Slack of that rule, in requests.
+    /// Slack of the affinity rule, in requests.
     pub affinity_slack: f64,
-    /// Blocks that take as long to process as a request more delays another.
+    /// Blocks whose processing takes as long as one more request delays the others.
     pub affinity_blocks_per_request: f64,
-    /// An engine of another zone is taken for the prompt's prefix if it holds
-    /// this many blocks more than the best of the own zone: processing them
-    /// must take longer than the way there.
+    /// Blocks that an engine of another zone must cache beyond the best of the own zone to
+    /// be chosen for the prompt's prefix: processing them must take longer than the network
+    /// latency.
     pub remote_affinity_blocks: u32,
-    /// Requests that an arrival on an engine where batch work runs weighs as
-    /// much as: it waits for the step in progress.
+    /// Cost of sending a request to an engine that runs batch work, in requests: it waits
+    /// for the step in progress.
     pub disturbed_cost: f64,
-    /// Requests that the way to another zone weighs as much as.
+    /// Cost of sending a request to another zone, in requests.
     pub zone_cost: f64,
     /// Age after which a load report no longer counts.
     pub report_valid_for: Duration,
@@ -86,20 +88,20 @@
     }
 }
 
-/// An engine that may be chosen, as the directory has it.
+/// An engine that may be chosen, as listed by the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Candidate {
-    /// Back end.
+    /// Backend.
     pub backend: BackendId,
-    /// Its life.
+    /// Incarnation of the backend.
     pub incarnation: Incarnation,
-    /// Where it stands.
+    /// Zone that it runs in.
     pub zone: ZoneName,
-    /// Whether it is in doubt; used only when no other engine may be.
+    /// Whether it is suspected to have failed; used only if no healthy engine is available.
     pub suspect: bool,
 }
 
-/// What is known of the request to place.
+/// Properties of a request that the choice depends on.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PickRequest<'a> {
     /// Hashes of the prompt's prefixes, shortest first, as engines hash them.
@@ -108,17 +110,17 @@
     pub exclude: &'a [BackendId],
 }
 
-/// How a request that was placed ended.
+/// How a dispatched request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Finish {
-    /// It answered, with this time to the first byte.
+    /// The engine answered.
     Answered {
         /// Time from sending to the first byte.
         first_byte: Duration,
     },
-    /// The engine refused it for its load.
+    /// The engine rejected it because of its load.
     Overloaded,
-    /// It ended otherwise; nothing is learnt of the engine's load.
+    /// It ended in another way, which reveals nothing about the engine's load.
     Other,
 }
 
@@ -128,7 +130,7 @@
     settings: PickSettings,
     zone: ZoneName,
     engines: BTreeMap<BackendId, EngineLoad>,
-    /// Engines that may not be chosen now and still run own requests.
+    /// Engines that may not be chosen now but still run requests of this gateway.
     set_aside: BTreeMap<BackendId, EngineLoad>,
     prefixes: PrefixIndex,
     rng: ChaCha8Rng,
@@ -136,7 +138,7 @@
 }
 
 impl Picker {
-    /// A picker for a gateway in `zone`. The seed decides every random choice.
+    /// Returns a picker for a gateway in `zone`. All random choices derive from the seed.
     #[must_use]
     pub fn new(zone: ZoneName, settings: PickSettings, seed: u64) -> Self {
         let prefixes = PrefixIndex::new(settings.prefix.clone());
@@ -151,8 +153,8 @@
         }
     }
 
-    /// Replaces the engines that may be chosen. What is known of those that
-    /// stay is kept; a new life starts with nothing known.
+    /// Replaces the engines that may be chosen. Keeps the state of incarnations that
+    /// remain; a new incarnation starts without any.
     pub fn set_engines(&mut self, candidates: Vec<Candidate>) {
         let mut engines = BTreeMap::new();
         for candidate in candidates {
@@ -168,7 +170,8 @@
         }
     }
 
-    /// What is known of this life of an engine, with its new description.
+    /// Returns the kept state of this incarnation of an engine, or a new one, with its
+    /// current description.
     fn engine_for(&mut self, candidate: &Candidate) -> EngineLoad {
         let backend = candidate.backend;
         let same_life = |engine: &EngineLoad| engine.incarnation() == candidate.incarnation;
@@ -182,14 +185,14 @@
         engine
     }
 
-    /// Takes a load report, direct or passed on as a digest.
+    /// Records a load report, received directly or relayed in a digest.
     pub fn observe_load(&mut self, sample: LoadSample) {
         if let Some(engine) = self.engines.get_mut(&sample.backend) {
             engine.observe(sample, &self.settings.limit);
         }
     }
 
-    /// Takes cache events, which may be late and have gaps.
+    /// Records cache events, which may be late and have gaps.
     pub fn observe_cache(&mut self, backend: BackendId, page: &CacheEventPage) {
         let current = self
             .engines
@@ -200,11 +203,11 @@
         }
     }
 
-    /// Chooses an engine. The caller reports with [`Picker::started`] when it
-    /// sends the request there.
+    /// Chooses an engine. The caller must call [`Picker::started`] when it sends the
+    /// request there.
     ///
     /// # Errors
-    /// When no engine is there, all are excluded, or all are at their limit.
+    /// Returns an error if there is no engine, all are excluded, or all are at their limit.
     pub fn pick(&mut self, now: Timestamp, request: PickRequest<'_>) -> Result<Pick, PickError> {
         let mut open = policy::open_engines(&self.engines, now, request.exclude, &self.settings)?;
         if self.settings.policy == PickPolicy::RoundRobin {
@@ -240,7 +243,8 @@
         ))
     }
 
-    /// A request was sent to `backend`; its prefixes will be cached there.
+    /// Records that a request was sent to `backend`, which will probably cache its
+    /// prefixes.
     pub fn started(&mut self, now: Timestamp, backend: BackendId, prefix_hashes: &[u64]) {
         if let Some(engine) = self.engines.get_mut(&backend) {
             let held = self.prefixes.held_by(backend, prefix_hashes);
@@ -249,7 +253,7 @@
         }
     }
 
-    /// A request that was sent to `backend` at `started` ended.
+    /// Records the end of a request that was sent to `backend` at `started`.
     pub fn finished(
         &mut self,
         now: Timestamp,
@@ -268,7 +272,7 @@
         }
     }
 
-    /// Own requests in flight on `backend`.
+    /// Returns this gateway's requests in flight on `backend`.
     #[must_use]
     pub fn own_in_flight(&self, backend: BackendId) -> u32 {
         let engine = self.engines.get(&backend);
@@ -276,21 +280,21 @@
         engine.map_or(0, EngineLoad::own_in_flight)
     }
 
-    /// Load of `backend` as a choice made now would see it, in requests.
+    /// Returns the load of `backend` as a choice made now would see it, in requests.
     #[must_use]
     pub fn load(&self, now: Timestamp, backend: BackendId) -> Option<f64> {
         let engine = self.engines.get(&backend)?;
         Some(engine.load(now, self.settings.report_valid_for))
     }
 
-    /// Adaptive limit of `backend`, in online requests of all gateways.
+    /// Returns the adaptive limit of `backend`, in online requests of all gateways.
     #[must_use]
     pub fn limit(&self, backend: BackendId) -> Option<u32> {
         self.engines.get(&backend).map(EngineLoad::limit)
     }
 
-    /// Requests that this gateway may have in flight now: its own plus the
-    /// room below the limits of all engines. For admission's capacity.
+    /// Returns the requests that this gateway may have in flight now: its own plus the
+    /// remaining capacity below the limits of all engines. Admission uses this as capacity.
     #[must_use]
     pub fn capacity(&self, now: Timestamp) -> u32 {
         let valid_for = self.settings.report_valid_for;
@@ -303,7 +307,7 @@
             .sum()
     }
 
-    /// Prefixes that take memory now.
+    /// Returns the number of prefixes in the index.
     #[must_use]
     pub fn indexed_prefixes(&self) -> usize {
         self.prefixes.len()
--- a/crates/routing/src/pick/policy.rs
+++ b/crates/routing/src/pick/policy.rs
@@ -1,4 +1,4 @@
-//! The rules of engine choice, one function each.
+//! Rules of the engine choice, one function each.
 
 use std::collections::BTreeMap;
 
@@ -11,16 +11,16 @@
 use super::prefix::PrefixIndex;
 use super::reason::{Considered, Pick, PickError, PickReason, PickRule};
 
-/// How engines are chosen.
+/// Policy by which engines are chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PickPolicy {
-    /// Zone, prefix affinity, better of two.
+    /// Own zone first, then prefix affinity, then the better of two random engines.
     Affinity,
-    /// Zone and better of two, without affinity.
+    /// Own zone first, then the better of two random engines.
     BetterOfTwo,
-    /// One after the other; a baseline.
+    /// Baseline: engines in turn.
     RoundRobin,
-    /// The lowest last report; a baseline.
+    /// Baseline: the engine with the lowest reported load.
     LeastReported,
 }
 
@@ -31,18 +31,18 @@
     zone: &'a ZoneName,
     load: f64,
     limit: u32,
-    /// Whether batch work probably runs there, so that an arrival waits for the
-    /// step in progress.
+    /// Whether batch work probably runs there, so that a new request waits for the step in
+    /// progress.
     disturbed: bool,
 }
 
 impl Open<'_> {
-    /// Load per unit of limit.
+    /// Returns the load per unit of limit.
     fn pressure(&self) -> f64 {
         self.load / f64::from(self.limit)
     }
 
-    /// What the engine costs an arrival from `zone`, in requests.
+    /// Returns the cost of the engine for a request from `zone`, in requests.
     fn cost(&self, zone: &ZoneName, settings: &PickSettings) -> f64 {
         let step = if self.disturbed {
             settings.disturbed_cost
@@ -66,7 +66,8 @@
     }
 }
 
-/// Engines below their limits, healthy ones if there are any.
+/// Returns the engines below their limits: healthy ones if there are any, else suspected
+/// ones.
 pub(super) fn open_engines<'a>(
     engines: &'a BTreeMap<BackendId, EngineLoad>,
     now: Timestamp,
@@ -108,8 +109,8 @@
     }
 }
 
-/// Keeps the engines of `zone`, and adds clearly less loaded remote ones when
-/// the zone is loaded. Returns those that were left out.
+/// Keeps the engines of `zone`, and adds clearly less loaded remote ones if the zone is
+/// loaded. Returns the engines that were left out.
 pub(super) fn keep_zone<'a>(
     open: &mut Vec<Open<'a>>,
     zone: &ZoneName,
@@ -134,16 +135,16 @@
     open.iter().any(|engine| engine.zone != zone)
 }
 
-/// An engine near the least load that holds a leading part of the prompt.
+/// An engine near the least load that caches a prefix of the prompt.
 #[derive(Clone, Copy, Debug)]
 struct Holding<'a> {
     engine: Open<'a>,
     blocks: u32,
 }
 
-/// The holder of the longest part of the prompt among engines whose load is
-/// near the least of `open`. One of `elsewhere`, the engines of other zones,
-/// is taken only when it holds clearly more.
+/// Returns the engine that caches the longest part of the prompt among those whose load is
+/// near the least of `open`. An engine in `elsewhere`, those of other zones, is chosen only
+/// if it caches clearly more.
 pub(super) fn affinity(
     open: &[Open<'_>],
     elsewhere: &[Open<'_>],
@@ -189,8 +190,8 @@
     })
 }
 
-/// The engine that costs less of two drawn at random, or one anywhere on which
-/// batch work already yields to others, if that costs less still.
+/// Returns the cheaper of two random engines, or any engine on which batch work already
+/// yields to others, if that one is cheaper still.
 pub(super) fn least_cost(
     open: &[Open<'_>],
     elsewhere: &[Open<'_>],
@@ -211,8 +212,8 @@
     }
 }
 
-/// Two engines drawn at random, the one to take first; the same one twice when
-/// there is no other.
+/// Returns two random engines, the preferred one first, or the same one twice if there is
+/// only one.
 fn better_of_two<'a>(
     open: &[Open<'a>],
     zone: &ZoneName,
@@ -236,13 +237,14 @@
     }
 }
 
-/// The engine whose turn it is.
+/// Returns the next engine in turn.
 pub(super) fn round_robin(open: &[Open<'_>], turn: usize) -> Pick {
     let chosen = open[turn % open.len()];
     pick_of(open, PickRule::RoundRobin, true, &[chosen])
 }
 
-/// The engine whose last report was the lowest, own requests left aside.
+/// Returns the engine with the lowest reported load, without correction by this gateway's
+/// own requests.
 pub(super) fn least_reported(open: &[Open<'_>], engines: &BTreeMap<BackendId, EngineLoad>) -> Pick {
     let reported = |open: &&Open<'_>| engines.get(&open.backend).map_or(0, EngineLoad::reported);
     let chosen = open.iter().min_by_key(reported).copied();
@@ -256,7 +258,7 @@
         .fold(f64::INFINITY, f64::min)
 }
 
-/// The pick of the first of `compared`, with its reason.
+/// Returns the pick of the first engine in `compared`, with its reason.
 fn pick_of(open: &[Open<'_>], rule: PickRule, spilled: bool, compared: &[Open<'_>]) -> Pick {
     Pick {
         backend: compared[0].backend,
--- a/crates/routing/src/pick/prefix.rs
+++ b/crates/routing/src/pick/prefix.rs
@@ -1,28 +1,29 @@
-//! Which engine holds which prompt prefix, from cache events and own routing.
+//! Index of the prompt prefixes that engines cache, built from cache events and this
+//! gateway's routing.
 //!
-//! Events come late and with gaps, and own routing only says what an engine
-//! will probably cache. An entry is therefore either confirmed by an event or
-//! expected. A gap drops the engine's expected entries, and once the events
-//! missed reach a share of its confirmed entries, those as well: at most that
-//! share can be wrong, and a wrong entry costs one prefill, never an answer.
+//! Events arrive late and with gaps, and routing only indicates what an engine will
+//! probably cache. An entry is therefore either confirmed by an event or expected. A gap
+//! drops the engine's expected entries. Once the number of missed events reaches a share of
+//! its confirmed entries, those are dropped as well: at most that share can be wrong, and a
+//! wrong entry costs one prefill but never a wrong answer.
 //!
-//! A drop costs nothing by itself: entries carry the epoch in which they were
-//! made, and an engine whose entries are dropped gets a new one.
+//! Dropping is cheap: entries carry the epoch in which they were made, and an engine whose
+//! entries are dropped gets a new epoch.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 use molespan_engine_api::{CacheEvent, CacheEventKind};
 use molespan_types::BackendId;
 
-/// Bounds of the index.
+/// Bounds of the prefix index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PrefixSettings {
-    /// Most prefixes remembered.
+    /// Most prefixes that are kept.
     pub most_prefixes: usize,
-    /// Most engines remembered for one prefix.
+    /// Most engines that are kept for one prefix.
     pub most_holders: usize,
-    /// Share of an engine's confirmed entries that may be in doubt through
-    /// missed events before all are dropped.
+    /// Share of an engine's confirmed entries that may be invalid because of missed events
+    /// before all are dropped.
     pub tolerated_doubt: f64,
 }
 
@@ -36,21 +37,21 @@
     }
 }
 
-/// A span between two drops of an engine's entries; no two are the same.
+/// Identifies a period between two drops of an engine's entries.
 type Epoch = u32;
 
 #[derive(Clone, Copy, Debug)]
 struct Holder {
     backend: BackendId,
     confirmed: bool,
-    /// Epoch of the engine's confirmed or expected entries when it was made.
+    /// Epoch of the engine's confirmed or expected entries when this entry was made.
     epoch: Epoch,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Entry {
     holders: Vec<Holder>,
-    /// Set on use; gives the entry a second chance when memory runs out.
+    /// Set on use; spares the entry once when the index is full (second-chance eviction).
     used: bool,
 }
 
@@ -64,7 +65,7 @@
 }
 
 impl EngineEvents {
-    /// Whether an entry was not dropped since it was made.
+    /// Whether an entry has not been dropped since it was made.
     fn has(&self, holder: &Holder) -> bool {
         let epoch = match holder.confirmed {
             true => self.confirmed_epoch,
@@ -81,11 +82,11 @@
     engine.is_some_and(|engine| engine.has(holder))
 }
 
-/// The longest part of a prompt that some engine holds.
+/// The longest prefix of a prompt that some engine caches.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PrefixMatch<'a> {
     holders: &'a [Holder],
-    /// Leading blocks of the prompt.
+    /// Number of leading blocks of the prompt.
     pub(super) blocks: u32,
 }
 
@@ -95,12 +96,12 @@
     }
 }
 
-/// Prefix hash to engines.
+/// Index from prefix hashes to the engines that cache the prefix.
 #[derive(Clone, Debug)]
 pub(super) struct PrefixIndex {
     settings: PrefixSettings,
     entries: HashMap<u64, Entry>,
-    /// Hashes in the order of their entry, for eviction; may name dropped ones.
+    /// Hashes in insertion order, for eviction; may include removed ones.
     order: VecDeque<u64>,
     engines: Engines,
     last_epoch: Epoch,
@@ -121,8 +122,8 @@
         self.entries.len()
     }
 
-    /// The longest of `hashes`, shortest first, that some engine holds for
-    /// which `usable` says yes, given that many blocks.
+    /// Returns the longest prefix in `hashes`, which are sorted shortest first, that some
+    /// engine caches and for which `usable` accepts that engine with that number of blocks.
     pub(super) fn longest_match(
         &mut self,
         hashes: &[u64],
@@ -142,7 +143,7 @@
         })?;
         let entry = self.entries.get_mut(&hashes[position])?;
         entry.used = true;
-        // Those that were dropped meanwhile go for good.
+        // Removes holders that have been dropped since.
         entry.holders.retain(|holder| is_current(engines, holder));
         Some(PrefixMatch {
             holders: &entry.holders,
@@ -150,7 +151,7 @@
         })
     }
 
-    /// Leading blocks of a prompt that `backend` holds.
+    /// Returns the number of leading blocks of a prompt that `backend` caches.
     pub(super) fn held_by(&self, backend: BackendId, hashes: &[u64]) -> usize {
         let Some(engine) = self.engines.get(&backend) else {
             return 0;
@@ -163,7 +164,7 @@
         held.map_or(0, |position| position + 1)
     }
 
-    /// A prompt with these prefixes was sent to `backend`.
+    /// Records that a prompt with these prefixes was sent to `backend`.
     pub(super) fn expect(&mut self, backend: BackendId, hashes: &[u64]) {
         for hash in hashes {
             self.add(*hash, backend, false);
@@ -182,15 +183,15 @@
         }
     }
 
-    /// Forgets everything about an engine that left or restarted.
+    /// Removes all entries of an engine that left or restarted.
     pub(super) fn drop_engine(&mut self, backend: BackendId) {
         if self.engines.remove(&backend).is_some() {
             self.retain_holders(|holder| holder.backend != backend);
         }
     }
 
-    /// Notes an event's sequence number and deals with a gap before it.
-    /// Returns false for an event that was already applied.
+    /// Records an event's sequence number and handles a gap before it. Returns `false` for
+    /// an event that was already applied.
     fn advance(&mut self, backend: BackendId, sequence: u64) -> bool {
         let tolerated_doubt = self.settings.tolerated_doubt;
         let epoch = self.next_epoch();
@@ -298,8 +299,8 @@
         self.order.retain(|hash| entries.contains_key(hash));
     }
 
-    /// Evicts the oldest entries that were not used since they were last
-    /// passed over, until the index is within its bound.
+    /// Evicts the oldest entries that were not used since they were last spared, until the
+    /// index is within its bound.
     fn evict(&mut self) {
         while self.entries.len() > self.settings.most_prefixes {
             let Some(hash) = self.order.pop_front() else {
@@ -322,8 +323,8 @@
         self.compact_order();
     }
 
-    /// Evictions by events leave their hashes behind in the order, twice if
-    /// they are stored again.
+    /// Removes stale hashes from the order: entries that events evicted leave their hashes
+    /// behind, and are listed twice if they are stored again.
     fn compact_order(&mut self) {
         if self.order.len() <= 2 * self.settings.most_prefixes {
             return;
@@ -335,7 +336,7 @@
     }
 }
 
-/// Takes a removed holder out of its engine's count.
+/// Subtracts a removed holder from its engine's count of confirmed entries.
 fn uncount(engines: &mut Engines, holder: Holder) {
     if let Some(engine) = engines.get_mut(&holder.backend) {
         let counted = holder.confirmed && engine.has(&holder);
--- a/crates/routing/src/pick/reason.rs
+++ b/crates/routing/src/pick/reason.rs
@@ -1,4 +1,4 @@
-//! What was chosen and why, for the decision stream.
+//! Chosen engines and the reasons, for the decision log.
 
 use derive_more::{Display, Error};
 use molespan_types::BackendId;
@@ -6,35 +6,35 @@
 /// Rule that decided.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
 pub enum PickRule {
-    /// It is the only engine that may be used.
+    /// Only one engine may be used.
     #[display("only engine")]
     OnlyEngine,
-    /// It holds the longest part of the prompt, and its load is near the least.
+    /// The engine caches the longest part of the prompt, and its load is near the least.
     #[display("prefix affinity")]
     Affinity,
-    /// Batch work yields there already, and it costs less than to disturb an
-    /// engine where batch work runs.
+    /// Batch work already yields on the engine, and choosing it costs less than
+    /// interrupting batch work on another one.
     #[display("undisturbed")]
     Undisturbed,
-    /// It is the less loaded of two drawn at random.
+    /// The engine is the less loaded of two chosen at random.
     #[display("better of two")]
     BetterOfTwo,
-    /// Its turn came; a baseline.
+    /// Baseline: engines are chosen in turn.
     #[display("round robin")]
     RoundRobin,
-    /// Its last report was the lowest; a baseline.
+    /// Baseline: the engine with the lowest reported load is chosen.
     #[display("least reported")]
     LeastReported,
 }
 
-/// An engine that was looked at.
+/// An engine that was considered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Considered {
     /// Engine.
     pub backend: BackendId,
-    /// Its load in requests, as corrected by own requests.
+    /// Load in requests, corrected by this gateway's own requests.
     pub load: f64,
-    /// Its adaptive limit in requests.
+    /// Adaptive limit in requests.
     pub limit: u32,
 }
 
@@ -45,22 +45,22 @@
     pub rule: PickRule,
     /// Whether engines of other zones were allowed.
     pub spilled: bool,
-    /// Engines that might have been chosen.
+    /// Number of engines that could have been chosen.
     pub open: u32,
     /// Least load among them.
     pub least_load: f64,
-    /// Leading prompt blocks that the chosen engine holds.
+    /// Leading prompt blocks that the chosen engine caches.
     pub matched_blocks: u32,
     /// Engines whose loads were compared, the chosen one first.
     pub considered: Vec<Considered>,
 }
 
-/// A choice.
+/// A chosen engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Pick {
     /// Chosen engine.
     pub backend: BackendId,
-    /// Why.
+    /// Reason for the choice.
     pub reason: PickReason,
 }
 
--- a/crates/routing/tests/pick.rs
+++ b/crates/routing/tests/pick.rs
@@ -1,4 +1,4 @@
-//! Which engine gets a request: zones, load that lags, limits.
+//! Tests the engine choice: zones, load reports that lag, and limits.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -28,7 +28,7 @@
     }
 }
 
-/// `per_zone` engines in each of three zones, numbered 10, 11, … 20, 21, …
+/// Returns `per_zone` engines in each of three zones, numbered 10, 11, … 20, 21, …
 fn fleet(per_zone: u32) -> Vec<Candidate> {
     (1..=3)
         .flat_map(|zone| (0..per_zone).map(move |number| engine(10 * zone + number, zone)))
@@ -95,14 +95,14 @@
         assert_eq!(zone_of(&pick), 1);
         assert!(!pick.reason.spilled);
     }
-    // Both own engines at 14 of 16, the others idle.
+    // Both engines of the own zone are at 14 of 16, the others idle.
     for backend in [10, 11] {
         picker.observe_load(sample(backend, 1, 0, 14));
     }
     let picks: Vec<Pick> = (0..50).map(|_| pick(&mut picker, 0).unwrap()).collect();
     assert!(picks.iter().all(|pick| pick.reason.spilled));
     assert!(picks.iter().any(|pick| zone_of(pick) != 1));
-    // The others as loaded: nothing is won by crossing zones.
+    // The other zones are loaded as well: crossing zones gains nothing.
     for backend in [20, 21, 30, 31] {
         picker.observe_load(sample(backend, 1, 0, 13));
     }
@@ -132,7 +132,7 @@
     assert_eq!(pick(&mut alone, 0).unwrap().backend, BackendId(10));
 }
 
-/// What happens at one engine, by time in milliseconds.
+/// An event at one engine, with times in milliseconds.
 #[derive(Clone, Copy)]
 enum Event {
     Start(u64),
@@ -144,10 +144,10 @@
 fn load_is_the_report_corrected_by_own_requests() {
     use Event::{Finish as End, Report, Start};
     let cases: &[(&str, &[Event], f64)] = &[
-        ("nothing known", &[], 0.0),
-        ("own only", &[Start(10), Start(20)], 2.0),
+        ("no observation", &[], 0.0),
+        ("own requests only", &[Start(10), Start(20)], 2.0),
         (
-            "report of others",
+            "report of other requests",
             &[Report {
                 observed: 5,
                 online: 3,
@@ -155,7 +155,7 @@
             3.0,
         ),
         (
-            "started since",
+            "started since the report",
             &[
                 Report {
                     observed: 5,
@@ -166,7 +166,7 @@
             4.0,
         ),
         (
-            "late report that does not know it yet",
+            "late report without the latest request",
             &[
                 Start(10),
                 Start(20),
@@ -178,7 +178,7 @@
             5.0,
         ),
         (
-            "counted and ended since",
+            "included in the report and ended since",
             &[
                 Start(10),
                 Report {
@@ -193,7 +193,7 @@
             3.0,
         ),
         (
-            "ended before the observation",
+            "ended before the report",
             &[
                 Start(10),
                 End {
@@ -208,7 +208,7 @@
             4.0,
         ),
         (
-            "came and went unseen",
+            "started and ended since the report",
             &[
                 Report {
                     observed: 5,
@@ -223,7 +223,7 @@
             1.0,
         ),
         (
-            "report that forgets own requests",
+            "report that omits own requests",
             &[
                 Start(10),
                 Report {
@@ -287,12 +287,12 @@
     assert_eq!(picker.load(at(0), BackendId(10)), Some(3.0));
 }
 
-/// Requests that each engine got out of 60 that came between two reports.
+/// Returns the number of requests that each engine got out of 60 between two reports.
 fn spread(policy: PickPolicy) -> BTreeMap<BackendId, u32> {
     let candidates = (0..6).map(|number| engine(10 + number, 1)).collect();
     let mut picker = picker(policy, candidates);
     for number in 0..6 {
-        // One engine was idle when it was last seen, the others nearly so.
+        // By its last report one engine was idle, the others nearly so.
         picker.observe_load(sample(10 + number, 1, 0, u32::from(number > 0)));
     }
     let mut sent = BTreeMap::new();
@@ -330,7 +330,7 @@
     }
     let recovered = picker.limit(BackendId(10)).unwrap();
     assert!(recovered > crowded, "{recovered}");
-    // Its own maximum bounds the limit whatever is learnt.
+    // The engine's own maximum bounds the adaptive limit.
     assert!(recovered <= 32);
 }
 
@@ -351,8 +351,8 @@
     );
 }
 
-/// The limit after 400 answers, of which every fourth has a prompt of 250
-/// blocks that takes `long_millis` to its first byte.
+/// Returns the limit after 400 answers, of which every fourth has a prompt of 250 blocks
+/// that takes `long_millis` to its first byte.
 fn limit_after(long_millis: u64) -> u32 {
     let short = [1, 2];
     let mut picker = picker(PickPolicy::Affinity, vec![engine(10, 1)]);
@@ -383,7 +383,7 @@
 fn long_prompts_among_short_ones_are_no_sign_of_a_crowd() {
     let initial = PickSettings::default().limit.initial;
     assert_eq!(limit_after(80), initial);
-    // Ten times slower than the same prompts were is one.
+    // Ten times slower than the same prompts were before is a sign of overload.
     assert!(limit_after(800) < initial);
 }
 
@@ -394,7 +394,7 @@
     picker.observe_load(sample(20, 1, 0, 10));
     assert_eq!(picker.capacity(at(0)), 22);
     picker.started(at(1), BackendId(10), &[]);
-    // The own request is part of the capacity that it uses.
+    // The gateway's own request is part of the capacity that it uses.
     assert_eq!(picker.capacity(at(1)), 22);
     picker.set_engines(Vec::new());
     assert_eq!(picker.capacity(at(1)), 0);
@@ -412,7 +412,7 @@
     picker.set_engines(vec![engine(11, 1)]);
     picker.finished(at(3), BackendId(10), at(1), Finish::Other);
     assert_eq!(picker.own_in_flight(BackendId(10)), 0);
-    // The next life knows nothing of it.
+    // The next incarnation starts without it.
     let next_life = Candidate {
         incarnation: Incarnation(2),
         ..engine(11, 1)
@@ -458,8 +458,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// An engine that left, is excluded or is at its limit is never chosen,
-    /// whatever the policy, and own requests are counted exactly.
+    /// An engine that left, is excluded or is at its limit is never chosen, whatever the
+    /// policy, and this gateway's own requests are counted exactly.
     #[test]
     fn only_engines_that_may_be_chosen_are(
         policy in any_policy(),
--- a/crates/routing/tests/prefix.rs
+++ b/crates/routing/tests/prefix.rs
@@ -1,4 +1,4 @@
-//! Prefix affinity from cache events that are late and have gaps.
+//! Tests prefix affinity from cache events that are late and have gaps.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -77,8 +77,8 @@
     }
 }
 
-/// The engine chosen by affinity and the blocks it holds; `None` when another
-/// rule decided.
+/// Returns the engine chosen by affinity and the number of blocks it caches, or `None` if
+/// another rule decided.
 fn affine(picker: &mut Picker, hashes: &[u64]) -> Option<(u32, u32)> {
     let request = PickRequest {
         prefix_hashes: hashes,
@@ -111,13 +111,17 @@
             Some((2, 1)),
         ),
         (
-            "read twice",
+            "event delivered twice",
             vec![stored(1, 1), evicted(2, 1), stored(1, 1)],
             None,
         ),
-        ("begins late", vec![stored(700, 1)], Some((2, 1))),
         (
-            "gap that may have taken it",
+            "first event has a late sequence number",
+            vec![stored(700, 1)],
+            Some((2, 1)),
+        ),
+        (
+            "gap that may have evicted it",
             vec![stored(1, 1), stored(9, 50)],
             None,
         ),
@@ -157,7 +161,7 @@
     picker.set_engines(restarted);
     assert_eq!(affine(&mut picker, &ALBUM), None);
     assert_eq!(picker.indexed_prefixes(), 0);
-    // Its numbers begin anew.
+    // Its sequence numbers start over.
     let next_life = CacheEventPage {
         incarnation: Incarnation(2),
         events: vec![stored(1, 1)],
@@ -207,7 +211,7 @@
     assert_eq!(affine(&mut picker, &ALBUM), Some((2, 4)));
     picker.observe_load(busy(2, 8));
     assert_eq!(affine(&mut picker, &ALBUM), Some((1, 2)));
-    // Nor does an engine that is no longer there hide the others.
+    // An engine that is gone does not hide the others either.
     let without = candidates(4)
         .into_iter()
         .filter(|engine| engine.backend.0 != 2);
@@ -251,7 +255,7 @@
 
 type Caches = BTreeMap<u32, BTreeSet<u64>>;
 
-/// Applies the changes to the true caches and, unless lost, to the picker.
+/// Applies the changes to the actual caches and, unless lost, to the picker.
 fn replay(picker: &mut Picker, changes: &[Change]) -> Caches {
     let mut caches = Caches::new();
     let mut sequences: BTreeMap<u32, u64> = BTreeMap::new();
@@ -286,7 +290,7 @@
         ..ProptestConfig::default()
     })]
 
-    /// Without gaps the index is the truth.
+    /// Without gaps the index matches the caches.
     #[test]
     fn complete_events_give_the_true_caches(
         changes in prop::collection::vec(change(0.0), 0..200),
@@ -303,8 +307,8 @@
         }
     }
 
-    /// With gaps, no more than the tolerated share and the events missed are
-    /// wrong, and the bound of memory holds.
+    /// With gaps, no more entries are wrong than the tolerated share and the missed events,
+    /// and the memory bound holds.
     #[test]
     fn gaps_leave_few_wrong_entries(
         changes in prop::collection::vec(change(0.2), 0..200),
