--- a/crates/routing/src/pick/engine_load.rs
+++ b/crates/routing/src/pick/engine_load.rs
@@ -11,7 +11,7 @@
 use super::{Candidate, Finish};
 
 /// Most ended requests of this gateway that are kept until a report covers them.
-const MOST_REMEMBERED_ENDS: usize = 1_024;
+const MAX_RECORDED_ENDS: usize = 1_024;
 
 /// Load of an engine at the time `observed`, by this node's clock.
 #[derive(Clone, Debug, PartialEq)]
@@ -158,7 +158,7 @@
         let Some(request) = position.and_then(|position| self.in_flight.remove(position)) else {
             return;
         };
-        if self.ended.len() == MOST_REMEMBERED_ENDS {
+        if self.ended.len() == MAX_RECORDED_ENDS {
             self.ended.pop_front();
         }
         self.ended.push_back((started, now));
@@ -193,7 +193,7 @@
 
     /// Whether batch work probably runs there now: the last report includes some, and no
     /// online work holds it back.
-    pub(super) fn is_disturbed(&self, now: Timestamp, valid_for: Duration) -> bool {
+    pub(super) fn probably_runs_batch(&self, now: Timestamp, valid_for: Duration) -> bool {
         let has_batch = self.report.as_ref().is_some_and(|report| {
             let fresh = now.since(report.observed) <= valid_for;
             fresh && report.batch > 0
--- a/crates/routing/src/pick/limit.rs
+++ b/crates/routing/src/pick/limit.rs
@@ -18,9 +18,9 @@
 /// one before.
 const PROMPT_CLASSES: usize = 14;
 /// Rate at which the best first-byte time rises, per answer.
-const BEST_DRIFT: f32 = 0.002;
+const BEST_RISE_RATE: f32 = 0.002;
 /// Lower bound of first-byte times, in seconds.
-const SHORTEST_FIRST_BYTE: f32 = 1e-6;
+const MIN_FIRST_BYTE_SECONDS: f32 = 1e-6;
 
 /// Settings of the adaptive limit.
 #[derive(Clone, Debug, PartialEq)]
@@ -110,7 +110,7 @@
         match finish {
             Finish::Overloaded => self.decrease(now, settings),
             Finish::Answered { first_byte } => {
-                self.learn_first_byte(blocks, first_byte.as_secs_f32());
+                self.record_first_byte(blocks, first_byte.as_secs_f32());
                 if self.slowness > settings.slow_factor {
                     self.decrease(now, settings);
                 }
@@ -119,15 +119,15 @@
         }
     }
 
-    fn learn_first_byte(&mut self, blocks: u32, seconds: f32) {
-        let seconds = seconds.max(SHORTEST_FIRST_BYTE);
+    fn record_first_byte(&mut self, blocks: u32, seconds: f32) {
+        let seconds = seconds.max(MIN_FIRST_BYTE_SECONDS);
         let best = &mut self.best_first_byte[class_of(blocks)];
         if *best == 0.0 {
             *best = seconds;
         }
         // The best time rises slowly, so that a single fast answer doesn't set the standard
         // forever.
-        *best = (*best * (1.0 + BEST_DRIFT)).min(seconds);
+        *best = (*best * (1.0 + BEST_RISE_RATE)).min(seconds);
         let ratio = f64::from(seconds / *best);
         self.slowness += SLOWNESS_WEIGHT * (ratio - self.slowness);
     }
--- a/crates/routing/src/pick/mod.rs
+++ b/crates/routing/src/pick/mod.rs
@@ -58,7 +58,7 @@
     pub remote_affinity_blocks: u32,
     /// Cost of sending a request to an engine that runs batch work, in requests: it waits
     /// for the step in progress.
-    pub disturbed_cost: f64,
+    pub batch_interruption_cost: f64,
     /// Cost of sending a request to another zone, in requests.
     pub zone_cost: f64,
     /// Age after which a load report no longer counts.
@@ -79,7 +79,7 @@
             affinity_slack: 2.0,
             affinity_blocks_per_request: 8.0,
             remote_affinity_blocks: 24,
-            disturbed_cost: 2.0,
+            batch_interruption_cost: 2.0,
             zone_cost: 1.75,
             report_valid_for: Duration::from_secs(2),
             limit: LimitSettings::default(),
@@ -131,10 +131,10 @@
     zone: ZoneName,
     engines: BTreeMap<BackendId, EngineLoad>,
     /// Engines that may not be chosen now but still run requests of this gateway.
-    set_aside: BTreeMap<BackendId, EngineLoad>,
+    draining: BTreeMap<BackendId, EngineLoad>,
     prefixes: PrefixIndex,
     rng: ChaCha8Rng,
-    turn: usize,
+    next_index: usize,
 }
 
 impl Picker {
@@ -146,10 +146,10 @@
             settings,
             zone,
             engines: BTreeMap::new(),
-            set_aside: BTreeMap::new(),
+            draining: BTreeMap::new(),
             prefixes,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            turn: 0,
+            next_index: 0,
         }
     }
 
@@ -161,11 +161,11 @@
             let engine = self.engine_for(&candidate);
             engines.insert(candidate.backend, engine);
         }
-        let gone = std::mem::replace(&mut self.engines, engines);
-        for (backend, engine) in gone {
+        let removed = std::mem::replace(&mut self.engines, engines);
+        for (backend, engine) in removed {
             self.prefixes.drop_engine(backend);
             if engine.own_in_flight() > 0 {
-                self.set_aside.insert(backend, engine);
+                self.draining.insert(backend, engine);
             }
         }
     }
@@ -174,12 +174,12 @@
     /// current description.
     fn engine_for(&mut self, candidate: &Candidate) -> EngineLoad {
         let backend = candidate.backend;
-        let same_life = |engine: &EngineLoad| engine.incarnation() == candidate.incarnation;
-        let known = self.engines.remove(&backend).filter(same_life);
+        let same_incarnation = |engine: &EngineLoad| engine.incarnation() == candidate.incarnation;
+        let known = self.engines.remove(&backend).filter(same_incarnation);
         if known.is_none() {
             self.prefixes.drop_engine(backend);
         }
-        let known = known.or_else(|| self.set_aside.remove(&backend).filter(same_life));
+        let known = known.or_else(|| self.draining.remove(&backend).filter(same_incarnation));
         let mut engine = known.unwrap_or_else(|| EngineLoad::new(&self.settings.limit));
         engine.set_candidate(candidate.clone());
         engine
@@ -209,20 +209,21 @@
     /// # Errors
     /// Returns an error if there is no engine, all are excluded, or all are at their limit.
     pub fn pick(&mut self, now: Timestamp, request: PickRequest<'_>) -> Result<Pick, PickError> {
-        let mut open = policy::open_engines(&self.engines, now, request.exclude, &self.settings)?;
+        let mut available =
+            policy::available_engines(&self.engines, now, request.exclude, &self.settings)?;
         if self.settings.policy == PickPolicy::RoundRobin {
-            self.turn = self.turn.wrapping_add(1);
-            return Ok(policy::round_robin(&open, self.turn));
+            self.next_index = self.next_index.wrapping_add(1);
+            return Ok(policy::round_robin(&available, self.next_index));
         }
         if self.settings.policy == PickPolicy::LeastReported {
-            return Ok(policy::least_reported(&open, &self.engines));
+            return Ok(policy::least_reported(&available, &self.engines));
         }
-        let elsewhere = policy::keep_zone(&mut open, &self.zone, &self.settings);
-        let spilled = policy::spills(&open, &self.zone);
-        let affine = self.settings.policy == PickPolicy::Affinity;
-        if affine && !request.prefix_hashes.is_empty() {
+        let elsewhere = policy::restrict_to_zone(&mut available, &self.zone, &self.settings);
+        let spilled = policy::uses_remote_zone(&available, &self.zone);
+        let use_affinity = self.settings.policy == PickPolicy::Affinity;
+        if use_affinity && !request.prefix_hashes.is_empty() {
             let pick = policy::affinity(
-                &open,
+                &available,
                 &elsewhere,
                 &mut self.prefixes,
                 request.prefix_hashes,
@@ -234,7 +235,7 @@
             }
         }
         Ok(policy::least_cost(
-            &open,
+            &available,
             &elsewhere,
             &self.zone,
             spilled,
@@ -249,7 +250,7 @@
         if let Some(engine) = self.engines.get_mut(&backend) {
             let held = self.prefixes.held_by(backend, prefix_hashes);
             engine.started(now, (prefix_hashes.len() - held) as u32);
-            self.prefixes.expect(backend, prefix_hashes);
+            self.prefixes.add_expected(backend, prefix_hashes);
         }
     }
 
@@ -264,10 +265,10 @@
         let settings = &self.settings.limit;
         if let Some(engine) = self.engines.get_mut(&backend) {
             engine.finished(now, started, finish, settings);
-        } else if let Some(engine) = self.set_aside.get_mut(&backend) {
+        } else if let Some(engine) = self.draining.get_mut(&backend) {
             engine.finished(now, started, finish, settings);
             if engine.own_in_flight() == 0 {
-                self.set_aside.remove(&backend);
+                self.draining.remove(&backend);
             }
         }
     }
@@ -276,7 +277,7 @@
     #[must_use]
     pub fn own_in_flight(&self, backend: BackendId) -> u32 {
         let engine = self.engines.get(&backend);
-        let engine = engine.or_else(|| self.set_aside.get(&backend));
+        let engine = engine.or_else(|| self.draining.get(&backend));
         engine.map_or(0, EngineLoad::own_in_flight)
     }
 
@@ -301,8 +302,8 @@
         self.engines
             .values()
             .map(|engine| {
-                let room = f64::from(engine.limit()) - engine.load(now, valid_for);
-                engine.own_in_flight() + room.max(0.0) as u32
+                let headroom = f64::from(engine.limit()) - engine.load(now, valid_for);
+                engine.own_in_flight() + headroom.max(0.0) as u32
             })
             .sum()
     }
--- a/crates/routing/src/pick/policy.rs
+++ b/crates/routing/src/pick/policy.rs
@@ -26,17 +26,17 @@
 
 /// An engine that may be chosen now.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Open<'a> {
+pub(super) struct AvailableEngine<'a> {
     backend: BackendId,
     zone: &'a ZoneName,
     load: f64,
     limit: u32,
     /// Whether batch work probably runs there, so that a new request waits for the step in
     /// progress.
-    disturbed: bool,
+    runs_batch: bool,
 }
 
-impl Open<'_> {
+impl AvailableEngine<'_> {
     /// Returns the load per unit of limit.
     fn pressure(&self) -> f64 {
         self.load / f64::from(self.limit)
@@ -44,17 +44,17 @@
 
     /// Returns the cost of the engine for a request from `zone`, in requests.
     fn cost(&self, zone: &ZoneName, settings: &PickSettings) -> f64 {
-        let step = if self.disturbed {
-            settings.disturbed_cost
+        let batch_cost = if self.runs_batch {
+            settings.batch_interruption_cost
         } else {
             0.0
         };
-        let way = if self.zone == zone {
+        let zone_cost = if self.zone == zone {
             0.0
         } else {
             settings.zone_cost
         };
-        self.load + step + way
+        self.load + batch_cost + zone_cost
     }
 
     fn considered(&self) -> Considered {
@@ -68,12 +68,12 @@
 
 /// Returns the engines below their limits: healthy ones if there are any, else suspected
 /// ones.
-pub(super) fn open_engines<'a>(
+pub(super) fn available_engines<'a>(
     engines: &'a BTreeMap<BackendId, EngineLoad>,
     now: Timestamp,
     exclude: &[BackendId],
     settings: &PickSettings,
-) -> Result<Vec<Open<'a>>, PickError> {
+) -> Result<Vec<AvailableEngine<'a>>, PickError> {
     if engines.is_empty() {
         return Err(PickError::NoEngine);
     }
@@ -85,20 +85,20 @@
             continue;
         }
         allowed += 1;
-        let open = Open {
+        let available = AvailableEngine {
             backend: *backend,
             zone: &engine.candidate().zone,
             load: engine.load(now, settings.report_valid_for),
             limit: engine.limit(),
-            disturbed: engine.is_disturbed(now, settings.report_valid_for),
+            runs_batch: engine.probably_runs_batch(now, settings.report_valid_for),
         };
-        if open.load >= f64::from(open.limit) {
+        if available.load >= f64::from(available.limit) {
             continue;
         }
         if engine.candidate().suspect {
-            suspect.push(open);
+            suspect.push(available);
         } else {
-            healthy.push(open);
+            healthy.push(available);
         }
     }
     match (allowed, healthy.is_empty(), suspect.is_empty()) {
@@ -111,67 +111,70 @@
 
 /// Keeps the engines of `zone`, and adds clearly less loaded remote ones if the zone is
 /// loaded. Returns the engines that were left out.
-pub(super) fn keep_zone<'a>(
-    open: &mut Vec<Open<'a>>,
+pub(super) fn restrict_to_zone<'a>(
+    available: &mut Vec<AvailableEngine<'a>>,
     zone: &ZoneName,
     settings: &PickSettings,
-) -> Vec<Open<'a>> {
-    let own = open.iter().filter(|engine| engine.zone == zone);
-    let least_own = own.map(Open::pressure).fold(f64::INFINITY, f64::min);
+) -> Vec<AvailableEngine<'a>> {
+    let own = available.iter().filter(|engine| engine.zone == zone);
+    let least_own = own
+        .map(AvailableEngine::pressure)
+        .fold(f64::INFINITY, f64::min);
     if least_own == f64::INFINITY {
         return Vec::new();
     }
     let loaded = least_own >= settings.spill_at;
     let most_remote = least_own - settings.spill_margin;
-    let keep =
-        |engine: &Open<'_>| engine.zone == zone || (loaded && engine.pressure() <= most_remote);
-    let (kept, left_out) = open.iter().partition(|engine| keep(engine));
-    *open = kept;
+    let keep = |engine: &AvailableEngine<'_>| {
+        engine.zone == zone || (loaded && engine.pressure() <= most_remote)
+    };
+    let (kept, left_out) = available.iter().partition(|engine| keep(engine));
+    *available = kept;
     left_out
 }
 
-/// Whether engines of other zones are among `open`.
-pub(super) fn spills(open: &[Open<'_>], zone: &ZoneName) -> bool {
-    open.iter().any(|engine| engine.zone != zone)
+/// Whether engines of other zones are among `available`.
+pub(super) fn uses_remote_zone(available: &[AvailableEngine<'_>], zone: &ZoneName) -> bool {
+    available.iter().any(|engine| engine.zone != zone)
 }
 
 /// An engine near the least load that caches a prefix of the prompt.
 #[derive(Clone, Copy, Debug)]
-struct Holding<'a> {
-    engine: Open<'a>,
+struct PrefixHolder<'a> {
+    engine: AvailableEngine<'a>,
     blocks: u32,
 }
 
 /// Returns the engine that caches the longest part of the prompt among those whose load is
-/// near the least of `open`. An engine in `elsewhere`, those of other zones, is chosen only
+/// near the least of `available`. An engine in `elsewhere`, those of other zones, is chosen only
 /// if it caches clearly more.
 pub(super) fn affinity(
-    open: &[Open<'_>],
-    elsewhere: &[Open<'_>],
+    available: &[AvailableEngine<'_>],
+    elsewhere: &[AvailableEngine<'_>],
     prefixes: &mut PrefixIndex,
     hashes: &[u64],
     spilled: bool,
     settings: &PickSettings,
 ) -> Option<Pick> {
-    let least = least_load(open);
-    let here = longest_holding(open, least, prefixes, hashes, settings);
-    let there = longest_holding(elsewhere, least, prefixes, hashes, settings);
-    let enough = here.map_or(0, |here| here.blocks) + settings.remote_affinity_blocks;
-    let there = there.filter(|there| there.blocks >= enough);
-    let chosen = there.or(here)?;
-    let mut pick = pick_of(open, PickRule::Affinity, spilled, &[chosen.engine]);
+    let least = least_load(available);
+    let local = longest_prefix_holder(available, least, prefixes, hashes, settings);
+    let remote = longest_prefix_holder(elsewhere, least, prefixes, hashes, settings);
+    let min_remote_blocks = local.map_or(0, |local| local.blocks) + settings.remote_affinity_blocks;
+    let remote = remote.filter(|remote| remote.blocks >= min_remote_blocks);
+    let chosen = remote.or(local)?;
+    let mut pick = pick_of(available, PickRule::Affinity, spilled, &[chosen.engine]);
     pick.reason.matched_blocks = chosen.blocks;
     Some(pick)
 }
 
-fn longest_holding<'a>(
-    engines: &[Open<'a>],
+fn longest_prefix_holder<'a>(
+    engines: &[AvailableEngine<'a>],
     least_load: f64,
     prefixes: &mut PrefixIndex,
     hashes: &[u64],
     settings: &PickSettings,
-) -> Option<Holding<'a>> {
-    let is_near = |engine: &Open<'_>, blocks: u32| {
+) -> Option<PrefixHolder<'a>> {
+    let is_near = |engine: &AvailableEngine<'_>, blocks: u32| {
         let bound = least_load * settings.affinity_factor + settings.affinity_slack;
         engine.load <= bound + f64::from(blocks) / settings.affinity_blocks_per_request
     };
@@ -184,7 +187,7 @@
         .iter()
         .filter(|engine| holders.contains(engine.backend) && is_near(engine, holders.blocks))
         .min_by(|a, b| a.load.total_cmp(&b.load))?;
-    Some(Holding {
+    Some(PrefixHolder {
         engine: *engine,
         blocks: holders.blocks,
     })
@@ -193,43 +196,51 @@
 /// Returns the cheaper of two random engines, or any engine on which batch work already
 /// yields to others, if that one is cheaper still.
 pub(super) fn least_cost(
-    open: &[Open<'_>],
-    elsewhere: &[Open<'_>],
+    available: &[AvailableEngine<'_>],
+    elsewhere: &[AvailableEngine<'_>],
     zone: &ZoneName,
     spilled: bool,
     settings: &PickSettings,
     rng: &mut ChaCha8Rng,
 ) -> Pick {
-    let drawn = better_of_two(open, zone, settings, rng);
-    let in_use = open.iter().chain(elsewhere);
-    let in_use = in_use.filter(|engine| engine.load >= 1.0 && !engine.disturbed);
-    let cost = |engine: &Open<'_>| engine.cost(zone, settings);
+    let drawn = better_of_two(available, zone, settings, rng);
+    let in_use = available.iter().chain(elsewhere);
+    let in_use = in_use.filter(|engine| engine.load >= 1.0 && !engine.runs_batch);
+    let cost = |engine: &AvailableEngine<'_>| engine.cost(zone, settings);
     let cheapest = in_use.min_by(|a, b| cost(a).total_cmp(&cost(b)));
-    match cheapest.filter(|engine| drawn[0].disturbed && cost(engine) < cost(&drawn[0])) {
-        Some(engine) => pick_of(open, PickRule::Undisturbed, spilled, &[*engine, drawn[0]]),
-        None if open.len() == 1 => pick_of(open, PickRule::OnlyEngine, spilled, &drawn[..1]),
-        None => pick_of(open, PickRule::BetterOfTwo, spilled, &drawn),
+    match cheapest.filter(|engine| drawn[0].runs_batch && cost(engine) < cost(&drawn[0])) {
+        Some(engine) => pick_of(
+            available,
+            PickRule::Undisturbed,
+            spilled,
+            &[*engine, drawn[0]],
+        ),
+        None if available.len() == 1 => {
+            pick_of(available, PickRule::OnlyEngine, spilled, &drawn[..1])
+        }
+        None => pick_of(available, PickRule::BetterOfTwo, spilled, &drawn),
     }
 }
 
 /// Returns two random engines, the preferred one first, or the same one twice if there is
 /// only one.
 fn better_of_two<'a>(
-    open: &[Open<'a>],
+    available: &[AvailableEngine<'a>],
     zone: &ZoneName,
     settings: &PickSettings,
     rng: &mut ChaCha8Rng,
-) -> [Open<'a>; 2] {
-    if let [only] = open {
+) -> [AvailableEngine<'a>; 2] {
+    if let [only] = available {
         return [*only, *only];
     }
-    let first = rng.random_range(0..open.len());
-    let mut second = rng.random_range(0..open.len() - 1);
+    let first = rng.random_range(0..available.len());
+    let mut second = rng.random_range(0..available.len() - 1);
     if second >= first {
         second += 1;
     }
-    let (first, second) = (open[first], open[second]);
-    let share = |engine: &Open<'_>| engine.cost(zone, settings) / f64::from(engine.limit);
+    let (first, second) = (available[first], available[second]);
+    let share =
+        |engine: &AvailableEngine<'_>| engine.cost(zone, settings) / f64::from(engine.limit);
     if share(&second) < share(&first) {
         [second, first]
     } else {
@@ -238,37 +249,50 @@
 }
 
 /// Returns the next engine in turn.
-pub(super) fn round_robin(open: &[Open<'_>], turn: usize) -> Pick {
-    let chosen = open[turn % open.len()];
-    pick_of(open, PickRule::RoundRobin, true, &[chosen])
+pub(super) fn round_robin(available: &[AvailableEngine<'_>], index: usize) -> Pick {
+    let chosen = available[index % available.len()];
+    pick_of(available, PickRule::RoundRobin, true, &[chosen])
 }
 
 /// Returns the engine with the lowest reported load, without correction by this gateway's
 /// own requests.
-pub(super) fn least_reported(open: &[Open<'_>], engines: &BTreeMap<BackendId, EngineLoad>) -> Pick {
-    let reported = |open: &&Open<'_>| engines.get(&open.backend).map_or(0, EngineLoad::reported);
-    let chosen = open.iter().min_by_key(reported).copied();
-    let chosen = chosen.unwrap_or(open[0]);
-    pick_of(open, PickRule::LeastReported, true, &[chosen])
+pub(super) fn least_reported(
+    available: &[AvailableEngine<'_>],
+    engines: &BTreeMap<BackendId, EngineLoad>,
+) -> Pick {
+    let reported = |available: &&AvailableEngine<'_>| {
+        engines
+            .get(&available.backend)
+            .map_or(0, EngineLoad::reported)
+    };
+    let chosen = available.iter().min_by_key(reported).copied();
+    let chosen = chosen.unwrap_or(available[0]);
+    pick_of(available, PickRule::LeastReported, true, &[chosen])
 }
 
-fn least_load(open: &[Open<'_>]) -> f64 {
-    open.iter()
+fn least_load(available: &[AvailableEngine<'_>]) -> f64 {
+    available
+        .iter()
         .map(|engine| engine.load)
         .fold(f64::INFINITY, f64::min)
 }
 
 /// Returns the pick of the first engine in `compared`, with its reason.
-fn pick_of(open: &[Open<'_>], rule: PickRule, spilled: bool, compared: &[Open<'_>]) -> Pick {
+fn pick_of(
+    available: &[AvailableEngine<'_>],
+    rule: PickRule,
+    spilled: bool,
+    compared: &[AvailableEngine<'_>],
+) -> Pick {
     Pick {
         backend: compared[0].backend,
         reason: PickReason {
             rule,
             spilled,
-            open: open.len() as u32,
-            least_load: least_load(open),
+            open: available.len() as u32,
+            least_load: least_load(available),
             matched_blocks: 0,
-            considered: compared.iter().map(Open::considered).collect(),
+            considered: compared.iter().map(AvailableEngine::considered).collect(),
         },
     }
 }
--- a/crates/routing/src/pick/prefix.rs
+++ b/crates/routing/src/pick/prefix.rs
@@ -19,20 +19,20 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct PrefixSettings {
     /// Most prefixes that are kept.
-    pub most_prefixes: usize,
+    pub max_prefixes: usize,
     /// Most engines that are kept for one prefix.
-    pub most_holders: usize,
+    pub max_holders: usize,
     /// Share of an engine's confirmed entries that may be invalid because of missed events
     /// before all are dropped.
-    pub tolerated_doubt: f64,
+    pub max_missed_share: f64,
 }
 
 impl Default for PrefixSettings {
     fn default() -> Self {
         Self {
-            most_prefixes: 50_000,
-            most_holders: 4,
-            tolerated_doubt: 0.25,
+            max_prefixes: 50_000,
+            max_holders: 4,
+            max_missed_share: 0.25,
         }
     }
 }
@@ -66,7 +66,7 @@
 
 impl EngineEvents {
     /// Whether an entry has not been dropped since it was made.
-    fn has(&self, holder: &Holder) -> bool {
+    fn is_valid(&self, holder: &Holder) -> bool {
         let epoch = match holder.confirmed {
             true => self.confirmed_epoch,
             false => self.expected_epoch,
@@ -79,7 +79,7 @@
 
 fn is_current(engines: &Engines, holder: &Holder) -> bool {
     let engine = engines.get(&holder.backend);
-    engine.is_some_and(|engine| engine.has(holder))
+    engine.is_some_and(|engine| engine.is_valid(holder))
 }
 
 /// The longest prefix of a prompt that some engine caches.
@@ -156,7 +156,7 @@
         let Some(engine) = self.engines.get(&backend) else {
             return 0;
         };
-        let holds = |holder: &Holder| holder.backend == backend && engine.has(holder);
+        let holds = |holder: &Holder| holder.backend == backend && engine.is_valid(holder);
         let held = hashes.iter().rposition(|hash| {
             let entry = self.entries.get(hash);
             entry.is_some_and(|entry| entry.holders.iter().any(holds))
@@ -165,7 +165,7 @@
     }
 
     /// Records that a prompt with these prefixes was sent to `backend`.
-    pub(super) fn expect(&mut self, backend: BackendId, hashes: &[u64]) {
+    pub(super) fn add_expected(&mut self, backend: BackendId, hashes: &[u64]) {
         for hash in hashes {
             self.add(*hash, backend, false);
         }
@@ -193,7 +193,7 @@
     /// Records an event's sequence number and handles a gap before it. Returns `false` for
     /// an event that was already applied.
     fn advance(&mut self, backend: BackendId, sequence: u64) -> bool {
-        let tolerated_doubt = self.settings.tolerated_doubt;
+        let max_missed_share = self.settings.max_missed_share;
         let epoch = self.next_epoch();
         let engine = self.engine(backend);
         let Some(last) = engine.last_sequence else {
@@ -210,7 +210,7 @@
         }
         engine.expected_epoch = epoch;
         engine.missed += missed;
-        let tolerated = engine.confirmed as f64 * tolerated_doubt;
+        let tolerated = engine.confirmed as f64 * max_missed_share;
         if engine.missed as f64 > tolerated {
             engine.confirmed_epoch = epoch;
             engine.missed = 0;
@@ -250,19 +250,19 @@
             order.push_back(hash);
             Entry::default()
         });
-        let mut before = entry.holders.iter();
-        let before = before.position(|before| before.backend == backend);
-        if let Some(before) = before {
-            let known = entry.holders[before];
-            let stands = known.confirmed && is_current(&self.engines, &known);
-            if stands {
+        let mut existing = entry.holders.iter();
+        let existing = existing.position(|existing| existing.backend == backend);
+        if let Some(existing) = existing {
+            let known = entry.holders[existing];
+            let still_confirmed = known.confirmed && is_current(&self.engines, &known);
+            if still_confirmed {
                 return;
             }
-            entry.holders[before] = holder;
+            entry.holders[existing] = holder;
         } else {
-            if entry.holders.len() == self.settings.most_holders {
+            if entry.holders.len() == self.settings.max_holders {
                 let oldest = entry.holders.remove(0);
-                uncount(&mut self.engines, oldest);
+                decrement_confirmed(&mut self.engines, oldest);
             }
             entry.holders.push(holder);
         }
@@ -287,7 +287,7 @@
         if entry.holders.is_empty() {
             self.entries.remove(&hash);
         }
-        uncount(&mut self.engines, holder);
+        decrement_confirmed(&mut self.engines, holder);
     }
 
     fn retain_holders(&mut self, keep: impl Fn(&Holder) -> bool) {
@@ -302,7 +302,7 @@
     /// Evicts the oldest entries that were not used since they were last spared, until the
     /// index is within its bound.
     fn evict(&mut self) {
-        while self.entries.len() > self.settings.most_prefixes {
+        while self.entries.len() > self.settings.max_prefixes {
             let Some(hash) = self.order.pop_front() else {
                 return;
             };
@@ -317,7 +317,7 @@
             let holders = std::mem::take(&mut entry.holders);
             self.entries.remove(&hash);
             for holder in holders {
-                uncount(&mut self.engines, holder);
+                decrement_confirmed(&mut self.engines, holder);
             }
         }
         self.compact_order();
@@ -326,7 +326,7 @@
     /// Removes stale hashes from the order: entries that events evicted leave their hashes
     /// behind, and are listed twice if they are stored again.
     fn compact_order(&mut self) {
-        if self.order.len() <= 2 * self.settings.most_prefixes {
+        if self.order.len() <= 2 * self.settings.max_prefixes {
             return;
         }
         let mut seen = HashSet::with_capacity(self.entries.len());
@@ -337,9 +337,9 @@
 }
 
 /// Subtracts a removed holder from its engine's count of confirmed entries.
-fn uncount(engines: &mut Engines, holder: Holder) {
+fn decrement_confirmed(engines: &mut Engines, holder: Holder) {
     if let Some(engine) = engines.get_mut(&holder.backend) {
-        let counted = holder.confirmed && engine.has(&holder);
+        let counted = holder.confirmed && engine.is_valid(&holder);
         engine.confirmed = engine.confirmed.saturating_sub(u64::from(counted));
     }
 }
--- a/crates/routing/tests/prefix.rs
+++ b/crates/routing/tests/prefix.rs
@@ -222,7 +222,7 @@
 #[test]
 fn memory_is_bounded_and_used_prefixes_stay() {
     let settings = PrefixSettings {
-        most_prefixes: 100,
+        max_prefixes: 100,
         ..PrefixSettings::default()
     };
     let mut picker = picker(2, settings);
