--- a/crates/routing/tests/pick.rs
+++ b/crates/routing/tests/pick.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn no_engine_no_choice() {
+fn pick_fails_without_usable_engine() {
     let mut nothing = picker(PickPolicy::Affinity, Vec::new());
     assert_eq!(pick(&mut nothing, 0), Err(PickError::NoEngine));
     let mut one = picker(PickPolicy::Affinity, vec![engine(10, 1)]);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn the_own_zone_is_used_until_it_is_loaded() {
+fn own_zone_is_used_until_it_is_loaded() {
     let mut picker = picker(PickPolicy::Affinity, fleet(2));
     for _ in 0..50 {
         let pick = pick(&mut picker, 0).unwrap();
@@ -112,23 +112,23 @@
 }
 
 #[test]
-fn without_engines_in_the_zone_the_others_serve() {
+fn other_zones_serve_if_own_zone_has_no_engine() {
     let away = fleet(2).into_iter().filter(|engine| engine.zone != zone(1));
     let mut picker = picker(PickPolicy::Affinity, away.collect());
     assert!(pick(&mut picker, 0).unwrap().reason.spilled);
 }
 
 #[test]
-fn an_engine_in_doubt_is_the_last_resort() {
-    let doubtful = Candidate {
+fn suspect_engine_is_last_resort() {
+    let suspect = Candidate {
         suspect: true,
         ..engine(10, 1)
     };
-    let mut both = picker(PickPolicy::Affinity, vec![doubtful.clone(), engine(20, 2)]);
+    let mut both = picker(PickPolicy::Affinity, vec![suspect.clone(), engine(20, 2)]);
     for _ in 0..20 {
         assert_eq!(pick(&mut both, 0).unwrap().backend, BackendId(20));
     }
-    let mut alone = picker(PickPolicy::Affinity, vec![doubtful]);
+    let mut alone = picker(PickPolicy::Affinity, vec![suspect]);
     assert_eq!(pick(&mut alone, 0).unwrap().backend, BackendId(10));
 }
 
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn load_is_the_report_corrected_by_own_requests() {
+fn load_is_report_corrected_by_own_requests() {
     use Event::{Finish as End, Report, Start};
     let cases: &[(&str, &[Event], f64)] = &[
         ("no observation", &[], 0.0),
@@ -274,21 +274,21 @@
 }
 
 #[test]
-fn reports_that_come_twice_or_of_another_life_change_nothing() {
+fn duplicate_reports_and_other_incarnations_are_ignored() {
     let mut picker = picker(PickPolicy::Affinity, vec![engine(10, 1)]);
     picker.observe_load(sample(10, 5, 0, 3));
     picker.observe_load(sample(10, 4, 0, 9));
     picker.observe_load(sample(10, 5, 0, 9));
-    let other_life = LoadSample {
+    let other_incarnation = LoadSample {
         incarnation: Incarnation(2),
         ..sample(10, 6, 0, 9)
     };
-    picker.observe_load(other_life);
+    picker.observe_load(other_incarnation);
     assert_eq!(picker.load(at(0), BackendId(10)), Some(3.0));
 }
 
 /// Returns the number of requests that each engine got out of 60 between two reports.
-fn spread(policy: PickPolicy) -> BTreeMap<BackendId, u32> {
+fn requests_by_engine(policy: PickPolicy) -> BTreeMap<BackendId, u32> {
     let candidates = (0..6).map(|number| engine(10 + number, 1)).collect();
     let mut picker = picker(policy, candidates);
     for number in 0..6 {
@@ -305,16 +305,19 @@
 }
 
 #[test]
-fn own_requests_keep_a_crowd_from_the_engine_that_looked_idle() {
-    let ours = spread(PickPolicy::Affinity);
-    assert_eq!(ours.len(), 6);
-    assert!(ours.values().all(|sent| *sent <= 15), "{ours:?}");
-    let by_report = spread(PickPolicy::LeastReported);
+fn own_requests_prevent_herding_to_idle_engine() {
+    let by_affinity = requests_by_engine(PickPolicy::Affinity);
+    assert_eq!(by_affinity.len(), 6);
+    assert!(
+        by_affinity.values().all(|sent| *sent <= 15),
+        "{by_affinity:?}"
+    );
+    let by_report = requests_by_engine(PickPolicy::LeastReported);
     assert!(by_report[&BackendId(10)] >= 15, "{by_report:?}");
 }
 
 #[test]
-fn an_engine_where_requests_wait_gets_fewer() {
+fn limit_decreases_while_requests_wait() {
     let mut picker = picker(PickPolicy::Affinity, vec![engine(10, 1)]);
     let initial = picker.limit(BackendId(10)).unwrap();
     for sequence in 1..=8 {
@@ -323,19 +326,22 @@
             ..sample(10, sequence, 300 * sequence, 12)
         });
     }
-    let crowded = picker.limit(BackendId(10)).unwrap();
-    assert!(crowded < initial / 2, "{crowded} of {initial}");
+    let overloaded_limit = picker.limit(BackendId(10)).unwrap();
+    assert!(
+        overloaded_limit < initial / 2,
+        "{overloaded_limit} of {initial}"
+    );
     for sequence in 9..=60 {
-        picker.observe_load(sample(10, sequence, 300 * sequence, crowded));
+        picker.observe_load(sample(10, sequence, 300 * sequence, overloaded_limit));
     }
     let recovered = picker.limit(BackendId(10)).unwrap();
-    assert!(recovered > crowded, "{recovered}");
+    assert!(recovered > overloaded_limit, "{recovered}");
     // The engine's own maximum bounds the adaptive limit.
     assert!(recovered <= 32);
 }
 
 #[test]
-fn refusals_of_a_crowd_count_once() {
+fn burst_of_rejections_decreases_limit_once() {
     let mut picker = picker(PickPolicy::Affinity, vec![engine(10, 1)]);
     let initial = picker.limit(BackendId(10)).unwrap();
     for _ in 0..10 {
@@ -357,9 +363,9 @@
     let short = [1, 2];
     let mut picker = picker(PickPolicy::Affinity, vec![engine(10, 1)]);
     for number in 0..400 {
-        let album = number % 4 == 0;
+        let prompt = number % 4 == 0;
         let long: Vec<u64> = (0..250).map(|block| 1_000 * number + block).collect();
-        let (hashes, first_byte) = if album {
+        let (hashes, first_byte) = if prompt {
             (&long[..], if number < 40 { 80 } else { long_millis })
         } else {
             (&short[..], 10)
@@ -380,7 +386,7 @@
 }
 
 #[test]
-fn long_prompts_among_short_ones_are_no_sign_of_a_crowd() {
+fn long_prompts_among_short_ones_are_no_overload() {
     let initial = PickSettings::default().limit.initial;
     assert_eq!(limit_after(80), initial);
     // Ten times slower than the same prompts were before is a sign of overload.
@@ -388,7 +394,7 @@
 }
 
 #[test]
-fn capacity_is_the_room_below_all_limits() {
+fn capacity_is_sum_of_headroom_below_limits() {
     let mut picker = picker(PickPolicy::Affinity, vec![engine(10, 1), engine(20, 2)]);
     assert_eq!(picker.capacity(at(0)), 32);
     picker.observe_load(sample(20, 1, 0, 10));
@@ -401,7 +407,7 @@
 }
 
 #[test]
-fn a_request_on_an_engine_that_was_ejected_meanwhile_still_counts() {
+fn request_on_ejected_engine_still_counts() {
     let mut picker = picker(PickPolicy::Affinity, vec![engine(10, 1), engine(11, 1)]);
     picker.started(at(1), BackendId(10), &[]);
     picker.set_engines(vec![engine(11, 1)]);
@@ -413,19 +419,19 @@
     picker.finished(at(3), BackendId(10), at(1), Finish::Other);
     assert_eq!(picker.own_in_flight(BackendId(10)), 0);
     // The next incarnation starts without it.
-    let next_life = Candidate {
+    let next_incarnation = Candidate {
         incarnation: Incarnation(2),
         ..engine(11, 1)
     };
     picker.started(at(4), BackendId(11), &[]);
-    picker.set_engines(vec![next_life]);
+    picker.set_engines(vec![next_incarnation]);
     assert_eq!(picker.load(at(4), BackendId(11)), Some(0.0));
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Members(Vec<bool>),
-    Pick { album: u64, exclude: u32 },
+    Pick { prompt: u64, exclude: u32 },
     Finish(usize),
     Report { backend: u32, online: u32 },
     Pass(u64),
@@ -434,7 +440,7 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         1 => prop::collection::vec(any::<bool>(), 6).prop_map(Step::Members),
-        8 => (0..4_u64, 0..8_u32).prop_map(|(album, exclude)| Step::Pick { album, exclude }),
+        8 => (0..4_u64, 0..8_u32).prop_map(|(prompt, exclude)| Step::Pick { prompt, exclude }),
         4 => any::<usize>().prop_map(Step::Finish),
         3 => (0..6_u32, 0..20_u32).prop_map(|(backend, online)| Step::Report { backend, online }),
         2 => (1..500_u64).prop_map(Step::Pass),
@@ -461,7 +467,7 @@
     /// An engine that left, is excluded or is at its limit is never chosen, whatever the
     /// policy, and this gateway's own requests are counted exactly.
     #[test]
-    fn only_engines_that_may_be_chosen_are(
+    fn only_eligible_engines_are_chosen(
         policy in any_policy(),
         steps in prop::collection::vec(step(), 1..120),
     ) {
@@ -478,9 +484,9 @@
                     present = kept.iter().map(|engine| engine.backend).collect();
                     picker.set_engines(kept);
                 }
-                Step::Pick { album, exclude } => {
+                Step::Pick { prompt, exclude } => {
                     let exclude = [BackendId(exclude)];
-                    let hashes = [album, 100 + album];
+                    let hashes = [prompt, 100 + prompt];
                     let request = PickRequest { prefix_hashes: &hashes, exclude: &exclude };
                     if let Ok(pick) = picker.pick(at(now), request) {
                         prop_assert!(present.contains(&pick.backend));
@@ -514,7 +520,7 @@
 }
 
 #[test]
-fn the_reason_names_the_rule_and_its_inputs() {
+fn reason_contains_rule_and_inputs() {
     let mut picker = picker(PickPolicy::BetterOfTwo, fleet(1));
     picker.observe_load(sample(10, 1, 0, 2));
     let pick = pick(&mut picker, 0).unwrap();
--- a/crates/routing/tests/prefix.rs
+++ b/crates/routing/tests/prefix.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const ALBUM: [u64; 4] = [1, 2, 3, 4];
+const PROMPT: [u64; 4] = [1, 2, 3, 4];
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -79,7 +79,7 @@
 
 /// Returns the engine chosen by affinity and the number of blocks it caches, or `None` if
 /// another rule decided.
-fn affine(picker: &mut Picker, hashes: &[u64]) -> Option<(u32, u32)> {
+fn pick_by_affinity(picker: &mut Picker, hashes: &[u64]) -> Option<(u32, u32)> {
     let request = PickRequest {
         prefix_hashes: hashes,
         ..PickRequest::default()
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn events_and_what_is_known_after_them() {
+fn cache_events_update_index() {
     type Case = (&'static str, Vec<CacheEvent>, Option<(u32, u32)>);
     let cases: &[Case] = &[
         ("nothing", vec![], None),
@@ -137,90 +137,90 @@
     for (name, events, expected) in cases {
         let mut picker = picker(4, PrefixSettings::default());
         picker.observe_cache(BackendId(2), &page(events.clone()));
-        assert_eq!(affine(&mut picker, &ALBUM), *expected, "{name}");
+        assert_eq!(pick_by_affinity(&mut picker, &PROMPT), *expected, "{name}");
     }
 }
 
 #[test]
-fn a_page_of_an_earlier_life_is_ignored() {
+fn events_of_earlier_incarnation_are_ignored() {
     let mut picker = picker(4, PrefixSettings::default());
     let old = CacheEventPage {
         incarnation: Incarnation(0),
         events: vec![stored(1, 1)],
     };
     picker.observe_cache(BackendId(2), &old);
-    assert_eq!(affine(&mut picker, &ALBUM), None);
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), None);
 }
 
 #[test]
-fn a_restart_forgets_the_cache() {
+fn restart_clears_cache_entries() {
     let mut picker = picker(4, PrefixSettings::default());
     picker.observe_cache(BackendId(2), &page(vec![stored(1, 1)]));
     let mut restarted = candidates(4);
     restarted[2].incarnation = Incarnation(2);
     picker.set_engines(restarted);
-    assert_eq!(affine(&mut picker, &ALBUM), None);
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), None);
     assert_eq!(picker.indexed_prefixes(), 0);
     // Its sequence numbers start over.
-    let next_life = CacheEventPage {
+    let next_incarnation = CacheEventPage {
         incarnation: Incarnation(2),
         events: vec![stored(1, 1)],
     };
-    picker.observe_cache(BackendId(2), &next_life);
-    assert_eq!(affine(&mut picker, &ALBUM), Some((2, 1)));
+    picker.observe_cache(BackendId(2), &next_incarnation);
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), Some((2, 1)));
 }
 
 #[test]
-fn own_routing_is_expected_to_fill_the_cache_before_events_come() {
+fn routing_adds_expected_entries_before_events() {
     let mut picker = picker(4, PrefixSettings::default());
-    picker.started(at(0), BackendId(3), &ALBUM);
-    assert_eq!(affine(&mut picker, &ALBUM), Some((3, 4)));
+    picker.started(at(0), BackendId(3), &PROMPT);
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), Some((3, 4)));
 }
 
 #[test]
-fn a_gap_drops_what_was_only_expected() {
+fn gap_drops_expected_entries() {
     let mut picker = picker(4, PrefixSettings::default());
     let confirmed: Vec<CacheEvent> = (1..40)
         .map(|number| stored(number, 1_000 + number))
         .collect();
     picker.observe_cache(BackendId(3), &page(confirmed));
-    picker.started(at(0), BackendId(3), &ALBUM);
+    picker.started(at(0), BackendId(3), &PROMPT);
     picker.observe_cache(BackendId(3), &page(vec![stored(41, 5_000)]));
-    assert_eq!(affine(&mut picker, &ALBUM), None);
-    assert_eq!(affine(&mut picker, &[1_001]), Some((3, 1)));
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), None);
+    assert_eq!(pick_by_affinity(&mut picker, &[1_001]), Some((3, 1)));
 }
 
 #[test]
-fn a_loaded_holder_is_passed_over() {
+fn loaded_holder_is_skipped() {
     let mut picker = picker(4, PrefixSettings::default());
     picker.observe_cache(BackendId(2), &page(vec![stored(1, 1)]));
     picker.observe_load(busy(2, 2));
-    assert_eq!(affine(&mut picker, &ALBUM), Some((2, 1)));
-    let mut crowded = busy(2, 8);
-    crowded.sequence = 2;
-    picker.observe_load(crowded);
-    assert_eq!(affine(&mut picker, &ALBUM), None);
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), Some((2, 1)));
+    let mut overloaded = busy(2, 8);
+    overloaded.sequence = 2;
+    picker.observe_load(overloaded);
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), None);
 }
 
 #[test]
-fn a_shorter_prefix_on_an_open_engine_beats_a_longer_one_on_a_loaded_one() {
+fn shorter_prefix_on_available_engine_beats_longer_one_on_loaded_engine() {
     let mut picker = picker(4, PrefixSettings::default());
     let whole = vec![stored(1, 1), stored(2, 2), stored(3, 3), stored(4, 4)];
     picker.observe_cache(BackendId(2), &page(whole));
     picker.observe_cache(BackendId(1), &page(vec![stored(1, 1), stored(2, 2)]));
-    assert_eq!(affine(&mut picker, &ALBUM), Some((2, 4)));
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), Some((2, 4)));
     picker.observe_load(busy(2, 8));
-    assert_eq!(affine(&mut picker, &ALBUM), Some((1, 2)));
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), Some((1, 2)));
     // An engine that is gone does not hide the others either.
     let without = candidates(4)
         .into_iter()
         .filter(|engine| engine.backend.0 != 2);
     picker.set_engines(without.collect());
-    assert_eq!(affine(&mut picker, &ALBUM), Some((1, 2)));
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), Some((1, 2)));
 }
 
 #[test]
-fn memory_is_bounded_and_used_prefixes_stay() {
+fn index_is_bounded_and_keeps_used_prefixes() {
     let settings = PrefixSettings {
         max_prefixes: 100,
         ..PrefixSettings::default()
@@ -228,7 +228,7 @@
     let mut picker = picker(2, settings);
     picker.observe_cache(BackendId(0), &page(vec![stored(1, 1)]));
     for number in 2..2_000 {
-        assert_eq!(affine(&mut picker, &[1]), Some((0, 1)));
+        assert_eq!(pick_by_affinity(&mut picker, &[1]), Some((0, 1)));
         picker.observe_cache(BackendId(0), &page(vec![stored(number, number)]));
         assert!(picker.indexed_prefixes() <= 100);
     }
@@ -292,14 +292,14 @@
 
     /// Without gaps the index matches the caches.
     #[test]
-    fn complete_events_give_the_true_caches(
+    fn index_matches_caches_without_gaps(
         changes in prop::collection::vec(change(0.0), 0..200),
     ) {
         let mut picker = picker(3, PrefixSettings::default());
         let caches = replay(&mut picker, &changes);
         for hash in 0..30 {
             let held = caches.values().any(|cache| cache.contains(&hash));
-            let found = affine(&mut picker, &[hash]);
+            let found = pick_by_affinity(&mut picker, &[hash]);
             prop_assert_eq!(found.is_some(), held);
             if let Some((backend, _)) = found {
                 prop_assert!(caches[&backend].contains(&hash));
@@ -319,7 +319,7 @@
         let lost = changes.iter().filter(|change| change.lost).count();
         let mut wrong = 0;
         for hash in 0..30 {
-            if let Some((backend, _)) = affine(&mut picker, &[hash]) {
+            if let Some((backend, _)) = pick_by_affinity(&mut picker, &[hash]) {
                 wrong += usize::from(!caches[&backend].contains(&hash));
             }
         }
