--- a/crates/routing/src/retry/budget.rs
+++ b/crates/routing/src/retry/budget.rs
@@ -1,15 +1,15 @@
-//! The retry budget of a service.
+//! Retry budget of a service.
 
 use molespan_types::Timestamp;
 
-/// Bounds of a retry budget.
+/// Settings of a retry budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RetryBudgetSettings {
     /// Retries allowed for each first attempt.
     pub ratio: f64,
-    /// Retries a second that are always allowed, for services with few requests.
+    /// Retries per second that are always allowed, for services with few requests.
     pub reserve_per_second: f64,
-    /// Most retries that can be saved up.
+    /// Most retries that can accumulate.
     pub most_saved: f64,
 }
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// Tokens for retries: earned by first attempts, spent by retries.
+/// Token bucket for retries: first attempts earn tokens, retries spend them.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: RetryBudgetSettings,
@@ -32,7 +32,7 @@
 }
 
 impl RetryBudget {
-    /// A full budget.
+    /// Returns a full budget.
     #[must_use]
     pub fn new(settings: RetryBudgetSettings) -> Self {
         Self {
@@ -42,12 +42,12 @@
         }
     }
 
-    /// A first attempt was made.
+    /// Records a first attempt.
     pub fn earn(&mut self) {
         self.add(self.settings.ratio);
     }
 
-    /// Takes a token for a retry; false when there is none.
+    /// Takes a token for a retry. Returns `false` if there is none.
     pub fn spend(&mut self, now: Timestamp) -> bool {
         let passed = now.since(self.updated).as_secs_f64();
         self.updated = self.updated.max(now);
--- a/crates/routing/src/retry/check.rs
+++ b/crates/routing/src/retry/check.rs
@@ -1,53 +1,53 @@
-//! Checks that a response is whole and belongs to the attempt.
+//! Checks that a response is complete and belongs to its attempt.
 
 use derive_more::{Display, Error};
 use molespan_engine_api::CompletionChunk;
 use molespan_types::AttemptId;
 use molespan_types::mechanism::{Mechanism, enabled};
 
-/// Why a response is not taken.
+/// Why a response is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum ResponseError {
-    /// It does not name its attempt.
+    /// The response does not name its attempt.
     #[display("the response names no attempt")]
     NoAttempt,
-    /// It belongs to another attempt.
+    /// The response belongs to another attempt.
     #[display("the response belongs to attempt {echoed}")]
     CrossedAttempt {
-        /// The attempt that it names.
+        /// Attempt that the response names.
         echoed: String,
     },
-    /// It is shorter or longer than it declared.
+    /// The response is shorter or longer than declared.
     #[display("the response has {received} of {declared} bytes")]
     WrongLength {
-        /// Bytes that it declared.
+        /// Declared number of bytes.
         declared: u64,
-        /// Bytes that came.
+        /// Received number of bytes.
         received: u64,
     },
-    /// A chunk is missing, doubled or out of order.
+    /// A chunk is missing, duplicated or out of order.
     #[display("the stream goes on at token {offset} instead of {expected}")]
     WrongOffset {
-        /// Offset that was due.
+        /// Expected offset.
         expected: u32,
-        /// Offset that came.
+        /// Received offset.
         offset: u32,
     },
-    /// Something follows the end of the stream.
+    /// Data follows the end of the stream.
     #[display("the stream goes on after its end")]
     AfterEnd,
-    /// The stream broke off before its end.
+    /// The stream ended before its final chunk.
     #[display("the stream broke off after {tokens} tokens")]
     NoEnd {
-        /// Tokens that came.
+        /// Received number of tokens.
         tokens: u32,
     },
 }
 
-/// Whether the attempt that a response echoes is the expected one.
+/// Checks that the attempt echoed by a response is the expected one.
 ///
 /// # Errors
-/// When it is another one or missing.
+/// Returns an error if it is a different one or missing.
 pub fn check_attempt(expected: AttemptId, echoed: Option<&str>) -> Result<(), ResponseError> {
     if !enabled(Mechanism::AttemptCheck) {
         return Ok(());
@@ -61,11 +61,11 @@
     })
 }
 
-/// Whether a body has the length that was declared for it. One without a
-/// declared length is whole when `terminated` says that its end was marked.
+/// Checks that a body has its declared length. A body without one is complete if
+/// `terminated` indicates that its end was marked.
 ///
 /// # Errors
-/// When it was cut off.
+/// Returns an error if the length differs or the end was not marked.
 pub fn check_length(
     declared: Option<u64>,
     received: u64,
@@ -83,7 +83,7 @@
     }
 }
 
-/// Follows one stream of chunks, from its first offset to its end.
+/// Checks one stream of chunks, from its first offset to its end.
 #[derive(Clone, Debug)]
 pub struct StreamCheck {
     attempt: AttemptId,
@@ -93,7 +93,8 @@
 }
 
 impl StreamCheck {
-    /// A stream of `attempt` that starts at `offset`, 0 unless it is resumed.
+    /// Returns the check of a stream of `attempt` that starts at `offset`, which is 0
+    /// unless the stream is resumed.
     #[must_use]
     pub fn new(attempt: AttemptId, offset: u32) -> Self {
         Self {
@@ -104,10 +105,10 @@
         }
     }
 
-    /// Checks the next chunk. It may be passed on only when this succeeds.
+    /// Checks the next chunk, which may be passed on only if this succeeds.
     ///
     /// # Errors
-    /// When it belongs to another attempt, or is not the next one.
+    /// Returns an error if the chunk belongs to another attempt or is not the next one.
     pub fn chunk(&mut self, chunk: &CompletionChunk) -> Result<(), ResponseError> {
         check_attempt(self.attempt, Some(&chunk.id))?;
         if enabled(Mechanism::CompletenessCheck) {
@@ -131,15 +132,15 @@
         Ok(())
     }
 
-    /// The line that ends the stream came.
+    /// Records that the line that terminates the stream was received.
     pub fn terminator(&mut self) {
         self.terminated = true;
     }
 
-    /// Checks that the stream came to its end.
+    /// Checks that the stream is complete.
     ///
     /// # Errors
-    /// When the last chunk or the terminator is missing.
+    /// Returns an error if the last chunk or the terminator is missing.
     pub fn end(&self) -> Result<(), ResponseError> {
         let whole = self.finished && self.terminated;
         if whole || !enabled(Mechanism::CompletenessCheck) {
@@ -150,7 +151,7 @@
         })
     }
 
-    /// Offset of the next token; where a resumed stream starts.
+    /// Returns the offset of the next token, at which a resumed stream starts.
     #[must_use]
     pub fn next_offset(&self) -> u32 {
         self.next_offset
--- a/crates/routing/src/retry/mod.rs
+++ b/crates/routing/src/retry/mod.rs
@@ -1,15 +1,15 @@
-//! What to do when an attempt at an online request ends early.
+//! Retry rules for attempts of online requests that end early.
 //!
 //! Rules, in this order:
-//! - an attempt that certainly did not run may be made again elsewhere;
-//! - a stream that broke is resumed on its engine, by attempt and offset;
-//! - a repeatable request of whose answer the caller saw nothing may be made
-//!   again elsewhere;
-//! - a request that may run once is never sent again after an ambiguous end:
-//!   its engine is asked, and without an answer the outcome is unknown.
+//! - an attempt that certainly did not run may be retried on another engine;
+//! - a broken stream is resumed on its engine, by attempt and offset;
+//! - a repeatable request of whose answer the caller has received nothing may be retried on
+//!   another engine;
+//! - a request that may run only once is never sent again after an ambiguous end: its
+//!   engine is asked for the status, and without a response the outcome is unknown.
 //!
-//! Every further attempt takes a token from the service's retry budget, so that
-//! retries cannot multiply an overload.
+//! Every further attempt takes a token from the service's retry budget, so that retries
+//! cannot amplify an overload.
 
 mod budget;
 mod check;
--- a/crates/routing/src/retry/request_state.rs
+++ b/crates/routing/src/retry/request_state.rs
@@ -1,118 +1,119 @@
-//! The states of one online request, from its arrival to its outcome.
+//! State machine of one online request, from its arrival to its outcome.
 
 use molespan_types::mechanism::{Mechanism, enabled};
 use molespan_types::{AttemptId, BackendId, Incarnation, RunOutcome, Timestamp};
 
 use super::RetryBudget;
 
-/// Most attempts at one request, with the first.
+/// Most attempts for one request, including the first.
 const MOST_ATTEMPTS: u32 = 4;
 /// Most times that one attempt is resumed.
 const MOST_RESUMES: u32 = 3;
-/// Most times that an engine is asked about one attempt.
+/// Most status queries to an engine for one attempt.
 const MOST_QUESTIONS: u32 = 5;
 
-/// What kind of request it is.
+/// Properties of a request that determine how it may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestKind {
     /// Whether it may run more than once.
     pub repeatable: bool,
-    /// Whether its back end can tell about attempts and resume their streams.
+    /// Whether its backend can report the status of attempts and resume their streams.
     pub resumable: bool,
 }
 
-/// One attempt and where it went.
+/// An attempt and the backend that it was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptRef {
-    /// Attempt.
+    /// Attempt identifier.
     pub attempt: AttemptId,
-    /// Back end.
+    /// Backend.
     pub backend: BackendId,
-    /// Life of it.
+    /// Incarnation of the backend.
     pub incarnation: Incarnation,
 }
 
-/// How a claim was answered.
+/// Result of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClaimAnswer {
-    /// This request may run.
+    /// The request may run.
     Granted,
-    /// Another one with this key holds the claim and has not ended.
+    /// Another request with this key holds the claim and has not ended.
     Held,
-    /// The request ended before; its answer is on record.
+    /// A request with this key has ended; its answer is on record.
     Settled(RunOutcome),
-    /// The key was used for another body.
+    /// The key was used for a different body.
     KeyConflict,
-    /// The group could not be reached, or the fate of the claim is not known.
-    /// The caller settles the claim as not run.
+    /// The replica group could not be reached, or the state of the claim is unknown. The
+    /// caller settles the claim as not run.
     Failed,
 }
 
-/// How an attempt, or a try to resume it, ended.
+/// How an attempt, or an attempt to resume it, ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The whole answer came, checked.
+    /// The complete answer was received and passed its checks.
     Completed,
-    /// No byte of the request left for the back end.
+    /// No byte of the request was sent to the backend.
     NotSent,
-    /// The back end itself said, for this attempt, that it did not run.
+    /// The backend itself declared that this attempt did not run.
     DeclaredNotRun,
-    /// The connection broke, timed out, or the answer failed its checks after
-    /// some byte of the request was sent.
+    /// The connection broke or timed out, or the answer failed its checks, after some byte
+    /// of the request was sent.
     Broken,
-    /// The back end restarted, or no longer knows an attempt that had run.
+    /// The backend restarted, or no longer has an attempt that had run.
     Lost,
 }
 
-/// What an engine said about an attempt.
+/// Response of an engine to a status query for an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusAnswer {
-    /// It waits, runs, is held back or has completed: its answer can be had.
+    /// The attempt waits, runs, is held back or has completed, so its answer can be
+    /// fetched.
     Present,
-    /// It was stopped before its end.
+    /// The attempt was stopped before it completed.
     Cancelled,
-    /// The engine, in the life it was sent to, never saw it.
+    /// The incarnation that the attempt was sent to never received it.
     NeverSeen,
-    /// Another life of the engine answered, so it cannot know.
+    /// Another incarnation of the engine responded, which has no record of the attempt.
     OtherLife,
-    /// No answer.
+    /// No response.
     NoAnswer,
 }
 
-/// What to do next.
+/// Next action for a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Claim the key, and dispatch only once that is granted.
+    /// Claim the key, and dispatch only once the claim is granted.
     Claim,
-    /// Choose a back end and send the request.
+    /// Choose a backend and send the request.
     Dispatch,
-    /// Choose another back end and send the request again as a new attempt.
+    /// Choose another backend and send the request again as a new attempt.
     Retry {
-        /// Back ends that failed it.
+        /// Backends that failed the request.
         exclude: Vec<BackendId>,
     },
-    /// Fetch the rest of the answer from where it runs.
+    /// Fetch the rest of the answer from the backend that runs the attempt.
     Resume {
-        /// The attempt.
+        /// Attempt to resume.
         attempt: AttemptRef,
-        /// Token to start from.
+        /// Offset of the first token to fetch.
         offset: u32,
     },
-    /// Ask the engine what became of the attempt.
+    /// Query the engine for the status of the attempt.
     AskStatus {
-        /// The attempt.
+        /// Attempt to ask about.
         attempt: AttemptRef,
     },
-    /// Pass the recorded outcome and answer of the key on.
+    /// Return the recorded outcome and answer of the key to the caller.
     Replay {
-        /// Outcome on record.
+        /// Recorded outcome.
         outcome: RunOutcome,
     },
-    /// The answer was passed on whole; settle the claim, if any.
+    /// The complete answer was passed on; settle the claim, if there is one.
     Done,
-    /// Tell the caller that it failed, and whether it ran; settle the claim.
+    /// Report to the caller that the request failed, and whether it ran; settle the claim.
     Fail {
-        /// Whether it ran.
+        /// Whether the request ran.
         outcome: RunOutcome,
     },
 }
@@ -127,7 +128,7 @@
     Ended,
 }
 
-/// One online request.
+/// State of one online request.
 #[derive(Clone, Debug)]
 pub struct RequestState {
     kind: RequestKind,
@@ -136,15 +137,15 @@
     attempts: u32,
     resumes: u32,
     questions: u32,
-    /// Tokens or bytes of the answer that the caller has seen.
+    /// Tokens or bytes of the answer that were passed on to the caller.
     passed: u32,
-    /// Whether some attempt may have run, which no later one takes back.
+    /// Whether some attempt may have run; never reset.
     may_have_run: bool,
     excluded: Vec<BackendId>,
 }
 
 impl RequestState {
-    /// A request that was admitted.
+    /// Returns the state of an admitted request.
     #[must_use]
     pub fn new(kind: RequestKind) -> Self {
         Self {
@@ -160,7 +161,7 @@
         }
     }
 
-    /// The first step.
+    /// Starts the request and returns its first step.
     pub fn begin(&mut self) -> NextStep {
         let claim = !self.kind.repeatable && enabled(Mechanism::ClaimBeforeDispatch);
         if claim {
@@ -171,7 +172,7 @@
         NextStep::Dispatch
     }
 
-    /// The claim was answered.
+    /// Records the result of the claim.
     pub fn claim_answered(&mut self, answer: ClaimAnswer) -> NextStep {
         match answer {
             ClaimAnswer::Granted => {
@@ -182,7 +183,7 @@
                 self.phase = Phase::Ended;
                 NextStep::Replay { outcome }
             }
-            // This arrival did not run, but the request under its key may.
+            // This request did not run, but the one that holds the key may.
             ClaimAnswer::Held => {
                 self.may_have_run = true;
                 self.fail()
@@ -191,14 +192,14 @@
         }
     }
 
-    /// Whether a byte of the request may be sent now.
+    /// Whether the request may be sent now.
     #[must_use]
     pub fn may_dispatch(&self) -> bool {
         self.phase == Phase::Ready
     }
 
-    /// An attempt is about to be sent. Returns false, and nothing may be sent,
-    /// unless [`RequestState::may_dispatch`].
+    /// Records that an attempt is about to be sent. Returns `false`, and nothing may be
+    /// sent, unless [`RequestState::may_dispatch`].
     #[must_use]
     pub fn dispatched(&mut self, attempt: AttemptRef) -> bool {
         if !self.may_dispatch() {
@@ -212,18 +213,18 @@
         true
     }
 
-    /// No back end could be chosen.
+    /// Records that no backend could be chosen.
     pub fn no_backend(&mut self) -> NextStep {
         self.fail()
     }
 
-    /// The caller has seen the answer up to `offset`, in tokens of a stream or
-    /// bytes of a plain answer.
+    /// Records that the answer up to `offset` was passed on to the caller, in tokens of a
+    /// stream or bytes of a plain answer.
     pub fn passed(&mut self, offset: u32) {
         self.passed = self.passed.max(offset);
     }
 
-    /// The attempt, or a try to resume it, ended.
+    /// Records the end of an attempt, or of an attempt to resume it.
     pub fn ended(&mut self, now: Timestamp, end: AttemptEnd, budget: &mut RetryBudget) -> NextStep {
         match end {
             AttemptEnd::Completed => {
@@ -238,7 +239,7 @@
         }
     }
 
-    /// The engine was asked about the attempt.
+    /// Records the response of the engine to a status query for the attempt.
     pub fn status(
         &mut self,
         now: Timestamp,
@@ -247,14 +248,15 @@
     ) -> NextStep {
         match answer {
             StatusAnswer::Present => self.resume().unwrap_or_else(|| self.fail_unknown()),
-            // Its bytes may still be on their way, so this is no proof.
+            // The request may still be in transit, so this does not prove that it won't
+            // run.
             StatusAnswer::NeverSeen => self.ask().unwrap_or_else(|| self.ambiguous(now, budget)),
             StatusAnswer::Cancelled | StatusAnswer::OtherLife => self.ambiguous(now, budget),
             StatusAnswer::NoAnswer => self.ask().unwrap_or_else(|| self.fail_unknown()),
         }
     }
 
-    /// Whether the request ran, as far as is known now.
+    /// Returns whether the request ran, as far as is known now.
     #[must_use]
     pub fn outcome(&self) -> RunOutcome {
         let in_doubt = matches!(self.phase, Phase::Dispatched | Phase::Asking);
@@ -265,15 +267,15 @@
         }
     }
 
-    /// Whether bytes of the current attempt may have left, so that a failure to
-    /// reach its answer says nothing about whether it ran.
+    /// Whether bytes of the current attempt may have been sent, so that a failure to reach
+    /// its answer does not reveal whether it ran.
     fn was_sent(&self) -> bool {
         self.passed > 0 || self.resumes > 0 || self.questions > 0
     }
 
-    /// The attempt may have run.
+    /// Handles an attempt that may have run.
     fn broken(&mut self, now: Timestamp, budget: &mut RetryBudget) -> NextStep {
-        // Nothing may be called not run once a byte of it was sent.
+        // A request must not be reported as not run once a byte of it was sent.
         if !enabled(Mechanism::TruthfulNotRun) {
             return self.retry(now, budget);
         }
@@ -290,7 +292,7 @@
         next.unwrap_or_else(|| self.ambiguous(now, budget))
     }
 
-    /// The attempt may have run and its answer cannot be had.
+    /// Handles an attempt that may have run and whose answer can't be fetched.
     fn ambiguous(&mut self, now: Timestamp, budget: &mut RetryBudget) -> NextStep {
         self.may_have_run = true;
         let may_repeat = self.kind.repeatable || !enabled(Mechanism::NoRetryAfterAmbiguity);
--- a/crates/routing/tests/check.rs
+++ b/crates/routing/tests/check.rs
@@ -1,4 +1,5 @@
-//! Answers that are late, crossed, truncated or doubled.
+//! Tests the checks against answers that are crossed between attempts, truncated,
+//! duplicated or out of order.
 
 use molespan_engine_api::{CompletionChunk, FinishReason};
 use molespan_routing::retry::{ResponseError, StreamCheck, check_attempt, check_length};
@@ -31,7 +32,7 @@
         .collect()
 }
 
-/// Chunks that may be passed on, and how the stream ended.
+/// Returns the number of chunks that may be passed on, and how the stream ended.
 fn follow(
     chunks: &[CompletionChunk],
     from: u32,
@@ -59,7 +60,7 @@
         echoed: other.clone(),
     };
     assert_eq!(check_attempt(OWN, Some(&other)), Err(crossed));
-    // A longer text that begins with the attempt is another attempt.
+    // A longer string that starts with the attempt names another attempt.
     assert!(check_attempt(OWN, Some(&format!("{own}0"))).is_err());
 
     let wrong = |declared, received| Err(ResponseError::WrongLength { declared, received });
@@ -90,15 +91,21 @@
     let gap = |expected, offset| ResponseError::WrongOffset { expected, offset };
     let no_end = |tokens| ResponseError::NoEnd { tokens };
     let cases = [
-        ("first lost", without(0), true, 0, gap(0, 1)),
-        ("one lost", without(2), true, 2, gap(2, 3)),
-        ("last lost", without(3), true, 3, no_end(3)),
+        ("first chunk lost", without(0), true, 0, gap(0, 1)),
+        ("middle chunk lost", without(2), true, 2, gap(2, 3)),
+        ("last chunk lost", without(3), true, 3, no_end(3)),
         ("cut off", whole[..2].to_vec(), false, 2, no_end(2)),
         ("end not marked", whole.clone(), false, 4, no_end(4)),
-        ("doubled", doubled, true, 2, gap(2, 1)),
-        ("goes on", after_end, true, 4, ResponseError::AfterEnd),
+        ("duplicated chunk", doubled, true, 2, gap(2, 1)),
         (
-            "crossed",
+            "goes on after the end",
+            after_end,
+            true,
+            4,
+            ResponseError::AfterEnd,
+        ),
+        (
+            "chunk of another attempt",
             crossed,
             true,
             2,
@@ -106,7 +113,7 @@
                 echoed: OTHER.to_string(),
             },
         ),
-        ("nothing", Vec::new(), true, 0, no_end(0)),
+        ("no chunks", Vec::new(), true, 0, no_end(0)),
     ];
     for (name, chunks, terminated, passed, error) in cases {
         let expected = (passed, Err(error));
@@ -130,7 +137,7 @@
     assert_eq!(check.end(), Ok(()));
 }
 
-/// What goes wrong with a stream on its way.
+/// Fault of a stream in transit.
 #[derive(Clone, Debug)]
 enum Fault {
     Drop(usize),
@@ -175,8 +182,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever happens on the way, what is passed on is a prefix of the
-    /// answer, and only the whole answer counts as whole.
+    /// Whatever faults occur in transit, the chunks passed on are a prefix of the answer,
+    /// and only the complete answer is accepted as complete.
     #[test]
     fn only_the_own_answer_is_passed_on(
         tokens in 1_u32..12,
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries, resumed streams and requests that may run once.
+//! Tests retries, resumed streams and requests that may run only once.
 
 use molespan_routing::retry::{
     AttemptEnd, AttemptRef, ClaimAnswer, NextStep, RequestKind, RequestState, RetryBudget,
@@ -16,7 +16,7 @@
     repeatable: false,
     resumable: true,
 };
-/// A billing call to an application that cannot tell about attempts.
+/// A billing call to an application that can't report the status of attempts.
 const ONCE_PLAIN: RequestKind = RequestKind {
     repeatable: false,
     resumable: false,
@@ -25,7 +25,7 @@
     repeatable: true,
     resumable: false,
 };
-/// More than any request may take before it has its outcome.
+/// Upper bound on the steps until a request has its outcome.
 const MOST_STEPS: usize = 64;
 
 fn at(millis: u64) -> Timestamp {
@@ -51,7 +51,7 @@
     })
 }
 
-/// What happens to a request, in order.
+/// An event of a request.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Claimed(ClaimAnswer),
@@ -91,8 +91,8 @@
     }
 }
 
-/// The step that follows `events`, when each attempt goes to the back end of
-/// its number.
+/// Returns the step after `events`, where each attempt goes to the backend of the same
+/// number.
 fn last_step(kind: RequestKind, events: &[Event]) -> NextStep {
     let mut state = RequestState::new(kind);
     let mut budget = budget(20.0);
@@ -124,44 +124,44 @@
     let granted = Claimed(ClaimAnswer::Granted);
     let cases: &[(&str, RequestKind, &[Event], NextStep)] = &[
         (
-            "whole answer",
+            "complete answer",
             REPEATABLE,
             &[Ended(Completed)],
             NextStep::Done,
         ),
         (
-            "refused connection",
+            "connection refused",
             REPEATABLE,
             &[Ended(NotSent)],
             retry(&[1]),
         ),
         (
-            "engine refuses",
+            "engine rejects",
             REPEATABLE,
             &[Ended(DeclaredNotRun)],
             retry(&[1]),
         ),
         (
-            "two refusals",
+            "two rejections",
             REPEATABLE,
             &[Ended(NotSent), Ended(DeclaredNotRun)],
             retry(&[1, 2]),
         ),
-        ("nowhere to go", REPEATABLE, &[NoBackend], NOT_RUN),
+        ("no backend", REPEATABLE, &[NoBackend], NOT_RUN),
         (
-            "nowhere else to go",
+            "no backend for the retry",
             REPEATABLE,
             &[Ended(NotSent), NoBackend],
             NOT_RUN,
         ),
         (
-            "nowhere after a break",
+            "no backend after the engine was lost",
             REPEATABLE,
             &[Ended(Lost), NoBackend],
             UNKNOWN,
         ),
         (
-            "broken stream goes on where it stood",
+            "broken stream goes on at its offset",
             REPEATABLE,
             &[Passed(7), Ended(Broken)],
             resume(1, 7),
@@ -173,19 +173,19 @@
             resume(1, 0),
         ),
         (
-            "broken and its engine restarted",
+            "broken, engine restarted",
             REPEATABLE,
             &[Ended(Broken), Ended(Lost)],
             retry(&[1]),
         ),
         (
-            "caller saw a part, engine restarted",
+            "part of the answer passed on, engine restarted",
             REPEATABLE,
             &[Passed(3), Ended(Broken), Ended(Lost)],
             UNKNOWN,
         ),
         (
-            "caller saw a part, engine says not run",
+            "part of the answer passed on, engine declares not run",
             REPEATABLE,
             &[Passed(3), Ended(DeclaredNotRun)],
             UNKNOWN,
@@ -197,7 +197,7 @@
             retry(&[1]),
         ),
         (
-            "resumed three times in vain",
+            "resumed three times without success",
             REPEATABLE,
             &[
                 Passed(1),
@@ -215,7 +215,7 @@
             UNKNOWN,
         ),
         (
-            "claim not reached",
+            "claim failed",
             ONCE,
             &[Claimed(ClaimAnswer::Failed)],
             NOT_RUN,
@@ -236,12 +236,17 @@
         ),
         ("claim granted", ONCE, &[granted], NextStep::Dispatch),
         (
-            "once, refused connection",
+            "once, connection refused",
             ONCE,
             &[granted, Ended(NotSent)],
             retry(&[1]),
         ),
-        ("once, broken: ask", ONCE, &[granted, Ended(Broken)], ask(1)),
+        (
+            "once, broken: query status",
+            ONCE,
+            &[granted, Ended(Broken)],
+            ask(1),
+        ),
         (
             "once, runs",
             ONCE,
@@ -261,13 +266,13 @@
             UNKNOWN,
         ),
         (
-            "once, silent: ask again",
+            "once, silent: query again",
             ONCE,
             &[granted, Ended(Broken), Status(NoAnswer)],
             ask(1),
         ),
         (
-            "once, silent for good",
+            "once, always silent",
             ONCE,
             &[
                 granted,
@@ -282,7 +287,7 @@
         ),
         ("once, engine lost", ONCE, &[granted, Ended(Lost)], UNKNOWN),
         (
-            "once, caller saw a part",
+            "once, part of the answer passed on",
             ONCE,
             &[granted, Passed(2), Ended(Broken)],
             resume(1, 2),
@@ -352,7 +357,7 @@
     assert!(budget.spend(at(0)) && budget.spend(at(0)) && !budget.spend(at(0)));
     assert!(!budget.spend(at(900)));
     assert!(budget.spend(at(1_100)));
-    // A long silence saves up no more than the bound.
+    // An idle period accumulates no more than the bound.
     assert!(budget.spend(at(90_000)) && budget.spend(at(90_000)));
     assert!(!budget.spend(at(90_000)));
 }
@@ -373,16 +378,16 @@
     assert!(!state.dispatched(attempt(2)));
 }
 
-/// What really happens to an attempt, which the gateway does not see.
+/// What actually happens to an attempt, which the gateway can't observe.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Truth {
     Runs,
-    /// Its bytes are still on their way, and it runs when they arrive.
+    /// Its bytes are still in transit, and it runs when they arrive.
     RunsLater,
     Never,
 }
 
-/// A gateway's view of one attempt and the truth behind it.
+/// An attempt as the gateway observes it, and what actually happens.
 #[derive(Clone, Copy, Debug)]
 struct Fate {
     end: AttemptEnd,
@@ -425,7 +430,7 @@
     ]
 }
 
-/// How a try to resume ends: a restarted engine may well say "not run".
+/// How an attempt to resume ends; a restarted engine may declare "not run".
 fn resume_end() -> impl Strategy<Value = AttemptEnd> {
     prop_oneof![
         Just(NotSent),
@@ -436,7 +441,7 @@
     ]
 }
 
-/// One request against a world that fails at random.
+/// A simulation of one request with random faults.
 struct World {
     state: RequestState,
     budget: RetryBudget,
@@ -444,7 +449,7 @@
     retries: usize,
 }
 
-/// What the world chooses in each step.
+/// The random choices for one step.
 type Choice = (Fate, AttemptEnd, u8);
 
 impl World {
@@ -485,7 +490,7 @@
                 let answer = self.status(*pick);
                 self.state.status(at(1), answer, &mut self.budget)
             }
-            step => panic!("{step:?} needs no answer"),
+            step => panic!("{step:?} expects no answer"),
         }
     }
 
@@ -548,6 +553,6 @@
             prop_assert!(world.runs() > 0);
         }
         let after_a_part = world.attempts.iter().rev().skip(1).any(|fate| fate.passed > 0);
-        prop_assert!(!after_a_part, "sent again after the caller saw a part");
+        prop_assert!(!after_a_part, "sent again after a part was passed on");
     }
 }
