--- a/crates/routing/src/retry/budget.rs
+++ b/crates/routing/src/retry/budget.rs
@@ -49,9 +49,9 @@
 
     /// Takes a token for a retry. Returns `false` if there is none.
     pub fn spend(&mut self, now: Timestamp) -> bool {
-        let passed = now.since(self.updated).as_secs_f64();
+        let elapsed = now.since(self.updated).as_secs_f64();
         self.updated = self.updated.max(now);
-        self.add(passed * self.settings.reserve_per_second);
+        self.add(elapsed * self.settings.reserve_per_second);
         if self.tokens < 1.0 {
             return false;
         }
--- a/crates/routing/src/retry/request_state.rs
+++ b/crates/routing/src/retry/request_state.rs
@@ -6,11 +6,11 @@
 use super::RetryBudget;
 
 /// Most attempts for one request, including the first.
-const MOST_ATTEMPTS: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 /// Most times that one attempt is resumed.
-const MOST_RESUMES: u32 = 3;
+const MAX_RESUMES: u32 = 3;
 /// Most status queries to an engine for one attempt.
-const MOST_QUESTIONS: u32 = 5;
+const MAX_STATUS_QUERIES: u32 = 5;
 
 /// Properties of a request that determine how it may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -124,7 +124,7 @@
     Claiming,
     Ready,
     Dispatched,
-    Asking,
+    QueryingStatus,
     Ended,
 }
 
@@ -136,7 +136,7 @@
     current: Option<AttemptRef>,
     attempts: u32,
     resumes: u32,
-    questions: u32,
+    status_queries: u32,
     /// Tokens or bytes of the answer that were passed on to the caller.
     passed: u32,
     /// Whether some attempt may have run; never reset.
@@ -154,7 +154,7 @@
             current: None,
             attempts: 0,
             resumes: 0,
-            questions: 0,
+            status_queries: 0,
             passed: 0,
             may_have_run: false,
             excluded: Vec::new(),
@@ -209,7 +209,7 @@
         self.current = Some(attempt);
         self.attempts += 1;
         self.resumes = 0;
-        self.questions = 0;
+        self.status_queries = 0;
         true
     }
 
@@ -231,11 +231,11 @@
                 self.phase = Phase::Ended;
                 NextStep::Done
             }
-            AttemptEnd::NotSent if self.was_sent() => self.broken(now, budget),
-            AttemptEnd::DeclaredNotRun if self.was_sent() => self.ambiguous(now, budget),
+            AttemptEnd::NotSent if self.was_sent() => self.handle_broken(now, budget),
+            AttemptEnd::DeclaredNotRun if self.was_sent() => self.handle_ambiguous(now, budget),
             AttemptEnd::NotSent | AttemptEnd::DeclaredNotRun => self.retry(now, budget),
-            AttemptEnd::Broken => self.broken(now, budget),
-            AttemptEnd::Lost => self.ambiguous(now, budget),
+            AttemptEnd::Broken => self.handle_broken(now, budget),
+            AttemptEnd::Lost => self.handle_ambiguous(now, budget),
         }
     }
 
@@ -250,17 +250,19 @@
             StatusAnswer::Present => self.resume().unwrap_or_else(|| self.fail_unknown()),
             // The request may still be in transit, so this does not prove that it won't
             // run.
-            StatusAnswer::NeverSeen => self.ask().unwrap_or_else(|| self.ambiguous(now, budget)),
-            StatusAnswer::Cancelled | StatusAnswer::OtherLife => self.ambiguous(now, budget),
-            StatusAnswer::NoAnswer => self.ask().unwrap_or_else(|| self.fail_unknown()),
+            StatusAnswer::NeverSeen => self
+                .query_status()
+                .unwrap_or_else(|| self.handle_ambiguous(now, budget)),
+            StatusAnswer::Cancelled | StatusAnswer::OtherLife => self.handle_ambiguous(now, budget),
+            StatusAnswer::NoAnswer => self.query_status().unwrap_or_else(|| self.fail_unknown()),
         }
     }
 
     /// Returns whether the request ran, as far as is known now.
     #[must_use]
     pub fn outcome(&self) -> RunOutcome {
-        let in_doubt = matches!(self.phase, Phase::Dispatched | Phase::Asking);
-        if self.may_have_run || in_doubt {
+        let in_flight = matches!(self.phase, Phase::Dispatched | Phase::QueryingStatus);
+        if self.may_have_run || in_flight {
             RunOutcome::Unknown
         } else {
             RunOutcome::NotRun
@@ -270,30 +272,30 @@
     /// Whether bytes of the current attempt may have been sent, so that a failure to reach
     /// its answer does not reveal whether it ran.
     fn was_sent(&self) -> bool {
-        self.passed > 0 || self.resumes > 0 || self.questions > 0
+        self.passed > 0 || self.resumes > 0 || self.status_queries > 0
     }
 
     /// Handles an attempt that may have run.
-    fn broken(&mut self, now: Timestamp, budget: &mut RetryBudget) -> NextStep {
+    fn handle_broken(&mut self, now: Timestamp, budget: &mut RetryBudget) -> NextStep {
         // A request must not be reported as not run once a byte of it was sent.
         if !enabled(Mechanism::TruthfulNotRun) {
             return self.retry(now, budget);
         }
         self.may_have_run = true;
         if self.resumes > 0 && !self.can_resume() {
-            return self.ambiguous(now, budget);
+            return self.handle_ambiguous(now, budget);
         }
-        let asks_first = !self.kind.repeatable && self.passed == 0;
-        let next = if asks_first {
-            self.ask()
+        let query_first = !self.kind.repeatable && self.passed == 0;
+        let next = if query_first {
+            self.query_status()
         } else {
             self.resume()
         };
-        next.unwrap_or_else(|| self.ambiguous(now, budget))
+        next.unwrap_or_else(|| self.handle_ambiguous(now, budget))
     }
 
     /// Handles an attempt that may have run and whose answer can't be fetched.
-    fn ambiguous(&mut self, now: Timestamp, budget: &mut RetryBudget) -> NextStep {
+    fn handle_ambiguous(&mut self, now: Timestamp, budget: &mut RetryBudget) -> NextStep {
         self.may_have_run = true;
         let may_repeat = self.kind.repeatable || !enabled(Mechanism::NoRetryAfterAmbiguity);
         if may_repeat && self.passed == 0 {
@@ -306,7 +308,7 @@
         if let Some(current) = self.current.take() {
             self.excluded.push(current.backend);
         }
-        if self.attempts >= MOST_ATTEMPTS || !budget.spend(now) {
+        if self.attempts >= MAX_ATTEMPTS || !budget.spend(now) {
             return self.fail();
         }
         self.phase = Phase::Ready;
@@ -316,7 +318,7 @@
     }
 
     fn can_resume(&self) -> bool {
-        self.kind.resumable && self.resumes < MOST_RESUMES
+        self.kind.resumable && self.resumes < MAX_RESUMES
     }
 
     fn resume(&mut self) -> Option<NextStep> {
@@ -329,11 +331,11 @@
         })
     }
 
-    fn ask(&mut self) -> Option<NextStep> {
-        let may_ask = self.kind.resumable && self.questions < MOST_QUESTIONS;
-        let attempt = self.current.filter(|_| may_ask)?;
-        self.questions += 1;
-        self.phase = Phase::Asking;
+    fn query_status(&mut self) -> Option<NextStep> {
+        let may_query = self.kind.resumable && self.status_queries < MAX_STATUS_QUERIES;
+        let attempt = self.current.filter(|_| may_query)?;
+        self.status_queries += 1;
+        self.phase = Phase::QueryingStatus;
         Some(NextStep::AskStatus { attempt })
     }
 
