--- a/crates/routing/tests/check.rs
+++ b/crates/routing/tests/check.rs
@@ -33,7 +33,7 @@
 }
 
 /// Returns the number of chunks that may be passed on, and how the stream ended.
-fn follow(
+fn check_stream(
     chunks: &[CompletionChunk],
     from: u32,
     terminated: bool,
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn attempts_and_lengths() {
+fn attempt_and_length_are_checked() {
     let own = OWN.to_string();
     let other = OTHER.to_string();
     assert_eq!(check_attempt(OWN, Some(&own)), Ok(()));
@@ -78,14 +78,14 @@
 }
 
 #[test]
-fn streams_and_their_faults() {
+fn faulty_streams_are_rejected() {
     let whole = answer(4, 0);
     let without = |position: usize| {
         let mut chunks = whole.clone();
         chunks.remove(position);
         chunks
     };
-    let doubled = [&whole[..2], &whole[1..]].concat();
+    let duplicated = [&whole[..2], &whole[1..]].concat();
     let after_end = [&whole[..], &whole[3..]].concat();
     let crossed = [&whole[..2], &[chunk(OTHER, 2, false)]].concat();
     let gap = |expected, offset| ResponseError::WrongOffset { expected, offset };
@@ -96,7 +96,7 @@
         ("last chunk lost", without(3), true, 3, no_end(3)),
         ("cut off", whole[..2].to_vec(), false, 2, no_end(2)),
         ("end not marked", whole.clone(), false, 4, no_end(4)),
-        ("duplicated chunk", doubled, true, 2, gap(2, 1)),
+        ("duplicated chunk", duplicated, true, 2, gap(2, 1)),
         (
             "goes on after the end",
             after_end,
@@ -117,13 +117,13 @@
     ];
     for (name, chunks, terminated, passed, error) in cases {
         let expected = (passed, Err(error));
-        assert_eq!(follow(&chunks, 0, terminated), expected, "{name}");
+        assert_eq!(check_stream(&chunks, 0, terminated), expected, "{name}");
     }
-    assert_eq!(follow(&whole, 0, true), (4, Ok(())));
+    assert_eq!(check_stream(&whole, 0, true), (4, Ok(())));
 }
 
 #[test]
-fn a_resumed_stream_starts_where_it_was_left() {
+fn resumed_stream_starts_at_offset() {
     let mut check = StreamCheck::new(OWN, 2);
     assert!(check.chunk(&chunk(OWN, 1, false)).is_err());
     assert!(check.chunk(&chunk(OWN, 2, false)).is_ok());
@@ -141,20 +141,20 @@
 #[derive(Clone, Debug)]
 enum Fault {
     Drop(usize),
-    Double(usize),
+    Duplicate(usize),
     Swap(usize),
-    Cross(usize),
-    Cut(usize),
+    ReplaceAttempt(usize),
+    Truncate(usize),
 }
 
 fn fault() -> impl Strategy<Value = Fault> {
     let position = 0_usize..16;
     prop_oneof![
         position.clone().prop_map(Fault::Drop),
-        position.clone().prop_map(Fault::Double),
+        position.clone().prop_map(Fault::Duplicate),
         position.clone().prop_map(Fault::Swap),
-        position.clone().prop_map(Fault::Cross),
-        position.prop_map(Fault::Cut),
+        position.clone().prop_map(Fault::ReplaceAttempt),
+        position.prop_map(Fault::Truncate),
     ]
 }
 
@@ -165,12 +165,12 @@
     }
     match fault {
         Fault::Drop(position) => drop(chunks.remove(position % length)),
-        Fault::Double(position) => {
+        Fault::Duplicate(position) => {
             chunks.insert(position % length, chunks[position % length].clone())
         }
         Fault::Swap(position) => chunks.swap(position % length, (position + 1) % length),
-        Fault::Cross(position) => chunks[position % length].id = OTHER.to_string(),
-        Fault::Cut(position) => chunks.truncate(position % length),
+        Fault::ReplaceAttempt(position) => chunks[position % length].id = OTHER.to_string(),
+        Fault::Truncate(position) => chunks.truncate(position % length),
     }
 }
 
@@ -185,22 +185,22 @@
     /// Whatever faults occur in transit, the chunks passed on are a prefix of the answer,
     /// and only the complete answer is accepted as complete.
     #[test]
-    fn only_the_own_answer_is_passed_on(
+    fn only_prefix_of_own_answer_is_passed_on(
         tokens in 1_u32..12,
         skipped in 0_u32..12,
         faults in prop::collection::vec(fault(), 0..3),
         terminated: bool,
     ) {
         let from = skipped.min(tokens - 1);
-        let truth = answer(tokens, from);
-        let mut chunks = truth.clone();
+        let original = answer(tokens, from);
+        let mut chunks = original.clone();
         for fault in &faults {
             apply(&mut chunks, fault);
         }
-        let (passed, end) = follow(&chunks, from, terminated);
-        prop_assert!(passed <= truth.len());
-        prop_assert_eq!(&chunks[..passed], &truth[..passed]);
-        let whole = chunks == truth && terminated;
+        let (passed, end) = check_stream(&chunks, from, terminated);
+        prop_assert!(passed <= original.len());
+        prop_assert_eq!(&chunks[..passed], &original[..passed]);
+        let whole = chunks == original && terminated;
         prop_assert_eq!(end.is_ok(), whole);
     }
 }
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn ends_and_what_follows() {
+fn steps_after_events() {
     let granted = Claimed(ClaimAnswer::Granted);
     let cases: &[(&str, RequestKind, &[Event], NextStep)] = &[
         (
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn a_broken_request_that_the_engine_never_saw_may_still_reach_it() {
+fn request_unknown_to_engine_may_still_arrive() {
     let granted = Claimed(ClaimAnswer::Granted);
     let never = Status(NeverSeen);
     let events = [granted, Ended(Broken), never];
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn a_resume_that_was_not_sent_says_nothing_about_the_attempt() {
+fn failed_resume_does_not_prove_that_attempt_did_not_run() {
     let granted = Claimed(ClaimAnswer::Granted);
     for (end, expected) in [(NotSent, ask(1)), (DeclaredNotRun, UNKNOWN)] {
         let events = [granted, Ended(Broken), Status(Present), Ended(end)];
@@ -328,7 +328,7 @@
 }
 
 #[test]
-fn retries_stop_when_the_budget_is_spent() {
+fn retries_stop_when_budget_is_exhausted() {
     let mut budget = budget(2.0);
     let mut retried = 0;
     for _ in 0..100 {
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn the_reserve_lets_a_quiet_service_retry() {
+fn reserve_allows_retries_of_low_traffic_service() {
     let mut budget = RetryBudget::new(RetryBudgetSettings {
         ratio: 0.0,
         reserve_per_second: 1.0,
@@ -363,7 +363,7 @@
 }
 
 #[test]
-fn nothing_is_sent_before_the_claim_is_granted_or_after_the_end() {
+fn nothing_is_dispatched_before_claim_or_after_end() {
     let mut state = RequestState::new(ONCE);
     assert_eq!(state.begin(), NextStep::Claim);
     assert!(!state.dispatched(attempt(1)));
@@ -380,7 +380,7 @@
 
 /// What actually happens to an attempt, which the gateway can't observe.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Truth {
+enum Execution {
     Runs,
     /// Its bytes are still in transit, and it runs when they arrive.
     RunsLater,
@@ -389,42 +389,46 @@
 
 /// An attempt as the gateway observes it, and what actually happens.
 #[derive(Clone, Copy, Debug)]
-struct Fate {
+struct SimulatedAttempt {
     end: AttemptEnd,
-    truth: Truth,
+    execution: Execution,
     passed: u32,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
-    let untouched = |end| {
-        Just(Fate {
+fn simulated_attempt() -> impl Strategy<Value = SimulatedAttempt> {
+    let not_received = |end| {
+        Just(SimulatedAttempt {
             end,
-            truth: Truth::Never,
+            execution: Execution::Never,
             passed: 0,
         })
     };
     let broken = (
         prop_oneof![Just(Broken), Just(Lost)],
         prop_oneof![
-            Just(Truth::Runs),
-            Just(Truth::RunsLater),
-            Just(Truth::Never)
+            Just(Execution::Runs),
+            Just(Execution::RunsLater),
+            Just(Execution::Never)
         ],
         0..3_u32,
     );
-    let broken = broken.prop_map(|(end, truth, passed)| Fate {
+    let broken = broken.prop_map(|(end, execution, passed)| SimulatedAttempt {
         end,
-        truth,
-        passed: if truth == Truth::Runs { passed } else { 0 },
+        execution,
+        passed: if execution == Execution::Runs {
+            passed
+        } else {
+            0
+        },
     });
-    let completed = Just(Fate {
+    let completed = Just(SimulatedAttempt {
         end: Completed,
-        truth: Truth::Runs,
+        execution: Execution::Runs,
         passed: 4,
     });
     prop_oneof![
-        2 => untouched(NotSent),
-        2 => untouched(DeclaredNotRun),
+        2 => not_received(NotSent),
+        2 => not_received(DeclaredNotRun),
         6 => broken,
         1 => completed,
     ]
@@ -442,17 +446,17 @@
 }
 
 /// A simulation of one request with random faults.
-struct World {
+struct Simulation {
     state: RequestState,
     budget: RetryBudget,
-    attempts: Vec<Fate>,
+    attempts: Vec<SimulatedAttempt>,
     retries: usize,
 }
 
 /// The random choices for one step.
-type Choice = (Fate, AttemptEnd, u8);
+type Choice = (SimulatedAttempt, AttemptEnd, u8);
 
-impl World {
+impl Simulation {
     fn run(&mut self, granted: bool, choices: &[Choice]) -> NextStep {
         let mut step = self.state.begin();
         for choice in choices {
@@ -468,18 +472,18 @@
     }
 
     fn answer(&mut self, step: NextStep, granted: bool, choice: &Choice) -> NextStep {
-        let (fate, resume_end, pick) = choice;
+        let (simulated_attempt, resume_end, pick) = choice;
         match step {
             NextStep::Claim if granted => self.state.claim_answered(ClaimAnswer::Granted),
             NextStep::Claim => self.state.claim_answered(ClaimAnswer::Failed),
-            NextStep::Dispatch => self.dispatch(*fate),
+            NextStep::Dispatch => self.dispatch(*simulated_attempt),
             NextStep::Retry { exclude } => {
                 self.retries += 1;
                 assert_eq!(exclude.len(), self.attempts.len());
-                self.dispatch(*fate)
+                self.dispatch(*simulated_attempt)
             }
             NextStep::Resume { .. } => {
-                let ran = self.attempts.last().unwrap().truth == Truth::Runs;
+                let ran = self.attempts.last().unwrap().execution == Execution::Runs;
                 let end = match resume_end {
                     Completed if !ran => Lost,
                     end => *end,
@@ -494,16 +498,17 @@
         }
     }
 
-    fn dispatch(&mut self, fate: Fate) -> NextStep {
+    fn dispatch(&mut self, simulated_attempt: SimulatedAttempt) -> NextStep {
         let number = self.attempts.len() as u32 + 1;
         assert!(self.state.dispatched(attempt(number)));
-        self.attempts.push(fate);
-        self.state.passed(fate.passed);
-        self.state.ended(at(1), fate.end, &mut self.budget)
+        self.attempts.push(simulated_attempt);
+        self.state.passed(simulated_attempt.passed);
+        self.state
+            .ended(at(1), simulated_attempt.end, &mut self.budget)
     }
 
     fn status(&self, pick: u8) -> StatusAnswer {
-        let seen = self.attempts.last().unwrap().truth == Truth::Runs;
+        let seen = self.attempts.last().unwrap().execution == Execution::Runs;
         match pick % 4 {
             0 => NoAnswer,
             1 => OtherLife,
@@ -514,7 +519,8 @@
     }
 
     fn runs(&self) -> usize {
-        let ran = |fate: &&Fate| fate.truth != Truth::Never;
+        let ran =
+            |simulated_attempt: &&SimulatedAttempt| simulated_attempt.execution != Execution::Never;
         self.attempts.iter().filter(ran).count()
     }
 }
@@ -528,31 +534,31 @@
     })]
 
     #[test]
-    fn runs_at_most_once_and_not_run_is_true(
+    fn runs_at_most_once_and_not_run_is_accurate(
         repeatable: bool,
         resumable: bool,
         granted in proptest::bool::weighted(0.9),
         tokens in 0_u8..5,
-        choices in prop::collection::vec((fate(), resume_end(), any::<u8>()), MOST_STEPS),
+        choices in prop::collection::vec((simulated_attempt(), resume_end(), any::<u8>()), MOST_STEPS),
     ) {
         let kind = RequestKind { repeatable, resumable };
-        let mut world = World {
+        let mut simulation = Simulation {
             state: RequestState::new(kind),
             budget: budget(f64::from(tokens)),
             attempts: Vec::new(),
             retries: 0,
         };
-        let step = world.run(granted, &choices);
-        prop_assert!(repeatable || world.runs() <= 1, "ran twice: {:?}", world.attempts);
-        prop_assert!(world.retries <= tokens as usize);
-        prop_assert!(world.attempts.len() <= 4);
+        let step = simulation.run(granted, &choices);
+        prop_assert!(repeatable || simulation.runs() <= 1, "ran twice: {:?}", simulation.attempts);
+        prop_assert!(simulation.retries <= tokens as usize);
+        prop_assert!(simulation.attempts.len() <= 4);
         if step == NOT_RUN {
-            prop_assert_eq!(world.runs(), 0, "said not run: {:?}", world.attempts);
+            prop_assert_eq!(simulation.runs(), 0, "said not run: {:?}", simulation.attempts);
         }
         if step == NextStep::Done {
-            prop_assert!(world.runs() > 0);
+            prop_assert!(simulation.runs() > 0);
         }
-        let after_a_part = world.attempts.iter().rev().skip(1).any(|fate| fate.passed > 0);
-        prop_assert!(!after_a_part, "sent again after a part was passed on");
+        let retried_after_passing_part = simulation.attempts.iter().rev().skip(1).any(|simulated_attempt| simulated_attempt.passed > 0);
+        prop_assert!(!retried_after_passing_part, "sent again after a part was passed on");
     }
 }
