--- a/crates/routing/src/dispatch/load.rs
+++ b/crates/routing/src/dispatch/load.rs
@@ -40,7 +40,7 @@
 
 impl LoadReport {
     /// Parses the figures of a report: running requests, waiting requests, slots, and
-    /// optionally the pace. A figure that is not a non-negative whole number is `None`.
+    /// optionally the pace. A figure that is not a whole number of 0 or more is `None`.
     #[must_use]
     pub fn read(figures: &[Option<u32>]) -> Self {
         let figure = |place: usize, max: u32| {
--- a/crates/routing/tests/demand.rs
+++ b/crates/routing/tests/demand.rs
@@ -50,7 +50,7 @@
         shares.worst_zone += zones.fold(1.0, f64::min) / SEEDS as f64;
         shares.worst_gateways += seen.worst_gateways() / SEEDS as f64;
     }
-    println!("{demand} of the slots, peaks {peaks}, demand reported {demand_reported}: {shares:?}");
+    println!("{demand} of the slots, peaks {peaks}, demand told {demand_reported}: {shares:?}");
     shares
 }
 
--- a/crates/routing/tests/dispatch.rs
+++ b/crates/routing/tests/dispatch.rs
@@ -193,7 +193,7 @@
         table.started("e1", WorkClass::Batch, 0, now(0));
         started += 1;
     }
-    assert_eq!(started, 8, "batch fills the slots and doesn't queue");
+    assert_eq!(started, 8, "batch fills the slots and queues none");
     assert_eq!(table.batch_headroom("s", now(0)), 0.0);
     assert_eq!(online(&mut table, 0), Ok("e1".to_owned()));
     table.started("e1", WorkClass::Online, 0, now(0));
@@ -400,22 +400,19 @@
     table.succeeded("e2", now(0));
     table.failed("e3", Failure::Full, now(0));
     table.displaced("e4", now(0));
-    let reported = |table: &EngineTable, millis| table.shares(now(millis));
+    let told = |table: &EngineTable, millis| table.shares(now(millis));
     let [e1, e2, e4] = [("e1", 1, 0), ("e2", 0, 1), ("e4", 1, 0)]
         .map(|(engine, failing, answering)| outcome_share(engine, failing, answering));
-    assert_eq!(reported(&table, 100), [e1, e2, e4.clone()]);
+    assert_eq!(told(&table, 100), [e1, e2, e4.clone()]);
     // The backoff is over and the answer too old; the engine that is gone stays reported.
-    assert_eq!(reported(&table, 1_100), [e4]);
+    assert_eq!(told(&table, 1_100), [e4]);
     // Without a recent answer from any engine the gateway itself may be cut off.
-    assert_eq!(reported(&table, 3_000), []);
+    assert_eq!(told(&table, 3_000), []);
     table.succeeded("e2", now(1_150));
     table.failed("e2", Failure::Unreachable, now(1_200));
     table.succeeded("e2", now(1_300));
-    let reported = reported(&table, 1_400);
-    assert!(
-        reported.contains(&outcome_share("e2", 0, 1)),
-        "{reported:?}"
-    );
+    let told = told(&table, 1_400);
+    assert!(told.contains(&outcome_share("e2", 0, 1)), "{told:?}");
 }
 
 #[test]
--- a/crates/routing/tests/lives.rs
+++ b/crates/routing/tests/lives.rs
@@ -197,10 +197,7 @@
     table.depart("e#100");
     assert!(!table.has_left("s"), "one engine is left");
     table.lose(CONTROL, "f");
-    assert!(
-        !table.has_left("s"),
-        "it stopped reporting and may come back"
-    );
+    assert!(!table.has_left("s"), "it fell silent and may come back");
     table.learn(CONTROL, facts("f", 2), now(1));
     table.depart("f");
     assert!(table.has_left("s"));
--- a/crates/routing/tests/pace/main.rs
+++ b/crates/routing/tests/pace/main.rs
@@ -87,7 +87,7 @@
 fn line(name: &str, all: &Outcome) {
     println!(
         "{name}: in time {:.4}, paused {:.4}, refused {}, {:.2} ms an event, batch events {}, \
-         preemptions {}, began at slow engines {}, in the second after {}",
+         cuts {}, began at slow engines {}, in the second after {}",
         all.good(),
         f64::from(all.paused) / f64::from(all.arrived),
         all.refused,
@@ -257,14 +257,14 @@
     let (_, shares) = reported
         .iter()
         .find(|(node, _)| *node == NodeId(11))
-        .expect("the relay reports to it");
+        .expect("told by the relay");
     other.note_shares(RELAY, shares, now(5_310));
     assert_eq!(chosen(&mut other, 5_310), "e2");
     // A gateway's own report does not come back to it.
     let (_, back) = reported
         .iter()
         .find(|(node, _)| *node == NodeId(10))
-        .expect("the relay reports to it");
+        .expect("told by the relay");
     assert!(back.iter().all(|share| share.paced + share.paces == 0));
     // The report of a gateway that stops reporting is valid for about a second.
     assert_eq!(chosen(&mut other, 6_600), "e1");
@@ -314,12 +314,12 @@
         answers: 10,
     };
     let bytes = minicbor::to_vec(&old).expect("encoded");
-    let mut share: WorkShare = minicbor::decode(&bytes).expect("decoded from an older node");
+    let mut share: WorkShare = minicbor::decode(&bytes).expect("share of an older node");
     assert_eq!((share.requests, share.answers), (3, 10));
     assert_eq!((share.paced, share.paces), (0, 0));
     (share.paced, share.paces) = (3, 24);
     let bytes = minicbor::to_vec(&share).expect("encoded");
-    let old: OldShare = minicbor::decode(&bytes).expect("decoded from a newer node");
+    let old: OldShare = minicbor::decode(&bytes).expect("share of a newer node");
     assert_eq!((old.requests, old.answers), (3, 10));
 }
 
--- a/crates/routing/tests/relay.rs
+++ b/crates/routing/tests/relay.rs
@@ -42,7 +42,7 @@
     let reported = reported(&relay);
     assert_eq!(reported[&A], [share("x", 8, 57, 2)]);
     assert_eq!(reported[&B], [share("x", 7, 107, 3), share("y", 1, 0, 0)]);
-    assert_eq!(reported.len(), 2, "only gateways receive these");
+    assert_eq!(reported.len(), 2, "relays are told only the sum");
     // Other relays receive only this relay's own gateways, or all would be counted twice.
     let sum = relay.sum_of_gateways();
     assert_eq!(sum, [share("x", 5, 150, 1), share("y", 1, 0, 0)]);
