--- a/crates/routing/tests/demand.rs
+++ b/crates/routing/tests/demand.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use many_gateways::{Engines, Load, Play};
+use many_gateways::{Engines, Load, Simulation};
 use molespan_routing::dispatch::{
     DemandRelay, EngineFacts, EngineTable, Pick, PromptCost, ServiceDemand, Standing, Teller,
     WorkClass, WorkShare,
@@ -44,11 +44,11 @@
 fn shares_in_time(demand: f64, peaks: bool, demand_reported: bool) -> SharesInTime {
     let mut shares = SharesInTime::default();
     for seed in 1..=SEEDS {
-        let seen = Play::new(load(demand, peaks, demand_reported), seed).run(SIMULATED_MS);
-        let zones = seen.by_zone().into_iter();
-        shares.all += seen.share_in_time() / SEEDS as f64;
+        let results = Simulation::new(load(demand, peaks, demand_reported), seed).run(SIMULATED_MS);
+        let zones = results.by_zone().into_iter();
+        shares.all += results.share_in_time() / SEEDS as f64;
         shares.worst_zone += zones.fold(1.0, f64::min) / SEEDS as f64;
-        shares.worst_gateways += seen.worst_gateways() / SEEDS as f64;
+        shares.worst_gateways += results.worst_gateways() / SEEDS as f64;
     }
     println!("{demand} of the slots, peaks {peaks}, demand told {demand_reported}: {shares:?}");
     shares
--- a/crates/routing/tests/many_gateways/mod.rs
+++ b/crates/routing/tests/many_gateways/mod.rs
@@ -98,7 +98,7 @@
 
 /// Results as seen by callers and engines.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct Results {
     pub asked: u64,
     pub in_time: u64,
     pub late: u64,
@@ -114,7 +114,7 @@
     pub by_gateway: Vec<(u64, u64)>,
 }
 
-impl Seen {
+impl Results {
     pub fn share_in_time(&self) -> f64 {
         self.in_time as f64 / self.asked.max(1) as f64
     }
@@ -147,7 +147,7 @@
         shares[..worst].iter().sum::<f64>() / worst as f64
     }
 
-    pub fn line(&self) -> String {
+    pub fn summary(&self) -> String {
         let asked = self.asked.max(1) as f64;
         format!(
             "asked {} in time {:.3} late {:.3} refused {:.3} lost {:.3}; arrivals {} turned away \
@@ -195,7 +195,7 @@
     Answer(usize, Id, u32, bool, EngineLoad),
 }
 
-pub struct Play {
+pub struct Simulation {
     load: Load,
     now: u64,
     tables: Vec<EngineTable>,
@@ -208,7 +208,7 @@
     late: Vec<VecDeque<Id>>,
     engines: Vec<Engine>,
     messages: BTreeMap<u64, Vec<Message>>,
-    seen: Seen,
+    results: Results,
     random: ChaCha8Rng,
 }
 
@@ -220,7 +220,7 @@
     format!("e{engine}")
 }
 
-impl Play {
+impl Simulation {
     pub fn new(load: Load, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let table = |gateway: usize| {
@@ -259,9 +259,9 @@
             late: vec![VecDeque::new(); load.gateways],
             engines: vec![Engine::default(); load.engines.count],
             messages: BTreeMap::new(),
-            seen: Seen {
+            results: Results {
                 by_gateway: vec![(0, 0); load.gateways],
-                ..Seen::default()
+                ..Results::default()
             },
             load,
             random,
@@ -270,7 +270,7 @@
 
     /// Runs for `for_ms` milliseconds, and then until all callers have an answer or gave
     /// up.
-    pub fn run(mut self, for_ms: u64) -> Seen {
+    pub fn run(mut self, for_ms: u64) -> Results {
         while self.now < for_ms + CALLER_TIMEOUT_MS {
             self.now += 1;
             if self.now < for_ms {
@@ -283,7 +283,7 @@
             self.time_out();
             self.try_waiting();
         }
-        self.seen
+        self.results
     }
 
     fn arrive(&mut self) {
@@ -310,8 +310,8 @@
                     runs: 0,
                     began: None,
                 };
-                self.seen.asked += 1;
-                self.seen.by_gateway[gateway].0 += 1;
+                self.results.asked += 1;
+                self.results.by_gateway[gateway].0 += 1;
                 self.requests.insert(self.next, request);
                 self.tables[gateway].asked(SERVICE, at(self.now));
                 self.tables[gateway].begins_to_wait(SERVICE);
@@ -363,12 +363,12 @@
     }
 
     fn at_engine(&mut self, engine: usize, id: Id, attempt: u32) {
-        self.seen.arrivals += 1;
+        self.results.arrivals += 1;
         if self.is_unresponsive(engine) {
             return;
         }
         if self.engines[engine].queue.len() >= MAX_QUEUED {
-            self.seen.rejected += 1;
+            self.results.rejected += 1;
             let load = self.load_report(engine);
             self.send(Message::Answer(engine, id, attempt, false, load));
             return;
@@ -456,11 +456,11 @@
     fn count(&mut self, gateway: usize, age: u64) {
         match age <= TARGET_MS {
             true => {
-                self.seen.in_time += 1;
-                self.seen.in_time_ms += age;
-                self.seen.by_gateway[gateway].1 += 1;
+                self.results.in_time += 1;
+                self.results.in_time_ms += age;
+                self.results.by_gateway[gateway].1 += 1;
             }
-            false => self.seen.late += 1,
+            false => self.results.late += 1,
         }
     }
 
@@ -587,8 +587,8 @@
             self.late[gateway].retain(|one| *one != id);
             let request = self.requests.remove(&id).expect("the request exists");
             match request.runs {
-                0 => self.seen.refused += 1,
-                _ => self.seen.lost += 1,
+                0 => self.results.refused += 1,
+                _ => self.results.lost += 1,
             }
         }
     }
@@ -629,8 +629,8 @@
         for id in over {
             let request = self.requests.remove(&id).expect("the request exists");
             match request.runs {
-                0 => self.seen.refused += 1,
-                _ => self.seen.lost += 1,
+                0 => self.results.refused += 1,
+                _ => self.results.lost += 1,
             }
         }
         let oldest = self.late[gateway].iter().copied();
--- a/crates/routing/tests/pace/fleet.rs
+++ b/crates/routing/tests/pace/fleet.rs
@@ -62,7 +62,7 @@
 
 /// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
-pub struct Play {
+pub struct SimulationConfig {
     pub gateways: usize,
     pub engines: usize,
     pub sources: Sources,
@@ -105,7 +105,7 @@
 }
 
 impl Outcome {
-    pub fn good(&self) -> f64 {
+    pub fn share_in_time(&self) -> f64 {
         f64::from(self.in_time) / f64::from(self.arrived)
     }
 
@@ -149,7 +149,7 @@
 }
 
 pub struct Fleet {
-    play: Play,
+    config: SimulationConfig,
     tables: Vec<EngineTable>,
     engines: Vec<Engine>,
     requests: Vec<Request>,
@@ -179,25 +179,25 @@
 }
 
 impl Fleet {
-    pub fn new(play: Play) -> Self {
-        let mut random = ChaCha8Rng::seed_from_u64(play.seed);
-        let spans = (play.ends / SPAN + 10) as usize;
-        let engines = (0..play.engines).map(|engine| Engine {
-            speed: play.speeds[engine % 3],
+    pub fn new(config: SimulationConfig) -> Self {
+        let mut random = ChaCha8Rng::seed_from_u64(config.seed);
+        let spans = (config.ends / SPAN + 10) as usize;
+        let engines = (0..config.engines).map(|engine| Engine {
+            speed: config.speeds[engine % 3],
             spans: (0..spans)
-                .map(|_| match random.random_bool(play.noise.0) {
-                    true => play.noise.1,
+                .map(|_| match random.random_bool(config.noise.0) {
+                    true => config.noise.1,
                     false => 1.0,
                 })
                 .collect(),
             ..Engine::default()
         });
         let engines = engines.collect();
-        let tables = (0..play.gateways).map(|gateway| {
+        let tables = (0..config.gateways).map(|gateway| {
             let zone = format!("z{}", gateway % 3);
-            let mut table = EngineTable::new(zone.as_str().into(), play.seed + gateway as u64);
-            for engine in 0..play.engines {
-                let zone = format!("z{}", engine * 3 / play.engines);
+            let mut table = EngineTable::new(zone.as_str().into(), config.seed + gateway as u64);
+            for engine in 0..config.engines {
+                let zone = format!("z{}", engine * 3 / config.engines);
                 let facts = EngineFacts {
                     id: id(engine),
                     service: SERVICE.to_owned(),
@@ -207,28 +207,28 @@
                 };
                 table.learn(CONTROL, facts, at(0));
             }
-            table.set_gateways(play.gateways as u32);
+            table.set_gateways(config.gateways as u32);
             table
         });
         let mut fleet = Self {
             tables: tables.collect(),
             engines,
             requests: Vec::new(),
-            late: vec![VecDeque::new(); play.gateways],
+            late: vec![VecDeque::new(); config.gateways],
             runs: BTreeMap::new(),
             relay: WorkRelay::default(),
             in_transit: Vec::new(),
             due: BinaryHeap::new(),
             number: 0,
             random,
-            arrivals: ChaCha8Rng::seed_from_u64(play.seed + 1_000),
+            arrivals: ChaCha8Rng::seed_from_u64(config.seed + 1_000),
             outcome: Outcome::default(),
-            play,
+            config,
         };
         fleet.plan(0, Event::Arrival);
         fleet.plan(0, Event::SendReports);
-        if play.batch {
-            for gateway in 0..play.gateways {
+        if config.batch {
+            for gateway in 0..config.gateways {
                 fleet.plan(gateway as u64 * 171, Event::StartBatch(gateway));
             }
         }
@@ -243,7 +243,7 @@
     /// Runs the simulation to its end.
     pub fn run(mut self) -> Outcome {
         while let Some(Reverse((now, _, event))) = self.due.pop() {
-            if now >= self.play.ends {
+            if now >= self.config.ends {
                 break;
             }
             self.handle(event, now);
@@ -264,16 +264,16 @@
 
     /// Returns the current arrival rate in requests per second.
     fn rate(&self, now: Time) -> f64 {
-        let slots = self.play.engines as f64 * f64::from(SLOTS);
+        let slots = self.config.engines as f64 * f64::from(SLOTS);
         let share = match now % 5_800_000 < 3_400_000 {
-            true => self.play.lull,
-            false => self.play.peak,
+            true => self.config.lull,
+            false => self.config.peak,
         };
         share * slots / 0.96
     }
 
     fn on_arrival(&mut self, now: Time) {
-        let gateway = self.arrivals.random_range(0..self.play.gateways);
+        let gateway = self.arrivals.random_range(0..self.config.gateways);
         let events = self.arrivals.random_range(7..=30);
         let request = self.add(gateway, WorkClass::Online, events, now);
         self.outcome.arrived += 1;
@@ -387,7 +387,7 @@
     /// Returns the pace of the engine's machine, without the engine's own pace.
     fn machine_pace(&self, engine: usize, now: Time) -> f64 {
         let slow = self
-            .play
+            .config
             .slow
             .filter(|slow| engine < slow.engines && (slow.from..slow.until).contains(&now));
         self.engines[engine].spans[(now / SPAN) as usize] * slow.map_or(1.0, |slow| slow.by)
@@ -395,7 +395,7 @@
 
     fn load_report(&self, engine: usize, now: Time) -> EngineLoad {
         let now = now.saturating_sub(50 * MS);
-        let pace = match self.play.reports_slowdown {
+        let pace = match self.config.reports_slowdown {
             true => self.machine_pace(engine, now),
             false => self.engines[engine].spans[(now / SPAN) as usize],
         };
@@ -403,7 +403,11 @@
             running: self.engines[engine].running.len() as u32,
             waiting: self.engines[engine].queue.len() as u32,
             slots: SLOTS,
-            pace: self.play.sources.reported.then_some((pace * 100.0) as u32),
+            pace: self
+                .config
+                .sources
+                .reported
+                .then_some((pace * 100.0) as u32),
         }
     }
 
@@ -429,7 +433,7 @@
             if took > PAUSE && class == WorkClass::Online {
                 self.requests[request].paused = true;
             }
-            if self.play.sources.measured {
+            if self.config.sources.measured {
                 let took = Duration::from_micros(took);
                 self.tables[gateway].heard(&name, 1, took, at(now));
             }
@@ -453,7 +457,7 @@
         table.report(&name, load, at(now));
         table.succeeded(&name, at(now));
         if class == WorkClass::Online
-            && let Some(slow) = self.play.slow
+            && let Some(slow) = self.config.slow
             && engine < slow.engines
         {
             if (slow.from..slow.until).contains(&now) {
--- a/crates/routing/tests/pace/main.rs
+++ b/crates/routing/tests/pace/main.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use fleet::{Fleet, Outcome, Play, Slow, Sources};
+use fleet::{Fleet, Outcome, SimulationConfig, Slow, Sources};
 use minicbor::{Decode, Encode};
 use molespan_routing::dispatch::{
     EngineFacts, EngineLoad, EngineTable, LoadFault, LoadReport, Pick, PromptCost, SlowChange,
@@ -35,8 +35,8 @@
 
 /// 40 gateways with 30 engines. A third of the engines are slower by nature, and each is
 /// slow for a part of the time.
-fn play(sources: Sources, seed: u64) -> Play {
-    Play {
+fn config(sources: Sources, seed: u64) -> SimulationConfig {
+    SimulationConfig {
         gateways: 40,
         engines: 30,
         sources,
@@ -52,24 +52,24 @@
     }
 }
 
-/// Like [`play`], with four engines that turn slow in a peak for five seconds.
-fn slow_play(sources: Sources, seed: u64) -> Play {
-    Play {
+/// Like [`config`], with four engines that turn slow in a peak for five seconds.
+fn slow_config(sources: Sources, seed: u64) -> SimulationConfig {
+    SimulationConfig {
         slow: Some(Slow {
             engines: 4,
             by: 7.0,
             from: 3_800_000,
             until: 8_000_000,
         }),
-        ..play(sources, seed)
+        ..config(sources, seed)
     }
 }
 
 /// Returns the summed outcome of a few simulations.
-fn run_all(play: impl Fn(u64) -> Play) -> Outcome {
+fn run_all(config: impl Fn(u64) -> SimulationConfig) -> Outcome {
     let mut all = Outcome::default();
     for seed in 0..8 {
-        let one = Fleet::new(play(seed)).run();
+        let one = Fleet::new(config(seed)).run();
         all.arrived += one.arrived;
         all.in_time += one.in_time;
         all.paused += one.paused;
@@ -84,11 +84,11 @@
     all
 }
 
-fn line(name: &str, all: &Outcome) {
+fn print_outcome(name: &str, all: &Outcome) {
     println!(
         "{name}: in time {:.4}, paused {:.4}, refused {}, {:.2} ms an event, batch events {}, \
          cuts {}, began at slow engines {}, in the second after {}",
-        all.good(),
+        all.share_in_time(),
         f64::from(all.paused) / f64::from(all.arrived),
         all.refused,
         all.slot_seconds() * 1_000.0,
@@ -101,21 +101,21 @@
 
 #[test]
 fn routing_by_pace_reduces_slot_time() {
-    let before = run_all(|seed| play(NO_SOURCES, seed));
-    line("nothing", &before);
+    let before = run_all(|seed| config(NO_SOURCES, seed));
+    print_outcome("nothing", &before);
     for (name, sources) in [("measured", MEASURED), ("both", BOTH)] {
-        let all = run_all(|seed| play(sources, seed));
-        line(name, &all);
+        let all = run_all(|seed| config(sources, seed));
+        print_outcome(name, &all);
         assert!(all.slot_seconds() < before.slot_seconds(), "{name}");
     }
 }
 
 #[test]
 fn slow_engines_get_less_work_and_recover() {
-    let before = run_all(|seed| slow_play(NO_SOURCES, seed));
-    let all = run_all(|seed| slow_play(BOTH, seed));
-    line("nothing", &before);
-    line("both", &all);
+    let before = run_all(|seed| slow_config(NO_SOURCES, seed));
+    let all = run_all(|seed| slow_config(BOTH, seed));
+    print_outcome("nothing", &before);
+    print_outcome("both", &all);
     assert!(all.in_time >= before.in_time);
     assert!(all.paused < before.paused);
     assert!(all.slot_seconds() < before.slot_seconds());
@@ -125,11 +125,11 @@
 
 #[test]
 fn even_paces_change_no_decision() {
-    let even = |sources| Play {
+    let even = |sources| SimulationConfig {
         speeds: [1.0; 3],
         noise: (0.0, 1.0),
         ends: 6_500_000,
-        ..play(sources, 7)
+        ..config(sources, 7)
     };
     let before = Fleet::new(even(NO_SOURCES)).run();
     assert!(before.cuts > 0 && before.in_time > 0);
--- a/crates/routing/tests/pace/peaks.rs
+++ b/crates/routing/tests/pace/peaks.rs
@@ -5,27 +5,27 @@
 
 use molespan_routing::dispatch::{EngineTable, Loss, Urgency, WorkClass, WorkShare};
 
-use super::fleet::{Fleet, Play};
-use super::{BOTH, RELAY, gateway, now, play};
+use super::fleet::{Fleet, SimulationConfig};
+use super::{BOTH, RELAY, config, gateway, now};
 
 /// Steady online work beside batch work for every slot.
-fn lull(seed: u64) -> Play {
-    Play {
+fn lull(seed: u64) -> SimulationConfig {
+    SimulationConfig {
         gateways: 117,
         engines: 89,
         peak: 0.21,
         ends: 8_000_000,
-        ..play(BOTH, seed)
+        ..config(BOTH, seed)
     }
 }
 
 #[test]
 fn online_requests_find_free_slots_and_batch_uses_the_rest() {
-    let play = lull(1);
-    let slots = play.engines as f64 * 8.0;
-    let seconds = play.ends as f64 / 1e6;
-    let all = Fleet::new(play).run();
-    super::line("lull", &all);
+    let config = lull(1);
+    let slots = config.engines as f64 * 8.0;
+    let seconds = config.ends as f64 / 1e6;
+    let all = Fleet::new(config).run();
+    super::print_outcome("lull", &all);
     // One run that makes room for the request, and one that another gateway started there
     // before it observed the request.
     let cuts = f64::from(all.cuts) / f64::from(all.arrived);
--- a/crates/routing/tests/short_requests.rs
+++ b/crates/routing/tests/short_requests.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use many_gateways::{Engines, Fault, Load, Play, Seen};
+use many_gateways::{Engines, Fault, Load, Results, Simulation};
 use molespan_routing::dispatch::{
     EngineFacts, EngineTable, Failure, Pick, PromptCost, Shortage, Standing, WorkClass,
 };
@@ -38,41 +38,49 @@
     load
 }
 
-fn play(load: Load) -> Seen {
-    let seen = Play::new(load.clone(), 1).run(SIMULATED_MS);
-    println!("{load:?}: {}", seen.line());
-    seen
+fn simulate(load: Load) -> Results {
+    let results = Simulation::new(load.clone(), 1).run(SIMULATED_MS);
+    println!("{load:?}: {}", results.summary());
+    results
 }
 
 #[test]
 fn load_within_capacity_is_in_time_and_rarely_rejected() {
     // Three engines, and the only one left of them; in peaks up to 0.8 of all slots.
     for (engines, demand, peaks) in [(3, 0.8, false), (1, 0.8, false), (3, 0.43, true)] {
-        let seen = play(load(engines, demand, peaks));
-        assert!(seen.share_rejected() <= 0.02, "{}", seen.line());
-        assert!(seen.share_in_time() >= 0.95, "{}", seen.line());
+        let results = simulate(load(engines, demand, peaks));
+        assert!(results.share_rejected() <= 0.02, "{}", results.summary());
+        assert!(results.share_in_time() >= 0.95, "{}", results.summary());
     }
 }
 
 #[test]
 fn under_overload_what_fits_is_in_time() {
     for engines in [1, 3] {
-        let seen = play(load(engines, 1.3, false));
+        let results = simulate(load(engines, 1.3, false));
         // Of 1.3 times the capacity, 1 / 1.3 fits; up to a twentieth of it may be lost to
         // chance.
         let fits = 1.0 / (1.3 * many_gateways::MEAN_WORK);
-        assert!(seen.share_in_time() >= fits * 0.95, "{}", seen.line());
-        assert!(seen.share_lost() <= 0.01, "{}", seen.line());
+        assert!(
+            results.share_in_time() >= fits * 0.95,
+            "{}",
+            results.summary()
+        );
+        assert!(results.share_lost() <= 0.01, "{}", results.summary());
     }
 }
 
 #[test]
 fn requests_left_over_by_peaks_complete_late_between_them() {
-    let seen = play(load(1, 0.76, true));
+    let results = simulate(load(1, 0.76, true));
     // Peaks bring 0.774 of all requests, and need 0.76 * 1.87 times the slots.
     let fits = 0.774 / (0.76 * 1.87 * many_gateways::MEAN_WORK) + 0.226;
-    assert!(seen.share_in_time() >= fits * 0.95, "{}", seen.line());
-    assert!(seen.share_lost() <= 0.01, "{}", seen.line());
+    assert!(
+        results.share_in_time() >= fits * 0.95,
+        "{}",
+        results.summary()
+    );
+    assert!(results.share_lost() <= 0.01, "{}", results.summary());
 }
 
 #[test]
@@ -84,9 +92,17 @@
         (0.5, Fault::Unresponsive),
     ];
     for (demand, fault) in faults {
-        let seen = play(load_with_fault(demand, fault));
-        assert!(seen.share_in_time() >= 0.95, "{fault:?} {}", seen.line());
-        assert!(seen.share_rejected() <= 0.02, "{fault:?} {}", seen.line());
+        let results = simulate(load_with_fault(demand, fault));
+        assert!(
+            results.share_in_time() >= 0.95,
+            "{fault:?} {}",
+            results.summary()
+        );
+        assert!(
+            results.share_rejected() <= 0.02,
+            "{fault:?} {}",
+            results.summary()
+        );
     }
 }
 
@@ -94,9 +110,9 @@
 fn few_gateways_with_many_callers_use_all_capacity() {
     let mut load = load(3, 0.8, false);
     load.gateways = 3;
-    let seen = play(load);
-    assert!(seen.share_rejected() <= 0.02, "{}", seen.line());
-    assert!(seen.share_in_time() >= 0.95, "{}", seen.line());
+    let results = simulate(load);
+    assert!(results.share_rejected() <= 0.02, "{}", results.summary());
+    assert!(results.share_in_time() >= 0.95, "{}", results.summary());
 }
 
 /// A table of one engine with 8 slots, at which a request took `took`.
