--- a/crates/routing/src/dispatch/load.rs
+++ b/crates/routing/src/dispatch/load.rs
@@ -1,61 +1,60 @@
-//! What an engine tells of its load.
+//! Load reports of engines.
 
-/// Most requests that an engine may tell of; more make no sense.
-const MOST_REQUESTS: u32 = 1_000_000;
-/// Most slots that an engine may tell of.
-const MOST_SLOTS: u32 = 100_000;
-/// Longest time that work may take there, in hundredths of what is usual.
-const MOST_PACE: u32 = 10_000;
+/// Most requests that a valid report may contain.
+const MAX_REQUESTS: u32 = 1_000_000;
+/// Most slots that a valid report may contain.
+const MAX_SLOTS: u32 = 100_000;
+/// Highest valid pace, in hundredths of the usual time.
+const MAX_PACE: u32 = 10_000;
 
-/// Load that an engine tells in an answer.
+/// Load that an engine reports in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
-    /// Requests that can run at the same time.
+    /// Requests that can run concurrently.
     pub slots: u32,
-    /// How long work takes there now, in hundredths of what is usual there, where it
-    /// tells that.
+    /// Current pace, in hundredths of the usual time there, if the engine reports it.
     pub pace: Option<u32>,
 }
 
-/// What is wrong with a report.
+/// Fault of a report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadFault {
-    /// Requests or slots are missing or make no sense: it says nothing.
+    /// Requests or slots are missing or out of range; nothing of the report is used.
     Load,
-    /// How long work takes makes no sense; the rest holds.
+    /// The pace is missing or out of range; the rest is used.
     Pace,
 }
 
-/// A report as far as it makes sense.
+/// The valid part of a report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// What it says.
+    /// The load, if it is valid.
     pub load: Option<EngineLoad>,
-    /// What is wrong with it.
+    /// The fault, if there is one.
     pub fault: Option<LoadFault>,
 }
 
 impl LoadReport {
-    /// A report of these figures: requests that run and that wait, slots, and how long
-    /// work takes. One that is no whole number from 0 on is `None`.
+    /// Parses the figures of a report: running requests, waiting requests, slots, and
+    /// optionally the pace. A figure that is not a whole number of 0 or more is `None`.
     #[must_use]
     pub fn read(figures: &[Option<u32>]) -> Self {
-        let figure = |place: usize, most: u32| {
+        let figure = |place: usize, max: u32| {
             let figure = figures.get(place).copied().flatten();
-            figure.filter(|figure| *figure <= most)
+            figure.filter(|figure| *figure <= max)
         };
-        let requests = figure(0, MOST_REQUESTS).zip(figure(1, MOST_REQUESTS));
-        let Some(((running, waiting), slots)) = requests.zip(figure(2, MOST_SLOTS)) else {
+        let requests = figure(0, MAX_REQUESTS).zip(figure(1, MAX_REQUESTS));
+        let Some(((running, waiting), slots)) = requests.zip(figure(2, MAX_SLOTS)) else {
             return Self {
                 load: None,
                 fault: Some(LoadFault::Load),
             };
         };
-        let pace = figure(3, MOST_PACE).filter(|pace| *pace > 0);
+        let pace = figure(3, MAX_PACE).filter(|pace| *pace > 0);
         let bad_pace = figures.len() > 3 && pace.is_none();
         Self {
             load: Some(EngineLoad {
--- a/crates/routing/src/dispatch/pace.rs
+++ b/crates/routing/src/dispatch/pace.rs
@@ -1,9 +1,10 @@
-//! How long work takes at an engine now, as a multiple of what it takes at the engines
-//! of its service together.
+//! Pace of engines: how long work takes at an engine now, as a multiple of the mean over
+//! the engines of its service.
 //!
-//! Three sources say so: the time between events of answers that pass here, the same as
-//! other gateways tell it, and what the engine tells of itself. Each counts for less the
-//! older it is, so that an engine of which nothing is heard has its usual pace again.
+//! There are three sources: the time between events of answers that pass through this
+//! gateway, the same as reported by other gateways, and the pace that the engine itself
+//! reports. Each counts for less the older it is, so that an engine without recent
+//! observations returns to its usual pace.
 
 use std::time::Duration;
 
@@ -13,249 +14,256 @@
 use super::table::EngineTable;
 use crate::decay::FadingSum;
 
-/// How long a pace holds once it was worked out, without news: requests that wait look
-/// many times a second.
-const PACE_HOLDS: Duration = Duration::from_millis(20);
-/// Time over which events that were measured here fade: a few of one answer.
-const EVENTS_FADE: Duration = Duration::from_millis(150);
-/// Time over which a word fades, of an engine or of other gateways: short, so that
-/// requests follow the pace that an engine has now.
-const WORD_FADES: Duration = Duration::from_millis(300);
-/// Time over which what is usual fades: it outlasts a slow span.
-const USUAL_FADES: Duration = Duration::from_secs(10);
-/// Events that one word weighs as much as: those of one answer that have not faded.
-const WORD_EVENTS: f64 = 3.0;
-/// Events that what is usual there weighs as much as.
-const USUAL_EVENTS: f64 = 1.0;
-/// Events of a service from which on what is usual is known.
-const KNOWN_FROM: f64 = 20.0;
-/// Parts of the usual time in which gateways tell each other.
-const TOLD_PARTS: f64 = 8.0;
-/// Distance from the usual pace up to which an engine counts as even with the others:
-/// one gateway measures no better than that.
-const EVEN: f64 = 0.12;
-/// Paces between which what is usual at an engine may lie: beyond them something is
-/// wrong there, which must not become usual.
-const USUAL_BOUNDS: (f64, f64) = (0.5, 2.0);
-/// Paces between which a figure is believed.
-const BOUNDS: (f64, f64) = (0.1, 32.0);
-/// Pace from which on an engine counts as slow: a slot elsewhere is free sooner than
-/// an answer is made there.
-const SLOW: f64 = 3.0;
+/// Time for which a computed pace is cached if there is no new observation: waiting
+/// requests check many times a second.
+const PACE_CACHE_TTL: Duration = Duration::from_millis(20);
+/// Decay time of events measured by this gateway, which covers a few events of one answer.
+const EVENT_DECAY: Duration = Duration::from_millis(150);
+/// Decay time of a pace reported by an engine or by other gateways. It is short so that
+/// requests follow the engine's current pace.
+const REPORT_DECAY: Duration = Duration::from_millis(300);
+/// Decay time of the baseline; it outlasts a slow period.
+const BASELINE_DECAY: Duration = Duration::from_secs(10);
+/// Weight of one reported pace, in events: those of one answer that have not decayed.
+const REPORT_WEIGHT: f64 = 3.0;
+/// Weight of an engine's baseline pace, in events.
+const BASELINE_WEIGHT: f64 = 1.0;
+/// Events of a service from which its usual time between events is known.
+const MIN_EVENTS: f64 = 20.0;
+/// Gateways report paces in units of this fraction of the usual time.
+const PACE_SCALE: f64 = 8.0;
+/// Deviation from the usual pace up to which an engine counts as equal to the others; one
+/// gateway can't measure more precisely.
+const EQUAL_MARGIN: f64 = 0.12;
+/// Bounds of an engine's baseline pace; a pace beyond them is a fault that must not become
+/// the baseline.
+const BASELINE_BOUNDS: (f64, f64) = (0.5, 2.0);
+/// Bounds to which observed paces are clamped.
+const PACE_BOUNDS: (f64, f64) = (0.1, 32.0);
+/// Pace from which an engine counts as slow: beyond it, a slot elsewhere becomes free
+/// sooner than an answer completes there.
+const SLOW_PACE: f64 = 3.0;
 
 /// Times between events at the engines of one service.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Usual {
+pub(super) struct EventIntervals {
     events: FadingSum,
     seconds: FadingSum,
 }
 
-impl Default for Usual {
+impl Default for EventIntervals {
     fn default() -> Self {
         Self {
-            events: FadingSum::new(USUAL_FADES),
-            seconds: FadingSum::new(USUAL_FADES),
+            events: FadingSum::new(BASELINE_DECAY),
+            seconds: FadingSum::new(BASELINE_DECAY),
         }
     }
 }
 
-impl Usual {
-    /// So many events came within a time.
+impl EventIntervals {
+    /// Records a number of events that came within a time.
     fn note(&mut self, events: f64, took: Duration, now: Timestamp) {
         self.events.add(events, now);
         self.seconds.add(took.as_secs_f64(), now);
     }
 
-    /// Seconds between two events, once enough were measured.
+    /// Returns the mean seconds between two events once enough were measured.
     fn seconds(&self, now: Timestamp) -> Option<f64> {
         let events = self.events.at(now);
-        let known = events >= KNOWN_FROM;
+        let known = events >= MIN_EVENTS;
         known.then(|| self.seconds.at(now) / events)
     }
 }
 
-/// A pace, and the events that it weighs as much as.
+/// A weighted sum of paces, with weights in events.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Weighed {
+pub(super) struct WeightedPace {
     weight: f64,
     sum: f64,
 }
 
-impl Weighed {
+impl WeightedPace {
     fn add(&mut self, weight: f64, pace: f64) {
         self.weight += weight;
         self.sum += weight * pace;
     }
 
-    /// Adds a word of other gateways on some of their requests, `age` old.
-    pub fn add_word(&mut self, word: Word, age: Duration) {
-        let Some(pace) = word.pace() else {
+    /// Adds a pace that other gateways reported `age` ago for some of their requests.
+    pub fn add_report(&mut self, report: PaceReport, age: Duration) {
+        let Some(pace) = report.pace() else {
             return;
         };
-        let requests = f64::from(word.requests);
-        self.add(requests * WORD_EVENTS * faded(age), pace);
+        let requests = f64::from(report.requests);
+        self.add(requests * REPORT_WEIGHT * remaining_weight(age), pace);
     }
 }
 
-/// What gateways tell each other of an engine's pace; sums of it are one again.
+/// Pace of an engine as gateways report it to each other. Reports can be summed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Word {
+pub(super) struct PaceReport {
     /// Requests there whose pace is known.
     pub requests: u32,
-    /// Their paces together, in eighths of the usual time.
+    /// Sum of their paces, in eighths of the usual time.
     pub eighths: u32,
 }
 
-impl Word {
+impl PaceReport {
     fn pace(self) -> Option<f64> {
         let requests = f64::from(self.requests);
-        let pace = f64::from(self.eighths) / TOLD_PARTS / requests;
-        (self.requests > 0).then(|| bounded(pace))
+        let pace = f64::from(self.eighths) / PACE_SCALE / requests;
+        (self.requests > 0).then(|| clamp_pace(pace))
     }
 }
 
-/// What an engine told of its own pace.
+/// Pace reported by an engine.
 #[derive(Clone, Copy, Debug)]
-struct Told {
-    /// Multiple of what is usual there.
+struct ReportedPace {
+    /// Multiple of the usual time there.
     pace: f64,
     at: Timestamp,
 }
 
-/// The pace of one engine.
+/// Pace estimate of one engine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Pace {
     events: FadingSum,
-    /// Paces of those events together.
+    /// Sum of the paces of those events.
     paces: FadingSum,
-    told: Option<Told>,
-    /// Mean of what the engine tells: what it tells all the time is usual there.
-    mean_told: f64,
-    /// Usual pace there.
-    usual: f64,
-    usual_at: Timestamp,
+    reported: Option<ReportedPace>,
+    /// Mean pace that the engine reports. A pace that it always reports is its baseline.
+    mean_reported: f64,
+    /// Baseline pace there.
+    baseline: f64,
+    baseline_at: Timestamp,
 }
 
 impl Default for Pace {
     fn default() -> Self {
         Self {
-            events: FadingSum::new(EVENTS_FADE),
-            paces: FadingSum::new(EVENTS_FADE),
-            told: None,
-            mean_told: 1.0,
-            usual: 1.0,
-            usual_at: Timestamp::ZERO,
+            events: FadingSum::new(EVENT_DECAY),
+            paces: FadingSum::new(EVENT_DECAY),
+            reported: None,
+            mean_reported: 1.0,
+            baseline: 1.0,
+            baseline_at: Timestamp::ZERO,
         }
     }
 }
 
 impl Pace {
-    /// So many events of an answer came within a time; `usual` seconds are usual for one.
+    /// Records a number of events of an answer that came within a time, where one event
+    /// usually takes `usual` seconds.
     fn measure(&mut self, events: f64, took: Duration, usual: f64, now: Timestamp) {
-        let pace = bounded(took.as_secs_f64() / events / usual);
+        let pace = clamp_pace(took.as_secs_f64() / events / usual);
         self.events.add(events, now);
         self.paces.add(events * pace, now);
     }
 
-    /// The engine told how long work takes there, in hundredths of what is usual there.
-    pub fn tell(&mut self, percent: u32, now: Timestamp) {
-        let pace = bounded(f64::from(percent) / 100.0);
-        let age = self.told.map_or(Duration::ZERO, |told| now.since(told.at));
-        let part = 1.0 - (-age.as_secs_f64() / USUAL_FADES.as_secs_f64()).exp();
-        self.mean_told += (pace - self.mean_told) * part;
-        self.told = Some(Told { pace, at: now });
+    /// Records the pace that the engine reports, in hundredths of the usual time there.
+    pub fn record_reported(&mut self, percent: u32, now: Timestamp) {
+        let pace = clamp_pace(f64::from(percent) / 100.0);
+        let age = self
+            .reported
+            .map_or(Duration::ZERO, |reported| now.since(reported.at));
+        let part = 1.0 - (-age.as_secs_f64() / BASELINE_DECAY.as_secs_f64()).exp();
+        self.mean_reported += (pace - self.mean_reported) * part;
+        self.reported = Some(ReportedPace { pace, at: now });
     }
 
-    /// What this gateway knows by itself.
-    fn own(&self, now: Timestamp) -> Weighed {
-        let mut own = Weighed {
+    /// Returns the pace by this gateway's own observations.
+    fn own(&self, now: Timestamp) -> WeightedPace {
+        let mut own = WeightedPace {
             weight: self.events.at(now),
             sum: self.paces.at(now),
         };
-        if let Some(told) = self.told {
-            // What was measured meanwhile says the same, and more surely.
-            let weight = WORD_EVENTS * faded(now.since(told.at)) / (1.0 + own.weight);
-            own.add(weight, told.pace / self.mean_told * self.usual);
+        if let Some(reported) = self.reported {
+            // Events measured in the meantime cover the same period and are more reliable.
+            let weight =
+                REPORT_WEIGHT * remaining_weight(now.since(reported.at)) / (1.0 + own.weight);
+            own.add(weight, reported.pace / self.mean_reported * self.baseline);
         }
         own
     }
 
-    /// The same of `requests` there, for telling others; nothing where it knows little.
-    pub fn word(&self, requests: u32, now: Timestamp) -> Word {
+    /// Returns the pace by this gateway's own observations of `requests` there, to report
+    /// to others; empty if it has too few.
+    pub fn report(&self, requests: u32, now: Timestamp) -> PaceReport {
         let own = self.own(now);
-        if own.weight < USUAL_EVENTS || requests == 0 {
-            return Word::default();
+        if own.weight < BASELINE_WEIGHT || requests == 0 {
+            return PaceReport::default();
         }
-        let pace = evened(own.sum / own.weight);
-        let eighths = (pace * TOLD_PARTS).round() as u32;
-        Word {
+        let pace = snap_to_usual(own.sum / own.weight);
+        let eighths = (pace * PACE_SCALE).round() as u32;
+        PaceReport {
             requests,
             eighths: requests * eighths,
         }
     }
 
-    /// The pace now, by what is known here and what `others` told.
-    pub fn at(&self, others: Weighed, now: Timestamp) -> f64 {
+    /// Returns the current pace by this gateway's observations and those that `others`
+    /// reported.
+    pub fn at(&self, others: WeightedPace, now: Timestamp) -> f64 {
         let own = self.own(now);
-        let mut all = Weighed {
+        let mut all = WeightedPace {
             weight: own.weight + others.weight,
             sum: own.sum + others.sum,
         };
-        all.add(USUAL_EVENTS, self.usual);
-        evened(all.sum / all.weight)
+        all.add(BASELINE_WEIGHT, self.baseline);
+        snap_to_usual(all.sum / all.weight)
     }
 
-    /// Takes in the pace that it has, so that it becomes the usual one in the end.
-    pub fn get_used(&mut self, others: Weighed, now: Timestamp) {
-        let heard = self.own(now).weight + others.weight;
-        // What was not heard of meanwhile may have been otherwise.
-        let age = now.since(self.usual_at).min(SHARE_HOLDS).as_secs_f64();
-        self.usual_at = now;
-        if heard < USUAL_EVENTS {
+    /// Moves the baseline towards the current pace, so that a lasting pace eventually
+    /// becomes the baseline.
+    pub fn update_baseline(&mut self, others: WeightedPace, now: Timestamp) {
+        let observed = self.own(now).weight + others.weight;
+        // Time without observations does not count: the pace may have differed then.
+        let age = now.since(self.baseline_at).min(SHARE_HOLDS).as_secs_f64();
+        self.baseline_at = now;
+        if observed < BASELINE_WEIGHT {
             return;
         }
-        let part = 1.0 - (-age / USUAL_FADES.as_secs_f64()).exp();
-        self.usual += (usually(self.at(others, now)) - self.usual) * part;
+        let part = 1.0 - (-age / BASELINE_DECAY.as_secs_f64()).exp();
+        self.baseline += (clamp_baseline(self.at(others, now)) - self.baseline) * part;
     }
 }
 
-/// What is left of a word of this age.
-fn faded(age: Duration) -> f64 {
+/// Returns the remaining weight of a report of this age, from 1 down to 0.
+fn remaining_weight(age: Duration) -> f64 {
     match age < SHARE_HOLDS {
-        true => (-age.as_secs_f64() / WORD_FADES.as_secs_f64()).exp(),
+        true => (-age.as_secs_f64() / REPORT_DECAY.as_secs_f64()).exp(),
         false => 0.0,
     }
 }
 
-/// The pace as far as it differs from the usual one.
-fn evened(pace: f64) -> f64 {
-    match (pace - 1.0).abs() <= EVEN {
+/// Returns the pace, or 1 if it deviates too little from the usual one.
+fn snap_to_usual(pace: f64) -> f64 {
+    match (pace - 1.0).abs() <= EQUAL_MARGIN {
         true => 1.0,
         false => pace,
     }
 }
 
-fn bounded(pace: f64) -> f64 {
-    pace.clamp(BOUNDS.0, BOUNDS.1)
+fn clamp_pace(pace: f64) -> f64 {
+    pace.clamp(PACE_BOUNDS.0, PACE_BOUNDS.1)
 }
 
-fn usually(pace: f64) -> f64 {
-    pace.clamp(USUAL_BOUNDS.0, USUAL_BOUNDS.1)
+fn clamp_baseline(pace: f64) -> f64 {
+    pace.clamp(BASELINE_BOUNDS.0, BASELINE_BOUNDS.1)
 }
 
 impl EngineTable {
-    /// An online request held a slot of the service for so long.
+    /// Records the time for which an online request held a slot of the service.
     pub fn note_slot_time(&mut self, service: &str, held: Duration) {
         self.slot_times.note(service, held);
     }
 
-    /// So many events of an answer came from an engine within a time.
+    /// Records a number of events of an answer that came from an engine within a time.
     pub fn heard(&mut self, id: &str, events: u32, took: Duration, now: Timestamp) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
         let events = f64::from(events);
-        let usual = self.slot_times.usual(&engine.facts.service);
+        let usual = self.slot_times.event_intervals(&engine.facts.service);
         usual.note(events, took, now);
         if let Some(usual) = usual.seconds(now) {
             engine.pace.measure(events, took, usual, now);
@@ -264,25 +272,25 @@
     }
 }
 
-/// How the engines' paces are, for operators.
+/// Summary of the engines' paces, for operators.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PaceFigures {
-    /// Pace of the engine in the middle.
+    /// Median pace.
     pub median: f64,
     /// Pace of the slowest engine.
     pub slowest: f64,
-    /// Engines that count as slow.
+    /// Number of engines that count as slow.
     pub slow: u32,
 }
 
 impl EngineTable {
-    /// Paces of all engines; `None` where there is no engine.
+    /// Returns a summary of the paces of all engines; `None` if there is no engine.
     #[must_use]
     pub fn pace_figures(&self, now: Timestamp) -> Option<PaceFigures> {
         let engines = self.engines.values();
         let mut paces: Vec<f64> = engines.map(|engine| engine.pace(now)).collect();
         paces.sort_by(f64::total_cmp);
-        let slow = paces.iter().filter(|&&pace| pace >= SLOW).count() as u32;
+        let slow = paces.iter().filter(|&&pace| pace >= SLOW_PACE).count() as u32;
         Some(PaceFigures {
             median: *paces.get(paces.len() / 2)?,
             slowest: *paces.last()?,
@@ -290,46 +298,47 @@
         })
     }
 
-    /// Engines that count as slow.
+    /// Returns the engines that count as slow, with their paces.
     #[must_use]
     pub fn slow_engines(&self, now: Timestamp) -> Vec<(String, f64)> {
         let paces = self.engines.iter();
         let paces = paces.map(|(id, engine)| (id, engine.pace(now)));
-        let slow = paces.filter(|(_, pace)| *pace >= SLOW);
+        let slow = paces.filter(|(_, pace)| *pace >= SLOW_PACE);
         slow.map(|(id, pace)| (id.clone(), pace)).collect()
     }
 }
 
 impl Engine {
-    /// Its pace now: 1 is usual at engines of its service, 2 takes twice as long.
+    /// Returns its current pace: 1 is usual at engines of its service, 2 takes twice as
+    /// long.
     pub fn pace(&self, now: Timestamp) -> f64 {
         if let Some((pace, at)) = self.latest_pace.get()
-            && now.since(at) < PACE_HOLDS
+            && now.since(at) < PACE_CACHE_TTL
         {
             return pace;
         }
-        let pace = self.pace.at(self.words(now), now);
+        let pace = self.pace.at(self.reported_pace(now), now);
         self.latest_pace.set(Some((pace, now)));
         pace
     }
 
-    /// Its slots, counted in time: a slow one has as many as make up for its pace, and
-    /// one at the least, whose answers say when it is back.
+    /// Returns its effective number of slots. A slow engine's slots are divided by its
+    /// pace, but it keeps at least one, whose answers show when it has recovered.
     pub fn slots(&self, now: Timestamp) -> f64 {
         let slots = f64::from(self.facts.slots);
         let pace = self.pace(now);
-        match pace >= SLOW {
+        match pace >= SLOW_PACE {
             true => (slots / pace).max(1.0),
             false => slots,
         }
     }
 
-    /// What other gateways told of its pace.
-    pub fn words(&self, now: Timestamp) -> Weighed {
-        let mut words = Weighed::default();
-        for (word, at) in self.told_paces(now) {
-            words.add_word(word, now.since(at));
+    /// Returns the weighted sum of the paces that other gateways reported.
+    pub fn reported_pace(&self, now: Timestamp) -> WeightedPace {
+        let mut reports = WeightedPace::default();
+        for (report, at) in self.reported_paces(now) {
+            reports.add_report(report, now.since(at));
         }
-        words
+        reports
     }
 }
--- a/crates/routing/src/dispatch/prompt.rs
+++ b/crates/routing/src/dispatch/prompt.rs
@@ -1,4 +1,4 @@
-//! Parts of prompts that several requests share, and which engines read them.
+//! Shared parts of prompts, and which engines read them.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,46 +9,46 @@
 /// A part of a prompt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Names its content.
+    /// Identifies its content.
     pub id: String,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u32,
 }
 
-/// What a prompt costs an engine to read.
+/// Cost of reading a prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PromptCost {
-    /// All its tokens.
+    /// Tokens of the whole prompt.
     pub tokens: u64,
-    /// Tokens of its beginning that other requests share, and what names it;
-    /// none where they are too few to decide where the request runs.
+    /// Shared beginning of the prompt; `None` if it is too short to decide where the
+    /// request runs.
     pub shared: Option<SharedPrompt>,
 }
 
 /// The shared beginning of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SharedPrompt {
-    /// Names it.
+    /// Key of its content.
     pub key: u64,
-    /// Its length in tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// Shared tokens from which on it pays to look for the engine that holds them.
-const WORTH_KEEPING_TOKENS: u64 = 1_000;
-/// How long an engine is taken to hold what it read.
-const HELD_FOR: Duration = Duration::from_secs(20);
-/// Shared prompts that are remembered; the oldest are forgotten first.
-const REMEMBERED: usize = 4_096;
+/// Shared tokens from which it pays off to look for the engine that holds them.
+const MIN_SHARED_TOKENS: u64 = 1_000;
+/// Time for which an engine is assumed to hold a prompt that it read.
+const HOLD_TTL: Duration = Duration::from_secs(20);
+/// Most pairs of shared prompt and engine that are kept; the oldest are evicted first.
+const MAX_REMEMBERED: usize = 4_096;
 
 impl PromptCost {
-    /// The cost of a prompt of these parts, the last of which is its own.
+    /// Returns the cost of a prompt made of these parts, the last of which is not shared.
     #[must_use]
     pub fn of(parts: &[PromptPart]) -> Self {
         let tokens = parts.iter().map(|part| u64::from(part.tokens)).sum();
         let shared = parts.split_last().and_then(|(own, shared)| {
             let tokens = tokens - u64::from(own.tokens);
-            let last = shared.last().filter(|_| tokens >= WORTH_KEEPING_TOKENS)?;
+            let last = shared.last().filter(|_| tokens >= MIN_SHARED_TOKENS)?;
             Some(SharedPrompt {
                 key: xxh3_64(last.id.as_bytes()),
                 tokens,
@@ -58,20 +58,20 @@
     }
 }
 
-/// Which engines read which shared prompts lately.
+/// Which engines recently read which shared prompts.
 #[derive(Debug, Default)]
-pub(super) struct Holders {
+pub(super) struct PromptHolders {
     read: BTreeMap<(u64, String), Timestamp>,
     order: VecDeque<(u64, String)>,
 }
 
-impl Holders {
+impl PromptHolders {
     pub fn note(&mut self, key: u64, engine: &str, now: Timestamp) {
-        let place = (key, engine.to_owned());
-        if self.read.insert(place.clone(), now).is_none() {
-            self.order.push_back(place);
+        let pair = (key, engine.to_owned());
+        if self.read.insert(pair.clone(), now).is_none() {
+            self.order.push_back(pair);
         }
-        if self.order.len() > REMEMBERED
+        if self.order.len() > MAX_REMEMBERED
             && let Some(oldest) = self.order.pop_front()
         {
             self.read.remove(&oldest);
@@ -80,12 +80,15 @@
 
     pub fn holds(&self, key: u64, engine: &str, now: Timestamp) -> bool {
         let read = self.read.get(&(key, engine.to_owned()));
-        read.is_some_and(|at| now.since(*at) < HELD_FOR)
+        read.is_some_and(|at| now.since(*at) < HOLD_TTL)
     }
 }
 
-/// The engine, of those given by their identifiers, where every gateway looks
-/// first for a shared prompt.
-pub(super) fn home<'e>(key: u64, engines: impl Iterator<Item = &'e str>) -> Option<&'e str> {
+/// Returns the engine, of the given identifiers, where every gateway looks first for a
+/// shared prompt. Chosen by rendezvous hashing.
+pub(super) fn preferred_engine<'e>(
+    key: u64,
+    engines: impl Iterator<Item = &'e str>,
+) -> Option<&'e str> {
     engines.max_by_key(|engine| xxh3_64_with_seed(engine.as_bytes(), key))
 }
--- a/crates/routing/src/dispatch/reachable.rs
+++ b/crates/routing/src/dispatch/reachable.rs
@@ -1,4 +1,4 @@
-//! Which engines are within reach, as the zones that they stand in are.
+//! Which engines are reachable, by the reachability of their zones.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -11,75 +11,75 @@
 use super::table::{EngineTable, Pick, Picked};
 use crate::reach::{Change, Hosts, ReachTelling, Sign, slow_after};
 
-/// Engines beside the one in doubt that are looked at to find out whether its zone is
-/// out of reach: with it as many as that takes.
-const LOOKED_AT_BESIDE: usize = 4;
+/// Engines probed besides the suspected one to find out whether its zone is unreachable.
+/// Together with it, as many as that decision needs.
+const EXTRA_PROBES: usize = 4;
 
-/// Why an engine may be out of reach.
+/// Why an engine may be unreachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Doubt {
-    /// A connect to it is slow, as where links drop what is sent.
+    /// Connecting to it is slow, as when the network drops packets.
     Slow,
-    /// An attempt failed there, as where it has ended.
+    /// An attempt failed there, as when the engine has exited.
     Failed,
 }
 
-/// An engine that is to be connected to, without a request, to find out whether it is
-/// within reach.
+/// A connect to an engine, without a request, that checks whether the engine is reachable.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Probe {
-    /// Engine.
+    /// Engine identifier.
     pub engine: String,
-    /// Where it serves.
+    /// Address that it serves on.
     pub address: SocketAddr,
-    /// Time for the connect.
+    /// Timeout of the connect.
     pub timeout: Duration,
 }
 
 impl EngineTable {
-    /// Whether the zone that an engine stands in was found out of reach here: others' word
-    /// alone ends nothing that waits for an answer.
+    /// Whether this gateway itself found an engine's zone unreachable. Reports of other
+    /// gateways alone don't end a request that waits for an answer.
     #[must_use]
     pub fn was_found_out_of_reach(&self, id: &str) -> bool {
         let engine = self.engines.get(id);
         engine.is_some_and(|engine| self.reach.is_found_out(&engine.facts.zone))
     }
 
-    /// Whether nothing goes to the zone that an engine stands in.
+    /// Whether no requests go to the engine's zone.
     #[must_use]
     pub fn is_out_of_reach(&self, id: &str) -> bool {
         let engine = self.engines.get(id);
         engine.is_some_and(|engine| self.reach.is_avoided(&engine.facts.zone))
     }
 
-    /// Zones that are out of reach, by name.
+    /// Returns the zones that are unreachable.
     #[must_use]
     pub fn zones_out_of_reach(&self) -> Vec<ZoneName> {
         self.reach.out().cloned().collect()
     }
 
-    /// Engines of a service that stand where requests may go.
-    pub(super) fn within_reach(&self, service: &str) -> impl Iterator<Item = &Engine> {
+    /// Returns the engines of a service in zones that requests may go to.
+    pub(super) fn reachable_engines(&self, service: &str) -> impl Iterator<Item = &Engine> {
         let engines = self.of_service(service);
         engines.filter(|engine| !self.reach.is_avoided(&engine.facts.zone))
     }
 
-    /// Gateways that share what is within reach of a service, this one included. Those
-    /// beyond a cut use what is there; how many they are is not told, and taken to be as
-    /// many by slot as here.
-    pub(super) fn sharers(&self, service: &str) -> f64 {
+    /// Returns the number of gateways that share the reachable engines of a service, this
+    /// one included. Gateways beyond a network partition use the engines on their side.
+    /// Their number isn't reported; each slot there is assumed to have as many gateways as
+    /// here.
+    pub(super) fn sharing_gateways(&self, service: &str) -> f64 {
         let users = self.users_of(service);
         if !self.reach.avoids_any() {
             return users;
         }
         let slots = |engine: &Engine| f64::from(engine.facts.slots);
         let all: f64 = self.of_service(service).map(slots).sum();
-        let within: f64 = self.within_reach(service).map(slots).sum();
+        let within: f64 = self.reachable_engines(service).map(slots).sum();
         (users * within / all.max(1.0)).max(1.0)
     }
 
-    /// How long a connect to an engine may take, before another one is tried beside it,
-    /// for a request with such a `target`.
+    /// Returns how long a connect to an engine may take before another engine is tried in
+    /// parallel, for a request with this latency `target`.
     #[must_use]
     pub fn connect_is_slow_after(&self, id: &str, target: Duration) -> Duration {
         let engine = self.engines.get(id);
@@ -87,32 +87,33 @@
         slow_after(target, usual)
     }
 
-    /// Another engine for a request whose connection to the `first` one does not come up:
-    /// of another zone, and of the own one if the first is not. None where zones are not
-    /// known or there is but one.
+    /// Returns an alternative engine for a request whose connect to the `first` one is
+    /// slow: one in the own zone if `first` isn't there, otherwise or failing that one in
+    /// any zone other than that of `first`. `None` if zones are unknown or there is only
+    /// one.
     pub fn pick_beside(&mut self, pick: &Pick<'_>, first: &str, now: Timestamp) -> Option<Picked> {
         let zone = self.engines.get(first)?.facts.zone.clone();
         if self.hosts().len() < 2 || zone.as_str().is_empty() {
             return None;
         }
         let own = self.zone.clone();
-        let at_home = |at: &ZoneName| *at == own;
-        let elsewhere = |at: &ZoneName| *at != zone;
+        let in_own_zone = |at: &ZoneName| *at == own;
+        let outside_first_zone = |at: &ZoneName| *at != zone;
         let near = match zone == own {
             true => None,
-            false => self.pick_where(pick, at_home, now),
+            false => self.pick_where(pick, in_own_zone, now),
         };
-        near.or_else(|| self.pick_where(pick, elsewhere, now))
+        near.or_else(|| self.pick_where(pick, outside_first_zone, now))
     }
 
     fn pick_where(
         &mut self,
         pick: &Pick<'_>,
-        fits: impl Fn(&ZoneName) -> bool,
+        allowed: impl Fn(&ZoneName) -> bool,
         now: Timestamp,
     ) -> Option<Picked> {
         let engines = self.of_service(pick.service);
-        let others = engines.filter(|engine| !fits(&engine.facts.zone));
+        let others = engines.filter(|engine| !allowed(&engine.facts.zone));
         let others = others.map(|engine| engine.facts.id.clone());
         let tried: BTreeSet<String> = others.chain(pick.tried.iter().cloned()).collect();
         let pick = Pick {
@@ -122,7 +123,7 @@
         self.pick(&pick, now).ok()
     }
 
-    /// An attempt that `began` then did not reach an engine.
+    /// Records that an attempt started at `began` did not reach an engine.
     pub fn unreached(&mut self, id: &str, began: Timestamp, now: Timestamp) {
         let Some((zone, host)) = self.place(id) else {
             return;
@@ -131,23 +132,25 @@
         self.reach.failed(&zone, host, &hosts, began, now);
     }
 
-    /// An attempt that `began` then was answered by an engine, or brought a connection up.
+    /// Records that an attempt started at `began` was answered by an engine or established
+    /// a connection.
     pub fn reached(&mut self, id: &str, began: Timestamp, by: Sign, now: Timestamp) {
         if let Some(engine) = self.engines.get(id) {
             self.reach.reached(&engine.facts.zone, began, by, now);
         }
     }
 
-    /// A connect to an engine came up after this time.
+    /// Records the duration of a successful connect to an engine.
     pub fn connected(&mut self, id: &str, took: Duration) {
         if let Some(engine) = self.engines.get(id) {
             self.reach.connected(&engine.facts.zone, took);
         }
     }
 
-    /// What to look at, now that an engine may be out of reach: itself and others of its
-    /// zone that are taken for well; one other alone as long as none but this one failed,
-    /// since most have but ended. Nothing while somebody looks already.
+    /// Returns the probes to run when an engine may be unreachable: the engine itself and
+    /// others of its zone that seem healthy, or a single other one if only this engine
+    /// failed, since usually the engine has just exited. Returns none if a check is already
+    /// in progress.
     pub fn doubt(&mut self, id: &str, doubt: Doubt, now: Timestamp) -> Vec<Probe> {
         let Some((zone, host)) = self.place(id) else {
             return Vec::new();
@@ -157,22 +160,22 @@
         if !self.reach.look(&zone, wide, &hosts, now) {
             return Vec::new();
         }
-        let mut beside = self.look_at(&zone, now);
-        beside.retain(|probe| probe.address.ip() != host);
-        beside.truncate(if wide { LOOKED_AT_BESIDE } else { 1 });
+        let mut others = self.probe_zone(&zone, now);
+        others.retain(|probe| probe.address.ip() != host);
+        others.truncate(if wide { EXTRA_PROBES } else { 1 });
         let first = self.engines.get(id).filter(|_| wide);
         let first = first.map(|engine| self.probe(engine));
-        first.into_iter().chain(beside).collect()
+        first.into_iter().chain(others).collect()
     }
 
-    /// What is told to other gateways of the own zone of what is out of reach.
+    /// Returns which zones are unreachable, to report to other gateways of the own zone.
     #[must_use]
     pub fn reach_telling(&self) -> Option<ReachTelling> {
         self.reach.telling(&self.zone)
     }
 
-    /// Other gateways of the own zone tell what is out of reach. Gives what to look at
-    /// from here.
+    /// Records which zones other gateways of the own zone report as unreachable. Returns
+    /// the probes with which this gateway checks them.
     pub fn note_reach_told(&mut self, told: &ReachTelling, now: Timestamp) -> Vec<Probe> {
         if told.from != self.zone {
             return Vec::new();
@@ -180,26 +183,26 @@
         let hosts = self.hosts();
         let doubted = self.reach.note_told(told, &hosts, now);
         let zones = doubted.iter();
-        zones.flat_map(|zone| self.look_at(zone, now)).collect()
+        zones.flat_map(|zone| self.probe_zone(zone, now)).collect()
     }
 
-    /// Engines of a zone that are taken for well, as many as it takes to find it out of
-    /// reach.
-    fn look_at(&mut self, zone: &ZoneName, now: Timestamp) -> Vec<Probe> {
+    /// Returns probes of engines of a zone that seem healthy, as many as it takes to find
+    /// the zone unreachable.
+    fn probe_zone(&mut self, zone: &ZoneName, now: Timestamp) -> Vec<Probe> {
         let of_zone = self.engines.values().filter(|one| one.facts.zone == *zone);
-        let well = of_zone.filter(|engine| {
+        let healthy = of_zone.filter(|engine| {
             let failed = self.reach.has_failed(zone, engine.facts.address.ip(), now);
-            !failed && !engine.is_paused(now)
+            !failed && !engine.is_backed_off(now)
         });
-        let mut well: Vec<&Engine> = well.collect();
-        well.shuffle(&mut self.random);
-        let mut asked = BTreeSet::new();
-        well.retain(|engine| asked.insert(engine.facts.address.ip()));
-        let looked_at = well.into_iter().take(LOOKED_AT_BESIDE + 1);
-        looked_at.map(|engine| self.probe(engine)).collect()
+        let mut healthy: Vec<&Engine> = healthy.collect();
+        healthy.shuffle(&mut self.random);
+        let mut seen_hosts = BTreeSet::new();
+        healthy.retain(|engine| seen_hosts.insert(engine.facts.address.ip()));
+        let probed = healthy.into_iter().take(EXTRA_PROBES + 1);
+        probed.map(|engine| self.probe(engine)).collect()
     }
 
-    /// What to connect to now since its zone is out of reach: one engine of each.
+    /// Returns the probes that are due in unreachable zones, of one engine per zone.
     pub fn probes(&mut self, now: Timestamp) -> Vec<Probe> {
         let hosts = self.hosts();
         let due = self.reach.probes(&hosts, now);
@@ -221,8 +224,8 @@
         }
     }
 
-    /// Changes of what is out of reach since the last call. Engines of a zone that is back
-    /// failed for its links, and are not kept waiting for that.
+    /// Returns the changes in reachability since the last call. Ends the backoff of engines
+    /// in zones that became reachable again, since they failed because of the network.
     pub fn take_reach_changes(&mut self, now: Timestamp) -> Vec<Change> {
         let changes = self.reach.take_changes();
         for change in &changes {
@@ -231,7 +234,7 @@
             };
             let engines = self.engines.values_mut();
             let of_zone = engines.filter(|engine| engine.facts.zone == *zone);
-            of_zone.for_each(|engine| engine.within_reach_again(now));
+            of_zone.for_each(|engine| engine.end_backoff(now));
         }
         changes
     }
--- a/crates/routing/src/dispatch/slow.rs
+++ b/crates/routing/src/dispatch/slow.rs
@@ -1,72 +1,74 @@
-//! Which engines count as slow, as it is told to operators.
+//! Reports to operators which engines count as slow.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use molespan_types::Timestamp;
 
-/// How long an engine has to be slow until it is told: a shorter time needs no operator.
-const SLOW_FOR: Duration = Duration::from_millis(800);
-/// Changes that are told at once at the most; the others are counted.
-const MOST_TOLD: usize = 8;
+/// Time for which an engine must be slow before it is reported; shorter spans need no
+/// operator.
+const MIN_SLOW_DURATION: Duration = Duration::from_millis(800);
+/// Most changes reported at once; the others are only counted.
+const MAX_REPORTED: usize = 8;
 
-/// An engine began or ceased to count as slow.
+/// An engine started or stopped counting as slow.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SlowChange {
-    /// It takes so many times as long as is usual.
+    /// The engine takes a multiple of the usual time.
     Slow {
-        /// Engine.
+        /// Engine identifier.
         engine: String,
-        /// Multiple of the usual time.
+        /// Pace, as a multiple of the usual time.
         pace: f64,
     },
-    /// It is back.
+    /// The engine is no longer slow.
     Back {
-        /// Engine.
+        /// Engine identifier.
         engine: String,
     },
-    /// Further changes that are not named.
+    /// Number of further changes that are not listed.
     More(usize),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Since {
+struct SlowSince {
     at: Timestamp,
-    told: bool,
+    reported: bool,
 }
 
-/// Engines that were slow at the latest look.
+/// Engines that were slow at the latest check.
 #[derive(Clone, Debug, Default)]
-pub struct SlowWatch(BTreeMap<String, Since>);
+pub struct SlowWatch(BTreeMap<String, SlowSince>);
 
 impl SlowWatch {
-    /// These engines are slow now; says what is news.
+    /// Updates the engines that are slow now, with their paces, and returns the changes to
+    /// report.
     pub fn look(&mut self, slow: &[(String, f64)], now: Timestamp) -> Vec<SlowChange> {
         let mut changes = Vec::new();
         self.0.retain(|engine, since| {
-            let stays = slow.iter().any(|(one, _)| one == engine);
-            if !stays && since.told {
+            let still_slow = slow.iter().any(|(one, _)| one == engine);
+            if !still_slow && since.reported {
                 let engine = engine.clone();
                 changes.push(SlowChange::Back { engine });
             }
-            stays
+            still_slow
         });
         for (engine, pace) in slow {
-            let since = self.0.entry(engine.clone()).or_insert(Since {
+            let since = self.0.entry(engine.clone()).or_insert(SlowSince {
                 at: now,
-                told: false,
+                reported: false,
             });
-            if !since.told && now.since(since.at) >= SLOW_FOR {
-                since.told = true;
+            if !since.reported && now.since(since.at) >= MIN_SLOW_DURATION {
+                since.reported = true;
                 changes.push(SlowChange::Slow {
                     engine: engine.clone(),
                     pace: *pace,
                 });
             }
         }
-        let more = changes.len().saturating_sub(MOST_TOLD);
+        let more = changes.len().saturating_sub(MAX_REPORTED);
         if more > 0 {
-            changes.truncate(MOST_TOLD);
+            changes.truncate(MAX_REPORTED);
             changes.push(SlowChange::More(more));
         }
         changes
--- a/crates/routing/src/pick/prefix.rs
+++ b/crates/routing/src/pick/prefix.rs
@@ -1,56 +1,57 @@
-//! Which engine holds which prompt prefix, from cache events and own routing.
+//! Index of the prompt prefixes that engines cache, built from cache events and this
+//! gateway's routing.
 //!
-//! Events come late and with gaps, and own routing only says what an engine
-//! will probably cache. An entry is therefore either confirmed by an event or
-//! expected. A gap drops the engine's expected entries, and once the events
-//! missed reach a share of its confirmed entries, those as well: at most that
-//! share can be wrong, and a wrong entry costs one prefill, never an answer.
+//! Events arrive late and with gaps, and routing only indicates what an engine will
+//! probably cache. An entry is therefore either confirmed by an event or expected. A gap
+//! drops the engine's expected entries. Once the number of missed events reaches a share of
+//! its confirmed entries, those are dropped as well: at most that share can be wrong, and a
+//! wrong entry costs one prefill but never a wrong answer.
 //!
-//! A drop costs nothing by itself: entries carry the epoch in which they were
-//! made, and an engine whose entries are dropped gets a new one.
+//! Dropping is cheap: entries carry the epoch in which they were made, and an engine whose
+//! entries are dropped gets a new epoch.
 
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 use molespan_engine_api::{CacheEvent, CacheEventKind};
 use molespan_types::BackendId;
 
-/// Bounds of the index.
+/// Bounds of the prefix index.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PrefixSettings {
-    /// Most prefixes remembered.
-    pub most_prefixes: usize,
-    /// Most engines remembered for one prefix.
-    pub most_holders: usize,
-    /// Share of an engine's confirmed entries that may be in doubt through
-    /// missed events before all are dropped.
-    pub tolerated_doubt: f64,
+    /// Most prefixes that are kept.
+    pub max_prefixes: usize,
+    /// Most engines that are kept for one prefix.
+    pub max_holders: usize,
+    /// Share of an engine's confirmed entries that may be invalid because of missed events
+    /// before all are dropped.
+    pub max_missed_share: f64,
 }
 
 impl Default for PrefixSettings {
     fn default() -> Self {
         Self {
-            most_prefixes: 50_000,
-            most_holders: 4,
-            tolerated_doubt: 0.25,
+            max_prefixes: 50_000,
+            max_holders: 4,
+            max_missed_share: 0.25,
         }
     }
 }
 
-/// A span between two drops of an engine's entries; no two are the same.
+/// Identifies a period between two drops of an engine's entries.
 type Epoch = u32;
 
 #[derive(Clone, Copy, Debug)]
 struct Holder {
     backend: BackendId,
     confirmed: bool,
-    /// Epoch of the engine's confirmed or expected entries when it was made.
+    /// Epoch of the engine's confirmed or expected entries when this entry was made.
     epoch: Epoch,
 }
 
 #[derive(Clone, Debug, Default)]
 struct Entry {
     holders: Vec<Holder>,
-    /// Set on use; gives the entry a second chance when memory runs out.
+    /// Set on use; spares the entry once when the index is full (second-chance eviction).
     used: bool,
 }
 
@@ -64,8 +65,8 @@
 }
 
 impl EngineEvents {
-    /// Whether an entry was not dropped since it was made.
-    fn has(&self, holder: &Holder) -> bool {
+    /// Whether an entry has not been dropped since it was made.
+    fn is_valid(&self, holder: &Holder) -> bool {
         let epoch = match holder.confirmed {
             true => self.confirmed_epoch,
             false => self.expected_epoch,
@@ -78,14 +79,14 @@
 
 fn is_current(engines: &Engines, holder: &Holder) -> bool {
     let engine = engines.get(&holder.backend);
-    engine.is_some_and(|engine| engine.has(holder))
+    engine.is_some_and(|engine| engine.is_valid(holder))
 }
 
-/// The longest part of a prompt that some engine holds.
+/// The longest prefix of a prompt that some engine caches.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PrefixMatch<'a> {
     holders: &'a [Holder],
-    /// Leading blocks of the prompt.
+    /// Number of leading blocks of the prompt.
     pub(super) blocks: u32,
 }
 
@@ -95,12 +96,12 @@
     }
 }
 
-/// Prefix hash to engines.
+/// Index from prefix hashes to the engines that cache the prefix.
 #[derive(Clone, Debug)]
 pub(super) struct PrefixIndex {
     settings: PrefixSettings,
     entries: HashMap<u64, Entry>,
-    /// Hashes in the order of their entry, for eviction; may name dropped ones.
+    /// Hashes in insertion order, for eviction; may include removed ones.
     order: VecDeque<u64>,
     engines: Engines,
     last_epoch: Epoch,
@@ -121,8 +122,8 @@
         self.entries.len()
     }
 
-    /// The longest of `hashes`, shortest first, that some engine holds for
-    /// which `usable` says yes, given that many blocks.
+    /// Returns the longest prefix in `hashes`, which are sorted shortest first, that some
+    /// engine caches and for which `usable` accepts that engine with that number of blocks.
     pub(super) fn longest_match(
         &mut self,
         hashes: &[u64],
@@ -142,7 +143,7 @@
         })?;
         let entry = self.entries.get_mut(&hashes[position])?;
         entry.used = true;
-        // Those that were dropped meanwhile go for good.
+        // Removes holders that have been dropped since.
         entry.holders.retain(|holder| is_current(engines, holder));
         Some(PrefixMatch {
             holders: &entry.holders,
@@ -150,12 +151,12 @@
         })
     }
 
-    /// Leading blocks of a prompt that `backend` holds.
+    /// Returns the number of leading blocks of a prompt that `backend` caches.
     pub(super) fn held_by(&self, backend: BackendId, hashes: &[u64]) -> usize {
         let Some(engine) = self.engines.get(&backend) else {
             return 0;
         };
-        let holds = |holder: &Holder| holder.backend == backend && engine.has(holder);
+        let holds = |holder: &Holder| holder.backend == backend && engine.is_valid(holder);
         let held = hashes.iter().rposition(|hash| {
             let entry = self.entries.get(hash);
             entry.is_some_and(|entry| entry.holders.iter().any(holds))
@@ -163,8 +164,8 @@
         held.map_or(0, |position| position + 1)
     }
 
-    /// A prompt with these prefixes was sent to `backend`.
-    pub(super) fn expect(&mut self, backend: BackendId, hashes: &[u64]) {
+    /// Records that a prompt with these prefixes was sent to `backend`.
+    pub(super) fn add_expected(&mut self, backend: BackendId, hashes: &[u64]) {
         for hash in hashes {
             self.add(*hash, backend, false);
         }
@@ -182,17 +183,17 @@
         }
     }
 
-    /// Forgets everything about an engine that left or restarted.
+    /// Removes all entries of an engine that left or restarted.
     pub(super) fn drop_engine(&mut self, backend: BackendId) {
         if self.engines.remove(&backend).is_some() {
             self.retain_holders(|holder| holder.backend != backend);
         }
     }
 
-    /// Notes an event's sequence number and deals with a gap before it.
-    /// Returns false for an event that was already applied.
+    /// Records an event's sequence number and handles a gap before it. Returns `false` for
+    /// an event that was already applied.
     fn advance(&mut self, backend: BackendId, sequence: u64) -> bool {
-        let tolerated_doubt = self.settings.tolerated_doubt;
+        let max_missed_share = self.settings.max_missed_share;
         let epoch = self.next_epoch();
         let engine = self.engine(backend);
         let Some(last) = engine.last_sequence else {
@@ -209,7 +210,7 @@
         }
         engine.expected_epoch = epoch;
         engine.missed += missed;
-        let tolerated = engine.confirmed as f64 * tolerated_doubt;
+        let tolerated = engine.confirmed as f64 * max_missed_share;
         if engine.missed as f64 > tolerated {
             engine.confirmed_epoch = epoch;
             engine.missed = 0;
@@ -249,19 +250,19 @@
             order.push_back(hash);
             Entry::default()
         });
-        let mut before = entry.holders.iter();
-        let before = before.position(|before| before.backend == backend);
-        if let Some(before) = before {
-            let known = entry.holders[before];
-            let stands = known.confirmed && is_current(&self.engines, &known);
-            if stands {
+        let mut existing = entry.holders.iter();
+        let existing = existing.position(|existing| existing.backend == backend);
+        if let Some(existing) = existing {
+            let known = entry.holders[existing];
+            let still_confirmed = known.confirmed && is_current(&self.engines, &known);
+            if still_confirmed {
                 return;
             }
-            entry.holders[before] = holder;
+            entry.holders[existing] = holder;
         } else {
-            if entry.holders.len() == self.settings.most_holders {
+            if entry.holders.len() == self.settings.max_holders {
                 let oldest = entry.holders.remove(0);
-                uncount(&mut self.engines, oldest);
+                decrement_confirmed(&mut self.engines, oldest);
             }
             entry.holders.push(holder);
         }
@@ -286,7 +287,7 @@
         if entry.holders.is_empty() {
             self.entries.remove(&hash);
         }
-        uncount(&mut self.engines, holder);
+        decrement_confirmed(&mut self.engines, holder);
     }
 
     fn retain_holders(&mut self, keep: impl Fn(&Holder) -> bool) {
@@ -298,10 +299,10 @@
         self.order.retain(|hash| entries.contains_key(hash));
     }
 
-    /// Evicts the oldest entries that were not used since they were last
-    /// passed over, until the index is within its bound.
+    /// Evicts the oldest entries that were not used since they were last spared, until the
+    /// index is within its bound.
     fn evict(&mut self) {
-        while self.entries.len() > self.settings.most_prefixes {
+        while self.entries.len() > self.settings.max_prefixes {
             let Some(hash) = self.order.pop_front() else {
                 return;
             };
@@ -316,16 +317,16 @@
             let holders = std::mem::take(&mut entry.holders);
             self.entries.remove(&hash);
             for holder in holders {
-                uncount(&mut self.engines, holder);
+                decrement_confirmed(&mut self.engines, holder);
             }
         }
         self.compact_order();
     }
 
-    /// Evictions by events leave their hashes behind in the order, twice if
-    /// they are stored again.
+    /// Removes stale hashes from the order: entries that events evicted leave their hashes
+    /// behind, and are listed twice if they are stored again.
     fn compact_order(&mut self) {
-        if self.order.len() <= 2 * self.settings.most_prefixes {
+        if self.order.len() <= 2 * self.settings.max_prefixes {
             return;
         }
         let mut seen = HashSet::with_capacity(self.entries.len());
@@ -335,10 +336,10 @@
     }
 }
 
-/// Takes a removed holder out of its engine's count.
-fn uncount(engines: &mut Engines, holder: Holder) {
+/// Subtracts a removed holder from its engine's count of confirmed entries.
+fn decrement_confirmed(engines: &mut Engines, holder: Holder) {
     if let Some(engine) = engines.get_mut(&holder.backend) {
-        let counted = holder.confirmed && engine.has(&holder);
+        let counted = holder.confirmed && engine.is_valid(&holder);
         engine.confirmed = engine.confirmed.saturating_sub(u64::from(counted));
     }
 }
--- a/crates/routing/tests/check.rs
+++ b/crates/routing/tests/check.rs
@@ -1,4 +1,5 @@
-//! Answers that are late, crossed, truncated or doubled.
+//! Tests the checks against answers that are crossed between attempts, truncated,
+//! duplicated or out of order.
 
 use molespan_engine_api::{CompletionChunk, FinishReason};
 use molespan_routing::retry::{ResponseError, StreamCheck, check_attempt, check_length};
@@ -31,8 +32,8 @@
         .collect()
 }
 
-/// Chunks that may be passed on, and how the stream ended.
-fn follow(
+/// Returns the number of chunks that may be passed on, and how the stream ended.
+fn check_stream(
     chunks: &[CompletionChunk],
     from: u32,
     terminated: bool,
@@ -50,7 +51,7 @@
 }
 
 #[test]
-fn attempts_and_lengths() {
+fn attempt_and_length_are_checked() {
     let own = OWN.to_string();
     let other = OTHER.to_string();
     assert_eq!(check_attempt(OWN, Some(&own)), Ok(()));
@@ -59,7 +60,7 @@
         echoed: other.clone(),
     };
     assert_eq!(check_attempt(OWN, Some(&other)), Err(crossed));
-    // A longer text that begins with the attempt is another attempt.
+    // A longer string that starts with the attempt names another attempt.
     assert!(check_attempt(OWN, Some(&format!("{own}0"))).is_err());
 
     let wrong = |declared, received| Err(ResponseError::WrongLength { declared, received });
@@ -77,28 +78,34 @@
 }
 
 #[test]
-fn streams_and_their_faults() {
+fn faulty_streams_are_rejected() {
     let whole = answer(4, 0);
     let without = |position: usize| {
         let mut chunks = whole.clone();
         chunks.remove(position);
         chunks
     };
-    let doubled = [&whole[..2], &whole[1..]].concat();
+    let duplicated = [&whole[..2], &whole[1..]].concat();
     let after_end = [&whole[..], &whole[3..]].concat();
     let crossed = [&whole[..2], &[chunk(OTHER, 2, false)]].concat();
     let gap = |expected, offset| ResponseError::WrongOffset { expected, offset };
     let no_end = |tokens| ResponseError::NoEnd { tokens };
     let cases = [
-        ("first lost", without(0), true, 0, gap(0, 1)),
-        ("one lost", without(2), true, 2, gap(2, 3)),
-        ("last lost", without(3), true, 3, no_end(3)),
+        ("first chunk lost", without(0), true, 0, gap(0, 1)),
+        ("middle chunk lost", without(2), true, 2, gap(2, 3)),
+        ("last chunk lost", without(3), true, 3, no_end(3)),
         ("cut off", whole[..2].to_vec(), false, 2, no_end(2)),
         ("end not marked", whole.clone(), false, 4, no_end(4)),
-        ("doubled", doubled, true, 2, gap(2, 1)),
-        ("goes on", after_end, true, 4, ResponseError::AfterEnd),
+        ("duplicated chunk", duplicated, true, 2, gap(2, 1)),
         (
-            "crossed",
+            "goes on after the end",
+            after_end,
+            true,
+            4,
+            ResponseError::AfterEnd,
+        ),
+        (
+            "chunk of another attempt",
             crossed,
             true,
             2,
@@ -106,17 +113,17 @@
                 echoed: OTHER.to_string(),
             },
         ),
-        ("nothing", Vec::new(), true, 0, no_end(0)),
+        ("no chunks", Vec::new(), true, 0, no_end(0)),
     ];
     for (name, chunks, terminated, passed, error) in cases {
         let expected = (passed, Err(error));
-        assert_eq!(follow(&chunks, 0, terminated), expected, "{name}");
+        assert_eq!(check_stream(&chunks, 0, terminated), expected, "{name}");
     }
-    assert_eq!(follow(&whole, 0, true), (4, Ok(())));
+    assert_eq!(check_stream(&whole, 0, true), (4, Ok(())));
 }
 
 #[test]
-fn a_resumed_stream_starts_where_it_was_left() {
+fn resumed_stream_starts_at_offset() {
     let mut check = StreamCheck::new(OWN, 2);
     assert!(check.chunk(&chunk(OWN, 1, false)).is_err());
     assert!(check.chunk(&chunk(OWN, 2, false)).is_ok());
@@ -130,24 +137,24 @@
     assert_eq!(check.end(), Ok(()));
 }
 
-/// What goes wrong with a stream on its way.
+/// Fault of a stream in transit.
 #[derive(Clone, Debug)]
 enum Fault {
     Drop(usize),
-    Double(usize),
+    Duplicate(usize),
     Swap(usize),
-    Cross(usize),
-    Cut(usize),
+    ReplaceAttempt(usize),
+    Truncate(usize),
 }
 
 fn fault() -> impl Strategy<Value = Fault> {
     let position = 0_usize..16;
     prop_oneof![
         position.clone().prop_map(Fault::Drop),
-        position.clone().prop_map(Fault::Double),
+        position.clone().prop_map(Fault::Duplicate),
         position.clone().prop_map(Fault::Swap),
-        position.clone().prop_map(Fault::Cross),
-        position.prop_map(Fault::Cut),
+        position.clone().prop_map(Fault::ReplaceAttempt),
+        position.prop_map(Fault::Truncate),
     ]
 }
 
@@ -158,12 +165,12 @@
     }
     match fault {
         Fault::Drop(position) => drop(chunks.remove(position % length)),
-        Fault::Double(position) => {
+        Fault::Duplicate(position) => {
             chunks.insert(position % length, chunks[position % length].clone())
         }
         Fault::Swap(position) => chunks.swap(position % length, (position + 1) % length),
-        Fault::Cross(position) => chunks[position % length].id = OTHER.to_string(),
-        Fault::Cut(position) => chunks.truncate(position % length),
+        Fault::ReplaceAttempt(position) => chunks[position % length].id = OTHER.to_string(),
+        Fault::Truncate(position) => chunks.truncate(position % length),
     }
 }
 
@@ -175,25 +182,25 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever happens on the way, what is passed on is a prefix of the
-    /// answer, and only the whole answer counts as whole.
+    /// Whatever faults occur in transit, the chunks passed on are a prefix of the answer,
+    /// and only the complete answer is accepted as complete.
     #[test]
-    fn only_the_own_answer_is_passed_on(
+    fn only_prefix_of_own_answer_is_passed_on(
         tokens in 1_u32..12,
         skipped in 0_u32..12,
         faults in prop::collection::vec(fault(), 0..3),
         terminated: bool,
     ) {
         let from = skipped.min(tokens - 1);
-        let truth = answer(tokens, from);
-        let mut chunks = truth.clone();
+        let original = answer(tokens, from);
+        let mut chunks = original.clone();
         for fault in &faults {
             apply(&mut chunks, fault);
         }
-        let (passed, end) = follow(&chunks, from, terminated);
-        prop_assert!(passed <= truth.len());
-        prop_assert_eq!(&chunks[..passed], &truth[..passed]);
-        let whole = chunks == truth && terminated;
+        let (passed, end) = check_stream(&chunks, from, terminated);
+        prop_assert!(passed <= original.len());
+        prop_assert_eq!(&chunks[..passed], &original[..passed]);
+        let whole = chunks == original && terminated;
         prop_assert_eq!(end.is_ok(), whole);
     }
 }
--- a/crates/routing/tests/many_gateways/mod.rs
+++ b/crates/routing/tests/many_gateways/mod.rs
@@ -1,4 +1,4 @@
-//! A service before many gateways, without a network: engines with slots and a
+//! Simulation of a service with many gateways, without a network: engines with slots and a
 //! queue, gateways that choose by their tables, and relays between them.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
@@ -15,43 +15,45 @@
 use rand_chacha::ChaCha8Rng;
 
 const SERVICE: &str = "s";
-/// Requests that an engine queues before it turns one away.
-const QUEUED: usize = 24;
+/// Requests that an engine queues before it rejects one.
+const MAX_QUEUED: usize = 24;
 /// Longest time for which a request holds a slot, as a multiple of the mean.
 const LONGEST_WORK: f64 = 7.3;
-/// Mean of it with the few that take several times as long, as a part of that time.
+/// Mean slot time including the few requests that take several times as long, as a multiple
+/// of the nominal mean.
 pub const MEAN_WORK: f64 = 1.04;
-/// Target of requests, and the part of it by which an engine has to begin.
+/// Latency target of requests, and the part of it within which an engine must start them.
 const TARGET_MS: u64 = 300;
-const BEGINS_BY_MS: u64 = 240;
+const START_WITHIN_MS: u64 = 240;
 /// How long callers wait, and the part of it after which a late request is refused.
-const PATIENCE_MS: u64 = 1_500;
-const WAITS_MS: u64 = 1_050;
-/// Silence after which a request goes elsewhere.
-const SILENCE_MS: u64 = 450;
-/// Way between a gateway and an engine, or a relay.
-const WAY_MS: u64 = 1;
-/// Time between two looks for an engine, in time and late.
-const LOOK_MS: u64 = 8;
-const LATE_LOOK_MS: u64 = 20;
-/// Time between two tellings of a gateway, and two rounds of a relay.
-const TELLING_MS: u64 = 50;
+const CALLER_TIMEOUT_MS: u64 = 1_500;
+const MAX_WAIT_MS: u64 = 1_050;
+/// Time without a response after which a request is sent elsewhere.
+const RESPONSE_TIMEOUT_MS: u64 = 450;
+/// Network latency between a gateway and an engine or a relay.
+const LATENCY_MS: u64 = 1;
+/// Time between two attempts to find an engine, in time and late.
+const RETRY_MS: u64 = 8;
+const LATE_RETRY_MS: u64 = 20;
+/// Time between two reports of a gateway, and two rounds of a relay.
+const REPORT_MS: u64 = 50;
 const RELAYS: usize = 3;
-/// Steps of the load: a peak of so many times the mean, and when it begins in a period.
+/// Load steps: factors of the mean in peaks and lulls, the period, and when the peak begins
+/// in it.
 const PEAK: f64 = 1.87;
 const LULL: f64 = 0.383;
 const PERIOD_MS: u64 = 5_800;
 const PEAK_FROM_MS: u64 = 3_400;
-const TELLER: NodeId = NodeId(9_999);
+const CONTROL: NodeId = NodeId(9_999);
 
-/// What an engine does out of the ordinary, from `from_ms` on.
+/// Fault of an engine.
 #[derive(Clone, Copy, Debug)]
-pub enum Trouble {
-    /// It works so many times slower.
+pub enum Fault {
+    /// The engine works slower by this factor.
     Slow(f64),
-    /// It takes requests and says nothing.
-    Dark,
-    /// It leaves, and the gateways hear of it.
+    /// The engine accepts requests and never responds.
+    Unresponsive,
+    /// The engine leaves, and the gateways are informed.
     Gone,
 }
 
@@ -59,14 +61,14 @@
 #[derive(Clone, Debug)]
 pub struct Engines {
     count: usize,
-    /// Requests that each works on.
+    /// Requests that each runs concurrently.
     pub slots: usize,
     /// Mean time for which a request holds a slot, in milliseconds.
     pub work_ms: f64,
-    /// Whether an answer begins as soon as a slot is had, and not as it ends.
+    /// Whether an answer begins when a slot is assigned, rather than when it ends.
     pub streams: bool,
-    /// What the first one does, and when it begins.
-    pub trouble: Option<(u64, Trouble)>,
+    /// When the first engine becomes faulty, in milliseconds, and its fault.
+    pub fault: Option<(u64, Fault)>,
 }
 
 impl Engines {
@@ -76,56 +78,57 @@
             slots,
             work_ms,
             streams: false,
-            trouble: None,
+            fault: None,
         }
     }
 }
 
-/// What is asked of the service.
+/// Load on the service.
 #[derive(Clone, Debug)]
 pub struct Load {
     pub gateways: usize,
     pub engines: Engines,
-    /// Mean part of all slots that requests want.
+    /// Mean share of all slots that requests want.
     pub demand: f64,
-    /// Whether they come in steps.
+    /// Whether the load changes in steps.
     pub peaks: bool,
-    /// Whether gateways tell what they want.
-    pub demand_told: bool,
+    /// Whether gateways report their demand.
+    pub demand_reported: bool,
 }
 
-/// What callers and engines saw.
+/// Results as seen by callers and engines.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct Results {
     pub asked: u64,
     pub in_time: u64,
     pub late: u64,
     pub refused: u64,
-    /// Requests that may have run and had no answer.
+    /// Requests that may have run and got no answer.
     pub lost: u64,
-    /// Arrivals at engines, and those turned away.
+    /// Arrivals at engines, and those rejected.
     pub arrivals: u64,
-    pub turned_away: u64,
-    /// Mean time of requests in time, in milliseconds, summed.
+    pub rejected: u64,
+    /// Total time of requests in time, in milliseconds.
     in_time_ms: u64,
     /// Requests and those in time, by gateway.
     pub by_gateway: Vec<(u64, u64)>,
 }
 
-impl Seen {
+impl Results {
     pub fn share_in_time(&self) -> f64 {
         self.in_time as f64 / self.asked.max(1) as f64
     }
 
-    pub fn share_turned_away(&self) -> f64 {
-        self.turned_away as f64 / self.arrivals.max(1) as f64
+    pub fn share_rejected(&self) -> f64 {
+        self.rejected as f64 / self.arrivals.max(1) as f64
     }
 
     pub fn share_lost(&self) -> f64 {
         self.lost as f64 / self.asked.max(1) as f64
     }
 
-    /// Share in time of the callers of each zone; gateway `g` stands in zone `g % 3`.
+    /// Returns the share in time for the callers of each zone; gateway `g` is in zone `g %
+    /// 3`.
     pub fn by_zone(&self) -> [f64; 3] {
         [0, 1, 2].map(|zone| {
             let of_zone = self.by_gateway.iter().skip(zone).step_by(3);
@@ -134,7 +137,7 @@
         })
     }
 
-    /// Share in time at the tenth of gateways that fares worst.
+    /// Returns the share in time at the worst tenth of gateways.
     pub fn worst_gateways(&self) -> f64 {
         let asked = self.by_gateway.iter().filter(|(asked, _)| *asked > 0);
         let shares = asked.map(|&(asked, in_time)| in_time as f64 / asked as f64);
@@ -144,7 +147,7 @@
         shares[..worst].iter().sum::<f64>() / worst as f64
     }
 
-    pub fn line(&self) -> String {
+    pub fn summary(&self) -> String {
         let asked = self.asked.max(1) as f64;
         format!(
             "asked {} in time {:.3} late {:.3} refused {:.3} lost {:.3}; arrivals {} turned away \
@@ -155,7 +158,7 @@
             self.refused as f64 / asked,
             self.lost as f64 / asked,
             self.arrivals,
-            self.share_turned_away(),
+            self.share_rejected(),
             self.in_time_ms as f64 / self.in_time.max(1) as f64,
         )
     }
@@ -167,9 +170,9 @@
 struct Request {
     gateway: usize,
     arrived: u64,
-    next_look: u64,
+    next_try: u64,
     tried: BTreeSet<String>,
-    /// Where it is, and since when.
+    /// Engine that the request is at, and since when.
     at: Option<(usize, u64)>,
     attempt: u32,
     runs: u32,
@@ -179,12 +182,12 @@
 
 #[derive(Clone, Debug, Default)]
 struct Engine {
-    /// Requests that run, with the attempt, and when they end.
+    /// Running requests: when they end, with the attempt.
     running: Vec<(u64, Id, u32)>,
     queue: VecDeque<(Id, u32)>,
 }
 
-/// What is on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 enum Message {
     ToEngine(usize, Id, u32),
@@ -192,7 +195,7 @@
     Answer(usize, Id, u32, bool, EngineLoad),
 }
 
-pub struct Play {
+pub struct Simulation {
     load: Load,
     now: u64,
     tables: Vec<EngineTable>,
@@ -205,7 +208,7 @@
     late: Vec<VecDeque<Id>>,
     engines: Vec<Engine>,
     messages: BTreeMap<u64, Vec<Message>>,
-    seen: Seen,
+    results: Results,
     random: ChaCha8Rng,
 }
 
@@ -217,7 +220,7 @@
     format!("e{engine}")
 }
 
-impl Play {
+impl Simulation {
     pub fn new(load: Load, seed: u64) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let table = |gateway: usize| {
@@ -232,12 +235,12 @@
                     zone: format!("z{}", engine % 3).as_str().into(),
                     slots: load.engines.slots as u32,
                 };
-                table.learn(TELLER, facts, at(0));
+                table.learn(CONTROL, facts, at(0));
             }
             table
         };
         let tables = (0..load.gateways).map(table).collect();
-        // Callers are uneven, and those of one zone are more.
+        // Callers are unevenly distributed, and one zone has more.
         let weights: Vec<f64> = (0..load.gateways)
             .map(|gateway| {
                 let zone = if gateway % 3 == 2 { 1.4 } else { 1.0 };
@@ -256,30 +259,31 @@
             late: vec![VecDeque::new(); load.gateways],
             engines: vec![Engine::default(); load.engines.count],
             messages: BTreeMap::new(),
-            seen: Seen {
+            results: Results {
                 by_gateway: vec![(0, 0); load.gateways],
-                ..Seen::default()
+                ..Results::default()
             },
             load,
             random,
         }
     }
 
-    /// Plays so many milliseconds, and then lets what is there end.
-    pub fn run(mut self, for_ms: u64) -> Seen {
-        while self.now < for_ms + PATIENCE_MS {
+    /// Runs for `for_ms` milliseconds, and then until all callers have an answer or gave
+    /// up.
+    pub fn run(mut self, for_ms: u64) -> Results {
+        while self.now < for_ms + CALLER_TIMEOUT_MS {
             self.now += 1;
             if self.now < for_ms {
                 self.arrive();
             }
-            self.trouble();
+            self.apply_fault();
             self.deliver();
             self.serve();
             self.exchange();
             self.time_out();
-            self.look();
+            self.try_waiting();
         }
-        self.seen
+        self.results
     }
 
     fn arrive(&mut self) {
@@ -299,15 +303,15 @@
                 let request = Request {
                     gateway,
                     arrived: self.now,
-                    next_look: self.now,
+                    next_try: self.now,
                     tried: BTreeSet::new(),
                     at: None,
                     attempt: 0,
                     runs: 0,
                     began: None,
                 };
-                self.seen.asked += 1;
-                self.seen.by_gateway[gateway].0 += 1;
+                self.results.asked += 1;
+                self.results.by_gateway[gateway].0 += 1;
                 self.requests.insert(self.next, request);
                 self.tables[gateway].asked(SERVICE, at(self.now));
                 self.tables[gateway].begins_to_wait(SERVICE);
@@ -317,8 +321,8 @@
         }
     }
 
-    fn trouble(&mut self) {
-        if let Some((from, Trouble::Gone)) = self.load.engines.trouble
+    fn apply_fault(&mut self) {
+        if let Some((from, Fault::Gone)) = self.load.engines.fault
             && self.now == from
         {
             for table in &mut self.tables {
@@ -328,20 +332,20 @@
     }
 
     fn slowness(&self, engine: usize) -> f64 {
-        match self.load.engines.trouble {
-            Some((from, Trouble::Slow(by))) if engine == 0 && self.now >= from => by,
+        match self.load.engines.fault {
+            Some((from, Fault::Slow(by))) if engine == 0 && self.now >= from => by,
             _ => 1.0,
         }
     }
 
-    fn is_dark(&self, engine: usize) -> bool {
-        let trouble = self.load.engines.trouble;
-        matches!(trouble, Some((from, Trouble::Dark)) if engine == 0 && self.now >= from)
+    fn is_unresponsive(&self, engine: usize) -> bool {
+        let fault = self.load.engines.fault;
+        matches!(fault, Some((from, Fault::Unresponsive)) if engine == 0 && self.now >= from)
     }
 
     fn send(&mut self, message: Message) {
         self.messages
-            .entry(self.now + WAY_MS)
+            .entry(self.now + LATENCY_MS)
             .or_default()
             .push(message);
     }
@@ -359,20 +363,20 @@
     }
 
     fn at_engine(&mut self, engine: usize, id: Id, attempt: u32) {
-        self.seen.arrivals += 1;
-        if self.is_dark(engine) {
+        self.results.arrivals += 1;
+        if self.is_unresponsive(engine) {
             return;
         }
-        if self.engines[engine].queue.len() >= QUEUED {
-            self.seen.turned_away += 1;
-            let load = self.told_load(engine);
+        if self.engines[engine].queue.len() >= MAX_QUEUED {
+            self.results.rejected += 1;
+            let load = self.load_report(engine);
             self.send(Message::Answer(engine, id, attempt, false, load));
             return;
         }
         self.engines[engine].queue.push_back((id, attempt));
     }
 
-    fn told_load(&self, engine: usize) -> EngineLoad {
+    fn load_report(&self, engine: usize) -> EngineLoad {
         EngineLoad {
             running: self.engines[engine].running.len() as u32,
             waiting: self.engines[engine].queue.len() as u32,
@@ -381,7 +385,8 @@
         }
     }
 
-    /// Work of a request: most take about the mean, a few several times as much.
+    /// Returns the slot time of a request in milliseconds: most take about the mean, a few
+    /// several times as much.
     fn work_ms(&mut self) -> f64 {
         let normal: f64 = (0..12).map(|_| self.random.random::<f64>()).sum::<f64>() - 6.0;
         let mean = self.load.engines.work_ms;
@@ -395,7 +400,7 @@
 
     fn serve(&mut self) {
         for engine in 0..self.engines.len() {
-            if self.is_dark(engine) {
+            if self.is_unresponsive(engine) {
                 continue;
             }
             let now = self.now;
@@ -404,14 +409,14 @@
             self.engines[engine].running = running;
             let ended: Vec<(u64, Id, u32)> = ended;
             for (_, id, attempt) in ended {
-                let load = self.told_load(engine);
+                let load = self.load_report(engine);
                 self.send(Message::Answer(engine, id, attempt, true, load));
             }
             while self.engines[engine].running.len() < self.load.engines.slots {
                 let Some((id, attempt)) = self.engines[engine].queue.pop_front() else {
                     break;
                 };
-                // A caller or a gateway that left ends its request.
+                // A caller or a gateway that gave up has ended its request.
                 let held = self.requests.get(&id);
                 if held.is_none_or(|request| request.attempt != attempt) {
                     continue;
@@ -427,7 +432,7 @@
         }
     }
 
-    fn leave(&mut self, id: Id) -> Option<(usize, u64)> {
+    fn end_attempt(&mut self, id: Id) -> Option<(usize, u64)> {
         let request = self.requests.get_mut(&id)?;
         let (engine, since) = request.at.take()?;
         request.attempt += 1;
@@ -447,15 +452,15 @@
         }
     }
 
-    /// A request is answered, at this age.
+    /// Records an answered request of this age in milliseconds.
     fn count(&mut self, gateway: usize, age: u64) {
         match age <= TARGET_MS {
             true => {
-                self.seen.in_time += 1;
-                self.seen.in_time_ms += age;
-                self.seen.by_gateway[gateway].1 += 1;
+                self.results.in_time += 1;
+                self.results.in_time_ms += age;
+                self.results.by_gateway[gateway].1 += 1;
             }
-            false => self.seen.late += 1,
+            false => self.results.late += 1,
         }
     }
 
@@ -474,34 +479,34 @@
         table.report(&name(engine), load, now);
         if !ran {
             table.failed(&name(engine), Failure::Full, now);
-            self.leave(id);
-            self.wait_again(id);
+            self.end_attempt(id);
+            self.requeue(id);
             return;
         }
         table.answered(&name(engine), false, now);
         table.succeeded(&name(engine), now);
-        self.leave(id);
+        self.end_attempt(id);
         let table = &mut self.tables[gateway];
         table.freed(&name(engine), now);
         let held = request_began.map_or(0, |began| self.now - began);
         table.note_slot_time(SERVICE, Duration::from_millis(held));
         let took = Duration::from_millis(self.now - since);
         table.note_time_at(&name(engine), took, now);
-        let request = self.requests.remove(&id).expect("it is there");
+        let request = self.requests.remove(&id).expect("the request exists");
         if request.began.is_none() {
             self.count(gateway, self.now - request.arrived);
         }
     }
 
-    /// A request looks again: at once, in the standing that its age gives it.
-    fn wait_again(&mut self, id: Id) {
-        let request = self.requests.get_mut(&id).expect("it is there");
-        request.next_look = self.now;
+    /// Lets a request retry at once, in time or late by its age.
+    fn requeue(&mut self, id: Id) {
+        let request = self.requests.get_mut(&id).expect("the request exists");
+        request.next_try = self.now;
         let gateway = request.gateway;
-        if self.now - request.arrived < BEGINS_BY_MS {
+        if self.now - request.arrived < START_WITHIN_MS {
             self.tables[gateway].begins_to_wait(SERVICE);
         }
-        match self.now - request.arrived < BEGINS_BY_MS {
+        match self.now - request.arrived < START_WITHIN_MS {
             true => self.in_time[gateway].push(id),
             false => self.late[gateway].push_back(id),
         }
@@ -510,18 +515,18 @@
     fn exchange(&mut self) {
         let now = at(self.now);
         for gateway in 0..self.tables.len() {
-            if (self.now + gateway as u64 * 7).is_multiple_of(TELLING_MS) {
+            if (self.now + gateway as u64 * 7).is_multiple_of(REPORT_MS) {
                 let shares = self.tables[gateway].shares(now);
                 let from = NodeId(gateway as u32);
                 self.relays[gateway % RELAYS].note(from, Teller::Gateway, shares, now);
-                if self.load.demand_told {
+                if self.load.demand_reported {
                     let demands = self.tables[gateway].demands(now);
                     self.demand_relays[gateway % RELAYS].note(from, Teller::Gateway, demands, now);
                 }
             }
         }
         for relay in 0..RELAYS {
-            if !(self.now + relay as u64 * 17).is_multiple_of(TELLING_MS) {
+            if !(self.now + relay as u64 * 17).is_multiple_of(REPORT_MS) {
                 continue;
             }
             let from = NodeId(1_000 + relay as u32);
@@ -550,20 +555,20 @@
         }
     }
 
-    /// Ends what is over, and what an engine was silent on for too long.
+    /// Ends requests whose caller has given up, and attempts that time out.
     fn time_out(&mut self) {
         let now = self.now;
         let over = self.requests.iter().filter(|(_, request)| {
             let silent = request
                 .at
-                .is_some_and(|(_, since)| now - since >= SILENCE_MS);
-            let over = now - request.arrived >= PATIENCE_MS;
+                .is_some_and(|(_, since)| now - since >= RESPONSE_TIMEOUT_MS);
+            let over = now - request.arrived >= CALLER_TIMEOUT_MS;
             request.began.is_none() && (over || silent)
         });
         let over: Vec<Id> = over.map(|(&id, _)| id).collect();
         for id in over {
-            let left = self.leave(id);
-            let request = self.requests.get_mut(&id).expect("it is there");
+            let left = self.end_attempt(id);
+            let request = self.requests.get_mut(&id).expect("the request exists");
             let gateway = request.gateway;
             if let Some((engine, _)) = left {
                 request.runs += 1;
@@ -571,75 +576,75 @@
                 let table = &mut self.tables[gateway];
                 table.failed(&name(engine), Failure::Silent, at(now));
             }
-            if now - request.arrived < PATIENCE_MS && request.runs < 3 {
-                self.wait_again(id);
+            if now - request.arrived < CALLER_TIMEOUT_MS && request.runs < 3 {
+                self.requeue(id);
                 continue;
             }
-            if left.is_none() && now - self.requests[&id].arrived < BEGINS_BY_MS {
+            if left.is_none() && now - self.requests[&id].arrived < START_WITHIN_MS {
                 self.tables[gateway].ends_to_wait(SERVICE);
             }
             self.in_time[gateway].retain(|one| *one != id);
             self.late[gateway].retain(|one| *one != id);
-            let request = self.requests.remove(&id).expect("it is there");
+            let request = self.requests.remove(&id).expect("the request exists");
             match request.runs {
-                0 => self.seen.refused += 1,
-                _ => self.seen.lost += 1,
+                0 => self.results.refused += 1,
+                _ => self.results.lost += 1,
             }
         }
     }
 
-    /// Requests that wait at gateways look for an engine.
-    fn look(&mut self) {
+    /// Lets waiting requests try to find an engine.
+    fn try_waiting(&mut self) {
         for gateway in 0..self.load.gateways {
             for id in std::mem::take(&mut self.in_time[gateway]) {
                 let request = &self.requests[&id];
                 let age = self.now - request.arrived;
-                if age >= BEGINS_BY_MS {
+                if age >= START_WITHIN_MS {
                     self.tables[gateway].ends_to_wait(SERVICE);
                     self.late[gateway].push_back(id);
                     continue;
                 }
-                if request.next_look > self.now {
+                if request.next_try > self.now {
                     self.in_time[gateway].push(id);
                     continue;
                 }
-                let left = Duration::from_millis(BEGINS_BY_MS - age);
+                let left = Duration::from_millis(START_WITHIN_MS - age);
                 if !self.start(id, Standing::InTime { left }) {
-                    let request = self.requests.get_mut(&id).expect("it is there");
-                    request.next_look = self.now + LOOK_MS;
+                    let request = self.requests.get_mut(&id).expect("the request exists");
+                    request.next_try = self.now + RETRY_MS;
                     self.in_time[gateway].push(id);
                 }
             }
-            self.look_late(gateway);
+            self.try_late(gateway);
         }
     }
 
-    /// Of the late requests of a gateway the oldest one looks.
-    fn look_late(&mut self, gateway: usize) {
+    /// Lets the oldest late request of a gateway try.
+    fn try_late(&mut self, gateway: usize) {
         let now = self.now;
         let (over, waiting): (VecDeque<Id>, VecDeque<Id>) = std::mem::take(&mut self.late[gateway])
             .into_iter()
-            .partition(|id| now - self.requests[id].arrived >= WAITS_MS);
+            .partition(|id| now - self.requests[id].arrived >= MAX_WAIT_MS);
         self.late[gateway] = waiting;
         for id in over {
-            let request = self.requests.remove(&id).expect("it is there");
+            let request = self.requests.remove(&id).expect("the request exists");
             match request.runs {
-                0 => self.seen.refused += 1,
-                _ => self.seen.lost += 1,
+                0 => self.results.refused += 1,
+                _ => self.results.lost += 1,
             }
         }
         let oldest = self.late[gateway].iter().copied();
         let Some(id) = oldest.min_by_key(|id| self.requests[id].arrived) else {
             return;
         };
-        if self.requests[&id].next_look > now {
+        if self.requests[&id].next_try > now {
             return;
         }
         if self.start(id, Standing::Late) {
             self.late[gateway].retain(|one| *one != id);
         } else {
-            let request = self.requests.get_mut(&id).expect("it is there");
-            request.next_look = now + LATE_LOOK_MS;
+            let request = self.requests.get_mut(&id).expect("the request exists");
+            request.next_try = now + LATE_RETRY_MS;
         }
     }
 
@@ -670,7 +675,7 @@
             false => table.started(&facts.id, WorkClass::Online, 0, now),
         }
         let engine: usize = facts.id[1..].parse().expect("a number");
-        let request = self.requests.get_mut(&id).expect("it is there");
+        let request = self.requests.get_mut(&id).expect("the request exists");
         request.at = Some((engine, self.now));
         let attempt = request.attempt;
         self.send(Message::ToEngine(engine, id, attempt));
--- a/crates/routing/tests/pace/fleet.rs
+++ b/crates/routing/tests/pace/fleet.rs
@@ -1,4 +1,5 @@
-//! Gateways before engines of uneven pace, in virtual time and without a network.
+//! Simulation of gateways and engines of uneven pace, in virtual time and without a
+//! network.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
@@ -22,68 +23,69 @@
 const SECOND: Time = 1_000 * MS;
 /// Usual time between two events.
 const STEP: Time = 50 * MS;
-/// Time until the first event where a slot is free.
+/// Time until the first event if a slot is free.
 const FIRST: Time = 6 * MS;
-/// Time that a request may wait until an engine begins with it.
-const BEGINS_WITHIN: Time = 240 * MS;
+/// Time within which an engine must start a request.
+const START_WITHIN: Time = 240 * MS;
 const TARGET: Time = 300 * MS;
 /// Longest wait of a late request.
 const PATIENCE: Time = 3_500 * MS;
-/// Longest pause between events in time.
+/// Longest pause between events of an answer that counts as in time.
 const PAUSE: Time = 400 * MS;
-/// Time between two tellings, which take effect as long behind.
-const TELLS: Time = 50 * MS;
-/// Time between two looks of a request, and of one in its turn.
-const LOOKS: Time = 8 * MS;
-const TURN_LOOKS: Time = 20 * MS;
-/// Length of the spans in which an engine's pace is drawn.
+/// Time between two reports, which take effect after the same time again.
+const REPORT_INTERVAL: Time = 50 * MS;
+/// Time between two attempts to find an engine, of a request in time and of the oldest late
+/// one.
+const RETRY_INTERVAL: Time = 8 * MS;
+const LATE_RETRY_INTERVAL: Time = 20 * MS;
+/// Length of the spans for which an engine's pace is drawn.
 const SPAN: Time = 600 * MS;
 
-/// What gateways go by.
+/// Sources of pace that gateways use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sources {
-    /// What engines tell.
-    pub told: bool,
-    /// Time between events as measured.
+    /// Paces that engines report.
+    pub reported: bool,
+    /// Measured time between events.
     pub measured: bool,
 }
 
-/// A part of the engines that is slow for a while.
+/// Some engines that are slow for a while.
 #[derive(Clone, Copy, Debug)]
 pub struct Slow {
-    /// The first so many engines.
+    /// Number of slow engines, from the first one.
     pub engines: usize,
     pub by: f64,
     pub from: Time,
     pub until: Time,
 }
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Clone, Copy, Debug)]
-pub struct Play {
+pub struct SimulationConfig {
     pub gateways: usize,
     pub engines: usize,
     pub sources: Sources,
-    /// Slots that online requests want in a peak and in a lull, as a share of all.
+    /// Slots that online requests need in a peak and in a lull, as a share of all.
     pub peak: f64,
     pub lull: f64,
-    /// Paces of engines by turns.
+    /// Paces that are assigned to the engines in turn.
     pub speeds: [f64; 3],
-    /// Share of the spans in which an engine is slower, and by how much.
+    /// Share of the spans in which an engine is slower, and by what factor.
     pub noise: (f64, f64),
     pub slow: Option<Slow>,
-    /// Whether engines tell the pace of a slow one.
-    pub tells_slow: bool,
+    /// Whether the pace that engines report includes the slowdown in `slow`.
+    pub reports_slowdown: bool,
     pub batch: bool,
     pub ends: Time,
     pub seed: u64,
 }
 
-/// What came of it.
+/// Outcome of a simulation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Outcome {
     pub arrived: u32,
-    /// Answers that came to their end.
+    /// Completed answers.
     pub ended: u32,
     pub in_time: u32,
     /// Answers with a pause that was too long.
@@ -94,20 +96,20 @@
     pub online_events: u64,
     pub batch_events: u64,
     pub cuts: u32,
-    /// Online requests that slow engines began with while they were slow.
+    /// Online requests that slow engines started while they were slow.
     pub began_slow: u32,
-    /// Times behind the begin of the slow time.
+    /// Start times of those requests, since the slow period began.
     pub slow_starts: Vec<Time>,
-    /// Online requests that those engines began with in the second behind.
-    pub began_behind: u32,
+    /// Online requests that those engines started in the second after it.
+    pub began_after: u32,
 }
 
 impl Outcome {
-    pub fn good(&self) -> f64 {
+    pub fn share_in_time(&self) -> f64 {
         f64::from(self.in_time) / f64::from(self.arrived)
     }
 
-    /// Seconds of a slot for an event.
+    /// Returns the slot seconds per event.
     pub fn slot_seconds(&self) -> f64 {
         self.held / self.online_events as f64
     }
@@ -115,12 +117,12 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrives,
-    Looks(usize),
-    Emits(usize),
-    Tells,
-    Heard,
-    BatchLooks(usize),
+    Arrival,
+    TryStart(usize),
+    Emit(usize),
+    SendReports,
+    ReceiveReports,
+    StartBatch(usize),
 }
 
 #[derive(Clone, Debug)]
@@ -141,13 +143,13 @@
 struct Engine {
     running: Vec<usize>,
     queue: VecDeque<usize>,
-    /// Paces that it will tell.
+    /// The engine's own pace.
     speed: f64,
     spans: Vec<f64>,
 }
 
 pub struct Fleet {
-    play: Play,
+    config: SimulationConfig,
     tables: Vec<EngineTable>,
     engines: Vec<Engine>,
     requests: Vec<Request>,
@@ -155,11 +157,11 @@
     /// Batch runs of each gateway at each engine.
     runs: BTreeMap<(usize, usize), Vec<usize>>,
     relay: WorkRelay,
-    on_way: Vec<(usize, Vec<WorkShare>)>,
+    in_transit: Vec<(usize, Vec<WorkShare>)>,
     due: BinaryHeap<Reverse<(Time, u64, Event)>>,
     number: u64,
     random: ChaCha8Rng,
-    /// Draws online requests, the same ones whatever is decided.
+    /// Draws online requests; separate, so that they are the same whatever is decided.
     arrivals: ChaCha8Rng,
     pub outcome: Outcome,
 }
@@ -177,25 +179,25 @@
 }
 
 impl Fleet {
-    pub fn new(play: Play) -> Self {
-        let mut random = ChaCha8Rng::seed_from_u64(play.seed);
-        let spans = (play.ends / SPAN + 10) as usize;
-        let engines = (0..play.engines).map(|engine| Engine {
-            speed: play.speeds[engine % 3],
+    pub fn new(config: SimulationConfig) -> Self {
+        let mut random = ChaCha8Rng::seed_from_u64(config.seed);
+        let spans = (config.ends / SPAN + 10) as usize;
+        let engines = (0..config.engines).map(|engine| Engine {
+            speed: config.speeds[engine % 3],
             spans: (0..spans)
-                .map(|_| match random.random_bool(play.noise.0) {
-                    true => play.noise.1,
+                .map(|_| match random.random_bool(config.noise.0) {
+                    true => config.noise.1,
                     false => 1.0,
                 })
                 .collect(),
             ..Engine::default()
         });
         let engines = engines.collect();
-        let tables = (0..play.gateways).map(|gateway| {
+        let tables = (0..config.gateways).map(|gateway| {
             let zone = format!("z{}", gateway % 3);
-            let mut table = EngineTable::new(zone.as_str().into(), play.seed + gateway as u64);
-            for engine in 0..play.engines {
-                let zone = format!("z{}", engine * 3 / play.engines);
+            let mut table = EngineTable::new(zone.as_str().into(), config.seed + gateway as u64);
+            for engine in 0..config.engines {
+                let zone = format!("z{}", engine * 3 / config.engines);
                 let facts = EngineFacts {
                     id: id(engine),
                     service: SERVICE.to_owned(),
@@ -205,29 +207,29 @@
                 };
                 table.learn(CONTROL, facts, at(0));
             }
-            table.set_gateways(play.gateways as u32);
+            table.set_gateways(config.gateways as u32);
             table
         });
         let mut fleet = Self {
             tables: tables.collect(),
             engines,
             requests: Vec::new(),
-            late: vec![VecDeque::new(); play.gateways],
+            late: vec![VecDeque::new(); config.gateways],
             runs: BTreeMap::new(),
             relay: WorkRelay::default(),
-            on_way: Vec::new(),
+            in_transit: Vec::new(),
             due: BinaryHeap::new(),
             number: 0,
             random,
-            arrivals: ChaCha8Rng::seed_from_u64(play.seed + 1_000),
+            arrivals: ChaCha8Rng::seed_from_u64(config.seed + 1_000),
             outcome: Outcome::default(),
-            play,
+            config,
         };
-        fleet.plan(0, Event::Arrives);
-        fleet.plan(0, Event::Tells);
-        if play.batch {
-            for gateway in 0..play.gateways {
-                fleet.plan(gateway as u64 * 171, Event::BatchLooks(gateway));
+        fleet.plan(0, Event::Arrival);
+        fleet.plan(0, Event::SendReports);
+        if config.batch {
+            for gateway in 0..config.gateways {
+                fleet.plan(gateway as u64 * 171, Event::StartBatch(gateway));
             }
         }
         fleet
@@ -238,46 +240,46 @@
         self.due.push(Reverse((time, self.number, event)));
     }
 
-    /// Plays to the end.
+    /// Runs the simulation to its end.
     pub fn run(mut self) -> Outcome {
         while let Some(Reverse((now, _, event))) = self.due.pop() {
-            if now >= self.play.ends {
+            if now >= self.config.ends {
                 break;
             }
-            self.happens(event, now);
+            self.handle(event, now);
         }
         self.outcome
     }
 
-    fn happens(&mut self, event: Event, now: Time) {
+    fn handle(&mut self, event: Event, now: Time) {
         match event {
-            Event::Arrives => self.arrives(now),
-            Event::Looks(request) => self.looks(request, now),
-            Event::Emits(request) => self.emits(request, now),
-            Event::Tells => self.tells(now),
-            Event::Heard => self.heard(now),
-            Event::BatchLooks(gateway) => self.batch_looks(gateway, now),
+            Event::Arrival => self.on_arrival(now),
+            Event::TryStart(request) => self.try_start(request, now),
+            Event::Emit(request) => self.on_event(request, now),
+            Event::SendReports => self.send_reports(now),
+            Event::ReceiveReports => self.receive_reports(now),
+            Event::StartBatch(gateway) => self.start_batch(gateway, now),
         }
     }
 
-    /// Requests a second now.
+    /// Returns the current arrival rate in requests per second.
     fn rate(&self, now: Time) -> f64 {
-        let slots = self.play.engines as f64 * f64::from(SLOTS);
+        let slots = self.config.engines as f64 * f64::from(SLOTS);
         let share = match now % 5_800_000 < 3_400_000 {
-            true => self.play.lull,
-            false => self.play.peak,
+            true => self.config.lull,
+            false => self.config.peak,
         };
         share * slots / 0.96
     }
 
-    fn arrives(&mut self, now: Time) {
-        let gateway = self.arrivals.random_range(0..self.play.gateways);
+    fn on_arrival(&mut self, now: Time) {
+        let gateway = self.arrivals.random_range(0..self.config.gateways);
         let events = self.arrivals.random_range(7..=30);
         let request = self.add(gateway, WorkClass::Online, events, now);
         self.outcome.arrived += 1;
-        self.looks(request, now);
+        self.try_start(request, now);
         let wait = -self.arrivals.random::<f64>().max(1e-9).ln() / self.rate(now);
-        self.plan(now + (wait * SECOND as f64) as Time, Event::Arrives);
+        self.plan(now + (wait * SECOND as f64) as Time, Event::Arrival);
     }
 
     fn add(&mut self, gateway: usize, class: WorkClass, events: u32, now: Time) -> usize {
@@ -314,17 +316,20 @@
         self.tables[one.gateway].pick(&pick, at(now)).ok()
     }
 
-    fn looks(&mut self, request: usize, now: Time) {
+    fn try_start(&mut self, request: usize, now: Time) {
         let one = &self.requests[request];
-        let (gateway, begins_by) = (one.gateway, one.arrived + BEGINS_WITHIN);
+        let (gateway, start_by) = (one.gateway, one.arrived + START_WITHIN);
         if one.over {
             return;
         }
-        if now < begins_by {
-            let left = Duration::from_micros(begins_by - now);
+        if now < start_by {
+            let left = Duration::from_micros(start_by - now);
             match self.pick(request, Standing::InTime { left }, now) {
-                Some(picked) => self.sends(request, &picked, now),
-                None => self.plan((now + LOOKS).min(begins_by), Event::Looks(request)),
+                Some(picked) => self.send(request, &picked, now),
+                None => self.plan(
+                    (now + RETRY_INTERVAL).min(start_by),
+                    Event::TryStart(request),
+                ),
             }
             return;
         }
@@ -342,13 +347,13 @@
             && let Some(picked) = self.pick(request, Standing::Late, now)
         {
             self.late[gateway].pop_front();
-            self.sends(request, &picked, now);
+            self.send(request, &picked, now);
             return;
         }
-        self.plan(now + TURN_LOOKS, Event::Looks(request));
+        self.plan(now + LATE_RETRY_INTERVAL, Event::TryStart(request));
     }
 
-    fn sends(&mut self, request: usize, picked: &Picked, now: Time) {
+    fn send(&mut self, request: usize, picked: &Picked, now: Time) {
         let (gateway, class) = (self.requests[request].gateway, self.requests[request].class);
         let engine = number(&picked.facts.id);
         let table = &mut self.tables[gateway];
@@ -363,34 +368,34 @@
                 .or_default()
                 .push(request);
         } else {
-            self.gives_way(gateway, now);
+            self.preempt_batch(gateway, now);
         }
         self.engines[engine].queue.push_back(request);
-        self.begins(engine, now);
+        self.fill_slots(engine, now);
     }
 
-    fn begins(&mut self, engine: usize, now: Time) {
+    fn fill_slots(&mut self, engine: usize, now: Time) {
         while self.engines[engine].running.len() < SLOTS as usize {
             let Some(request) = self.engines[engine].queue.pop_front() else {
                 return;
             };
             self.engines[engine].running.push(request);
-            self.plan(now + FIRST, Event::Emits(request));
+            self.plan(now + FIRST, Event::Emit(request));
         }
     }
 
-    /// Pace of the engine's machine, the own speed of the engine not counted.
+    /// Returns the pace of the engine's machine, without the engine's own pace.
     fn machine_pace(&self, engine: usize, now: Time) -> f64 {
         let slow = self
-            .play
+            .config
             .slow
             .filter(|slow| engine < slow.engines && (slow.from..slow.until).contains(&now));
         self.engines[engine].spans[(now / SPAN) as usize] * slow.map_or(1.0, |slow| slow.by)
     }
 
-    fn told_load(&self, engine: usize, now: Time) -> EngineLoad {
+    fn load_report(&self, engine: usize, now: Time) -> EngineLoad {
         let now = now.saturating_sub(50 * MS);
-        let pace = match self.play.tells_slow {
+        let pace = match self.config.reports_slowdown {
             true => self.machine_pace(engine, now),
             false => self.engines[engine].spans[(now / SPAN) as usize],
         };
@@ -398,18 +403,22 @@
             running: self.engines[engine].running.len() as u32,
             waiting: self.engines[engine].queue.len() as u32,
             slots: SLOTS,
-            pace: self.play.sources.told.then_some((pace * 100.0) as u32),
+            pace: self
+                .config
+                .sources
+                .reported
+                .then_some((pace * 100.0) as u32),
         }
     }
 
-    fn emits(&mut self, request: usize, now: Time) {
+    fn on_event(&mut self, request: usize, now: Time) {
         let one = &mut self.requests[request];
         if one.over {
             return;
         }
         let (gateway, engine) = (one.gateway, one.engine);
         let name = id(engine);
-        let first = one.began.is_none();
+        let is_first = one.began.is_none();
         let took = now - one.last;
         one.last = now;
         one.events -= 1;
@@ -418,13 +427,13 @@
             WorkClass::Online => self.outcome.online_events += 1,
             WorkClass::Batch => self.outcome.batch_events += 1,
         }
-        if first {
-            self.first(request, now);
+        if is_first {
+            self.on_first_event(request, now);
         } else {
             if took > PAUSE && class == WorkClass::Online {
                 self.requests[request].paused = true;
             }
-            if self.play.sources.measured {
+            if self.config.sources.measured {
                 let took = Duration::from_micros(took);
                 self.tables[gateway].heard(&name, 1, took, at(now));
             }
@@ -434,21 +443,21 @@
             return;
         }
         let step = STEP as f64 * self.engines[engine].speed * self.machine_pace(engine, now);
-        self.plan(now + step as Time, Event::Emits(request));
+        self.plan(now + step as Time, Event::Emit(request));
     }
 
-    fn first(&mut self, request: usize, now: Time) {
+    fn on_first_event(&mut self, request: usize, now: Time) {
         let one = &mut self.requests[request];
         one.began = Some(now);
         let (gateway, engine, class) = (one.gateway, one.engine, one.class);
         let name = id(engine);
-        let load = self.told_load(engine, now);
+        let load = self.load_report(engine, now);
         let table = &mut self.tables[gateway];
         table.read(&name, 250);
         table.report(&name, load, at(now));
         table.succeeded(&name, at(now));
         if class == WorkClass::Online
-            && let Some(slow) = self.play.slow
+            && let Some(slow) = self.config.slow
             && engine < slow.engines
         {
             if (slow.from..slow.until).contains(&now) {
@@ -456,13 +465,13 @@
                 self.outcome.slow_starts.push(now - slow.from);
             }
             if (slow.until..slow.until + SECOND).contains(&now) {
-                self.outcome.began_behind += 1;
+                self.outcome.began_after += 1;
             }
         }
     }
 
-    /// A request leaves its slot, or the queue.
-    fn leaves(&mut self, request: usize, now: Time) {
+    /// Removes a request from its slot or from the queue.
+    fn remove(&mut self, request: usize, now: Time) {
         let one = &mut self.requests[request];
         one.over = true;
         let (gateway, engine, class, began) = (one.gateway, one.engine, one.class, one.began);
@@ -484,22 +493,22 @@
                 self.outcome.held += (now - began) as f64 / SECOND as f64;
             }
         }
-        self.begins(engine, now);
+        self.fill_slots(engine, now);
     }
 
     fn ends(&mut self, request: usize, now: Time) {
-        self.leaves(request, now);
+        self.remove(request, now);
         let one = &self.requests[request];
         if one.class == WorkClass::Batch {
             return;
         }
-        let first = one.began.expect("it began") - one.arrived;
+        let first_delay = one.began.expect("the request has begun") - one.arrived;
         self.outcome.ended += 1;
         self.outcome.paused += u32::from(one.paused);
-        self.outcome.in_time += u32::from(first <= TARGET && !one.paused);
+        self.outcome.in_time += u32::from(first_delay <= TARGET && !one.paused);
     }
 
-    fn gives_way(&mut self, gateway: usize, now: Time) {
+    fn preempt_batch(&mut self, gateway: usize, now: Time) {
         for (engine, count) in self.tables[gateway].batch_to_cut(at(now)) {
             let engine = number(&engine);
             let runs = self
@@ -509,12 +518,12 @@
                 .unwrap_or_default();
             for run in runs.into_iter().rev().take(count as usize) {
                 self.outcome.cuts += 1;
-                self.leaves(run, now);
+                self.remove(run, now);
             }
         }
     }
 
-    fn batch_looks(&mut self, gateway: usize, now: Time) {
+    fn start_batch(&mut self, gateway: usize, now: Time) {
         for _ in 0..4 {
             let events = self.random.random_range(90..=160);
             let request = self.add(gateway, WorkClass::Batch, events, now);
@@ -522,30 +531,30 @@
                 self.requests.pop();
                 break;
             };
-            self.sends(request, &picked, now);
+            self.send(request, &picked, now);
         }
-        self.plan(now + TURN_LOOKS, Event::BatchLooks(gateway));
+        self.plan(now + LATE_RETRY_INTERVAL, Event::StartBatch(gateway));
     }
 
-    fn tells(&mut self, now: Time) {
+    fn send_reports(&mut self, now: Time) {
         for (gateway, table) in self.tables.iter().enumerate() {
             let from = NodeId(gateway as u32 + 1);
             self.relay
                 .note(from, Teller::Gateway, table.shares(at(now)), at(now));
         }
-        let told = self.relay.shares_by_gateway();
-        self.on_way = told
+        let reported = self.relay.shares_by_gateway();
+        self.in_transit = reported
             .into_iter()
             .map(|(gateway, shares)| (gateway.0 as usize - 1, shares))
             .collect();
-        self.plan(now + TELLS - 1, Event::Heard);
-        self.plan(now + TELLS, Event::Tells);
+        self.plan(now + REPORT_INTERVAL - 1, Event::ReceiveReports);
+        self.plan(now + REPORT_INTERVAL, Event::SendReports);
     }
 
-    fn heard(&mut self, now: Time) {
-        for (gateway, shares) in std::mem::take(&mut self.on_way) {
+    fn receive_reports(&mut self, now: Time) {
+        for (gateway, shares) in std::mem::take(&mut self.in_transit) {
             self.tables[gateway].note_shares(RELAY, &shares, at(now));
-            self.gives_way(gateway, now);
+            self.preempt_batch(gateway, now);
         }
     }
 }
--- a/crates/routing/tests/pace/main.rs
+++ b/crates/routing/tests/pace/main.rs
@@ -1,4 +1,4 @@
-//! Work goes by how long it takes at each engine now.
+//! Tests routing by the current pace of engines.
 
 mod fleet;
 mod peaks;
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use fleet::{Fleet, Outcome, Play, Slow, Sources};
+use fleet::{Fleet, Outcome, SimulationConfig, Slow, Sources};
 use minicbor::{Decode, Encode};
 use molespan_routing::dispatch::{
     EngineFacts, EngineLoad, EngineTable, LoadFault, LoadReport, Pick, PromptCost, SlowChange,
@@ -16,27 +16,27 @@
 
 const CONTROL: NodeId = NodeId(1);
 const RELAY: NodeId = NodeId(2);
-const NOTHING: Sources = Sources {
-    told: false,
+const NO_SOURCES: Sources = Sources {
+    reported: false,
     measured: false,
 };
-const TOLD: Sources = Sources {
-    told: true,
+const REPORTED: Sources = Sources {
+    reported: true,
     measured: false,
 };
 const MEASURED: Sources = Sources {
-    told: false,
+    reported: false,
     measured: true,
 };
 const BOTH: Sources = Sources {
-    told: true,
+    reported: true,
     measured: true,
 };
 
-/// 40 gateways before 30 engines, a third of them slower by themselves, each slow for a
-/// part of the time.
-fn play(sources: Sources, seed: u64) -> Play {
-    Play {
+/// 40 gateways with 30 engines. A third of the engines are slower by nature, and each is
+/// slow for a part of the time.
+fn config(sources: Sources, seed: u64) -> SimulationConfig {
+    SimulationConfig {
         gateways: 40,
         engines: 30,
         sources,
@@ -45,31 +45,31 @@
         speeds: [1.0, 1.0, 1.3],
         noise: (0.15, 2.5),
         slow: None,
-        tells_slow: true,
+        reports_slowdown: true,
         batch: true,
         ends: 9_000_000,
         seed,
     }
 }
 
-/// The same, and four engines turn slow in a peak for five seconds.
-fn slow_play(sources: Sources, seed: u64) -> Play {
-    Play {
+/// Like [`config`], with four engines that turn slow in a peak for five seconds.
+fn slow_config(sources: Sources, seed: u64) -> SimulationConfig {
+    SimulationConfig {
         slow: Some(Slow {
             engines: 4,
             by: 7.0,
             from: 3_800_000,
             until: 8_000_000,
         }),
-        ..play(sources, seed)
+        ..config(sources, seed)
     }
 }
 
-/// What came of a few plays together.
-fn played(play: impl Fn(u64) -> Play) -> Outcome {
+/// Returns the summed outcome of a few simulations.
+fn run_all(config: impl Fn(u64) -> SimulationConfig) -> Outcome {
     let mut all = Outcome::default();
     for seed in 0..8 {
-        let one = Fleet::new(play(seed)).run();
+        let one = Fleet::new(config(seed)).run();
         all.arrived += one.arrived;
         all.in_time += one.in_time;
         all.paused += one.paused;
@@ -79,61 +79,61 @@
         all.batch_events += one.batch_events;
         all.cuts += one.cuts;
         all.began_slow += one.began_slow;
-        all.began_behind += one.began_behind;
+        all.began_after += one.began_after;
     }
     all
 }
 
-fn line(name: &str, all: &Outcome) {
+fn print_outcome(name: &str, all: &Outcome) {
     println!(
         "{name}: in time {:.4}, paused {:.4}, refused {}, {:.2} ms an event, batch events {}, \
-         cuts {}, began at slow engines {}, in the second behind {}",
-        all.good(),
+         cuts {}, began at slow engines {}, in the second after {}",
+        all.share_in_time(),
         f64::from(all.paused) / f64::from(all.arrived),
         all.refused,
         all.slot_seconds() * 1_000.0,
         all.batch_events,
         all.cuts,
         all.began_slow,
-        all.began_behind,
+        all.began_after,
     );
 }
 
 #[test]
-fn work_takes_less_time_of_slots_where_gateways_go_by_pace() {
-    let before = played(|seed| play(NOTHING, seed));
-    line("nothing", &before);
+fn routing_by_pace_reduces_slot_time() {
+    let before = run_all(|seed| config(NO_SOURCES, seed));
+    print_outcome("nothing", &before);
     for (name, sources) in [("measured", MEASURED), ("both", BOTH)] {
-        let all = played(|seed| play(sources, seed));
-        line(name, &all);
+        let all = run_all(|seed| config(sources, seed));
+        print_outcome(name, &all);
         assert!(all.slot_seconds() < before.slot_seconds(), "{name}");
     }
 }
 
 #[test]
-fn engines_that_turn_slow_get_less_and_come_back() {
-    let before = played(|seed| slow_play(NOTHING, seed));
-    let all = played(|seed| slow_play(BOTH, seed));
-    line("nothing", &before);
-    line("both", &all);
+fn slow_engines_get_less_work_and_recover() {
+    let before = run_all(|seed| slow_config(NO_SOURCES, seed));
+    let all = run_all(|seed| slow_config(BOTH, seed));
+    print_outcome("nothing", &before);
+    print_outcome("both", &all);
     assert!(all.in_time >= before.in_time);
     assert!(all.paused < before.paused);
     assert!(all.slot_seconds() < before.slot_seconds());
     assert!(all.began_slow < before.began_slow);
-    assert!(all.began_behind > 0);
+    assert!(all.began_after > 0);
 }
 
 #[test]
-fn where_nothing_is_apart_every_decision_is_what_it_was() {
-    let even = |sources| Play {
+fn even_paces_change_no_decision() {
+    let even = |sources| SimulationConfig {
         speeds: [1.0; 3],
         noise: (0.0, 1.0),
         ends: 6_500_000,
-        ..play(sources, 7)
+        ..config(sources, 7)
     };
-    let before = Fleet::new(even(NOTHING)).run();
+    let before = Fleet::new(even(NO_SOURCES)).run();
     assert!(before.cuts > 0 && before.in_time > 0);
-    for sources in [TOLD, MEASURED, BOTH] {
+    for sources in [REPORTED, MEASURED, BOTH] {
         assert_eq!(Fleet::new(even(sources)).run(), before, "{sources:?}");
     }
 }
@@ -142,7 +142,7 @@
     Timestamp::from_millis(millis)
 }
 
-/// A gateway before `e1`, which is empty, and `e2`, which has one request.
+/// A gateway with `e1`, which is empty, and `e2`, which has one request.
 fn gateway() -> EngineTable {
     let mut table = EngineTable::new("near".into(), 1);
     for number in 1..=2 {
@@ -173,7 +173,7 @@
     picked.facts.id
 }
 
-fn told(pace: u32) -> EngineLoad {
+fn reported(pace: u32) -> EngineLoad {
     EngineLoad {
         running: 0,
         waiting: 0,
@@ -182,70 +182,70 @@
     }
 }
 
-/// Events of an answer, one each so many milliseconds, from a time on.
-fn hear(table: &mut EngineTable, engine: &str, step: u64, from: u64, until: u64) {
+/// Feeds events of an answer, one every `step` milliseconds, between two times.
+fn feed_events(table: &mut EngineTable, engine: &str, step: u64, from: u64, until: u64) {
     for at in (from + step..=until).step_by(step as usize) {
         table.heard(engine, 1, Duration::from_millis(step), now(at));
     }
 }
 
-/// The same, where what is usual was heard before: 50 ms.
-fn gateway_that_knows() -> EngineTable {
+/// Like [`gateway`], after it has learned the usual time between events, 50 ms.
+fn gateway_with_baseline() -> EngineTable {
     let mut table = gateway();
-    hear(&mut table, "e2", 50, 0, 5_000);
+    feed_events(&mut table, "e2", 50, 0, 5_000);
     table
 }
 
 #[test]
-fn an_engine_that_tells_of_slow_work_gets_it_once_that_is_old() {
+fn engine_reporting_slow_pace_is_used_after_report_expires() {
     let mut table = gateway();
     assert_eq!(chosen(&mut table, 0), "e1");
-    table.report("e1", told(400), now(0));
+    table.report("e1", reported(400), now(0));
     assert_eq!(chosen(&mut table, 0), "e2");
     assert_eq!(chosen(&mut table, 300), "e2");
-    // It is silent from then on.
+    // The engine reports nothing after that.
     assert_eq!(chosen(&mut table, 1_300), "e1");
 }
 
 #[test]
-fn an_engine_that_goes_on_telling_of_slow_work_is_used_by_what_is_measured() {
-    let mut table = gateway_that_knows();
+fn engine_constantly_reporting_slow_pace_is_used_by_measurements() {
+    let mut table = gateway_with_baseline();
     for at in (5_000..30_000).step_by(50) {
-        table.report("e1", told(400), now(at));
-        hear(&mut table, "e1", 50, at, at + 50);
-        hear(&mut table, "e2", 50, at, at + 50);
-        // It never counts as slow for it.
+        table.report("e1", reported(400), now(at));
+        feed_events(&mut table, "e1", 50, at, at + 50);
+        feed_events(&mut table, "e2", 50, at, at + 50);
+        // The reports never make it count as slow.
         assert_eq!(table.slow_engines(now(at + 50)), []);
     }
-    // It has told of it for so long that this is usual there.
+    // It has reported this for so long that it has become the baseline.
     assert_eq!(chosen(&mut table, 30_000), "e1");
 }
 
 #[test]
-fn an_engine_that_tells_of_fast_work_and_is_measured_slow_is_avoided() {
-    let mut table = gateway_that_knows();
+fn engine_reporting_fast_pace_but_measured_slow_is_avoided() {
+    let mut table = gateway_with_baseline();
     assert_eq!(chosen(&mut table, 5_000), "e1");
     for at in (5_000..6_000).step_by(200) {
-        table.report("e1", told(50), now(at));
-        hear(&mut table, "e1", 50, at, at + 200);
+        table.report("e1", reported(50), now(at));
+        feed_events(&mut table, "e1", 50, at, at + 200);
     }
     assert_eq!(chosen(&mut table, 6_000), "e1");
-    // It turns slow: one event says so, and it is avoided.
+    // It turns slow: a single event shows that, and it is avoided.
     table.heard("e1", 1, Duration::from_millis(400), now(6_400));
-    table.report("e1", told(50), now(6_400));
+    table.report("e1", reported(50), now(6_400));
     table.heard("e1", 1, Duration::from_millis(400), now(6_800));
     assert_eq!(chosen(&mut table, 6_800), "e2");
-    // And used again as soon as it is back.
-    hear(&mut table, "e1", 50, 6_800, 7_200);
+    // It is used again as soon as it recovers.
+    feed_events(&mut table, "e1", 50, 6_800, 7_200);
     assert_eq!(chosen(&mut table, 7_200), "e1");
 }
 
 #[test]
-fn gateways_that_measured_nothing_go_by_what_others_measured() {
-    let mut one = gateway_that_knows();
+fn gateways_without_measurements_use_those_of_others() {
+    let mut one = gateway_with_baseline();
     one.started("e1", WorkClass::Online, 0, now(5_000));
     one.heard("e1", 1, Duration::from_millis(300), now(5_300));
-    hear(&mut one, "e2", 50, 5_000, 5_300);
+    feed_events(&mut one, "e2", 50, 5_000, 5_300);
     let mut relay = WorkRelay::default();
     let shares = one.shares(now(5_300));
     relay.note(NodeId(10), Teller::Gateway, shares, now(5_300));
@@ -253,34 +253,34 @@
     let mut other = gateway();
     other.started("e2", WorkClass::Online, 0, now(5_300));
     assert_eq!(chosen(&mut other, 5_300), "e1");
-    let told = relay.shares_by_gateway();
-    let (_, shares) = told
+    let reported = relay.shares_by_gateway();
+    let (_, shares) = reported
         .iter()
         .find(|(node, _)| *node == NodeId(11))
-        .expect("told");
+        .expect("told by the relay");
     other.note_shares(RELAY, shares, now(5_310));
     assert_eq!(chosen(&mut other, 5_310), "e2");
-    // Of its own word nothing comes back to the one that told.
-    let (_, back) = told
+    // A gateway's own report does not come back to it.
+    let (_, back) = reported
         .iter()
         .find(|(node, _)| *node == NodeId(10))
-        .expect("told");
+        .expect("told by the relay");
     assert!(back.iter().all(|share| share.paced + share.paces == 0));
-    // The word of a gateway that says no more holds for a second or so.
+    // The report of a gateway that stops reporting is valid for about a second.
     assert_eq!(chosen(&mut other, 6_600), "e1");
 }
 
 #[test]
-fn a_slow_engine_is_left_one_place_whose_answers_say_when_it_is_back() {
-    let mut table = gateway_that_knows();
-    table.report("e1", told(1_000), now(5_000));
+fn slow_engine_keeps_one_slot_to_detect_recovery() {
+    let mut table = gateway_with_baseline();
+    table.report("e1", reported(1_000), now(5_000));
     let facts = table.pace_figures(now(5_000)).expect("there are engines");
     assert!(facts.slowest > 5.0 && facts.slow == 1, "{facts:?}");
     let headroom = table.batch_headroom("s", now(5_000));
     assert!((8.0..9.0).contains(&headroom), "{headroom}");
 }
 
-/// What a node without paces tells, and reads.
+/// Share as encoded and decoded by a node without paces.
 #[derive(Encode, Decode)]
 struct OldShare {
     #[n(0)]
@@ -302,7 +302,7 @@
 }
 
 #[test]
-fn nodes_with_and_without_paces_read_each_other() {
+fn nodes_with_and_without_paces_decode_each_other() {
     let old = OldShare {
         engine: "e1".to_owned(),
         requests: 3,
@@ -314,17 +314,17 @@
         answers: 10,
     };
     let bytes = minicbor::to_vec(&old).expect("encoded");
-    let mut share: WorkShare = minicbor::decode(&bytes).expect("an older node's share");
+    let mut share: WorkShare = minicbor::decode(&bytes).expect("share of an older node");
     assert_eq!((share.requests, share.answers), (3, 10));
     assert_eq!((share.paced, share.paces), (0, 0));
     (share.paced, share.paces) = (3, 24);
     let bytes = minicbor::to_vec(&share).expect("encoded");
-    let old: OldShare = minicbor::decode(&bytes).expect("a newer node's share");
+    let old: OldShare = minicbor::decode(&bytes).expect("share of a newer node");
     assert_eq!((old.requests, old.answers), (3, 10));
 }
 
 #[test]
-fn a_report_holds_as_far_as_it_makes_sense() {
+fn valid_parts_of_report_are_used() {
     let load = |pace| {
         Some(EngineLoad {
             running: 3,
@@ -363,11 +363,11 @@
 }
 
 #[test]
-fn operators_are_told_once_of_an_engine_that_stays_slow() {
+fn slow_engine_is_reported_to_operators_once() {
     let mut watch = SlowWatch::default();
     let slow = vec![("e1".to_owned(), 4.0)];
     assert_eq!(watch.look(&slow, now(0)), []);
-    // A short span is not told.
+    // A short slow span is not reported.
     assert_eq!(watch.look(&[], now(600)), []);
     assert_eq!(watch.look(&slow, now(1_000)), []);
     let engine = "e1".to_owned();
@@ -376,7 +376,7 @@
     assert_eq!(watch.look(&slow, now(3_000)), []);
     let engine = "e1".to_owned();
     assert_eq!(watch.look(&[], now(4_000)), [SlowChange::Back { engine }]);
-    // Many at once are counted.
+    // Of many changes at once some are only counted.
     let many: Vec<_> = (0..50).map(|number| (format!("e{number}"), 4.0)).collect();
     watch.look(&many, now(5_000));
     let news = watch.look(&many, now(6_000));
--- a/crates/routing/tests/prefix.rs
+++ b/crates/routing/tests/prefix.rs
@@ -1,4 +1,4 @@
-//! Prefix affinity from cache events that are late and have gaps.
+//! Tests prefix affinity from cache events that are late and have gaps.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-const ALBUM: [u64; 4] = [1, 2, 3, 4];
+const PROMPT: [u64; 4] = [1, 2, 3, 4];
 
 fn at(millis: u64) -> Timestamp {
     Timestamp::from_millis(millis)
@@ -77,9 +77,9 @@
     }
 }
 
-/// The engine chosen by affinity and the blocks it holds; `None` when another
-/// rule decided.
-fn affine(picker: &mut Picker, hashes: &[u64]) -> Option<(u32, u32)> {
+/// Returns the engine chosen by affinity and the number of blocks it caches, or `None` if
+/// another rule decided.
+fn pick_by_affinity(picker: &mut Picker, hashes: &[u64]) -> Option<(u32, u32)> {
     let request = PickRequest {
         prefix_hashes: hashes,
         ..PickRequest::default()
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn events_and_what_is_known_after_them() {
+fn cache_events_update_index() {
     type Case = (&'static str, Vec<CacheEvent>, Option<(u32, u32)>);
     let cases: &[Case] = &[
         ("nothing", vec![], None),
@@ -111,13 +111,17 @@
             Some((2, 1)),
         ),
         (
-            "read twice",
+            "event delivered twice",
             vec![stored(1, 1), evicted(2, 1), stored(1, 1)],
             None,
         ),
-        ("begins late", vec![stored(700, 1)], Some((2, 1))),
         (
-            "gap that may have taken it",
+            "first event has a late sequence number",
+            vec![stored(700, 1)],
+            Some((2, 1)),
+        ),
+        (
+            "gap that may have evicted it",
             vec![stored(1, 1), stored(9, 50)],
             None,
         ),
@@ -133,98 +137,98 @@
     for (name, events, expected) in cases {
         let mut picker = picker(4, PrefixSettings::default());
         picker.observe_cache(BackendId(2), &page(events.clone()));
-        assert_eq!(affine(&mut picker, &ALBUM), *expected, "{name}");
+        assert_eq!(pick_by_affinity(&mut picker, &PROMPT), *expected, "{name}");
     }
 }
 
 #[test]
-fn a_page_of_an_earlier_life_is_ignored() {
+fn events_of_earlier_incarnation_are_ignored() {
     let mut picker = picker(4, PrefixSettings::default());
     let old = CacheEventPage {
         incarnation: Incarnation(0),
         events: vec![stored(1, 1)],
     };
     picker.observe_cache(BackendId(2), &old);
-    assert_eq!(affine(&mut picker, &ALBUM), None);
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), None);
 }
 
 #[test]
-fn a_restart_forgets_the_cache() {
+fn restart_clears_cache_entries() {
     let mut picker = picker(4, PrefixSettings::default());
     picker.observe_cache(BackendId(2), &page(vec![stored(1, 1)]));
     let mut restarted = candidates(4);
     restarted[2].incarnation = Incarnation(2);
     picker.set_engines(restarted);
-    assert_eq!(affine(&mut picker, &ALBUM), None);
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), None);
     assert_eq!(picker.indexed_prefixes(), 0);
-    // Its numbers begin anew.
-    let next_life = CacheEventPage {
+    // Its sequence numbers start over.
+    let next_incarnation = CacheEventPage {
         incarnation: Incarnation(2),
         events: vec![stored(1, 1)],
     };
-    picker.observe_cache(BackendId(2), &next_life);
-    assert_eq!(affine(&mut picker, &ALBUM), Some((2, 1)));
+    picker.observe_cache(BackendId(2), &next_incarnation);
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), Some((2, 1)));
 }
 
 #[test]
-fn own_routing_is_expected_to_fill_the_cache_before_events_come() {
+fn routing_adds_expected_entries_before_events() {
     let mut picker = picker(4, PrefixSettings::default());
-    picker.started(at(0), BackendId(3), &ALBUM);
-    assert_eq!(affine(&mut picker, &ALBUM), Some((3, 4)));
+    picker.started(at(0), BackendId(3), &PROMPT);
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), Some((3, 4)));
 }
 
 #[test]
-fn a_gap_drops_what_was_only_expected() {
+fn gap_drops_expected_entries() {
     let mut picker = picker(4, PrefixSettings::default());
     let confirmed: Vec<CacheEvent> = (1..40)
         .map(|number| stored(number, 1_000 + number))
         .collect();
     picker.observe_cache(BackendId(3), &page(confirmed));
-    picker.started(at(0), BackendId(3), &ALBUM);
+    picker.started(at(0), BackendId(3), &PROMPT);
     picker.observe_cache(BackendId(3), &page(vec![stored(41, 5_000)]));
-    assert_eq!(affine(&mut picker, &ALBUM), None);
-    assert_eq!(affine(&mut picker, &[1_001]), Some((3, 1)));
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), None);
+    assert_eq!(pick_by_affinity(&mut picker, &[1_001]), Some((3, 1)));
 }
 
 #[test]
-fn a_loaded_holder_is_passed_over() {
+fn loaded_holder_is_skipped() {
     let mut picker = picker(4, PrefixSettings::default());
     picker.observe_cache(BackendId(2), &page(vec![stored(1, 1)]));
     picker.observe_load(busy(2, 2));
-    assert_eq!(affine(&mut picker, &ALBUM), Some((2, 1)));
-    let mut crowded = busy(2, 8);
-    crowded.sequence = 2;
-    picker.observe_load(crowded);
-    assert_eq!(affine(&mut picker, &ALBUM), None);
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), Some((2, 1)));
+    let mut overloaded = busy(2, 8);
+    overloaded.sequence = 2;
+    picker.observe_load(overloaded);
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), None);
 }
 
 #[test]
-fn a_shorter_prefix_on_an_open_engine_beats_a_longer_one_on_a_loaded_one() {
+fn shorter_prefix_on_available_engine_beats_longer_one_on_loaded_engine() {
     let mut picker = picker(4, PrefixSettings::default());
     let whole = vec![stored(1, 1), stored(2, 2), stored(3, 3), stored(4, 4)];
     picker.observe_cache(BackendId(2), &page(whole));
     picker.observe_cache(BackendId(1), &page(vec![stored(1, 1), stored(2, 2)]));
-    assert_eq!(affine(&mut picker, &ALBUM), Some((2, 4)));
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), Some((2, 4)));
     picker.observe_load(busy(2, 8));
-    assert_eq!(affine(&mut picker, &ALBUM), Some((1, 2)));
-    // Nor does an engine that is no longer there hide the others.
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), Some((1, 2)));
+    // An engine that is gone does not hide the others either.
     let without = candidates(4)
         .into_iter()
         .filter(|engine| engine.backend.0 != 2);
     picker.set_engines(without.collect());
-    assert_eq!(affine(&mut picker, &ALBUM), Some((1, 2)));
+    assert_eq!(pick_by_affinity(&mut picker, &PROMPT), Some((1, 2)));
 }
 
 #[test]
-fn memory_is_bounded_and_used_prefixes_stay() {
+fn index_is_bounded_and_keeps_used_prefixes() {
     let settings = PrefixSettings {
-        most_prefixes: 100,
+        max_prefixes: 100,
         ..PrefixSettings::default()
     };
     let mut picker = picker(2, settings);
     picker.observe_cache(BackendId(0), &page(vec![stored(1, 1)]));
     for number in 2..2_000 {
-        assert_eq!(affine(&mut picker, &[1]), Some((0, 1)));
+        assert_eq!(pick_by_affinity(&mut picker, &[1]), Some((0, 1)));
         picker.observe_cache(BackendId(0), &page(vec![stored(number, number)]));
         assert!(picker.indexed_prefixes() <= 100);
     }
@@ -251,7 +255,7 @@
 
 type Caches = BTreeMap<u32, BTreeSet<u64>>;
 
-/// Applies the changes to the true caches and, unless lost, to the picker.
+/// Applies the changes to the actual caches and, unless lost, to the picker.
 fn replay(picker: &mut Picker, changes: &[Change]) -> Caches {
     let mut caches = Caches::new();
     let mut sequences: BTreeMap<u32, u64> = BTreeMap::new();
@@ -286,16 +290,16 @@
         ..ProptestConfig::default()
     })]
 
-    /// Without gaps the index is the truth.
+    /// Without gaps the index matches the caches.
     #[test]
-    fn complete_events_give_the_true_caches(
+    fn index_matches_caches_without_gaps(
         changes in prop::collection::vec(change(0.0), 0..200),
     ) {
         let mut picker = picker(3, PrefixSettings::default());
         let caches = replay(&mut picker, &changes);
         for hash in 0..30 {
             let held = caches.values().any(|cache| cache.contains(&hash));
-            let found = affine(&mut picker, &[hash]);
+            let found = pick_by_affinity(&mut picker, &[hash]);
             prop_assert_eq!(found.is_some(), held);
             if let Some((backend, _)) = found {
                 prop_assert!(caches[&backend].contains(&hash));
@@ -303,8 +307,8 @@
         }
     }
 
-    /// With gaps, no more than the tolerated share and the events missed are
-    /// wrong, and the bound of memory holds.
+    /// With gaps, no more entries are wrong than the tolerated share and the missed events,
+    /// and the memory bound holds.
     #[test]
     fn gaps_leave_few_wrong_entries(
         changes in prop::collection::vec(change(0.2), 0..200),
@@ -315,7 +319,7 @@
         let lost = changes.iter().filter(|change| change.lost).count();
         let mut wrong = 0;
         for hash in 0..30 {
-            if let Some((backend, _)) = affine(&mut picker, &[hash]) {
+            if let Some((backend, _)) = pick_by_affinity(&mut picker, &[hash]) {
                 wrong += usize::from(!caches[&backend].contains(&hash));
             }
         }
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Retries, resumed streams and requests that may run once.
+//! Tests retries, resumed streams and requests that may run only once.
 
 use molespan_routing::retry::{
     AttemptEnd, AttemptRef, ClaimAnswer, NextStep, RequestKind, RequestState, RetryBudget,
@@ -16,7 +16,7 @@
     repeatable: false,
     resumable: true,
 };
-/// A billing call to an application that cannot tell about attempts.
+/// A billing call to an application that can't report the status of attempts.
 const ONCE_PLAIN: RequestKind = RequestKind {
     repeatable: false,
     resumable: false,
@@ -25,7 +25,7 @@
     repeatable: true,
     resumable: false,
 };
-/// More than any request may take before it has its outcome.
+/// Upper bound on the steps until a request has its outcome.
 const MOST_STEPS: usize = 64;
 
 fn at(millis: u64) -> Timestamp {
@@ -51,7 +51,7 @@
     })
 }
 
-/// What happens to a request, in order.
+/// An event of a request.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Claimed(ClaimAnswer),
@@ -91,8 +91,8 @@
     }
 }
 
-/// The step that follows `events`, when each attempt goes to the back end of
-/// its number.
+/// Returns the step after `events`, where each attempt goes to the backend of the same
+/// number.
 fn last_step(kind: RequestKind, events: &[Event]) -> NextStep {
     let mut state = RequestState::new(kind);
     let mut budget = budget(20.0);
@@ -120,48 +120,48 @@
 }
 
 #[test]
-fn ends_and_what_follows() {
+fn steps_after_events() {
     let granted = Claimed(ClaimAnswer::Granted);
     let cases: &[(&str, RequestKind, &[Event], NextStep)] = &[
         (
-            "whole answer",
+            "complete answer",
             REPEATABLE,
             &[Ended(Completed)],
             NextStep::Done,
         ),
         (
-            "refused connection",
+            "connection refused",
             REPEATABLE,
             &[Ended(NotSent)],
             retry(&[1]),
         ),
         (
-            "engine refuses",
+            "engine rejects",
             REPEATABLE,
             &[Ended(DeclaredNotRun)],
             retry(&[1]),
         ),
         (
-            "two refusals",
+            "two rejections",
             REPEATABLE,
             &[Ended(NotSent), Ended(DeclaredNotRun)],
             retry(&[1, 2]),
         ),
-        ("nowhere to go", REPEATABLE, &[NoBackend], NOT_RUN),
+        ("no backend", REPEATABLE, &[NoBackend], NOT_RUN),
         (
-            "nowhere else to go",
+            "no backend for the retry",
             REPEATABLE,
             &[Ended(NotSent), NoBackend],
             NOT_RUN,
         ),
         (
-            "nowhere after a break",
+            "no backend after the engine was lost",
             REPEATABLE,
             &[Ended(Lost), NoBackend],
             UNKNOWN,
         ),
         (
-            "broken stream goes on where it stood",
+            "broken stream goes on at its offset",
             REPEATABLE,
             &[Passed(7), Ended(Broken)],
             resume(1, 7),
@@ -173,19 +173,19 @@
             resume(1, 0),
         ),
         (
-            "broken and its engine restarted",
+            "broken, engine restarted",
             REPEATABLE,
             &[Ended(Broken), Ended(Lost)],
             retry(&[1]),
         ),
         (
-            "caller saw a part, engine restarted",
+            "part of the answer passed on, engine restarted",
             REPEATABLE,
             &[Passed(3), Ended(Broken), Ended(Lost)],
             UNKNOWN,
         ),
         (
-            "caller saw a part, engine says not run",
+            "part of the answer passed on, engine declares not run",
             REPEATABLE,
             &[Passed(3), Ended(DeclaredNotRun)],
             UNKNOWN,
@@ -197,7 +197,7 @@
             retry(&[1]),
         ),
         (
-            "resumed three times in vain",
+            "resumed three times without success",
             REPEATABLE,
             &[
                 Passed(1),
@@ -215,7 +215,7 @@
             UNKNOWN,
         ),
         (
-            "claim not reached",
+            "claim failed",
             ONCE,
             &[Claimed(ClaimAnswer::Failed)],
             NOT_RUN,
@@ -236,12 +236,17 @@
         ),
         ("claim granted", ONCE, &[granted], NextStep::Dispatch),
         (
-            "once, refused connection",
+            "once, connection refused",
             ONCE,
             &[granted, Ended(NotSent)],
             retry(&[1]),
         ),
-        ("once, broken: ask", ONCE, &[granted, Ended(Broken)], ask(1)),
+        (
+            "once, broken: query status",
+            ONCE,
+            &[granted, Ended(Broken)],
+            ask(1),
+        ),
         (
             "once, runs",
             ONCE,
@@ -261,13 +266,13 @@
             UNKNOWN,
         ),
         (
-            "once, silent: ask again",
+            "once, silent: query again",
             ONCE,
             &[granted, Ended(Broken), Status(NoAnswer)],
             ask(1),
         ),
         (
-            "once, silent for good",
+            "once, always silent",
             ONCE,
             &[
                 granted,
@@ -282,7 +287,7 @@
         ),
         ("once, engine lost", ONCE, &[granted, Ended(Lost)], UNKNOWN),
         (
-            "once, caller saw a part",
+            "once, part of the answer passed on",
             ONCE,
             &[granted, Passed(2), Ended(Broken)],
             resume(1, 2),
@@ -300,7 +305,7 @@
 }
 
 #[test]
-fn a_broken_request_that_the_engine_never_saw_may_still_reach_it() {
+fn request_unknown_to_engine_may_still_arrive() {
     let granted = Claimed(ClaimAnswer::Granted);
     let never = Status(NeverSeen);
     let events = [granted, Ended(Broken), never];
@@ -312,7 +317,7 @@
 }
 
 #[test]
-fn a_resume_that_was_not_sent_says_nothing_about_the_attempt() {
+fn failed_resume_does_not_prove_that_attempt_did_not_run() {
     let granted = Claimed(ClaimAnswer::Granted);
     for (end, expected) in [(NotSent, ask(1)), (DeclaredNotRun, UNKNOWN)] {
         let events = [granted, Ended(Broken), Status(Present), Ended(end)];
@@ -323,7 +328,7 @@
 }
 
 #[test]
-fn retries_stop_when_the_budget_is_spent() {
+fn retries_stop_when_budget_is_exhausted() {
     let mut budget = budget(2.0);
     let mut retried = 0;
     for _ in 0..100 {
@@ -343,7 +348,7 @@
 }
 
 #[test]
-fn the_reserve_lets_a_quiet_service_retry() {
+fn reserve_allows_retries_of_low_traffic_service() {
     let mut budget = RetryBudget::new(RetryBudgetSettings {
         ratio: 0.0,
         reserve_per_second: 1.0,
@@ -352,13 +357,13 @@
     assert!(budget.spend(at(0)) && budget.spend(at(0)) && !budget.spend(at(0)));
     assert!(!budget.spend(at(900)));
     assert!(budget.spend(at(1_100)));
-    // A long silence saves up no more than the bound.
+    // An idle period accumulates no more than the bound.
     assert!(budget.spend(at(90_000)) && budget.spend(at(90_000)));
     assert!(!budget.spend(at(90_000)));
 }
 
 #[test]
-fn nothing_is_sent_before_the_claim_is_granted_or_after_the_end() {
+fn nothing_is_dispatched_before_claim_or_after_end() {
     let mut state = RequestState::new(ONCE);
     assert_eq!(state.begin(), NextStep::Claim);
     assert!(!state.dispatched(attempt(1)));
@@ -373,59 +378,63 @@
     assert!(!state.dispatched(attempt(2)));
 }
 
-/// What really happens to an attempt, which the gateway does not see.
+/// What actually happens to an attempt, which the gateway can't observe.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Truth {
+enum Execution {
     Runs,
-    /// Its bytes are still on their way, and it runs when they arrive.
+    /// Its bytes are still in transit, and it runs when they arrive.
     RunsLater,
     Never,
 }
 
-/// A gateway's view of one attempt and the truth behind it.
+/// An attempt as the gateway observes it, and what actually happens.
 #[derive(Clone, Copy, Debug)]
-struct Fate {
+struct SimulatedAttempt {
     end: AttemptEnd,
-    truth: Truth,
+    execution: Execution,
     passed: u32,
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
-    let untouched = |end| {
-        Just(Fate {
+fn simulated_attempt() -> impl Strategy<Value = SimulatedAttempt> {
+    let not_received = |end| {
+        Just(SimulatedAttempt {
             end,
-            truth: Truth::Never,
+            execution: Execution::Never,
             passed: 0,
         })
     };
     let broken = (
         prop_oneof![Just(Broken), Just(Lost)],
         prop_oneof![
-            Just(Truth::Runs),
-            Just(Truth::RunsLater),
-            Just(Truth::Never)
+            Just(Execution::Runs),
+            Just(Execution::RunsLater),
+            Just(Execution::Never)
         ],
         0..3_u32,
     );
-    let broken = broken.prop_map(|(end, truth, passed)| Fate {
+    let broken = broken.prop_map(|(end, execution, passed)| SimulatedAttempt {
         end,
-        truth,
-        passed: if truth == Truth::Runs { passed } else { 0 },
+        execution,
+        passed: if execution == Execution::Runs {
+            passed
+        } else {
+            0
+        },
     });
-    let completed = Just(Fate {
+    let completed = Just(SimulatedAttempt {
         end: Completed,
-        truth: Truth::Runs,
+        execution: Execution::Runs,
         passed: 4,
     });
     prop_oneof![
-        2 => untouched(NotSent),
-        2 => untouched(DeclaredNotRun),
+        2 => not_received(NotSent),
+        2 => not_received(DeclaredNotRun),
         6 => broken,
         1 => completed,
     ]
 }
 
-/// How a try to resume ends: a restarted engine may well say "not run".
+/// How an attempt to resume ends; a restarted engine may declare "not run".
 fn resume_end() -> impl Strategy<Value = AttemptEnd> {
     prop_oneof![
         Just(NotSent),
@@ -436,18 +445,18 @@
     ]
 }
 
-/// One request against a world that fails at random.
-struct World {
+/// A simulation of one request with random faults.
+struct Simulation {
     state: RequestState,
     budget: RetryBudget,
-    attempts: Vec<Fate>,
+    attempts: Vec<SimulatedAttempt>,
     retries: usize,
 }
 
-/// What the world chooses in each step.
-type Choice = (Fate, AttemptEnd, u8);
+/// The random choices for one step.
+type Choice = (SimulatedAttempt, AttemptEnd, u8);
 
-impl World {
+impl Simulation {
     fn run(&mut self, granted: bool, choices: &[Choice]) -> NextStep {
         let mut step = self.state.begin();
         for choice in choices {
@@ -463,18 +472,18 @@
     }
 
     fn answer(&mut self, step: NextStep, granted: bool, choice: &Choice) -> NextStep {
-        let (fate, resume_end, pick) = choice;
+        let (simulated_attempt, resume_end, pick) = choice;
         match step {
             NextStep::Claim if granted => self.state.claim_answered(ClaimAnswer::Granted),
             NextStep::Claim => self.state.claim_answered(ClaimAnswer::Failed),
-            NextStep::Dispatch => self.dispatch(*fate),
+            NextStep::Dispatch => self.dispatch(*simulated_attempt),
             NextStep::Retry { exclude } => {
                 self.retries += 1;
                 assert_eq!(exclude.len(), self.attempts.len());
-                self.dispatch(*fate)
+                self.dispatch(*simulated_attempt)
             }
             NextStep::Resume { .. } => {
-                let ran = self.attempts.last().unwrap().truth == Truth::Runs;
+                let ran = self.attempts.last().unwrap().execution == Execution::Runs;
                 let end = match resume_end {
                     Completed if !ran => Lost,
                     end => *end,
@@ -485,20 +494,21 @@
                 let answer = self.status(*pick);
                 self.state.status(at(1), answer, &mut self.budget)
             }
-            step => panic!("{step:?} needs no answer"),
+            step => panic!("{step:?} expects no answer"),
         }
     }
 
-    fn dispatch(&mut self, fate: Fate) -> NextStep {
+    fn dispatch(&mut self, simulated_attempt: SimulatedAttempt) -> NextStep {
         let number = self.attempts.len() as u32 + 1;
         assert!(self.state.dispatched(attempt(number)));
-        self.attempts.push(fate);
-        self.state.passed(fate.passed);
-        self.state.ended(at(1), fate.end, &mut self.budget)
+        self.attempts.push(simulated_attempt);
+        self.state.passed(simulated_attempt.passed);
+        self.state
+            .ended(at(1), simulated_attempt.end, &mut self.budget)
     }
 
     fn status(&self, pick: u8) -> StatusAnswer {
-        let seen = self.attempts.last().unwrap().truth == Truth::Runs;
+        let seen = self.attempts.last().unwrap().execution == Execution::Runs;
         match pick % 4 {
             0 => NoAnswer,
             1 => OtherLife,
@@ -509,7 +519,8 @@
     }
 
     fn runs(&self) -> usize {
-        let ran = |fate: &&Fate| fate.truth != Truth::Never;
+        let ran =
+            |simulated_attempt: &&SimulatedAttempt| simulated_attempt.execution != Execution::Never;
         self.attempts.iter().filter(ran).count()
     }
 }
@@ -523,31 +534,31 @@
     })]
 
     #[test]
-    fn runs_at_most_once_and_not_run_is_true(
+    fn runs_at_most_once_and_not_run_is_accurate(
         repeatable: bool,
         resumable: bool,
         granted in proptest::bool::weighted(0.9),
         tokens in 0_u8..5,
-        choices in prop::collection::vec((fate(), resume_end(), any::<u8>()), MOST_STEPS),
+        choices in prop::collection::vec((simulated_attempt(), resume_end(), any::<u8>()), MOST_STEPS),
     ) {
         let kind = RequestKind { repeatable, resumable };
-        let mut world = World {
+        let mut simulation = Simulation {
             state: RequestState::new(kind),
             budget: budget(f64::from(tokens)),
             attempts: Vec::new(),
             retries: 0,
         };
-        let step = world.run(granted, &choices);
-        prop_assert!(repeatable || world.runs() <= 1, "ran twice: {:?}", world.attempts);
-        prop_assert!(world.retries <= tokens as usize);
-        prop_assert!(world.attempts.len() <= 4);
+        let step = simulation.run(granted, &choices);
+        prop_assert!(repeatable || simulation.runs() <= 1, "ran twice: {:?}", simulation.attempts);
+        prop_assert!(simulation.retries <= tokens as usize);
+        prop_assert!(simulation.attempts.len() <= 4);
         if step == NOT_RUN {
-            prop_assert_eq!(world.runs(), 0, "said not run: {:?}", world.attempts);
+            prop_assert_eq!(simulation.runs(), 0, "said not run: {:?}", simulation.attempts);
         }
         if step == NextStep::Done {
-            prop_assert!(world.runs() > 0);
+            prop_assert!(simulation.runs() > 0);
         }
-        let after_a_part = world.attempts.iter().rev().skip(1).any(|fate| fate.passed > 0);
-        prop_assert!(!after_a_part, "sent again after the caller saw a part");
+        let retried_after_passing_part = simulation.attempts.iter().rev().skip(1).any(|simulated_attempt| simulated_attempt.passed > 0);
+        prop_assert!(!retried_after_passing_part, "sent again after a part was passed on");
     }
 }
--- a/crates/routing/tests/short_requests.rs
+++ b/crates/routing/tests/short_requests.rs
@@ -1,108 +1,121 @@
-//! Short requests of a small service before many gateways, under virtual time: a request
-//! is over before the other gateways hear of it, and engines turn away what they have no
-//! room for.
+//! Tests short requests of a small service with many gateways, in virtual time: a request
+//! ends before the other gateways observe it, and engines reject what they have no capacity
+//! for.
 
 mod many_gateways;
 
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use many_gateways::{Engines, Load, Play, Seen, Trouble};
+use many_gateways::{Engines, Fault, Load, Results, Simulation};
 use molespan_routing::dispatch::{
     EngineFacts, EngineTable, Failure, Pick, PromptCost, Shortage, Standing, WorkClass,
 };
 use molespan_types::{NodeId, Timestamp};
 
-/// Gateways before the service, most of which have few of its callers.
+/// Gateways of the service, most of which have few of its callers.
 const GATEWAYS: usize = 117;
-/// Time that is played, in milliseconds: three periods of peaks.
-const PLAYED_MS: u64 = 17_400;
-/// When an engine gets into trouble.
-const TROUBLE_MS: u64 = 5_000;
+/// Simulated time in milliseconds: three peak periods.
+const SIMULATED_MS: u64 = 17_400;
+/// When an engine becomes faulty, in milliseconds.
+const FAULT_MS: u64 = 5_000;
 
-/// A service of `engines`, whose callers want `demand` of its slots on the mean, all the
-/// time or in `peaks`.
+/// A service of `engines`, whose callers want `demand` of its slots on average, steadily or
+/// in `peaks`.
 fn load(engines: usize, demand: f64, peaks: bool) -> Load {
     Load {
         gateways: GATEWAYS,
         engines: Engines::new(engines, 6, 30.0),
         demand,
         peaks,
-        demand_told: false,
+        demand_reported: false,
     }
 }
 
-fn in_trouble(demand: f64, trouble: Trouble) -> Load {
+fn load_with_fault(demand: f64, fault: Fault) -> Load {
     let mut load = load(3, demand, false);
-    load.engines.trouble = Some((TROUBLE_MS, trouble));
+    load.engines.fault = Some((FAULT_MS, fault));
     load
 }
 
-fn play(load: Load) -> Seen {
-    let seen = Play::new(load.clone(), 1).run(PLAYED_MS);
-    println!("{load:?}: {}", seen.line());
-    seen
+fn simulate(load: Load) -> Results {
+    let results = Simulation::new(load.clone(), 1).run(SIMULATED_MS);
+    println!("{load:?}: {}", results.summary());
+    results
 }
 
 #[test]
-fn what_there_is_room_for_is_in_time_and_rarely_turned_away() {
-    // Three engines, and the one that is left of them; in peaks up to 0.8 of all slots.
+fn load_within_capacity_is_in_time_and_rarely_rejected() {
+    // Three engines, and the only one left of them; in peaks up to 0.8 of all slots.
     for (engines, demand, peaks) in [(3, 0.8, false), (1, 0.8, false), (3, 0.43, true)] {
-        let seen = play(load(engines, demand, peaks));
-        assert!(seen.share_turned_away() <= 0.02, "{}", seen.line());
-        assert!(seen.share_in_time() >= 0.95, "{}", seen.line());
+        let results = simulate(load(engines, demand, peaks));
+        assert!(results.share_rejected() <= 0.02, "{}", results.summary());
+        assert!(results.share_in_time() >= 0.95, "{}", results.summary());
     }
 }
 
 #[test]
-fn under_more_than_there_is_room_for_what_fits_is_in_time() {
+fn under_overload_what_fits_is_in_time() {
     for engines in [1, 3] {
-        let seen = play(load(engines, 1.3, false));
-        // Of 1.3 times what fits, 1 / 1.3; a twentieth of it may be lost to chance.
+        let results = simulate(load(engines, 1.3, false));
+        // Of 1.3 times the capacity, 1 / 1.3 fits; up to a twentieth of it may be lost to
+        // chance.
         let fits = 1.0 / (1.3 * many_gateways::MEAN_WORK);
-        assert!(seen.share_in_time() >= fits * 0.95, "{}", seen.line());
-        assert!(seen.share_lost() <= 0.01, "{}", seen.line());
+        assert!(
+            results.share_in_time() >= fits * 0.95,
+            "{}",
+            results.summary()
+        );
+        assert!(results.share_lost() <= 0.01, "{}", results.summary());
     }
 }
 
 #[test]
-fn what_peaks_leave_over_is_done_late_between_them() {
-    let seen = play(load(1, 0.76, true));
-    // Peaks bring 0.774 of all requests, and want 0.76 * 1.87 times the slots.
+fn requests_left_over_by_peaks_complete_late_between_them() {
+    let results = simulate(load(1, 0.76, true));
+    // Peaks bring 0.774 of all requests, and need 0.76 * 1.87 times the slots.
     let fits = 0.774 / (0.76 * 1.87 * many_gateways::MEAN_WORK) + 0.226;
-    assert!(seen.share_in_time() >= fits * 0.95, "{}", seen.line());
-    assert!(seen.share_lost() <= 0.01, "{}", seen.line());
+    assert!(
+        results.share_in_time() >= fits * 0.95,
+        "{}",
+        results.summary()
+    );
+    assert!(results.share_lost() <= 0.01, "{}", results.summary());
 }
 
 #[test]
-fn an_engine_in_trouble_drowns_no_other_one() {
-    // What is left of three engines has room for all.
-    let troubles = [
-        (0.5, Trouble::Gone),
-        (0.5, Trouble::Slow(4.0)),
-        (0.5, Trouble::Dark),
+fn faulty_engine_does_not_overload_others() {
+    // The engines that remain of three have capacity for all requests.
+    let faults = [
+        (0.5, Fault::Gone),
+        (0.5, Fault::Slow(4.0)),
+        (0.5, Fault::Unresponsive),
     ];
-    for (demand, trouble) in troubles {
-        let seen = play(in_trouble(demand, trouble));
-        assert!(seen.share_in_time() >= 0.95, "{trouble:?} {}", seen.line());
+    for (demand, fault) in faults {
+        let results = simulate(load_with_fault(demand, fault));
+        assert!(
+            results.share_in_time() >= 0.95,
+            "{fault:?} {}",
+            results.summary()
+        );
         assert!(
-            seen.share_turned_away() <= 0.02,
-            "{trouble:?} {}",
-            seen.line()
+            results.share_rejected() <= 0.02,
+            "{fault:?} {}",
+            results.summary()
         );
     }
 }
 
 #[test]
-fn a_few_gateways_with_many_callers_each_use_all_room() {
+fn few_gateways_with_many_callers_use_all_capacity() {
     let mut load = load(3, 0.8, false);
     load.gateways = 3;
-    let seen = play(load);
-    assert!(seen.share_turned_away() <= 0.02, "{}", seen.line());
-    assert!(seen.share_in_time() >= 0.95, "{}", seen.line());
+    let results = simulate(load);
+    assert!(results.share_rejected() <= 0.02, "{}", results.summary());
+    assert!(results.share_in_time() >= 0.95, "{}", results.summary());
 }
 
-/// A table of one engine with 8 slots, at which requests were for `took`.
+/// A table of one engine with 8 slots, at which a request took `took`.
 fn table(took: Option<Duration>) -> EngineTable {
     let mut table = EngineTable::new("near".into(), 1);
     let facts = EngineFacts {
@@ -132,11 +145,11 @@
 }
 
 #[test]
-fn an_engine_without_room_is_left_out_for_about_two_slot_times_and_longer_each_time() {
+fn full_engine_backs_off_two_slot_times_and_longer_each_time() {
     let left = Duration::from_secs(1);
     let mut table = table(Some(Duration::from_millis(10)));
     let mut now_ms = 0;
-    // Shortest and longest pause, which chance spreads by a half.
+    // Shortest and longest backoff; jitter spreads it by half.
     for (shortest, longest) in [(10, 30), (20, 60), (40, 120), (80, 200), (160, 200)] {
         table.failed("e1", Failure::Full, Timestamp::from_millis(now_ms));
         assert!(!finds_an_engine(&mut table, left, now_ms + shortest - 1));
@@ -149,8 +162,8 @@
 }
 
 #[test]
-fn requests_that_others_hear_of_in_time_are_sent_as_before() {
-    // Nothing was measured yet, or slots are kept for longer than tellings take.
+fn long_requests_are_not_limited_by_engine_queues() {
+    // Nothing was measured yet, or slots are held for longer than reports take.
     for took in [None, Some(Duration::from_secs(1))] {
         let left = Duration::from_secs(1);
         let mut table = table(took);
@@ -169,8 +182,8 @@
 }
 
 #[test]
-fn an_engine_gets_what_it_begins_with_in_time_and_no_more() {
-    // With 10 ms each, 8 slots begin with 8 more in every 10 ms.
+fn engine_gets_only_requests_it_can_start_in_time() {
+    // At 10 ms each, 8 slots start 8 more requests every 10 ms.
     let mut table = table(Some(Duration::from_millis(10)));
     let left = Duration::from_millis(20);
     for _ in 0..24 {
@@ -182,13 +195,13 @@
 }
 
 #[test]
-fn a_service_is_short_of_room_while_engines_turn_requests_away() {
+fn service_is_short_of_capacity_while_engines_reject_requests() {
     let mut shortage = Shortage::default();
     let mut changes = Vec::new();
     for at_ms in (0..10_000).step_by(50) {
-        let turned_away = (1_000..2_000).contains(&at_ms);
+        let rejected = (1_000..2_000).contains(&at_ms);
         let now = Timestamp::from_millis(at_ms);
-        changes.extend(shortage.note(turned_away, now).map(|short| (at_ms, short)));
+        changes.extend(shortage.note(rejected, now).map(|short| (at_ms, short)));
     }
     assert_eq!(changes.len(), 2, "{changes:?}");
     assert!(changes[0].1 && changes[0].0 < 2_000, "{changes:?}");
@@ -196,7 +209,7 @@
 }
 
 #[test]
-fn single_requests_without_room_are_no_shortage() {
+fn single_rejections_are_no_shortage() {
     let mut shortage = Shortage::default();
     for second in 0..60 {
         let now = Timestamp::from_millis(second * 1_000);
