--- a/crates/wire/src/backoff.rs
+++ b/crates/wire/src/backoff.rs
@@ -1,12 +1,13 @@
-//! Growing pauses between attempts.
+//! Exponential backoff with jitter.
 
 use std::time::Duration;
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// Pauses that double up to a bound, each drawn at random from its upper half
-/// so that many clients of one lost peer do not come back together.
+/// Exponential backoff: delays double up to a maximum. Each delay is drawn at
+/// random from the upper half of its range, so that clients of one failed peer
+/// do not all reconnect at the same moment.
 #[derive(Debug)]
 pub struct Backoff {
     first: Duration,
@@ -16,7 +17,8 @@
 }
 
 impl Backoff {
-    /// Pauses from `first` to `longest`, drawn by a generator with this seed.
+    /// Creates a backoff with delays from `first` to `longest` and jitter from a
+    /// generator seeded with `seed`.
     #[must_use]
     pub fn new(first: Duration, longest: Duration, seed: u64) -> Self {
         Self {
@@ -27,7 +29,7 @@
         }
     }
 
-    /// The pause after one more failure.
+    /// Records a failure and returns the delay before the next attempt.
     pub fn pause(&mut self) -> Duration {
         const MAX_DOUBLINGS: u32 = 20;
         let factor = 1u32 << self.failures.min(MAX_DOUBLINGS);
@@ -36,7 +38,7 @@
         whole.mul_f64(self.random.random_range(0.5..=1.0))
     }
 
-    /// Notes a success: the next pause is short again.
+    /// Records a success: the next delay starts from `first` again.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/crates/wire/src/client/call.rs
+++ b/crates/wire/src/client/call.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for their response.
+//! Calls that wait for a response.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
@@ -10,19 +10,19 @@
 
 use crate::message::Response;
 
-/// What happened to a call.
+/// Cause of a failed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 pub enum CallFailure {
     /// The peer cannot be reached.
     #[display("the peer cannot be reached")]
     Unreachable,
-    /// Too many calls wait already.
+    /// The limit of waiting calls is reached.
     #[display("too many calls wait already")]
     TooManyCalls,
-    /// The request is longer than a frame may be.
+    /// The request exceeds the maximum frame length.
     #[display("the request is longer than a frame may be")]
     TooLong,
-    /// No response in time.
+    /// No response arrived before the timeout.
     #[display("no response in time")]
     Timeout,
     /// The connection broke.
@@ -30,7 +30,7 @@
     Disconnected,
 }
 
-/// Why a call has no response.
+/// Why a call failed, and whether the request may have been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 pub enum CallError {
     /// No byte of the request left this process.
@@ -42,7 +42,7 @@
 }
 
 impl CallError {
-    /// Whether the request may have taken effect.
+    /// Returns whether the request may have taken effect.
     #[must_use]
     pub fn outcome(&self) -> RunOutcome {
         match self {
@@ -52,14 +52,14 @@
     }
 }
 
-/// Waits in the queue.
+/// The call waits in the queue.
 const QUEUED: u8 = 0;
-/// The writer has taken it; bytes may leave at any moment.
+/// The writer has taken the call; its bytes may be sent at any moment.
 const WRITTEN: u8 = 1;
-/// The caller gave up before the writer took it; it must not be written.
+/// The caller cancelled the call before the writer took it; it must not be written.
 const CANCELLED: u8 = 2;
 
-/// One call, shared by its caller and the writer.
+/// A call, shared by its caller and the writer.
 #[derive(Debug)]
 pub(crate) struct Call {
     number: u64,
@@ -68,18 +68,20 @@
 }
 
 impl Call {
-    /// The writer takes the call; `false` when its caller gave up first.
+    /// Marks the call as taken by the writer; returns `false` when its caller cancelled
+    /// it first.
     pub(crate) fn begin_write(&self) -> bool {
         self.leave_queue(WRITTEN)
     }
 
-    /// The caller gives the call up; `false` when the writer took it first.
+    /// Cancels the call; returns `false` when the writer took it first.
     fn cancel(&self) -> bool {
         self.leave_queue(CANCELLED)
     }
 
-    /// Exactly one of writer and caller moves a call out of the queue. This is
-    /// what makes "not sent" true after a timeout.
+    /// Moves the call out of the queue. Exactly one of writer and caller succeeds,
+    /// which guarantees that a call reported as "not sent" after a timeout was not
+    /// written.
     fn leave_queue(&self, phase: u8) -> bool {
         self.phase
             .compare_exchange(QUEUED, phase, Ordering::SeqCst, Ordering::SeqCst)
@@ -90,14 +92,14 @@
         self.phase.load(Ordering::SeqCst) == WRITTEN
     }
 
-    /// Answers the caller. Only the first answer counts.
+    /// Delivers the result to the caller. Later results are ignored.
     pub(crate) fn answer(&self, result: Result<Response, CallError>) {
         let _already_answered = self.reply.try_send(result);
     }
 }
 
-/// The calls of one client by number. Numbers are never used twice in the life
-/// of a client, so that a late response can reach no other call.
+/// The waiting calls of one client by number. A client never reuses a number, so
+/// that a late response cannot be matched with another call.
 #[derive(Debug, Default)]
 pub(crate) struct Calls {
     last_number: AtomicU64,
@@ -105,12 +107,12 @@
 }
 
 impl Calls {
-    /// A number that was not used before.
+    /// Returns an unused call number.
     pub(crate) fn next_number(&self) -> u64 {
         self.last_number.fetch_add(1, Ordering::Relaxed) + 1
     }
 
-    /// Hands a response to its caller; `false` when nobody waits for it.
+    /// Delivers a response to its caller; returns `false` when no call waits for it.
     pub(crate) fn answer(&self, number: u64, response: Response) -> bool {
         let Some(call) = self.lock().remove(&number) else {
             return false;
@@ -119,7 +121,7 @@
         true
     }
 
-    /// Fails every call that was written to a connection that broke.
+    /// Fails every call that was already written, after its connection broke.
     pub(crate) fn fail_written(&self) {
         for call in self.lock().values() {
             if call.is_written() {
@@ -138,7 +140,7 @@
     }
 }
 
-/// A caller's hold on its call. Dropping it gives the call up.
+/// The caller's handle of its call. Cancels the call when dropped.
 #[derive(Debug)]
 pub(crate) struct Pending<'a> {
     calls: &'a Calls,
@@ -147,7 +149,7 @@
 }
 
 impl<'a> Pending<'a> {
-    /// Notes a call before it is queued.
+    /// Registers a call before it is queued.
     pub(crate) fn open(calls: &'a Calls, number: u64, limit: usize) -> Result<Self, CallError> {
         let (reply, response) = async_channel::bounded(1);
         let call = Arc::new(Call {
@@ -179,7 +181,7 @@
         self.response.recv().await.unwrap_or(lost)
     }
 
-    /// Gives the call up and says whether it was sent.
+    /// Cancels the call and returns an error that states whether it may have been sent.
     pub(crate) fn give_up(&self, failure: CallFailure) -> CallError {
         if self.call.cancel() {
             CallError::NotSent(failure)
--- a/crates/wire/src/client/connection.rs
+++ b/crates/wire/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: a writer, a reader and a watch on silence.
+//! A connection of a client: writer, reader and liveness monitor.
 
 use std::net::TcpStream;
 use std::sync::atomic::Ordering;
@@ -14,17 +14,17 @@
 use crate::message::Envelope;
 use crate::net::within;
 
-/// Bytes asked from the socket at a time.
+/// Size of the read buffer in bytes.
 const READ_BYTES: usize = 16 * 1024;
-/// How often silence is checked within its limit.
+/// Number of liveness checks within the silence limit.
 const CHECKS_PER_SILENCE_LIMIT: u32 = 4;
 
-/// When bytes last went each way on a connection.
+/// Times of the last reads and writes on a connection.
 struct Activity(Mutex<ActivityTimes>);
 
 #[derive(Clone, Copy)]
 struct ActivityTimes {
-    /// First write that nothing was read after.
+    /// Time of the first write since the last read.
     unanswered_since: Option<Instant>,
     last_write: Instant,
     any_read: bool,
@@ -61,8 +61,9 @@
     }
 }
 
-/// Serves the connection until it breaks, falls silent or is idle. Returns
-/// whether the peer ever answered on it.
+/// Serves the connection until it breaks, the peer stops responding or the
+/// connection is idle. Returns `false` if the peer failed to respond to anything
+/// that was written.
 pub(crate) async fn run_connection(shared: &Shared, stream: &Async<TcpStream>) -> bool {
     let activity = Activity::new();
     let transfer = future::or(
@@ -70,12 +71,12 @@
         read_frames(shared, stream, &activity),
     );
     future::or(transfer, watch(shared, &activity)).await;
-    // An idle end without any answer is no failure of the peer.
+    // A connection closed as idle, with nothing unanswered, is not a failure of the peer.
     let times = activity.times();
     times.any_read || times.unanswered_since.is_none()
 }
 
-/// Writes what is queued, many frames at once. Ends when the socket fails.
+/// Writes queued frames in batches. Returns when the socket fails.
 async fn write_frames(shared: &Shared, stream: &Async<TcpStream>, activity: &Activity) {
     let mut batch = Vec::new();
     loop {
@@ -100,7 +101,8 @@
     }
 }
 
-/// Reads responses. Ends when the peer closes or breaks the protocol.
+/// Reads responses. Returns when the peer closes the connection or violates the
+/// protocol.
 async fn read_frames(shared: &Shared, stream: &Async<TcpStream>, activity: &Activity) {
     let mut decoder = FrameDecoder::new(shared.limits.max_frame_bytes);
     let mut buffer = vec![0; READ_BYTES];
@@ -128,15 +130,15 @@
                 }
                 Ok(Some(Envelope::Pong)) => {}
                 Ok(None) => break,
-                // A server sends nothing else.
+                // A server sends only responses and pongs.
                 Ok(Some(_)) | Err(_) => return,
             }
         }
     }
 }
 
-/// Ends when the peer fell silent or the connection is idle. Pings a peer that
-/// was written to, since one-way messages have no response.
+/// Returns when the peer stopped responding or the connection is idle. Pings the
+/// peer after a write, since one-way messages have no response.
 async fn watch(shared: &Shared, activity: &Activity) {
     let limits = &shared.limits;
     let interval = limits.silence_limit / CHECKS_PER_SILENCE_LIMIT;
@@ -155,7 +157,7 @@
     }
 }
 
-/// The frame of a ping.
+/// Encodes a ping frame.
 fn ping_frame() -> Vec<u8> {
     let mut frame = Vec::new();
     let encoded = encode_frame(&Envelope::Ping, usize::MAX, &mut frame);
--- a/crates/wire/src/client/mod.rs
+++ b/crates/wire/src/client/mod.rs
@@ -1,4 +1,4 @@
-//! The calling side: one connection to a peer, reopened as needed.
+//! Client with one connection to a peer, reopened as needed.
 
 mod call;
 mod connection;
@@ -22,32 +22,32 @@
 use crate::message::{Envelope, Request, Response};
 use crate::net::within;
 
-/// Bounds of a client.
+/// Limits of a client.
 #[derive(Clone, Debug)]
 pub struct ClientLimits {
-    /// Longest body of a frame in bytes.
+    /// Maximum length of a frame body in bytes.
     pub max_frame_bytes: usize,
-    /// Most calls that wait for a response.
+    /// Maximum number of calls that wait for a response.
     pub max_calls: usize,
-    /// Most one-way messages that wait to be written.
+    /// Maximum number of queued one-way messages.
     pub max_queued_messages: usize,
-    /// Most bytes of those messages.
+    /// Maximum size of the queued one-way messages in bytes.
     pub max_queued_bytes: usize,
-    /// Which one-way message gives way when there are too many.
+    /// Which one-way message is dropped when the queue is full.
     pub drop_policy: DropPolicy,
-    /// Longest time to connect.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Longest time to write one batch of messages.
+    /// Timeout for writing one batch of messages.
     pub write_timeout: Duration,
-    /// Longest silence of a peer that was written to, before the connection
-    /// is given up as lost.
+    /// How long the peer may send nothing after a write before the connection is
+    /// closed as failed.
     pub silence_limit: Duration,
-    /// How long a connection without use stays open. It must lie well below
-    /// the server's idle timeout.
+    /// How long an unused connection stays open. Must be well below the server's
+    /// idle timeout.
     pub idle_limit: Duration,
-    /// Pause after the first failure to connect.
+    /// Backoff delay after the first failed connection attempt.
     pub first_pause: Duration,
-    /// Longest pause.
+    /// Maximum backoff delay.
     pub longest_pause: Duration,
 }
 
@@ -69,16 +69,16 @@
     }
 }
 
-/// What a client counted since its start.
+/// Counters of a client since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClientCounters {
-    /// One-way messages dropped, for want of room or of a connection.
+    /// One-way messages dropped because the queue was full or the peer unreachable.
     pub dropped_messages: u64,
     /// Connections opened.
     pub connections: u64,
-    /// Attempts to connect that failed.
+    /// Connection attempts that failed.
     pub failed_connections: u64,
-    /// Responses that nobody waited for any more.
+    /// Responses that arrived after their call had ended.
     pub late_responses: u64,
     /// Bytes written.
     pub bytes_written: u64,
@@ -86,7 +86,7 @@
     pub bytes_read: u64,
 }
 
-/// The counters behind [`ClientCounters`].
+/// Atomic counters that [`ClientCounters`] is read from.
 #[derive(Debug, Default)]
 pub(crate) struct Counters {
     pub(crate) dropped: AtomicU64,
@@ -97,7 +97,7 @@
     pub(crate) bytes_read: AtomicU64,
 }
 
-/// What a client shares with its background task.
+/// State that a client shares with its background task.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) address: SocketAddr,
@@ -107,18 +107,18 @@
     pub(crate) counters: Counters,
 }
 
-/// A client of one peer. Clones share its connection, which is closed when the
-/// last of them is dropped.
+/// A client of one peer. Clones share one connection, which is closed when the
+/// last clone is dropped.
 #[derive(Clone, Debug)]
 pub struct Client {
     shared: Arc<Shared>,
-    /// Ends the background task when the last clone is dropped.
+    /// Stops the background task when the last clone is dropped.
     _alive: Sender<()>,
 }
 
 impl Client {
-    /// A client of the peer at `address`. It connects when there is something
-    /// to send. The seed feeds the jitter of its pauses.
+    /// Creates a client of the peer at `address`, which connects when there is
+    /// something to send. `seed` seeds the jitter of the backoff.
     #[must_use]
     pub fn new(
         executor: &Executor<'static>,
@@ -149,12 +149,12 @@
         self.shared.address
     }
 
-    /// Sends `request` and waits for its response, at most for `timeout`.
+    /// Sends `request` and waits up to `timeout` for its response.
     ///
-    /// While the peer cannot be reached, calls fail at once as not sent.
+    /// During the backoff after a failed connection, calls fail immediately as not sent.
     ///
     /// # Errors
-    /// [`CallError`] says whether the request may have reached the peer.
+    /// [`CallError`] states whether the request may have reached the peer.
     pub async fn call(&self, request: Request, timeout: Duration) -> Result<Response, CallError> {
         let shared = &*self.shared;
         let number = shared.calls.next_number();
@@ -165,9 +165,9 @@
         answered.unwrap_or_else(|| Err(pending.give_up(CallFailure::Timeout)))
     }
 
-    /// Sends a message that nobody waits for. It never blocks: a message is
-    /// dropped and counted when there are too many or the peer cannot be
-    /// reached. Returns whether this one was queued.
+    /// Queues a one-way message without blocking. When the queue is full or the
+    /// peer cannot be reached, a message is dropped and counted. Returns whether
+    /// this message was queued.
     pub fn send(&self, request: Request) -> bool {
         let shared = &*self.shared;
         let mut frame = Vec::new();
@@ -185,7 +185,7 @@
         push.queued
     }
 
-    /// The counters now.
+    /// Returns the current counters.
     #[must_use]
     pub fn counters(&self) -> ClientCounters {
         let counters = &self.shared.counters;
@@ -200,7 +200,7 @@
     }
 }
 
-/// The frame of a call.
+/// Encodes the frame of a call.
 fn encode_call(number: u64, request: Request, limit: usize) -> Result<Vec<u8>, CallError> {
     let mut frame = Vec::new();
     encode_frame(&Envelope::Request { number, request }, limit, &mut frame)
--- a/crates/wire/src/client/queue.rs
+++ b/crates/wire/src/client/queue.rs
@@ -1,4 +1,4 @@
-//! What waits to be written to a peer.
+//! Queue of frames to be written to a peer.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -8,26 +8,26 @@
 use super::ClientLimits;
 use super::call::{Call, CallError, CallFailure};
 
-/// Bytes written together, unless a single frame is longer.
+/// Batch size in bytes beyond which no further frame is added.
 const BATCH_BYTES: usize = 64 * 1024;
 
-/// Which one-way message gives way when there are too many.
+/// Which one-way message is dropped when the queue is full.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DropPolicy {
-    /// The one that waited longest: for messages that later ones supersede.
+    /// The oldest message, for messages that later ones supersede.
     #[default]
     Oldest,
-    /// The new one: for messages of which the first ones matter most.
+    /// The new message, for messages of which the first ones matter most.
     Newest,
 }
 
-/// Whether a one-way message was queued, and how many gave way.
+/// Whether a one-way message was queued, and how many messages were dropped.
 pub(crate) struct Pushed {
     pub(crate) queued: bool,
     pub(crate) dropped: u64,
 }
 
-/// Frames that wait for the writer.
+/// Frames that are queued for the writer.
 #[derive(Debug)]
 pub(crate) struct Outgoing {
     max_messages: usize,
@@ -43,9 +43,9 @@
     calls: VecDeque<(Vec<u8>, Arc<Call>)>,
     messages: VecDeque<Vec<u8>>,
     message_bytes: usize,
-    /// Frames of the connection itself, such as a ping.
+    /// Frames that belong to the connection, such as pings.
     control: Vec<u8>,
-    /// Set while the peer cannot be reached; nothing is queued then.
+    /// Whether the peer is unreachable; nothing is queued in that case.
     unreachable: bool,
 }
 
@@ -86,7 +86,7 @@
         Ok(())
     }
 
-    /// Queues a one-way message, or drops one.
+    /// Queues a one-way message, dropping messages when the queue is full.
     pub(crate) fn push_message(&self, frame: Vec<u8>) -> Pushed {
         let mut state = self.lock();
         let mut dropped = 0;
@@ -113,7 +113,7 @@
         }
     }
 
-    /// Queues a frame of the connection itself.
+    /// Queues a frame that belongs to the connection.
     pub(crate) fn push_control(&self, frame: &[u8]) {
         self.lock().control.extend_from_slice(frame);
         self.wake_writer();
@@ -122,13 +122,13 @@
     /// Waits until something is queued.
     pub(crate) async fn wait(&self) {
         while self.lock().is_empty() {
-            // The sender lives beside the receiver, so this cannot fail.
+            // The sender is owned by the same struct, so the channel is never closed.
             let _woken = self.woken.recv().await;
         }
     }
 
-    /// Moves queued frames into `batch`, calls first. Calls whose callers gave
-    /// up are left out.
+    /// Moves queued frames into `batch`: control frames, then calls, then one-way
+    /// messages. Cancelled calls are skipped.
     pub(crate) fn take_batch(&self, batch: &mut Vec<u8>) {
         let mut state = self.lock();
         batch.append(&mut state.control);
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Throws away everything, tells the callers, and refuses more until
+    /// Drops all queued frames, fails their calls, and rejects new frames until
     /// [`Outgoing::reopen`]. Returns the number of one-way messages dropped.
     pub(crate) fn close_unreachable(&self) -> u64 {
         let state = {
@@ -165,12 +165,12 @@
         state.messages.len() as u64
     }
 
-    /// Takes frames again.
+    /// Accepts frames again.
     pub(crate) fn reopen(&self) {
         self.lock().unreachable = false;
     }
 
-    /// Throws away frames that belonged to a connection which broke.
+    /// Drops control frames of a connection that has ended.
     pub(crate) fn clear_control(&self) {
         self.lock().control.clear();
     }
@@ -180,7 +180,7 @@
     }
 
     fn wake_writer(&self) {
-        // When the channel is full, a wake-up is already under way.
+        // When the channel is full, a wake-up is already pending.
         let _already_woken = self.wake.try_send(());
     }
 
--- a/crates/wire/src/client/task.rs
+++ b/crates/wire/src/client/task.rs
@@ -1,4 +1,4 @@
-//! The background task of a client: connects, and pauses after failures.
+//! Background task of a client: connects, and backs off after failures.
 
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 use crate::backoff::Backoff;
 use crate::net::within;
 
-/// Serves the queue until the client is dropped.
+/// Runs until the client is dropped.
 pub(crate) async fn run(shared: Arc<Shared>, ended: Receiver<()>, seed: u64) {
     let client_dropped = async {
         let _closed = ended.recv().await;
@@ -23,7 +23,7 @@
     shared.outgoing.close_unreachable();
 }
 
-/// Connects whenever there is something to send.
+/// Connects when there is something to send, and serves the connection.
 async fn serve(shared: &Shared, seed: u64) {
     let limits = &shared.limits;
     let mut backoff = Backoff::new(limits.first_pause, limits.longest_pause, seed);
@@ -52,7 +52,8 @@
     }
 }
 
-/// Refuses everything for a while, so that nobody waits for a lost peer.
+/// Rejects calls and messages during the backoff, so that no caller waits for an
+/// unreachable peer.
 async fn pause(shared: &Shared, backoff: &mut Backoff) {
     let dropped = shared.outgoing.close_unreachable();
     shared
@@ -63,7 +64,7 @@
     shared.outgoing.reopen();
 }
 
-/// Opens a connection, or `None` when the peer cannot be reached.
+/// Opens a connection; returns `None` when the peer cannot be reached.
 async fn connect(shared: &Shared) -> Option<Async<TcpStream>> {
     let connecting = Async::<TcpStream>::connect(shared.address);
     let stream = within(shared.limits.connect_timeout, connecting)
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,4 +1,4 @@
-//! Framing: length, checksum and body of each message.
+//! Frame encoding and decoding.
 //!
 //! A frame is the length of its body as a big-endian `u32`, the CRC-32 of the
 //! body as a big-endian `u32`, and the body, one CBOR [`Envelope`].
@@ -10,14 +10,14 @@
 
 /// Bytes before the body of a frame.
 pub const FRAME_HEADER_BYTES: usize = 8;
-/// Longest body where nothing else is set.
+/// Default limit for the body of a frame, in bytes.
 pub const DEFAULT_MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
-/// Memory that a decoder keeps between frames; what a longer frame took is
-/// given back.
+/// Buffer capacity in bytes that a decoder keeps between frames. A larger buffer
+/// is freed once its frame was consumed.
 const KEPT_CAPACITY: usize = 32 * 1024;
 
-/// Why bytes are not a frame. The connection is of no use after any of these,
-/// since the place of the next frame is not known for certain.
+/// Why a frame could not be encoded or decoded. After a decoding error the
+/// connection must be closed, since the start of the next frame is unknown.
 #[derive(Debug, Display, Error, From)]
 pub enum FrameError {
     /// The body is longer than allowed.
@@ -26,14 +26,14 @@
     TooLong {
         /// Length of the body.
         length: usize,
-        /// Longest body allowed.
+        /// Maximum length of the body.
         limit: usize,
     },
-    /// The body fails its checksum.
+    /// The body does not match its checksum.
     #[display("frame fails its checksum")]
     #[from(skip)]
     Checksum,
-    /// The body is not a known message.
+    /// The body cannot be decoded as a message.
     #[display("unknown message: {_0}")]
     Message(minicbor::decode::Error),
     /// Bytes follow the message within its frame.
@@ -42,10 +42,10 @@
     TrailingBytes,
 }
 
-/// Appends the frame of `envelope` to `target`.
+/// Encodes `envelope` as a frame and appends it to `target`.
 ///
 /// # Errors
-/// When its body is longer than `limit`; `target` is then as it was.
+/// When the body is longer than `limit`; `target` is then left unchanged.
 pub fn encode_frame(
     envelope: &Envelope,
     limit: usize,
@@ -70,8 +70,8 @@
     Ok(())
 }
 
-/// Cuts a stream of bytes into messages. It never holds more than one frame
-/// beyond what was pushed last.
+/// Splits a byte stream into messages. Buffers at most one frame in addition to
+/// the bytes of the last [`FrameDecoder::push`].
 #[derive(Debug)]
 pub struct FrameDecoder {
     buffer: Vec<u8>,
@@ -80,7 +80,7 @@
 }
 
 impl FrameDecoder {
-    /// A decoder that takes bodies of at most `limit` bytes.
+    /// Creates a decoder that accepts bodies of at most `limit` bytes.
     #[must_use]
     pub fn new(limit: usize) -> Self {
         Self {
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Adds bytes from the connection.
+    /// Appends bytes read from the connection.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.drain(..self.consumed);
         self.consumed = 0;
@@ -100,16 +100,16 @@
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Whether the bytes so far end within a frame.
+    /// Whether the buffered bytes end in the middle of a frame.
     #[must_use]
     pub fn is_within_frame(&self) -> bool {
         self.consumed < self.buffer.len()
     }
 
-    /// The next message, or `None` when more bytes are needed.
+    /// Returns the next message, or `None` when more bytes are needed.
     ///
     /// # Errors
-    /// When the bytes are not a frame.
+    /// When the bytes are not a valid frame.
     pub fn next_message(&mut self) -> Result<Option<Envelope>, FrameError> {
         let pending = &self.buffer[self.consumed..];
         let Some((header, rest)) = pending.split_first_chunk::<FRAME_HEADER_BYTES>() else {
@@ -134,7 +134,7 @@
     }
 }
 
-/// Decodes a body that must be one message and nothing else.
+/// Decodes a body, which must hold exactly one message.
 fn decode_body(body: &[u8]) -> Result<Envelope, FrameError> {
     let mut decoder = Decoder::new(body);
     let envelope = decoder.decode()?;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Messages and framing of the protocol between molespan processes.
+//! Messages, framing, client and server of the protocol between molespan processes.
 //!
-//! A connection carries frames: a length, a checksum and a CBOR body. Requests
-//! are numbered by the side that opened the connection, so that responses may
-//! come in any order; one-way messages carry no number.
+//! A connection carries frames: a length, a checksum and a CBOR body. The side
+//! that opened the connection numbers its requests, so that responses may arrive
+//! in any order. One-way messages have no number and no response.
 
 mod backoff;
 mod client;
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,5 +1,5 @@
-//! Typed messages. Commands and queries travel as bytes, since this crate does
-//! not know the state machines behind them.
+//! Message types. Commands and queries are opaque bytes here, since this crate
+//! does not depend on the state machines that define them.
 
 use minicbor::bytes::ByteVec;
 use minicbor::{Decode, Encode};
@@ -7,13 +7,13 @@
     BackendId, ConfigVersion, GroupId, Incarnation, NodeId, RunOutcome, ServiceName, ZoneName,
 };
 
-/// One frame.
+/// The body of a frame.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Envelope {
-    /// A request that wants a response under the same number.
+    /// A request that is answered by a response with the same number.
     #[n(0)]
     Request {
-        /// Number, unique on its connection.
+        /// Request number, unique within the connection.
         #[n(0)]
         number: u64,
         /// The request.
@@ -30,25 +30,25 @@
         #[n(1)]
         response: Response,
     },
-    /// A message that nobody waits for.
+    /// A message without a response.
     #[n(2)]
     OneWay(#[n(0)] Request),
-    /// Asks for a [`Envelope::Pong`], to tell a silent peer from a lost one.
+    /// Asks for an [`Envelope::Pong`], to distinguish an idle peer from a failed one.
     #[n(3)]
     Ping,
-    /// To [`Envelope::Ping`].
+    /// The response to [`Envelope::Ping`].
     #[n(4)]
     Pong,
 }
 
-/// How fresh a read must be.
+/// Consistency level of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum Consistency {
-    /// It sees every write that was acknowledged before it began.
+    /// The read observes every write that was acknowledged before it began.
     #[n(0)]
     Linearizable,
-    /// It sees what the asked replica has applied.
+    /// The read observes what the queried replica has applied.
     #[n(1)]
     Local,
 }
@@ -64,50 +64,50 @@
     pub message: ByteVec,
 }
 
-/// Asks for the configuration once it is newer than the asker's.
+/// Waits for a configuration newer than the sender's.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct WatchConfiguration {
-    /// Who asks.
+    /// Node that sends the request.
     #[n(0)]
     pub node: NodeId,
-    /// Its life.
+    /// Incarnation of the node.
     #[n(1)]
     pub incarnation: Incarnation,
-    /// Version in force there; confirms it to operators.
+    /// Configuration version in force on the node, reported to operators.
     #[n(2)]
     pub in_force: ConfigVersion,
-    /// Longest wait for a newer one, in milliseconds.
+    /// Maximum time to wait for a newer configuration, in milliseconds.
     #[n(3)]
     pub wait_ms: u32,
 }
 
-/// Tells the batch owner of a back end that online work was sent there.
+/// Notifies the batch owner of a back end that an online request was sent to it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct OnlineArrival {
-    /// Gateway that sent it.
+    /// Gateway that sent the request.
     #[n(0)]
     pub from: NodeId,
     /// Back end.
     #[n(1)]
     pub backend: BackendId,
-    /// Online requests that this gateway has in flight there.
+    /// Online requests that the gateway has in flight at the back end.
     #[n(2)]
     pub in_flight: u32,
-    /// Prompt tokens of the new request, as estimated.
+    /// Estimated prompt tokens of the new request.
     #[n(3)]
     pub prompt_tokens: u32,
 }
 
-/// The load of one back end in few bytes, as its owner passes it on.
+/// Compact summary of the load of one back end, as sent by its owner.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct LoadDigest {
     /// Back end.
     #[n(0)]
     pub backend: BackendId,
-    /// Life of it.
+    /// Incarnation of the back end.
     #[n(1)]
     pub incarnation: Incarnation,
-    /// Sequence of the report that this was made from.
+    /// Sequence number of the load report that this summarizes.
     #[n(2)]
     pub sequence: u64,
     /// Online requests running and waiting.
@@ -116,88 +116,88 @@
     /// Batch requests running and waiting.
     #[n(4)]
     pub batch: u16,
-    /// Share of KV memory in use, 0 to 255.
+    /// Share of KV memory in use, scaled to the range 0 to 255.
     #[n(5)]
     pub kv_used: u8,
-    /// Mean step in units of 100 microseconds.
+    /// Mean step duration in units of 100 microseconds.
     #[n(6)]
     pub step: u16,
-    /// Whether it is leaving.
+    /// Whether the back end is leaving.
     #[n(7)]
     pub leaving: bool,
 }
 
-/// What one control node told a node so far.
+/// Position of a node in the stream of changes from one control node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ViewMark {
-    /// Drawn at random at each start of the control node.
+    /// Random number that the control node draws each time it starts.
     #[n(0)]
     pub session: u64,
-    /// Changes counted by that start.
+    /// Number of changes within that session.
     #[n(1)]
     pub revision: u64,
 }
 
-/// What a node is for, as control nodes count it.
+/// Kind of a node that watches a control node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum WatcherKind {
-    /// It takes requests of callers.
+    /// Accepts requests from callers.
     #[n(0)]
     Gateway,
-    /// It holds batch jobs.
+    /// Stores batch jobs.
     #[n(1)]
     Store,
 }
 
-/// Asks for what is newer than a mark.
+/// Waits for changes after a mark.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct WatchView {
-    /// Who asks.
+    /// Node that sends the request.
     #[n(0)]
     pub node: NodeId,
-    /// What it is for.
+    /// Kind of the node.
     #[n(1)]
     pub kind: WatcherKind,
-    /// What it has of this control node.
+    /// Last position received from this control node.
     #[n(2)]
     pub mark: ViewMark,
-    /// Longest wait for something newer, in milliseconds.
+    /// Maximum time to wait for a change, in milliseconds.
     #[n(3)]
     pub wait_ms: u32,
-    /// Where the asker stands; an older one does not say.
+    /// Zone of the node; `None` from nodes of an older version.
     #[n(4)]
     pub zone: Option<ZoneName>,
-    /// Version of the newest configuration that it holds, from whichever control node,
-    /// and 0 for none; an older asker does not say.
+    /// Newest configuration version that the node holds from any control node, or 0
+    /// if it holds none; `None` from nodes of an older version.
     #[n(5)]
     pub version: Option<u64>,
-    /// Whether another control node is to tell it a new configuration first.
+    /// Whether another control node is the first to send this node a new configuration.
     #[n(6)]
     #[cbor(default)]
     pub told_elsewhere: bool,
 }
 
-/// Asks for batch items.
+/// Requests batch items to run.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct TakeItems {
-    /// Who asks.
+    /// Node that sends the request.
     #[n(0)]
     pub node: NodeId,
-    /// Most items.
+    /// Maximum number of items.
     #[n(1)]
     pub capacity: u32,
-    /// Items that it runs, as number of the job and place.
+    /// Items that the node runs, as pairs of job number and item index.
     #[n(2)]
     pub held: Vec<(u64, u32)>,
-    /// Longest wait for an item, in milliseconds.
+    /// Maximum time to wait for an item, in milliseconds.
     #[n(3)]
     pub wait_ms: u32,
-    /// Drawn by the asker when it starts.
+    /// Number that the node draws when it starts.
     #[n(4)]
     #[cbor(default)]
     pub life: u64,
-    /// Rises with each call of that life.
+    /// Sequence number of the request, which increases with each request of one `life`.
     #[n(5)]
     #[cbor(default)]
     pub number: u64,
@@ -206,17 +206,17 @@
 /// A request between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Request {
-    /// Consensus messages between replicas, one way.
+    /// Consensus messages between replicas; one-way.
     #[n(0)]
     Consensus {
         /// Sender.
         #[n(0)]
         from: NodeId,
-        /// Messages, several groups together.
+        /// Messages, possibly of several groups.
         #[n(1)]
         messages: Vec<GroupMessage>,
     },
-    /// Proposes a command to a group's leader.
+    /// Proposes a command to the leader of a group.
     #[n(1)]
     Propose {
         /// Group.
@@ -232,7 +232,7 @@
         /// Group.
         #[n(0)]
         group: GroupId,
-        /// How fresh.
+        /// Consistency of the read.
         #[n(1)]
         consistency: Consistency,
         /// Query, encoded by the state crate.
@@ -242,120 +242,120 @@
     /// Waits for a newer configuration.
     #[n(3)]
     Watch(#[n(0)] WatchConfiguration),
-    /// Online work went to a back end, one way.
+    /// An online request was sent to a back end; one-way.
     #[n(4)]
     OnlineArrival(#[n(0)] OnlineArrival),
-    /// Load of the sender's back ends, one way.
+    /// Load of the back ends that the sender owns; one-way.
     #[n(5)]
     Loads {
-        /// Owner that observed them.
+        /// Owner that observed the loads.
         #[n(0)]
         from: NodeId,
         /// The digests.
         #[n(1)]
         digests: Vec<LoadDigest>,
     },
-    /// Asks a process what it is.
+    /// Requests the status of a process.
     #[n(6)]
     Status,
-    /// Asks which version is in force on each node.
+    /// Requests the configuration version in force on each node.
     #[n(7)]
     VersionsInForce,
-    /// A node is alive.
+    /// Reports that a node is alive.
     #[n(8)]
     Heartbeat {
         /// Node.
         #[n(0)]
         node: NodeId,
-        /// Its life.
+        /// Incarnation of the node.
         #[n(1)]
         incarnation: Incarnation,
-        /// Where it stands.
+        /// Zone of the node.
         #[n(2)]
         zone: ZoneName,
-        /// Whether it is stopping as planned.
+        /// Whether the node is draining for a planned stop.
         #[n(3)]
         draining: bool,
-        /// Back ends whose batch work it owns.
+        /// Back ends whose batch work the node owns.
         #[n(4)]
         owned: Vec<BackendId>,
     },
-    /// Asks a control node what a node needs to know, once something is newer.
+    /// Waits for changes of the state that a control node publishes to nodes.
     #[n(9)]
     WatchView(#[n(0)] WatchView),
-    /// Engines that another control node heard; one-way.
+    /// Engines that announced themselves to another control node; one-way.
     #[n(10)]
     EnginesHeard {
-        /// Encoded records.
+        /// Encoded engine records.
         #[n(0)]
         records: ByteVec,
     },
-    /// Asks the leader of the batch group for items to run, and renews those
-    /// that the asker runs.
+    /// Requests items to run from the leader of the batch group, and renews the
+    /// leases of those that the sender runs.
     #[n(11)]
     TakeItems(#[n(0)] TakeItems),
-    /// What a gateway has at engines and of tenants, or what several have as a relay adds it
-    /// up; one-way, to gateways and relays.
+    /// Work that a gateway has at engines and its use of tenants' limits, or the sum over
+    /// several gateways from a relay; one-way, to gateways and relays.
     #[n(12)]
     EngineWork {
         /// Gateway or relay.
         #[n(0)]
         from: NodeId,
-        /// Encoded shares of work, one for each engine that has any.
+        /// Encoded shares of work, one for each engine that has work.
         #[n(1)]
         shares: ByteVec,
-        /// Whether a relay tells it.
+        /// Whether the sender is a relay.
         #[n(2)]
         relayed: bool,
-        /// Encoded use of tenants' limits; `None` when it says nothing of them.
+        /// Encoded use of tenants' limits; `None` when the message does not report it.
         #[n(3)]
         usage: Option<ByteVec>,
-        /// Gateways that a relay speaks for, where it tells another relay.
+        /// Number of gateways that a relay represents, when it sends to another relay.
         #[n(4)]
         gateways: Option<u32>,
-        /// Encoded requests that ran at engines as they ended; `None` when there is
-        /// nothing to tell of them.
+        /// Encoded requests that were running at engines when those ended; `None` when there
+        /// are none to report.
         #[n(5)]
         blames: Option<ByteVec>,
-        /// Encoded tellings of zones that are out of reach; `None` for no such zone.
+        /// Encoded reports of unreachable zones; `None` when there is no such zone.
         #[n(6)]
         reach: Option<ByteVec>,
-        /// Encoded demand for services; `None` where it is not told.
+        /// Encoded demand for services; `None` when the message does not report it.
         #[n(7)]
         demand: Option<ByteVec>,
     },
 }
 
-/// Where a group's leader can be reached.
+/// Node and address of a group's leader.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct LeaderHint {
     /// Node.
     #[n(0)]
     pub node: NodeId,
-    /// Its internal address.
+    /// Internal address of the node.
     #[n(1)]
     pub address: String,
 }
 
-/// What a process says of itself.
+/// Status of a process.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct NodeStatus {
     /// Node.
     #[n(0)]
     pub node: NodeId,
-    /// Its life.
+    /// Incarnation of the node.
     #[n(1)]
     pub incarnation: Incarnation,
-    /// Configuration in force.
+    /// Configuration version in force.
     #[n(2)]
     pub in_force: ConfigVersion,
-    /// Whether it takes new work.
+    /// Whether the node accepts new work.
     #[n(3)]
     pub ready: bool,
-    /// Groups that it leads.
+    /// Groups that the node leads.
     #[n(4)]
     pub leads: Vec<GroupId>,
-    /// Services it routes.
+    /// Services that the node routes.
     #[n(5)]
     pub services: Vec<ServiceName>,
 }
@@ -363,88 +363,88 @@
 /// A response between processes.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Response {
-    /// The command was committed and applied; this is its reply.
+    /// The command was committed and applied.
     #[n(0)]
     Proposed {
         /// Reply, encoded by the state crate.
         #[n(0)]
         reply: ByteVec,
     },
-    /// The answer to a read.
+    /// The result of a read.
     #[n(1)]
     Answered {
-        /// Answer, encoded by the state crate.
+        /// Result, encoded by the state crate.
         #[n(0)]
         answer: ByteVec,
     },
-    /// Another replica leads, or none that is known. Nothing was done.
+    /// This replica is not the leader and did nothing.
     #[n(2)]
     NotLeader {
-        /// Who leads.
+        /// The current leader, if known.
         #[n(0)]
         leader: Option<LeaderHint>,
     },
-    /// It was refused, or its fate is not known.
+    /// The request was rejected, or its outcome is unknown.
     #[n(3)]
     Refused {
-        /// `NotRun`: it will never take effect. `Unknown`: it may yet.
+        /// `NotRun`: the request will never take effect. `Unknown`: it may still take effect.
         #[n(0)]
         outcome: RunOutcome,
-        /// One sentence for people.
+        /// Human-readable message of one sentence.
         #[n(1)]
         message: String,
-        /// When to come back, in milliseconds.
+        /// Delay before a retry, in milliseconds.
         #[n(2)]
         retry_after_ms: u32,
     },
-    /// A newer configuration, or none within the wait.
+    /// A newer configuration, or none if there was no newer one within the wait.
     #[n(4)]
     Configuration {
-        /// Newest version that a quorum confirmed when this was answered.
+        /// Newest version that a quorum confirmed when this response was created.
         #[n(0)]
         current: ConfigVersion,
-        /// The configuration, encoded by the state crate, if newer.
+        /// The newer configuration, if any, encoded by the state crate.
         #[n(1)]
         configuration: Option<ByteVec>,
     },
-    /// Taken.
+    /// The request was accepted.
     #[n(5)]
     Acknowledged,
-    /// To [`Request::Status`].
+    /// The response to [`Request::Status`].
     #[n(6)]
     Status(#[n(0)] NodeStatus),
-    /// To [`Request::VersionsInForce`].
+    /// The response to [`Request::VersionsInForce`].
     #[n(7)]
     VersionsInForce {
-        /// Node and its version.
+        /// Nodes with their versions.
         #[n(0)]
         versions: Vec<(NodeId, ConfigVersion)>,
     },
-    /// To [`Request::Heartbeat`]: gateways that are alive, for batch ownership.
+    /// The response to [`Request::Heartbeat`]: live gateways, for batch ownership.
     #[n(8)]
     LiveNodes {
-        /// Node, life and whether it is draining.
+        /// Nodes with their incarnation and whether they are draining.
         #[n(0)]
         nodes: Vec<(NodeId, Incarnation, bool)>,
     },
-    /// To [`Request::WatchView`].
+    /// The response to [`Request::WatchView`].
     #[n(9)]
     View {
-        /// State that the asker then has.
+        /// Position of the node once it has applied the update.
         #[n(0)]
         mark: ViewMark,
-        /// Encoded changes since the asker's mark.
+        /// Encoded changes since the mark in the request.
         #[n(1)]
         update: ByteVec,
     },
-    /// To [`Request::TakeItems`].
+    /// The response to [`Request::TakeItems`].
     #[n(10)]
     Items {
         /// Encoded items to run.
         #[n(0)]
         items: ByteVec,
-        /// Items that the asker runs and should not, as number of the job and
-        /// place.
+        /// Items that the node runs but must stop, as pairs of job number and item
+        /// index.
         #[n(1)]
         stop: Vec<(u64, u32)>,
     },
--- a/crates/wire/src/net.rs
+++ b/crates/wire/src/net.rs
@@ -1,4 +1,4 @@
-//! Small helpers around sockets and timers.
+//! Helpers for sockets and timers.
 
 use std::future::Future;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use async_io::Timer;
 use futures_lite::future;
 
-/// The output of `future`, or `None` when `limit` passed first.
+/// Returns the output of `future`, or `None` when it takes longer than `limit`.
 pub(crate) async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let timeout = async {
         Timer::after(limit).await;
--- a/crates/wire/src/server/connection.rs
+++ b/crates/wire/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a server.
+//! A connection of a server.
 
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -16,14 +16,14 @@
 use crate::message::{Envelope, Request};
 use crate::net::within;
 
-/// Bytes asked from the socket at a time.
+/// Size of the read buffer in bytes.
 const READ_BYTES: usize = 16 * 1024;
-/// Bytes written together, unless a single frame is longer.
+/// Batch size in bytes beyond which no further frame is added.
 const BATCH_BYTES: usize = 64 * 1024;
-/// Responses that wait for the writer.
+/// Maximum number of responses queued for the writer.
 const QUEUED_RESPONSES: usize = 64;
 
-/// Reads requests and writes responses until either side ends.
+/// Reads requests and writes responses until either direction ends.
 pub(crate) async fn serve_connection<H: Handler>(
     stream: Arc<Async<TcpStream>>,
     shared: Arc<Shared>,
@@ -48,7 +48,7 @@
     future::or(read, write_frames(&stream, &shared, queued)).await;
 }
 
-/// The reading half.
+/// The reading half of a connection.
 struct Reader<'a, H> {
     stream: &'a Async<TcpStream>,
     shared: &'a Arc<Shared>,
@@ -59,7 +59,7 @@
 }
 
 impl<H: Handler> Reader<'_, H> {
-    /// Reads until the peer closes or falls silent.
+    /// Reads until the peer closes the connection or the idle timeout expires.
     async fn run(&self) -> Result<(), FrameError> {
         let limits = &self.shared.limits;
         let mut decoder = FrameDecoder::new(limits.max_frame_bytes);
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Handles one message; `false` when a client may not send it.
+    /// Handles one message; returns `false` when clients must not send this kind.
     async fn dispatch(&self, envelope: Envelope) -> bool {
         match envelope {
             Envelope::Request { number, request } => {
@@ -96,7 +96,8 @@
                 true
             }
             Envelope::Ping => {
-                // A writer that is behind proves by itself that we are alive.
+                // When the queue is full, the pong can be dropped: the queued
+                // responses show the peer that this process is alive.
                 if let Some(frame) = self.encode(&Envelope::Pong) {
                     let _behind = self.frames.try_send(frame);
                 }
@@ -106,8 +107,8 @@
         }
     }
 
-    /// Runs the handler beside the reading. It goes on when the connection
-    /// ends, since its request may be half done.
+    /// Spawns the handler concurrently with reading. It continues after the
+    /// connection ends, since its request may be partially executed.
     fn spawn_call(&self, number: u64, request: Request, permit: SemaphoreGuardArc) {
         let handler = self.handler.clone();
         let frames = self.frames.clone();
@@ -125,7 +126,7 @@
         self.executor.spawn(call).detach();
     }
 
-    /// The frame of a short message.
+    /// Encodes a message; returns `None` when it exceeds the maximum frame length.
     fn encode(&self, envelope: &Envelope) -> Option<Vec<u8>> {
         let mut frame = Vec::new();
         encode_frame(envelope, self.shared.limits.max_frame_bytes, &mut frame).ok()?;
@@ -133,7 +134,7 @@
     }
 }
 
-/// The response in place of one that is longer than a frame may be.
+/// Encodes the response that replaces one that exceeds the maximum frame length.
 fn too_long_frame(number: u64) -> Vec<u8> {
     let response = crate::message::Response::Refused {
         outcome: molespan_types::RunOutcome::Unknown,
@@ -150,7 +151,7 @@
     frame
 }
 
-/// Writes responses, many at once. Ends when the socket fails.
+/// Writes responses in batches. Returns when the socket fails.
 async fn write_frames(stream: &Async<TcpStream>, shared: &Shared, queued: Receiver<Vec<u8>>) {
     while let Ok(mut batch) = queued.recv().await {
         while batch.len() < BATCH_BYTES {
--- a/crates/wire/src/server/mod.rs
+++ b/crates/wire/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The answering side.
+//! Server that accepts connections and answers requests.
 
 mod connection;
 
@@ -19,32 +19,32 @@
 use crate::message::{Request, Response};
 use connection::serve_connection;
 
-/// Pause after the system refused a new socket.
+/// Delay after a failed accept, before the next one.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
 /// Answers the requests of peers.
 pub trait Handler: Send + Sync + 'static {
-    /// Answers a request. Requests of one connection run side by side.
+    /// Answers a request. Requests of one connection run concurrently.
     fn call(&self, request: Request) -> impl Future<Output = Response> + Send;
 
-    /// Takes a message that nobody waits for. Messages of one connection come
-    /// in the order in which they were sent; this must not block.
+    /// Handles a one-way message. Messages of one connection arrive in the order in
+    /// which they were sent. Must not block.
     fn notify(&self, request: Request);
 }
 
-/// Bounds of a server.
+/// Limits of a server.
 #[derive(Clone, Debug)]
 pub struct ServerLimits {
-    /// Longest body of a frame in bytes.
+    /// Maximum length of a frame body in bytes.
     pub max_frame_bytes: usize,
-    /// Most connections; a further one is closed at once.
+    /// Maximum number of connections; further ones are closed immediately.
     pub max_connections: usize,
-    /// Most requests of one connection that run at once; further ones are not
+    /// Maximum number of concurrent requests of one connection; further ones are not
     /// read until one of them is answered.
     pub max_requests_per_connection: usize,
-    /// Longest time to write one batch of responses.
+    /// Timeout for writing one batch of responses.
     pub write_timeout: Duration,
-    /// Longest silence of a peer.
+    /// How long a peer may send nothing before its connection is closed.
     pub idle_timeout: Duration,
 }
 
@@ -66,18 +66,18 @@
 pub struct ServerError {
     /// Requested address.
     pub address: SocketAddr,
-    /// What the system said.
+    /// Error of the operating system.
     pub source: io::Error,
 }
 
-/// What a server counted since its start.
+/// Counters of a server since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerCounters {
-    /// Connections open now.
+    /// Currently open connections.
     pub open_connections: usize,
-    /// Connections closed since there were too many.
+    /// Connections closed because of the connection limit.
     pub refused_connections: u64,
-    /// Connections closed since their peer broke the protocol.
+    /// Connections closed because the peer violated the protocol.
     pub broken_connections: u64,
     /// Bytes read.
     pub bytes_read: u64,
@@ -85,7 +85,7 @@
     pub bytes_written: u64,
 }
 
-/// What the connections of a server share.
+/// State shared by the connections of a server.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) limits: ServerLimits,
@@ -99,13 +99,13 @@
 }
 
 impl Shared {
-    /// Resolves once the server must stop.
+    /// Completes once the server must stop.
     pub(crate) async fn stopped(&self) {
         let _closed = self.stopped.recv().await;
     }
 }
 
-/// A listening socket that does not serve yet.
+/// A bound listening socket, before it is served.
 #[derive(Debug)]
 pub struct Server {
     listener: Async<TcpListener>,
@@ -125,7 +125,7 @@
         self.shared.stop.close();
     }
 
-    /// The counters now.
+    /// Returns the current counters.
     #[must_use]
     pub fn counters(&self) -> ServerCounters {
         let shared = &self.shared;
@@ -170,13 +170,13 @@
         })
     }
 
-    /// The bound address, with the port that the system chose for port 0.
+    /// Returns the bound address, with the port that the system assigned for port 0.
     #[must_use]
     pub fn local_address(&self) -> SocketAddr {
         self.local_address
     }
 
-    /// A handle that stops the server and reads its counters.
+    /// Returns a handle that stops the server and reads its counters.
     #[must_use]
     pub fn handle(&self) -> ServerHandle {
         ServerHandle {
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Serves until [`ServerHandle::stop`].
+    /// Accepts and serves connections until [`ServerHandle::stop`] is called.
     pub async fn serve(self, executor: Arc<Executor<'static>>, handler: Arc<impl Handler>) {
         let accept = async {
             loop {
@@ -194,7 +194,7 @@
         future::or(accept, self.shared.stopped()).await;
     }
 
-    /// Waits for one connection and spawns its task.
+    /// Accepts one connection and spawns its task.
     async fn accept_one(&self, executor: &Arc<Executor<'static>>, handler: &Arc<impl Handler>) {
         let Ok((stream, _)) = self.listener.accept().await else {
             Timer::after(ACCEPT_PAUSE).await;
--- a/crates/wire/tests/common/mod.rs
+++ b/crates/wire/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A server whose answers tell requests apart.
+//! A test server that answers each heartbeat with the node that it names.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,15 +9,16 @@
 use molespan_types::{Incarnation, NodeId};
 use molespan_wire::{Handler, Request, Response, Server, ServerHandle, ServerLimits};
 
-/// Longer than any test should take.
+/// Timeout longer than any test should take.
 pub const LONG: Duration = Duration::from_secs(30);
 
-/// Answers heartbeats with their node, and holds `Status` until the gate opens.
+/// Answers heartbeats with their node, and delays any other request until
+/// `gate` releases it.
 pub struct TestHandler {
-    /// Lets one held request go.
+    /// Releases one delayed request per message.
     pub gate: Sender<()>,
     held: Receiver<()>,
-    /// One-way messages in the order of their arrival.
+    /// One-way messages in order of arrival.
     pub notified: Receiver<Request>,
     notify: Sender<Request>,
 }
@@ -51,7 +52,7 @@
     }
 }
 
-/// A request that names `node`.
+/// Returns a heartbeat of `node`.
 pub fn heartbeat(node: u32) -> Request {
     Request::Heartbeat {
         node: NodeId(node),
@@ -62,7 +63,7 @@
     }
 }
 
-/// The answer to [`heartbeat`].
+/// Returns the response to [`heartbeat`].
 pub fn status_of(node: u32) -> Response {
     Response::LiveNodes {
         nodes: vec![(NodeId(node), Incarnation(1), false)],
@@ -73,7 +74,7 @@
 pub struct Running {
     pub address: SocketAddr,
     pub handle: ServerHandle,
-    /// Closed once the server has stopped.
+    /// Closed when the server has stopped.
     pub finished: Receiver<()>,
 }
 
@@ -87,7 +88,7 @@
     run(executor, Server::bind(any, limits).unwrap(), handler)
 }
 
-/// Starts a server on a port that an earlier one has freed.
+/// Starts a server on a port that an earlier server has released.
 #[allow(dead_code, reason = "not every test file restarts a server")]
 pub fn start_at(
     executor: &Arc<Executor<'static>>,
--- a/crates/wire/tests/transport.rs
+++ b/crates/wire/tests/transport.rs
@@ -1,4 +1,4 @@
-//! The client and the server against each other.
+//! Tests of the client against the server.
 
 mod common;
 
@@ -71,7 +71,8 @@
 #[test]
 fn a_call_that_was_not_written_is_not_sent() {
     let executor = Arc::new(Executor::new());
-    // A bound port that nobody accepts on would take bytes; a closed one refuses.
+    // A bound port without accept would still take bytes; a closed port refuses the
+    // connection.
     let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = closed.local_addr().unwrap();
     drop(closed);
@@ -149,7 +150,7 @@
             let client = client.clone();
             async move { client.call(Request::Status, LONG).await }
         });
-        // The answer to a later call proves that the first one was written.
+        // The response to a later call proves that the first call was written.
         client.call(heartbeat(2), LONG).await.unwrap();
         server.handle.stop();
         let error = waiting.await.unwrap_err();
@@ -187,7 +188,8 @@
 #[test]
 fn a_silent_peer_is_given_up() {
     let executor = Arc::new(Executor::new());
-    // Takes the connection and never answers, as behind a cut that nobody sees.
+    // Accepts the connection but never answers, like a peer behind an undetected
+    // network partition.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = silent.local_addr().unwrap();
     let limits = ClientLimits {
