--- a/crates/types/src/digest.rs
+++ b/crates/types/src/digest.rs
@@ -4,8 +4,8 @@
 use minicbor::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// A 64-bit xxh3 digest of some content, to tell equal bodies from others.
-/// It guards against mistakes, not against an attacker.
+/// A 64-bit xxh3 digest, used to compare contents for equality. It is not
+/// cryptographic: it detects accidental differences, not deliberate collisions.
 #[derive(
     Clone,
     Copy,
@@ -27,7 +27,7 @@
 #[serde(transparent)]
 pub struct Digest(#[n(0)] pub u64);
 
-/// The digest of `content`.
+/// Returns the digest of `content`.
 #[must_use]
 pub fn digest_of(content: &[u8]) -> Digest {
     Digest(xxhash_rust::xxh3::xxh3_64(content))
--- a/crates/types/src/engine_life.rs
+++ b/crates/types/src/engine_life.rs
@@ -1,24 +1,26 @@
-//! Which life of an engine an identifier names.
+//! Identifiers of engine incarnations.
 
 use std::collections::BTreeMap;
 
-/// Stands between the name and the start. No name has it: a path ends before it.
+/// Separates the name from the start time. Names cannot contain it, since `#` ends the
+/// path of a URL.
 const SEPARATOR: char = '#';
-/// The character behind it, for ranges of identifiers.
+/// The character that follows `SEPARATOR`, used as the upper bound of identifier ranges.
 const BEHIND_SEPARATOR: char = '$';
 
-/// One life of an engine that may start again under its name. Its identifier, by which
-/// every table goes, is the name and the start; the name alone where no start was told.
+/// One incarnation of an engine, which may restart under the same name. Its identifier,
+/// the key of every table of engines, consists of the name and the start time, or of the
+/// name alone if the engine reported no start time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineLife<'a> {
-    /// What the engine calls itself in each of its lives.
+    /// Name of the engine, the same for all its incarnations.
     pub name: &'a str,
-    /// Milliseconds since 1970 at which it started, if it says so.
+    /// Start time in milliseconds since the Unix epoch (1970), if the engine reported it.
     pub born: Option<u64>,
 }
 
 impl<'a> EngineLife<'a> {
-    /// The life that an identifier names.
+    /// Parses an identifier.
     #[must_use]
     pub fn of(id: &'a str) -> Self {
         let parts = id.rsplit_once(SEPARATOR);
@@ -35,13 +37,13 @@
         })
     }
 
-    /// Whether an engine may call itself so.
+    /// Whether `name` is a valid engine name.
     #[must_use]
     pub fn is_name(name: &str) -> bool {
         !name.is_empty() && !name.contains(SEPARATOR)
     }
 
-    /// The identifier.
+    /// Returns the identifier of the incarnation.
     #[must_use]
     pub fn id(&self) -> String {
         match self.born {
@@ -50,21 +52,22 @@
         }
     }
 
-    /// Whether it ended before `other` began: one engine lives once at a time. A life
-    /// without a start is taken for the earliest.
+    /// Whether this incarnation ended before `other` started, since an engine has only one
+    /// incarnation at a time. An incarnation without a start time counts as the earliest.
     #[must_use]
     pub fn is_before(&self, other: &EngineLife<'_>) -> bool {
         self.name == other.name && self.born < other.born
     }
 
-    /// Whether the departure of `departed` is this one's too: it or a later life left.
+    /// Whether the departure of `departed` applies to this incarnation: `departed` is this
+    /// incarnation or a later one.
     #[must_use]
     pub fn is_bound_by(&self, departed: &EngineLife<'_>) -> bool {
         self.name == departed.name && self.born <= departed.born
     }
 }
 
-/// What a map by identifier holds of the lives of one engine.
+/// Returns the entries of all incarnations of one engine in a map keyed by identifier.
 pub fn lives_of<'m, V>(
     map: &'m BTreeMap<String, V>,
     name: &str,
--- a/crates/types/src/identifier.rs
+++ b/crates/types/src/identifier.rs
@@ -1,4 +1,4 @@
-//! Identifiers. Numeric where they travel often, text where people choose them.
+//! Identifiers: numeric where they are sent often, text where people choose them.
 
 use derive_more::{Display, From};
 use minicbor::{Decode, Encode};
@@ -17,7 +17,7 @@
         pub struct $name(#[n(0)] pub $inner);
 
         impl $name {
-            /// The identifier that follows this one.
+            /// Returns the next identifier.
             #[must_use]
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
@@ -45,7 +45,7 @@
         }
 
         impl $name {
-            /// The name as text.
+            /// Returns the name as text.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -55,15 +55,15 @@
 }
 
 numeric_identifier! {
-    /// A `molespand` process, as numbered in its settings file.
+    /// A `molespand` process, identified by the number in its settings file.
     NodeId(u32)
 }
 numeric_identifier! {
-    /// An engine or application back end, as numbered by the platform list.
+    /// An engine or application back end, identified by its number in the platform list.
     BackendId(u32)
 }
 numeric_identifier! {
-    /// One life of a back end or node. It rises with every restart.
+    /// An incarnation of a back end or node. Increases with every restart.
     Incarnation(u64)
 }
 numeric_identifier! {
@@ -79,16 +79,17 @@
     LeaseId(u64)
 }
 numeric_identifier! {
-    /// The version of the configuration. It rises by one with every accepted change.
+    /// The version of the configuration. Increases by one with every accepted change.
     ConfigVersion(u64)
 }
 numeric_identifier! {
-    /// A number that rises with every order; a back end refuses a lower one.
+    /// A number that increases with every order. A back end rejects orders with a lower
+    /// number.
     FencingToken(u64)
 }
 
 text_identifier! {
-    /// A tenant, the unit of rate limits and fair shares.
+    /// A tenant, the unit of rate limiting and fair sharing.
     TenantId
 }
 text_identifier! {
@@ -100,20 +101,20 @@
     ModelName
 }
 text_identifier! {
-    /// A zone, the unit that is cut off as a whole.
+    /// A zone: the set of processes that a network partition may isolate together.
     ZoneName
 }
 
 impl NodeId {
-    /// The number of the node that listens on `address`. Addresses are unique
-    /// in a cluster, so a node needs no other name and can be called back
-    /// without a directory.
+    /// Returns the number of the node that listens on `address`. Addresses are
+    /// unique in a cluster, so a node needs no other identifier, and its address
+    /// can be derived without a directory.
     #[must_use]
     pub fn of_address(address: std::net::Ipv4Addr) -> Self {
         Self(u32::from(address))
     }
 
-    /// The address that [`NodeId::of_address`] was given.
+    /// Returns the address from which [`NodeId::of_address`] derived this number.
     #[must_use]
     pub fn address(self) -> std::net::Ipv4Addr {
         std::net::Ipv4Addr::from(self.0)
@@ -121,15 +122,15 @@
 }
 
 impl GroupId {
-    /// The group of ordered batch jobs, apart from the numbered job groups.
+    /// The group of ordered batch jobs, outside the range of the numbered job groups.
     pub const BATCH: GroupId = GroupId(1 << 16);
 
     /// The group that holds configuration, nodes and placement.
     pub const CONTROL: GroupId = GroupId(0);
 }
 
-/// A batch job, derived from the tenant and the job key so that a resubmission
-/// through any gateway names the same job.
+/// A batch job. The number is derived from the tenant and the job key, so that a
+/// resubmission through any gateway refers to the same job.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Encode, Decode,
 )]
@@ -141,24 +142,25 @@
     /// Prefix of the text form.
     const PREFIX: &'static str = "job-";
 
-    /// The identifier of the job that `tenant` submits under `key`.
+    /// Returns the identifier of the job that `tenant` submits under `key`.
     #[must_use]
     pub fn from_key(tenant: &TenantId, key: &str) -> Self {
         let joined = format!("{}\n{}", tenant.0, key);
         Self(xxhash_rust::xxh3::xxh3_64(joined.as_bytes()))
     }
 
-    /// Parses the text form, `job-` and 16 hexadecimal digits.
+    /// Parses the text form: `job-` followed by 16 hexadecimal digits.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.strip_prefix(Self::PREFIX)?;
         u64::from_str_radix(digits, 16).ok().map(Self)
     }
 
-    /// The group, of `job_groups` numbered from 1, that holds this job.
+    /// Returns the group that holds this job, out of `job_groups` groups numbered
+    /// from 1.
     ///
     /// # Panics
-    /// When `job_groups` is 0; settings refuse that.
+    /// When `job_groups` is 0, which the settings reject.
     #[must_use]
     pub fn group(self, job_groups: u32) -> GroupId {
         let slot = self.0 % u64::from(job_groups);
@@ -166,17 +168,18 @@
     }
 }
 
-/// One attempt at running a request on a back end. Engines echo it, and a
-/// response that carries another one is refused as crossed.
+/// One attempt at running a request on a back end. Engines echo the identifier, and
+/// a response with a different one is rejected as belonging to another attempt.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Display, Encode, Decode,
 )]
 #[display("{node:x}-{sequence:x}")]
 pub struct AttemptId {
-    /// The node that started the attempt and its life: a restart changes it.
+    /// The node that started the attempt, combined with its incarnation, so that it
+    /// changes with each restart.
     #[n(0)]
     pub node: u64,
-    /// Counts attempts of that node.
+    /// Sequence number of the attempt at that node.
     #[n(1)]
     pub sequence: u64,
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,8 +1,8 @@
-//! Identifiers, time and outcomes shared by every molespan crate.
+//! Identifiers, timestamps and outcomes shared by the molespan crates.
 //!
-//! The types here carry no behaviour beyond formatting, encoding and simple
-//! arithmetic, so that every decision core can depend on them without pulling
-//! in sockets, clocks or threads.
+//! The types have no behaviour beyond formatting, encoding and simple arithmetic,
+//! so that the decision cores can depend on them without depending on sockets,
+//! clocks or threads.
 
 mod digest;
 mod engine_life;
--- a/crates/types/src/mechanism.rs
+++ b/crates/types/src/mechanism.rs
@@ -1,25 +1,25 @@
-//! Switches that turn one protective mechanism off, to prove that a checker
-//! notices its absence.
+//! Switches that disable one protective mechanism, to prove that a checker detects
+//! the resulting violation.
 //!
-//! Without the `mutants` feature every mechanism is on and [`enabled`] is a
-//! constant. Only the simulator's mutation runs build with that feature.
+//! Without the `mutants` feature every mechanism is enabled and [`enabled`] is a
+//! constant function. Only the simulator's mutation runs are built with that feature.
 
 use derive_more::Display;
 
-/// Declares the mechanisms and their names in one place.
+/// Declares the mechanisms together with their names.
 macro_rules! mechanisms {
     ($($(#[$meta:meta])* $variant:ident => $name:literal,)*) => {
-        /// A mechanism that a guarantee rests on.
+        /// A mechanism on which a guarantee depends.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
         pub enum Mechanism {
             $($(#[$meta])* #[display($name)] $variant,)*
         }
 
         impl Mechanism {
-            /// Every mechanism.
+            /// All mechanisms.
             pub const ALL: &'static [Mechanism] = &[$(Mechanism::$variant,)*];
 
-            /// The mechanism of that name.
+            /// Returns the mechanism called `name`.
             #[must_use]
             pub fn parse(name: &str) -> Option<Self> {
                 match name {
@@ -32,53 +32,53 @@
 }
 
 mechanisms! {
-    /// Log entries and votes are synced before any reply that rests on them.
+    /// Log entries and votes are synced to disk before any reply that depends on them.
     SyncBeforeReply => "sync-before-reply",
-    /// A replica remembers its vote across restarts.
+    /// A replica persists its vote across restarts.
     DurableVote => "durable-vote",
     /// An entry is committed only by a quorum and in the leader's own term.
     QuorumCommit => "quorum-commit",
     /// Linearizable reads confirm leadership with a quorum.
     ReadIndex => "read-index",
-    /// A blank or rolled back disk starts under a new identity, as a learner.
+    /// A replica with a blank or rolled back disk starts under a new identity, as a learner.
     NewIncarnation => "new-incarnation",
-    /// A resubmitted job key finds the first submission.
+    /// A resubmitted job key refers to the first submission.
     JobKeyDedupe => "job-key-dedupe",
-    /// The first recorded result of an item stands.
+    /// The first recorded result of an item is final.
     FirstResultWins => "first-result-wins",
-    /// The leader ends a lease only after the owner must have stopped.
+    /// The leader ends a lease only after its owner must have stopped its items.
     LeaseGrace => "lease-grace",
     /// An owner stops its items at lease expiry on its own clock.
     OwnerStopsAtExpiry => "owner-stops-at-expiry",
-    /// A cancelled job hands out no further items.
+    /// No further items of a cancelled job are leased.
     CancelStopsLeasing => "cancel-stops-leasing",
-    /// A job is cancelled only once no lease is out.
+    /// A job becomes cancelled only once it has no active lease.
     CancelWaitsForLeases => "cancel-waits-for-leases",
-    /// Batch work yields as soon as online work arrives.
+    /// Batch work is preempted as soon as online work arrives.
     PreemptOnArrival => "preempt-on-arrival",
-    /// A response is taken only for the attempt that it names.
+    /// A response is accepted only for the attempt that it identifies.
     AttemptCheck => "attempt-check",
-    /// A response is taken only when it is whole.
+    /// A response is accepted only when it is complete.
     CompletenessCheck => "completeness-check",
-    /// `not-run` is said only when no byte was sent or the back end said so.
+    /// `not-run` is reported only when no byte was sent or the back end reported it.
     TruthfulNotRun => "truthful-not-run",
     /// A non-repeatable request is dispatched only under a committed claim.
     ClaimBeforeDispatch => "claim-before-dispatch",
-    /// A non-repeatable request is never sent again after an ambiguous end.
+    /// A non-repeatable request is never retried after an unknown outcome.
     NoRetryAfterAmbiguity => "no-retry-after-ambiguity",
-    /// A back end that was seen leaving stays so for that incarnation.
+    /// A back end that was observed leaving stays leaving for that incarnation.
     StickyLeaving => "sticky-leaving",
     /// Reports of an earlier incarnation are ignored.
     IncarnationOrder => "incarnation-order",
-    /// A planned stop finishes what is in flight before it exits.
+    /// A planned stop finishes the work in flight before the process exits.
     DrainBeforeStop => "drain-before-stop",
-    /// A node never puts an older configuration in force.
+    /// A node never applies an older configuration.
     MonotoneConfiguration => "monotone-configuration",
-    /// A node that cannot confirm its configuration in time refuses new work.
+    /// A node that cannot confirm its configuration in time rejects new work.
     CurrencyBound => "currency-bound",
-    /// A confirmation is remembered by its number.
+    /// A confirmation is recorded under its number.
     ConfirmationMemory => "confirmation-memory",
-    /// A back end's orders carry rising tokens.
+    /// Orders to a back end carry increasing fencing tokens.
     FencingTokens => "fencing-tokens",
 }
 
@@ -92,12 +92,12 @@
         static DISABLED: Cell<Option<Mechanism>> = const { Cell::new(None) };
     }
 
-    /// Turns one mechanism off on this thread, or every one on again.
+    /// Disables one mechanism on this thread, or enables all again if `None`.
     pub fn disable(mechanism: Option<Mechanism>) {
         DISABLED.set(mechanism);
     }
 
-    /// Whether `mechanism` is on.
+    /// Whether `mechanism` is enabled.
     #[must_use]
     pub fn enabled(mechanism: Mechanism) -> bool {
         DISABLED.get() != Some(mechanism)
@@ -107,7 +107,7 @@
 #[cfg(feature = "mutants")]
 pub use switch::{disable, enabled};
 
-/// Whether `mechanism` is on; always, in a build without the `mutants` feature.
+/// Whether `mechanism` is enabled; always `true` without the `mutants` feature.
 #[cfg(not(feature = "mutants"))]
 #[must_use]
 #[inline]
--- a/crates/types/src/outcome.rs
+++ b/crates/types/src/outcome.rs
@@ -1,32 +1,32 @@
-//! What is known about whether a request ran.
+//! Outcome and priority of requests.
 
 use derive_more::Display;
 use minicbor::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// Whether a request ran on a back end, as far as the system can know.
+/// Whether a request ran on a back end, as far as the system can determine.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, Display, Encode, Decode, Serialize, Deserialize,
 )]
 #[cbor(index_only)]
 #[serde(rename_all = "kebab-case")]
 pub enum RunOutcome {
-    /// It ran to its end and its whole answer is known.
+    /// The request completed and its whole response was received.
     #[n(0)]
     #[display("completed")]
     Completed,
-    /// No byte of it reached a back end, or the back end itself said that it
-    /// did not run. Sending it again is safe.
+    /// No byte of the request reached a back end, or the back end itself reported
+    /// that it did not run. A retry is safe.
     #[n(1)]
     #[display("not-run")]
     NotRun,
-    /// It may have run. Only a repeatable request may be sent again.
+    /// The request may have run. Only a repeatable request may be retried.
     #[n(2)]
     #[display("unknown")]
     Unknown,
 }
 
-/// The class of a piece of work.
+/// Priority class of a request.
 #[derive(
     Clone,
     Copy,
@@ -45,11 +45,11 @@
 #[cbor(index_only)]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Runs only where online work leaves room.
+    /// Runs only on capacity that online work leaves free.
     #[n(0)]
     #[display("batch")]
     Batch,
-    /// A caller is waiting.
+    /// A caller waits for the response.
     #[n(1)]
     #[display("online")]
     Online,
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the decision cores see it.
+//! Timestamps of the decision cores.
 
 use std::ops::Add;
 use std::time::Duration;
@@ -6,10 +6,10 @@
 use minicbor::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// Microseconds on one node's own monotonic clock since an arbitrary start.
+/// Microseconds on the monotonic clock of one node since an arbitrary start.
 ///
-/// Values from different nodes must never be compared: leases are judged by
-/// each side on its own clock.
+/// Values from different nodes must never be compared: each side of a lease
+/// determines its expiry on its own clock.
 #[derive(
     Clone,
     Copy,
@@ -33,13 +33,13 @@
     /// The start of the clock.
     pub const ZERO: Timestamp = Timestamp(0);
 
-    /// A timestamp of whole milliseconds.
+    /// Creates a timestamp from whole milliseconds.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// The time that passed since `earlier`, or zero when it lies ahead.
+    /// Returns the time elapsed since `earlier`, or zero when `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
--- a/crates/types/tests/identifier.rs
+++ b/crates/types/tests/identifier.rs
@@ -1,4 +1,4 @@
-//! Identifiers keep their text and binary forms.
+//! Tests of the text and binary forms of identifiers.
 
 use molespan_types::{GroupId, JobId, TenantId};
 use proptest::prelude::*;
