--- a/crates/engine-api/src/completion.rs
+++ b/crates/engine-api/src/completion.rs
@@ -1,18 +1,18 @@
-//! Completions in the usual OpenAI form.
+//! Completion requests and responses in the OpenAI format.
 
 use serde::{Deserialize, Serialize};
 
 /// Body of `POST /v1/completions`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompletionRequest {
-    /// Model, or service name towards a gateway.
+    /// Model; in requests to a gateway, the name of the service.
     pub model: String,
-    /// Text to continue.
+    /// Text to complete.
     pub prompt: String,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
-    /// Whether the answer comes as server-sent events.
+    /// Whether the response is streamed as server-sent events.
     #[serde(default)]
     pub stream: bool,
     /// Adapter to apply, if any.
@@ -20,7 +20,7 @@
     pub adapter: Option<String>,
 }
 
-/// Tokens generated when the request does not say.
+/// Default of `max_tokens`.
 fn default_max_tokens() -> u32 {
     16
 }
@@ -37,14 +37,14 @@
 /// Body of `POST /v1/chat/completions`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ChatCompletionRequest {
-    /// Model, or service name towards a gateway.
+    /// Model; in requests to a gateway, the name of the service.
     pub model: String,
-    /// The conversation so far.
+    /// Messages of the conversation so far.
     pub messages: Vec<ChatMessage>,
-    /// Most tokens to generate.
+    /// Maximum number of tokens to generate.
     #[serde(default = "default_max_tokens")]
     pub max_tokens: u32,
-    /// Whether the answer comes as server-sent events.
+    /// Whether the response is streamed as server-sent events.
     #[serde(default)]
     pub stream: bool,
 }
@@ -53,16 +53,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum FinishReason {
-    /// The model ended the text.
+    /// The model emitted the end of the text.
     Stop,
     /// `max_tokens` was reached.
     Length,
 }
 
-/// One choice of a plain answer. Chat answers carry `message`, others `text`.
+/// One choice of a response that is not streamed. Chat completions set `message`,
+/// text completions set `text`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompletionChoice {
-    /// Position among the choices; always 0 here.
+    /// Index among the choices; always 0, since there is only one.
     pub index: u32,
     /// Generated text of a completion.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -74,7 +75,7 @@
     pub finish_reason: Option<FinishReason>,
 }
 
-/// Token counts of an answer.
+/// Token counts of a response.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
     /// Tokens of the prompt.
@@ -86,26 +87,26 @@
     pub cached_tokens: u32,
 }
 
-/// A plain answer.
+/// A response that is not streamed.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompletionResponse {
-    /// The attempt identifier, as in the echoed header.
+    /// Attempt identifier, the same as in the echoed header.
     pub id: String,
-    /// Model that answered.
+    /// Model that generated the response.
     pub model: String,
-    /// The answer.
+    /// The choices.
     pub choices: Vec<CompletionChoice>,
     /// Token counts.
     pub usage: Usage,
 }
 
-/// One server-sent event of a streamed answer. The stream ends with a chunk
+/// One server-sent event of a streamed response. The stream ends with a chunk
 /// that carries `finish_reason`, then the line `data: [DONE]`.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CompletionChunk {
-    /// The attempt identifier.
+    /// Attempt identifier.
     pub id: String,
-    /// Position of this chunk's token, from 0. Contiguous within an answer.
+    /// Position of this chunk's token, from 0. Contiguous within a response.
     pub offset: u32,
     /// Text of the token.
     pub text: String,
--- a/crates/engine-api/src/engine.rs
+++ b/crates/engine-api/src/engine.rs
@@ -1,13 +1,13 @@
-//! What engines report and which orders they take.
+//! Reports of engines and orders to engines.
 
 use molespan_types::{BackendId, FencingToken, Incarnation, RunOutcome};
 use serde::{Deserialize, Serialize};
 
-/// Which phase of generation an engine runs.
+/// Phases of generation that an engine runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum EngineRole {
-    /// Both phases.
+    /// Prompt processing and token generation.
     #[default]
     Mixed,
     /// Prompt processing only.
@@ -16,68 +16,69 @@
     Decode,
 }
 
-/// Answer of `GET /load`. It describes the back end as it was `age_ms` ago.
+/// Response of `GET /load`: the state of the back end `age_ms` ago.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Who reports.
+    /// Back end that reports.
     pub backend: BackendId,
-    /// Which life of it.
+    /// Incarnation of the back end.
     pub incarnation: Incarnation,
-    /// Rises with every report of one incarnation.
+    /// Sequence number, which increases with every report of one incarnation.
     pub sequence: u64,
-    /// Milliseconds between the observation and this answer.
+    /// Milliseconds between the observation and this response.
     pub age_ms: u32,
     /// Online requests in the running batch.
     pub online_running: u32,
-    /// Online requests waiting to enter it.
+    /// Online requests waiting to enter the running batch.
     pub online_waiting: u32,
     /// Batch requests in the running batch.
     pub batch_running: u32,
     /// Batch requests waiting or paused.
     pub batch_waiting: u32,
-    /// Most requests in the running batch.
+    /// Maximum number of requests in the running batch.
     pub max_running: u32,
     /// Share of KV memory in use, 0.0 to 1.0.
     pub kv_used: f64,
-    /// Mean duration of the latest steps, in microseconds.
+    /// Mean duration of the most recent steps, in microseconds.
     pub step_micros: u32,
     /// Models loaded and ready.
     pub models: Vec<String>,
     /// Adapters loaded and ready.
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// Role in force.
+    /// Current role.
     #[serde(default)]
     pub role: EngineRole,
-    /// Whether it was told to leave.
+    /// Whether the back end was ordered to leave.
     pub leaving: bool,
 }
 
-/// What happened to a cached prefix.
+/// Kind of a change to a cached prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum CacheEventKind {
-    /// Now cached.
+    /// The prefix was cached.
     Stored,
-    /// No longer cached.
+    /// The prefix was evicted from the cache.
     Evicted,
 }
 
-/// A change of the prefix cache.
+/// A change to the prefix cache.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEvent {
-    /// Rises by one with every event; a jump is a gap.
+    /// Sequence number, which increases by one with every event; a larger step means
+    /// that events are missing.
     pub sequence: u64,
-    /// What happened.
+    /// Kind of the change.
     pub kind: CacheEventKind,
     /// xxh3 hash of the prompt prefix up to the end of a block.
     pub prefix_hash: u64,
 }
 
-/// Answer of `GET /cache/events`.
+/// Response of `GET /cache/events`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CacheEventPage {
-    /// Life of the engine these belong to.
+    /// Incarnation of the engine that the events belong to.
     pub incarnation: Incarnation,
     /// Events in order, possibly with gaps.
     pub events: Vec<CacheEvent>,
@@ -87,115 +88,115 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum RequestState {
-    /// Accepted, not started.
+    /// Accepted but not started.
     Waiting,
-    /// Generating.
+    /// Generating tokens.
     Running,
-    /// Held back on request; keeps its KV memory.
+    /// Paused on request; keeps its KV memory.
     Paused,
-    /// Ended; the answer can still be fetched for a while.
+    /// Finished; the response can still be fetched for a limited time.
     Completed,
-    /// Stopped on request; no further token will be generated.
+    /// Cancelled on request; no further token will be generated.
     Cancelled,
 }
 
-/// Answer of `GET /v1/requests/ID`. An engine that never saw the attempt in
-/// this incarnation answers 404 with outcome `not-run`.
+/// Response of `GET /v1/requests/ID`. An engine that has not received the attempt
+/// in this incarnation answers 404 with outcome `not-run`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestStatus {
-    /// The attempt.
+    /// Attempt identifier.
     pub id: String,
-    /// Where it stands.
+    /// State of the attempt.
     pub state: RequestState,
     /// Tokens generated so far.
     pub generated: u32,
-    /// Life of the engine that answered.
+    /// Incarnation of the engine that answered.
     pub incarnation: Incarnation,
 }
 
-/// What an order asks for.
+/// Action that an order requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "action", rename_all = "snake_case")]
 pub enum OrderAction {
-    /// Fetch the weights of a model and make it ready.
+    /// Fetches the weights of a model and makes it ready.
     LoadModel {
         /// Model.
         model: String,
         /// Version of its weights.
         version: u32,
     },
-    /// Drop a model.
+    /// Unloads a model.
     UnloadModel {
         /// Model.
         model: String,
     },
-    /// Fetch and attach an adapter.
+    /// Fetches and attaches an adapter.
     LoadAdapter {
         /// Adapter.
         adapter: String,
     },
-    /// Detach an adapter.
+    /// Detaches an adapter.
     UnloadAdapter {
         /// Adapter.
         adapter: String,
     },
-    /// Change the role.
+    /// Changes the role.
     SetRole {
         /// New role.
         role: EngineRole,
     },
-    /// Finish what runs and take nothing new.
+    /// Finishes running requests and accepts no new ones.
     Leave,
 }
 
 /// Body of `POST /orders`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// An engine refuses a token at or below the highest it has seen, unless
-    /// it is the same order again.
+    /// Fencing token. An engine rejects an order whose token is not above the
+    /// highest one it has received, unless the same order is repeated.
     pub token: FencingToken,
-    /// Incarnation it is meant for; another refuses it.
+    /// Incarnation that the order is meant for; any other incarnation rejects it.
     pub incarnation: Incarnation,
-    /// What to do.
+    /// Requested action.
     #[serde(flatten)]
     pub action: OrderAction,
 }
 
-/// Answer of `POST /orders`: status 200 when taken, 409 when refused.
+/// Response of `POST /orders`: status 200 when accepted, 409 when rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderReply {
-    /// Whether the order was taken now or earlier.
+    /// Whether the order was accepted, now or earlier.
     pub accepted: bool,
-    /// Highest token seen.
+    /// Highest token received so far.
     pub highest_token: FencingToken,
 }
 
-/// Answer of `GET /kv/export` and body of `POST /kv/import`.
+/// Response of `GET /kv/export` and body of `POST /kv/import`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvBlockExport {
-    /// Hashes of the cached blocks along one prompt prefix, shortest first.
+    /// Hashes of the cached blocks of one prompt prefix, shortest prefix first.
     pub prefix_hashes: Vec<u64>,
-    /// Tokens in each block.
+    /// Number of tokens in each block.
     pub block_tokens: u32,
 }
 
-/// Typed body of every error of an engine or gateway.
+/// Body of every error response of an engine or gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// The error.
+    /// Details of the error.
     pub error: ErrorDetail,
 }
 
-/// What went wrong and whether the request ran.
+/// Details of an error, including whether the request ran.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ErrorDetail {
-    /// Stable code in snake case.
+    /// Stable error code in snake case.
     pub code: String,
-    /// One sentence for people.
+    /// Human-readable message of one sentence.
     pub message: String,
     /// Whether the request ran.
     pub outcome: RunOutcome,
-    /// When coming back helps, in milliseconds.
+    /// Delay after which a retry may succeed, in milliseconds.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub retry_after_ms: Option<u64>,
 }
--- a/crates/engine-api/src/lib.rs
+++ b/crates/engine-api/src/lib.rs
@@ -1,8 +1,9 @@
-//! The published HTTP protocol of the systems around molespan: engines,
-//! application back ends, the platform's machine list and the weight store.
+//! The published HTTP protocol between molespan and the systems around it:
+//! engines, application back ends, the platform's machine list and the weight
+//! store.
 //!
-//! Gateways speak it as clients and the emulator as servers. The types are
-//! plain serde records; `docs/ENGINE-API.md` describes each call.
+//! Gateways implement the client side and the emulator the server side. The types
+//! are plain serde structs; `docs/ENGINE-API.md` describes each call.
 
 mod completion;
 mod engine;
@@ -31,22 +32,22 @@
 pub const COMPLETIONS_PATH: &str = "/v1/completions";
 /// Path of chat completions.
 pub const CHAT_COMPLETIONS_PATH: &str = "/v1/chat/completions";
-/// Prefix of the per-attempt calls: `GET` for the status, `GET …/stream?offset=N`
+/// Path prefix of the per-attempt calls: `GET` for the status, `GET …/stream?offset=N`
 /// to resume, `POST …/pause`, `POST …/resume`, `DELETE` to cancel.
 pub const REQUESTS_PATH: &str = "/v1/requests";
 /// Path of the load report.
 pub const LOAD_PATH: &str = "/load";
-/// Path of cache events, `?after=N` for those behind sequence number `N`.
+/// Path of cache events; `?after=N` selects those after sequence number `N`.
 pub const CACHE_EVENTS_PATH: &str = "/cache/events";
-/// Path that takes fenced orders.
+/// Path that accepts orders with fencing tokens.
 pub const ORDERS_PATH: &str = "/orders";
-/// Path that exports KV blocks, `?prefix=HASH`.
+/// Path that exports the KV blocks of `?prefix=HASH`.
 pub const KV_EXPORT_PATH: &str = "/kv/export";
 /// Path that imports KV blocks.
 pub const KV_IMPORT_PATH: &str = "/kv/import";
 /// Path of the platform's machine list.
 pub const MACHINES_PATH: &str = "/machines";
-/// Prefix of the weight store: `GET /weights/NAME`.
+/// Path prefix of the weight store: `GET /weights/NAME`.
 pub const WEIGHTS_PATH: &str = "/weights";
-/// Liveness of any of these systems.
+/// Path of the liveness check of each of these systems.
 pub const HEALTH_PATH: &str = "/health";
--- a/crates/engine-api/src/platform.rs
+++ b/crates/engine-api/src/platform.rs
@@ -1,52 +1,52 @@
-//! The platform's lagging list of live and leaving machines.
+//! The platform's list of live and leaving machines, which may be out of date.
 
 use molespan_types::{BackendId, Incarnation, ServiceName, ZoneName};
 use serde::{Deserialize, Serialize};
 
-/// What a machine runs.
+/// Kind of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineKind {
     /// A model engine.
     Engine,
-    /// A plain application back end.
+    /// An application back end.
     Application,
 }
 
-/// What the platform last knew of a machine.
+/// State of a machine, as last observed by the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
     /// In service.
     Live,
-    /// About to go; must receive no new work.
+    /// About to leave; must receive no new work.
     Leaving,
 }
 
-/// One machine.
+/// A machine in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Machine {
     /// Stable number.
     pub id: BackendId,
-    /// Life of the machine, as far as the platform knows.
+    /// Incarnation of the machine, as last observed by the platform.
     pub incarnation: Incarnation,
-    /// What it runs.
+    /// Kind of the machine.
     pub kind: MachineKind,
-    /// `IP:port` of its HTTP interface.
+    /// `IP:port` of the HTTP interface.
     pub address: String,
-    /// Where it stands.
+    /// Zone of the machine.
     pub zone: ZoneName,
-    /// Service it is meant for.
+    /// Service that the machine is assigned to.
     pub service: ServiceName,
-    /// State.
+    /// State of the machine.
     pub state: MachineState,
 }
 
-/// Answer of `GET /machines`.
+/// Response of `GET /machines`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MachineList {
-    /// Rises with changes; may go back, since the list lags.
+    /// Increases with changes, but may also decrease, since the list can be out of date.
     pub revision: u64,
-    /// The machines; one that is missing is gone.
+    /// The machines. A machine that is not listed no longer exists.
     pub machines: Vec<Machine>,
 }
--- a/crates/engine-api/src/prefix.rs
+++ b/crates/engine-api/src/prefix.rs
@@ -1,17 +1,18 @@
-//! Tokens and block hashes as the protocol counts them.
+//! Tokenization and block hashes of the protocol.
 //!
-//! A client computes the same hashes as an engine from the prompt text alone,
-//! so that cache events and KV exports can be matched with prompts.
+//! A client computes the same hashes as an engine from the prompt text alone, so
+//! that it can match cache events and KV exports with prompts.
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// Tokens in one block of the prefix cache.
+/// Number of tokens in one block of the prefix cache.
 pub const BLOCK_TOKENS: u32 = 16;
-/// Longest run of characters that counts as one token.
+/// Maximum number of characters in one token.
 const TOKEN_CHARACTERS: u32 = 4;
 
-/// Byte offsets at which the tokens of `text` end. A token is a word or, of a
-/// longer word, a piece of four characters; white space joins the next token.
+/// Returns the byte offsets at which the tokens of `text` end. Words longer than
+/// four characters are split into tokens of four characters; white space belongs to
+/// the token that follows it.
 #[must_use]
 pub fn token_ends(text: &str) -> Vec<usize> {
     let mut ends = Vec::with_capacity(text.len() / TOKEN_CHARACTERS as usize + 1);
@@ -36,7 +37,8 @@
     ends
 }
 
-/// For each whole block of `text`, the xxh3 hash of the text up to its end.
+/// Returns, for each complete block of `text`, the xxh3 hash of the text up to the
+/// end of the block.
 #[must_use]
 pub fn block_hashes(text: &str, ends: &[usize]) -> Vec<u64> {
     let mut hasher = Xxh3::new();
--- a/crates/engine-api/src/weights.rs
+++ b/crates/engine-api/src/weights.rs
@@ -1,12 +1,12 @@
-//! The rate-limited weight store.
+//! Protocol of the rate-limited weight store.
 
 use serde::{Deserialize, Serialize};
 
-/// Answer of `GET /weights/NAME`; status 429 with Retry-After when the rate
-/// limit is reached.
+/// Response of `GET /weights/NAME`. The status is 429 with Retry-After when the
+/// rate limit is exceeded.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightManifest {
-    /// Model or adapter.
+    /// Name of the model or adapter.
     pub name: String,
     /// Newest version.
     pub version: u32,
