--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! A body whose end is checked against its declared length.
+//! Bodies whose length is checked against the declared length.
 
 use std::io;
 use std::pin::Pin;
@@ -9,18 +9,18 @@
 
 use crate::buffered::poll_read_buffered;
 
-/// Reader behind a [`Body`].
+/// Type-erased reader of a [`Body`].
 pub(crate) type BodyReader = Box<dyn AsyncBufRead + Unpin + Send + Sync>;
 
-/// Fails with `UnexpectedEof` where the inner reader ends before `remaining`
-/// reached zero.
+/// A reader that fails with `UnexpectedEof` when the inner reader ends before
+/// `remaining` has reached zero.
 pub(crate) struct LengthChecked {
     reader: BodyReader,
     remaining: Option<usize>,
 }
 
 impl LengthChecked {
-    /// Wraps `reader`; without a `length` only the reader's own framing counts.
+    /// Wraps `reader`; without a `length` its end is not checked.
     pub(crate) fn new(reader: BodyReader, length: Option<usize>) -> Self {
         Self {
             reader,
@@ -60,8 +60,9 @@
     }
 }
 
-/// Makes a response whose body ends early break its connection, in place of a
-/// short body that the next response would be taken into.
+/// Makes a response fail when its body ends before the declared length, so that the
+/// connection is closed. Otherwise the client would read the start of the next
+/// response as the rest of this body.
 pub(crate) fn check_declared_length(response: &mut Response) {
     let body = response.take_body();
     let length = body.len();
--- a/crates/http/src/buffered.rs
+++ b/crates/http/src/buffered.rs
@@ -1,4 +1,4 @@
-//! Reading from a source that holds its bytes in a buffer.
+//! `poll_read` for readers that implement [`AsyncBufRead`].
 
 use std::io;
 use std::pin::Pin;
@@ -6,7 +6,7 @@
 
 use futures_lite::AsyncBufRead;
 
-/// `poll_read` of a source that is read through its buffer alone.
+/// Implements `poll_read` with `poll_fill_buf` and `consume`.
 pub(crate) fn poll_read_buffered(
     mut source: Pin<&mut impl AsyncBufRead>,
     context: &mut Context<'_>,
--- a/crates/http/src/client/connection.rs
+++ b/crates/http/src/client/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a pool and one exchange on it.
+//! A connection of a pool, and an exchange of request and response on it.
 
 use std::io;
 use std::net::TcpStream;
@@ -16,10 +16,10 @@
 use crate::net::{SharedStream, prepare, within};
 use crate::source::{HeadError, Source, read_head};
 
-/// The bytes of `request`.
+/// Encodes `request`.
 ///
 /// # Errors
-/// [`SendError::NotSent`] when it cannot be encoded.
+/// [`SendError::NotSent`] when the request cannot be encoded.
 pub(crate) async fn encode(request: Request) -> Result<Vec<u8>, SendError> {
     let mut bytes = Vec::new();
     match Encoder::new(request).read_to_end(&mut bytes).await {
@@ -28,8 +28,8 @@
     }
 }
 
-/// An open connection. Dropping it closes it; only
-/// [`ClientConnection::release`] puts it back into the pool.
+/// An open connection, which is closed when dropped. Only
+/// [`ClientConnection::release`] returns it to the pool.
 #[derive(Debug)]
 pub(crate) struct ClientConnection {
     pub(crate) stream: SharedStream,
@@ -74,7 +74,7 @@
             .map_err(SendError::Ambiguous)
     }
 
-    /// Writes all of `request`. An error before the system took the first byte
+    /// Writes all of `request`. An error before the system accepted the first byte
     /// means that nothing was sent.
     async fn write(&self, request: &[u8]) -> Result<(), SendError> {
         let mut written = 0;
@@ -119,13 +119,13 @@
         Ok(ClientResponse::new(response, body))
     }
 
-    /// Puts the connection back into its pool.
+    /// Returns the connection to its pool.
     pub(crate) fn release(self) {
         self.pool.clone().put_idle(self);
     }
 }
 
-/// The declared length of a response's body; `None` when it comes in chunks.
+/// Returns the declared length of the body of a response, or `None` when it is chunked.
 fn body_length(response: &Response, method: Method) -> Result<Option<usize>, FailureCause> {
     let status = u16::from(response.status());
     const BODILESS: [u16; 2] = [204, 304];
@@ -135,7 +135,7 @@
     if response.header(TRANSFER_ENCODING).is_some() {
         return Ok(None);
     }
-    // async-h1 presents a response without any framing as an empty one.
+    // async-h1 treats a response without any framing as empty.
     match response.header("content-length") {
         Some(_) => Ok(response.len()),
         None => Err(FailureCause::Unframed),
@@ -149,7 +149,7 @@
         .is_some_and(|values| values.last().as_str().eq_ignore_ascii_case("close"))
 }
 
-/// The cause behind a head that could not be read.
+/// Returns the cause for an error of reading a head.
 fn head_failure(error: &HeadError) -> FailureCause {
     match error {
         HeadError::Closed => FailureCause::ClosedBeforeResponse,
--- a/crates/http/src/client/error.rs
+++ b/crates/http/src/client/error.rs
@@ -1,4 +1,4 @@
-//! What went wrong with a request, and whether it may have run.
+//! Errors of requests, including whether the request may have run.
 
 use std::io;
 
@@ -6,7 +6,7 @@
 use molespan_types::RunOutcome;
 use molespan_types::mechanism::{Mechanism, enabled};
 
-/// What happened on the connection.
+/// The cause of the failure.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum FailureCause {
     /// The request cannot be encoded.
@@ -15,43 +15,43 @@
     /// Every connection to the address is in use.
     #[display("every connection to the peer is in use")]
     PoolExhausted,
-    /// The peer did not accept a connection.
+    /// The connection could not be opened.
     #[display("cannot connect: {_0}")]
     Connect(#[error(not(source))] io::ErrorKind),
-    /// The peer did not accept a connection in time.
+    /// The connection was not opened before the timeout.
     #[display("connecting took too long")]
     ConnectTimeout,
     /// The request could not be written.
     #[display("cannot write the request: {_0}")]
     Write(#[error(not(source))] io::ErrorKind),
-    /// The peer did not take the request in time.
+    /// The request was not written before the timeout.
     #[display("writing the request took too long")]
     WriteTimeout,
-    /// The peer closed before the first byte of a response.
+    /// The peer closed the connection before the first byte of a response.
     #[display("connection closed before the response")]
     ClosedBeforeResponse,
-    /// The peer closed within the head of the response.
+    /// The peer closed the connection within the head of the response.
     #[display("connection closed within the head of the response")]
     ClosedWithinHead,
     /// The head of the response is too long.
     #[display("the head of the response is too long")]
     HeadTooLong,
-    /// The response did not begin in time.
+    /// The head of the response did not arrive before the timeout.
     #[display("no response in time")]
     ResponseTimeout,
     /// The connection broke.
     #[display("connection broke: {_0}")]
     Broken(#[error(not(source))] io::ErrorKind),
-    /// Not an HTTP/1.1 response.
+    /// The response is not valid HTTP/1.1.
     #[display("malformed response: {_0}")]
     MalformedResponse(#[error(not(source))] String),
-    /// The response has neither a length nor chunks, so that nobody can tell
-    /// whether it is whole.
+    /// The response has neither a length nor chunked encoding, so that its
+    /// completeness cannot be checked.
     #[display("the response does not say where it ends")]
     Unframed,
 }
 
-/// Why a request has no response.
+/// Why a request failed, and whether it may have been sent.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum SendError {
     /// No byte of the request left this process.
@@ -63,7 +63,7 @@
 }
 
 impl SendError {
-    /// Whether the request may have run.
+    /// Returns whether the request may have run.
     #[must_use]
     pub fn outcome(&self) -> RunOutcome {
         match self {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// What happened on the connection.
+    /// The cause of the failure.
     #[must_use]
     pub fn cause(&self) -> &FailureCause {
         match self {
@@ -82,28 +82,28 @@
     }
 }
 
-/// Why the body of a response could not be read whole.
+/// Why the body of a response could not be read completely.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum BodyError {
-    /// The body ended before its declared or framed end.
+    /// The body ended before its declared length or its last chunk.
     #[display("the response is cut short")]
     Truncated,
-    /// The body is longer than the caller allows.
+    /// The body is longer than the limit of the caller.
     #[display("the response is longer than {limit} bytes")]
     TooLong {
-        /// Longest body in bytes.
+        /// Maximum length of the body in bytes.
         limit: usize,
     },
-    /// No byte came for too long.
+    /// No byte arrived before the timeout.
     #[display("the response stalled")]
     Stalled,
-    /// The framing of the body is broken.
+    /// The framing of the body is invalid.
     #[display("the response is malformed")]
     Malformed,
     /// The connection broke.
     #[display("connection broke: {_0}")]
     Broken(#[error(not(source))] io::ErrorKind),
-    /// The body is whole and not the expected JSON.
+    /// The body is complete but not the expected JSON.
     #[display("unexpected content: {_0}")]
     Json(#[error(not(source))] String),
 }
--- a/crates/http/src/client/mod.rs
+++ b/crates/http/src/client/mod.rs
@@ -1,4 +1,5 @@
-//! The client: a keep-alive pool that tells the truth about what was sent.
+//! Client with a keep-alive pool, which reports whether failed requests may have
+//! been sent.
 
 mod connection;
 mod error;
@@ -13,10 +14,10 @@
 pub use pool::{Pool, PoolLimits};
 pub use response::ClientResponse;
 
-/// A request for `path`, which may carry a query, at `address`.
+/// Creates a request to `address` for `path`, which may include a query.
 ///
 /// # Errors
-/// When the path does not fit into a URL.
+/// When the path is not valid in a URL.
 pub fn new_request(method: Method, address: SocketAddr, path: &str) -> Result<Request, SendError> {
     let url = Url::parse(&format!("http://{address}{path}"));
     match url {
--- a/crates/http/src/client/pool.rs
+++ b/crates/http/src/client/pool.rs
@@ -1,4 +1,4 @@
-//! Keep-alive connections by address.
+//! Pool of keep-alive connections by address.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -12,22 +12,22 @@
 use super::response::ClientResponse;
 use crate::net::is_open_and_silent;
 
-/// Bounds of a pool.
+/// Limits of a pool.
 #[derive(Clone, Debug)]
 pub struct PoolLimits {
-    /// Most connections to one address.
+    /// Maximum number of connections to one address.
     pub max_connections_per_address: usize,
-    /// Longest time to connect.
+    /// Timeout for opening a connection.
     pub connect_timeout: Duration,
-    /// Longest time to write a request.
+    /// Timeout for writing a request.
     pub write_timeout: Duration,
-    /// Longest time from there to the end of the response's head.
+    /// Timeout from the end of the write to the end of the head of the response.
     pub response_timeout: Duration,
-    /// Longest silence within the body of a response.
+    /// Timeout for each read of the body of a response.
     pub body_timeout: Duration,
-    /// Longest rest of a connection in the pool. It must stay well below the
-    /// server's idle timeout, so that the server does not close a connection
-    /// which is being written to.
+    /// How long an idle connection is kept in the pool. Must be well below the
+    /// server's idle timeout, so that the server does not close a connection while
+    /// a request is written to it.
     pub idle_timeout: Duration,
 }
 
@@ -50,23 +50,24 @@
     shared: Arc<PoolState>,
 }
 
-/// What the clones of a pool and its connections share.
+/// State shared by the clones of a pool and its connections.
 #[derive(Debug)]
 pub(crate) struct PoolState {
     pub(crate) limits: PoolLimits,
     addresses: Mutex<HashMap<SocketAddr, AddressState>>,
 }
 
-/// Connections of one address.
+/// Connections to one address.
 #[derive(Debug, Default)]
 struct AddressState {
-    /// Open connections, idle or in use.
+    /// Number of open connections, idle or in use.
     open: usize,
-    /// Resting connections, the latest used last.
+    /// Idle connections with the time since when they are idle, least recently used
+    /// first.
     idle: Vec<(Instant, ClientConnection)>,
 }
 
-/// Counts one open connection until dropped.
+/// Counts an open connection until dropped.
 #[derive(Debug)]
 pub(crate) struct ConnectionSlot {
     pool: Arc<PoolState>,
@@ -93,12 +94,12 @@
             .unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes the resting connection that was used last.
+    /// Takes the most recently used idle connection.
     fn take_idle(&self, address: SocketAddr) -> Option<(Instant, ClientConnection)> {
         self.lock().get_mut(&address)?.idle.pop()
     }
 
-    /// Reserves a place for a new connection.
+    /// Reserves a slot for a new connection; returns `None` when the limit is reached.
     fn reserve(self: &Arc<Self>, address: SocketAddr) -> Option<ConnectionSlot> {
         let mut addresses = self.lock();
         let state = addresses.entry(address).or_default();
@@ -112,7 +113,7 @@
         })
     }
 
-    /// Puts a connection to rest and closes those that rested too long.
+    /// Adds an idle connection and closes those that exceeded the idle timeout.
     pub(crate) fn put_idle(&self, connection: ClientConnection) {
         let now = Instant::now();
         let address = connection.slot.address;
@@ -127,13 +128,13 @@
             state.idle.push((now, connection));
             expired
         };
-        // Dropping takes the lock again, so it happens behind the block above.
+        // Dropping connections takes the lock, so it must happen after the block above.
         drop(expired);
     }
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool.
     #[must_use]
     pub fn new(limits: PoolLimits) -> Self {
         Self {
@@ -146,10 +147,10 @@
 
     /// Sends `request` to `address` and waits for the head of the response.
     ///
-    /// Dropping the future closes its connection.
+    /// Dropping the future closes the connection.
     ///
     /// # Errors
-    /// [`SendError`] says whether bytes of the request may have left.
+    /// [`SendError`] states whether bytes of the request may have been sent.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -161,7 +162,7 @@
         connection.exchange(&bytes, method).await
     }
 
-    /// Open connections to `address`, idle or in use.
+    /// Returns the number of open connections to `address`, idle or in use.
     #[must_use]
     pub fn open_connections(&self, address: SocketAddr) -> usize {
         self.shared
@@ -170,7 +171,7 @@
             .map_or(0, |state| state.open)
     }
 
-    /// Closes every resting connection to `address`, for one that left.
+    /// Closes all idle connections to `address`, for a peer that has left.
     pub fn forget(&self, address: SocketAddr) {
         let resting = match self.shared.lock().get_mut(&address) {
             Some(state) => std::mem::take(&mut state.idle),
@@ -179,7 +180,7 @@
         drop(resting);
     }
 
-    /// A resting connection that is still good, else a new one.
+    /// Returns a reusable idle connection, or opens a new one.
     async fn connection(&self, address: SocketAddr) -> Result<ClientConnection, SendError> {
         while let Some((since, connection)) = self.shared.take_idle(address) {
             let rested = since.elapsed() >= self.shared.limits.idle_timeout;
--- a/crates/http/src/client/response.rs
+++ b/crates/http/src/client/response.rs
@@ -1,4 +1,4 @@
-//! A response and its checked body.
+//! A response with a body that is checked for completeness.
 
 use std::io;
 use std::pin::Pin;
@@ -18,8 +18,8 @@
 use crate::events::EventStream;
 use crate::source::Source;
 
-/// A response whose head has arrived. Dropping it before its body was read
-/// whole closes the connection.
+/// A response whose head has arrived. Dropping it before its body was read to the
+/// end closes the connection.
 #[derive(Debug)]
 pub struct ClientResponse {
     head: Response,
@@ -31,31 +31,31 @@
         Self { head, body }
     }
 
-    /// Status.
+    /// Returns the status.
     #[must_use]
     pub fn status(&self) -> StatusCode {
         self.head.status()
     }
 
-    /// The last value of a header.
+    /// Returns the last value of a header.
     #[must_use]
     pub fn header(&self, name: &str) -> Option<&str> {
         let values = self.head.header(name)?;
         Some(values.last().as_str())
     }
 
-    /// The head, with an empty body.
+    /// Returns the head, with an empty body.
     #[must_use]
     pub fn head(&self) -> &Response {
         &self.head
     }
 
-    /// Reads the whole body of at most `limit` bytes.
+    /// Reads the complete body of at most `limit` bytes.
     ///
     /// # Errors
     /// When the body is cut short, stalls, is malformed or too long.
     pub async fn bytes(self, limit: usize) -> Result<Vec<u8>, BodyError> {
-        // One byte more than allowed tells a body that is too long.
+        // Read one byte beyond the limit to detect a body that is too long.
         let mut reader = self.body.take(limit as u64 + 1);
         let mut bytes = Vec::new();
         reader.read_to_end(&mut bytes).await?;
@@ -65,7 +65,7 @@
         Ok(bytes)
     }
 
-    /// Reads the whole body of at most `limit` bytes as JSON.
+    /// Reads the complete body of at most `limit` bytes as JSON.
     ///
     /// # Errors
     /// As [`ClientResponse::bytes`], and when the body is not the expected JSON.
@@ -80,13 +80,13 @@
         EventStream::new(Box::new(self.body))
     }
 
-    /// The response with its body, to be passed on. Reading the body fails with
-    /// an input/output error where it is cut short.
+    /// Returns the response with its body, to be forwarded. Reading the body fails
+    /// with an I/O error if it is cut short.
     #[must_use]
     pub fn into_response(self) -> Response {
         let mut response = self.head;
         let length = self.body.length;
-        // Setting a body must not invent a content type.
+        // `set_body` adds a content type; remove it if the peer sent none.
         let content_type = response.header("content-type").cloned();
         response.set_body(Body::from_reader(self.body, length));
         if content_type.is_none() {
@@ -96,14 +96,14 @@
     }
 }
 
-/// The body of a response. Its connection goes back into the pool at the very
-/// end of a whole body, and is closed in every other case.
+/// The body of a response. Its connection returns to the pool at the end of a
+/// complete body, and is closed in every other case.
 pub(crate) struct CheckedBody {
     reader: LengthChecked,
     length: Option<usize>,
     source: Source,
     connection: Option<ClientConnection>,
-    /// Whether the peer keeps the connection open behind this response.
+    /// Whether the peer keeps the connection open after this response.
     reusable: bool,
     stall_limit: Duration,
     stall_timer: Option<Timer>,
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Notes the end of the whole body.
+    /// Handles the end of a complete body.
     fn finish(&mut self) {
         if std::mem::replace(&mut self.finished, true) {
             return;
@@ -149,13 +149,13 @@
         let Some(connection) = self.connection.take() else {
             return;
         };
-        // Bytes that nobody asked for would be taken for the next response.
+        // Unsolicited bytes would be read as the next response.
         if self.reusable && !self.source.has_leftover() {
             connection.release();
         }
     }
 
-    /// Fails once no byte came for the stall limit.
+    /// Completes with an error when no byte arrived within the stall limit.
     fn poll_stalled(&mut self, context: &mut Context<'_>) -> Poll<io::Error> {
         let limit = self.stall_limit;
         let timer = self.stall_timer.get_or_insert_with(|| Timer::after(limit));
@@ -170,8 +170,8 @@
         if this.finished {
             return Poll::Ready(Ok(&[]));
         }
-        // The borrow of a returned buffer would last for the whole function,
-        // so readiness is settled first and the buffer is fetched below.
+        // The borrow of a returned buffer would last for the whole function, so
+        // this only checks readiness and the buffer is fetched again below.
         let at_end = match Pin::new(&mut this.reader).poll_fill_buf(context) {
             Poll::Ready(Ok(bytes)) => bytes.is_empty(),
             Poll::Ready(Err(error)) => {
--- a/crates/http/src/events/mod.rs
+++ b/crates/http/src/events/mod.rs
@@ -1,4 +1,4 @@
-//! Server-sent events, both ways.
+//! Reading and writing of server-sent events.
 
 mod reader;
 mod writer;
@@ -6,14 +6,14 @@
 pub use reader::{EventError, EventStream};
 pub use writer::{EventWriter, StreamClosed, event_response};
 
-/// One server-sent event.
+/// A server-sent event.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerEvent {
-    /// Name, empty for the default one.
+    /// Name; empty for the default event type.
     pub name: String,
-    /// Identifier, empty when there is none.
+    /// Identifier; empty when there is none.
     pub id: String,
-    /// Data; lines are joined by `\n`.
+    /// Data, with lines joined by `\n`.
     pub data: String,
 }
 
@@ -21,7 +21,7 @@
     /// Data of the event that ends a stream of completions.
     pub const DONE: &'static str = "[DONE]";
 
-    /// An event that carries only data.
+    /// Creates an event with only data.
     #[must_use]
     pub fn data(data: impl Into<String>) -> Self {
         Self {
@@ -30,13 +30,13 @@
         }
     }
 
-    /// Whether this is the terminator of a stream.
+    /// Whether the event is the terminator of a stream.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.data == Self::DONE
     }
 
-    /// The bytes of the event on the wire.
+    /// Encodes the event for the stream.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut text = String::with_capacity(self.data.len() + 16);
--- a/crates/http/src/events/reader.rs
+++ b/crates/http/src/events/reader.rs
@@ -1,4 +1,4 @@
-//! Reads server-sent events out of a response.
+//! Reads server-sent events from a response.
 
 use std::io;
 
@@ -9,7 +9,7 @@
 use crate::body::BodyReader;
 use crate::client::BodyError;
 
-/// Longest line of an event in bytes.
+/// Maximum length of a line of an event in bytes.
 const MAX_LINE_BYTES: u64 = 1024 * 1024;
 
 /// Why a stream of events ended early.
@@ -19,7 +19,7 @@
     #[display("the stream ended without its terminator")]
     #[from(skip)]
     NoTerminator,
-    /// A line is too long or not text.
+    /// A line is too long or not valid UTF-8, or data follows the terminator.
     #[display("malformed event")]
     #[from(skip)]
     Malformed,
@@ -50,12 +50,12 @@
         }
     }
 
-    /// The next event, or `None` behind the terminator, once the body ended
-    /// whole. The terminator itself is not returned.
+    /// Returns the next event, or `None` after the terminator, once the body has
+    /// ended completely. The terminator itself is not returned.
     ///
     /// # Errors
     /// When the stream ends without its terminator, stalls or is malformed.
-    /// The stream is of no use then.
+    /// The stream must not be read further then.
     pub async fn next(&mut self) -> Result<Option<ServerEvent>, EventError> {
         match self.next_raw().await? {
             _ if self.done => Ok(None),
@@ -69,8 +69,8 @@
         }
     }
 
-    /// The next event as it is, or `None` at the end of a whole body: for
-    /// streams that have no terminator, such as a watch.
+    /// Returns the next event, including a terminator, or `None` at the end of a
+    /// complete body. Used for streams without a terminator, such as a watch.
     ///
     /// # Errors
     /// When the body is cut short, stalls or is malformed.
@@ -100,13 +100,13 @@
                 }
                 "event" => value.clone_into(&mut event.name),
                 "id" => value.clone_into(&mut event.id),
-                // Comments, which keep a silent stream alive, and unknown fields.
+                // Comments, which keep an idle stream alive, and unknown fields.
                 _ => {}
             }
         }
     }
 
-    /// One line without its end, or `None` at the end of the body.
+    /// Reads a line without its line ending, or returns `None` at the end of the body.
     async fn line(&mut self) -> Result<Option<String>, EventError> {
         let mut bytes = Vec::new();
         let read = (&mut self.reader)
@@ -128,7 +128,7 @@
             .map_err(|_| EventError::Malformed)
     }
 
-    /// Reads to the end of the body, which frees the connection for reuse.
+    /// Checks that the body ends here, which releases the connection for reuse.
     async fn expect_end(&mut self) -> Result<(), EventError> {
         let rest = self.reader.fill_buf().await;
         match rest {
@@ -139,7 +139,7 @@
     }
 }
 
-/// A failed read as an event error.
+/// Converts the error of a read to an event error.
 fn body_error(error: io::Error) -> EventError {
     EventError::Body(BodyError::from(error))
 }
--- a/crates/http/src/events/writer.rs
+++ b/crates/http/src/events/writer.rs
@@ -1,4 +1,4 @@
-//! Writes server-sent events into a response.
+//! Writes server-sent events to a response.
 
 use std::io;
 use std::pin::Pin;
@@ -16,26 +16,26 @@
 /// Media type of server-sent events.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// The client is gone, or its response was cut short.
+/// The client is gone or its response was cut short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 #[display("the client is gone")]
 pub struct StreamClosed;
 
-/// One step of a streamed body.
+/// An item of a streamed body.
 enum Piece {
     Bytes(Vec<u8>),
     End,
 }
 
-/// The writing end of a streamed response.
+/// Writer of a streamed response.
 ///
-/// Dropping it without [`EventWriter::finish`] cuts the response, so that the
-/// client sees that it is not whole.
+/// Dropping it without [`EventWriter::finish`] aborts the response, so that the
+/// client detects that it is incomplete.
 #[derive(Debug)]
 pub struct EventWriter(Sender<Piece>);
 
 impl EventWriter {
-    /// Sends one event; waits while the client is slower than the writer.
+    /// Sends an event, waiting while the client is slower than the writer.
     ///
     /// # Errors
     /// When the client is gone.
@@ -43,7 +43,7 @@
         self.send_bytes(event.encode()).await
     }
 
-    /// Sends raw bytes; waits while the client is slower than the writer.
+    /// Sends raw bytes, waiting while the client is slower than the writer.
     ///
     /// # Errors
     /// When the client is gone.
@@ -55,8 +55,8 @@
         sent.map_err(|_| StreamClosed)
     }
 
-    /// Sends one event if there is room for it right now; returns whether it
-    /// was taken.
+    /// Sends an event if the queue has room for it, without waiting; returns whether
+    /// it was queued.
     ///
     /// # Errors
     /// When the client is gone.
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Ends the response whole.
+    /// Completes the response.
     ///
     /// # Errors
     /// When the client is gone.
@@ -76,7 +76,7 @@
         self.0.send(Piece::End).await.map_err(|_| StreamClosed)
     }
 
-    /// Sends the `[DONE]` event and ends the response whole.
+    /// Sends the `[DONE]` event and completes the response.
     ///
     /// # Errors
     /// When the client is gone.
@@ -85,7 +85,7 @@
         self.finish().await
     }
 
-    /// Resolves once the client is gone.
+    /// Completes once the client is gone.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
@@ -97,8 +97,8 @@
     }
 }
 
-/// A response that streams what is written to the returned writer. At most
-/// `capacity` pieces wait in memory.
+/// Creates a response that streams the events written to the returned writer. The
+/// queue between them holds at most `capacity` items.
 #[must_use]
 pub fn event_response(capacity: usize) -> (EventWriter, Response) {
     let (sender, receiver) = async_channel::bounded(capacity.max(1));
@@ -115,7 +115,7 @@
     (EventWriter(sender), response)
 }
 
-/// The reading end, as a response body.
+/// The response body, which reads from the queue.
 struct PieceReader {
     receiver: Pin<Box<Receiver<Piece>>>,
     current: Vec<u8>,
--- a/crates/http/src/h1/body.rs
+++ b/crates/http/src/h1/body.rs
@@ -1,4 +1,4 @@
-//! Bodies piece by piece.
+//! Incremental reading of bodies.
 
 use std::io;
 
@@ -7,46 +7,47 @@
 use super::connection::Connection;
 use super::head::{Headers, RequestHead, ResponseHead};
 
-/// Longest line that gives the size of a chunk, or of a trailer.
+/// Maximum length in bytes of a line with a chunk size or a trailer.
 const MAX_LINE_BYTES: usize = 4096;
-/// Ends a body in chunks.
+/// The terminator of a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// How the end of a body is known.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is none.
+    /// There is no body.
     Empty,
-    /// It has so many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// Each piece says how long it is.
+    /// The body consists of chunks with their lengths.
     Chunked,
-    /// It ends with its connection.
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
-/// Why a body could not be read to its end.
+/// Why a body could not be read completely.
 #[derive(Debug, Display, Error, From)]
 pub enum BodyError {
     /// The connection failed.
     #[display("connection failed: {_0}")]
     Io(io::Error),
-    /// The connection ended before the body.
+    /// The connection ended before the end of the body.
     #[display("the body ends early")]
     #[from(skip)]
     CutShort,
-    /// The framing is broken.
+    /// The framing is invalid.
     #[display("the body's framing is broken")]
     #[from(skip)]
     Framing,
-    /// It is longer than is taken.
+    /// The body exceeds the limit.
     #[display("the body is too long")]
     #[from(skip)]
     TooLong,
 }
 
 impl Framing {
-    /// Of a request's body; `None` when its headers contradict one another.
+    /// Returns the framing of the body of a request, or `None` when the headers are
+    /// invalid or contradictory.
     #[must_use]
     pub fn of_request(head: &RequestHead) -> Option<Self> {
         match declared(&head.headers)? {
@@ -55,8 +56,8 @@
         }
     }
 
-    /// Of the body of an answer to a request of `method`; `None` when its
-    /// headers contradict one another.
+    /// Returns the framing of the body of a response to a request with `method`, or
+    /// `None` when the headers are invalid or contradictory.
     #[must_use]
     pub fn of_response(head: &ResponseHead, method: &str) -> Option<Self> {
         let bodiless = method == "HEAD" || matches!(head.status, 100..=199 | 204 | 304);
@@ -67,7 +68,8 @@
     }
 }
 
-/// What the headers say; `UntilClose` when they say nothing.
+/// Returns the framing declared by the headers, `UntilClose` when they declare none,
+/// or `None` when they are invalid or contradictory.
 fn declared(headers: &Headers) -> Option<Framing> {
     let length = headers.get("content-length");
     if headers.get("transfer-encoding").is_some() {
@@ -89,19 +91,20 @@
     }
 }
 
-/// Reads one body from a connection.
+/// Reads a body from a connection.
 #[derive(Debug)]
 pub struct BodyReader {
     framing: Framing,
-    /// Bytes left of the body or of the chunk that is being read.
+    /// Remaining bytes of the body or of the current chunk.
     left: u64,
     ended: bool,
-    /// Whether a chunk was read whose line end is still to come.
+    /// Whether a chunk was started, so that its line ending must be read before the next
+    /// chunk.
     within_chunks: bool,
 }
 
 impl BodyReader {
-    /// A reader of a body with this framing.
+    /// Creates a reader of a body with this framing.
     #[must_use]
     pub fn new(framing: Framing) -> Self {
         let left = match framing {
@@ -117,16 +120,16 @@
         }
     }
 
-    /// Whether the whole body was read.
+    /// Whether the body was read to its end.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         self.ended
     }
 
-    /// The next bytes; `None` at the end.
+    /// Returns the next bytes, or `None` at the end of the body.
     ///
     /// # Errors
-    /// When the connection fails or ends early, or the framing is broken.
+    /// When the connection fails or ends early, or the framing is invalid.
     pub async fn next(
         &mut self,
         connection: &mut Connection,
@@ -146,7 +149,8 @@
         }
     }
 
-    /// Bytes that have arrived, as far as they are of this body or chunk.
+    /// Takes the received bytes that belong to this body or chunk, waiting if there are
+    /// none.
     async fn piece(&mut self, connection: &mut Connection) -> Result<Vec<u8>, BodyError> {
         if connection.buffered().is_empty() && connection.fill().await? == 0 {
             return Err(BodyError::CutShort);
@@ -188,10 +192,10 @@
         Ok(Some(connection.take(have)))
     }
 
-    /// The whole rest of the body, of at most `limit` bytes.
+    /// Reads the rest of the body, of at most `limit` bytes.
     ///
     /// # Errors
-    /// When it cannot be read to its end, or is longer.
+    /// When the body cannot be read completely or is longer than `limit`.
     pub async fn collect(
         &mut self,
         connection: &mut Connection,
@@ -213,7 +217,7 @@
     }
 }
 
-/// A line without its end.
+/// Reads a line without its line ending.
 async fn line(connection: &mut Connection) -> Result<Vec<u8>, BodyError> {
     loop {
         let buffered = connection.buffered();
@@ -243,7 +247,7 @@
     u64::from_str_radix(text, 16).map_err(|_| BodyError::Framing)
 }
 
-/// A piece of a body in chunks.
+/// Encodes `bytes` as one chunk of a chunked body.
 #[must_use]
 pub fn chunk(bytes: &[u8]) -> Vec<u8> {
     let mut chunk = format!("{:x}\r\n", bytes.len()).into_bytes();
--- a/crates/http/src/h1/connection.rs
+++ b/crates/http/src/h1/connection.rs
@@ -1,4 +1,4 @@
-//! One connection and what has arrived on it.
+//! A connection with its read buffer.
 
 use std::future::poll_fn;
 use std::io;
@@ -12,7 +12,7 @@
 
 use super::head::{Parsed, RequestHead, ResponseHead, parse_request, parse_response};
 
-/// Bytes read at once.
+/// Size of a read from the socket in bytes.
 const READ_BYTES: usize = 16 << 10;
 
 /// Why a head could not be read.
@@ -21,31 +21,31 @@
     /// The connection failed or ended within the head.
     #[display("connection failed: {_0}")]
     Io(io::Error),
-    /// The other side closed before it sent anything.
+    /// The peer closed the connection before the first byte.
     #[display("closed")]
     #[from(skip)]
     Closed,
-    /// The head is no HTTP/1.
+    /// The head is not valid HTTP/1.
     #[display("malformed: {_0}")]
     Malformed(httparse::Error),
-    /// The head is longer than is taken.
+    /// The head exceeds the limit.
     #[display("the head is too long")]
     #[from(skip)]
     TooLong,
 }
 
-/// What the other side of a connection does.
+/// State of the peer of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Presence {
-    /// It closed the connection or broke it off.
+    /// The peer closed or reset the connection.
     Gone,
-    /// It sent something that was not read yet.
+    /// The peer sent bytes that were not read yet.
     Sent,
-    /// Neither.
+    /// The peer is connected and sent nothing.
     Quiet,
 }
 
-/// A connection, with the bytes that have arrived and were not taken yet.
+/// A connection with the bytes that were received but not consumed yet.
 #[derive(Debug)]
 pub struct Connection {
     stream: Rc<Async<TcpStream>>,
@@ -53,7 +53,7 @@
     start: usize,
 }
 
-/// Writes all of `bytes`, also while a connection over the same socket reads.
+/// Writes all of `bytes`. Can run while a [`Connection`] reads from the same socket.
 ///
 /// # Errors
 /// When the connection fails.
@@ -62,7 +62,7 @@
 }
 
 impl Connection {
-    /// A connection on which nothing was read yet.
+    /// Creates a connection from a socket that was not read from yet.
     #[must_use]
     pub fn new(stream: Async<TcpStream>) -> Self {
         Self {
@@ -72,19 +72,19 @@
         }
     }
 
-    /// The socket, for writing while this reads.
+    /// Returns the socket, for writing while the connection reads.
     #[must_use]
     pub fn clone_stream(&self) -> Rc<Async<TcpStream>> {
         self.stream.clone()
     }
 
-    /// Bytes that have arrived and were not taken.
+    /// Returns the received bytes that were not consumed yet.
     #[must_use]
     pub fn buffered(&self) -> &[u8] {
         &self.buffer[self.start..]
     }
 
-    /// Takes the first `count` of the bytes that have arrived.
+    /// Consumes and returns the first `count` received bytes.
     pub(super) fn take(&mut self, count: usize) -> Vec<u8> {
         let taken = self.buffer[self.start..self.start + count].to_vec();
         self.start += count;
@@ -95,7 +95,7 @@
         taken
     }
 
-    /// Waits for more bytes; 0 at the end of the connection.
+    /// Waits for more bytes and returns their number, 0 at the end of the connection.
     pub(super) async fn fill(&mut self) -> io::Result<usize> {
         if self.start > 0 {
             self.buffer.drain(..self.start);
@@ -107,8 +107,8 @@
         Ok(count)
     }
 
-    /// Waits until bytes have arrived; `false` when the connection ended
-    /// before.
+    /// Waits until there are received bytes; returns `false` when the connection ended
+    /// first.
     pub async fn wait_for_bytes(&mut self) -> bool {
         !self.buffered().is_empty() || self.fill().await.is_ok_and(|count| count > 0)
     }
@@ -124,15 +124,15 @@
     /// Reads the head of the next request.
     ///
     /// # Errors
-    /// When there is none, or it is broken or longer than `limit` bytes.
+    /// When there is none, or it is malformed or longer than `limit` bytes.
     pub async fn request_head(&mut self, limit: usize) -> Result<RequestHead, HeadError> {
         self.head(limit, parse_request).await
     }
 
-    /// Reads the head of the next answer.
+    /// Reads the head of the next response.
     ///
     /// # Errors
-    /// When there is none, or it is broken or longer than `limit` bytes.
+    /// When there is none, or it is malformed or longer than `limit` bytes.
     pub async fn response_head(&mut self, limit: usize) -> Result<ResponseHead, HeadError> {
         self.head(limit, parse_response).await
     }
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Reads and drops what arrives until the connection ends.
+    /// Reads and discards bytes until the connection ends.
     pub async fn discard(&mut self) {
         loop {
             self.buffer.clear();
@@ -173,7 +173,7 @@
         }
     }
 
-    /// What the other side does just now, without waiting.
+    /// Returns the current state of the peer, without waiting.
     pub async fn presence(&self) -> Presence {
         if !self.buffered().is_empty() {
             return Presence::Sent;
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Waits until the other side has closed or broken off. What it sends
-    /// meanwhile stays unread, and hides a close behind it.
+    /// Waits until the peer closes or resets the connection. Bytes that it sends
+    /// meanwhile stay unread, and a close after them is not detected.
     pub async fn gone(&self) {
         let mut byte = [0; 1];
         match self.stream.peek(&mut byte).await {
--- a/crates/http/src/h1/head.rs
+++ b/crates/http/src/h1/head.rs
@@ -1,16 +1,16 @@
-//! Heads of requests and answers.
+//! Heads of requests and responses.
 
-/// Most header lines of a message.
+/// Maximum number of header lines of a message.
 const MAX_HEADERS: usize = 96;
 
-/// Header lines in the order of their arrival.
+/// Header lines in their original order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Headers {
     lines: Vec<(String, Vec<u8>)>,
 }
 
 impl Headers {
-    /// No lines.
+    /// Creates an empty list of headers.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -21,19 +21,19 @@
         self.lines.push((name.to_owned(), value.into()));
     }
 
-    /// Removes every line of this name, and adds one.
+    /// Replaces all lines with this name by one.
     pub fn set(&mut self, name: &str, value: impl Into<Vec<u8>>) {
         self.remove(name);
         self.push(name, value);
     }
 
-    /// Removes every line of this name.
+    /// Removes all lines with this name.
     pub fn remove(&mut self, name: &str) {
         self.lines
             .retain(|(known, _)| !known.eq_ignore_ascii_case(name));
     }
 
-    /// Value of the first line of this name.
+    /// Returns the value of the first line with this name.
     #[must_use]
     pub fn get(&self, name: &str) -> Option<&[u8]> {
         let mut lines = self.lines.iter();
@@ -41,27 +41,27 @@
         line.map(|(_, value)| value.as_slice())
     }
 
-    /// The same as text, if it is.
+    /// Returns the trimmed value of the first line with this name, if it is valid UTF-8.
     #[must_use]
     pub fn text(&self, name: &str) -> Option<&str> {
         let value = std::str::from_utf8(self.get(name)?).ok()?;
         Some(value.trim())
     }
 
-    /// The same as a number, if it is one.
+    /// Returns the value of the first line with this name, if it is a number.
     #[must_use]
     pub fn number<N: std::str::FromStr>(&self, name: &str) -> Option<N> {
         self.text(name)?.parse().ok()
     }
 
-    /// All lines.
+    /// Iterates over all lines.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &[u8])> {
         let lines = self.lines.iter();
         lines.map(|(name, value)| (name.as_str(), value.as_slice()))
     }
 
-    /// Whether one of the comma separated words of the lines of this name is
-    /// `word`.
+    /// Whether the comma-separated values of the lines with this name include `word`,
+    /// ignoring case.
     #[must_use]
     pub fn has_word(&self, name: &str, word: &str) -> bool {
         let lines = self
@@ -72,7 +72,8 @@
             .any(|part| part.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
     }
 
-    /// Adds the lines of `other` that are not of one connection alone.
+    /// Adds the end-to-end headers of `other`, that is, all except hop-by-hop headers
+    /// and `Content-Length`.
     pub fn extend_end_to_end(&mut self, other: &Headers) {
         for (name, value) in &other.lines {
             if !other.concerns_connection(name) {
@@ -102,7 +103,7 @@
 pub struct RequestHead {
     /// Method.
     pub method: String,
-    /// Path and query, as they were sent.
+    /// Path and query, as sent.
     pub target: String,
     /// Minor version of HTTP/1.
     pub minor: u8,
@@ -111,13 +112,13 @@
 }
 
 impl RequestHead {
-    /// Path without the query.
+    /// Returns the path without the query.
     #[must_use]
     pub fn path(&self) -> &str {
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// Value of a field of the query, as it was sent.
+    /// Returns the value of a field of the query, as sent.
     #[must_use]
     pub fn query(&self, field: &str) -> Option<&str> {
         let (_, query) = self.target.split_once('?')?;
@@ -128,7 +129,7 @@
             .map(|(_, value)| value)
     }
 
-    /// Host without the port, in lower case.
+    /// Returns the host without the port, in lower case.
     #[must_use]
     pub fn host(&self) -> String {
         let host = self.headers.text("host").unwrap_or_default();
@@ -136,7 +137,7 @@
         name.to_ascii_lowercase()
     }
 
-    /// Whether the connection may carry another request.
+    /// Whether the connection stays open for another request.
     #[must_use]
     pub fn keeps_alive(&self) -> bool {
         match self.minor {
@@ -146,12 +147,12 @@
     }
 }
 
-/// Head of an answer.
+/// Head of a response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResponseHead {
     /// Status.
     pub status: u16,
-    /// Words behind the status.
+    /// Reason phrase.
     pub reason: String,
     /// Minor version of HTTP/1.
     pub minor: u8,
@@ -160,7 +161,7 @@
 }
 
 impl ResponseHead {
-    /// Whether the connection may carry another request.
+    /// Whether the connection stays open for another request.
     #[must_use]
     pub fn keeps_alive(&self) -> bool {
         match self.minor {
@@ -170,11 +171,12 @@
     }
 }
 
-/// A head that was found at the start of a buffer, and its length.
+/// A head parsed from the start of a buffer with its length, or `None` when it is
+/// incomplete.
 pub(super) type Parsed<H> = Option<(H, usize)>;
 
-/// Reads the head of a request from the start of `bytes`; `None` when more is
-/// needed.
+/// Parses the head of a request at the start of `bytes`; returns `None` when more
+/// bytes are needed.
 pub(super) fn parse_request(bytes: &[u8]) -> Result<Parsed<RequestHead>, httparse::Error> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut lines);
@@ -190,8 +192,8 @@
     Ok(Some((head, length)))
 }
 
-/// Reads the head of an answer from the start of `bytes`; `None` when more is
-/// needed.
+/// Parses the head of a response at the start of `bytes`; returns `None` when more
+/// bytes are needed.
 pub(super) fn parse_response(bytes: &[u8]) -> Result<Parsed<ResponseHead>, httparse::Error> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut lines);
@@ -216,7 +218,7 @@
     }
 }
 
-/// The bytes of a request's head.
+/// Encodes the head of a request.
 #[must_use]
 pub fn encode_request(method: &str, target: &str, headers: &Headers) -> Vec<u8> {
     let mut bytes = format!("{method} {target} HTTP/1.1\r\n").into_bytes();
@@ -224,7 +226,7 @@
     bytes
 }
 
-/// The bytes of an answer's head.
+/// Encodes the head of a response.
 #[must_use]
 pub fn encode_response(status: u16, reason: &str, headers: &Headers) -> Vec<u8> {
     let mut bytes = format!("HTTP/1.1 {status} {reason}\r\n").into_bytes();
--- a/crates/http/src/h1/mod.rs
+++ b/crates/http/src/h1/mod.rs
@@ -1,9 +1,10 @@
-//! HTTP/1.1 message by message, for passing requests and answers on as they
-//! are: heads by `httparse`, bodies piece by piece with their framing known.
+//! Low-level HTTP/1.1 for forwarding messages unchanged: heads are parsed with
+//! `httparse`, and bodies are read incrementally according to their framing.
 //!
-//! `async-h1` takes over a connection for a whole exchange. Passing on needs
-//! less and more: an answer may begin before the request is through, bodies may
-//! have no length, bytes may follow an answer, and a caller may leave meanwhile.
+//! `async-h1` controls a connection for a whole exchange, which does not suit a
+//! proxy: a response may begin before the request is sent completely, bodies may
+//! have no length, bytes may follow a response, and a client may disconnect during
+//! an exchange.
 
 mod body;
 mod connection;
--- a/crates/http/src/h1/net.rs
+++ b/crates/http/src/h1/net.rs
@@ -1,4 +1,4 @@
-//! Sockets.
+//! Socket setup.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,11 +8,11 @@
 use futures_lite::future;
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 
-/// How long bytes may stay unacknowledged, and how long an accepted connection
-/// may stay silent, before it counts as broken.
+/// Options of a socket.
 #[derive(Clone, Copy, Debug)]
 pub struct SocketOptions {
-    /// That time.
+    /// How long sent bytes may stay unacknowledged before the connection counts as
+    /// broken.
     pub user_timeout: Duration,
 }
 
@@ -24,13 +24,13 @@
     }
 }
 
-/// Connections that may wait to be accepted.
+/// Maximum number of connections waiting to be accepted.
 const BACKLOG: i32 = 1024;
 
 /// Listens on `address`.
 ///
 /// # Errors
-/// When the address cannot be had.
+/// When the address cannot be bound.
 pub fn listen(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     let socket = Socket::new(
         Domain::for_address(address),
@@ -43,15 +43,15 @@
     Async::new(socket.into())
 }
 
-/// Sets what every connection needs: no delay for small pieces, and an end for
-/// one whose other side fell silent.
+/// Sets the options of a connection: disables Nagle's algorithm, and limits how long
+/// sent bytes may stay unacknowledged.
 ///
 /// # Errors
 /// When the connection has failed already.
 pub fn prepare(stream: &Async<TcpStream>, options: SocketOptions) -> io::Result<()> {
     stream.get_ref().set_nodelay(true)?;
     let socket = SockRef::from(stream.get_ref());
-    // Not every system has it, and nothing depends on it alone.
+    // Not every system supports this, and nothing depends on it alone.
     let _unsupported = socket.set_tcp_user_timeout(Some(options.user_timeout));
     Ok(())
 }
@@ -59,7 +59,7 @@
 /// Connects to `address` within `timeout`.
 ///
 /// # Errors
-/// When it refuses, fails or does not answer in time.
+/// When the connection is refused, fails or is not opened in time.
 pub async fn connect(
     address: SocketAddr,
     timeout: Duration,
--- a/crates/http/src/h1/serve.rs
+++ b/crates/http/src/h1/serve.rs
@@ -1,5 +1,5 @@
-//! A small server for calls with whole bodies, as operators and back ends make
-//! them.
+//! A small server for requests with bodies in memory, such as those of operators and
+//! back ends.
 
 use std::future::Future;
 use std::net::TcpListener;
@@ -15,28 +15,28 @@
 use super::head::{Headers, RequestHead, encode_response};
 use super::net::{SocketOptions, prepare};
 
-/// Longest head of a call.
+/// Maximum length of the head of a request.
 const HEAD_BYTES: usize = 64 << 10;
-/// Longest body of a call.
+/// Maximum length of the body of a request.
 const BODY_BYTES: u64 = 8 << 20;
-/// Longest rest of a connection between two calls.
+/// How long a connection may be idle between two requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Pause after an error of the listener.
+/// Delay after a failed accept.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// The answer to a call.
+/// A response with its body in memory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
     /// Status.
     pub status: u16,
-    /// Headers beside those of the connection and the body.
+    /// Headers, without those about the connection and the length of the body.
     pub headers: Headers,
     /// Body.
     pub body: Vec<u8>,
 }
 
 impl Answer {
-    /// An answer with a body of JSON.
+    /// Creates a response with a JSON body.
     #[must_use]
     pub fn json(status: u16, body: impl Into<Vec<u8>>) -> Self {
         let mut headers = Headers::new();
@@ -48,7 +48,7 @@
         }
     }
 
-    /// An answer without a body.
+    /// Creates a response without a body.
     #[must_use]
     pub fn empty(status: u16) -> Self {
         Self {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The whole answer as bytes.
+    /// Encodes the response.
     #[must_use]
     pub fn encode(&self, keep_alive: bool) -> Vec<u8> {
         let mut headers = self.headers.clone();
@@ -72,7 +72,7 @@
     }
 }
 
-/// The usual words for a status.
+/// Returns the reason phrase of a status.
 fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -95,13 +95,13 @@
     }
 }
 
-/// Answers calls.
+/// Answers requests.
 pub trait Service: 'static {
-    /// Answers one call.
+    /// Answers a request.
     fn call(&self, head: RequestHead, body: Vec<u8>) -> impl Future<Output = Answer>;
 }
 
-/// Serves every connection of `listener`, for as long as it is polled.
+/// Accepts connections of `listener` forever and serves them on `executor`.
 pub async fn serve_listener<S: Service>(
     listener: Async<TcpListener>,
     executor: Rc<LocalExecutor<'static>>,
@@ -155,7 +155,7 @@
     }
 }
 
-/// The last answer of a connection; whether it arrives changes nothing.
+/// Writes the last response of a connection, ignoring failures.
 async fn finish(connection: &Connection, answer: Answer) {
     let _gone = connection.write(&answer.encode(false)).await;
 }
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,10 +1,9 @@
-//! HTTP/1.1 server, connection pool and event streams over async-h1.
+//! HTTP/1.1 server, connection pool and event streams, based on async-h1.
 //!
-//! Parsing and encoding are async-h1's. This crate adds what a proxy must know
-//! beyond them: bounds on memory and time, whether a request left this process
-//! before it failed, whether an answer is whole, and whether the caller is
-//! still there. Passing requests on as they are needs more than that; [`h1`] is
-//! made for it.
+//! async-h1 parses and encodes messages. This crate adds what a proxy needs in
+//! addition: limits on memory and time, whether a failed request had been sent,
+//! whether a response is complete, and whether the client is still connected.
+//! Forwarding messages unchanged needs more control, which [`h1`] provides.
 
 mod body;
 mod buffered;
--- a/crates/http/src/net.rs
+++ b/crates/http/src/net.rs
@@ -1,4 +1,4 @@
-//! Small helpers around sockets and timers.
+//! Helpers for sockets and timers.
 
 use std::future::Future;
 use std::io;
@@ -9,17 +9,17 @@
 use async_io::{Async, Timer};
 use futures_lite::future;
 
-/// A socket shared by the reading and the writing side of a connection.
+/// A socket shared by the reading and the writing half of a connection.
 pub(crate) type SharedStream = Arc<Async<TcpStream>>;
 
-/// Turns Nagle's algorithm off; with it, each small answer waits for a delayed
-/// acknowledgement of about 40 ms.
+/// Disables Nagle's algorithm, which would make each small response wait for a
+/// delayed acknowledgement of about 40 ms.
 pub(crate) fn prepare(stream: Async<TcpStream>) -> io::Result<SharedStream> {
     stream.get_ref().set_nodelay(true)?;
     Ok(Arc::new(stream))
 }
 
-/// The output of `future`, or `None` when `limit` passed first.
+/// Returns the output of `future`, or `None` when it takes longer than `limit`.
 pub(crate) async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let timeout = async {
         Timer::after(limit).await;
@@ -28,8 +28,8 @@
     future::or(async { Some(future.await) }, timeout).await
 }
 
-/// Resolves once the peer has closed its sending side or the connection broke.
-/// Never resolves when the peer sends further bytes instead.
+/// Completes once the peer has closed its sending side or the connection broke.
+/// Never completes when the peer sends further bytes instead.
 pub(crate) async fn peer_closed(stream: &SharedStream) {
     let mut probe = [0u8; 1];
     match stream.peek(&mut probe).await {
@@ -38,8 +38,8 @@
     }
 }
 
-/// Whether an idle connection can still carry a request: open, and silent. A
-/// byte that nobody asked for belongs to no later request.
+/// Whether an idle connection can be reused: it is open and has no unread bytes.
+/// Unsolicited bytes would be read as the response to the next request.
 pub(crate) fn is_open_and_silent(stream: &SharedStream) -> bool {
     let mut probe = [0u8; 1];
     match stream.get_ref().peek(&mut probe) {
--- a/crates/http/src/reply.rs
+++ b/crates/http/src/reply.rs
@@ -1,4 +1,4 @@
-//! JSON bodies and typed error responses.
+//! JSON bodies and error responses.
 
 use std::time::Duration;
 
@@ -13,10 +13,10 @@
 const JSON: &str = "application/json";
 /// Media type of plain text.
 const TEXT: &str = "text/plain; charset=utf-8";
-/// Header that says when to come back, in whole seconds.
+/// Header with the delay before a retry, in whole seconds.
 const RETRY_AFTER: &str = "retry-after";
 
-/// A request body that is not the expected JSON.
+/// Why a request body could not be read as JSON.
 #[derive(Debug, Display, Error, From)]
 pub enum JsonError {
     /// The body could not be read.
@@ -28,17 +28,17 @@
     Syntax(serde_json::Error),
 }
 
-/// `value` as a JSON body.
+/// Serializes `value` as a JSON body.
 #[must_use]
 pub fn json_body(value: &impl Serialize) -> Body {
-    // Serializing to memory fails only for maps with keys that are not text.
+    // Serializing to memory fails only for maps with non-string keys.
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut body = Body::from_bytes(bytes);
     body.set_mime(http_types::mime::JSON);
     body
 }
 
-/// A response with `value` as JSON.
+/// Creates a response with `value` as JSON body.
 #[must_use]
 pub fn json_response(status: StatusCode, value: &impl Serialize) -> Response {
     let mut response = Response::new(status);
@@ -47,7 +47,7 @@
     response
 }
 
-/// A response with plain text.
+/// Creates a response with a plain text body.
 #[must_use]
 pub fn text_response(status: StatusCode, text: impl Into<String>) -> Response {
     let mut response = Response::new(status);
@@ -56,8 +56,8 @@
     response
 }
 
-/// A typed error: the body, the outcome header and, when coming back helps,
-/// `Retry-After` in seconds, rounded up.
+/// Creates an error response with the error body, the outcome header and, if there
+/// is a retry delay, `Retry-After` in seconds, rounded up.
 #[must_use]
 pub fn error_response(
     status: StatusCode,
@@ -81,7 +81,7 @@
     response
 }
 
-/// Reads the body of a server's request as JSON.
+/// Reads the body of a request received by a server as JSON.
 ///
 /// # Errors
 /// When the body is not the expected JSON.
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: requests in, responses out, one after the other.
+//! A server connection, which serves one request after another.
 
 use std::future::Future;
 use std::net::Shutdown;
@@ -20,22 +20,22 @@
 use crate::body::check_declared_length;
 use crate::net::{SharedStream, peer_closed, within};
 
-/// How long unread bytes of a rejected request are thrown away, so that the
-/// system does not reset the connection before the client read the error.
+/// How long unread bytes of a rejected request are read and discarded. Without
+/// this, the system may reset the connection before the client has read the error.
 const LINGER: Duration = Duration::from_millis(500);
-/// Most bytes thrown away.
+/// Maximum number of bytes that are discarded.
 const LINGER_BYTES: usize = 1024 * 1024;
-/// Value of the `Connection` header that ends a connection.
+/// Value of the `Connection` header that closes the connection.
 const CLOSE: &str = "close";
 
-/// One accepted connection.
+/// An accepted connection.
 pub(crate) struct Connection {
     stream: SharedStream,
     shared: Arc<Shared>,
     _slot: CountGuard,
 }
 
-/// Whether a connection goes on after a response.
+/// What happens to a connection after a response.
 #[derive(PartialEq, Eq)]
 enum Next {
     KeepAlive,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Serves until the connection ends or the server aborts.
+    /// Serves requests until the connection ends or the server aborts.
     pub(crate) async fn run<Handler, Answer>(self, handler: &Handler)
     where
         Handler: Fn(Request) -> Answer,
@@ -70,7 +70,7 @@
         future::or(serve, self.shared.aborted()).await;
     }
 
-    /// Serves request after request.
+    /// Serves requests one after another.
     async fn serve<Handler, Answer>(&self, handler: &Handler) -> Result<(), Rejection>
     where
         Handler: Fn(Request) -> Answer,
@@ -101,7 +101,7 @@
         let method = request.method();
         let keep_alive = whole.reusable && !wants_close(request.header(CONNECTION));
         let (guard, presence) = ClientPresence::new();
-        // Held here too: the channel also closes once every receiver is gone.
+        // Keep a clone here, since the channel also closes when all receivers are dropped.
         request.ext_mut().insert(presence.clone());
         let mut response = self.watch_client(&guard, handler(request)).await;
         drop(whole.memory);
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Waits for the handler and tells it through `guard` when the client goes.
+    /// Waits for the handler, and closes `guard` when the client disconnects meanwhile.
     async fn watch_client(
         &self,
         guard: &Sender<()>,
@@ -138,7 +138,7 @@
         future::or(answer, watch).await
     }
 
-    /// Writes a response whole.
+    /// Writes a complete response.
     async fn write(
         &self,
         mut response: Response,
@@ -150,7 +150,7 @@
         write_response(&self.stream, encoder, limit, peer_closed(&self.stream)).await
     }
 
-    /// Tells the client why its request was not taken, then closes.
+    /// Sends the reason of the rejection to the client, then closes the connection.
     async fn reject(&self, rejection: &Rejection) {
         let Some(mut response) = rejection.response() else {
             return;
@@ -159,14 +159,14 @@
         response.insert_header(CONNECTION, CLOSE);
         let encoder = Encoder::new(response, Method::Get);
         let limit = self.shared.limits.write_timeout;
-        // A client that closed its sending side may still read why.
+        // A client that closed its sending side may still read the response.
         let written = write_response(&self.stream, encoder, limit, future::pending()).await;
         if written.is_ok() {
             self.linger().await;
         }
     }
 
-    /// Closes the sending side and throws away what still comes.
+    /// Closes the sending side and discards the bytes that still arrive.
     async fn linger(&self) {
         if self.stream.get_ref().shutdown(Shutdown::Write).is_err() {
             return;
@@ -185,7 +185,7 @@
     }
 }
 
-/// Whether a `Connection` header asks to close.
+/// Whether a `Connection` header requests a close.
 fn wants_close(header: Option<&http_types::headers::HeaderValues>) -> bool {
     header.is_some_and(|values| values.last().as_str().eq_ignore_ascii_case(CLOSE))
 }
--- a/crates/http/src/server/handle.rs
+++ b/crates/http/src/server/handle.rs
@@ -1,4 +1,4 @@
-//! State shared by a server's connections, its counters and its shutdown.
+//! State shared by the connections of a server, its counters and its shutdown.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
@@ -9,29 +9,30 @@
 use super::limits::ServerLimits;
 use crate::net::within;
 
-/// What a server counted since its start.
+/// Counters of a server since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerCounters {
-    /// Connections open now.
+    /// Currently open connections.
     pub open_connections: usize,
-    /// Requests between their first byte and the end of their response.
+    /// Requests in flight, from their first byte to the end of their response.
     pub requests_in_flight: usize,
-    /// Bytes of request bodies in memory now.
+    /// Bytes of request bodies currently in memory.
     pub buffered_bytes: usize,
-    /// Requests handed to the handler.
+    /// Requests passed to the handler.
     pub requests: u64,
-    /// Connections refused because there were too many.
+    /// Connections refused because of the connection limit.
     pub refused_connections: u64,
-    /// Requests refused before the handler: malformed, too large or too slow.
+    /// Requests rejected before they reached the handler: malformed, too large or too
+    /// slow.
     pub rejected_requests: u64,
-    /// Responses cut short since the client left or the body failed.
+    /// Responses cut short because the client disconnected or the body failed.
     pub aborted_responses: u64,
 }
 
-/// How a shutdown went.
+/// Result of a shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ShutdownReport {
-    /// Requests that were cut off since the time bound passed.
+    /// Requests that were aborted at the deadline.
     pub cut_off: usize,
 }
 
@@ -47,17 +48,17 @@
     pub(crate) rejected: AtomicU64,
     pub(crate) aborted: AtomicU64,
     draining: AtomicBool,
-    /// Closed when no further connection is accepted.
+    /// Raised when no further connections are accepted.
     stop: Signal,
-    /// Closed when idle connections must go.
+    /// Raised when idle connections must be closed.
     close_idle: Signal,
-    /// Closed when every connection must go.
+    /// Raised when all connections must be closed.
     abort: Signal,
-    /// Closed when the last connection has gone after a stop.
+    /// Raised when the last connection is closed after a stop.
     empty: Signal,
 }
 
-/// A one-time signal: waiting ends once it is raised.
+/// A signal that is raised once; waiting completes when it is raised.
 #[derive(Debug)]
 struct Signal {
     sender: Sender<()>,
@@ -79,7 +80,7 @@
     }
 }
 
-/// Takes one off a counter when dropped.
+/// Subtracts its amount from a counter when dropped.
 #[derive(Debug)]
 pub(crate) struct CountGuard {
     shared: Arc<Shared>,
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Adds `more` as long as the counter stays within `limit`. Returns whether
-    /// it did; when not, the counter is left as it was.
+    /// Adds `more` to the counter unless that exceeds `limit`. Returns whether it was
+    /// added; otherwise the counter is unchanged.
     pub(crate) fn grow_within(&mut self, more: usize, limit: usize) -> bool {
         let counter = (self.counter)(&self.shared);
         let before = counter.fetch_add(more, Ordering::SeqCst);
@@ -142,37 +143,37 @@
         }
     }
 
-    /// Counts a connection that was just accepted.
+    /// Counts an accepted connection until the guard is dropped.
     pub(crate) fn open_connection(self: &Arc<Self>) -> CountGuard {
         CountGuard::add(self, |shared| &shared.open, 1)
     }
 
-    /// Whether there are more connections than allowed.
+    /// Whether the number of connections exceeds the limit.
     pub(crate) fn is_overfull(&self) -> bool {
         self.open.load(Ordering::SeqCst) > self.limits.max_connections
     }
 
-    /// Whether responses should end their connection.
+    /// Whether responses must close their connection.
     pub(crate) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Resolves once no further connection is accepted.
+    /// Completes once no further connections are accepted.
     pub(crate) async fn stopping(&self) {
         self.stop.wait().await;
     }
 
-    /// Resolves once idle connections must go.
+    /// Completes once idle connections must be closed.
     pub(crate) async fn idle_must_close(&self) {
         self.close_idle.wait().await;
     }
 
-    /// Resolves once every connection must go.
+    /// Completes once all connections must be closed.
     pub(crate) async fn aborted(&self) {
         self.abort.wait().await;
     }
 
-    /// Resolves once the server stopped and the last connection has gone.
+    /// Completes once the server has stopped and the last connection is closed.
     pub(crate) async fn stopped(&self) {
         self.note_if_empty();
         self.empty.wait().await;
@@ -196,7 +197,7 @@
         Self { shared }
     }
 
-    /// The counters now.
+    /// Returns the current counters.
     #[must_use]
     pub fn counters(&self) -> ServerCounters {
         let shared = &self.shared;
@@ -211,13 +212,13 @@
         }
     }
 
-    /// Stops the server without cutting off a request.
+    /// Stops the server gracefully.
     ///
-    /// At once, no connection is accepted any more and every response ends its
-    /// connection. For `idle_grace`, a request on an open connection is still
-    /// answered, since a client may be sending it right now; then idle
-    /// connections are closed. What runs after `deadline` is cut off and
-    /// counted in the report.
+    /// Immediately stops accepting connections, and makes each response close its
+    /// connection. During `idle_grace`, requests on open connections are still
+    /// answered, since a client may already be sending one; after that, idle
+    /// connections are closed. Requests that still run after `deadline` are
+    /// aborted and counted in the report.
     pub async fn shutdown(&self, idle_grace: Duration, deadline: Duration) -> ShutdownReport {
         let shared = &self.shared;
         shared.draining.store(true, Ordering::SeqCst);
--- a/crates/http/src/server/intake.rs
+++ b/crates/http/src/server/intake.rs
@@ -1,4 +1,4 @@
-//! Reads one whole request within the limits.
+//! Reads a complete request within the limits.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,21 +14,21 @@
 use crate::reply::error_response;
 use crate::source::{HeadError, MAX_HEAD_BYTES, Source, read_head, read_some};
 
-/// When a client should come back to a server that is full.
+/// `Retry-After` of a server at its limits.
 const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Bytes read from a body at a time.
+/// Size of a read from a body in bytes.
 const BODY_READ_BYTES: usize = 16 * 1024;
 
-/// Why a request did not reach the handler.
+/// Why a request was rejected before it reached the handler.
 #[derive(Debug, Display, Error)]
 pub(crate) enum Rejection {
-    /// The connection ended between requests; there is nobody to answer.
+    /// The connection ended between requests, so there is no request to answer.
     #[display("connection ended")]
     Ended,
-    /// The head took too long.
+    /// The head did not arrive within its timeout.
     #[display("the head did not arrive in time")]
     SlowHead,
-    /// The body took too long.
+    /// The body did not arrive within its timeout.
     #[display("the body did not arrive in time")]
     SlowBody,
     /// The head is too long.
@@ -37,28 +37,28 @@
     /// The body is too long.
     #[display("the body is longer than {limit} bytes")]
     BodyTooLong {
-        /// Longest body in bytes.
+        /// Maximum length of the body in bytes.
         limit: usize,
     },
-    /// Not an HTTP/1.1 request.
+    /// The request is not valid HTTP/1.1.
     #[display("malformed request: {reason}")]
     Malformed {
-        /// What is wrong with it.
+        /// Description of the error.
         reason: String,
     },
-    /// The client closed within the request.
+    /// The client closed the connection within the request.
     #[display("the request was cut short")]
     CutShort,
-    /// Bodies of other requests fill the memory set aside for them.
+    /// Bodies of other requests use all memory reserved for bodies.
     #[display("too many request bodies in memory")]
     MemoryFull,
-    /// Too many connections.
+    /// The connection limit is reached.
     #[display("too many connections")]
     TooManyConnections,
 }
 
 impl Rejection {
-    /// The response that tells the client; `None` when nobody listens.
+    /// Returns the error response, or `None` when there is no request to answer.
     pub(crate) fn response(&self) -> Option<Response> {
         let (status, code, retry_after) = match self {
             Self::Ended => return None,
@@ -95,19 +95,19 @@
     }
 }
 
-/// A request whose body lies in memory.
+/// A request with its body in memory.
 pub(crate) struct WholeRequest {
     /// The request.
     pub(crate) request: Request,
-    /// Bytes that came behind it.
+    /// Bytes received after the request.
     pub(crate) leftover: Vec<u8>,
-    /// Whether another request may follow on the connection.
+    /// Whether the connection can serve another request.
     pub(crate) reusable: bool,
-    /// Holds the body's share of the memory bound.
+    /// Counts the body towards the memory limit.
     pub(crate) memory: CountGuard,
 }
 
-/// Waits for the first byte of a request, unless some came already.
+/// Waits for the first byte of a request, unless `buffer` already holds some.
 pub(crate) async fn await_first_byte(
     stream: &SharedStream,
     buffer: &mut Vec<u8>,
@@ -132,7 +132,7 @@
         .unwrap_or(Err(Rejection::Ended))
 }
 
-/// Reads the request that `buffer` begins with.
+/// Reads the request that starts with the bytes in `buffer`.
 pub(crate) async fn read_request(
     stream: &SharedStream,
     mut buffer: Vec<u8>,
@@ -167,7 +167,7 @@
     })
 }
 
-/// Reads the whole body within the bounds of its path and of the server.
+/// Reads the complete body within the limits of its path and of the server.
 async fn read_body(
     request: &mut Request,
     source: &Source,
@@ -207,8 +207,8 @@
     }
 }
 
-/// Puts a body that was read into memory back into its request, keeping the
-/// client's own content type or its absence.
+/// Puts a body that was read into memory back into its request. Keeps the content
+/// type of the client, or its absence.
 fn restore_body(request: &mut Request, bytes: Vec<u8>) {
     let content_type = request.header("content-type").cloned();
     request.set_body(Body::from_bytes(bytes));
@@ -222,7 +222,7 @@
     }
 }
 
-/// The rejection for a head that could not be read.
+/// Maps an error of reading a head to a rejection.
 fn reject_head(error: HeadError) -> Rejection {
     match error {
         HeadError::Closed | HeadError::Socket(_) => Rejection::Ended,
--- a/crates/http/src/server/limits.rs
+++ b/crates/http/src/server/limits.rs
@@ -1,34 +1,34 @@
-//! Bounds of a server.
+//! Limits of a server.
 
 use std::time::Duration;
 
-/// A path that may take larger bodies than the rest.
+/// A path that accepts larger bodies than other paths.
 #[derive(Clone, Debug)]
 pub struct LargeBody {
-    /// The whole path, without the query.
+    /// The path without the query; compared as a whole, not as a prefix.
     pub path: String,
-    /// Longest body in bytes.
+    /// Maximum length of a body in bytes.
     pub max_body_bytes: usize,
 }
 
-/// Bounds of a server. Every wait and every buffer has one.
+/// Limits of a server, which cover all its waits and buffers.
 #[derive(Clone, Debug)]
 pub struct ServerLimits {
-    /// Most connections; a further one is refused with status 503.
+    /// Maximum number of connections; further ones are refused with status 503.
     pub max_connections: usize,
-    /// Longest request body in bytes.
+    /// Maximum length of a request body in bytes.
     pub max_body_bytes: usize,
-    /// A path with a bound of its own.
+    /// A path with its own body limit.
     pub large_body: Option<LargeBody>,
-    /// Bytes of all request bodies in memory together.
+    /// Maximum total size of the request bodies in memory, in bytes.
     pub max_buffered_bytes: usize,
-    /// Longest time from the first byte of a request to the end of its head.
+    /// Timeout from the first byte of a request to the end of its head.
     pub head_timeout: Duration,
-    /// Longest time from there to the end of its body.
+    /// Timeout from the end of the head to the end of the body.
     pub body_timeout: Duration,
-    /// Longest silence between two requests of a connection.
+    /// How long a connection may be idle between two requests.
     pub idle_timeout: Duration,
-    /// Longest wait for a client that does not take its response.
+    /// Timeout for a write to a client that does not read its response.
     pub write_timeout: Duration,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl ServerLimits {
-    /// Longest body that `path` takes.
+    /// Returns the maximum length of a body for `path`, in bytes.
     pub(crate) fn max_body_of(&self, path: &str) -> usize {
         match &self.large_body {
             Some(large) if large.path == path => large.max_body_bytes,
--- a/crates/http/src/server/mod.rs
+++ b/crates/http/src/server/mod.rs
@@ -1,4 +1,4 @@
-//! The server: accepts connections and hands whole requests to a handler.
+//! Server that accepts connections and passes complete requests to a handler.
 
 mod connection;
 mod handle;
@@ -25,7 +25,7 @@
 pub use limits::{LargeBody, ServerLimits};
 pub use presence::ClientPresence;
 
-/// Pause after the system refused a new socket, for instance for want of file
+/// Delay after a failed accept, for example because there are no free file
 /// descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
@@ -35,11 +35,11 @@
 pub struct ServerError {
     /// Requested address.
     pub address: SocketAddr,
-    /// What the system said.
+    /// Error of the operating system.
     pub source: io::Error,
 }
 
-/// A listening socket that does not serve yet.
+/// A bound listening socket, before it is served.
 #[derive(Debug)]
 pub struct Server {
     listener: Async<TcpListener>,
@@ -67,23 +67,23 @@
         })
     }
 
-    /// The bound address, with the port that the system chose for port 0.
+    /// Returns the bound address, with the port that the system assigned for port 0.
     #[must_use]
     pub fn local_address(&self) -> SocketAddr {
         self.local_address
     }
 
-    /// A handle that stops the server and reads its counters.
+    /// Returns a handle that stops the server and reads its counters.
     #[must_use]
     pub fn handle(&self) -> ServerHandle {
         ServerHandle::new(self.shared.clone())
     }
 
-    /// Serves until [`ServerHandle::shutdown`] has finished.
+    /// Serves connections until [`ServerHandle::shutdown`] has finished.
     ///
-    /// Requests reach `handler` whole and within the limits; their bodies lie
-    /// in memory. A handler is not dropped when its client leaves: it finds a
-    /// [`ClientPresence`] in the request's extensions and decides itself.
+    /// `handler` receives complete requests within the limits, with their bodies in
+    /// memory. A handler is not dropped when its client disconnects; it can observe
+    /// this through the [`ClientPresence`] in the extensions of the request.
     pub async fn serve<Handler, Answer>(self, executor: Arc<Executor<'static>>, handler: Handler)
     where
         Handler: Fn(Request) -> Answer + Send + Sync + 'static,
@@ -101,7 +101,7 @@
         shared.stopped().await;
     }
 
-    /// Waits for one connection and spawns its task.
+    /// Accepts one connection and spawns its task.
     async fn accept_one<Handler, Answer>(
         &self,
         executor: &Arc<Executor<'static>>,
--- a/crates/http/src/server/output.rs
+++ b/crates/http/src/server/output.rs
@@ -1,4 +1,4 @@
-//! Writes one response, as soon as its bytes come and in few writes.
+//! Writes a response without delay and in few writes.
 
 use std::future::Future;
 use std::io;
@@ -13,29 +13,29 @@
 
 use crate::net::{SharedStream, within};
 
-/// Bytes gathered before a write.
+/// Maximum number of bytes collected for one write.
 const BUFFER_BYTES: usize = 16 * 1024;
-/// Room that the chunk encoder is given at least; it cannot frame a chunk in
-/// less than six bytes.
+/// Minimum free space in bytes for a read from the encoder, which cannot frame a
+/// chunk in less than six bytes.
 const LEAST_ROOM: usize = 512;
 
 /// Why a response was cut short.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum OutputError {
-    /// The client is gone.
+    /// The client disconnected.
     #[display("the client is gone")]
     #[from(skip)]
     ClientGone,
-    /// The client does not take the response.
+    /// The client did not read the response before the write timeout.
     #[display("the client does not take the response")]
     #[from(skip)]
     TooSlow,
-    /// The body failed or the socket did.
+    /// The body or the socket failed.
     Failed(io::Error),
 }
 
-/// Gathers what `encoder` has at this moment, at least one byte unless it
-/// ended. Returns the number of bytes.
+/// Collects the bytes that are available from `encoder`, waiting for at least one
+/// byte unless it has ended. Returns the number of bytes.
 async fn gather(encoder: &mut Encoder, buffer: &mut [u8]) -> io::Result<usize> {
     let mut filled = 0;
     future::poll_fn(|context| {
@@ -43,7 +43,7 @@
             match Pin::new(&mut *encoder).poll_read(context, &mut buffer[filled..]) {
                 Poll::Ready(Ok(0)) => break,
                 Poll::Ready(Ok(count)) => filled += count,
-                // What came before the failure is still owed to the client.
+                // Bytes read before the failure are still sent to the client.
                 Poll::Ready(Err(_)) if filled > 0 => break,
                 Poll::Ready(Err(error)) => return Poll::Ready(Err(error)),
                 Poll::Pending if filled == 0 => return Poll::Pending,
@@ -55,11 +55,11 @@
     .await
 }
 
-/// Writes the whole response, unless `gone` resolves between two writes.
+/// Writes the complete response, unless `gone` completes between two writes.
 ///
 /// # Errors
-/// When the client is gone or too slow, or the body fails. The connection is
-/// of no use then.
+/// When the client is gone or too slow, or the body fails. The connection must
+/// then be closed.
 pub(crate) async fn write_response(
     stream: &SharedStream,
     mut encoder: Encoder,
--- a/crates/http/src/source.rs
+++ b/crates/http/src/source.rs
@@ -1,9 +1,9 @@
-//! A bounded view of a connection's incoming bytes.
+//! A reader limited to the bytes of one message of a connection.
 //!
-//! async-h1 reads ahead and keeps what it read for itself. Handing it a view
-//! that ends exactly where the message ends keeps the bytes of the next
-//! message, and a count of unasked ones, on our side. It also bounds the head,
-//! which async-h1 itself would read without limit as long as no line ends.
+//! async-h1 reads ahead and discards the bytes that it read beyond a message. A
+//! reader that ends exactly where the message ends keeps the bytes of the next
+//! message, and unsolicited ones, in our buffer. It also limits the length of the
+//! head, which async-h1 would read without limit as long as no line ends.
 
 use std::io;
 use std::pin::Pin;
@@ -15,21 +15,21 @@
 
 use crate::net::SharedStream;
 
-/// async-h1 refuses a head of this many bytes or more.
+/// Maximum length of a head in bytes; async-h1 rejects longer ones.
 pub(crate) const MAX_HEAD_BYTES: usize = 8 * 1024 - 1;
-/// What ends a head.
+/// Terminator of a head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
-/// Bytes asked from the socket at a time while a head is read.
+/// Size of a read from the socket in bytes while a head is read.
 const HEAD_READ_BYTES: usize = 4096;
 
-/// Why no head could be read.
+/// Why a head could not be read.
 #[derive(Debug, Display, Error, From)]
 pub(crate) enum HeadError {
-    /// The peer closed before the first byte.
+    /// The peer closed the connection before the first byte.
     #[display("connection closed")]
     #[from(skip)]
     Closed,
-    /// The peer closed within the head.
+    /// The peer closed the connection within the head.
     #[display("connection closed within the head")]
     #[from(skip)]
     ClosedWithin,
@@ -41,7 +41,7 @@
     Socket(io::Error),
 }
 
-/// Position just behind the head in `bytes`, looking from `from` onwards.
+/// Returns the end of the head in `bytes`; bytes before `from` were already searched.
 fn head_end(bytes: &[u8], from: usize) -> Option<usize> {
     let start = from.saturating_sub(HEAD_END.len() - 1);
     bytes[start..]
@@ -50,11 +50,11 @@
         .map(|position| start + position + HEAD_END.len())
 }
 
-/// Reads until `buffer` holds a whole head and returns its length. Bytes that
-/// came behind it stay in the buffer.
+/// Reads until `buffer` holds a complete head and returns the length of the head.
+/// Bytes after the head stay in the buffer.
 ///
 /// # Errors
-/// When the peer closes, the socket fails or the head is too long.
+/// When the peer closes the connection, the socket fails or the head is too long.
 pub(crate) async fn read_head(
     stream: &SharedStream,
     buffer: &mut Vec<u8>,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Appends what the socket has to `buffer`.
+/// Appends the result of one read from the socket to `buffer`.
 pub(crate) async fn read_some(
     stream: &SharedStream,
     buffer: &mut Vec<u8>,
@@ -99,19 +99,19 @@
     state: Arc<Mutex<SourceState>>,
 }
 
-/// What a [`Source`] has left to give.
+/// State of a [`Source`].
 #[derive(Debug)]
 struct SourceState {
-    /// Bytes read from the socket and not yet handed on.
+    /// Bytes read from the socket.
     buffered: Vec<u8>,
-    /// How many of them were handed on.
+    /// Number of bytes of `buffered` that were returned to the reader.
     consumed: usize,
-    /// Bytes that may still be handed on; `None` for no bound.
+    /// Bytes that may still be returned to the reader; `None` for no limit.
     remaining: Option<u64>,
 }
 
 impl Source {
-    /// A view that ends behind the head of `head_length` bytes.
+    /// Creates a reader that ends after the head of `head_length` bytes.
     pub(crate) fn new(stream: SharedStream, buffered: Vec<u8>, head_length: usize) -> Self {
         let state = SourceState {
             buffered,
@@ -124,18 +124,18 @@
         }
     }
 
-    /// Extends the view by a body of `length` bytes.
+    /// Extends the limit by a body of `length` bytes.
     pub(crate) fn extend(&self, length: u64) {
         let mut state = self.lock();
         state.remaining = state.remaining.map(|remaining| remaining + length);
     }
 
-    /// Removes the bound, for a body whose framing says where it ends.
+    /// Removes the limit, for a body whose framing determines its end.
     pub(crate) fn unbound(&self) {
         self.lock().remaining = None;
     }
 
-    /// Takes the bytes that came behind the message.
+    /// Removes and returns the bytes received after the message.
     pub(crate) fn take_leftover(&self) -> Vec<u8> {
         let mut state = self.lock();
         let consumed = std::mem::take(&mut state.consumed);
@@ -144,21 +144,21 @@
         buffered
     }
 
-    /// Whether bytes came behind the message.
+    /// Whether bytes were received after the message.
     pub(crate) fn has_leftover(&self) -> bool {
         let state = self.lock();
         state.consumed < state.buffered.len()
     }
 
     fn lock(&self) -> MutexGuard<'_, SourceState> {
-        // The state is valid after each statement, so a panic elsewhere while
-        // it was locked leaves it usable.
+        // The state is consistent after each statement, so it stays usable
+        // after a panic while it was locked.
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl SourceState {
-    /// Bytes that may be handed on into a buffer of `wanted` bytes.
+    /// Returns how many bytes may be returned to a reader that requests `wanted` bytes.
     fn allowed(&self, wanted: usize) -> usize {
         match self.remaining {
             Some(remaining) => wanted.min(usize::try_from(remaining).unwrap_or(usize::MAX)),
@@ -166,14 +166,14 @@
         }
     }
 
-    /// Notes that `count` bytes were handed on.
+    /// Records that `count` bytes were returned to the reader.
     fn handed_on(&mut self, count: usize) {
         if let Some(remaining) = &mut self.remaining {
             *remaining -= count as u64;
         }
     }
 
-    /// Hands on buffered bytes and returns their number.
+    /// Copies buffered bytes to `target` and returns their number.
     fn drain(&mut self, target: &mut [u8]) -> usize {
         let available = &self.buffered[self.consumed..];
         let count = available.len().min(target.len());
@@ -209,7 +209,7 @@
     }
 }
 
-/// async-h1 writes `100 Continue` through the reading side.
+/// async-h1 writes `100 Continue` through the reader.
 impl AsyncWrite for Source {
     fn poll_write(
         self: Pin<&mut Self>,
--- a/crates/http/tests/h1.rs
+++ b/crates/http/tests/h1.rs
@@ -1,5 +1,6 @@
-//! HTTP/1.1 message by message: whatever the pieces in which bytes arrive, the
-//! same is read; whatever is cut short or malformed never looks whole.
+//! Tests of the low-level HTTP/1.1 implementation: the result does not depend on how
+//! the bytes are split into reads, and truncated or malformed messages are never
+//! accepted as complete.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -14,8 +15,8 @@
 };
 use proptest::prelude::*;
 
-/// A connection on which `bytes` arrive in pieces of `piece` bytes, and which
-/// then ends.
+/// Creates a connection that receives `bytes` in pieces of `piece` bytes and then
+/// ends.
 fn connection(bytes: &[u8], piece: usize) -> Connection {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -78,7 +79,7 @@
         prop_assert_eq!(response(&bytes, piece, "GET"), Ok((200, body)));
     }
 
-    /// Arbitrary bytes never panic, and never give more than they hold.
+    /// Arbitrary bytes never cause a panic.
     #[test]
     fn nonsense_is_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         block_on(async {
@@ -106,7 +107,7 @@
     }
 }
 
-/// Header lines and the framing that they tell.
+/// Header lines and the framing that they declare.
 type FramingCase<'a> = (&'a [(&'a str, &'a str)], Option<Framing>);
 
 #[test]
--- a/crates/http/tests/round_trip.rs
+++ b/crates/http/tests/round_trip.rs
@@ -1,4 +1,4 @@
-//! The server and the pool against each other.
+//! Tests of the pool against the server.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -195,7 +195,7 @@
                 handle.shutdown(long, long).await
             }
         });
-        // Once new connections are refused, the shutdown is under way.
+        // The shutdown has started once new connections are refused.
         while async_io::Async::<std::net::TcpStream>::connect(address)
             .await
             .is_ok()
