--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,4 +1,4 @@
-//! Contradictions between values that are sound one by one.
+//! Checks for contradictions between values that are valid individually.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,16 +10,20 @@
 use crate::model::{Peer, Role, Settings};
 use crate::section::Report;
 
-/// Heartbeats that may be lost before a lease ends.
+/// Minimum length of a lease in heartbeats, so that a lost heartbeat does not end it.
 const HEARTBEATS_A_LEASE: u32 = 3;
-/// Confirmations that may be lost before a node turns unready.
+/// Minimum currency bound in configuration watches, so that a lost watch does not make
+/// a node unready.
 const WATCHES_A_BOUND: u32 = 2;
-/// Ticks below which an election timeout cannot be told from a delay.
+/// Minimum election timeout in ticks. With fewer, a delayed tick cannot be
+/// distinguished from a lost leader.
 const TICKS_AN_ELECTION: u32 = 4;
-/// Longest waits for an answer to begin or go on that a claim must outlast.
+/// Minimum claim timeout in response timeouts and in stall timeouts, so that a claim
+/// outlasts its request.
 const TIMEOUTS_A_CLAIM: u32 = 2;
 
-/// Reports contradictions and removes this node's own entry from the peers.
+/// Reports contradictions, removes this node's own entry from the peers and sorts
+/// them.
 pub(crate) fn check(report: &Report<'_>, mut settings: Settings) -> Settings {
     check_timing(report, &settings);
     check_limits(report, &settings);
@@ -33,7 +37,7 @@
     settings
 }
 
-/// One duration that must be so many times as long as another one.
+/// Requires one duration to be at least `times` as long as another one.
 struct Ratio<'a> {
     long_key: &'a str,
     long: Duration,
@@ -228,7 +232,7 @@
     }
 }
 
-/// A peer with this node's number must say the same as `[node]`.
+/// Checks that a peer with this node's number matches `[node]`.
 fn check_own_entry(report: &Report<'_>, own: &Peer, peer: &Peer, position: usize) {
     let fields = [
         ("zone", own.zone == peer.zone),
--- a/crates/settings/src/discovered/mod.rs
+++ b/crates/settings/src/discovered/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of a node whose cluster is found from a few seeds.
+//! Settings of a node that discovers its cluster through seed addresses.
 
 mod model;
 mod read;
--- a/crates/settings/src/discovered/model.rs
+++ b/crates/settings/src/discovered/model.rs
@@ -1,4 +1,4 @@
-//! The settings and their defaults.
+//! Settings and their defaults.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -10,16 +10,16 @@
 use crate::finding::Findings;
 use crate::model::{LogSettings, unreadable};
 
-/// What a node is for.
+/// Purpose of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum Purpose {
-    /// It takes requests of callers.
+    /// Accepts requests from callers.
     #[display("gateway")]
     Gateway,
-    /// It holds the control group.
+    /// Is a replica of the control group.
     #[display("control")]
     Control,
-    /// It holds batch jobs.
+    /// Stores batch jobs.
     #[display("store")]
     Store,
 }
@@ -37,58 +37,59 @@
     }
 }
 
-/// This node.
+/// Settings of this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DiscoveredNode {
-    /// Name that operators use.
+    /// Name shown to operators.
     pub name: String,
-    /// What it is for.
+    /// Purpose of the node.
     pub purpose: Purpose,
-    /// Where it stands.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// Its address, which names it among the nodes.
+    /// IP address, which also identifies the node in the cluster.
     pub address: Ipv4Addr,
     /// Port on which gateways and control nodes listen for other nodes.
     pub internal_port: u16,
-    /// Port on which stores do; another one, so that a store and a control node
-    /// can share a machine.
+    /// Port on which stores listen for other nodes. It must differ from
+    /// `internal_port`, so that a store and a control node can share a machine.
     pub store_port: u16,
-    /// Where callers connect; only of a gateway.
+    /// Address on which a gateway listens for callers; gateways only.
     pub caller_address: Option<SocketAddr>,
-    /// Where a gateway is asked whether it is ready.
+    /// Address of the readiness check; gateways only.
     pub readiness_address: Option<SocketAddr>,
-    /// Where engines and operators call; only of a control node.
+    /// Address on which a control node listens for engines and operators; control
+    /// nodes only.
     pub control_address: Option<SocketAddr>,
-    /// Memory that the process may use, in MB; a store keeps its log within a
-    /// part of it.
+    /// Memory limit of the process in MB; a store limits its log to a fraction of
+    /// it.
     pub memory_mb: Option<u32>,
-    /// Folder of what must survive; not of a gateway.
+    /// Folder for persistent data; not used by gateways.
     pub data_folder: Option<PathBuf>,
 }
 
-/// How the cluster is found.
+/// How the cluster is discovered.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClusterSeeds {
-    /// Control addresses of control nodes.
+    /// Addresses on which control nodes listen for engines and operators.
     pub seeds: Vec<SocketAddr>,
-    /// Whether every disk is blank for the first time, so that the seeds found
-    /// the control group.
+    /// Whether the cluster starts for the first time with blank disks, so that the
+    /// seeds create the control group.
     pub first_start: bool,
 }
 
-/// What the cluster bears at once.
+/// Failures that the cluster tolerates at the same time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ToleranceSettings {
-    /// Machines with a disk that may be lost.
+    /// Number of machines with a disk that may be lost.
     pub machines: u32,
 }
 
-/// Durations.
+/// Heartbeat interval and retention time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimingSettings {
-    /// Time between two heartbeats of an engine.
+    /// Interval between heartbeats of an engine.
     pub engine_heartbeat: Duration,
-    /// Jobs are kept for this long after they were submitted.
+    /// How long jobs are kept after their submission.
     pub keep_jobs: Duration,
 }
 
@@ -101,12 +102,12 @@
     }
 }
 
-/// The planned stop.
+/// Time limits of a planned stop.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StopSettings {
-    /// Longest time from the signal to the end.
+    /// Maximum time from the signal to the exit of the process.
     pub within: Duration,
-    /// Time between turning unready and closing idle connections.
+    /// Time between becoming unready and closing idle connections.
     pub unready_wait: Duration,
 }
 
@@ -119,13 +120,13 @@
     }
 }
 
-/// Keys of tenants.
+/// Settings of tenants' API keys.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TenantSettings {
-    /// Whether a gateway that may have missed that a key was taken away refuses
-    /// requests that need one; else it goes by the keys that it knows.
+    /// Whether a gateway that may have missed the revocation of a key rejects requests
+    /// that need one. Otherwise it accepts the keys that it last received.
     pub fail_closed: bool,
-    /// Time within which a key that was taken away is refused.
+    /// Maximum time from the revocation of a key until it is rejected.
     pub revoked_within: Duration,
 }
 
@@ -138,11 +139,11 @@
     }
 }
 
-/// Batch jobs.
+/// Settings of batch jobs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BatchSettings {
-    /// Time behind the acknowledged end of a job from which on none of its items
-    /// reaches an engine.
+    /// Maximum time after the acknowledged end of a job until none of its items
+    /// is sent to an engine any more.
     pub withdrawn_within: Duration,
 }
 
@@ -154,24 +155,24 @@
     }
 }
 
-/// All settings of such a node.
+/// The settings of a node that discovers its cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DiscoveredSettings {
     /// This node.
     pub node: DiscoveredNode,
-    /// How the cluster is found.
+    /// How the cluster is discovered.
     pub cluster: ClusterSeeds,
-    /// What the cluster bears at once.
+    /// Failures that the cluster tolerates at the same time.
     pub tolerance: ToleranceSettings,
-    /// Durations.
+    /// Heartbeat interval and retention time.
     pub timing: TimingSettings,
-    /// The planned stop.
+    /// Time limits of a planned stop.
     pub stop: StopSettings,
-    /// Keys of tenants.
+    /// API keys of tenants.
     pub tenants: TenantSettings,
     /// Batch jobs.
     pub batch: BatchSettings,
-    /// Logs.
+    /// Log.
     pub log: LogSettings,
 }
 
@@ -179,16 +180,16 @@
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// Every fault of the file; one finding when it cannot be read at all.
+    /// All findings of the file, or a single one when it cannot be read.
     pub fn load(path: &Path) -> Result<Self, Findings> {
         let text = std::fs::read_to_string(path).map_err(|error| unreadable(path, &error))?;
         Self::parse(&text)
     }
 
-    /// Reads and checks the text of a file.
+    /// Parses and checks the text of a file.
     ///
     /// # Errors
-    /// Every fault of the text.
+    /// All findings of the text.
     pub fn parse(text: &str) -> Result<Self, Findings> {
         super::read::parse(text)
     }
--- a/crates/settings/src/discovered/read.rs
+++ b/crates/settings/src/discovered/read.rs
@@ -1,4 +1,4 @@
-//! From the text of a file to settings.
+//! Parses the text of a file into settings.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -13,7 +13,8 @@
 use crate::read::{parse_with, read_log};
 use crate::section::{Report, Section};
 
-/// Losses that a group of voters can be made to bear.
+/// Maximum number of lost machines that a group of voters can be configured to
+/// tolerate.
 const MOST_LOSSES: u32 = 3;
 
 pub(super) fn parse(text: &str) -> Result<DiscoveredSettings, Findings> {
@@ -101,8 +102,8 @@
     stop
 }
 
-/// Shortest time within which keys can be refused: a watch of the control nodes
-/// answers every 2 s when there is nothing new.
+/// Minimum of `revoked_within`: without changes, a watch of the control nodes returns
+/// only every 2 s.
 const SHORTEST_REVOCATION: Duration = Duration::from_secs(3);
 
 fn read_tenants(mut section: Section<'_, '_, '_>) -> TenantSettings {
@@ -120,8 +121,8 @@
     tenants
 }
 
-/// Shortest time within which an ended job can bind: a gateway and the group need one
-/// call each way, and an election takes about as long.
+/// Minimum of `withdrawn_within`: a gateway and the batch group need one call in each
+/// direction, and an election takes about as long.
 const SHORTEST_WITHDRAWAL: Duration = Duration::from_secs(1);
 
 fn read_batch(mut section: Section<'_, '_, '_>) -> BatchSettings {
--- a/crates/settings/src/duration.rs
+++ b/crates/settings/src/duration.rs
@@ -1,10 +1,10 @@
-//! Durations as people write them: a number and a named unit.
+//! Durations written as a number and a unit.
 
 use std::time::Duration;
 
 use derive_more::{Display, Error};
 
-/// A unit and its length in microseconds, longest first.
+/// Units with their length in microseconds, longest first.
 const UNITS: [(&str, u64); 5] = [
     ("h", 3_600_000_000),
     ("min", 60_000_000),
@@ -13,24 +13,24 @@
     ("us", 1),
 ];
 
-/// A text that is no duration.
+/// Why a text is not a valid duration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 pub enum DurationError {
-    /// The number before the unit is missing or no whole number.
+    /// The text does not start with a whole number.
     #[display("a duration starts with a whole number, such as \"250ms\"")]
     Number,
     /// The unit is missing or unknown.
     #[display("a duration ends with one of the units us, ms, s, min, h")]
     Unit,
-    /// It is longer than can be counted.
+    /// The duration is too long to be represented in microseconds.
     #[display("the duration is too long")]
     TooLong,
 }
 
-/// Reads a duration such as `250ms`, `8s` or `2min`.
+/// Parses a duration such as `250ms`, `8s` or `2min`.
 ///
 /// # Errors
-/// When the number or the unit is missing or unknown.
+/// When the number or the unit is missing or invalid, or the duration is too long.
 pub fn parse_duration(text: &str) -> Result<Duration, DurationError> {
     let end = text
         .find(|character: char| !character.is_ascii_digit())
@@ -47,8 +47,8 @@
     Ok(Duration::from_micros(micros))
 }
 
-/// Writes a duration in the longest unit that fits it without a rest. Parts
-/// below a microsecond are dropped.
+/// Formats a duration in the longest unit that divides it without a remainder,
+/// truncated to microseconds.
 #[must_use]
 pub fn format_duration(duration: Duration) -> String {
     let micros = u64::try_from(duration.as_micros()).unwrap_or(u64::MAX);
--- a/crates/settings/src/finding.rs
+++ b/crates/settings/src/finding.rs
@@ -1,15 +1,16 @@
-//! Findings: the faults of a settings file.
+//! Findings: errors in a settings file.
 
 use std::fmt;
 
-/// One fault and its place.
+/// An error and its location.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Finding {
-    /// Line from 1; `None` where the file as a whole is at fault.
+    /// Line, from 1; `None` when the finding concerns the whole file.
     pub line: Option<usize>,
-    /// Dotted key, such as `timing.lease` or `peers[1].id`; empty for syntax.
+    /// Dotted key, such as `timing.lease` or `peers[1].id`; empty if the finding, such
+    /// as a syntax error, concerns no key.
     pub key: String,
-    /// What is wrong and what would be right, in one sentence.
+    /// One sentence that describes the error and the expected value.
     pub message: String,
 }
 
@@ -26,30 +27,30 @@
     }
 }
 
-/// Every fault of a settings file, in the order of their lines.
+/// All findings of a settings file, sorted by line.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Findings(Vec<Finding>);
 
 impl Findings {
-    /// Findings in the order of their lines.
+    /// Sorts findings by line.
     #[must_use]
     pub fn new(mut findings: Vec<Finding>) -> Self {
         findings.sort();
         Self(findings)
     }
 
-    /// The findings in the order of their lines.
+    /// Iterates over the findings in the order of their lines.
     pub fn iter(&self) -> std::slice::Iter<'_, Finding> {
         self.0.iter()
     }
 
-    /// How many there are.
+    /// Returns the number of findings.
     #[must_use]
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no findings.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,9 @@
-//! Checked settings of the daemon.
+//! Settings files of the daemon.
 //!
-//! [`Settings::load`] reads a TOML file. Every fault of the file is collected
-//! as a [`Finding`] with its line and key, and all of them are reported
-//! together; a file with a finding gives no settings. [`Settings::to_toml`]
-//! writes a file that reads back as the same settings.
+//! [`Settings::load`] reads a TOML file. Each error in the file is collected as a
+//! [`Finding`] with its line and key, and all findings are reported together; a file
+//! with findings yields no settings. [`Settings::to_toml`] writes a file that parses
+//! to the same settings.
 
 mod check;
 pub mod discovered;
--- a/crates/settings/src/model.rs
+++ b/crates/settings/src/model.rs
@@ -1,4 +1,4 @@
-//! The settings and their defaults.
+//! Settings and their defaults.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,42 +13,44 @@
 const KIBIBYTE: u64 = 1024;
 const MEBIBYTE: u64 = 1024 * KIBIBYTE;
 
-/// What a node does.
+/// Role of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum Role {
-    /// Takes requests of callers and operators.
+    /// Accepts requests from callers and operators.
     #[display("gateway")]
     Gateway,
-    /// Holds replicated state.
+    /// Stores replicated state.
     #[display("replica")]
     Replica,
 }
 
-/// This node: `[node]`.
+/// Settings of this node: `[node]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodeSettings {
     /// Number, unique among the nodes of the cluster, from 1.
     pub id: NodeId,
-    /// Name for people; `node-ID` unless given.
+    /// Human-readable name; defaults to `node-ID`.
     pub name: String,
-    /// Zone that it stands in.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// What it does; at least one role.
+    /// Roles of the node; at least one.
     pub roles: Vec<Role>,
-    /// Where it listens for callers and operators. Port 0 takes a free one.
+    /// Address on which it listens for callers and operators. Port 0 selects a free
+    /// port.
     pub http_address: SocketAddr,
-    /// Where it listens for other nodes. Replicas need a fixed port.
+    /// Address on which it listens for other nodes. Replicas need a fixed port.
     pub internal_address: SocketAddr,
-    /// Folder of everything that must survive a restart.
+    /// Folder for all data that must survive a restart.
     pub data_folder: PathBuf,
 }
 
-/// What all nodes must agree on: `[cluster]`.
+/// Settings that must be the same on all nodes: `[cluster]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClusterSettings {
-    /// Groups that jobs are divided over. Fixed once jobs were accepted.
+    /// Number of groups among which jobs are divided. Must not change once jobs were
+    /// accepted.
     pub job_groups: u32,
-    /// Replicas that each group has: 1, 3, 5 or 7.
+    /// Number of replicas of each group: 1, 3, 5 or 7.
     pub replicas: u32,
 }
 
@@ -64,26 +66,26 @@
 /// Another node: `[[peers]]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its number.
+    /// Number of the node.
     pub id: NodeId,
-    /// Its name for people.
+    /// Human-readable name.
     pub name: String,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: ZoneName,
-    /// Where it listens for other nodes.
+    /// Address on which it listens for other nodes.
     pub internal_address: SocketAddr,
-    /// What it does.
+    /// Roles of the node.
     pub roles: Vec<Role>,
 }
 
-/// What the platform offers: `[platform]`.
+/// Services of the platform: `[platform]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformSettings {
-    /// List of live and leaving machines; gateways need it.
+    /// Address of the list of live and leaving machines; required for gateways.
     pub list_address: Option<SocketAddr>,
-    /// Time between two readings of the list.
+    /// Interval between polls of the list.
     pub list_poll: Duration,
-    /// Weight store; without it no weights are loaded.
+    /// Address of the weight store; without it no weights are loaded.
     pub weight_store_address: Option<SocketAddr>,
 }
 
@@ -97,28 +99,28 @@
     }
 }
 
-/// Bounds of memory, disk and work: `[limits]`.
+/// Limits on memory, disk and load: `[limits]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LimitSettings {
-    /// Most HTTP connections.
+    /// Maximum number of HTTP connections.
     pub max_connections: u32,
-    /// Longest request body in bytes, except of a job.
+    /// Maximum length of a request body in bytes, except for jobs.
     pub max_body_bytes: u64,
-    /// Longest body of a job in bytes.
+    /// Maximum length of the body of a job in bytes.
     pub max_job_bytes: u64,
-    /// Most items of a job.
+    /// Maximum number of items of a job.
     pub max_job_items: u32,
-    /// Bytes of request bodies in memory together.
+    /// Maximum total size of request bodies in memory, in bytes.
     pub max_buffered_bytes: u64,
-    /// Decision events that are kept for watchers.
+    /// Number of decision events kept for subscribers.
     pub event_buffer: u32,
-    /// Online requests a second of a tenant without limits of its own.
+    /// Rate limit in online requests per second for a tenant without its own limits.
     pub tenant_requests_per_second: u32,
-    /// Requests that such a tenant may send at once above that rate.
+    /// Burst of requests above that rate for such a tenant.
     pub tenant_burst: u32,
-    /// Requests of such a tenant in flight or queued at one gateway.
+    /// Maximum number of requests of such a tenant in flight or queued at one gateway.
     pub tenant_concurrency: u32,
-    /// Bytes after which a log segment is closed.
+    /// Size in bytes at which a log segment is closed.
     pub log_segment_bytes: u64,
 }
 
@@ -139,14 +141,14 @@
     }
 }
 
-/// Bounds of a planned stop: `[timing.drain]`.
+/// Time limits of a planned stop: `[timing.drain]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct DrainSettings {
-    /// Time between turning unready and taking no more requests.
+    /// Time between becoming unready and accepting no more requests.
     pub unready_wait: Duration,
-    /// Time for requests in flight to finish; those left are reported.
+    /// Time limit for requests in flight to finish; unfinished ones are reported.
     pub finish_within: Duration,
-    /// Time to hand over leases and leadership.
+    /// Time limit for handing over leases and leadership.
     pub hand_over_within: Duration,
 }
 
@@ -160,39 +162,40 @@
     }
 }
 
-/// Durations: `[timing]`.
+/// Intervals, leases and timeouts: `[timing]`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TimingSettings {
-    /// Length of a lease on items. A lost owner's items go to another one
-    /// after it.
+    /// Duration of a lease on items, after which the items of a failed owner are
+    /// leased to another one.
     pub lease: Duration,
-    /// Length of a gateway's ownership of an engine's batch work.
+    /// Duration of a gateway's lease on the batch work of an engine.
     pub owner_lease: Duration,
-    /// A node that has not confirmed its configuration for this long turns
-    /// unready and refuses new work as not run.
+    /// A node that has not confirmed its configuration for this long becomes
+    /// unready and rejects new work as not run.
     pub currency_bound: Duration,
-    /// Longest time that a watch of the configuration is held open.
+    /// Maximum duration of a watch request for the configuration.
     pub config_watch: Duration,
-    /// Time between two heartbeats of a gateway to the control group.
+    /// Interval between heartbeats of a gateway to the control group.
     pub heartbeat: Duration,
-    /// Time between two ticks of a consensus group.
+    /// Interval between ticks of a consensus group.
     pub tick: Duration,
-    /// A follower that heard no leader for this long asks for an election.
+    /// A follower that receives nothing from a leader for this long starts an
+    /// election.
     pub election_timeout: Duration,
-    /// Time between two readings of an engine's load by its owner.
+    /// Interval between polls of an engine's load by its owner.
     pub load_poll: Duration,
-    /// Longest time to connect to a back end or node.
+    /// Timeout for connecting to a back end or node.
     pub connect_timeout: Duration,
-    /// Longest time until an online answer of a back end begins.
+    /// Timeout until the response of a back end to an online request begins.
     pub response_timeout: Duration,
-    /// Longest silence within an online answer.
+    /// How long an online response may stall.
     pub stall_timeout: Duration,
-    /// Longest silence within a batch answer, which may be held back.
+    /// How long a batch response may stall, which includes being held back.
     pub batch_stall_timeout: Duration,
-    /// How long a claim on a non-repeatable request may stay open before it
-    /// is settled as unknown.
+    /// How long a claim on a non-repeatable request may stay open before its
+    /// outcome is recorded as unknown.
     pub claim_timeout: Duration,
-    /// Bounds of a planned stop.
+    /// Time limits of a planned stop.
     pub drain: DrainSettings,
 }
 
@@ -217,27 +220,27 @@
     }
 }
 
-/// Logs on standard error: `[log]`.
+/// Settings of the log on standard error: `[log]`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogSettings {
-    /// The least important level that is logged.
+    /// Minimum level of the lines that are logged.
     pub level: LogLevel,
-    /// How lines look.
+    /// Format of the lines.
     pub format: LogFormat,
 }
 
-/// How batch work makes way for online work. All but the first are baselines
-/// for measurements.
+/// How batch work is preempted by online work. All variants but the first are
+/// baselines for measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Display)]
 pub enum Preemption {
-    /// Batch streams are held back as soon as online work arrives.
+    /// Holds batch streams back as soon as online work arrives.
     #[default]
     #[display("on-arrival")]
     OnArrival,
-    /// Nothing is held back; engines are told which work is batch work.
+    /// Holds nothing back, but marks batch work as such for the engines.
     #[display("engine-priority-only")]
     EnginePriorityOnly,
-    /// Nothing is held back, and engines take batch work for online work.
+    /// Holds nothing back, and sends batch work to engines as online work.
     #[display("none")]
     None,
 }
@@ -245,56 +248,56 @@
 /// How a gateway chooses the engine of an online request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Display)]
 pub enum EngineChoice {
-    /// Zone, prefix affinity, better of two.
+    /// By zone, prefix affinity and the better of two engines.
     #[default]
     #[display("affinity")]
     Affinity,
-    /// Zone and better of two, without affinity.
+    /// By zone and the better of two engines, without affinity.
     #[display("better-of-two")]
     BetterOfTwo,
-    /// One after the other; a baseline for measurements.
+    /// Round robin; a baseline for measurements.
     #[display("round-robin")]
     RoundRobin,
-    /// The lowest last report; a baseline for measurements.
+    /// The engine with the lowest load in its last report; a baseline for measurements.
     #[display("least-reported")]
     LeastReported,
 }
 
-/// Ways in which this node decides: `[policy]`.
+/// Policies of this node: `[policy]`.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PolicySettings {
-    /// Overrides the knob of the configuration: 0 fills engines with batch
-    /// work, 100 guards the online tail above all.
+    /// Overrides the value in the configuration: 0 maximizes batch throughput, 100
+    /// protects the tail latency of online requests above all.
     pub tail_protection: Option<u8>,
-    /// How batch work makes way for online work.
+    /// How batch work is preempted by online work.
     pub preemption: Preemption,
     /// How the engine of an online request is chosen.
     pub engine_choice: EngineChoice,
 }
 
-/// The settings of one `molespand`.
+/// The settings of a `molespand` process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// This node.
     pub node: NodeSettings,
-    /// What all nodes must agree on.
+    /// Settings that must be the same on all nodes.
     pub cluster: ClusterSettings,
-    /// The other nodes, in the order of their numbers.
+    /// The other nodes, sorted by number.
     pub peers: Vec<Peer>,
-    /// What the platform offers.
+    /// Services of the platform.
     pub platform: PlatformSettings,
-    /// Bounds of memory, disk and work.
+    /// Limits on memory, disk and load.
     pub limits: LimitSettings,
-    /// Durations.
+    /// Intervals, leases and timeouts.
     pub timing: TimingSettings,
-    /// Logs.
+    /// Log.
     pub log: LogSettings,
-    /// Ways in which this node decides.
+    /// Policies of this node.
     pub policy: PolicySettings,
 }
 
 impl Settings {
-    /// Settings of `node` with the defaults for the rest.
+    /// Creates settings of `node` with defaults for everything else.
     #[must_use]
     pub fn new(node: NodeSettings) -> Self {
         Self {
@@ -312,21 +315,21 @@
     /// Reads and checks a file.
     ///
     /// # Errors
-    /// Every fault of the file; one finding when it cannot be read at all.
+    /// All findings of the file, or a single one when it cannot be read.
     pub fn load(path: &Path) -> Result<Self, Findings> {
         let text = std::fs::read_to_string(path).map_err(|error| unreadable(path, &error))?;
         Self::parse(&text)
     }
 
-    /// Reads and checks the text of a file.
+    /// Parses and checks the text of a file.
     ///
     /// # Errors
-    /// Every fault of the text.
+    /// All findings of the text.
     pub fn parse(text: &str) -> Result<Self, Findings> {
         crate::read::parse(text)
     }
 
-    /// The text of a file that reads back as these settings.
+    /// Returns the text of a file that parses to these settings.
     #[must_use]
     pub fn to_toml(&self) -> String {
         crate::write::to_toml(self)
@@ -338,7 +341,7 @@
         self.node.roles.contains(&role)
     }
 
-    /// This node as its peers see it.
+    /// Returns this node's entry in the peer list of other nodes.
     #[must_use]
     pub fn as_peer(&self) -> Peer {
         Peer {
@@ -350,8 +353,8 @@
         }
     }
 
-    /// Every replica of the cluster in the order of their numbers, with this
-    /// node where it is one.
+    /// Returns all replicas of the cluster sorted by number, including this node
+    /// if it is a replica.
     #[must_use]
     pub fn replicas(&self) -> Vec<Peer> {
         let mut nodes = self.peers.clone();
--- a/crates/settings/src/place.rs
+++ b/crates/settings/src/place.rs
@@ -1,7 +1,7 @@
-//! Which key a line of a file speaks of, without parsing the file.
+//! Finds the key on a line of a file without parsing the file, and compares names.
 
-/// The dotted key that `line` (from 1) assigns, such as `timing.lease`; empty
-/// where it assigns none.
+/// Returns the dotted key that is assigned on `line` (from 1), such as
+/// `timing.lease`, or an empty string when the line assigns none.
 pub(crate) fn key_at(text: &str, line: usize) -> String {
     let Some((name, _)) = line_text(text, line).split_once('=') else {
         return String::new();
@@ -18,7 +18,8 @@
     line_text(text, line).trim_start().starts_with('[')
 }
 
-/// Number of single-character edits that turn one name into the other.
+/// Returns the Levenshtein distance: the number of single-character edits that turn
+/// one name into the other.
 pub(crate) fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
@@ -39,7 +40,7 @@
     text.lines().nth(line - 1).unwrap_or_default()
 }
 
-/// The dotted path of the table that `line` stands in.
+/// Returns the dotted path of the table that contains `line`.
 fn table_at(text: &str, line: usize) -> String {
     let headers: Vec<&str> = text
         .lines()
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -1,4 +1,4 @@
-//! From the text of a file to settings.
+//! Parses the text of a file into settings.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -16,13 +16,13 @@
 use crate::place::is_header;
 use crate::section::{Report, Section};
 
-/// Stands in for an address that could not be read.
+/// Placeholder for an address that could not be read.
 const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
-/// Most job groups.
+/// Maximum number of job groups.
 const MAX_JOB_GROUPS: u32 = 1024;
-/// Most replicas of a group.
+/// Maximum number of replicas of a group.
 const MAX_REPLICAS: u32 = 7;
-/// Longest body that may be allowed.
+/// Maximum of all limits in bytes.
 const MAX_BYTES: u64 = 16 * 1024 * 1024 * 1024;
 
 const fn millis(count: u64) -> Duration {
@@ -33,12 +33,12 @@
     Duration::from_secs(count)
 }
 
-/// Reads and checks the text of a file.
+/// Parses and checks the text of a file.
 pub(crate) fn parse(text: &str) -> Result<Settings, Findings> {
     parse_with(text, read_all, check::check)
 }
 
-/// Reads a file section by section and then checks the whole.
+/// Parses a file with `read`, and then checks the settings with `check`.
 pub(crate) fn parse_with<S>(
     text: &str,
     read: impl FnOnce(Section<'_, '_, '_>) -> S,
@@ -54,8 +54,8 @@
         misplaced |= line.is_none_or(|line| is_header(text, line));
     }
     if misplaced {
-        // Keys below a broken table header were read into another table, and
-        // findings about them would mislead.
+        // Keys below an invalid table header were parsed into another table, so
+        // findings about them would be misleading.
         return Err(Findings::new(report.into_findings()));
     }
     let settings = read(Section::root(&report, table.get_ref()));
--- a/crates/settings/src/section.rs
+++ b/crates/settings/src/section.rs
@@ -1,4 +1,4 @@
-//! Reading one table of a settings file, key by key.
+//! Reads a table of a settings file key by key.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,10 +11,10 @@
 use crate::place::{edit_distance, key_at};
 use crate::value::Value;
 
-/// Edits up to which an unknown key counts as a known one misspelt.
+/// Maximum edit distance at which an unknown key counts as a misspelt known key.
 const LARGEST_MISSPELLING: usize = 2;
 
-/// What was found while reading, and where each key stands.
+/// Findings collected while reading, and the line of each key.
 #[derive(Debug)]
 pub(crate) struct Report<'t> {
     text: &'t str,
@@ -33,13 +33,13 @@
         }
     }
 
-    /// The line, from 1, of a position in the text.
+    /// Returns the line, from 1, of a position in the text.
     pub(crate) fn line_at(&self, position: usize) -> usize {
         let before = self.text.as_bytes().iter().take(position);
         1 + before.filter(|byte| **byte == b'\n').count()
     }
 
-    /// Adds a syntax error. Nothing else is reported about its line.
+    /// Adds a syntax error. Further findings about the key on its line are suppressed.
     pub(crate) fn add_syntax(&self, line: Option<usize>, message: String) {
         let key = line.map_or_else(String::new, |line| key_at(self.text, line));
         if !key.is_empty() {
@@ -50,12 +50,12 @@
             .push(Finding { line, key, message });
     }
 
-    /// Marks a key whose value is not known because of another finding.
+    /// Suppresses findings about a key whose value is unknown because of another finding.
     pub(crate) fn doubt(&self, key: &str) {
         self.doubtful.borrow_mut().insert(key.to_owned());
     }
 
-    /// Adds a finding at a line.
+    /// Adds a finding at a line, unless findings about `key` are suppressed.
     pub(crate) fn add(&self, line: Option<usize>, key: &str, message: String) {
         if self.doubtful.borrow().contains(key) {
             return;
@@ -67,14 +67,14 @@
         });
     }
 
-    /// Adds a finding at the place of `key`, or of the table around it.
+    /// Adds a finding at the line of `key`, or of the closest enclosing table.
     pub(crate) fn add_at(&self, key: &str, message: String) {
         let line = self.line_of(key);
         self.add(line, key, message);
     }
 
-    /// Whether there is no finding about `key`, a table around it or a value
-    /// inside it.
+    /// Whether `key` has no finding: neither itself, nor an enclosing table, nor a
+    /// value inside it.
     pub(crate) fn is_sound(&self, key: &str) -> bool {
         let findings = self.findings.borrow();
         let doubtful = self.doubtful.borrow();
@@ -85,7 +85,7 @@
         !faulty.any(|faulty| contains(faulty, key) || contains(key, faulty))
     }
 
-    /// Every finding.
+    /// Returns all findings.
     pub(crate) fn into_findings(self) -> Vec<Finding> {
         self.findings.into_inner()
     }
@@ -106,26 +106,26 @@
     }
 }
 
-/// Whether the value at the path `outer` is the one at `inner` or contains it.
+/// Whether the value at path `outer` is or contains the one at path `inner`.
 fn contains(outer: &str, inner: &str) -> bool {
     inner
         .strip_prefix(outer)
         .is_some_and(|rest| rest.is_empty() || rest.starts_with(['.', '[']))
 }
 
-/// One table; a missing one reads as empty.
+/// A table; a missing table is read as an empty one.
 #[derive(Debug)]
 pub(crate) struct Section<'r, 't, 'i> {
     report: &'r Report<'t>,
     table: Option<&'r DeTable<'i>>,
     path: String,
     known: BTreeSet<&'static str>,
-    /// Required keys that are missing, and what they need.
+    /// Required keys that are missing, with their expected values.
     missing: BTreeMap<&'static str, &'static str>,
 }
 
 impl<'r, 't, 'i> Section<'r, 't, 'i> {
-    /// The table of the whole file.
+    /// Creates the section of the root table.
     pub(crate) fn root(report: &'r Report<'t>, table: &'r DeTable<'i>) -> Self {
         Self::new(report, Some(table), String::new())
     }
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The dotted path of `key`.
+    /// Returns the dotted path of `key`.
     pub(crate) fn dotted(&self, key: &str) -> String {
         if self.path.is_empty() {
             return key.to_owned();
@@ -148,14 +148,14 @@
         format!("{}.{key}", self.path)
     }
 
-    /// The table under `key`.
+    /// Returns the table under `key`.
     pub(crate) fn section(&mut self, key: &'static str) -> Section<'r, 't, 'i> {
         let path = self.dotted(key);
         let table = self.take(key).and_then(|value| self.table_of(value, &path));
         Section::new(self.report, table, path)
     }
 
-    /// The tables under `key`, a list of tables.
+    /// Returns the tables in the list under `key`.
     pub(crate) fn sections(&mut self, key: &'static str) -> Vec<Section<'r, 't, 'i>> {
         let path = self.dotted(key);
         let Some(value) = self.take(key) else {
@@ -188,7 +188,7 @@
         table
     }
 
-    /// The value under `key`, if it stands in the file and is sound.
+    /// Returns the value under `key`, if it is present and valid.
     pub(crate) fn optional<T: Value>(&mut self, key: &'static str) -> Option<T> {
         let value = self.take(key)?;
         match T::read(value.get_ref()) {
@@ -200,8 +200,8 @@
         }
     }
 
-    /// The value under `key`; its absence is a finding. `stand_in` is used
-    /// where there is a finding, so that reading can go on.
+    /// Returns the value under `key`. A missing key is a finding. If there is a
+    /// finding, returns `stand_in`, so that reading can continue.
     pub(crate) fn required<T: Value>(&mut self, key: &'static str, stand_in: T) -> T {
         let present = self.table.is_some_and(|table| table.contains_key(key));
         let value = self.optional(key);
@@ -211,12 +211,12 @@
         value.unwrap_or(stand_in)
     }
 
-    /// The value under `key`, or its default.
+    /// Returns the value under `key`, or `default`.
     pub(crate) fn or<T: Value>(&mut self, key: &'static str, default: T) -> T {
         self.optional(key).unwrap_or(default)
     }
 
-    /// The value under `key`, or its default; one outside of `range` is a
+    /// Returns the value under `key`, or `default`. A value outside of `range` is a
     /// finding.
     pub(crate) fn within<T: Value + PartialOrd>(
         &mut self,
@@ -227,8 +227,8 @@
         self.optional_within(key, range).unwrap_or(default)
     }
 
-    /// The value under `key`, if it stands in the file; one outside of `range`
-    /// is a finding.
+    /// Returns the value under `key`, if it is present and valid. A value outside of
+    /// `range` is a finding.
     pub(crate) fn optional_within<T: Value + PartialOrd>(
         &mut self,
         key: &'static str,
@@ -243,7 +243,8 @@
         Some(value)
     }
 
-    /// Reports keys that nobody asked for and required ones that are missing.
+    /// Reports unknown keys and missing required keys. Must be called after all known
+    /// keys were read.
     pub(crate) fn finish(mut self) {
         for key in self.unknown_keys() {
             self.report_unknown(key);
@@ -265,8 +266,8 @@
         let line = self.report.line_at(key.span().start);
         let message = match self.similar(name) {
             Some(similar) => {
-                // One misspelt key is one finding, not an unknown and a
-                // missing one.
+                // A misspelt key must give one finding, not two for an unknown
+                // and a missing key.
                 self.missing.remove(similar);
                 self.report.doubt(&self.dotted(similar));
                 format!("is no known key; did you mean {similar}?")
@@ -279,7 +280,8 @@
         self.report.add(Some(line), &self.dotted(name), message);
     }
 
-    /// A known key, absent from the table, that `name` may be meant for.
+    /// Returns the known key, absent from the table, that `name` is probably a
+    /// misspelling of.
     fn similar(&self, name: &str) -> Option<&'static str> {
         let absent = self
             .known
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -1,4 +1,4 @@
-//! Values of a settings file: how each type is read and shown.
+//! Types of values in a settings file, and how they are parsed and displayed.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -14,13 +14,13 @@
 
 /// A type that a settings file can hold.
 pub(crate) trait Value: Sized {
-    /// What the file should hold, for messages.
+    /// Description of the expected value, for messages.
     const EXPECTED: &'static str;
 
-    /// Reads it; the error says in a sentence what is wrong.
+    /// Parses the value; the error is one sentence that describes the problem.
     fn read(value: &DeValue<'_>) -> Result<Self, String>;
 
-    /// As the file writes it, for messages.
+    /// Formats the value as in a settings file, for messages.
     fn show(&self) -> String;
 }
 
@@ -316,7 +316,7 @@
     }
 }
 
-/// The roles of a node: a list of names without doubles.
+/// The roles of a node: a list of names without duplicates.
 impl Value for Vec<Role> {
     const EXPECTED: &'static str = "a list of \"gateway\", \"replica\" or both";
 
--- a/crates/settings/src/write.rs
+++ b/crates/settings/src/write.rs
@@ -1,4 +1,4 @@
-//! From settings to the text of a file.
+//! Formats settings as the text of a file.
 
 use std::fmt::Display;
 
@@ -10,7 +10,7 @@
     TimingSettings,
 };
 
-/// The text of a file that reads back as `settings`.
+/// Returns the text of a file that parses to `settings`.
 pub(crate) fn to_toml(settings: &Settings) -> String {
     let mut document = DocumentMut::new();
     let root = document.as_table_mut();
--- a/crates/settings/tests/discovered.rs
+++ b/crates/settings/tests/discovered.rs
@@ -1,4 +1,4 @@
-//! Settings of a node that finds its cluster.
+//! Tests of the settings of a node that discovers its cluster.
 
 use std::net::Ipv4Addr;
 use std::time::Duration;
@@ -38,7 +38,7 @@
 
 #[test]
 fn each_purpose_needs_its_addresses() {
-    // Purpose, what is given, and the keys that are missed.
+    // Purpose, given keys, and required keys that are missing.
     let cases: [(&str, &str, &[&str]); 6] = [
         ("gateway", GATEWAY, &[]),
         ("control", CONTROL, &[]),
--- a/crates/settings/tests/parse.rs
+++ b/crates/settings/tests/parse.rs
@@ -1,4 +1,4 @@
-//! Reading and writing settings files.
+//! Tests of parsing and writing settings files.
 
 use std::path::Path;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 
 const EXAMPLE: &str = include_str!("../../../docs/examples/molespand.toml");
 
-/// A single gateway and replica, as short as it can be.
+/// Minimal settings of a single node that is gateway and replica.
 const SMALLEST: &str = r#"
 cluster.replicas = 1
 platform.list_address = "127.0.0.1:7700"
@@ -123,7 +123,7 @@
     assert_eq!(findings.len(), 1);
 }
 
-/// Each case replaces one line of the smallest file and gives one finding.
+/// Each case replaces a part of the minimal file and gives one finding.
 #[test]
 fn faults_one_by_one() {
     let cases = [
