--- a/crates/wire/src/backoff.rs
+++ b/crates/wire/src/backoff.rs
@@ -34,8 +34,8 @@
         const MAX_DOUBLINGS: u32 = 20;
         let factor = 1u32 << self.failures.min(MAX_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
-        let whole = self.first.saturating_mul(factor).min(self.longest);
-        whole.mul_f64(self.random.random_range(0.5..=1.0))
+        let ceiling = self.first.saturating_mul(factor).min(self.longest);
+        ceiling.mul_f64(self.random.random_range(0.5..=1.0))
     }
 
     /// Records a success: the next delay starts from `first` again.
--- a/crates/wire/src/client/call.rs
+++ b/crates/wire/src/client/call.rs
@@ -142,15 +142,15 @@
 
 /// The caller's handle of its call. Cancels the call when dropped.
 #[derive(Debug)]
-pub(crate) struct Pending<'a> {
+pub(crate) struct PendingCall<'a> {
     calls: &'a Calls,
     call: Arc<Call>,
     response: Receiver<Result<Response, CallError>>,
 }
 
-impl<'a> Pending<'a> {
+impl<'a> PendingCall<'a> {
     /// Registers a call before it is queued.
-    pub(crate) fn open(calls: &'a Calls, number: u64, limit: usize) -> Result<Self, CallError> {
+    pub(crate) fn register(calls: &'a Calls, number: u64, limit: usize) -> Result<Self, CallError> {
         let (reply, response) = async_channel::bounded(1);
         let call = Arc::new(Call {
             number,
@@ -182,7 +182,7 @@
     }
 
     /// Cancels the call and returns an error that states whether it may have been sent.
-    pub(crate) fn give_up(&self, failure: CallFailure) -> CallError {
+    pub(crate) fn abandon(&self, failure: CallFailure) -> CallError {
         if self.call.cancel() {
             CallError::NotSent(failure)
         } else {
@@ -191,7 +191,7 @@
     }
 }
 
-impl Drop for Pending<'_> {
+impl Drop for PendingCall<'_> {
     fn drop(&mut self) {
         self.call.cancel();
         self.calls.lock().remove(&self.call.number);
--- a/crates/wire/src/client/connection.rs
+++ b/crates/wire/src/client/connection.rs
@@ -12,7 +12,7 @@
 use super::Shared;
 use crate::frame::{FrameDecoder, encode_frame};
 use crate::message::Envelope;
-use crate::net::within;
+use crate::net::with_timeout;
 
 /// Size of the read buffer in bytes.
 const READ_BYTES: usize = 16 * 1024;
@@ -39,14 +39,14 @@
         }))
     }
 
-    fn wrote(&self) {
+    fn record_write(&self) {
         let now = Instant::now();
         let mut times = self.lock();
         times.last_write = now;
         times.unanswered_since.get_or_insert(now);
     }
 
-    fn read(&self) {
+    fn record_read(&self) {
         let mut times = self.lock();
         times.any_read = true;
         times.unanswered_since = None;
@@ -70,7 +70,7 @@
         write_frames(shared, stream, &activity),
         read_frames(shared, stream, &activity),
     );
-    future::or(transfer, watch(shared, &activity)).await;
+    future::or(transfer, monitor_liveness(shared, &activity)).await;
     // A connection closed as idle, with nothing unanswered, is not a failure of the peer.
     let times = activity.times();
     times.any_read || times.unanswered_since.is_none()
@@ -86,10 +86,10 @@
         if batch.is_empty() {
             continue;
         }
-        activity.wrote();
+        activity.record_write();
         let mut writer = stream;
         let writing = writer.write_all(&batch);
-        match within(shared.limits.write_timeout, writing).await {
+        match with_timeout(shared.limits.write_timeout, writing).await {
             Some(Ok(())) => {}
             _ => return,
         }
@@ -112,7 +112,7 @@
             Ok(0) | Err(_) => return,
             Ok(count) => count,
         };
-        activity.read();
+        activity.record_read();
         shared
             .counters
             .bytes_read
@@ -139,7 +139,7 @@
 
 /// Returns when the peer stopped responding or the connection is idle. Pings the
 /// peer after a write, since one-way messages have no response.
-async fn watch(shared: &Shared, activity: &Activity) {
+async fn monitor_liveness(shared: &Shared, activity: &Activity) {
     let limits = &shared.limits;
     let interval = limits.silence_limit / CHECKS_PER_SILENCE_LIMIT;
     let ping = ping_frame();
--- a/crates/wire/src/client/mod.rs
+++ b/crates/wire/src/client/mod.rs
@@ -14,13 +14,13 @@
 use async_executor::Executor;
 
 pub use call::{CallError, CallFailure};
-use call::{Calls, Pending};
+use call::{Calls, PendingCall};
 pub use queue::DropPolicy;
-use queue::Outgoing;
+use queue::OutgoingQueue;
 
 use crate::frame::{DEFAULT_MAX_FRAME_BYTES, encode_frame};
 use crate::message::{Envelope, Request, Response};
-use crate::net::within;
+use crate::net::with_timeout;
 
 /// Limits of a client.
 #[derive(Clone, Debug)]
@@ -102,7 +102,7 @@
 pub(crate) struct Shared {
     pub(crate) address: SocketAddr,
     pub(crate) limits: ClientLimits,
-    pub(crate) outgoing: Outgoing,
+    pub(crate) outgoing: OutgoingQueue,
     pub(crate) calls: Calls,
     pub(crate) counters: Counters,
 }
@@ -128,7 +128,7 @@
     ) -> Self {
         let shared = Arc::new(Shared {
             address,
-            outgoing: Outgoing::new(&limits),
+            outgoing: OutgoingQueue::new(&limits),
             calls: Calls::default(),
             counters: Counters::default(),
             limits,
@@ -159,10 +159,10 @@
         let shared = &*self.shared;
         let number = shared.calls.next_number();
         let frame = encode_call(number, request, shared.limits.max_frame_bytes)?;
-        let pending = Pending::open(&shared.calls, number, shared.limits.max_calls)?;
+        let pending = PendingCall::register(&shared.calls, number, shared.limits.max_calls)?;
         shared.outgoing.push_call(frame, pending.call())?;
-        let answered = within(timeout, pending.response()).await;
-        answered.unwrap_or_else(|| Err(pending.give_up(CallFailure::Timeout)))
+        let answered = with_timeout(timeout, pending.response()).await;
+        answered.unwrap_or_else(|| Err(pending.abandon(CallFailure::Timeout)))
     }
 
     /// Queues a one-way message without blocking. When the queue is full or the
--- a/crates/wire/src/client/queue.rs
+++ b/crates/wire/src/client/queue.rs
@@ -22,20 +22,20 @@
 }
 
 /// Whether a one-way message was queued, and how many messages were dropped.
-pub(crate) struct Pushed {
+pub(crate) struct PushOutcome {
     pub(crate) queued: bool,
     pub(crate) dropped: u64,
 }
 
 /// Frames that are queued for the writer.
 #[derive(Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct OutgoingQueue {
     max_messages: usize,
     max_bytes: usize,
     policy: DropPolicy,
     state: Mutex<QueueState>,
-    wake: Sender<()>,
-    woken: Receiver<()>,
+    wake_sender: Sender<()>,
+    wake_receiver: Receiver<()>,
 }
 
 #[derive(Debug, Default)]
@@ -61,16 +61,16 @@
     }
 }
 
-impl Outgoing {
+impl OutgoingQueue {
     pub(crate) fn new(limits: &ClientLimits) -> Self {
-        let (wake, woken) = async_channel::bounded(1);
+        let (wake_sender, wake_receiver) = async_channel::bounded(1);
         Self {
             max_messages: limits.max_queued_messages,
             max_bytes: limits.max_queued_bytes,
             policy: limits.drop_policy,
             state: Mutex::default(),
-            wake,
-            woken,
+            wake_sender,
+            wake_receiver,
         }
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// Queues a one-way message, dropping messages when the queue is full.
-    pub(crate) fn push_message(&self, frame: Vec<u8>) -> Pushed {
+    pub(crate) fn push_message(&self, frame: Vec<u8>) -> PushOutcome {
         let mut state = self.lock();
         let mut dropped = 0;
         let refused = state.unreachable || frame.len() > self.max_bytes;
@@ -98,7 +98,7 @@
             dropped += 1;
         }
         if refused || self.is_full_for(&state, frame.len()) {
-            return Pushed {
+            return PushOutcome {
                 queued: false,
                 dropped: dropped + 1,
             };
@@ -107,7 +107,7 @@
         state.messages.push_back(frame);
         drop(state);
         self.wake_writer();
-        Pushed {
+        PushOutcome {
             queued: true,
             dropped,
         }
@@ -123,7 +123,7 @@
     pub(crate) async fn wait(&self) {
         while self.lock().is_empty() {
             // The sender is owned by the same struct, so the channel is never closed.
-            let _woken = self.woken.recv().await;
+            let _woken = self.wake_receiver.recv().await;
         }
     }
 
@@ -149,7 +149,7 @@
     }
 
     /// Drops all queued frames, fails their calls, and rejects new frames until
-    /// [`Outgoing::reopen`]. Returns the number of one-way messages dropped.
+    /// [`OutgoingQueue::reopen`]. Returns the number of one-way messages dropped.
     pub(crate) fn close_unreachable(&self) -> u64 {
         let state = {
             let mut state = self.lock();
@@ -181,7 +181,7 @@
 
     fn wake_writer(&self) {
         // When the channel is full, a wake-up is already pending.
-        let _already_woken = self.wake.try_send(());
+        let _already_woken = self.wake_sender.try_send(());
     }
 
     fn lock(&self) -> MutexGuard<'_, QueueState> {
--- a/crates/wire/src/client/task.rs
+++ b/crates/wire/src/client/task.rs
@@ -11,7 +11,7 @@
 use super::Shared;
 use super::connection::run_connection;
 use crate::backoff::Backoff;
-use crate::net::within;
+use crate::net::with_timeout;
 
 /// Runs until the client is dropped.
 pub(crate) async fn run(shared: Arc<Shared>, ended: Receiver<()>, seed: u64) {
@@ -29,12 +29,12 @@
     let mut backoff = Backoff::new(limits.first_pause, limits.longest_pause, seed);
     loop {
         shared.outgoing.wait().await;
-        let was_useful = match connect(shared).await {
+        let succeeded = match connect(shared).await {
             Some(stream) => {
-                let was_useful = run_connection(shared, &stream).await;
+                let succeeded = run_connection(shared, &stream).await;
                 shared.calls.fail_written();
                 shared.outgoing.clear_control();
-                was_useful
+                succeeded
             }
             None => {
                 shared
@@ -44,17 +44,17 @@
                 false
             }
         };
-        if was_useful {
+        if succeeded {
             backoff.reset();
         } else {
-            pause(shared, &mut backoff).await;
+            back_off(shared, &mut backoff).await;
         }
     }
 }
 
 /// Rejects calls and messages during the backoff, so that no caller waits for an
 /// unreachable peer.
-async fn pause(shared: &Shared, backoff: &mut Backoff) {
+async fn back_off(shared: &Shared, backoff: &mut Backoff) {
     let dropped = shared.outgoing.close_unreachable();
     shared
         .counters
@@ -67,7 +67,7 @@
 /// Opens a connection; returns `None` when the peer cannot be reached.
 async fn connect(shared: &Shared) -> Option<Async<TcpStream>> {
     let connecting = Async::<TcpStream>::connect(shared.address);
-    let stream = within(shared.limits.connect_timeout, connecting)
+    let stream = with_timeout(shared.limits.connect_timeout, connecting)
         .await?
         .ok()?;
     stream.get_ref().set_nodelay(true).ok()?;
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -14,7 +14,7 @@
 pub const DEFAULT_MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 /// Buffer capacity in bytes that a decoder keeps between frames. A larger buffer
 /// is freed once its frame was consumed.
-const KEPT_CAPACITY: usize = 32 * 1024;
+const MAX_RETAINED_CAPACITY: usize = 32 * 1024;
 
 /// Why a frame could not be encoded or decoded. After a decoding error the
 /// connection must be closed, since the start of the next frame is unknown.
@@ -94,7 +94,7 @@
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.drain(..self.consumed);
         self.consumed = 0;
-        if self.buffer.is_empty() && self.buffer.capacity() > KEPT_CAPACITY {
+        if self.buffer.is_empty() && self.buffer.capacity() > MAX_RETAINED_CAPACITY {
             self.buffer = Vec::new();
         }
         self.buffer.extend_from_slice(bytes);
--- a/crates/wire/src/net.rs
+++ b/crates/wire/src/net.rs
@@ -7,7 +7,7 @@
 use futures_lite::future;
 
 /// Returns the output of `future`, or `None` when it takes longer than `limit`.
-pub(crate) async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
+pub(crate) async fn with_timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let timeout = async {
         Timer::after(limit).await;
         None
--- a/crates/wire/src/server/connection.rs
+++ b/crates/wire/src/server/connection.rs
@@ -14,14 +14,14 @@
 use super::{Handler, Shared};
 use crate::frame::{FrameDecoder, FrameError, encode_frame};
 use crate::message::{Envelope, Request};
-use crate::net::within;
+use crate::net::with_timeout;
 
 /// Size of the read buffer in bytes.
 const READ_BYTES: usize = 16 * 1024;
 /// Batch size in bytes beyond which no further frame is added.
 const BATCH_BYTES: usize = 64 * 1024;
 /// Maximum number of responses queued for the writer.
-const QUEUED_RESPONSES: usize = 64;
+const MAX_QUEUED_RESPONSES: usize = 64;
 
 /// Reads requests and writes responses until either direction ends.
 pub(crate) async fn serve_connection<H: Handler>(
@@ -30,7 +30,7 @@
     executor: Arc<Executor<'static>>,
     handler: Arc<H>,
 ) {
-    let (frames, queued) = async_channel::bounded(QUEUED_RESPONSES);
+    let (frames, queued) = async_channel::bounded(MAX_QUEUED_RESPONSES);
     let limit = shared.limits.max_requests_per_connection;
     let reader = Reader {
         stream: &stream,
@@ -66,7 +66,7 @@
         let mut buffer = vec![0; READ_BYTES];
         loop {
             let mut reader = self.stream;
-            let count = match within(limits.idle_timeout, reader.read(&mut buffer)).await {
+            let count = match with_timeout(limits.idle_timeout, reader.read(&mut buffer)).await {
                 Some(Ok(count)) if count > 0 => count,
                 _ => return Ok(()),
             };
@@ -162,7 +162,7 @@
         }
         let mut writer = stream;
         let writing = writer.write_all(&batch);
-        match within(shared.limits.write_timeout, writing).await {
+        match with_timeout(shared.limits.write_timeout, writing).await {
             Some(Ok(())) => {}
             _ => return,
         }
--- a/crates/wire/tests/common/mod.rs
+++ b/crates/wire/tests/common/mod.rs
@@ -12,12 +12,12 @@
 /// Timeout longer than any test should take.
 pub const LONG: Duration = Duration::from_secs(30);
 
-/// Answers heartbeats with their node, and delays any other request until
-/// `gate` releases it.
+/// Answers heartbeats with their node, and delays each other request until
+/// a message on `release` lets it complete.
 pub struct TestHandler {
     /// Releases one delayed request per message.
-    pub gate: Sender<()>,
-    held: Receiver<()>,
+    pub release: Sender<()>,
+    released: Receiver<()>,
     /// One-way messages in order of arrival.
     pub notified: Receiver<Request>,
     notify: Sender<Request>,
@@ -25,11 +25,11 @@
 
 impl Default for TestHandler {
     fn default() -> Self {
-        let (gate, held) = async_channel::unbounded();
+        let (release, released) = async_channel::unbounded();
         let (notify, notified) = async_channel::unbounded();
         Self {
-            gate,
-            held,
+            release,
+            released,
             notified,
             notify,
         }
@@ -41,7 +41,7 @@
         match request {
             Request::Heartbeat { node, .. } => status_of(node.0),
             _ => {
-                self.held.recv().await.unwrap();
+                self.released.recv().await.unwrap();
                 Response::Acknowledged
             }
         }
--- a/crates/wire/tests/transport.rs
+++ b/crates/wire/tests/transport.rs
@@ -36,7 +36,7 @@
 fn answers_may_come_in_any_order() {
     let executor = Arc::new(Executor::new());
     let handler = TestHandler::default();
-    let gate = handler.gate.clone();
+    let release = handler.release.clone();
     let server = start(&executor, handler, ServerLimits::default());
     let client = Client::new(&executor, server.address, ClientLimits::default(), 1);
     block_on(executor.run(async {
@@ -46,7 +46,7 @@
         });
         let quick = client.call(heartbeat(7), LONG).await.unwrap();
         assert_eq!(quick, status_of(7));
-        gate.send(()).await.unwrap();
+        release.send(()).await.unwrap();
         assert_eq!(slow.await.unwrap(), Response::Acknowledged);
     }));
 }
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_client_comes_back_after_its_peer_restarted() {
+fn a_client_reconnects_after_its_peer_restarted() {
     let executor = Arc::new(Executor::new());
     let server = start(&executor, TestHandler::default(), ServerLimits::default());
     let client = Client::new(&executor, server.address, ClientLimits::default(), 1);
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_full_queue_drops_as_its_policy_says() {
+fn a_full_queue_drops_according_to_its_policy() {
     for (policy, kept) in [(DropPolicy::Oldest, [2, 3]), (DropPolicy::Newest, [0, 1])] {
         let executor = Arc::new(Executor::new());
         let handler = TestHandler::default();
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_silent_peer_is_given_up() {
+fn a_silent_peer_is_disconnected() {
     let executor = Arc::new(Executor::new());
     // Accepts the connection but never answers, like a peer behind an undetected
     // network partition.
