--- a/crates/http/src/client/connection.rs
+++ b/crates/http/src/client/connection.rs
@@ -13,7 +13,7 @@
 use super::error::{FailureCause, SendError};
 use super::pool::{ConnectionSlot, PoolState};
 use super::response::{CheckedBody, ClientResponse};
-use crate::net::{SharedStream, prepare, within};
+use crate::net::{SharedStream, prepare, with_timeout};
 use crate::source::{HeadError, Source, read_head};
 
 /// Encodes `request`.
@@ -46,7 +46,7 @@
         let not_connected =
             |error: io::Error| SendError::NotSent(FailureCause::Connect(error.kind()));
         let connecting = Async::<TcpStream>::connect(slot.address);
-        let stream = within(pool.limits.connect_timeout, connecting)
+        let stream = with_timeout(pool.limits.connect_timeout, connecting)
             .await
             .ok_or(SendError::NotSent(FailureCause::ConnectTimeout))?
             .map_err(not_connected)?;
@@ -60,12 +60,12 @@
         request: &[u8],
         method: Method,
     ) -> Result<ClientResponse, SendError> {
-        within(self.pool.limits.write_timeout, self.write(request))
+        with_timeout(self.pool.limits.write_timeout, self.write(request))
             .await
             .ok_or(SendError::Ambiguous(FailureCause::WriteTimeout))??;
         let mut buffer = Vec::new();
         let reading = read_head(&self.stream, &mut buffer);
-        let head_length = within(self.pool.limits.response_timeout, reading)
+        let head_length = with_timeout(self.pool.limits.response_timeout, reading)
             .await
             .ok_or(SendError::Ambiguous(FailureCause::ResponseTimeout))?
             .map_err(|error| SendError::Ambiguous(head_failure(&error)))?;
@@ -110,7 +110,7 @@
         let length = body_length(&response, method)?;
         match length {
             Some(length) => source.extend(length as u64),
-            None => source.unbound(),
+            None => source.remove_limit(),
         }
         let reusable = !wants_close(&response);
         let reader = response.take_body().into_reader();
--- a/crates/http/src/client/pool.rs
+++ b/crates/http/src/client/pool.rs
@@ -10,7 +10,7 @@
 use super::connection::{ClientConnection, encode};
 use super::error::{FailureCause, SendError};
 use super::response::ClientResponse;
-use crate::net::is_open_and_silent;
+use crate::net::is_reusable;
 
 /// Limits of a pool.
 #[derive(Clone, Debug)]
@@ -173,18 +173,18 @@
 
     /// Closes all idle connections to `address`, for a peer that has left.
     pub fn forget(&self, address: SocketAddr) {
-        let resting = match self.shared.lock().get_mut(&address) {
+        let idle = match self.shared.lock().get_mut(&address) {
             Some(state) => std::mem::take(&mut state.idle),
             None => return,
         };
-        drop(resting);
+        drop(idle);
     }
 
     /// Returns a reusable idle connection, or opens a new one.
     async fn connection(&self, address: SocketAddr) -> Result<ClientConnection, SendError> {
         while let Some((since, connection)) = self.shared.take_idle(address) {
-            let rested = since.elapsed() >= self.shared.limits.idle_timeout;
-            if !rested && is_open_and_silent(&connection.stream) {
+            let expired = since.elapsed() >= self.shared.limits.idle_timeout;
+            if !expired && is_reusable(&connection.stream) {
                 return Ok(connection);
             }
         }
--- a/crates/http/src/events/writer.rs
+++ b/crates/http/src/events/writer.rs
@@ -22,7 +22,7 @@
 pub struct StreamClosed;
 
 /// An item of a streamed body.
-enum Piece {
+enum StreamItem {
     Bytes(Vec<u8>),
     End,
 }
@@ -32,7 +32,7 @@
 /// Dropping it without [`EventWriter::finish`] aborts the response, so that the
 /// client detects that it is incomplete.
 #[derive(Debug)]
-pub struct EventWriter(Sender<Piece>);
+pub struct EventWriter(Sender<StreamItem>);
 
 impl EventWriter {
     /// Sends an event, waiting while the client is slower than the writer.
@@ -51,7 +51,7 @@
         if bytes.is_empty() {
             return Ok(());
         }
-        let sent = self.0.send(Piece::Bytes(bytes)).await;
+        let sent = self.0.send(StreamItem::Bytes(bytes)).await;
         sent.map_err(|_| StreamClosed)
     }
 
@@ -61,7 +61,7 @@
     /// # Errors
     /// When the client is gone.
     pub fn try_send(&self, event: &ServerEvent) -> Result<bool, StreamClosed> {
-        match self.0.try_send(Piece::Bytes(event.encode())) {
+        match self.0.try_send(StreamItem::Bytes(event.encode())) {
             Ok(()) => Ok(true),
             Err(async_channel::TrySendError::Full(_)) => Ok(false),
             Err(async_channel::TrySendError::Closed(_)) => Err(StreamClosed),
@@ -73,7 +73,7 @@
     /// # Errors
     /// When the client is gone.
     pub async fn finish(self) -> Result<(), StreamClosed> {
-        self.0.send(Piece::End).await.map_err(|_| StreamClosed)
+        self.0.send(StreamItem::End).await.map_err(|_| StreamClosed)
     }
 
     /// Sends the `[DONE]` event and completes the response.
@@ -102,7 +102,7 @@
 #[must_use]
 pub fn event_response(capacity: usize) -> (EventWriter, Response) {
     let (sender, receiver) = async_channel::bounded(capacity.max(1));
-    let reader = PieceReader {
+    let reader = StreamBody {
         receiver: Box::pin(receiver),
         current: Vec::new(),
         consumed: 0,
@@ -116,23 +116,23 @@
 }
 
 /// The response body, which reads from the queue.
-struct PieceReader {
-    receiver: Pin<Box<Receiver<Piece>>>,
+struct StreamBody {
+    receiver: Pin<Box<Receiver<StreamItem>>>,
     current: Vec<u8>,
     consumed: usize,
     ended: bool,
 }
 
-impl AsyncBufRead for PieceReader {
+impl AsyncBufRead for StreamBody {
     fn poll_fill_buf(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
         while this.consumed == this.current.len() && !this.ended {
             match ready!(this.receiver.as_mut().poll_next(context)) {
-                Some(Piece::Bytes(bytes)) => {
+                Some(StreamItem::Bytes(bytes)) => {
                     this.current = bytes;
                     this.consumed = 0;
                 }
-                Some(Piece::End) => this.ended = true,
+                Some(StreamItem::End) => this.ended = true,
                 None => return Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into())),
             }
         }
@@ -144,7 +144,7 @@
     }
 }
 
-impl AsyncRead for PieceReader {
+impl AsyncRead for StreamBody {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/http/src/h1/body.rs
+++ b/crates/http/src/h1/body.rs
@@ -50,7 +50,7 @@
     /// invalid or contradictory.
     #[must_use]
     pub fn of_request(head: &RequestHead) -> Option<Self> {
-        match declared(&head.headers)? {
+        match declared_framing(&head.headers)? {
             Framing::UntilClose => Some(Framing::Empty),
             framing => Some(framing),
         }
@@ -64,13 +64,13 @@
         if bodiless {
             return Some(Framing::Empty);
         }
-        declared(&head.headers)
+        declared_framing(&head.headers)
     }
 }
 
 /// Returns the framing declared by the headers, `UntilClose` when they declare none,
 /// or `None` when they are invalid or contradictory.
-fn declared(headers: &Headers) -> Option<Framing> {
+fn declared_framing(headers: &Headers) -> Option<Framing> {
     let length = headers.get("content-length");
     if headers.get("transfer-encoding").is_some() {
         let chunked = headers.has_word("transfer-encoding", "chunked");
@@ -96,27 +96,27 @@
 pub struct BodyReader {
     framing: Framing,
     /// Remaining bytes of the body or of the current chunk.
-    left: u64,
+    remaining: u64,
     ended: bool,
     /// Whether a chunk was started, so that its line ending must be read before the next
     /// chunk.
-    within_chunks: bool,
+    chunk_started: bool,
 }
 
 impl BodyReader {
     /// Creates a reader of a body with this framing.
     #[must_use]
     pub fn new(framing: Framing) -> Self {
-        let left = match framing {
+        let remaining = match framing {
             Framing::Length(length) => length,
             _ => 0,
         };
         let ended = matches!(framing, Framing::Empty | Framing::Length(0));
         Self {
             framing,
-            left,
+            remaining,
             ended,
-            within_chunks: false,
+            chunk_started: false,
         }
     }
 
@@ -140,44 +140,44 @@
         match self.framing {
             Framing::Empty => Ok(None),
             Framing::Length(_) => {
-                let piece = self.piece(connection).await?;
-                self.ended = self.left == 0;
+                let piece = self.take_available(connection).await?;
+                self.ended = self.remaining == 0;
                 Ok(Some(piece))
             }
-            Framing::Chunked => self.next_of_chunks(connection).await,
+            Framing::Chunked => self.next_chunked(connection).await,
             Framing::UntilClose => self.next_until_close(connection).await,
         }
     }
 
     /// Takes the received bytes that belong to this body or chunk, waiting if there are
     /// none.
-    async fn piece(&mut self, connection: &mut Connection) -> Result<Vec<u8>, BodyError> {
+    async fn take_available(&mut self, connection: &mut Connection) -> Result<Vec<u8>, BodyError> {
         if connection.buffered().is_empty() && connection.fill().await? == 0 {
             return Err(BodyError::CutShort);
         }
-        let have = connection.buffered().len() as u64;
-        let count = have.min(self.left);
-        self.left -= count;
+        let available = connection.buffered().len() as u64;
+        let count = available.min(self.remaining);
+        self.remaining -= count;
         Ok(connection.take(count as usize))
     }
 
-    async fn next_of_chunks(
+    async fn next_chunked(
         &mut self,
         connection: &mut Connection,
     ) -> Result<Option<Vec<u8>>, BodyError> {
-        if self.left == 0 {
-            if self.within_chunks && !line(connection).await?.is_empty() {
+        if self.remaining == 0 {
+            if self.chunk_started && !read_line(connection).await?.is_empty() {
                 return Err(BodyError::Framing);
             }
-            self.within_chunks = true;
-            self.left = chunk_size(&line(connection).await?)?;
-            if self.left == 0 {
-                while !line(connection).await?.is_empty() {}
+            self.chunk_started = true;
+            self.remaining = parse_chunk_size(&read_line(connection).await?)?;
+            if self.remaining == 0 {
+                while !read_line(connection).await?.is_empty() {}
                 self.ended = true;
                 return Ok(None);
             }
         }
-        self.piece(connection).await.map(Some)
+        self.take_available(connection).await.map(Some)
     }
 
     async fn next_until_close(
@@ -188,8 +188,8 @@
             self.ended = true;
             return Ok(None);
         }
-        let have = connection.buffered().len();
-        Ok(Some(connection.take(have)))
+        let available = connection.buffered().len();
+        Ok(Some(connection.take(available)))
     }
 
     /// Reads the rest of the body, of at most `limit` bytes.
@@ -218,7 +218,7 @@
 }
 
 /// Reads a line without its line ending.
-async fn line(connection: &mut Connection) -> Result<Vec<u8>, BodyError> {
+async fn read_line(connection: &mut Connection) -> Result<Vec<u8>, BodyError> {
     loop {
         let buffered = connection.buffered();
         if let Some(end) = buffered.iter().position(|byte| *byte == b'\n') {
@@ -238,7 +238,7 @@
     }
 }
 
-fn chunk_size(line: &[u8]) -> Result<u64, BodyError> {
+fn parse_chunk_size(line: &[u8]) -> Result<u64, BodyError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let text = std::str::from_utf8(digits.trim_ascii()).map_err(|_| BodyError::Framing)?;
     if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
--- a/crates/http/src/h1/head.rs
+++ b/crates/http/src/h1/head.rs
@@ -76,13 +76,13 @@
     /// and `Content-Length`.
     pub fn extend_end_to_end(&mut self, other: &Headers) {
         for (name, value) in &other.lines {
-            if !other.concerns_connection(name) {
+            if !other.is_hop_by_hop(name) {
                 self.lines.push((name.clone(), value.clone()));
             }
         }
     }
 
-    fn concerns_connection(&self, name: &str) -> bool {
+    fn is_hop_by_hop(&self, name: &str) -> bool {
         const NAMES: [&str; 8] = [
             "connection",
             "keep-alive",
--- a/crates/http/src/h1/net.rs
+++ b/crates/http/src/h1/net.rs
@@ -66,11 +66,11 @@
     options: SocketOptions,
 ) -> io::Result<Async<TcpStream>> {
     let connecting = Async::<TcpStream>::connect(address);
-    let late = async {
+    let timed_out = async {
         Timer::after(timeout).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    let stream = future::or(connecting, late).await?;
+    let stream = future::or(connecting, timed_out).await?;
     prepare(&stream, options)?;
     Ok(stream)
 }
--- a/crates/http/src/h1/serve.rs
+++ b/crates/http/src/h1/serve.rs
@@ -16,9 +16,9 @@
 use super::net::{SocketOptions, prepare};
 
 /// Maximum length of the head of a request.
-const HEAD_BYTES: usize = 64 << 10;
+const MAX_HEAD_BYTES: usize = 64 << 10;
 /// Maximum length of the body of a request.
-const BODY_BYTES: u64 = 8 << 20;
+const MAX_BODY_BYTES: u64 = 8 << 20;
 /// How long a connection may be idle between two requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Delay after a failed accept.
@@ -129,7 +129,7 @@
             Timer::after(IDLE_TIMEOUT).await;
             None
         };
-        let head = async { Some(connection.request_head(HEAD_BYTES).await) };
+        let head = async { Some(connection.request_head(MAX_HEAD_BYTES).await) };
         let head = match future::or(head, idle).await {
             Some(Ok(head)) => head,
             Some(Err(HeadError::Malformed(_))) => {
@@ -145,7 +145,7 @@
         };
         let keep_alive = head.keeps_alive();
         let mut reader = BodyReader::new(framing);
-        let Ok(body) = reader.collect(&mut connection, BODY_BYTES).await else {
+        let Ok(body) = reader.collect(&mut connection, MAX_BODY_BYTES).await else {
             return finish(&connection, Answer::empty(413)).await;
         };
         let answer = service.call(head, body).await;
--- a/crates/http/src/net.rs
+++ b/crates/http/src/net.rs
@@ -20,7 +20,7 @@
 }
 
 /// Returns the output of `future`, or `None` when it takes longer than `limit`.
-pub(crate) async fn within<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
+pub(crate) async fn with_timeout<T>(limit: Duration, future: impl Future<Output = T>) -> Option<T> {
     let timeout = async {
         Timer::after(limit).await;
         None
@@ -40,7 +40,7 @@
 
 /// Whether an idle connection can be reused: it is open and has no unread bytes.
 /// Unsolicited bytes would be read as the response to the next request.
-pub(crate) fn is_open_and_silent(stream: &SharedStream) -> bool {
+pub(crate) fn is_reusable(stream: &SharedStream) -> bool {
     let mut probe = [0u8; 1];
     match stream.get_ref().peek(&mut probe) {
         Ok(_) => false,
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -14,11 +14,11 @@
 use http_types::{Method, Request, Response};
 
 use super::handle::{CountGuard, Shared};
-use super::intake::{Rejection, WholeRequest, await_first_byte, read_request};
+use super::intake::{BufferedRequest, Rejection, await_first_byte, read_request};
 use super::output::write_response;
 use super::presence::ClientPresence;
 use crate::body::check_declared_length;
-use crate::net::{SharedStream, peer_closed, within};
+use crate::net::{SharedStream, peer_closed, with_timeout};
 
 /// How long unread bytes of a rejected request are read and discarded. Without
 /// this, the system may reset the connection before the client has read the error.
@@ -57,7 +57,7 @@
         Handler: Fn(Request) -> Answer,
         Answer: Future<Output = Response>,
     {
-        if self.shared.is_overfull() {
+        if self.shared.exceeds_connection_limit() {
             self.shared.refused.fetch_add(1, Ordering::Relaxed);
             self.reject(&Rejection::TooManyConnections).await;
             return;
@@ -80,9 +80,9 @@
         loop {
             await_first_byte(&self.stream, &mut buffer, &self.shared).await?;
             let in_flight = CountGuard::add(&self.shared, |shared| &shared.in_flight, 1);
-            let mut whole = read_request(&self.stream, buffer, &self.shared).await?;
-            buffer = std::mem::take(&mut whole.leftover);
-            let next = self.answer(whole, handler).await;
+            let mut incoming = read_request(&self.stream, buffer, &self.shared).await?;
+            buffer = std::mem::take(&mut incoming.leftover);
+            let next = self.answer(incoming, handler).await;
             drop(in_flight);
             if next == Next::Close {
                 return Ok(());
@@ -91,20 +91,20 @@
     }
 
     /// Runs the handler and writes its response.
-    async fn answer<Handler, Answer>(&self, whole: WholeRequest, handler: &Handler) -> Next
+    async fn answer<Handler, Answer>(&self, incoming: BufferedRequest, handler: &Handler) -> Next
     where
         Handler: Fn(Request) -> Answer,
         Answer: Future<Output = Response>,
     {
         self.shared.requests.fetch_add(1, Ordering::Relaxed);
-        let mut request = whole.request;
+        let mut request = incoming.request;
         let method = request.method();
-        let keep_alive = whole.reusable && !wants_close(request.header(CONNECTION));
+        let keep_alive = incoming.reusable && !wants_close(request.header(CONNECTION));
         let (guard, presence) = ClientPresence::new();
         // Keep a clone here, since the channel also closes when all receivers are dropped.
         request.ext_mut().insert(presence.clone());
         let mut response = self.watch_client(&guard, handler(request)).await;
-        drop(whole.memory);
+        drop(incoming.memory);
         if presence.is_gone() {
             self.shared.aborted.fetch_add(1, Ordering::Relaxed);
             return Next::Close;
@@ -181,7 +181,7 @@
                 }
             }
         };
-        within(LINGER, discard).await;
+        with_timeout(LINGER, discard).await;
     }
 }
 
--- a/crates/http/src/server/handle.rs
+++ b/crates/http/src/server/handle.rs
@@ -7,7 +7,7 @@
 use async_channel::{Receiver, Sender};
 
 use super::limits::ServerLimits;
-use crate::net::within;
+use crate::net::with_timeout;
 
 /// Counters of a server since its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -120,7 +120,7 @@
 impl Drop for CountGuard {
     fn drop(&mut self) {
         (self.counter)(&self.shared).fetch_sub(self.amount, Ordering::SeqCst);
-        self.shared.note_if_empty();
+        self.shared.signal_if_empty();
     }
 }
 
@@ -149,7 +149,7 @@
     }
 
     /// Whether the number of connections exceeds the limit.
-    pub(crate) fn is_overfull(&self) -> bool {
+    pub(crate) fn exceeds_connection_limit(&self) -> bool {
         self.open.load(Ordering::SeqCst) > self.limits.max_connections
     }
 
@@ -175,11 +175,11 @@
 
     /// Completes once the server has stopped and the last connection is closed.
     pub(crate) async fn stopped(&self) {
-        self.note_if_empty();
+        self.signal_if_empty();
         self.empty.wait().await;
     }
 
-    fn note_if_empty(&self) {
+    fn signal_if_empty(&self) {
         if self.is_draining() && self.open.load(Ordering::SeqCst) == 0 {
             self.empty.raise();
         }
@@ -223,14 +223,14 @@
         let shared = &self.shared;
         shared.draining.store(true, Ordering::SeqCst);
         shared.stop.raise();
-        shared.note_if_empty();
+        shared.signal_if_empty();
         let grace = idle_grace.min(deadline);
-        if within(grace, shared.empty.wait()).await.is_some() {
+        if with_timeout(grace, shared.empty.wait()).await.is_some() {
             return ShutdownReport { cut_off: 0 };
         }
         shared.close_idle.raise();
         let rest = deadline.saturating_sub(grace);
-        if within(rest, shared.empty.wait()).await.is_some() {
+        if with_timeout(rest, shared.empty.wait()).await.is_some() {
             return ShutdownReport { cut_off: 0 };
         }
         let cut_off = shared.in_flight.load(Ordering::SeqCst);
--- a/crates/http/src/server/intake.rs
+++ b/crates/http/src/server/intake.rs
@@ -10,12 +10,12 @@
 use molespan_types::RunOutcome;
 
 use super::handle::{CountGuard, Shared};
-use crate::net::{SharedStream, within};
+use crate::net::{SharedStream, with_timeout};
 use crate::reply::error_response;
 use crate::source::{HeadError, MAX_HEAD_BYTES, Source, read_head, read_some};
 
 /// `Retry-After` of a server at its limits.
-const FULL_RETRY_AFTER: Duration = Duration::from_secs(1);
+const OVERLOAD_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Size of a read from a body in bytes.
 const BODY_READ_BYTES: usize = 16 * 1024;
 
@@ -76,12 +76,12 @@
             Self::MemoryFull => (
                 StatusCode::ServiceUnavailable,
                 "server_busy",
-                Some(FULL_RETRY_AFTER),
+                Some(OVERLOAD_RETRY_AFTER),
             ),
             Self::TooManyConnections => (
                 StatusCode::ServiceUnavailable,
                 "too_many_connections",
-                Some(FULL_RETRY_AFTER),
+                Some(OVERLOAD_RETRY_AFTER),
             ),
         };
         let message = self.to_string();
@@ -96,7 +96,7 @@
 }
 
 /// A request with its body in memory.
-pub(crate) struct WholeRequest {
+pub(crate) struct BufferedRequest {
     /// The request.
     pub(crate) request: Request,
     /// Bytes received after the request.
@@ -127,7 +127,7 @@
             Err(Rejection::Ended)
         },
     );
-    within(shared.limits.idle_timeout, waiting)
+    with_timeout(shared.limits.idle_timeout, waiting)
         .await
         .unwrap_or(Err(Rejection::Ended))
 }
@@ -137,8 +137,8 @@
     stream: &SharedStream,
     mut buffer: Vec<u8>,
     shared: &Arc<Shared>,
-) -> Result<WholeRequest, Rejection> {
-    let head_length = within(shared.limits.head_timeout, read_head(stream, &mut buffer))
+) -> Result<BufferedRequest, Rejection> {
+    let head_length = with_timeout(shared.limits.head_timeout, read_head(stream, &mut buffer))
         .await
         .ok_or(Rejection::SlowHead)?
         .map_err(reject_head)?;
@@ -151,14 +151,14 @@
         .ok_or(Rejection::CutShort)?;
     let mut memory = CountGuard::add(shared, |shared| &shared.buffered, 0);
     let chunked = request.header(TRANSFER_ENCODING).is_some();
-    let body = within(
+    let body = with_timeout(
         shared.limits.body_timeout,
         read_body(&mut request, &source, shared, &mut memory),
     )
     .await
     .ok_or(Rejection::SlowBody)??;
     restore_body(&mut request, body);
-    Ok(WholeRequest {
+    Ok(BufferedRequest {
         request,
         leftover: source.take_leftover(),
         // async-h1 may have read beyond a chunked body, into the next request.
@@ -179,7 +179,7 @@
     match declared {
         Some(length) if length > limit => return Err(Rejection::BodyTooLong { limit }),
         Some(length) => source.extend(length as u64),
-        None => source.unbound(),
+        None => source.remove_limit(),
     }
     let mut reader = request.take_body().into_reader();
     let mut body = Vec::new();
--- a/crates/http/src/server/output.rs
+++ b/crates/http/src/server/output.rs
@@ -11,13 +11,13 @@
 use futures_lite::future;
 use futures_lite::io::{AsyncRead, AsyncWriteExt};
 
-use crate::net::{SharedStream, within};
+use crate::net::{SharedStream, with_timeout};
 
 /// Maximum number of bytes collected for one write.
 const BUFFER_BYTES: usize = 16 * 1024;
 /// Minimum free space in bytes for a read from the encoder, which cannot frame a
 /// chunk in less than six bytes.
-const LEAST_ROOM: usize = 512;
+const MIN_FREE_BYTES: usize = 512;
 
 /// Why a response was cut short.
 #[derive(Debug, Display, Error, From)]
@@ -36,10 +36,10 @@
 
 /// Collects the bytes that are available from `encoder`, waiting for at least one
 /// byte unless it has ended. Returns the number of bytes.
-async fn gather(encoder: &mut Encoder, buffer: &mut [u8]) -> io::Result<usize> {
+async fn read_available(encoder: &mut Encoder, buffer: &mut [u8]) -> io::Result<usize> {
     let mut filled = 0;
     future::poll_fn(|context| {
-        while buffer.len() - filled >= LEAST_ROOM {
+        while buffer.len() - filled >= MIN_FREE_BYTES {
             match Pin::new(&mut *encoder).poll_read(context, &mut buffer[filled..]) {
                 Poll::Ready(Ok(0)) => break,
                 Poll::Ready(Ok(count)) => filled += count,
@@ -69,17 +69,17 @@
     let mut buffer = vec![0; BUFFER_BYTES];
     let mut gone = pin!(gone);
     loop {
-        let gathered = async { Ok(gather(&mut encoder, &mut buffer).await?) };
-        let left = async {
+        let read = async { Ok(read_available(&mut encoder, &mut buffer).await?) };
+        let disconnected = async {
             gone.as_mut().await;
             Err(OutputError::ClientGone)
         };
-        let count = future::or(gathered, left).await?;
+        let count = future::or(read, disconnected).await?;
         if count == 0 {
             return Ok(());
         }
         let mut writer = &**stream;
-        within(write_timeout, writer.write_all(&buffer[..count]))
+        with_timeout(write_timeout, writer.write_all(&buffer[..count]))
             .await
             .ok_or(OutputError::TooSlow)??;
     }
--- a/crates/http/src/source.rs
+++ b/crates/http/src/source.rs
@@ -131,7 +131,7 @@
     }
 
     /// Removes the limit, for a body whose framing determines its end.
-    pub(crate) fn unbound(&self) {
+    pub(crate) fn remove_limit(&self) {
         self.lock().remaining = None;
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// Records that `count` bytes were returned to the reader.
-    fn handed_on(&mut self, count: usize) {
+    fn record_delivered(&mut self, count: usize) {
         if let Some(remaining) = &mut self.remaining {
             *remaining -= count as u64;
         }
@@ -197,13 +197,13 @@
         let target = &mut target[..allowed];
         let drained = state.drain(target);
         if drained > 0 {
-            state.handed_on(drained);
+            state.record_delivered(drained);
             return Poll::Ready(Ok(drained));
         }
         let mut stream = &*self.stream;
         let read = Pin::new(&mut stream).poll_read(context, target);
         if let Poll::Ready(Ok(count)) = &read {
-            state.handed_on(*count);
+            state.record_delivered(*count);
         }
         read
     }
--- a/crates/http/tests/h1.rs
+++ b/crates/http/tests/h1.rs
@@ -17,7 +17,7 @@
 
 /// Creates a connection that receives `bytes` in pieces of `piece` bytes and then
 /// ends.
-fn connection(bytes: &[u8], piece: usize) -> Connection {
+fn connection_receiving(bytes: &[u8], piece: usize) -> Connection {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
     let bytes = bytes.to_vec();
@@ -36,9 +36,9 @@
 
 const LIMIT: usize = 4_096;
 
-fn response(bytes: &[u8], piece: usize, method: &str) -> Result<(u16, Vec<u8>), String> {
+fn read_response(bytes: &[u8], piece: usize, method: &str) -> Result<(u16, Vec<u8>), String> {
     block_on(async {
-        let mut connection = connection(bytes, piece);
+        let mut connection = connection_receiving(bytes, piece);
         let head = connection.response_head(LIMIT).await;
         let head = head.map_err(|error| error.to_string())?;
         let framing = Framing::of_response(&head, method).ok_or("framing")?;
@@ -52,7 +52,7 @@
     #![proptest_config(ProptestConfig::with_cases(40))]
 
     #[test]
-    fn a_body_is_read_the_same_in_whatever_pieces_it_comes(
+    fn a_body_does_not_depend_on_how_its_bytes_are_split(
         body in prop::collection::vec(any::<u8>(), 0..300),
         chunk in 1..50_usize,
         piece in 1..40_usize,
@@ -76,14 +76,14 @@
                 bytes.extend(&body);
             }
         }
-        prop_assert_eq!(response(&bytes, piece, "GET"), Ok((200, body)));
+        prop_assert_eq!(read_response(&bytes, piece, "GET"), Ok((200, body)));
     }
 
     /// Arbitrary bytes never cause a panic.
     #[test]
-    fn nonsense_is_refused(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_never_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         block_on(async {
-            let mut connection = connection(&bytes, 64);
+            let mut connection = connection_receiving(&bytes, 64);
             if let Ok(head) = connection.request_head(LIMIT).await
                 && let Some(framing) = Framing::of_request(&head)
             {
@@ -94,16 +94,22 @@
 }
 
 #[test]
-fn an_answer_that_is_cut_at_any_byte_is_not_whole() {
+fn a_truncated_response_is_never_complete() {
     let answers: [&[u8]; 2] = [
         b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n\r\n",
     ];
     for answer in answers {
         for end in 0..answer.len() {
-            assert!(response(&answer[..end], 7, "GET").is_err(), "cut at {end}");
+            assert!(
+                read_response(&answer[..end], 7, "GET").is_err(),
+                "cut at {end}"
+            );
         }
-        assert_eq!(response(answer, 7, "GET"), Ok((200, b"hello".to_vec())));
+        assert_eq!(
+            read_response(answer, 7, "GET"),
+            Ok((200, b"hello".to_vec()))
+        );
     }
 }
 
@@ -111,7 +117,7 @@
 type FramingCase<'a> = (&'a [(&'a str, &'a str)], Option<Framing>);
 
 #[test]
-fn framing_that_contradicts_itself_is_refused() {
+fn contradictory_framing_is_rejected() {
     let head = |lines: &[(&str, &str)]| {
         let mut headers = Headers::new();
         for (name, value) in lines {
@@ -144,23 +150,23 @@
 }
 
 #[test]
-fn answers_without_a_body_have_none_whatever_they_say() {
+fn responses_to_head_and_with_status_204_have_no_body() {
     let bytes = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n";
-    assert_eq!(response(bytes, 9, "HEAD"), Ok((200, Vec::new())));
+    assert_eq!(read_response(bytes, 9, "HEAD"), Ok((200, Vec::new())));
     let bytes = b"HTTP/1.1 204 No\r\n\r\n";
-    assert_eq!(response(bytes, 9, "GET"), Ok((204, Vec::new())));
+    assert_eq!(read_response(bytes, 9, "GET"), Ok((204, Vec::new())));
 }
 
 #[test]
-fn heads_and_bodies_have_bounds() {
+fn heads_and_bodies_are_limited() {
     let long = format!("GET / HTTP/1.1\r\nA: {}\r\n\r\n", "a".repeat(5_000));
     block_on(async {
-        let mut connection = connection(long.as_bytes(), 1_000);
+        let mut connection = connection_receiving(long.as_bytes(), 1_000);
         let head = connection.request_head(LIMIT).await;
         assert!(matches!(head, Err(HeadError::TooLong)), "{head:?}");
     });
     block_on(async {
-        let mut connection = connection(b"12345", 2);
+        let mut connection = connection_receiving(b"12345", 2);
         let body = BodyReader::new(Framing::UntilClose)
             .collect(&mut connection, 4)
             .await;
@@ -169,7 +175,7 @@
 }
 
 #[test]
-fn what_concerns_one_connection_is_not_passed_on() {
+fn hop_by_hop_headers_are_not_forwarded() {
     let mut headers = Headers::new();
     for (name, value) in [
         ("Connection", "close, X-Hop"),
@@ -192,7 +198,7 @@
 }
 
 #[test]
-fn an_idle_connection_shows_what_the_other_side_did() {
+fn presence_reports_the_state_of_the_peer() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let mut client = TcpStream::connect(listener.local_addr().expect("an address")).expect("one");
     let (stream, _) = listener.accept().expect("a connection");
--- a/crates/http/tests/round_trip.rs
+++ b/crates/http/tests/round_trip.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn json_travels_both_ways_on_one_connection() {
+fn json_round_trips_on_one_connection() {
     let executor = Arc::new(Executor::new());
     let (address, _) = start(&executor, echo);
     let pool = Pool::new(PoolLimits::default());
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn events_stream_to_their_terminator_and_free_the_connection() {
+fn a_terminated_event_stream_releases_its_connection() {
     let executor = Arc::new(Executor::new());
     let spawner = executor.clone();
     let (address, _) = start(&executor, move |_| {
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_stream_whose_writer_is_dropped_is_seen_as_cut() {
+fn a_stream_whose_writer_is_dropped_is_reported_as_truncated() {
     let executor = Arc::new(Executor::new());
     let spawner = executor.clone();
     let (address, _) = start(&executor, move |_| {
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_writer_learns_that_its_client_left() {
+fn a_writer_detects_that_its_client_disconnected() {
     let executor = Arc::new(Executor::new());
     let spawner = executor.clone();
     let (noticed, noticing) = async_channel::bounded(1);
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_handler_learns_that_its_client_left() {
+fn a_handler_detects_that_its_client_disconnected() {
     let executor = Arc::new(Executor::new());
     let (noticed, noticing) = async_channel::bounded(2);
     let (address, handle) = start(&executor, move |request: Request| {
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_shutdown_finishes_what_is_in_flight() {
+fn a_shutdown_finishes_requests_in_flight() {
     let executor = Arc::new(Executor::new());
     let (started, starting) = async_channel::bounded(1);
     let (release, released) = async_channel::bounded::<()>(1);
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_shutdown_reports_what_it_cut_off() {
+fn a_shutdown_reports_aborted_requests() {
     let executor = Arc::new(Executor::new());
     let (started, starting) = async_channel::bounded(1);
     let (address, handle) = start(&executor, move |_| {
