--- a/crates/engine-api/src/prefix.rs
+++ b/crates/engine-api/src/prefix.rs
@@ -8,14 +8,14 @@
 /// Number of tokens in one block of the prefix cache.
 pub const BLOCK_TOKENS: u32 = 16;
 /// Maximum number of characters in one token.
-const TOKEN_CHARACTERS: u32 = 4;
+const MAX_TOKEN_CHARACTERS: u32 = 4;
 
 /// Returns the byte offsets at which the tokens of `text` end. Words longer than
 /// four characters are split into tokens of four characters; white space belongs to
 /// the token that follows it.
 #[must_use]
 pub fn token_ends(text: &str) -> Vec<usize> {
-    let mut ends = Vec::with_capacity(text.len() / TOKEN_CHARACTERS as usize + 1);
+    let mut ends = Vec::with_capacity(text.len() / MAX_TOKEN_CHARACTERS as usize + 1);
     let mut characters = 0;
     for (position, character) in text.char_indices() {
         if character.is_whitespace() {
@@ -26,7 +26,7 @@
             continue;
         }
         characters += 1;
-        if characters == TOKEN_CHARACTERS {
+        if characters == MAX_TOKEN_CHARACTERS {
             ends.push(position + character.len_utf8());
             characters = 0;
         }
--- a/crates/telemetry/src/event/buffer.rs
+++ b/crates/telemetry/src/event/buffer.rs
@@ -81,7 +81,7 @@
     /// still in the ring.
     #[must_use]
     pub fn subscribe(&self, filter: EventFilter, history: usize) -> EventSubscription {
-        let (waker, woken) = async_channel::bounded(1);
+        let (waker, wake_receiver) = async_channel::bounded(1);
         let mut ring = self.lock();
         ring.wakers.push(waker);
         let cursor = ring.next.saturating_sub(history as u64).max(ring.first());
@@ -89,7 +89,7 @@
             ring: self.ring.clone(),
             filter,
             cursor,
-            woken,
+            wake_receiver,
         }
     }
 
@@ -111,7 +111,7 @@
     filter: EventFilter,
     /// Sequence number of the next event to read.
     cursor: u64,
-    woken: Receiver<()>,
+    wake_receiver: Receiver<()>,
 }
 
 impl EventSubscription {
@@ -121,7 +121,7 @@
             if let Some(watched) = self.try_next() {
                 return watched;
             }
-            if self.woken.recv().await.is_err() {
+            if self.wake_receiver.recv().await.is_err() {
                 // Unreachable in practice: the ring owns the sender and this
                 // subscription owns the ring, so the channel is never closed.
                 std::future::pending::<()>().await;
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -14,7 +14,7 @@
 pub(crate) const PART_KEY: &str = "part";
 /// Maximum number of log lines queued for the writer. Further lines are dropped and
 /// their number is logged, so that a slow terminal never delays the process.
-const QUEUED_LINES: usize = 8192;
+const MAX_QUEUED_LINES: usize = 8192;
 
 /// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Display, Serialize, Deserialize)]
@@ -155,7 +155,7 @@
     {
         // Errors of writing the log must not stop the process.
         let (queue, guard) = Async::new(drain.ignore_res())
-            .chan_size(QUEUED_LINES)
+            .chan_size(MAX_QUEUED_LINES)
             .overflow_strategy(OverflowStrategy::DropAndReport)
             .build_with_guard();
         let filter = LevelFilter::new(queue, level.into()).ignore_res();
--- a/crates/telemetry/tests/event.rs
+++ b/crates/telemetry/tests/event.rs
@@ -11,7 +11,7 @@
 }
 
 /// Returns short descriptions of the items that a subscriber can read now.
-fn seen(subscription: &mut molespan_telemetry::EventSubscription) -> Vec<String> {
+fn received(subscription: &mut molespan_telemetry::EventSubscription) -> Vec<String> {
     std::iter::from_fn(|| subscription.try_next())
         .map(|watched| match watched {
             Watched::Event(event) => format!("{} {}", event.sequence, event.subject),
@@ -21,13 +21,13 @@
 }
 
 #[test]
-fn a_subscriber_sees_events_in_order_from_its_start() {
+fn a_subscriber_receives_events_in_order_from_its_start() {
     let buffer = EventBuffer::new(NodeId(1), 10);
     record(&buffer, EventKind::Route, "before");
     let mut subscription = buffer.subscribe(EventFilter::default(), 0);
     record(&buffer, EventKind::Route, "one");
     record(&buffer, EventKind::Lease, "two");
-    assert_eq!(seen(&mut subscription), ["1 one", "2 two"]);
+    assert_eq!(received(&mut subscription), ["1 one", "2 two"]);
 }
 
 #[test]
@@ -37,25 +37,25 @@
         record(&buffer, EventKind::Route, subject);
     }
     let mut two = buffer.subscribe(EventFilter::default(), 2);
-    assert_eq!(seen(&mut two), ["3 d", "4 e"]);
+    assert_eq!(received(&mut two), ["3 d", "4 e"]);
     let mut many = buffer.subscribe(EventFilter::default(), 100);
-    assert_eq!(seen(&mut many), ["2 c", "3 d", "4 e"]);
+    assert_eq!(received(&mut many), ["2 c", "3 d", "4 e"]);
 }
 
 #[test]
-fn a_slow_subscriber_finds_a_gap_and_the_rest() {
+fn a_slow_subscriber_receives_a_gap_and_the_rest() {
     let buffer = EventBuffer::new(NodeId(1), 2);
     let mut subscription = buffer.subscribe(EventFilter::default(), 0);
     for subject in ["a", "b", "c", "d", "e"] {
         record(&buffer, EventKind::Route, subject);
     }
-    assert_eq!(seen(&mut subscription), ["gap 0..=2", "3 d", "4 e"]);
+    assert_eq!(received(&mut subscription), ["gap 0..=2", "3 d", "4 e"]);
     assert_eq!(EventGap { first: 0, last: 2 }.lost(), 3);
     assert_eq!(buffer.recorded(), 5);
 }
 
 #[test]
-fn filters_choose_by_kind_and_subject() {
+fn filters_select_by_kind_and_subject() {
     let buffer = EventBuffer::new(NodeId(1), 10);
     let kinds = vec![EventKind::Lease, EventKind::Preempt];
     let filter = EventFilter {
@@ -67,7 +67,7 @@
     record(&buffer, EventKind::Route, "engine 3");
     record(&buffer, EventKind::Preempt, "engine 4");
     record(&buffer, EventKind::Preempt, "engine 3");
-    assert_eq!(seen(&mut subscription), ["0 engine 3", "3 engine 3"]);
+    assert_eq!(received(&mut subscription), ["0 engine 3", "3 engine 3"]);
 }
 
 #[test]
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn every_kind_is_read_back_from_its_name() {
+fn every_kind_parses_from_its_name() {
     for kind in EventKind::ALL {
         assert_eq!(kind.to_string().parse(), Ok(*kind));
     }
--- a/crates/types/src/engine_life.rs
+++ b/crates/types/src/engine_life.rs
@@ -6,7 +6,7 @@
 /// path of a URL.
 const SEPARATOR: char = '#';
 /// The character that follows `SEPARATOR`, used as the upper bound of identifier ranges.
-const BEHIND_SEPARATOR: char = '$';
+const AFTER_SEPARATOR: char = '$';
 
 /// One incarnation of an engine, which may restart under the same name. Its identifier,
 /// the key of every table of engines, consists of the name and the start time, or of the
@@ -73,7 +73,7 @@
     name: &str,
 ) -> impl Iterator<Item = (&'m String, &'m V)> + use<'m, V> {
     let from = format!("{name}{SEPARATOR}");
-    let to = format!("{name}{BEHIND_SEPARATOR}");
+    let to = format!("{name}{AFTER_SEPARATOR}");
     let plain = map.get_key_value(name).into_iter();
     plain.chain(map.range(from..to))
 }
