--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -11,16 +11,16 @@
 use crate::section::Report;
 
 /// Minimum length of a lease in heartbeats, so that a lost heartbeat does not end it.
-const HEARTBEATS_A_LEASE: u32 = 3;
+const MIN_HEARTBEATS_PER_LEASE: u32 = 3;
 /// Minimum currency bound in configuration watches, so that a lost watch does not make
 /// a node unready.
-const WATCHES_A_BOUND: u32 = 2;
+const MIN_WATCHES_PER_CURRENCY_BOUND: u32 = 2;
 /// Minimum election timeout in ticks. With fewer, a delayed tick cannot be
 /// distinguished from a lost leader.
-const TICKS_AN_ELECTION: u32 = 4;
+const MIN_TICKS_PER_ELECTION_TIMEOUT: u32 = 4;
 /// Minimum claim timeout in response timeouts and in stall timeouts, so that a claim
 /// outlasts its request.
-const TIMEOUTS_A_CLAIM: u32 = 2;
+const MIN_TIMEOUTS_PER_CLAIM: u32 = 2;
 
 /// Reports contradictions, removes this node's own entry from the peers and sorts
 /// them.
@@ -38,7 +38,7 @@
 }
 
 /// Requires one duration to be at least `times` as long as another one.
-struct Ratio<'a> {
+struct MinRatio<'a> {
     long_key: &'a str,
     long: Duration,
     times: u32,
@@ -47,8 +47,8 @@
     reason: &'a str,
 }
 
-fn check_ratio(report: &Report<'_>, ratio: &Ratio<'_>) {
-    if !report.is_sound(ratio.long_key) || !report.is_sound(ratio.short_key) {
+fn check_ratio(report: &Report<'_>, ratio: &MinRatio<'_>) {
+    if !report.is_valid(ratio.long_key) || !report.is_valid(ratio.short_key) {
         return;
     }
     if ratio.long >= ratio.short * ratio.times {
@@ -68,39 +68,39 @@
 fn check_timing(report: &Report<'_>, settings: &Settings) {
     let timing = &settings.timing;
     let ratios = [
-        Ratio {
+        MinRatio {
             long_key: "timing.lease",
             long: timing.lease,
-            times: HEARTBEATS_A_LEASE,
+            times: MIN_HEARTBEATS_PER_LEASE,
             short_key: "timing.heartbeat",
             short: timing.heartbeat,
             reason: "a lost heartbeat would cost the lease",
         },
-        Ratio {
+        MinRatio {
             long_key: "timing.owner_lease",
             long: timing.owner_lease,
-            times: HEARTBEATS_A_LEASE,
+            times: MIN_HEARTBEATS_PER_LEASE,
             short_key: "timing.heartbeat",
             short: timing.heartbeat,
             reason: "a lost heartbeat would cost the engine",
         },
-        Ratio {
+        MinRatio {
             long_key: "timing.currency_bound",
             long: timing.currency_bound,
-            times: WATCHES_A_BOUND,
+            times: MIN_WATCHES_PER_CURRENCY_BOUND,
             short_key: "timing.config_watch",
             short: timing.config_watch,
             reason: "a lost watch would turn the node unready",
         },
-        Ratio {
+        MinRatio {
             long_key: "timing.election_timeout",
             long: timing.election_timeout,
-            times: TICKS_AN_ELECTION,
+            times: MIN_TICKS_PER_ELECTION_TIMEOUT,
             short_key: "timing.tick",
             short: timing.tick,
             reason: "a late tick would start an election",
         },
-        Ratio {
+        MinRatio {
             long_key: "timing.currency_bound",
             long: timing.currency_bound,
             times: 2,
@@ -108,7 +108,7 @@
             short: timing.election_timeout,
             reason: "an election would turn the node unready",
         },
-        Ratio {
+        MinRatio {
             long_key: "timing.response_timeout",
             long: timing.response_timeout,
             times: 1,
@@ -116,18 +116,18 @@
             short: timing.connect_timeout,
             reason: "an answer begins behind its connection",
         },
-        Ratio {
+        MinRatio {
             long_key: "timing.claim_timeout",
             long: timing.claim_timeout,
-            times: TIMEOUTS_A_CLAIM,
+            times: MIN_TIMEOUTS_PER_CLAIM,
             short_key: "timing.response_timeout",
             short: timing.response_timeout,
             reason: "a request that still runs would lose its claim",
         },
-        Ratio {
+        MinRatio {
             long_key: "timing.claim_timeout",
             long: timing.claim_timeout,
-            times: TIMEOUTS_A_CLAIM,
+            times: MIN_TIMEOUTS_PER_CLAIM,
             short_key: "timing.stall_timeout",
             short: timing.stall_timeout,
             reason: "a request that still runs would lose its claim",
@@ -146,8 +146,8 @@
         ("limits.max_job_bytes", limits.max_job_bytes),
     ];
     for (key, bytes) in bodies {
-        let sound = report.is_sound(key) && report.is_sound(BUFFERED);
-        if sound && bytes > limits.max_buffered_bytes {
+        let valid = report.is_valid(key) && report.is_valid(BUFFERED);
+        if valid && bytes > limits.max_buffered_bytes {
             let message = format!(
                 "{bytes} is more than {BUFFERED} ({}); such a body would never fit",
                 limits.max_buffered_bytes
@@ -160,7 +160,7 @@
 fn check_platform(report: &Report<'_>, settings: &Settings) {
     const LIST: &str = "platform.list_address";
     let missing = settings.platform.list_address.is_none();
-    if settings.has_role(Role::Gateway) && missing && report.is_sound(LIST) {
+    if settings.has_role(Role::Gateway) && missing && report.is_valid(LIST) {
         let message = "is missing; a gateway finds its back ends there".to_owned();
         report.add_at(LIST, message);
     }
@@ -169,7 +169,7 @@
 fn check_own_addresses(report: &Report<'_>, settings: &Settings) {
     const HTTP: &str = "node.http_address";
     const INTERNAL: &str = "node.internal_address";
-    if !report.is_sound(HTTP) || !report.is_sound(INTERNAL) {
+    if !report.is_valid(HTTP) || !report.is_valid(INTERNAL) {
         return;
     }
     let node = &settings.node;
@@ -187,18 +187,18 @@
     let own = settings.as_peer();
     let mut ids: BTreeMap<NodeId, String> = BTreeMap::new();
     let mut addresses: BTreeMap<SocketAddr, String> = BTreeMap::new();
-    if report.is_sound("node.internal_address") {
+    if report.is_valid("node.internal_address") {
         addresses.insert(own.internal_address, "node.internal_address".to_owned());
     }
     for (position, peer) in settings.peers.iter().enumerate() {
         let id_key = format!("peers[{position}].id");
         let address_key = format!("peers[{position}].internal_address");
-        if report.is_sound(&id_key) {
+        if report.is_valid(&id_key) {
             check_id(report, &mut ids, peer, id_key);
         }
         if peer.id == own.id {
             check_own_entry(report, &own, peer, position);
-        } else if report.is_sound(&address_key) {
+        } else if report.is_valid(&address_key) {
             check_address(report, &mut addresses, peer, address_key);
         }
     }
@@ -245,7 +245,7 @@
     for (field, agrees) in fields {
         let key = format!("peers[{position}].{field}");
         let node_key = format!("node.{field}");
-        if !agrees && report.is_sound(&key) && report.is_sound(&node_key) {
+        if !agrees && report.is_valid(&key) && report.is_valid(&node_key) {
             report.add_at(&key, format!("is this node, yet differs from {node_key}"));
         }
     }
@@ -254,7 +254,7 @@
 fn check_replicas(report: &Report<'_>, settings: &Settings) {
     const REPLICAS: &str = "cluster.replicas";
     let expected = settings.cluster.replicas;
-    if !report.is_sound(REPLICAS) || !report.is_sound("node.roles") || !report.is_sound("peers") {
+    if !report.is_valid(REPLICAS) || !report.is_valid("node.roles") || !report.is_valid("peers") {
         return;
     }
     if expected.is_multiple_of(2) {
--- a/crates/settings/src/discovered/read.rs
+++ b/crates/settings/src/discovered/read.rs
@@ -15,7 +15,7 @@
 
 /// Maximum number of lost machines that a group of voters can be configured to
 /// tolerate.
-const MOST_LOSSES: u32 = 3;
+const MAX_LOST_MACHINES: u32 = 3;
 
 pub(super) fn parse(text: &str) -> Result<DiscoveredSettings, Findings> {
     parse_with(text, read_all, check)
@@ -57,7 +57,7 @@
 fn read_cluster(mut section: Section<'_, '_, '_>) -> ClusterSeeds {
     let cluster = ClusterSeeds {
         seeds: section.required("seeds", Vec::new()),
-        first_start: section.or("first_start", false),
+        first_start: section.with_default("first_start", false),
     };
     section.finish();
     cluster
@@ -65,7 +65,7 @@
 
 fn read_tolerance(mut section: Section<'_, '_, '_>) -> ToleranceSettings {
     let tolerance = ToleranceSettings {
-        machines: section.within("machines", 1, 0..=MOST_LOSSES),
+        machines: section.in_range("machines", 1, 0..=MAX_LOST_MACHINES),
     };
     section.finish();
     tolerance
@@ -76,26 +76,26 @@
     const DAY: Duration = Duration::from_secs(24 * 60 * 60);
     let default = TimingSettings::default();
     let timing = TimingSettings {
-        engine_heartbeat: section.within(
+        engine_heartbeat: section.in_range(
             "engine_heartbeat",
             default.engine_heartbeat,
             MILLISECOND..=DAY,
         ),
-        keep_jobs: section.within("keep_jobs", default.keep_jobs, MILLISECOND..=DAY),
+        keep_jobs: section.in_range("keep_jobs", default.keep_jobs, MILLISECOND..=DAY),
     };
     section.finish();
     timing
 }
 
 fn read_stop(mut section: Section<'_, '_, '_>) -> StopSettings {
-    const LONGEST: Duration = Duration::from_secs(60 * 60);
+    const MAX_DURATION: Duration = Duration::from_secs(60 * 60);
     let default = StopSettings::default();
     let stop = StopSettings {
-        within: section.within("within", default.within, Duration::ZERO..=LONGEST),
-        unready_wait: section.within(
+        within: section.in_range("within", default.within, Duration::ZERO..=MAX_DURATION),
+        unready_wait: section.in_range(
             "unready_wait",
             default.unready_wait,
-            Duration::ZERO..=LONGEST,
+            Duration::ZERO..=MAX_DURATION,
         ),
     };
     section.finish();
@@ -104,17 +104,17 @@
 
 /// Minimum of `revoked_within`: without changes, a watch of the control nodes returns
 /// only every 2 s.
-const SHORTEST_REVOCATION: Duration = Duration::from_secs(3);
+const MIN_REVOKED_WITHIN: Duration = Duration::from_secs(3);
 
 fn read_tenants(mut section: Section<'_, '_, '_>) -> TenantSettings {
-    const LONGEST: Duration = Duration::from_secs(60 * 60);
+    const MAX_DURATION: Duration = Duration::from_secs(60 * 60);
     let default = TenantSettings::default();
     let tenants = TenantSettings {
-        fail_closed: section.or("fail_closed", default.fail_closed),
-        revoked_within: section.within(
+        fail_closed: section.with_default("fail_closed", default.fail_closed),
+        revoked_within: section.in_range(
             "revoked_within",
             default.revoked_within,
-            SHORTEST_REVOCATION..=LONGEST,
+            MIN_REVOKED_WITHIN..=MAX_DURATION,
         ),
     };
     section.finish();
@@ -123,16 +123,16 @@
 
 /// Minimum of `withdrawn_within`: a gateway and the batch group need one call in each
 /// direction, and an election takes about as long.
-const SHORTEST_WITHDRAWAL: Duration = Duration::from_secs(1);
+const MIN_WITHDRAWN_WITHIN: Duration = Duration::from_secs(1);
 
 fn read_batch(mut section: Section<'_, '_, '_>) -> BatchSettings {
-    const LONGEST: Duration = Duration::from_secs(60 * 60);
+    const MAX_DURATION: Duration = Duration::from_secs(60 * 60);
     let default = BatchSettings::default();
     let batch = BatchSettings {
-        withdrawn_within: section.within(
+        withdrawn_within: section.in_range(
             "withdrawn_within",
             default.withdrawn_within,
-            SHORTEST_WITHDRAWAL..=LONGEST,
+            MIN_WITHDRAWN_WITHIN..=MAX_DURATION,
         ),
     };
     section.finish();
@@ -146,7 +146,7 @@
             report.add_at(key, format!("a {} needs it", node.purpose));
         }
     };
-    if report.is_sound("node.purpose") {
+    if report.is_valid("node.purpose") {
         let gateway = [Purpose::Gateway];
         needs(
             node.caller_address.is_none(),
@@ -163,10 +163,10 @@
             "node.control_address",
             &[Purpose::Control],
         );
-        let keeping = [Purpose::Control, Purpose::Store];
-        needs(node.data_folder.is_none(), "node.data_folder", &keeping);
+        let persistent = [Purpose::Control, Purpose::Store];
+        needs(node.data_folder.is_none(), "node.data_folder", &persistent);
     }
-    if report.is_sound("cluster.seeds") && settings.cluster.seeds.is_empty() {
+    if report.is_valid("cluster.seeds") && settings.cluster.seeds.is_empty() {
         report.add_at("cluster.seeds", "names no control node".to_owned());
     }
     if settings.cluster.seeds.iter().any(|seed| !seed.is_ipv4()) {
@@ -175,7 +175,7 @@
             "nodes are named by IPv4 addresses".to_owned(),
         );
     }
-    if report.is_sound("node.store_port") && node.store_port == node.internal_port {
+    if report.is_valid("node.store_port") && node.store_port == node.internal_port {
         let message = "is that of gateways and control nodes too";
         report.add_at("node.store_port", message.to_owned());
     }
--- a/crates/settings/src/read.rs
+++ b/crates/settings/src/read.rs
@@ -17,7 +17,8 @@
 use crate::section::{Report, Section};
 
 /// Placeholder for an address that could not be read.
-const NO_ADDRESS: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
+const FALLBACK_ADDRESS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::UNSPECIFIED), 0);
 /// Maximum number of job groups.
 const MAX_JOB_GROUPS: u32 = 1024;
 /// Maximum number of replicas of a group.
@@ -46,14 +47,14 @@
 ) -> Result<S, Findings> {
     let report = Report::new(text);
     let (table, errors) = DeTable::parse_recoverable(text);
-    let mut misplaced = false;
+    let mut broken_header = false;
     for error in &errors {
         let line = error.span().map(|span| report.line_at(span.start));
         let message = error.message().replace('\n', ", ");
         report.add_syntax(line, format!("syntax error: {message}"));
-        misplaced |= line.is_none_or(|line| is_header(text, line));
+        broken_header |= line.is_none_or(|line| is_header(text, line));
     }
-    if misplaced {
+    if broken_header {
         // Keys below an invalid table header were parsed into another table, so
         // findings about them would be misleading.
         return Err(Findings::new(report.into_findings()));
@@ -87,11 +88,11 @@
     let id = section.required("id", NodeId::default());
     let node = NodeSettings {
         id,
-        name: section.or("name", format!("node-{id}")),
+        name: section.with_default("name", format!("node-{id}")),
         zone: section.required("zone", ZoneName::default()),
         roles: section.required("roles", Vec::new()),
-        http_address: section.required("http_address", NO_ADDRESS),
-        internal_address: section.required("internal_address", NO_ADDRESS),
+        http_address: section.required("http_address", FALLBACK_ADDRESS),
+        internal_address: section.required("internal_address", FALLBACK_ADDRESS),
         data_folder: section.required("data_folder", PathBuf::new()),
     };
     section.finish();
@@ -101,8 +102,8 @@
 fn read_cluster(mut section: Section<'_, '_, '_>) -> ClusterSettings {
     let default = ClusterSettings::default();
     let cluster = ClusterSettings {
-        job_groups: section.within("job_groups", default.job_groups, 1..=MAX_JOB_GROUPS),
-        replicas: section.within("replicas", default.replicas, 1..=MAX_REPLICAS),
+        job_groups: section.in_range("job_groups", default.job_groups, 1..=MAX_JOB_GROUPS),
+        replicas: section.in_range("replicas", default.replicas, 1..=MAX_REPLICAS),
     };
     section.finish();
     cluster
@@ -112,10 +113,10 @@
     let id = section.required("id", NodeId::default());
     let peer = Peer {
         id,
-        name: section.or("name", format!("node-{id}")),
+        name: section.with_default("name", format!("node-{id}")),
         zone: section.required("zone", ZoneName::default()),
-        internal_address: section.required("internal_address", NO_ADDRESS),
-        roles: section.or("roles", vec![Role::Replica]),
+        internal_address: section.required("internal_address", FALLBACK_ADDRESS),
+        roles: section.with_default("roles", vec![Role::Replica]),
     };
     section.finish();
     peer
@@ -126,7 +127,7 @@
     let polls = millis(50)..=seconds(3);
     let platform = PlatformSettings {
         list_address: section.optional("list_address"),
-        list_poll: section.within("list_poll", default.list_poll, polls),
+        list_poll: section.in_range("list_poll", default.list_poll, polls),
         weight_store_address: section.optional("weight_store_address"),
     };
     section.finish();
@@ -140,24 +141,28 @@
     let bytes = KIBIBYTE..=MAX_BYTES;
     let rates = 1..=MILLION;
     let limits = LimitSettings {
-        max_connections: section.within("max_connections", default.max_connections, 1..=MILLION),
-        max_body_bytes: section.within("max_body_bytes", default.max_body_bytes, bytes.clone()),
-        max_job_bytes: section.within("max_job_bytes", default.max_job_bytes, bytes.clone()),
-        max_job_items: section.within("max_job_items", default.max_job_items, 1..=110_000),
-        max_buffered_bytes: section.within(
+        max_connections: section.in_range("max_connections", default.max_connections, 1..=MILLION),
+        max_body_bytes: section.in_range("max_body_bytes", default.max_body_bytes, bytes.clone()),
+        max_job_bytes: section.in_range("max_job_bytes", default.max_job_bytes, bytes.clone()),
+        max_job_items: section.in_range("max_job_items", default.max_job_items, 1..=110_000),
+        max_buffered_bytes: section.in_range(
             "max_buffered_bytes",
             default.max_buffered_bytes,
             bytes.clone(),
         ),
-        event_buffer: section.within("event_buffer", default.event_buffer, 16..=MILLION),
-        tenant_requests_per_second: section.within(
+        event_buffer: section.in_range("event_buffer", default.event_buffer, 16..=MILLION),
+        tenant_requests_per_second: section.in_range(
             "tenant_requests_per_second",
             default.tenant_requests_per_second,
             rates.clone(),
         ),
-        tenant_burst: section.within("tenant_burst", default.tenant_burst, rates.clone()),
-        tenant_concurrency: section.within("tenant_concurrency", default.tenant_concurrency, rates),
-        log_segment_bytes: section.within("log_segment_bytes", default.log_segment_bytes, bytes),
+        tenant_burst: section.in_range("tenant_burst", default.tenant_burst, rates.clone()),
+        tenant_concurrency: section.in_range(
+            "tenant_concurrency",
+            default.tenant_concurrency,
+            rates,
+        ),
+        log_segment_bytes: section.in_range("log_segment_bytes", default.log_segment_bytes, bytes),
     };
     section.finish();
     limits
@@ -166,51 +171,51 @@
 fn read_timing(mut section: Section<'_, '_, '_>) -> TimingSettings {
     let default = TimingSettings::default();
     let timing = TimingSettings {
-        lease: section.within("lease", default.lease, seconds(1)..=seconds(300)),
-        owner_lease: section.within(
+        lease: section.in_range("lease", default.lease, seconds(1)..=seconds(300)),
+        owner_lease: section.in_range(
             "owner_lease",
             default.owner_lease,
             seconds(1)..=seconds(300),
         ),
-        currency_bound: section.within(
+        currency_bound: section.in_range(
             "currency_bound",
             default.currency_bound,
             seconds(1)..=seconds(9),
         ),
-        config_watch: section.within(
+        config_watch: section.in_range(
             "config_watch",
             default.config_watch,
             millis(100)..=seconds(8),
         ),
-        heartbeat: section.within("heartbeat", default.heartbeat, millis(50)..=seconds(30)),
-        tick: section.within("tick", default.tick, millis(5)..=seconds(1)),
-        election_timeout: section.within(
+        heartbeat: section.in_range("heartbeat", default.heartbeat, millis(50)..=seconds(30)),
+        tick: section.in_range("tick", default.tick, millis(5)..=seconds(1)),
+        election_timeout: section.in_range(
             "election_timeout",
             default.election_timeout,
             millis(50)..=seconds(30),
         ),
-        load_poll: section.within("load_poll", default.load_poll, millis(5)..=seconds(5)),
-        connect_timeout: section.within(
+        load_poll: section.in_range("load_poll", default.load_poll, millis(5)..=seconds(5)),
+        connect_timeout: section.in_range(
             "connect_timeout",
             default.connect_timeout,
             millis(10)..=seconds(30),
         ),
-        response_timeout: section.within(
+        response_timeout: section.in_range(
             "response_timeout",
             default.response_timeout,
             millis(100)..=seconds(3600),
         ),
-        stall_timeout: section.within(
+        stall_timeout: section.in_range(
             "stall_timeout",
             default.stall_timeout,
             millis(100)..=seconds(3600),
         ),
-        batch_stall_timeout: section.within(
+        batch_stall_timeout: section.in_range(
             "batch_stall_timeout",
             default.batch_stall_timeout,
             seconds(1)..=seconds(3600),
         ),
-        claim_timeout: section.within(
+        claim_timeout: section.in_range(
             "claim_timeout",
             default.claim_timeout,
             seconds(1)..=seconds(24 * 3600),
@@ -225,9 +230,9 @@
     let default = DrainSettings::default();
     let waits = Duration::ZERO..=seconds(3600);
     let drain = DrainSettings {
-        unready_wait: section.within("unready_wait", default.unready_wait, waits.clone()),
-        finish_within: section.within("finish_within", default.finish_within, waits.clone()),
-        hand_over_within: section.within("hand_over_within", default.hand_over_within, waits),
+        unready_wait: section.in_range("unready_wait", default.unready_wait, waits.clone()),
+        finish_within: section.in_range("finish_within", default.finish_within, waits.clone()),
+        hand_over_within: section.in_range("hand_over_within", default.hand_over_within, waits),
     };
     section.finish();
     drain
@@ -236,8 +241,8 @@
 pub(crate) fn read_log(mut section: Section<'_, '_, '_>) -> LogSettings {
     let default = LogSettings::default();
     let log = LogSettings {
-        level: section.or("level", default.level),
-        format: section.or("format", default.format),
+        level: section.with_default("level", default.level),
+        format: section.with_default("format", default.format),
     };
     section.finish();
     log
@@ -246,9 +251,9 @@
 fn read_policy(mut section: Section<'_, '_, '_>) -> PolicySettings {
     let default = PolicySettings::default();
     let policy = PolicySettings {
-        tail_protection: section.optional_within("tail_protection", 0..=100),
-        preemption: section.or("preemption", default.preemption),
-        engine_choice: section.or("engine_choice", default.engine_choice),
+        tail_protection: section.optional_in_range("tail_protection", 0..=100),
+        preemption: section.with_default("preemption", default.preemption),
+        engine_choice: section.with_default("engine_choice", default.engine_choice),
     };
     section.finish();
     policy
--- a/crates/settings/src/section.rs
+++ b/crates/settings/src/section.rs
@@ -12,7 +12,7 @@
 use crate::value::Value;
 
 /// Maximum edit distance at which an unknown key counts as a misspelt known key.
-const LARGEST_MISSPELLING: usize = 2;
+const MAX_TYPO_DISTANCE: usize = 2;
 
 /// Findings collected while reading, and the line of each key.
 #[derive(Debug)]
@@ -20,7 +20,7 @@
     text: &'t str,
     findings: RefCell<Vec<Finding>>,
     lines: RefCell<BTreeMap<String, usize>>,
-    doubtful: RefCell<BTreeSet<String>>,
+    suppressed: RefCell<BTreeSet<String>>,
 }
 
 impl<'t> Report<'t> {
@@ -29,7 +29,7 @@
             text,
             findings: RefCell::default(),
             lines: RefCell::default(),
-            doubtful: RefCell::default(),
+            suppressed: RefCell::default(),
         }
     }
 
@@ -43,7 +43,7 @@
     pub(crate) fn add_syntax(&self, line: Option<usize>, message: String) {
         let key = line.map_or_else(String::new, |line| key_at(self.text, line));
         if !key.is_empty() {
-            self.doubt(&key);
+            self.suppress(&key);
         }
         self.findings
             .borrow_mut()
@@ -51,13 +51,13 @@
     }
 
     /// Suppresses findings about a key whose value is unknown because of another finding.
-    pub(crate) fn doubt(&self, key: &str) {
-        self.doubtful.borrow_mut().insert(key.to_owned());
+    pub(crate) fn suppress(&self, key: &str) {
+        self.suppressed.borrow_mut().insert(key.to_owned());
     }
 
     /// Adds a finding at a line, unless findings about `key` are suppressed.
     pub(crate) fn add(&self, line: Option<usize>, key: &str, message: String) {
-        if self.doubtful.borrow().contains(key) {
+        if self.suppressed.borrow().contains(key) {
             return;
         }
         self.findings.borrow_mut().push(Finding {
@@ -75,14 +75,14 @@
 
     /// Whether `key` has no finding: neither itself, nor an enclosing table, nor a
     /// value inside it.
-    pub(crate) fn is_sound(&self, key: &str) -> bool {
+    pub(crate) fn is_valid(&self, key: &str) -> bool {
         let findings = self.findings.borrow();
-        let doubtful = self.doubtful.borrow();
-        let mut faulty = findings
+        let suppressed = self.suppressed.borrow();
+        let mut invalid = findings
             .iter()
             .map(|finding| &finding.key)
-            .chain(&*doubtful);
-        !faulty.any(|faulty| contains(faulty, key) || contains(key, faulty))
+            .chain(&*suppressed);
+        !invalid.any(|other| contains(other, key) || contains(key, other))
     }
 
     /// Returns all findings.
@@ -101,7 +101,7 @@
         }
     }
 
-    fn note(&self, key: &str, line: usize) {
+    fn record_line(&self, key: &str, line: usize) {
         self.lines.borrow_mut().insert(key.to_owned(), line);
     }
 }
@@ -171,7 +171,7 @@
         for (position, element) in array.iter().enumerate() {
             let path = format!("{path}[{position}]");
             self.report
-                .note(&path, self.report.line_at(element.span().start));
+                .record_line(&path, self.report.line_at(element.span().start));
             let table = self.table_of(element, &path);
             sections.extend(table.map(|table| Section::new(self.report, Some(table), path)));
         }
@@ -201,35 +201,35 @@
     }
 
     /// Returns the value under `key`. A missing key is a finding. If there is a
-    /// finding, returns `stand_in`, so that reading can continue.
-    pub(crate) fn required<T: Value>(&mut self, key: &'static str, stand_in: T) -> T {
+    /// finding, returns `fallback`, so that reading can continue.
+    pub(crate) fn required<T: Value>(&mut self, key: &'static str, fallback: T) -> T {
         let present = self.table.is_some_and(|table| table.contains_key(key));
         let value = self.optional(key);
         if !present {
             self.missing.insert(key, T::EXPECTED);
         }
-        value.unwrap_or(stand_in)
+        value.unwrap_or(fallback)
     }
 
     /// Returns the value under `key`, or `default`.
-    pub(crate) fn or<T: Value>(&mut self, key: &'static str, default: T) -> T {
+    pub(crate) fn with_default<T: Value>(&mut self, key: &'static str, default: T) -> T {
         self.optional(key).unwrap_or(default)
     }
 
     /// Returns the value under `key`, or `default`. A value outside of `range` is a
     /// finding.
-    pub(crate) fn within<T: Value + PartialOrd>(
+    pub(crate) fn in_range<T: Value + PartialOrd>(
         &mut self,
         key: &'static str,
         default: T,
         range: RangeInclusive<T>,
     ) -> T {
-        self.optional_within(key, range).unwrap_or(default)
+        self.optional_in_range(key, range).unwrap_or(default)
     }
 
     /// Returns the value under `key`, if it is present and valid. A value outside of
     /// `range` is a finding.
-    pub(crate) fn optional_within<T: Value + PartialOrd>(
+    pub(crate) fn optional_in_range<T: Value + PartialOrd>(
         &mut self,
         key: &'static str,
         range: RangeInclusive<T>,
@@ -269,7 +269,7 @@
                 // A misspelt key must give one finding, not two for an unknown
                 // and a missing key.
                 self.missing.remove(similar);
-                self.report.doubt(&self.dotted(similar));
+                self.report.suppress(&self.dotted(similar));
                 format!("is no known key; did you mean {similar}?")
             }
             None => {
@@ -290,7 +290,7 @@
             .filter(|known| self.table.is_some_and(|table| !table.contains_key(*known)));
         absent
             .map(|known| (edit_distance(name, known), known))
-            .filter(|(distance, _)| *distance <= LARGEST_MISSPELLING)
+            .filter(|(distance, _)| *distance <= MAX_TYPO_DISTANCE)
             .min()
             .map(|(_, known)| known)
     }
@@ -299,7 +299,7 @@
         self.known.insert(key);
         let (found, value) = self.table?.get_key_value(key)?;
         let line = self.report.line_at(found.span().start);
-        self.report.note(&self.dotted(key), line);
+        self.report.record_line(&self.dotted(key), line);
         Some(value)
     }
 }
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -32,7 +32,7 @@
     value.as_str().ok_or_else(|| wrong_type::<T>(value))
 }
 
-fn named<T: Value + std::str::FromStr>(value: &DeValue<'_>) -> Result<T, String> {
+fn parse_text<T: Value + std::str::FromStr>(value: &DeValue<'_>) -> Result<T, String> {
     let text = text_of::<T>(value)?;
     text.parse()
         .map_err(|_| format!("expected {}, found {text:?}", T::EXPECTED))
@@ -124,7 +124,7 @@
     const EXPECTED: &'static str = "an IPv4 address, such as \"127.0.0.1\"";
 
     fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        named(value)
+        parse_text(value)
     }
 
     fn show(&self) -> String {
@@ -136,7 +136,7 @@
     const EXPECTED: &'static str = "\"gateway\", \"control\" or \"store\"";
 
     fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        named(value)
+        parse_text(value)
     }
 
     fn show(&self) -> String {
@@ -177,7 +177,7 @@
     const EXPECTED: &'static str = "an IP address and port, such as \"127.0.0.1:7780\"";
 
     fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        named(value)
+        parse_text(value)
     }
 
     fn show(&self) -> String {
@@ -232,7 +232,7 @@
     const EXPECTED: &'static str = "one of \"error\", \"warning\", \"info\", \"debug\"";
 
     fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        named(value)
+        parse_text(value)
     }
 
     fn show(&self) -> String {
@@ -244,7 +244,7 @@
     const EXPECTED: &'static str = "one of \"terminal\", \"json\"";
 
     fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        named(value)
+        parse_text(value)
     }
 
     fn show(&self) -> String {
@@ -269,7 +269,7 @@
     const EXPECTED: &'static str = "one of \"on-arrival\", \"engine-priority-only\", \"none\"";
 
     fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        named(value)
+        parse_text(value)
     }
 
     fn show(&self) -> String {
@@ -296,7 +296,7 @@
         "one of \"affinity\", \"better-of-two\", \"round-robin\", \"least-reported\"";
 
     fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        named(value)
+        parse_text(value)
     }
 
     fn show(&self) -> String {
--- a/crates/settings/tests/discovered.rs
+++ b/crates/settings/tests/discovered.rs
@@ -27,7 +27,7 @@
 
 #[test]
 fn defaults_fill_what_is_left_out() {
-    let settings = DiscoveredSettings::parse(&text("gateway", GATEWAY)).expect("sound");
+    let settings = DiscoveredSettings::parse(&text("gateway", GATEWAY)).expect("valid settings");
     assert_eq!(settings.node.purpose, Purpose::Gateway);
     assert_eq!(settings.node.address, Ipv4Addr::LOCALHOST);
     assert!(!settings.cluster.first_start);
@@ -51,12 +51,12 @@
         ("control", "", &["node.control_address", "node.data_folder"]),
         ("store", "", &["node.data_folder"]),
     ];
-    for (purpose, given, missed) in cases {
+    for (purpose, given, missing) in cases {
         let keys: Vec<String> = match DiscoveredSettings::parse(&text(purpose, given)) {
             Ok(_) => Vec::new(),
             Err(findings) => findings.iter().map(|finding| finding.key.clone()).collect(),
         };
-        assert_eq!(keys, missed, "{purpose}");
+        assert_eq!(keys, missing, "{purpose}");
     }
 }
 
--- a/crates/settings/tests/parse.rs
+++ b/crates/settings/tests/parse.rs
@@ -12,7 +12,7 @@
 const EXAMPLE: &str = include_str!("../../../docs/examples/molespand.toml");
 
 /// Minimal settings of a single node that is gateway and replica.
-const SMALLEST: &str = r#"
+const MINIMAL: &str = r#"
 cluster.replicas = 1
 platform.list_address = "127.0.0.1:7700"
 [node]
@@ -30,8 +30,8 @@
 }
 
 #[test]
-fn the_example_is_sound() {
-    let settings = Settings::parse(EXAMPLE).expect("the example is sound");
+fn the_example_is_valid() {
+    let settings = Settings::parse(EXAMPLE).expect("the example is valid");
     assert!(settings.has_role(Role::Gateway));
     assert_eq!(settings.replicas().len(), 3);
     assert_eq!(settings.timing, TimingSettings::default());
@@ -39,25 +39,25 @@
 }
 
 #[test]
-fn what_is_written_reads_back() {
+fn written_settings_parse_to_the_same() {
     let policy = r#"
         [policy]
         tail_protection = 10
         preemption = "engine-priority-only"
         engine_choice = "round-robin"
     "#;
-    let unusual = format!("{SMALLEST}{policy}");
-    for text in [EXAMPLE, SMALLEST, &unusual] {
-        let settings = Settings::parse(text).expect("sound");
+    let unusual = format!("{MINIMAL}{policy}");
+    for text in [EXAMPLE, MINIMAL, &unusual] {
+        let settings = Settings::parse(text).expect("valid settings");
         assert_eq!(Settings::parse(&settings.to_toml()), Ok(settings));
     }
 }
 
 #[test]
-fn an_own_entry_among_the_peers_is_left_out() {
+fn the_own_entry_among_the_peers_is_removed() {
     let own = "[[peers]]\nid = 1\nzone = \"hall-1\"\nroles = [\"gateway\", \"replica\"]\n\
                internal_address = \"127.0.0.1:7790\"\n";
-    let settings = Settings::parse(&format!("{SMALLEST}{own}")).expect("sound");
+    let settings = Settings::parse(&format!("{MINIMAL}{own}")).expect("valid settings");
     assert!(settings.peers.is_empty());
 }
 
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn an_empty_file_lacks_every_required_key() {
+fn an_empty_file_misses_every_required_key() {
     check_findings(
         "",
         &expect![[r#"
@@ -125,7 +125,7 @@
 
 /// Each case replaces a part of the minimal file and gives one finding.
 #[test]
-fn faults_one_by_one() {
+fn each_fault_gives_one_finding() {
     let cases = [
         ("id = 1", "id = 0"),
         ("id = 1", "id = \"one\""),
@@ -193,7 +193,7 @@
     ];
     let mut lines = Vec::new();
     for (old, new) in cases {
-        let text = SMALLEST.replacen(old, new, 1);
+        let text = MINIMAL.replacen(old, new, 1);
         let findings = Settings::parse(&text).expect_err(new);
         assert_eq!(findings.len(), 1, "{new}: {findings}");
         lines.push(findings.to_string());
@@ -233,7 +233,7 @@
 
 proptest! {
     #[test]
-    fn durations_read_back(micros in 0..u64::MAX / 4) {
+    fn durations_round_trip(micros in 0..u64::MAX / 4) {
         let duration = Duration::from_micros(micros);
         prop_assert_eq!(parse_duration(&format_duration(duration)), Ok(duration));
     }
@@ -255,7 +255,7 @@
 #[test]
 fn the_page_names_every_key_with_its_default() {
     let page = include_str!("../../../docs/SETTINGS.md");
-    let settings = Settings::parse(SMALLEST).expect("sound");
+    let settings = Settings::parse(MINIMAL).expect("valid settings");
     let mut table = String::new();
     for line in settings.to_toml().lines() {
         if let Some(name) = line.strip_prefix('[') {
