--- a/crates/http/src/server/output.rs
+++ b/crates/http/src/server/output.rs
@@ -27,7 +27,7 @@
     #[from(skip)]
     ClientGone,
     /// The client did not read the response before the write timeout.
-    #[display("the client does not take the response")]
+    #[display("the client did not read the response in time")]
     #[from(skip)]
     TooSlow,
     /// The body or the socket failed.
