--- a/crates/http/src/events/writer.rs
+++ b/crates/http/src/events/writer.rs
@@ -1,4 +1,4 @@
-//! Writes server-sent events into a response.
+//! Writes server-sent events to a response.
 
 use std::io;
 use std::pin::Pin;
@@ -16,26 +16,26 @@
 /// Media type of server-sent events.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// The client is gone, or its response was cut short.
+/// The client is gone or its response was cut short.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 #[display("the client is gone")]
 pub struct StreamClosed;
 
-/// One step of a streamed body.
-enum Piece {
+/// An item of a streamed body.
+enum StreamItem {
     Bytes(Vec<u8>),
     End,
 }
 
-/// The writing end of a streamed response.
+/// Writer of a streamed response.
 ///
-/// Dropping it without [`EventWriter::finish`] cuts the response, so that the
-/// client sees that it is not whole.
+/// Dropping it without [`EventWriter::finish`] aborts the response, so that the
+/// client detects that it is incomplete.
 #[derive(Debug)]
-pub struct EventWriter(Sender<Piece>);
+pub struct EventWriter(Sender<StreamItem>);
 
 impl EventWriter {
-    /// Sends one event; waits while the client is slower than the writer.
+    /// Sends an event, waiting while the client is slower than the writer.
     ///
     /// # Errors
     /// When the client is gone.
@@ -43,7 +43,7 @@
         self.send_bytes(event.encode()).await
     }
 
-    /// Sends raw bytes; waits while the client is slower than the writer.
+    /// Sends raw bytes, waiting while the client is slower than the writer.
     ///
     /// # Errors
     /// When the client is gone.
@@ -51,32 +51,32 @@
         if bytes.is_empty() {
             return Ok(());
         }
-        let sent = self.0.send(Piece::Bytes(bytes)).await;
+        let sent = self.0.send(StreamItem::Bytes(bytes)).await;
         sent.map_err(|_| StreamClosed)
     }
 
-    /// Sends one event if there is room for it right now; returns whether it
-    /// was taken.
+    /// Sends an event if the queue has room for it, without waiting; returns whether
+    /// it was queued.
     ///
     /// # Errors
     /// When the client is gone.
     pub fn try_send(&self, event: &ServerEvent) -> Result<bool, StreamClosed> {
-        match self.0.try_send(Piece::Bytes(event.encode())) {
+        match self.0.try_send(StreamItem::Bytes(event.encode())) {
             Ok(()) => Ok(true),
             Err(async_channel::TrySendError::Full(_)) => Ok(false),
             Err(async_channel::TrySendError::Closed(_)) => Err(StreamClosed),
         }
     }
 
-    /// Ends the response whole.
+    /// Completes the response.
     ///
     /// # Errors
     /// When the client is gone.
     pub async fn finish(self) -> Result<(), StreamClosed> {
-        self.0.send(Piece::End).await.map_err(|_| StreamClosed)
+        self.0.send(StreamItem::End).await.map_err(|_| StreamClosed)
     }
 
-    /// Sends the `[DONE]` event and ends the response whole.
+    /// Sends the `[DONE]` event and completes the response.
     ///
     /// # Errors
     /// When the client is gone.
@@ -85,7 +85,7 @@
         self.finish().await
     }
 
-    /// Resolves once the client is gone.
+    /// Completes once the client is gone.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
@@ -97,12 +97,12 @@
     }
 }
 
-/// A response that streams what is written to the returned writer. At most
-/// `capacity` pieces wait in memory.
+/// Creates a response that streams the events written to the returned writer. The
+/// queue between them holds at most `capacity` items.
 #[must_use]
 pub fn event_response(capacity: usize) -> (EventWriter, Response) {
     let (sender, receiver) = async_channel::bounded(capacity.max(1));
-    let reader = PieceReader {
+    let reader = StreamBody {
         receiver: Box::pin(receiver),
         current: Vec::new(),
         consumed: 0,
@@ -115,24 +115,24 @@
     (EventWriter(sender), response)
 }
 
-/// The reading end, as a response body.
-struct PieceReader {
-    receiver: Pin<Box<Receiver<Piece>>>,
+/// The response body, which reads from the queue.
+struct StreamBody {
+    receiver: Pin<Box<Receiver<StreamItem>>>,
     current: Vec<u8>,
     consumed: usize,
     ended: bool,
 }
 
-impl AsyncBufRead for PieceReader {
+impl AsyncBufRead for StreamBody {
     fn poll_fill_buf(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<&[u8]>> {
         let this = self.get_mut();
         while this.consumed == this.current.len() && !this.ended {
             match ready!(this.receiver.as_mut().poll_next(context)) {
-                Some(Piece::Bytes(bytes)) => {
+                Some(StreamItem::Bytes(bytes)) => {
                     this.current = bytes;
                     this.consumed = 0;
                 }
-                Some(Piece::End) => this.ended = true,
+                Some(StreamItem::End) => this.ended = true,
                 None => return Poll::Ready(Err(io::ErrorKind::UnexpectedEof.into())),
             }
         }
@@ -144,7 +144,7 @@
     }
 }
 
-impl AsyncRead for PieceReader {
+impl AsyncRead for StreamBody {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/http/src/h1/body.rs
+++ b/crates/http/src/h1/body.rs
@@ -1,4 +1,4 @@
-//! Bodies piece by piece.
+//! Incremental reading of bodies.
 
 use std::io;
 
@@ -7,68 +7,70 @@
 use super::connection::Connection;
 use super::head::{Headers, RequestHead, ResponseHead};
 
-/// Longest line that gives the size of a chunk, or of a trailer.
+/// Maximum length in bytes of a line with a chunk size or a trailer.
 const MAX_LINE_BYTES: usize = 4096;
-/// Ends a body in chunks.
+/// The terminator of a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
 
-/// How the end of a body is known.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
-    /// There is none.
+    /// There is no body.
     Empty,
-    /// It has so many bytes.
+    /// The body has this many bytes.
     Length(u64),
-    /// Each piece says how long it is.
+    /// The body consists of chunks with their lengths.
     Chunked,
-    /// It ends with its connection.
+    /// The body ends when the connection is closed.
     UntilClose,
 }
 
-/// Why a body could not be read to its end.
+/// Why a body could not be read completely.
 #[derive(Debug, Display, Error, From)]
 pub enum BodyError {
     /// The connection failed.
     #[display("connection failed: {_0}")]
     Io(io::Error),
-    /// The connection ended before the body.
+    /// The connection ended before the end of the body.
     #[display("the body ends early")]
     #[from(skip)]
     CutShort,
-    /// The framing is broken.
+    /// The framing is invalid.
     #[display("the body's framing is broken")]
     #[from(skip)]
     Framing,
-    /// It is longer than is taken.
+    /// The body exceeds the limit.
     #[display("the body is too long")]
     #[from(skip)]
     TooLong,
 }
 
 impl Framing {
-    /// Of a request's body; `None` when its headers contradict one another.
+    /// Returns the framing of the body of a request, or `None` when the headers are
+    /// invalid or contradictory.
     #[must_use]
     pub fn of_request(head: &RequestHead) -> Option<Self> {
-        match declared(&head.headers)? {
+        match declared_framing(&head.headers)? {
             Framing::UntilClose => Some(Framing::Empty),
             framing => Some(framing),
         }
     }
 
-    /// Of the body of an answer to a request of `method`; `None` when its
-    /// headers contradict one another.
+    /// Returns the framing of the body of a response to a request with `method`, or
+    /// `None` when the headers are invalid or contradictory.
     #[must_use]
     pub fn of_response(head: &ResponseHead, method: &str) -> Option<Self> {
         let bodiless = method == "HEAD" || matches!(head.status, 100..=199 | 204 | 304);
         if bodiless {
             return Some(Framing::Empty);
         }
-        declared(&head.headers)
+        declared_framing(&head.headers)
     }
 }
 
-/// What the headers say; `UntilClose` when they say nothing.
-fn declared(headers: &Headers) -> Option<Framing> {
+/// Returns the framing declared by the headers, `UntilClose` when they declare none,
+/// or `None` when they are invalid or contradictory.
+fn declared_framing(headers: &Headers) -> Option<Framing> {
     let length = headers.get("content-length");
     if headers.get("transfer-encoding").is_some() {
         let chunked = headers.has_word("transfer-encoding", "chunked");
@@ -89,44 +91,45 @@
     }
 }
 
-/// Reads one body from a connection.
+/// Reads a body from a connection.
 #[derive(Debug)]
 pub struct BodyReader {
     framing: Framing,
-    /// Bytes left of the body or of the chunk that is being read.
-    left: u64,
+    /// Remaining bytes of the body or of the current chunk.
+    remaining: u64,
     ended: bool,
-    /// Whether a chunk was read whose line end is still to come.
-    within_chunks: bool,
+    /// Whether a chunk was started, so that its line ending must be read before the next
+    /// chunk.
+    chunk_started: bool,
 }
 
 impl BodyReader {
-    /// A reader of a body with this framing.
+    /// Creates a reader of a body with this framing.
     #[must_use]
     pub fn new(framing: Framing) -> Self {
-        let left = match framing {
+        let remaining = match framing {
             Framing::Length(length) => length,
             _ => 0,
         };
         let ended = matches!(framing, Framing::Empty | Framing::Length(0));
         Self {
             framing,
-            left,
+            remaining,
             ended,
-            within_chunks: false,
+            chunk_started: false,
         }
     }
 
-    /// Whether the whole body was read.
+    /// Whether the body was read to its end.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         self.ended
     }
 
-    /// The next bytes; `None` at the end.
+    /// Returns the next bytes, or `None` at the end of the body.
     ///
     /// # Errors
-    /// When the connection fails or ends early, or the framing is broken.
+    /// When the connection fails or ends early, or the framing is invalid.
     pub async fn next(
         &mut self,
         connection: &mut Connection,
@@ -137,43 +140,44 @@
         match self.framing {
             Framing::Empty => Ok(None),
             Framing::Length(_) => {
-                let piece = self.piece(connection).await?;
-                self.ended = self.left == 0;
+                let piece = self.take_available(connection).await?;
+                self.ended = self.remaining == 0;
                 Ok(Some(piece))
             }
-            Framing::Chunked => self.next_of_chunks(connection).await,
+            Framing::Chunked => self.next_chunked(connection).await,
             Framing::UntilClose => self.next_until_close(connection).await,
         }
     }
 
-    /// Bytes that have arrived, as far as they are of this body or chunk.
-    async fn piece(&mut self, connection: &mut Connection) -> Result<Vec<u8>, BodyError> {
+    /// Takes the received bytes that belong to this body or chunk, waiting if there are
+    /// none.
+    async fn take_available(&mut self, connection: &mut Connection) -> Result<Vec<u8>, BodyError> {
         if connection.buffered().is_empty() && connection.fill().await? == 0 {
             return Err(BodyError::CutShort);
         }
-        let have = connection.buffered().len() as u64;
-        let count = have.min(self.left);
-        self.left -= count;
+        let available = connection.buffered().len() as u64;
+        let count = available.min(self.remaining);
+        self.remaining -= count;
         Ok(connection.take(count as usize))
     }
 
-    async fn next_of_chunks(
+    async fn next_chunked(
         &mut self,
         connection: &mut Connection,
     ) -> Result<Option<Vec<u8>>, BodyError> {
-        if self.left == 0 {
-            if self.within_chunks && !line(connection).await?.is_empty() {
+        if self.remaining == 0 {
+            if self.chunk_started && !read_line(connection).await?.is_empty() {
                 return Err(BodyError::Framing);
             }
-            self.within_chunks = true;
-            self.left = chunk_size(&line(connection).await?)?;
-            if self.left == 0 {
-                while !line(connection).await?.is_empty() {}
+            self.chunk_started = true;
+            self.remaining = parse_chunk_size(&read_line(connection).await?)?;
+            if self.remaining == 0 {
+                while !read_line(connection).await?.is_empty() {}
                 self.ended = true;
                 return Ok(None);
             }
         }
-        self.piece(connection).await.map(Some)
+        self.take_available(connection).await.map(Some)
     }
 
     async fn next_until_close(
@@ -184,14 +188,14 @@
             self.ended = true;
             return Ok(None);
         }
-        let have = connection.buffered().len();
-        Ok(Some(connection.take(have)))
+        let available = connection.buffered().len();
+        Ok(Some(connection.take(available)))
     }
 
-    /// The whole rest of the body, of at most `limit` bytes.
+    /// Reads the rest of the body, of at most `limit` bytes.
     ///
     /// # Errors
-    /// When it cannot be read to its end, or is longer.
+    /// When the body cannot be read completely or is longer than `limit`.
     pub async fn collect(
         &mut self,
         connection: &mut Connection,
@@ -213,8 +217,8 @@
     }
 }
 
-/// A line without its end.
-async fn line(connection: &mut Connection) -> Result<Vec<u8>, BodyError> {
+/// Reads a line without its line ending.
+async fn read_line(connection: &mut Connection) -> Result<Vec<u8>, BodyError> {
     loop {
         let buffered = connection.buffered();
         if let Some(end) = buffered.iter().position(|byte| *byte == b'\n') {
@@ -234,7 +238,7 @@
     }
 }
 
-fn chunk_size(line: &[u8]) -> Result<u64, BodyError> {
+fn parse_chunk_size(line: &[u8]) -> Result<u64, BodyError> {
     let digits = line.split(|byte| *byte == b';').next().unwrap_or_default();
     let text = std::str::from_utf8(digits.trim_ascii()).map_err(|_| BodyError::Framing)?;
     if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
@@ -243,7 +247,7 @@
     u64::from_str_radix(text, 16).map_err(|_| BodyError::Framing)
 }
 
-/// A piece of a body in chunks.
+/// Encodes `bytes` as one chunk of a chunked body.
 #[must_use]
 pub fn chunk(bytes: &[u8]) -> Vec<u8> {
     let mut chunk = format!("{:x}\r\n", bytes.len()).into_bytes();
--- a/crates/http/src/server/connection.rs
+++ b/crates/http/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: requests in, responses out, one after the other.
+//! A server connection, which serves one request after another.
 
 use std::future::Future;
 use std::net::Shutdown;
@@ -14,28 +14,28 @@
 use http_types::{Method, Request, Response};
 
 use super::handle::{CountGuard, Shared};
-use super::intake::{Rejection, WholeRequest, await_first_byte, read_request};
+use super::intake::{BufferedRequest, Rejection, await_first_byte, read_request};
 use super::output::write_response;
 use super::presence::ClientPresence;
 use crate::body::check_declared_length;
-use crate::net::{SharedStream, peer_closed, within};
+use crate::net::{SharedStream, peer_closed, with_timeout};
 
-/// How long unread bytes of a rejected request are thrown away, so that the
-/// system does not reset the connection before the client read the error.
+/// How long unread bytes of a rejected request are read and discarded. Without
+/// this, the system may reset the connection before the client has read the error.
 const LINGER: Duration = Duration::from_millis(500);
-/// Most bytes thrown away.
+/// Maximum number of bytes that are discarded.
 const LINGER_BYTES: usize = 1024 * 1024;
-/// Value of the `Connection` header that ends a connection.
+/// Value of the `Connection` header that closes the connection.
 const CLOSE: &str = "close";
 
-/// One accepted connection.
+/// An accepted connection.
 pub(crate) struct Connection {
     stream: SharedStream,
     shared: Arc<Shared>,
     _slot: CountGuard,
 }
 
-/// Whether a connection goes on after a response.
+/// What happens to a connection after a response.
 #[derive(PartialEq, Eq)]
 enum Next {
     KeepAlive,
@@ -51,13 +51,13 @@
         }
     }
 
-    /// Serves until the connection ends or the server aborts.
+    /// Serves requests until the connection ends or the server aborts.
     pub(crate) async fn run<Handler, Answer>(self, handler: &Handler)
     where
         Handler: Fn(Request) -> Answer,
         Answer: Future<Output = Response>,
     {
-        if self.shared.is_overfull() {
+        if self.shared.exceeds_connection_limit() {
             self.shared.refused.fetch_add(1, Ordering::Relaxed);
             self.reject(&Rejection::TooManyConnections).await;
             return;
@@ -70,7 +70,7 @@
         future::or(serve, self.shared.aborted()).await;
     }
 
-    /// Serves request after request.
+    /// Serves requests one after another.
     async fn serve<Handler, Answer>(&self, handler: &Handler) -> Result<(), Rejection>
     where
         Handler: Fn(Request) -> Answer,
@@ -80,9 +80,9 @@
         loop {
             await_first_byte(&self.stream, &mut buffer, &self.shared).await?;
             let in_flight = CountGuard::add(&self.shared, |shared| &shared.in_flight, 1);
-            let mut whole = read_request(&self.stream, buffer, &self.shared).await?;
-            buffer = std::mem::take(&mut whole.leftover);
-            let next = self.answer(whole, handler).await;
+            let mut incoming = read_request(&self.stream, buffer, &self.shared).await?;
+            buffer = std::mem::take(&mut incoming.leftover);
+            let next = self.answer(incoming, handler).await;
             drop(in_flight);
             if next == Next::Close {
                 return Ok(());
@@ -91,20 +91,20 @@
     }
 
     /// Runs the handler and writes its response.
-    async fn answer<Handler, Answer>(&self, whole: WholeRequest, handler: &Handler) -> Next
+    async fn answer<Handler, Answer>(&self, incoming: BufferedRequest, handler: &Handler) -> Next
     where
         Handler: Fn(Request) -> Answer,
         Answer: Future<Output = Response>,
     {
         self.shared.requests.fetch_add(1, Ordering::Relaxed);
-        let mut request = whole.request;
+        let mut request = incoming.request;
         let method = request.method();
-        let keep_alive = whole.reusable && !wants_close(request.header(CONNECTION));
+        let keep_alive = incoming.reusable && !wants_close(request.header(CONNECTION));
         let (guard, presence) = ClientPresence::new();
-        // Held here too: the channel also closes once every receiver is gone.
+        // Keep a clone here, since the channel also closes when all receivers are dropped.
         request.ext_mut().insert(presence.clone());
         let mut response = self.watch_client(&guard, handler(request)).await;
-        drop(whole.memory);
+        drop(incoming.memory);
         if presence.is_gone() {
             self.shared.aborted.fetch_add(1, Ordering::Relaxed);
             return Next::Close;
@@ -124,7 +124,7 @@
         }
     }
 
-    /// Waits for the handler and tells it through `guard` when the client goes.
+    /// Waits for the handler, and closes `guard` when the client disconnects meanwhile.
     async fn watch_client(
         &self,
         guard: &Sender<()>,
@@ -138,7 +138,7 @@
         future::or(answer, watch).await
     }
 
-    /// Writes a response whole.
+    /// Writes a complete response.
     async fn write(
         &self,
         mut response: Response,
@@ -150,7 +150,7 @@
         write_response(&self.stream, encoder, limit, peer_closed(&self.stream)).await
     }
 
-    /// Tells the client why its request was not taken, then closes.
+    /// Sends the reason of the rejection to the client, then closes the connection.
     async fn reject(&self, rejection: &Rejection) {
         let Some(mut response) = rejection.response() else {
             return;
@@ -159,14 +159,14 @@
         response.insert_header(CONNECTION, CLOSE);
         let encoder = Encoder::new(response, Method::Get);
         let limit = self.shared.limits.write_timeout;
-        // A client that closed its sending side may still read why.
+        // A client that closed its sending side may still read the response.
         let written = write_response(&self.stream, encoder, limit, future::pending()).await;
         if written.is_ok() {
             self.linger().await;
         }
     }
 
-    /// Closes the sending side and throws away what still comes.
+    /// Closes the sending side and discards the bytes that still arrive.
     async fn linger(&self) {
         if self.stream.get_ref().shutdown(Shutdown::Write).is_err() {
             return;
@@ -181,11 +181,11 @@
                 }
             }
         };
-        within(LINGER, discard).await;
+        with_timeout(LINGER, discard).await;
     }
 }
 
-/// Whether a `Connection` header asks to close.
+/// Whether a `Connection` header requests a close.
 fn wants_close(header: Option<&http_types::headers::HeaderValues>) -> bool {
     header.is_some_and(|values| values.last().as_str().eq_ignore_ascii_case(CLOSE))
 }
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -1,4 +1,4 @@
-//! Values of a settings file: how each type is read and shown.
+//! Types of values in a settings file, and how they are parsed and displayed.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::PathBuf;
@@ -14,13 +14,13 @@
 
 /// A type that a settings file can hold.
 pub(crate) trait Value: Sized {
-    /// What the file should hold, for messages.
+    /// Description of the expected value, for messages.
     const EXPECTED: &'static str;
 
-    /// Reads it; the error says in a sentence what is wrong.
+    /// Parses the value; the error is one sentence that describes the problem.
     fn read(value: &DeValue<'_>) -> Result<Self, String>;
 
-    /// As the file writes it, for messages.
+    /// Formats the value as in a settings file, for messages.
     fn show(&self) -> String;
 }
 
@@ -32,7 +32,7 @@
     value.as_str().ok_or_else(|| wrong_type::<T>(value))
 }
 
-fn named<T: Value + std::str::FromStr>(value: &DeValue<'_>) -> Result<T, String> {
+fn parse_text<T: Value + std::str::FromStr>(value: &DeValue<'_>) -> Result<T, String> {
     let text = text_of::<T>(value)?;
     text.parse()
         .map_err(|_| format!("expected {}, found {text:?}", T::EXPECTED))
@@ -124,7 +124,7 @@
     const EXPECTED: &'static str = "an IPv4 address, such as \"127.0.0.1\"";
 
     fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        named(value)
+        parse_text(value)
     }
 
     fn show(&self) -> String {
@@ -136,7 +136,7 @@
     const EXPECTED: &'static str = "\"gateway\", \"control\" or \"store\"";
 
     fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        named(value)
+        parse_text(value)
     }
 
     fn show(&self) -> String {
@@ -177,7 +177,7 @@
     const EXPECTED: &'static str = "an IP address and port, such as \"127.0.0.1:7780\"";
 
     fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        named(value)
+        parse_text(value)
     }
 
     fn show(&self) -> String {
@@ -232,7 +232,7 @@
     const EXPECTED: &'static str = "one of \"error\", \"warning\", \"info\", \"debug\"";
 
     fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        named(value)
+        parse_text(value)
     }
 
     fn show(&self) -> String {
@@ -244,7 +244,7 @@
     const EXPECTED: &'static str = "one of \"terminal\", \"json\"";
 
     fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        named(value)
+        parse_text(value)
     }
 
     fn show(&self) -> String {
@@ -269,7 +269,7 @@
     const EXPECTED: &'static str = "one of \"on-arrival\", \"engine-priority-only\", \"none\"";
 
     fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        named(value)
+        parse_text(value)
     }
 
     fn show(&self) -> String {
@@ -296,7 +296,7 @@
         "one of \"affinity\", \"better-of-two\", \"round-robin\", \"least-reported\"";
 
     fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        named(value)
+        parse_text(value)
     }
 
     fn show(&self) -> String {
@@ -316,7 +316,7 @@
     }
 }
 
-/// The roles of a node: a list of names without doubles.
+/// The roles of a node: a list of names without duplicates.
 impl Value for Vec<Role> {
     const EXPECTED: &'static str = "a list of \"gateway\", \"replica\" or both";
 
--- a/crates/wire/src/client/task.rs
+++ b/crates/wire/src/client/task.rs
@@ -1,4 +1,4 @@
-//! The background task of a client: connects, and pauses after failures.
+//! Background task of a client: connects, and backs off after failures.
 
 use std::net::TcpStream;
 use std::sync::Arc;
@@ -11,9 +11,9 @@
 use super::Shared;
 use super::connection::run_connection;
 use crate::backoff::Backoff;
-use crate::net::within;
+use crate::net::with_timeout;
 
-/// Serves the queue until the client is dropped.
+/// Runs until the client is dropped.
 pub(crate) async fn run(shared: Arc<Shared>, ended: Receiver<()>, seed: u64) {
     let client_dropped = async {
         let _closed = ended.recv().await;
@@ -23,18 +23,18 @@
     shared.outgoing.close_unreachable();
 }
 
-/// Connects whenever there is something to send.
+/// Connects when there is something to send, and serves the connection.
 async fn serve(shared: &Shared, seed: u64) {
     let limits = &shared.limits;
     let mut backoff = Backoff::new(limits.first_pause, limits.longest_pause, seed);
     loop {
         shared.outgoing.wait().await;
-        let was_useful = match connect(shared).await {
+        let succeeded = match connect(shared).await {
             Some(stream) => {
-                let was_useful = run_connection(shared, &stream).await;
+                let succeeded = run_connection(shared, &stream).await;
                 shared.calls.fail_written();
                 shared.outgoing.clear_control();
-                was_useful
+                succeeded
             }
             None => {
                 shared
@@ -44,16 +44,17 @@
                 false
             }
         };
-        if was_useful {
+        if succeeded {
             backoff.reset();
         } else {
-            pause(shared, &mut backoff).await;
+            back_off(shared, &mut backoff).await;
         }
     }
 }
 
-/// Refuses everything for a while, so that nobody waits for a lost peer.
-async fn pause(shared: &Shared, backoff: &mut Backoff) {
+/// Rejects calls and messages during the backoff, so that no caller waits for an
+/// unreachable peer.
+async fn back_off(shared: &Shared, backoff: &mut Backoff) {
     let dropped = shared.outgoing.close_unreachable();
     shared
         .counters
@@ -63,10 +64,10 @@
     shared.outgoing.reopen();
 }
 
-/// Opens a connection, or `None` when the peer cannot be reached.
+/// Opens a connection; returns `None` when the peer cannot be reached.
 async fn connect(shared: &Shared) -> Option<Async<TcpStream>> {
     let connecting = Async::<TcpStream>::connect(shared.address);
-    let stream = within(shared.limits.connect_timeout, connecting)
+    let stream = with_timeout(shared.limits.connect_timeout, connecting)
         .await?
         .ok()?;
     stream.get_ref().set_nodelay(true).ok()?;
--- a/crates/wire/tests/transport.rs
+++ b/crates/wire/tests/transport.rs
@@ -1,4 +1,4 @@
-//! The client and the server against each other.
+//! Tests of the client against the server.
 
 mod common;
 
@@ -36,7 +36,7 @@
 fn answers_may_come_in_any_order() {
     let executor = Arc::new(Executor::new());
     let handler = TestHandler::default();
-    let gate = handler.gate.clone();
+    let release = handler.release.clone();
     let server = start(&executor, handler, ServerLimits::default());
     let client = Client::new(&executor, server.address, ClientLimits::default(), 1);
     block_on(executor.run(async {
@@ -46,7 +46,7 @@
         });
         let quick = client.call(heartbeat(7), LONG).await.unwrap();
         assert_eq!(quick, status_of(7));
-        gate.send(()).await.unwrap();
+        release.send(()).await.unwrap();
         assert_eq!(slow.await.unwrap(), Response::Acknowledged);
     }));
 }
@@ -71,7 +71,8 @@
 #[test]
 fn a_call_that_was_not_written_is_not_sent() {
     let executor = Arc::new(Executor::new());
-    // A bound port that nobody accepts on would take bytes; a closed one refuses.
+    // A bound port without accept would still take bytes; a closed port refuses the
+    // connection.
     let closed = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = closed.local_addr().unwrap();
     drop(closed);
@@ -121,7 +122,7 @@
 }
 
 #[test]
-fn a_client_comes_back_after_its_peer_restarted() {
+fn a_client_reconnects_after_its_peer_restarted() {
     let executor = Arc::new(Executor::new());
     let server = start(&executor, TestHandler::default(), ServerLimits::default());
     let client = Client::new(&executor, server.address, ClientLimits::default(), 1);
@@ -149,7 +150,7 @@
             let client = client.clone();
             async move { client.call(Request::Status, LONG).await }
         });
-        // The answer to a later call proves that the first one was written.
+        // The response to a later call proves that the first call was written.
         client.call(heartbeat(2), LONG).await.unwrap();
         server.handle.stop();
         let error = waiting.await.unwrap_err();
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn a_full_queue_drops_as_its_policy_says() {
+fn a_full_queue_drops_according_to_its_policy() {
     for (policy, kept) in [(DropPolicy::Oldest, [2, 3]), (DropPolicy::Newest, [0, 1])] {
         let executor = Arc::new(Executor::new());
         let handler = TestHandler::default();
@@ -185,9 +186,10 @@
 }
 
 #[test]
-fn a_silent_peer_is_given_up() {
+fn a_silent_peer_is_disconnected() {
     let executor = Arc::new(Executor::new());
-    // Takes the connection and never answers, as behind a cut that nobody sees.
+    // Accepts the connection but never answers, like a peer behind an undetected
+    // network partition.
     let silent = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = silent.local_addr().unwrap();
     let limits = ClientLimits {
