--- a/crates/state/src/batch/job.rs
+++ b/crates/state/src/batch/job.rs
@@ -1,4 +1,4 @@
-//! A job and its items.
+//! Batch jobs and their items.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 use crate::codec::{decode, encode};
 use crate::payload::{PayloadError, PayloadLocation, PayloadLog};
 
-/// A request that is run for a job.
+/// A request of a batch job.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct BatchItem {
-    /// Identifier that the caller chose.
+    /// Identifier chosen by the caller.
     #[n(0)]
     pub id: String,
     /// Path of the request.
@@ -25,41 +25,41 @@
     /// Body of the request.
     #[n(3)]
     pub body: ByteVec,
-    /// Tokens of the prompt and the most that are generated.
+    /// Number of prompt tokens plus the maximum number of generated tokens.
     #[n(4)]
     pub tokens: u64,
 }
 
-/// Tokens of one item that count at the most. A declared number has no bound;
-/// with this one all sums are exact.
+/// Maximum number of tokens counted for one item. The declared number is unbounded; this
+/// cap keeps all sums exact.
 const MOST_TOKENS: u64 = 1 << 40;
 
 impl BatchItem {
-    /// Its tokens as they count against limits.
+    /// Returns the number of tokens that count against limits.
     #[must_use]
     pub fn counted_tokens(&self) -> u64 {
         self.tokens.min(MOST_TOKENS)
     }
 }
 
-/// How far runs of an item came, as far as it is kept. Another run goes on
-/// behind it when a gateway is lost.
+/// Stored progress of the runs of an item. If a gateway is lost, another run resumes from
+/// it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct ItemProgress {
-    /// Number of the last event that is kept.
+    /// Number of the last stored event.
     #[n(0)]
     pub last_event: Option<u64>,
-    /// Data of the events so far in pieces, with line feeds between them.
+    /// Data of the stored events in pieces; events are separated by line feeds.
     #[n(1)]
     pub pieces: Vec<PackedText>,
-    /// The run that made the last event.
+    /// Run that produced the last event.
     #[n(2)]
     #[cbor(default)]
     pub run: RunId,
 }
 
 impl ItemProgress {
-    /// How far it goes; `None` when nothing is kept.
+    /// Returns the stored progress, or `None` if nothing is stored.
     #[must_use]
     pub fn mark(&self) -> Option<Mark> {
         let run = self.run;
@@ -67,43 +67,43 @@
     }
 }
 
-/// What became of an item.
+/// Outcome of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ItemOutcome {
-    /// It ran to its end.
+    /// The item completed.
     #[n(0)]
     Completed {
-        /// Its whole output.
+        /// Complete output.
         #[n(0)]
         text: PackedText,
     },
-    /// It was given up.
+    /// The item was given up without an answer.
     #[n(1)]
     DeadLettered,
 }
 
-/// An outcome as a replica keeps it. Outputs lie in its payload log: in memory they would
-/// take as much as all jobs together made in the time for which these are kept.
+/// An outcome as stored by a replica. Outputs are stored in the payload log: in memory they
+/// would take as much space as the output of all jobs within their retention time.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(super) enum KeptOutcome {
-    /// It ran to its end, and its output is in memory: until it is logged, and in
-    /// snapshots of before there was a log.
+    /// The item completed and its output is in memory: before it is moved to the log, and
+    /// in snapshots written before the log existed.
     #[n(0)]
     Completed {
-        /// Its whole output.
+        /// Complete output.
         #[n(0)]
         text: PackedText,
     },
-    /// It was given up.
+    /// The item was given up without an answer.
     #[n(1)]
     DeadLettered,
-    /// It ran to its end, and its output is in the payload log.
+    /// The item completed and its output is in the payload log.
     #[n(2)]
     Logged {
-        /// Length of the output in bytes.
+        /// Length of the uncompressed output in bytes.
         #[n(0)]
         length: u64,
-        /// Where the packed output lies in the log of this replica.
+        /// Location of the compressed output in the log of this replica.
         #[n(1)]
         at: PayloadLocation,
     },
@@ -117,7 +117,7 @@
         }
     }
 
-    /// Length of the output in bytes.
+    /// Length of the uncompressed output in bytes.
     pub fn length(&self) -> u64 {
         match self {
             Self::Completed { text } => text.length(),
@@ -126,10 +126,10 @@
         }
     }
 
-    /// The outcome with its output.
+    /// Returns the outcome with its output.
     ///
     /// # Errors
-    /// When the log does not give it.
+    /// Fails if the output cannot be read from the log.
     pub fn read(&self, payloads: &dyn PayloadLog) -> Result<ItemOutcome, PayloadError> {
         match self {
             Self::Completed { text } => Ok(ItemOutcome::Completed { text: text.clone() }),
@@ -154,15 +154,16 @@
     }
 }
 
-/// Names a job among all. Tenants choose identifiers without knowing of each
-/// other, so that two may choose the same one.
+/// Unique key of a job. Tenants choose identifiers independently, so two tenants may choose
+/// the same one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 #[cbor(transparent)]
 pub(super) struct JobName(#[n(0)] String);
 
 impl JobName {
-    /// Of a job of `tenant`. Without one it is the identifier itself, as in
-    /// snapshots from before there were tenants. No header has a line feed in it.
+    /// Creates the key of a job of `tenant`. Without a tenant it is the identifier itself,
+    /// as in snapshots written before tenants existed. The separator is unambiguous because
+    /// headers cannot contain a line feed.
     pub fn new(tenant: Option<&str>, id: &str) -> Self {
         match tenant {
             Some(tenant) => Self(format!("{tenant}\n{id}")),
@@ -171,44 +172,43 @@
     }
 }
 
-/// A job, with the outcomes of its items.
+/// A batch job with the outcomes of its items.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct BatchJob {
-    /// Identifier that the caller chose.
+    /// Identifier chosen by the caller.
     #[n(0)]
     pub id: String,
-    /// Host of its route.
+    /// Host of the route.
     #[n(1)]
     pub host: String,
-    /// Path that it was sent to.
+    /// Path of the request.
     #[n(2)]
     pub path: String,
-    /// Milliseconds since 1970 at the gateway that took it first.
+    /// Submission time at the first gateway, in milliseconds since 1970.
     #[n(3)]
     pub submitted_ms: u64,
     /// Items.
     #[n(4)]
     pub items: Vec<BatchItem>,
-    /// Outcome of each item, once there is one.
+    /// Outcome of each item; `None` while it is open.
     #[n(5)]
     pub(super) outcomes: Vec<Option<KeptOutcome>>,
-    /// Places of the items in the order in which their outcomes were recorded.
+    /// Indexes of the items in the order in which their outcomes were recorded.
     #[n(6)]
     pub listed: Vec<u32>,
-    /// Whether the caller ended it.
+    /// Whether the caller ended the job.
     #[n(7)]
     pub ended: bool,
-    /// How far items without an outcome came, by their places.
+    /// Stored progress of items without an outcome, by item index.
     #[n(8)]
     pub progress: BTreeMap<u32, ItemProgress>,
-    /// Milliseconds since 1970 by which all of it is to be done, if its route
-    /// says.
+    /// Completion deadline in milliseconds since 1970, if the route has one.
     #[n(9)]
     pub due_ms: Option<u64>,
-    /// Whose waiting tokens are counted together: its tenant and route.
+    /// Queue whose waiting tokens are counted together, derived from tenant and route.
     #[n(10)]
     pub queue: String,
-    /// Tenant whose job it is, where there are tenants.
+    /// Tenant that owns the job, if tenants are configured.
     #[n(11)]
     pub tenant: Option<String>,
 }
@@ -218,13 +218,13 @@
         JobName::new(self.tenant.as_deref(), &self.id)
     }
 
-    /// Whether items are left to run.
+    /// Whether any item still has to run.
     #[must_use]
     pub fn is_open(&self) -> bool {
         !self.ended && self.listed.len() < self.items.len()
     }
 
-    /// Tokens of the items that wait for an outcome; none of an ended job.
+    /// Returns the number of tokens of items without an outcome; 0 for an ended job.
     pub(super) fn waiting_tokens(&self) -> u64 {
         let places = self.open_places();
         places
@@ -232,8 +232,8 @@
             .sum()
     }
 
-    /// Records an outcome unless there is one. Gives the tokens that wait no more;
-    /// those of an ended job did not.
+    /// Records an outcome unless the item already has one. Returns the number of tokens
+    /// that stop waiting; 0 for an ended job, whose tokens were not waiting.
     pub(super) fn record(&mut self, place: u32, outcome: &ItemOutcome) -> u64 {
         let Some(slot) = self.outcomes.get_mut(place as usize) else {
             return 0;
@@ -242,7 +242,7 @@
             return 0;
         }
         *slot = Some(KeptOutcome::of(outcome));
-        // Only items without an outcome run, and only their bodies are asked for.
+        // Headers and body are only needed until the item has an outcome.
         let item = &mut self.items[place as usize];
         item.headers = Vec::new();
         item.body = Vec::new().into();
@@ -267,7 +267,7 @@
         }
     }
 
-    /// Where the first of its outputs lies in the log.
+    /// Returns the lowest log offset of its outputs.
     pub(super) fn oldest_payload(&self) -> Option<u64> {
         let kept = self.outcomes.iter().flatten();
         let offsets = kept.filter_map(|kept| match kept {
@@ -277,7 +277,7 @@
         offsets.min()
     }
 
-    /// Where its outputs lie in the log.
+    /// Iterates over the log locations of its outputs.
     pub(super) fn locations(&mut self) -> impl Iterator<Item = &mut PayloadLocation> {
         let kept = self.outcomes.iter_mut().flatten();
         kept.filter_map(|kept| match kept {
@@ -286,17 +286,18 @@
         })
     }
 
-    /// Keeps what a run has made, unless the item has an outcome. What does not
-    /// follow on what is kept comes from another run, and counts only if it is
-    /// whole and goes further. Says how far the item is kept then.
+    /// Stores the output of a run unless the item has an outcome. A checkpoint that does
+    /// not continue the stored progress comes from another run; it replaces the progress
+    /// only if it starts at the first event and ends at a later one. Returns the stored
+    /// progress afterwards.
     pub(super) fn keep(&mut self, checkpoint: &ItemCheckpoint) -> Option<Mark> {
         let place = checkpoint.item.place;
         self.outcomes
             .get(place as usize)
             .filter(|outcome| outcome.is_none())?;
         let kept = self.progress.get(&place).and_then(|kept| kept.last_event);
-        // Each number is reached by one run alone, since what is kept only grows,
-        // and only whoever heard that its own events are kept follows on them.
+        // Each event number is stored by only one run, since stored progress only grows,
+        // and a run only continues it after confirmation that its own events are stored.
         let follows = checkpoint.after == kept;
         let goes_further = kept.is_none_or(|kept| checkpoint.last_event > kept);
         if goes_further && (follows || checkpoint.after.is_none()) {
@@ -311,7 +312,7 @@
         self.progress.get(&place).and_then(ItemProgress::mark)
     }
 
-    /// Places of items without an outcome.
+    /// Iterates over the indexes of items that still have to run.
     pub(super) fn open_places(&self) -> impl Iterator<Item = u32> {
         let open = !self.ended;
         let places = (0u32..).zip(&self.outcomes);
--- a/crates/state/src/batch/machine.rs
+++ b/crates/state/src/batch/machine.rs
@@ -16,42 +16,41 @@
 use crate::payload::{MemoryPayloadLog, PayloadError, PayloadLog};
 use crate::snapshot;
 
-/// Replicated batch jobs.
+/// State machine of batch jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct BatchMachine {
-    /// Jobs by the number of their acceptance.
+    /// Jobs by number, in the order of acceptance.
     #[n(0)]
     jobs: BTreeMap<u64, BatchJob>,
-    /// Numbers by the names of the jobs.
+    /// Job numbers by job key.
     #[n(1)]
     numbers: BTreeMap<JobName, u64>,
     /// Number of the latest job.
     #[n(2)]
     last: u64,
-    /// Commands that changed what is open.
+    /// Number of commands that changed open items.
     #[n(3)]
     revision: u64,
-    /// Tokens that wait, by queue. Always what the jobs of the queue have
-    /// waiting together.
+    /// Waiting tokens by queue; always equal to the sum over the jobs of the queue.
     #[n(4)]
     waiting: QueuedTokens,
 }
 
 impl BatchMachine {
-    /// An empty machine.
+    /// Creates an empty machine.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Tokens of items without an outcome that wait in a queue; those of ended
+    /// Returns the number of tokens of items without an outcome in a queue; items of ended
     /// jobs do not count.
     #[must_use]
     pub fn queued_tokens(&self, queue: &str) -> u64 {
         self.waiting.of(queue)
     }
 
-    /// Rises with every change of the open items or of what is there of them.
+    /// Returns a number that increases with every change of open items or their progress.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
@@ -68,11 +67,11 @@
         }
     }
 
-    /// Applies a committed command, and moves outputs that it recorded to the payload log.
-    /// The log is this replica's own: others may have them at other places.
+    /// Applies a committed command and moves recorded outputs to the payload log. The log
+    /// is local to this replica: other replicas may store the outputs at other offsets.
     ///
     /// # Errors
-    /// When the payload log fails.
+    /// Fails if the payload log fails.
     pub fn apply_logged(
         &mut self,
         command: &BatchCommand,
@@ -89,7 +88,8 @@
         Ok(reply)
     }
 
-    /// Where the first output lies that is still needed; `None` when the log holds none.
+    /// Returns the offset of the oldest output that is still needed, or `None` if there is
+    /// none in the log.
     #[must_use]
     pub fn oldest_payload(&self) -> Option<u64> {
         let jobs = self.jobs.values();
@@ -97,7 +97,8 @@
         offsets.min()
     }
 
-    /// The log of another replica was copied, with what lay at `from` at `to` now.
+    /// Adjusts output locations after the log of another replica was copied so that offset
+    /// `from` became `to`.
     pub fn move_payloads(&mut self, from: u64, to: u64) {
         let locations = self.jobs.values_mut().flat_map(BatchJob::locations);
         for location in locations {
@@ -180,13 +181,13 @@
         }
     }
 
-    /// Answers a read of a machine whose outputs are all in memory.
+    /// Answers a query on a machine whose outputs are all in memory.
     #[must_use]
     pub fn query(&self, query: &BatchQuery) -> BatchAnswer {
         self.query_logged(query, &MemoryPayloadLog::default())
     }
 
-    /// Answers a read.
+    /// Answers a query.
     #[must_use]
     pub fn query_logged(&self, query: &BatchQuery, payloads: &dyn PayloadLog) -> BatchAnswer {
         match query {
@@ -273,16 +274,16 @@
         })
     }
 
-    /// The machine as bytes.
+    /// Encodes the machine.
     #[must_use]
     pub fn snapshot(&self) -> Vec<u8> {
         snapshot::write(self)
     }
 
-    /// Reads a snapshot.
+    /// Restores a machine from the bytes of [`Self::snapshot`].
     ///
     /// # Errors
-    /// When the bytes are damaged or of another format.
+    /// Fails if the bytes are damaged or have another format.
     pub fn restore(bytes: &[u8]) -> Result<Self, StateError> {
         snapshot::read(bytes)
     }
@@ -315,8 +316,8 @@
     })
 }
 
-/// The body of an item without an outcome. An ended job still gives it, since
-/// the caller of the end may not have heard of it yet.
+/// Returns the body of an item without an outcome. It is also available for an ended job,
+/// since the caller may not have received the reply to the end yet.
 fn body(job: &BatchJob, id: &str) -> Option<Vec<u8>> {
     let place = job.items.iter().position(|item| item.id == id)?;
     let open = job.outcomes[place].is_none();
--- a/crates/state/src/batch/mod.rs
+++ b/crates/state/src/batch/mod.rs
@@ -1,9 +1,8 @@
-//! Batch jobs whose results have positions: the first result that was recorded
-//! stands at position 0, the next at 1, for good and at every node.
+//! Batch jobs with ordered results: the first recorded result is at position 0, the next at
+//! 1, permanently and on every node.
 //!
-//! Which gateway runs an item is not part of this state: the leader hands items
-//! out from memory. The first outcome recorded of an item wins, so a second run
-//! of it changes nothing.
+//! The assignment of items to gateways is not replicated: the leader keeps it in memory.
+//! The first recorded outcome of an item wins, so a second run of the item changes nothing.
 
 mod command;
 mod job;
--- a/crates/state/src/batch/output.rs
+++ b/crates/state/src/batch/output.rs
@@ -1,5 +1,5 @@
-//! The output of an item at the gateway that runs it, and how much of it the
-//! batch group keeps.
+//! Output of an item at the gateway that runs it, and tracking of the part that the batch
+//! group has stored.
 
 use super::command::{ItemCheckpoint, ItemReference, Mark, RunId};
 use super::job::ItemProgress;
@@ -7,21 +7,21 @@
 
 /// The output of an item so far.
 ///
-/// What [`Output::checkpoint`] gives may be committed late or although the gateway
-/// never hears of it, and another gateway may have kept more. Whenever the batch
-/// group may keep something else than this one believes, the next checkpoint is
-/// whole: it is taken whatever is kept by then.
+/// A checkpoint from [`Output::checkpoint`] may be committed late or without the gateway
+/// receiving the reply, and another gateway may have stored more. If the stored progress
+/// may differ from the expected one, the next checkpoint contains the whole output, which
+/// does not depend on what is stored.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Output {
     run: RunId,
     last_event: Option<u64>,
-    /// Data of the events in order; what came back from the batch group stands
-    /// in pieces of several events.
+    /// Data of the events in order. Data restored from the batch group is in pieces of
+    /// several events each.
     data: Vec<String>,
     kept: Kept,
 }
 
-/// The part of an output, from its beginning, that the batch group keeps.
+/// The prefix of an output that the batch group has stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Kept {
     mark: Option<Mark>,
@@ -29,7 +29,7 @@
 }
 
 impl Output {
-    /// Nothing yet, of a run that begins with the first event.
+    /// Creates an empty output of a run that starts at the first event.
     #[must_use]
     pub fn begin(run: RunId) -> Self {
         Self {
@@ -40,8 +40,8 @@
         }
     }
 
-    /// What the batch group keeps of an earlier run, behind which `run` goes on.
-    /// Nothing when it cannot be read: then the item runs anew.
+    /// Restores the stored output of an earlier run, which `run` resumes. The output is
+    /// empty if the stored data cannot be decoded; the item then runs from the start.
     #[must_use]
     pub fn resume(progress: &ItemProgress, run: RunId) -> Self {
         let data: Option<Vec<String>> = progress.pieces.iter().map(PackedText::unpack).collect();
@@ -60,26 +60,26 @@
         }
     }
 
-    /// Number of the last event that is there; a run goes on behind it.
+    /// Returns the number of the last event; a run resumes after it.
     #[must_use]
     pub fn last_event(&self) -> Option<u64> {
         self.last_event
     }
 
-    /// Takes an event in.
+    /// Appends an event.
     pub fn push(&mut self, id: Option<u64>, data: String) {
         self.last_event = id.or(self.last_event);
         self.data.push(data);
     }
 
-    /// The whole output.
+    /// Returns the whole output.
     #[must_use]
     pub fn text(&self) -> PackedText {
         PackedText::pack(&self.data.join("\n"))
     }
 
-    /// What the batch group does not keep yet, and what it keeps with it; `None`
-    /// when it keeps everything.
+    /// Returns a checkpoint of the output that the batch group has not stored yet, and the
+    /// stored prefix after it is committed; `None` if everything is stored.
     #[must_use]
     pub fn checkpoint(&self, item: ItemReference) -> Option<(ItemCheckpoint, Kept)> {
         let last_event = self.last_event?;
@@ -102,8 +102,8 @@
         Some((checkpoint, kept))
     }
 
-    /// The batch group took a checkpoint in that would make it keep `kept`, and
-    /// answers how far it does keep the item.
+    /// Records the reply to a checkpoint: `kept` is the expected prefix, `mark` the
+    /// progress that the batch group reports.
     pub fn note_kept(&mut self, kept: Kept, mark: Option<Mark>) {
         match mark == kept.mark {
             true => self.kept = kept,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// It is not known what the batch group keeps.
+    /// Resets the stored prefix when it is unknown what the batch group has stored.
     pub fn forget_kept(&mut self) {
         self.kept = Kept::default();
     }
--- a/crates/state/src/batch/packed.rs
+++ b/crates/state/src/batch/packed.rs
@@ -1,5 +1,5 @@
-//! Output of items, kept packed: it is in memory on every replica, in the log
-//! and on its way between zones.
+//! Compressed output of items. It is compressed because it is held in memory on every
+//! replica, written to the log and sent between zones.
 
 use std::io::{Read, Write};
 
@@ -9,19 +9,19 @@
 use minicbor::bytes::ByteVec;
 use minicbor::{Decode, Encode};
 
-/// A text, packed.
+/// A compressed text.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct PackedText {
-    /// Length of the text in bytes.
+    /// Length of the uncompressed text in bytes.
     #[n(0)]
     length: u64,
-    /// The text, deflated.
+    /// The text, compressed with DEFLATE.
     #[n(1)]
     deflated: ByteVec,
 }
 
 impl PackedText {
-    /// Packs a text.
+    /// Compresses a text.
     #[must_use]
     pub fn pack(text: &str) -> Self {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
@@ -35,17 +35,17 @@
         }
     }
 
-    /// The text; `None` when the bytes are damaged.
+    /// Decompresses the text; `None` if the bytes are damaged.
     #[must_use]
     pub fn unpack(&self) -> Option<String> {
         let mut text = String::new();
-        // No more is read than the text has, whatever the bytes unpack to.
+        // Limits the decompressed size, even if damaged bytes decompress to more.
         let mut decoder = DeflateDecoder::new(self.deflated.as_slice()).take(self.length + 1);
         decoder.read_to_string(&mut text).ok()?;
         (text.len() as u64 == self.length).then_some(text)
     }
 
-    /// Length of the text in bytes.
+    /// Length of the uncompressed text in bytes.
     #[must_use]
     pub fn length(&self) -> u64 {
         self.length
--- a/crates/state/src/batch/query.rs
+++ b/crates/state/src/batch/query.rs
@@ -1,4 +1,4 @@
-//! Reads of the batch group.
+//! Read queries of the batch group.
 
 use std::collections::BTreeSet;
 
@@ -8,26 +8,26 @@
 use super::command::ItemReference;
 use super::job::{BatchItem, ItemOutcome, ItemProgress};
 
-/// A read of the batch group.
+/// A read query of the batch group.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum BatchQuery {
-    /// Results of a job from a position on.
+    /// Results of a job, starting at a position.
     #[n(0)]
     Results {
         /// Identifier of the job.
         #[n(0)]
         id: String,
-        /// First position.
+        /// Position of the first result.
         #[n(1)]
         after: u32,
-        /// Bytes of output at the most, except that one result is given.
+        /// Maximum total output in bytes; at least one result is returned.
         #[n(2)]
         max_bytes: u64,
-        /// Tenant whose job it is.
+        /// Tenant that owns the job.
         #[n(3)]
         tenant: Option<String>,
     },
-    /// The body of an item that is not listed yet.
+    /// Body of an item without an outcome.
     #[n(1)]
     Body {
         /// Identifier of the job.
@@ -36,101 +36,101 @@
         /// Identifier of the item.
         #[n(1)]
         item: String,
-        /// Tenant whose job it is.
+        /// Tenant that owns the job.
         #[n(2)]
         tenant: Option<String>,
     },
-    /// Items without an outcome, of the oldest jobs first.
+    /// Items without an outcome, oldest job first.
     #[n(2)]
     Open {
-        /// Most items.
+        /// Maximum number of items.
         #[n(0)]
         limit: u32,
     },
-    /// What is needed to run some items.
+    /// Requests and progress needed to run items.
     #[n(3)]
     Items {
-        /// They.
+        /// Items.
         #[n(0)]
         items: Vec<ItemReference>,
     },
-    /// Jobs, with the time when they were submitted.
+    /// Job numbers with their submission times.
     #[n(4)]
     Ages,
 }
 
-/// A result at its position.
+/// A result in the ordered list of results.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ListedResult {
     /// Identifier of the item.
     #[n(0)]
     pub id: String,
-    /// What became of it.
+    /// Outcome of the item.
     #[n(1)]
     pub outcome: ItemOutcome,
 }
 
-/// Results of a job.
+/// A page of results.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ResultPage {
-    /// Items of the job.
+    /// Total number of items of the job.
     #[n(0)]
     pub total: u32,
-    /// Results, the first at the position that was asked for.
+    /// Results, starting at the requested position.
     #[n(1)]
     pub results: Vec<ListedResult>,
 }
 
-/// An item without an outcome.
+/// An item that still has to run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct OpenItem {
     /// Item.
     #[n(0)]
     pub item: ItemReference,
-    /// Tokens of the prompt and the most that are generated.
+    /// Number of prompt tokens plus the maximum number of generated tokens.
     #[n(1)]
     pub tokens: u64,
-    /// Milliseconds since 1970 by which it is to be done.
+    /// Completion deadline in milliseconds since 1970, if there is one.
     #[n(2)]
     pub due_ms: Option<u64>,
 }
 
-/// Items that may be run.
+/// Items that still have to run.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct OpenWork {
-    /// They, of the oldest jobs first.
+    /// Items, oldest job first.
     #[n(0)]
     pub items: Vec<OpenItem>,
-    /// Numbers of all jobs that are open.
+    /// Numbers of all open jobs.
     #[n(1)]
     pub jobs: BTreeSet<u64>,
 }
 
-/// An item with what is needed to run it.
+/// An item with everything needed to run it.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ItemToRun {
-    /// Which one.
+    /// Identifies the item.
     #[n(0)]
     pub reference: ItemReference,
-    /// Host of its job's route.
+    /// Host of the job's route.
     #[n(1)]
     pub host: String,
-    /// Path of its job's route.
+    /// Path that the job was submitted to.
     #[n(2)]
     pub job_path: String,
-    /// Milliseconds since 1970 when its job was taken.
+    /// Submission time of the job, in milliseconds since 1970.
     #[n(3)]
     pub submitted_ms: u64,
-    /// The request.
+    /// Request to run.
     #[n(4)]
     pub item: BatchItem,
-    /// How far an earlier run came.
+    /// Stored progress of earlier runs.
     #[n(5)]
     pub progress: ItemProgress,
-    /// Milliseconds since 1970 by which it is to be done.
+    /// Completion deadline in milliseconds since 1970, if there is one.
     #[n(6)]
     pub due_ms: Option<u64>,
-    /// Tenant whose job it is.
+    /// Tenant that owns the job.
     #[n(7)]
     pub tenant: Option<String>,
 }
@@ -138,29 +138,29 @@
 /// Answer to a [`BatchQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum BatchAnswer {
-    /// To [`BatchQuery::Results`]; `None` when there is no such job.
+    /// Answer to [`BatchQuery::Results`]; `None` if the job does not exist.
     #[n(0)]
     Results(#[n(0)] Option<ResultPage>),
-    /// To [`BatchQuery::Body`]; `None` when there is none.
+    /// Answer to [`BatchQuery::Body`]; `None` if there is no such open item.
     #[n(1)]
     Body(#[n(0)] Option<ByteVec>),
-    /// To [`BatchQuery::Open`].
+    /// Answer to [`BatchQuery::Open`].
     #[n(2)]
     Open(#[n(0)] OpenWork),
-    /// To [`BatchQuery::Items`]; those that have an outcome are left out.
+    /// Answer to [`BatchQuery::Items`]; items that no longer have to run are omitted.
     #[n(3)]
     Items(#[n(0)] Vec<ItemToRun>),
-    /// To [`BatchQuery::Ages`].
+    /// Answer to [`BatchQuery::Ages`].
     #[n(4)]
     Ages(#[n(0)] Vec<(u64, u64)>),
-    /// The query's bytes could not be read.
+    /// The query could not be decoded.
     #[n(5)]
     Malformed,
-    /// To [`BatchQuery::Results`]: the payload log did not give an output. It is not lost
-    /// on other replicas.
+    /// Answer to [`BatchQuery::Results`] if an output cannot be read from the payload log.
+    /// Other replicas still have it.
     #[n(6)]
     Unreadable {
-        /// What it met.
+        /// Error message of the payload log.
         #[n(0)]
         message: String,
     },
--- a/crates/state/src/control/command.rs
+++ b/crates/state/src/control/command.rs
@@ -10,8 +10,8 @@
 use super::configuration::Change;
 use crate::declared::{DeclaredCommand, DeclaredReply};
 
-/// Number that an operator gives an intent. It is shared by all operators: two
-/// that pick the same number race, and the first one confirmed wins.
+/// Number that an operator assigns to an intent. All operators share one number space: if
+/// two pick the same number, the first confirmed intent wins.
 #[derive(
     Clone,
     Copy,
@@ -33,60 +33,60 @@
 #[serde(transparent)]
 pub struct IntentNumber(#[n(0)] pub u64);
 
-/// Puts a planned intent in force.
+/// Applies a planned intent.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct ConfirmIntent {
     /// Number of the intent.
     #[n(0)]
     pub number: IntentNumber,
-    /// Who confirms.
+    /// Operator who confirms the intent.
     #[n(1)]
     pub operator: String,
-    /// Version that the plan was made against.
+    /// Configuration version that the plan was computed for.
     #[n(2)]
     pub base_version: ConfigVersion,
-    /// What to change.
+    /// Changes to apply.
     #[n(3)]
     pub changes: Vec<Change>,
 }
 
-/// What a node does.
+/// Role of a node.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode, Serialize, Deserialize,
 )]
 #[cbor(index_only)]
 #[serde(rename_all = "lowercase")]
 pub enum NodeRole {
-    /// Takes requests of callers.
+    /// Accepts requests from callers.
     #[n(0)]
     Gateway,
-    /// Holds replicated state.
+    /// Stores replicated state.
     #[n(1)]
     Replica,
 }
 
-/// Announces one life of a node.
+/// Registers one incarnation of a node.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct RegisterNode {
     /// Node.
     #[n(0)]
     pub node: NodeId,
-    /// Life of it; a lower one than the registered is refused.
+    /// Incarnation of the node; one lower than the registered incarnation is rejected.
     #[n(1)]
     pub incarnation: Incarnation,
-    /// Name for people.
+    /// Human-readable name.
     #[n(2)]
     pub name: String,
-    /// Where it stands.
+    /// Zone of the node.
     #[n(3)]
     pub zone: ZoneName,
-    /// Address of its internal interface.
+    /// Address of the internal interface.
     #[n(4)]
     pub internal_address: String,
-    /// Address of its HTTP interface.
+    /// Address of the HTTP interface.
     #[n(5)]
     pub http_address: String,
-    /// Roles.
+    /// Roles of the node.
     #[n(6)]
     pub roles: Vec<NodeRole>,
 }
@@ -94,10 +94,10 @@
 /// A registered node.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct NodeRecord {
-    /// Its latest announcement.
+    /// Latest registration of the node.
     #[n(0)]
     pub registration: RegisterNode,
-    /// Whether it is stopping as planned.
+    /// Whether the node is draining for a planned stop.
     #[n(1)]
     pub draining: bool,
 }
@@ -105,17 +105,17 @@
 /// Issues a fenced order to a back end.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct IssueOrder {
-    /// Back end that shall carry it out.
+    /// Back end that must execute the order.
     #[n(0)]
     pub backend: BackendId,
-    /// Life of it that the decision was made about.
+    /// Incarnation of the back end that the order is meant for.
     #[n(1)]
     pub incarnation: Incarnation,
-    /// The order's action as JSON of `engine_api::OrderAction`.
+    /// Action of the order, as JSON of `engine_api::OrderAction`.
     #[n(2)]
     pub action: String,
-    /// Highest token of this back end that the issuer knew; another one means
-    /// that a rival issued first, and the order is refused.
+    /// Highest token of this back end known to the issuer. If it differs from the current
+    /// token, a concurrent issuer was first and the order is rejected.
     #[n(3)]
     pub expected_token: FencingToken,
 }
@@ -123,38 +123,38 @@
 /// A command of the control group.
 #[derive(Clone, Debug, PartialEq, Eq, From, Encode, Decode)]
 pub enum ControlCommand {
-    /// Puts a planned intent in force.
+    /// Applies a planned intent.
     #[n(0)]
     Confirm(#[n(0)] ConfirmIntent),
-    /// Announces a node.
+    /// Registers a node.
     #[n(1)]
     Register(#[n(0)] RegisterNode),
-    /// Marks a node as stopping as planned.
+    /// Marks a node as draining for a planned stop.
     #[n(2)]
     #[from(skip)]
     Drain {
         /// Node.
         #[n(0)]
         node: NodeId,
-        /// Life of it.
+        /// Incarnation of the node.
         #[n(1)]
         incarnation: Incarnation,
     },
-    /// Removes a node that stopped or was lost.
+    /// Removes a node that stopped or is lost.
     #[n(3)]
     #[from(skip)]
     Remove {
         /// Node.
         #[n(0)]
         node: NodeId,
-        /// Life of it.
+        /// Incarnation of the node.
         #[n(1)]
         incarnation: Incarnation,
     },
     /// Issues a fenced order.
     #[n(4)]
     Issue(#[n(0)] IssueOrder),
-    /// Something about the declared state; see [`crate::declared`].
+    /// Changes the declared state; see [`crate::declared`].
     #[n(5)]
     Declared(#[n(0)] DeclaredCommand),
 }
@@ -163,45 +163,45 @@
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "snake_case")]
 pub enum ConfirmReply {
-    /// In force, now or since an earlier sending of the same confirmation.
+    /// The intent is in force, from this confirmation or an earlier attempt of it.
     #[n(0)]
     Confirmed {
-        /// Version that it produced.
+        /// Version that the confirmation produced.
         #[n(0)]
         version: ConfigVersion,
     },
-    /// Another intent took this number first.
+    /// Another intent with this number was confirmed first.
     #[n(1)]
     NumberTaken {
-        /// Who confirmed it.
+        /// Operator who confirmed that intent.
         #[n(0)]
         winner: String,
-        /// Version that it produced.
+        /// Version that the confirmation produced.
         #[n(1)]
         version: ConfigVersion,
-        /// Digest of the intent that won.
+        /// Digest of the intent that was confirmed.
         #[n(2)]
         digest: Digest,
     },
-    /// The configuration moved on since the plan was made.
+    /// The configuration changed since the plan was computed.
     #[n(2)]
     BaseMoved {
         /// Version in force.
         #[n(0)]
         current: ConfigVersion,
     },
-    /// The changes do not fit the configuration.
+    /// The changes are invalid for the configuration.
     #[n(3)]
     Invalid {
         /// Every problem found.
         #[n(0)]
         problems: Vec<super::query::PlanProblem>,
     },
-    /// The number lies below those that are still remembered. Nothing was run
-    /// now; what became of an earlier sending is no longer known.
+    /// The number is below the range of retained confirmations. Nothing was applied by this
+    /// command; the result of an earlier attempt is no longer known.
     #[n(4)]
     TooOld {
-        /// The lowest number that is still taken.
+        /// Lowest number that is still accepted.
         #[n(0)]
         floor: IntentNumber,
     },
@@ -210,40 +210,40 @@
 /// Reply to a command of the control group.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ControlReply {
-    /// To [`ControlCommand::Confirm`].
+    /// Reply to [`ControlCommand::Confirm`].
     #[n(0)]
     Confirm(#[n(0)] ConfirmReply),
-    /// The node is registered, marked or removed.
+    /// The node was registered, marked as draining or removed.
     #[n(1)]
     NodeAccepted,
-    /// A later life of the node is registered.
+    /// A later incarnation of the node is registered.
     #[n(2)]
     NodeStale {
-        /// That life.
+        /// Latest known incarnation of the node.
         #[n(0)]
         registered: Incarnation,
     },
-    /// The order may be sent under this token.
+    /// The order may be sent with this token.
     #[n(3)]
     OrderIssued {
         /// Token.
         #[n(0)]
         token: FencingToken,
     },
-    /// A rival issued an order to this back end first.
+    /// A concurrent issuer was first to issue an order to this back end.
     #[n(4)]
     OrderConflict {
-        /// Highest token issued to it.
+        /// Highest token issued to the back end.
         #[n(0)]
         current: FencingToken,
     },
-    /// The command's bytes could not be read; nothing changed.
+    /// The command could not be decoded; nothing changed.
     #[n(5)]
     Malformed,
-    /// No such life of the node is registered; nothing changed.
+    /// This incarnation of the node is not registered; nothing changed.
     #[n(6)]
     NodeUnknown,
-    /// To [`ControlCommand::Declared`].
+    /// Reply to [`ControlCommand::Declared`].
     #[n(7)]
     Declared(#[n(0)] DeclaredReply),
 }
--- a/crates/state/src/control/configuration.rs
+++ b/crates/state/src/control/configuration.rs
@@ -1,4 +1,4 @@
-//! What operators decide: services, models, adapters, tenants and policy.
+//! Operator configuration: services, models, adapters, tenants and policy.
 
 use std::collections::BTreeMap;
 
@@ -6,15 +6,15 @@
 use molespan_types::{ConfigVersion, ModelName, ServiceName, TenantId};
 use serde::{Deserialize, Serialize};
 
-/// What kind of back end serves a service.
+/// Kind of back end that serves a service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[cbor(index_only)]
 #[serde(rename_all = "lowercase")]
 pub enum ServiceKind {
-    /// Model engines that answer completions.
+    /// Model engines that serve completions.
     #[n(0)]
     Completion,
-    /// Plain application back ends, passed through as ordinary HTTP.
+    /// Application back ends, proxied as ordinary HTTP.
     #[n(1)]
     Application,
 }
@@ -22,36 +22,36 @@
 /// A service that callers address by name.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct Service {
-    /// What serves it.
+    /// Kind of back end.
     #[n(0)]
     pub kind: ServiceKind,
-    /// Model it runs; `None` for an application.
+    /// Model that its engines run; `None` for an application.
     #[n(1)]
     #[serde(default)]
     pub model: Option<ModelName>,
-    /// Adapters its engines must have ready.
+    /// Adapters that its engines must have loaded.
     #[n(2)]
     #[serde(default)]
     pub adapters: Vec<String>,
-    /// Most online requests in flight through one gateway.
+    /// Maximum number of online requests in flight through one gateway.
     #[n(3)]
     pub max_concurrency: u32,
-    /// Most online requests queued in one gateway.
+    /// Maximum number of online requests queued in one gateway.
     #[n(4)]
     pub max_queue: u32,
-    /// Longest time in that queue, in milliseconds.
+    /// Maximum time in that queue, in milliseconds.
     #[n(5)]
     pub queue_timeout_ms: u32,
     /// Whether batch work may use its engines.
     #[n(6)]
     pub batch: bool,
-    /// Engines that should have its model loaded.
+    /// Number of engines that should have the model loaded.
     #[n(7)]
     #[serde(default)]
     pub replicas: u32,
 }
 
-/// A model and the version of its weights that should be in service.
+/// A model and the version of its weights to serve.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct Model {
     /// Version of the weights.
@@ -62,10 +62,10 @@
 /// An adapter of a model.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct Adapter {
-    /// Model it belongs to.
+    /// Model that the adapter belongs to.
     #[n(0)]
     pub model: ModelName,
-    /// Version of its weights.
+    /// Version of the adapter weights.
     #[n(1)]
     pub version: u32,
 }
@@ -73,21 +73,22 @@
 /// Limits of one tenant at one gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct TenantLimits {
-    /// Sustained online requests a second.
+    /// Sustained rate of online requests per second.
     #[n(0)]
     pub requests_per_second: u32,
-    /// Requests that may come at once above that rate.
+    /// Number of requests allowed in a burst above that rate.
     #[n(1)]
     pub burst: u32,
-    /// Weight of its jobs against those of other tenants.
+    /// Scheduling weight of its jobs relative to other tenants.
     #[n(2)]
     pub batch_weight: u32,
 }
 
-/// How batch work and online latency are weighed.
+/// Trade-off between batch throughput and online latency.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct Policy {
-    /// 0 fills engines with batch work, 100 guards the online tail above all.
+    /// From 0 to 100: 0 maximizes batch throughput, 100 gives priority to online tail
+    /// latency.
     #[n(0)]
     pub tail_protection: u8,
 }
@@ -101,10 +102,10 @@
     }
 }
 
-/// The whole configuration at one version.
+/// A complete configuration at one version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Rises by one with every accepted change.
+    /// Increases by one with every confirmed intent.
     #[n(0)]
     pub version: ConfigVersion,
     /// Services by name.
@@ -116,15 +117,15 @@
     /// Adapters by name.
     #[n(3)]
     pub adapters: BTreeMap<String, Adapter>,
-    /// Limits of tenants; one that is missing has the defaults of the gateway.
+    /// Limits of tenants; a tenant without an entry has the gateway's defaults.
     #[n(4)]
     pub tenants: BTreeMap<TenantId, TenantLimits>,
-    /// Policy.
+    /// Batch policy.
     #[n(5)]
     pub policy: Policy,
 }
 
-/// One change that an intent asks for.
+/// One change of an intent.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(tag = "change", rename_all = "snake_case")]
 pub enum Change {
--- a/crates/state/src/control/confirmations.rs
+++ b/crates/state/src/control/confirmations.rs
@@ -1,9 +1,9 @@
-//! The memory of confirmed intents.
+//! Retained confirmations of intents.
 //!
-//! A confirmation takes about 60 bytes. The memory keeps the
-//! [`REMEMBERED_CONFIRMATIONS`] highest numbers; a lower one is refused as too
-//! old and never run, whether it was confirmed once or not. Operators whose
-//! numbers rise, as counters and dates do, notice nothing of it.
+//! A confirmation takes about 60 bytes. The [`REMEMBERED_CONFIRMATIONS`] highest numbers
+//! are retained. A lower number is rejected as too old and never applied, whether it was
+//! confirmed before or not. Operators with increasing numbers, such as counters or dates,
+//! are not affected.
 
 use std::collections::BTreeMap;
 
@@ -12,13 +12,13 @@
 
 use super::command::{ConfirmIntent, ConfirmReply, IntentNumber};
 
-/// Confirmations remembered: eleven days of 12,000 changes a day.
+/// Maximum number of retained confirmations: about eleven days at 12,000 changes per day.
 pub(crate) const REMEMBERED_CONFIRMATIONS: usize = 131_072;
 
-/// What a confirmed intent is recognised by, and the version it produced.
+/// Identity of a confirmed intent, and the version it produced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 struct Confirmation {
-    /// Position in the list of operators.
+    /// Index into the list of operators.
     #[n(0)]
     operator: u32,
     #[n(1)]
@@ -32,18 +32,18 @@
 /// Confirmed intents by number.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Confirmations {
-    /// Names of operators, each once.
+    /// Distinct operator names.
     #[n(0)]
     operators: Vec<String>,
     #[n(1)]
     by_number: BTreeMap<IntentNumber, Confirmation>,
-    /// The lowest number that is taken.
+    /// Lowest number that is accepted.
     #[n(2)]
     floor: IntentNumber,
 }
 
 impl Confirmations {
-    /// The answer to an intent whose number was used or is too old.
+    /// Returns the reply to an intent whose number is already used or too old.
     pub(crate) fn find(&self, intent: &ConfirmIntent, digest: Digest) -> Option<ConfirmReply> {
         if intent.number < self.floor {
             return Some(ConfirmReply::TooOld { floor: self.floor });
@@ -65,7 +65,7 @@
         })
     }
 
-    /// Remembers that `intent` produced `version`.
+    /// Records that `intent` produced `version`.
     pub(crate) fn remember(
         &mut self,
         intent: &ConfirmIntent,
@@ -89,14 +89,14 @@
         }
     }
 
-    /// Name of the operator at `position`.
+    /// Returns the name of the operator at index `position`.
     fn operator(&self, position: u32) -> &str {
         self.operators
             .get(position as usize)
             .map_or("", String::as_str)
     }
 
-    /// Position of an operator's name, which is added if it is new.
+    /// Returns the index of an operator name, adding the name if it is new.
     fn operator_position(&mut self, name: &str) -> u32 {
         let known = self.operators.iter().position(|operator| operator == name);
         let position = known.unwrap_or_else(|| {
--- a/crates/state/src/control/effects.rs
+++ b/crates/state/src/control/effects.rs
@@ -1,4 +1,4 @@
-//! What an intent's changes do, in sentences for operators.
+//! Descriptions of the effects of an intent for operators.
 
 use std::fmt::Display;
 
@@ -18,24 +18,24 @@
 }
 
 impl Sentences {
-    /// Adds what follows from the change.
+    /// Adds an effect of the change.
     fn effect(&mut self, text: String) {
         self.effects.push(text);
     }
 
-    /// Adds what to think about first.
+    /// Adds a warning to consider before confirming.
     fn warn(&mut self, text: String) {
         self.warnings.push(text);
     }
 
-    /// Says that a value changes, if it does.
+    /// Adds an effect if a value changes.
     fn differs<T: PartialEq + Display>(&mut self, what: &str, old: T, new: T) {
         if old != new {
             self.effect(format!("{what} changes from {old} to {new}"));
         }
     }
 
-    /// Warns when a limit falls.
+    /// Adds a warning if a value decreases.
     fn falls(&mut self, what: &str, old: u32, new: u32) {
         if new < old {
             self.warn(format!("{what} falls from {old} to {new}"));
@@ -43,7 +43,7 @@
     }
 }
 
-/// The line of a plan that describes `change`.
+/// Returns the plan line that describes `change`.
 pub(crate) fn line(before: &Configuration, after: &Configuration, change: &Change) -> PlanLine {
     let mut sentences = Sentences::default();
     describe(&mut sentences, before, after, change);
@@ -55,7 +55,7 @@
     }
 }
 
-/// `create`, `update`, `delete` or `keep`.
+/// Returns `create`, `update`, `delete` or `keep`.
 fn action(before: &Configuration, change: &Change) -> &'static str {
     match change {
         Change::PutService { name, service } => put(before.services.get(name), service),
@@ -69,7 +69,7 @@
     }
 }
 
-/// The action of putting `new` where `old` is.
+/// Returns the action of replacing `old` with `new`.
 fn put<T: PartialEq>(old: Option<&T>, new: &T) -> &'static str {
     match old {
         None => "create",
@@ -78,7 +78,7 @@
     }
 }
 
-/// Adds the sentences of one change.
+/// Adds the effects and warnings of one change.
 fn describe(
     sentences: &mut Sentences,
     before: &Configuration,
@@ -104,12 +104,12 @@
     }
 }
 
-/// How a model's name reads when there may be none.
+/// Returns the name of a model, or `none`.
 fn model_text(model: Option<&ModelName>) -> &str {
     model.map_or("none", ModelName::as_str)
 }
 
-/// A service that is new.
+/// Describes a new service.
 fn service_created(sentences: &mut Sentences, service: &Service) {
     match (service.kind, &service.model) {
         (ServiceKind::Completion, Some(model)) => sentences.effect(format!(
@@ -133,7 +133,7 @@
     }
 }
 
-/// A service that is replaced.
+/// Describes an updated service.
 fn service_updated(sentences: &mut Sentences, after: &Configuration, old: &Service, new: &Service) {
     if old.kind != new.kind {
         sentences.warn("the kind of back end changes: requests go elsewhere at once".to_owned());
@@ -167,7 +167,7 @@
     sentences.falls("the number of its engines", old.replicas, new.replicas);
 }
 
-/// The limits of a service that is replaced.
+/// Describes changes to the limits of an updated service.
 fn service_limits_updated(sentences: &mut Sentences, old: &Service, new: &Service) {
     let concurrency = "the limit of running requests";
     sentences.differs(concurrency, old.max_concurrency, new.max_concurrency);
@@ -180,7 +180,7 @@
     sentences.falls(timeout, old.queue_timeout_ms, new.queue_timeout_ms);
 }
 
-/// The batch switch of a service that is replaced.
+/// Describes changes to the batch setting of an updated service.
 fn service_batch_updated(sentences: &mut Sentences, old: &Service, new: &Service) {
     match (old.batch, new.batch) {
         (false, true) => sentences.effect("batch jobs may use its engines".to_owned()),
@@ -192,7 +192,7 @@
     }
 }
 
-/// A service that goes.
+/// Describes a deleted service.
 fn service_deleted(
     sentences: &mut Sentences,
     before: &Configuration,
@@ -209,7 +209,7 @@
     warn_last_user(sentences, after, service.model.as_ref());
 }
 
-/// Warns when no service is left that runs `model`.
+/// Adds a warning if no service runs `model` after the change.
 fn warn_last_user(sentences: &mut Sentences, after: &Configuration, model: Option<&ModelName>) {
     let Some(model) = model else {
         return;
@@ -223,7 +223,7 @@
     }
 }
 
-/// A model that is new or replaced.
+/// Describes a new or updated model.
 fn model_put(
     sentences: &mut Sentences,
     before: &Configuration,
@@ -250,7 +250,7 @@
     }
 }
 
-/// An adapter that is new or replaced.
+/// Describes a new or updated adapter.
 fn adapter_put(sentences: &mut Sentences, before: &Configuration, name: &str, new: &Adapter) {
     let Some(old) = before.adapters.get(name) else {
         sentences.effect(format!(
@@ -264,7 +264,7 @@
     sentences.falls("its version", old.version, new.version);
 }
 
-/// Limits of a tenant.
+/// Describes new or updated tenant limits.
 fn tenant_put(
     sentences: &mut Sentences,
     before: &Configuration,
@@ -293,7 +293,7 @@
     }
 }
 
-/// The policy.
+/// Describes an updated policy.
 fn policy_put(sentences: &mut Sentences, before: &Configuration, new: &Policy) {
     let old = &before.policy;
     sentences.differs("tail protection", old.tail_protection, new.tail_protection);
--- a/crates/state/src/control/history.rs
+++ b/crates/state/src/control/history.rs
@@ -1,4 +1,4 @@
-//! The newest configuration and the way there, for those who lag behind.
+//! Recent configuration changes, used to send deltas to nodes with an older version.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,38 +11,38 @@
 };
 use crate::codec::encode;
 
-/// Steps that are remembered.
+/// Maximum number of retained steps.
 const MOST_STEPS: usize = 64;
 
-/// From one version that was seen to the next one that was.
+/// Changes between two consecutive observed versions.
 #[derive(Clone, Debug)]
 struct Step {
     from: ConfigVersion,
     changes: Vec<Change>,
 }
 
-/// The newest configuration, and what led there from the versions seen before.
+/// The newest configuration and the changes that lead to it from earlier observed versions.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigurationHistory {
     newest: Option<Configuration>,
     digest: Digest,
-    /// Oldest first; each leads to the version that the next one starts from,
-    /// the last one to the newest.
+    /// Steps, oldest first. Each leads to the version that the next one starts from; the
+    /// last leads to the newest version.
     steps: VecDeque<Step>,
-    /// Encoded updates to the newest version, by the version of those that
-    /// asked: many ask for the same.
+    /// Cache of encoded updates to the newest version, by starting version, since many
+    /// nodes request the same update.
     encoded: BTreeMap<ConfigVersion, ByteVec>,
 }
 
 impl ConfigurationHistory {
-    /// Version of the newest configuration; 0 without one.
+    /// Returns the version of the newest configuration, or 0 if there is none.
     #[must_use]
     pub fn version(&self) -> ConfigVersion {
         let newest = self.newest.as_ref();
         newest.map_or(ConfigVersion::default(), |newest| newest.version)
     }
 
-    /// Takes a newer configuration. One that is not newer is passed over.
+    /// Records a newer configuration. One that is not newer is ignored.
     pub fn advance(&mut self, newer: Configuration) {
         if self.newest.is_some() && newer.version <= self.version() {
             return;
@@ -63,9 +63,9 @@
         self.encoded.clear();
     }
 
-    /// The encoded [`ConfigurationUpdate`] for a node that has `held`; `None`
-    /// when nothing is newer. It is a delta where the way from `held` is known
-    /// and shorter than the whole.
+    /// Returns the encoded [`ConfigurationUpdate`] for a node at version `held`, or `None`
+    /// if there is no newer version. The update is a delta if the changes since `held` are
+    /// known and smaller than the whole configuration.
     pub fn update_for(&mut self, held: ConfigVersion) -> Option<ByteVec> {
         let newest = self.newest.as_ref()?;
         if held >= newest.version {
@@ -91,7 +91,8 @@
         Some(bytes)
     }
 
-    /// The way from `from`, which is where step `first` starts, to the newest.
+    /// Returns the delta from version `from`, where step `first` starts, to version `to`,
+    /// the newest.
     fn delta(&self, from: ConfigVersion, to: ConfigVersion, first: usize) -> ConfigurationUpdate {
         let steps = self.steps.iter().skip(first);
         let changes = steps.flat_map(|step| step.changes.iter().cloned());
--- a/crates/state/src/control/machine.rs
+++ b/crates/state/src/control/machine.rs
@@ -15,7 +15,7 @@
 use crate::error::StateError;
 use crate::snapshot;
 
-/// Configuration, node registry and orders.
+/// Configuration, node registry, orders and declared state.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct ControlMachine {
     #[n(0)]
@@ -26,27 +26,26 @@
     nodes: Nodes,
     #[n(3)]
     orders: Orders,
-    /// What an operator declares as a whole, and what follows from engines and
-    /// stores that come and go.
+    /// Declared configuration, engine departures, registered stores and barred requests.
     #[n(4)]
     #[cbor(default)]
     declared: DeclaredState,
 }
 
 impl ControlMachine {
-    /// A machine with an empty configuration at version 0.
+    /// Creates a machine with an empty configuration at version 0.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// The configuration in force.
+    /// Returns the current configuration.
     #[must_use]
     pub fn configuration(&self) -> &Configuration {
         &self.configuration
     }
 
-    /// What was declared, and what follows from it.
+    /// Returns the declared state.
     #[must_use]
     pub fn declared(&self) -> &DeclaredState {
         &self.declared
@@ -66,7 +65,7 @@
         }
     }
 
-    /// Puts an intent in force, once.
+    /// Applies an intent exactly once.
     fn confirm(&mut self, intent: &ConfirmIntent) -> ConfirmReply {
         let digest = digest_of_changes(&intent.changes);
         if enabled(Mechanism::ConfirmationMemory)
@@ -89,7 +88,7 @@
         ConfirmReply::Confirmed { version }
     }
 
-    /// Answers a read.
+    /// Answers a query.
     #[must_use]
     pub fn query(&self, query: &ControlQuery) -> ControlAnswer {
         match query {
@@ -109,16 +108,16 @@
         }
     }
 
-    /// The whole machine as bytes.
+    /// Encodes the whole machine.
     #[must_use]
     pub fn snapshot(&self) -> Vec<u8> {
         snapshot::write(self)
     }
 
-    /// Reads a snapshot back.
+    /// Restores a machine from the bytes of [`Self::snapshot`].
     ///
     /// # Errors
-    /// When the bytes are damaged or of another format.
+    /// Fails if the bytes are damaged or have another format.
     pub fn restore(bytes: &[u8]) -> Result<Self, StateError> {
         snapshot::read(bytes)
     }
--- a/crates/state/src/control/nodes.rs
+++ b/crates/state/src/control/nodes.rs
@@ -7,7 +7,7 @@
 
 use super::command::{ControlReply, NodeRecord, RegisterNode};
 
-/// Registered nodes, and the last life of those that were removed.
+/// Registered nodes, and the last incarnation of each removed node.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Nodes {
     #[n(0)]
@@ -17,13 +17,14 @@
 }
 
 impl Nodes {
-    /// The registered nodes.
+    /// Returns the registered nodes.
     pub(crate) fn records(&self) -> Vec<NodeRecord> {
         self.registered.values().cloned().collect()
     }
 
-    /// Registers a life of a node. A life that was removed may come back, as
-    /// one does that was cut off and taken for lost; an earlier one may not.
+    /// Registers an incarnation of a node. A removed incarnation may register again, for
+    /// example after a partition during which it was considered lost; an earlier
+    /// incarnation may not.
     pub(crate) fn register(&mut self, registration: &RegisterNode) -> ControlReply {
         let node = registration.node;
         let latest = self.latest(node);
@@ -42,7 +43,7 @@
         ControlReply::NodeAccepted
     }
 
-    /// Marks a life of a node as stopping.
+    /// Marks an incarnation of a node as draining.
     pub(crate) fn drain(&mut self, node: NodeId, incarnation: Incarnation) -> ControlReply {
         if let Some(refusal) = self.refuse(node, incarnation) {
             return refusal;
@@ -53,7 +54,7 @@
         ControlReply::NodeAccepted
     }
 
-    /// Removes a life of a node. Removing it again is harmless.
+    /// Removes an incarnation of a node. Removing it again has no effect.
     pub(crate) fn remove(&mut self, node: NodeId, incarnation: Incarnation) -> ControlReply {
         let removed_before =
             !self.registered.contains_key(&node) && self.removed.get(&node) == Some(&incarnation);
@@ -68,7 +69,7 @@
         ControlReply::NodeAccepted
     }
 
-    /// The latest life that was ever registered.
+    /// Returns the latest incarnation that was ever registered.
     fn latest(&self, node: NodeId) -> Incarnation {
         let registered = self.registered.get(&node);
         let registered = registered.map(|record| record.registration.incarnation);
@@ -76,7 +77,7 @@
         registered.max(removed).unwrap_or_default()
     }
 
-    /// The refusal of a command about a life that is not the registered one.
+    /// Returns the rejection of a command for an incarnation that is not registered.
     fn refuse(&self, node: NodeId, incarnation: Incarnation) -> Option<ControlReply> {
         let latest = self.latest(node);
         if incarnation < latest {
--- a/crates/state/src/control/orders.rs
+++ b/crates/state/src/control/orders.rs
@@ -9,7 +9,7 @@
 use super::command::{ControlReply, IssueOrder};
 use super::query::IssuedOrder;
 
-/// The latest order of each back end. Tokens rise over all of them.
+/// The latest order of each back end. Tokens increase across all back ends.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Orders {
     #[n(0)]
@@ -19,13 +19,13 @@
 }
 
 impl Orders {
-    /// The latest order of each back end.
+    /// Returns the latest order of each back end.
     pub(crate) fn latest(&self) -> &BTreeMap<BackendId, IssuedOrder> {
         &self.latest
     }
 
-    /// Issues an order if the issuer knew the latest one. Sending the latest
-    /// order again gives its token again.
+    /// Issues an order if the issuer knows the latest token. A retry of the latest order
+    /// returns the same token.
     pub(crate) fn issue(&mut self, order: &IssueOrder) -> ControlReply {
         let latest = self.latest.get(&order.backend);
         if let Some(resent) = latest.filter(|latest| latest.order == *order) {
--- a/crates/state/src/control/plan.rs
+++ b/crates/state/src/control/plan.rs
@@ -1,4 +1,4 @@
-//! What an intent would do: a pure function of configuration and changes.
+//! Computation of plans: a pure function of configuration and changes.
 
 use molespan_types::{Digest, digest_of};
 
@@ -9,7 +9,7 @@
 use super::query::Plan;
 use crate::codec::encode;
 
-/// The plan of an intent against `configuration`.
+/// Returns the plan of an intent against `configuration`.
 #[must_use]
 pub fn plan(configuration: &Configuration, number: IntentNumber, changes: &[Change]) -> Plan {
     let mut after = configuration.clone();
@@ -27,20 +27,20 @@
     }
 }
 
-/// Digest by which an intent's changes are recognised.
+/// Returns the digest that identifies the changes of an intent.
 #[must_use]
 pub fn digest_of_changes(changes: &[Change]) -> Digest {
     digest_of(&encode(&changes))
 }
 
-/// Makes the changes; the version stays.
+/// Applies the changes without changing the version.
 pub fn apply_changes(configuration: &mut Configuration, changes: &[Change]) {
     for change in changes {
         apply_change(configuration, change);
     }
 }
 
-/// Makes one change.
+/// Applies one change.
 fn apply_change(configuration: &mut Configuration, change: &Change) {
     match change.clone() {
         Change::PutService { name, service } => {
--- a/crates/state/src/control/problems.rs
+++ b/crates/state/src/control/problems.rs
@@ -1,7 +1,7 @@
-//! What forbids an intent, found all at once.
+//! Validation of intents, which reports all problems at once.
 //!
-//! A change is judged against the configuration as it would be after the whole
-//! intent, so the order of changes inside an intent does not matter.
+//! Each change is validated against the configuration that results from the whole intent,
+//! so the order of changes within an intent does not matter.
 
 use std::collections::BTreeSet;
 
@@ -13,10 +13,10 @@
 use super::plan::apply_changes;
 use super::query::PlanProblem;
 
-/// Highest value of [`Policy::tail_protection`].
+/// Maximum value of [`Policy::tail_protection`].
 const MAX_TAIL_PROTECTION: u8 = 100;
 
-/// Every reason why `changes` cannot be confirmed.
+/// Returns every reason why `changes` cannot be confirmed.
 pub(crate) fn problems(before: &Configuration, changes: &[Change]) -> Vec<PlanProblem> {
     let mut after = before.clone();
     apply_changes(&mut after, changes);
@@ -37,7 +37,7 @@
     found
 }
 
-/// What a change is about, as `service captions`.
+/// Returns the subject of a change, for example `service captions`.
 pub(crate) fn subject(change: &Change) -> String {
     match change {
         Change::PutService { name, .. } | Change::DeleteService { name } => {
@@ -52,7 +52,7 @@
     }
 }
 
-/// A problem of the change at `position`.
+/// Creates a problem of the change at `position`.
 fn problem(position: usize, message: String) -> PlanProblem {
     PlanProblem {
         change: position as u32,
@@ -60,7 +60,7 @@
     }
 }
 
-/// What is wrong with one change.
+/// Validates one change.
 fn check(before: &Configuration, after: &Configuration, change: &Change) -> Vec<String> {
     match change {
         Change::PutService { name, service } => check_service(after, name, service),
@@ -76,7 +76,7 @@
     }
 }
 
-/// The problem of an empty name.
+/// Reports an empty name.
 fn check_name(kind: &str, name: &str) -> Vec<String> {
     if name.is_empty() {
         vec![format!("the {kind} has no name")]
@@ -85,7 +85,7 @@
     }
 }
 
-/// The problem of deleting what is not there.
+/// Reports the deletion of an object that does not exist.
 fn missing(exists: bool, kind: &str, name: &str) -> Vec<String> {
     if exists {
         Vec::new()
@@ -94,7 +94,7 @@
     }
 }
 
-/// What is wrong with a service.
+/// Validates a service.
 fn check_service(after: &Configuration, name: &ServiceName, service: &Service) -> Vec<String> {
     let mut messages = check_name("service", name.as_str());
     if service.max_concurrency == 0 {
@@ -114,7 +114,7 @@
     messages
 }
 
-/// What is wrong with a service that model engines serve.
+/// Validates a service of kind [`ServiceKind::Completion`].
 fn check_completion(after: &Configuration, name: &ServiceName, service: &Service) -> Vec<String> {
     let mut messages = Vec::new();
     match &service.model {
@@ -141,7 +141,7 @@
     messages
 }
 
-/// What is wrong with a service that applications serve.
+/// Validates a service of kind [`ServiceKind::Application`].
 fn check_application(name: &ServiceName, service: &Service) -> Vec<String> {
     let mut messages = Vec::new();
     if let Some(model) = &service.model {
@@ -163,7 +163,7 @@
     messages
 }
 
-/// What still needs a model that is deleted.
+/// Reports services and adapters that still use a deleted model.
 fn check_model_unused(
     before: &Configuration,
     after: &Configuration,
@@ -187,7 +187,7 @@
     messages
 }
 
-/// What is wrong with an adapter, for itself and for services that use it.
+/// Validates an adapter and the services that use it.
 fn check_adapter(after: &Configuration, name: &str, adapter: &Adapter) -> Vec<String> {
     let mut messages = check_name("adapter", name);
     if !after.models.contains_key(&adapter.model) {
@@ -208,7 +208,7 @@
     messages
 }
 
-/// What still needs an adapter that is deleted.
+/// Reports services that still use a deleted adapter.
 fn check_adapter_unused(before: &Configuration, after: &Configuration, name: &str) -> Vec<String> {
     let mut messages = missing(before.adapters.contains_key(name), "adapter", name);
     for (service_name, service) in &after.services {
@@ -221,7 +221,7 @@
     messages
 }
 
-/// What is wrong with the limits of a tenant.
+/// Validates the limits of a tenant.
 fn check_tenant(name: &str, limits: &TenantLimits) -> Vec<String> {
     let mut messages = check_name("tenant", name);
     let limits = [
@@ -237,7 +237,7 @@
     messages
 }
 
-/// What is wrong with a policy.
+/// Validates a policy.
 fn check_policy(policy: &Policy) -> Vec<String> {
     if policy.tail_protection <= MAX_TAIL_PROTECTION {
         return Vec::new();
--- a/crates/state/src/control/query.rs
+++ b/crates/state/src/control/query.rs
@@ -1,4 +1,4 @@
-//! Reads of the control group.
+//! Read queries of the control group.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use super::configuration::{Change, Configuration};
 use crate::declared::DeclaredState;
 
-/// A read of the control group.
+/// A read query of the control group.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ControlQuery {
     /// The whole configuration.
@@ -19,17 +19,17 @@
     /// The configuration if it is newer than `after`.
     #[n(1)]
     ConfigurationAfter {
-        /// Version that the asker has.
+        /// Version that the requester has.
         #[n(0)]
         after: ConfigVersion,
     },
-    /// What an intent would do.
+    /// The plan of an intent.
     #[n(2)]
     Plan {
         /// Number of the intent.
         #[n(0)]
         number: IntentNumber,
-        /// What to change.
+        /// Changes to plan.
         #[n(1)]
         changes: Vec<Change>,
     },
@@ -47,16 +47,16 @@
 /// One line of a plan.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct PlanLine {
-    /// What is changed, as `service captions`.
+    /// Changed object, for example `service captions`.
     #[n(0)]
     pub subject: String,
     /// `create`, `update`, `delete` or `keep`.
     #[n(1)]
     pub action: String,
-    /// What differs and what follows from it, a sentence each.
+    /// Differences and their consequences, one sentence each.
     #[n(2)]
     pub effects: Vec<String>,
-    /// What the operator should think about before confirming.
+    /// Warnings for the operator to consider before confirming.
     #[n(3)]
     pub warnings: Vec<String>,
 }
@@ -67,7 +67,7 @@
     /// Position of the change in the intent, from 0.
     #[n(0)]
     pub change: u32,
-    /// What is wrong with it.
+    /// Description of the problem.
     #[n(1)]
     pub message: String,
 }
@@ -78,39 +78,39 @@
     /// Number of the intent.
     #[n(0)]
     pub number: IntentNumber,
-    /// Version it was made against; a confirmation must name it.
+    /// Version that the plan was computed for; a confirmation must state it.
     #[n(1)]
     pub base_version: ConfigVersion,
     /// Digest of the changes.
     #[n(2)]
     pub digest: Digest,
-    /// What would change.
+    /// Effects of each change.
     #[n(3)]
     pub lines: Vec<PlanLine>,
-    /// What forbids it; empty when it can be confirmed.
+    /// Reasons why the intent cannot be confirmed; empty if it can.
     #[n(4)]
     pub problems: Vec<PlanProblem>,
 }
 
-/// Answer to a read of the control group.
+/// Answer to a [`ControlQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ControlAnswer {
-    /// To both configuration reads; `None` when there is nothing newer.
+    /// Answer to both configuration queries; `None` if there is no newer configuration.
     #[n(0)]
     Configuration(#[n(0)] Option<Configuration>),
-    /// To [`ControlQuery::Plan`].
+    /// Answer to [`ControlQuery::Plan`].
     #[n(1)]
     Plan(#[n(0)] Plan),
-    /// To [`ControlQuery::Nodes`].
+    /// Answer to [`ControlQuery::Nodes`].
     #[n(2)]
     Nodes(#[n(0)] Vec<NodeRecord>),
-    /// To [`ControlQuery::Orders`]: token and order by back end.
+    /// Answer to [`ControlQuery::Orders`]: token and order by back end.
     #[n(3)]
     Orders(#[n(0)] BTreeMap<BackendId, IssuedOrder>),
-    /// The query's bytes could not be read.
+    /// The query could not be decoded.
     #[n(4)]
     Malformed,
-    /// To [`ControlQuery::Declared`].
+    /// Answer to [`ControlQuery::Declared`].
     #[n(5)]
     Declared(#[n(0)] Box<DeclaredState>),
 }
@@ -118,7 +118,7 @@
 /// An order and its token.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct IssuedOrder {
-    /// Token.
+    /// Fencing token of the order.
     #[n(0)]
     pub token: FencingToken,
     /// The order.
@@ -126,5 +126,5 @@
     pub order: IssueOrder,
 }
 
-/// Confirms per node which version is in force; kept by the leader in memory.
+/// Configuration version in force at each node; kept in memory by the leader.
 pub type VersionsInForce = BTreeMap<NodeId, ConfigVersion>;
--- a/crates/state/src/control/update.rs
+++ b/crates/state/src/control/update.rs
@@ -1,5 +1,5 @@
-//! What a node is sent when the configuration moved on: the whole of it, or
-//! only what differs from the version that the node has.
+//! Configuration updates sent to nodes: the whole configuration, or only the changes since
+//! the version that the node has.
 
 use derive_more::{Display, Error};
 use minicbor::{Decode, Encode};
@@ -9,60 +9,59 @@
 use super::plan::apply_changes;
 use crate::codec::encode;
 
-/// What leads from one version to a later one.
+/// Changes that lead from one version to a later one.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigurationDelta {
-    /// Version that it starts from; it fits no other.
+    /// Version that the delta applies to; it cannot be applied to any other.
     #[n(0)]
     pub from: ConfigVersion,
-    /// Version that it leads to.
+    /// Resulting version.
     #[n(1)]
     pub to: ConfigVersion,
-    /// What differs.
+    /// Changes to apply.
     #[n(2)]
     pub changes: Vec<Change>,
-    /// Digest of the configuration that it leads to.
+    /// Digest of the resulting configuration.
     #[n(3)]
     pub digest: Digest,
 }
 
-/// A newer configuration for a node.
+/// An update to a newer configuration.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum ConfigurationUpdate {
-    /// All of it.
+    /// The whole configuration.
     #[n(0)]
     Whole(#[n(0)] Configuration),
-    /// What differs from the one that the node said it has.
+    /// The changes since the version that the node reported.
     #[n(1)]
     Delta(#[n(0)] ConfigurationDelta),
 }
 
-/// Why an update does not fit the configuration that a node has. The node asks
-/// for the whole configuration then.
+/// Error from applying an update to the configuration of a node. The node then requests the
+/// whole configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 pub enum UpdateError {
-    /// It starts from another version.
+    /// The update applies to another version.
     #[display("the update starts from version {from}, but {held} is in force")]
     OtherVersion {
-        /// Version that it starts from.
+        /// Version that the update applies to.
         from: ConfigVersion,
         /// Version that the node has.
         held: ConfigVersion,
     },
-    /// What comes out is not what the replica has.
+    /// The result differs from the replica's configuration.
     #[display("the update to version {to} leads to another configuration than the replica's")]
     OtherResult {
-        /// Version that it leads to.
+        /// Resulting version.
         to: ConfigVersion,
     },
 }
 
 impl ConfigurationUpdate {
-    /// The configuration that it leads to from `held`, the one that the node
-    /// has.
+    /// Applies the update to `held`, the configuration of the node, and returns the result.
     ///
     /// # Errors
-    /// When it does not fit `held`.
+    /// Fails if the update is a delta that does not apply to `held`.
     pub fn apply_to(self, held: Option<&Configuration>) -> Result<Configuration, UpdateError> {
         let delta = match self {
             Self::Whole(configuration) => return Ok(configuration),
@@ -86,13 +85,13 @@
     }
 }
 
-/// Digest of a whole configuration.
+/// Returns the digest of a whole configuration.
 pub(crate) fn digest_of_configuration(configuration: &Configuration) -> Digest {
     digest_of(&encode(configuration))
 }
 
-/// The changes that lead from `old` to `new`; `None` when no changes can, as
-/// when a tenant's limits are gone.
+/// Returns the changes that lead from `old` to `new`, or `None` if changes cannot express
+/// the difference, which is the case if the limits of a tenant were removed.
 #[must_use]
 pub fn changes_between(old: &Configuration, new: &Configuration) -> Option<Vec<Change>> {
     let forgotten = old
@@ -147,7 +146,8 @@
     }
 }
 
-/// Deletes what `new` no longer has, users before what they use.
+/// Adds deletions of objects missing from `new`; each object is deleted before the objects
+/// it uses.
 fn delete(changes: &mut Vec<Change>, old: &Configuration, new: &Configuration) {
     let services = old.services.keys();
     for name in services.filter(|name| !new.services.contains_key(*name)) {
--- a/crates/state/src/declared/bars.rs
+++ b/crates/state/src/declared/bars.rs
@@ -1,4 +1,4 @@
-//! Requests that no engine gets any more, since engines end under them.
+//! Barred requests, which are not sent to engines because they crashed several engines.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,34 +7,34 @@
 
 use super::request_digest::RequestDigest;
 
-/// Bars that are remembered, lifted ones included; the oldest are forgotten first.
-/// Some 40 bytes each, in every snapshot and at every gateway.
+/// Maximum number of retained bars, including lifted ones; the oldest are evicted first.
+/// Each takes about 40 bytes in every snapshot and at every gateway.
 const REMEMBERED: usize = 1_024;
 
-/// How long a bar holds: a request that is sent every day ends three engines a day at
-/// the most. Nodes reckon by the time of day, which differs by seconds only.
+/// Duration of a bar. A request that is sent every day crashes at most three engines per
+/// day. Nodes use their wall clocks, which differ only by seconds.
 pub const BAR_HOLDS: Duration = Duration::from_secs(24 * 3_600);
 
-/// A bar on one request.
+/// A bar on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Bar {
-    /// When it was asked for, in milliseconds since 1970.
+    /// Time at which the bar was requested, in milliseconds since 1970.
     #[n(0)]
     pub since_ms: u64,
-    /// Engines that had ended under the request by then.
+    /// Number of engines that had crashed on the request by then.
     #[n(1)]
     pub crashes: u32,
-    /// Whether an operator lifted it.
+    /// Whether an operator lifted the bar.
     #[n(2)]
     pub lifted: bool,
-    /// Rises with each change of any bar, so that an older word is known.
+    /// Change counter over all bars, used to detect outdated information.
     #[n(3)]
     pub change: u64,
 }
 
 impl Bar {
-    /// How much longer it holds at a time, in milliseconds since 1970; `None` when it
-    /// does not.
+    /// Returns the remaining duration of the bar at `now_ms`, in milliseconds since 1970,
+    /// or `None` if it is lifted or expired.
     #[must_use]
     pub fn holds_for(&self, now_ms: u64) -> Option<Duration> {
         let ends_ms = self.since_ms + BAR_HOLDS.as_millis() as u64;
@@ -43,30 +43,30 @@
     }
 }
 
-/// Bars on requests, lifted ones included.
+/// Bars on requests, including lifted ones.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Bars {
     #[n(0)]
     known: BTreeMap<RequestDigest, Bar>,
-    /// Changes so far.
+    /// Number of changes so far.
     #[n(1)]
     changes: u64,
 }
 
 impl Bars {
-    /// All that are remembered.
+    /// Iterates over all retained bars.
     pub fn iter(&self) -> impl Iterator<Item = (&RequestDigest, &Bar)> {
         self.known.iter()
     }
 
-    /// The bar on a request.
+    /// Returns the bar on a request.
     #[must_use]
     pub fn get(&self, request: &RequestDigest) -> Option<&Bar> {
         self.known.get(request)
     }
 
-    /// Bars a request; says whether that changed anything. Several gateways ask for the
-    /// same bar; only one that is over or lifted is renewed.
+    /// Bars a request and returns whether anything changed. Several gateways may request
+    /// the same bar; a bar is only renewed if it is expired or lifted.
     pub(super) fn raise(&mut self, request: RequestDigest, since_ms: u64, crashes: u32) -> bool {
         let holds = self.get(&request).and_then(|bar| bar.holds_for(since_ms));
         if holds.is_some() {
@@ -84,7 +84,7 @@
         true
     }
 
-    /// Lifts a bar; says whether there was one.
+    /// Lifts a bar and returns whether there was one.
     pub(super) fn lift(&mut self, request: &RequestDigest) -> bool {
         let Some(bar) = self.known.get_mut(request).filter(|bar| !bar.lifted) else {
             return false;
--- a/crates/state/src/declared/command.rs
+++ b/crates/state/src/declared/command.rs
@@ -11,39 +11,40 @@
 use super::request_digest::RequestDigest;
 use super::stores::Retirement;
 
-/// A whole configuration as an operator sent it. It was found sound before.
+/// A complete configuration sent by an operator. It has already been validated.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Declaration {
-    /// The operator's number.
+    /// Version number assigned by the operator.
     #[n(0)]
     pub version: u64,
-    /// The document byte for byte, for reading it back.
+    /// The original document, byte for byte.
     #[n(1)]
     pub document: Document,
-    /// What it says.
+    /// Parsed content of the document.
     #[n(2)]
     pub model: ServingModel,
 }
 
-/// A store says that it is there.
+/// Registers a store.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RegisterStore {
     /// Node.
     #[n(0)]
     pub node: NodeId,
-    /// Name that operators use.
+    /// Name used by operators.
     #[n(1)]
     pub name: String,
-    /// Where it stands.
+    /// Zone of the node.
     #[n(2)]
     pub zone: ZoneName,
-    /// Life of its disk.
+    /// Incarnation of its disk.
     #[n(3)]
     pub incarnation: u32,
-    /// Replicas that the batch group is to have.
+    /// Target number of replicas of the batch group.
     #[n(4)]
     pub replicas: u32,
-    /// The group is to be founded with fewer, since no more came.
+    /// Whether the group is created with the stores available so far, since the wait for
+    /// more has timed out.
     #[n(5)]
     pub patience_over: bool,
 }
@@ -51,56 +52,56 @@
 /// A command on the declared state.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum DeclaredCommand {
-    /// Puts a configuration in force unless one of its number or above is.
+    /// Applies a configuration unless one with an equal or higher version is in force.
     #[n(0)]
     Declare(#[n(0)] Box<Declaration>),
-    /// An engine leaves.
+    /// Records that an engine is leaving.
     #[n(1)]
     Depart {
         /// Identifier of its incarnation.
         #[n(0)]
         engine: String,
-        /// How far it is.
+        /// Progress of its departure.
         #[n(1)]
         departure: Departure,
     },
-    /// A store says that it is there.
+    /// Registers a store.
     #[n(2)]
     RegisterStore(#[n(0)] RegisterStore),
-    /// An operator asks to empty a store.
+    /// Requests, for an operator, that a store is emptied.
     #[n(3)]
     Retire {
-        /// Its name.
+        /// Name of the store.
         #[n(0)]
         name: String,
-        /// Stores that must stay.
+        /// Minimum number of stores that must remain.
         #[n(1)]
         replicas: u32,
-        /// Stores that the proposer heard of lately.
+        /// Stores that the proposer considers alive.
         #[n(2)]
         alive: BTreeSet<NodeId>,
     },
-    /// A store holds nothing any more.
+    /// Records that a store holds no data that others need.
     #[n(4)]
     RetirementCompleted {
-        /// It.
+        /// The emptied store.
         #[n(0)]
         node: NodeId,
     },
-    /// No engine is to get a request any more, since engines end under it.
+    /// Bars a request because engines crash on it.
     #[n(5)]
     Bar {
         /// Request.
         #[n(0)]
         request: RequestDigest,
-        /// Now, in milliseconds since 1970, at the proposer.
+        /// Current time at the proposer, in milliseconds since 1970.
         #[n(1)]
         since_ms: u64,
-        /// Engines that ended under it.
+        /// Number of engines that crashed on it.
         #[n(2)]
         crashes: u32,
     },
-    /// An operator lets a request through again.
+    /// Lifts the bar on a request, for an operator.
     #[n(6)]
     LiftBar {
         /// Request.
@@ -115,13 +116,13 @@
     /// No store has that name.
     #[n(0)]
     Unknown,
-    /// Too few would stay.
+    /// Too few stores would remain.
     #[n(1)]
     TooFew,
-    /// It is being emptied, or was.
+    /// The store is being emptied or is already empty.
     #[n(2)]
     Taken {
-        /// How far it is.
+        /// Progress of its departure.
         #[n(0)]
         retirement: Retirement,
     },
@@ -130,17 +131,17 @@
 /// Reply to a [`DeclaredCommand`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum DeclaredReply {
-    /// The highest number in force, after the command.
+    /// The version in force after the command.
     #[n(0)]
     Version {
-        /// It.
+        /// The emptied store.
         #[n(0)]
         version: u64,
     },
-    /// It is noted.
+    /// The command was applied.
     #[n(1)]
     Noted,
-    /// To [`DeclaredCommand::Retire`].
+    /// Reply to [`DeclaredCommand::Retire`].
     #[n(2)]
     Retire(#[n(0)] RetireReply),
 }
--- a/crates/state/src/declared/departures.rs
+++ b/crates/state/src/declared/departures.rs
@@ -1,50 +1,51 @@
-//! Engines that said they leave.
+//! Departures announced by engines.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use minicbor::{Decode, Encode};
 
-/// Departures that are remembered; the oldest are forgotten first. Far more
-/// engines than leave while a late message of one may still be under way.
+/// Maximum number of retained departures; the oldest are evicted first. This is far more
+/// than the number of engines that leave while a late message of one may still be in
+/// flight.
 const REMEMBERED: usize = 10_000;
 
-/// How far an engine is on its way out. It never goes back.
+/// Progress of the departure of an engine. It never regresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 #[cbor(index_only)]
 pub enum Departure {
-    /// It finishes what it has and must get nothing new.
+    /// The engine finishes its running requests and must not get new ones.
     #[n(0)]
     Draining,
-    /// It has ended or is about to.
+    /// The engine has stopped or is about to stop.
     #[n(1)]
     Gone,
 }
 
-/// Engines that said they leave, by the identifier of their incarnation.
+/// Departures of engines, by the identifier of the engine's incarnation.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Departures {
     #[n(0)]
     known: BTreeMap<String, Departure>,
-    /// Identifiers, the oldest first.
+    /// Identifiers, oldest first.
     #[n(1)]
     order: VecDeque<String>,
 }
 
 impl Departures {
-    /// How far an engine is; `None` while it stays.
+    /// Returns the departure of an engine, or `None` if it is not leaving.
     #[must_use]
     pub fn get(&self, engine: &str) -> Option<Departure> {
         self.known.get(engine).copied()
     }
 
-    /// All that are remembered.
+    /// Iterates over all retained departures.
     pub fn iter(&self) -> impl Iterator<Item = (&str, Departure)> {
         self.known
             .iter()
             .map(|(id, departure)| (id.as_str(), *departure))
     }
 
-    /// Notes a departure; says whether anything changed.
+    /// Records a departure and returns whether anything changed.
     pub(super) fn note(&mut self, engine: &str, departure: Departure) -> bool {
         match self.known.get_mut(engine) {
             Some(known) if *known >= departure => return false,
--- a/crates/state/src/declared/document.rs
+++ b/crates/state/src/declared/document.rs
@@ -1,4 +1,4 @@
-//! An operator's document.
+//! The configuration document of an operator.
 
 use std::fmt;
 use std::ops::Deref;
@@ -6,7 +6,7 @@
 use minicbor::bytes::ByteVec;
 use minicbor::{Decode, Encode};
 
-/// A document byte for byte, for reading it back. It holds the keys of tenants.
+/// The original document, byte for byte. It contains the API keys of tenants.
 #[derive(Clone, PartialEq, Eq, Encode, Decode)]
 #[cbor(transparent)]
 pub struct Document(#[n(0)] ByteVec);
@@ -26,7 +26,7 @@
 }
 
 impl fmt::Debug for Document {
-    /// Tells the length alone.
+    /// Prints only the length, since the content is secret.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(formatter, "Document({} bytes)", self.0.len())
     }
--- a/crates/state/src/declared/mod.rs
+++ b/crates/state/src/declared/mod.rs
@@ -1,12 +1,12 @@
-//! What an operator declares as one whole document, and what engines and
-//! stores register: the part of the control group that serves requests by
-//! host and path.
+//! Declared state: the configuration document of an operator and the registrations of
+//! engines and stores. It is the part of the control group that requests are routed by,
+//! using host and path.
 //!
-//! A declared configuration carries the operator's own rising number. The
-//! highest number that was committed holds; a lower or equal one changes
-//! nothing, so that a resent or late document is harmless. Departures of
-//! engines are kept here because an acknowledged departure must bind for good.
-//! Engines that merely live are not: they say so again and again.
+//! A declared configuration has an increasing version number assigned by the operator. The
+//! highest committed version is in force; a lower or equal one changes nothing, so a
+//! retried or late document has no effect. Departures of engines are replicated because an
+//! acknowledged departure must be permanent. Running engines are not replicated, since they
+//! announce themselves repeatedly.
 
 mod bars;
 mod command;
--- a/crates/state/src/declared/model.rs
+++ b/crates/state/src/declared/model.rs
@@ -7,88 +7,88 @@
 
 use super::tenants::{self, Tenant};
 
-/// What may be done with the requests of a route.
+/// Kind of a route, which determines whether its requests may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Encode, Decode)]
 #[cbor(index_only)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// Requests may run more than once.
     #[n(0)]
     #[display("safe")]
     Safe,
-    /// Runs at most once.
+    /// Requests run at most once.
     #[n(1)]
     #[display("unsafe")]
     Unsafe,
-    /// The answer is a series of events; runs at most once unless resumable.
+    /// The answer is an event stream; requests run at most once unless resumable.
     #[n(2)]
     #[display("stream")]
     Stream,
-    /// Jobs of many items that run later.
+    /// Batch jobs of many items that run later.
     #[n(3)]
     #[display("batch")]
     Batch,
 }
 
-/// A service that a route leads to, and its share.
+/// A target service of a route and its weight.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Destination {
     /// Name of the service.
     #[n(0)]
     pub service: String,
-    /// Share among the destinations of the route.
+    /// Weight among the destinations of the route.
     #[n(1)]
     pub weight: u32,
 }
 
-/// Where requests of one host and path prefix go.
+/// Routing rule for one host and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Route {
-    /// Name for people.
+    /// Human-readable name.
     #[n(0)]
     pub name: String,
     /// Host, in lower case, without a port.
     #[n(1)]
     pub host: String,
-    /// Prefix of the path, with a slash at both ends.
+    /// Path prefix, with a slash at both ends.
     #[n(2)]
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Kind of the route.
     #[n(3)]
     pub kind: RouteKind,
-    /// Longest time that a request is held, in milliseconds.
+    /// Request timeout, in milliseconds.
     #[n(4)]
     pub timeout_ms: u32,
-    /// Time within which an answer is worth most, in milliseconds.
+    /// Target latency of an answer, in milliseconds.
     #[n(5)]
     pub target_latency_ms: u32,
-    /// Longest pause between events of an answer in time, in milliseconds.
+    /// Target for the maximum gap between events of an answer, in milliseconds.
     #[n(6)]
     pub gap_target_ms: Option<u32>,
-    /// Time within which a batch job is to be done, in milliseconds.
+    /// Target completion time of a batch job, in milliseconds.
     #[n(7)]
     pub completion_target_ms: Option<u32>,
-    /// Time after which an item may be given up, in milliseconds.
+    /// Time after which a batch item may be given up, in milliseconds.
     #[n(8)]
     pub retention_ms: Option<u32>,
-    /// Rank; 0 goes first.
+    /// Priority; 0 is the highest.
     #[n(9)]
     pub priority: u32,
-    /// Most engines that one request may be sent to.
+    /// Maximum number of engines that a request may be sent to.
     #[n(10)]
     pub max_attempts: u32,
-    /// Whether requests gain from an engine that holds their prompt.
+    /// Whether requests benefit from an engine that has their prompt cached.
     #[n(11)]
     pub sticky: bool,
-    /// Whether a broken stream may go on at another engine.
+    /// Whether an interrupted stream may resume at another engine.
     #[n(12)]
     pub resumable: bool,
-    /// Services and their shares.
+    /// Target services and their weights.
     #[n(13)]
     pub destinations: Vec<Destination>,
-    /// Tokens of batch items that may wait at once; none without a limit.
+    /// Maximum number of waiting tokens of batch items; `None` means unlimited.
     #[n(14)]
     pub max_queued_tokens: Option<u64>,
-    /// Whether its requests need no key where there are tenants.
+    /// Whether requests need no API key although tenants are configured.
     #[n(15)]
     #[cbor(default)]
     pub anonymous: bool,
@@ -106,13 +106,13 @@
     }
 }
 
-/// What is known of the engines of a service that generate tokens.
+/// Capacity of the token-generating engines of a service.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct EngineModel {
-    /// Requests that run at the same time.
+    /// Maximum number of concurrent requests.
     #[n(0)]
     pub slots: u32,
-    /// Tokens that fit in memory.
+    /// Capacity of the KV cache, in tokens.
     #[n(1)]
     pub kv_capacity: u64,
 }
@@ -123,30 +123,30 @@
     /// Name.
     #[n(0)]
     pub name: String,
-    /// Path of the health check of its engines.
+    /// Health check path of its engines.
     #[n(1)]
     pub health_path: String,
-    /// Most connections that an engine accepts from everybody together.
+    /// Maximum number of connections that an engine accepts from all clients together.
     #[n(2)]
     pub max_connections: u32,
-    /// Engines that generate tokens; `None` for a plain application.
+    /// Capacity of its token-generating engines; `None` for an application.
     #[n(3)]
     pub engine: Option<EngineModel>,
 }
 
-/// Bounds on what a caller may send and how long it may take.
+/// Size and time limits for requests from callers.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct CallerLimits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     #[n(0)]
     pub max_header_bytes: u32,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     #[n(1)]
     pub max_body_bytes: u64,
-    /// Longest time for a head to arrive, in milliseconds.
+    /// Maximum time to receive a request head, in milliseconds.
     #[n(2)]
     pub header_timeout_ms: u32,
-    /// Longest rest of a connection between requests, in milliseconds.
+    /// Maximum idle time of a connection between requests, in milliseconds.
     #[n(3)]
     pub idle_timeout_ms: u32,
 }
@@ -171,23 +171,23 @@
     /// Services.
     #[n(1)]
     pub services: Vec<ServiceModel>,
-    /// Bounds on callers.
+    /// Limits for callers.
     #[n(2)]
     pub limits: CallerLimits,
-    /// Tenants, whose keys requests carry; `None` where nobody needs a key.
+    /// Tenants, identified by the API keys of requests; `None` if no request needs a key.
     #[n(3)]
     pub tenants: Option<Vec<Tenant>>,
 }
 
 impl ServingModel {
-    /// The service of this name.
+    /// Returns the service with this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&ServiceModel> {
         self.services.iter().find(|service| service.name == name)
     }
 
-    /// The route of a request: of those of `host`, the one with the longest
-    /// prefix of `path`.
+    /// Returns the route of a request: among the routes of `host`, the one with the longest
+    /// matching prefix of `path`.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let of_host = self.routes.iter().filter(|route| route.host == host);
@@ -195,7 +195,7 @@
         fitting.max_by_key(|route| route.path_prefix.len())
     }
 
-    /// Every reason why this must not come into force.
+    /// Returns every reason why the configuration is invalid.
     #[must_use]
     pub fn problems(&self) -> Vec<String> {
         let mut problems = Vec::new();
--- a/crates/state/src/declared/request_digest.rs
+++ b/crates/state/src/declared/request_digest.rs
@@ -1,4 +1,4 @@
-//! What names a request that comes again.
+//! Identification of repeated requests.
 
 use std::fmt;
 
@@ -7,19 +7,19 @@
 use minicbor::{Decode, Encode};
 use sha2::{Digest, Sha256};
 
-/// Bytes of SHA-256 that are kept: enough that nobody finds another request with the
-/// same ones, at half of the memory and of the bytes between nodes.
+/// Number of SHA-256 bytes that are kept. They are enough that nobody can find another
+/// request with the same bytes, and take half the memory and network traffic.
 const BYTES: usize = 16;
 
-/// The parts of a request that stay the same when its caller sends it again. Its
-/// identifier is another one each time, and so are its deadline and what is set on
-/// the way. Not to be printed: it holds what its caller wrote.
+/// The parts of a request that stay the same when the caller repeats it. The request
+/// identifier, the deadline and headers added by proxies differ each time. It must not be
+/// logged, since it contains caller data.
 #[derive(Clone, Copy)]
 pub struct RequestParts<'a> {
-    /// Whose it is, where there are tenants: no tenant's request is named like
-    /// another's.
+    /// Tenant, if tenants are configured; requests of different tenants get different
+    /// digests.
     pub tenant: Option<&'a str>,
-    /// Host that it names.
+    /// Requested host.
     pub host: &'a str,
     /// Method.
     pub method: &'a str,
@@ -29,15 +29,15 @@
     pub body: &'a [u8],
 }
 
-/// Names a request by what it asks for, in the first half of a SHA-256.
+/// Identifies a request by its content: the first half of a SHA-256.
 #[derive(Clone, Copy, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[display("{:032x}", u128::from_be_bytes(**_0))]
 #[cbor(transparent)]
 pub struct RequestDigest(#[n(0)] ByteArray<BYTES>);
 
 impl RequestDigest {
-    /// The digest of a request. Each part stands behind its length, so that no two
-    /// requests put together the same bytes.
+    /// Returns the digest of a request. Each part is prefixed with its length, so that
+    /// different requests never hash the same bytes.
     #[must_use]
     pub fn of(parts: &RequestParts<'_>) -> Self {
         let mut hash = Sha256::new();
@@ -54,7 +54,7 @@
         Self(kept.into())
     }
 
-    /// The digest that its text names; `None` when it is no such text.
+    /// Parses a digest from its hexadecimal text; `None` if the text is invalid.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let digits = text.len() == 2 * BYTES && text.bytes().all(|byte| byte.is_ascii_hexdigit());
--- a/crates/state/src/declared/state.rs
+++ b/crates/state/src/declared/state.rs
@@ -1,4 +1,4 @@
-//! The declared state.
+//! State machine of the declared state.
 
 use minicbor::{Decode, Encode};
 
@@ -9,21 +9,21 @@
 use super::model::ServingModel;
 use super::stores::Stores;
 
-/// The configuration that holds.
+/// The declared configuration in force.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct DeclaredConfiguration {
-    /// The operator's number.
+    /// Version number assigned by the operator.
     #[n(0)]
     pub version: u64,
-    /// The document byte for byte.
+    /// The original document, byte for byte.
     #[n(1)]
     pub document: Document,
-    /// What it says.
+    /// Parsed content of the document.
     #[n(2)]
     pub model: ServingModel,
 }
 
-/// Everything that was declared or registered.
+/// The declared configuration and all registrations.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct DeclaredState {
     #[n(0)]
@@ -32,47 +32,47 @@
     departures: Departures,
     #[n(2)]
     stores: Stores,
-    /// Commands that changed something.
+    /// Number of commands that changed the state.
     #[n(3)]
     revision: u64,
-    /// Requests that no engine gets; a snapshot of before has none.
+    /// Barred requests; absent in older snapshots.
     #[n(4)]
     #[cbor(default)]
     bars: Bars,
 }
 
 impl DeclaredState {
-    /// The configuration that holds, if any was ever declared.
+    /// Returns the configuration in force, if one was declared.
     #[must_use]
     pub fn configuration(&self) -> Option<&DeclaredConfiguration> {
         self.configuration.as_deref()
     }
 
-    /// Engines that leave.
+    /// Returns the departures of engines.
     #[must_use]
     pub fn departures(&self) -> &Departures {
         &self.departures
     }
 
-    /// Nodes that hold batch jobs.
+    /// Returns the stores of batch jobs.
     #[must_use]
     pub fn stores(&self) -> &Stores {
         &self.stores
     }
 
-    /// Requests that no engine gets any more.
+    /// Returns the barred requests.
     #[must_use]
     pub fn bars(&self) -> &Bars {
         &self.bars
     }
 
-    /// Rises with every command that changed something.
+    /// Returns a number that increases with every command that changes the state.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The highest number in force; 0 before the first declaration.
+    /// Returns the version in force; 0 before the first declaration.
     #[must_use]
     pub fn version(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |held| held.version)
--- a/crates/state/src/declared/stores.rs
+++ b/crates/state/src/declared/stores.rs
@@ -1,4 +1,5 @@
-//! Nodes that hold batch jobs, who founded their group, and who is to leave it.
+//! Registry of the nodes that store batch jobs, the founders of their group, and retiring
+//! nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,62 +9,62 @@
 
 use super::command::{RegisterStore, RetireReply};
 
-/// How far the emptying of a node is.
+/// Progress of the retirement of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Encode, Decode)]
 #[cbor(index_only)]
 pub enum Retirement {
-    /// Its copies are being made elsewhere.
+    /// Its data is being copied to other stores.
     #[n(0)]
     #[display("active")]
     Active,
-    /// It holds nothing that the others do not hold.
+    /// It holds no data that other stores do not have.
     #[n(1)]
     #[display("completed")]
     Completed,
 }
 
-/// A node that can hold batch jobs.
+/// A node that can store batch jobs.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct StoreNode {
-    /// Name that operators use.
+    /// Name used by operators.
     #[n(0)]
     pub name: String,
-    /// Where it stands.
+    /// Zone of the node.
     #[n(1)]
     pub zone: ZoneName,
-    /// Life of its disk.
+    /// Incarnation of its disk.
     #[n(2)]
     pub incarnation: u32,
-    /// Set once an operator asked to empty it.
+    /// Progress of its retirement; set once an operator requested it.
     #[n(3)]
     pub retirement: Option<Retirement>,
 }
 
-/// The nodes that can hold batch jobs.
+/// The nodes that can store batch jobs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Stores {
     #[n(0)]
     nodes: BTreeMap<NodeId, StoreNode>,
-    /// The first voters of the batch group and the lives of their disks; fixed
-    /// once.
+    /// Initial voters of the batch group and the incarnations of their disks; never changed
+    /// once set.
     #[n(1)]
     founders: BTreeMap<NodeId, u32>,
 }
 
 impl Stores {
-    /// All registered nodes.
+    /// Returns all registered nodes.
     #[must_use]
     pub fn nodes(&self) -> &BTreeMap<NodeId, StoreNode> {
         &self.nodes
     }
 
-    /// The first voters of the batch group; empty before the founding.
+    /// Returns the initial voters of the batch group; empty before the group is created.
     #[must_use]
     pub fn founders(&self) -> &BTreeMap<NodeId, u32> {
         &self.founders
     }
 
-    /// Nodes that an operator wants emptied.
+    /// Returns the nodes that an operator requested to retire.
     #[must_use]
     pub fn retiring(&self) -> BTreeSet<NodeId> {
         let retiring = self
@@ -73,7 +74,7 @@
         retiring.map(|(id, _)| *id).collect()
     }
 
-    /// The node of this name.
+    /// Returns the node with this name.
     #[must_use]
     pub fn named(&self, name: &str) -> Option<(NodeId, &StoreNode)> {
         let mut nodes = self.nodes.iter();
@@ -82,8 +83,8 @@
             .map(|(id, node)| (*id, node))
     }
 
-    /// Takes a node in; founds the group once enough are there. Says whether
-    /// anything changed.
+    /// Registers a node, and creates the group once enough nodes are registered. Returns
+    /// whether anything changed.
     pub(super) fn register(&mut self, register: &RegisterStore) -> bool {
         let known = self.nodes.get(&register.node);
         let same = known.is_some_and(|node| {
@@ -109,7 +110,7 @@
             return false;
         }
         let chosen = spread_over_zones(&self.nodes, wanted);
-        // The stores of one zone may all register before any other.
+        // All stores of one zone may register before those of other zones.
         let enough = chosen.len() == wanted && self.outlive_a_zone(&chosen);
         if !enough && !register.patience_over {
             return false;
@@ -121,8 +122,8 @@
         true
     }
 
-    /// Whether most of these nodes are left when any one zone is lost. One alone, which
-    /// outlives nothing, is as good anywhere.
+    /// Whether a majority of these nodes survives the loss of any one zone. A single node
+    /// is accepted, since it survives no loss in any zone.
     fn outlive_a_zone(&self, chosen: &[NodeId]) -> bool {
         let mut of_zone: BTreeMap<&ZoneName, usize> = BTreeMap::new();
         for id in chosen {
@@ -132,8 +133,8 @@
         chosen.len() == 1 || most * 2 < chosen.len()
     }
 
-    /// Asks to empty the node of this name, if at least `replicas` of those
-    /// that are `alive` stay.
+    /// Starts the retirement of the node with this name if at least `replicas` of the
+    /// `alive` nodes remain.
     pub(super) fn retire(
         &mut self,
         name: &str,
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Notes that a node holds nothing any more.
+    /// Records that the retirement of a node is complete.
     pub(super) fn complete(&mut self, id: NodeId) -> bool {
         let active = self.nodes.get(&id).and_then(|node| node.retirement);
         if active != Some(Retirement::Active) {
@@ -176,7 +177,7 @@
     }
 }
 
-/// Up to `wanted` nodes, taking one of each zone before a second of any.
+/// Selects up to `wanted` nodes, taking one of each zone before a second of any zone.
 fn spread_over_zones(nodes: &BTreeMap<NodeId, StoreNode>, wanted: usize) -> Vec<NodeId> {
     let mut taken_of: BTreeMap<&ZoneName, usize> = BTreeMap::new();
     let mut ranked: Vec<(usize, NodeId)> = Vec::new();
--- a/crates/state/src/declared/tenants.rs
+++ b/crates/state/src/declared/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants: who may send requests, by which keys, and how many.
+//! Tenants, their API keys and rate limits.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -7,14 +7,13 @@
 use minicbor::{Decode, Encode};
 use sha2::{Digest, Sha256};
 
-/// SHA-256 of an API key. The keys themselves are kept nowhere but in the
-/// operator's document.
+/// SHA-256 of an API key. The keys themselves are stored only in the operator's document.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 #[cbor(transparent)]
 pub struct KeyDigest(#[n(0)] ByteArray<32>);
 
 impl KeyDigest {
-    /// Digest of a key.
+    /// Returns the digest of a key.
     #[must_use]
     pub fn of(key: &[u8]) -> Self {
         let digest: [u8; 32] = Sha256::digest(key).into();
@@ -23,25 +22,25 @@
 }
 
 impl fmt::Debug for KeyDigest {
-    /// Says nothing: a digest tells which requests use the same key.
+    /// Hides the digest, since it reveals which requests use the same key.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str("KeyDigest(..)")
     }
 }
 
-/// How many requests a tenant may send, over all gateways together.
+/// Rate limit of a tenant, across all gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct RateLimit {
-    /// Requests in a thousand seconds, for as long as it likes.
+    /// Sustained rate, in requests per thousand seconds.
     #[n(0)]
     pub per_1000_s: u64,
-    /// Requests beyond that rate at once.
+    /// Number of requests allowed in a burst above that rate.
     #[n(1)]
     pub burst: u32,
 }
 
 impl RateLimit {
-    /// Requests a second.
+    /// Returns the sustained rate in requests per second.
     #[must_use]
     pub fn per_second(&self) -> f64 {
         self.per_1000_s as f64 / 1_000.0
@@ -51,21 +50,21 @@
 /// A tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Tenant {
-    /// Name, which engines hear.
+    /// Name, which is sent to engines.
     #[n(0)]
     pub name: String,
-    /// Digests of its keys.
+    /// Digests of its API keys.
     #[n(1)]
     pub keys: Vec<KeyDigest>,
-    /// Rank that goes before that of a route; 0 goes first.
+    /// Priority, compared before the priority of the route; 0 is the highest.
     #[n(2)]
     pub priority: Option<u32>,
-    /// Bound on its requests, if there is one.
+    /// Rate limit, if there is one.
     #[n(3)]
     pub limit: Option<RateLimit>,
 }
 
-/// Adds every reason why these tenants must not come into force.
+/// Adds every reason why these tenants are invalid.
 pub(super) fn problems(tenants: &[Tenant], problems: &mut Vec<String>) {
     let mut names = BTreeSet::new();
     let mut holders: BTreeMap<KeyDigest, &str> = BTreeMap::new();
--- a/crates/state/src/error.rs
+++ b/crates/state/src/error.rs
@@ -1,22 +1,22 @@
-//! Errors of restoring a machine.
+//! Errors from restoring a state machine.
 
 use derive_more::{Display, Error, From};
 
 use crate::codec::DecodeError;
 
-/// Why a snapshot could not be restored.
+/// Error from restoring a snapshot.
 #[derive(Debug, Display, Error, From)]
 pub enum StateError {
     /// The bytes are not a snapshot of this machine.
     #[display("snapshot: {_0}")]
     Decode(DecodeError),
-    /// The snapshot was written in a format that this build does not know.
+    /// The snapshot has a format that this build does not support.
     #[display("snapshot format {found} is not supported, expected {expected}")]
     #[from(skip)]
     Format {
         /// Format of the snapshot.
         found: u32,
-        /// Format of this build.
+        /// Format supported by this build.
         expected: u32,
     },
 }
--- a/crates/state/src/explore/claim_model.rs
+++ b/crates/state/src/explore/claim_model.rs
@@ -1,4 +1,5 @@
-//! One key, three attempts, two bodies, every end at any point.
+//! Model of claims: one key, three attempts and two bodies, with every command possible in
+//! every state.
 
 use minicbor::bytes::ByteVec;
 use minicbor::{Decode, Encode};
@@ -9,9 +10,9 @@
 use crate::codec::encode;
 use crate::job::{ClaimReply, ClaimRequest, JobCommand, JobMachine, JobReply, SettleClaim};
 
-/// Attempts that race for the claim.
+/// Number of attempts that compete for the claim.
 const ATTEMPTS: u64 = 3;
-/// The body that is sent, and another one under the same key.
+/// Digests of two different bodies sent with the same key.
 const BODIES: [Digest; 2] = [Digest(1), Digest(2)];
 const OUTCOMES: [RunOutcome; 3] = [
     RunOutcome::Completed,
@@ -19,22 +20,22 @@
     RunOutcome::Unknown,
 ];
 
-/// Explores a claim.
+/// Model of a single claim.
 #[derive(Debug, Default)]
 pub struct ClaimModel;
 
-/// What the replies promised.
+/// Reference state: the guarantees given by earlier replies.
 #[derive(Clone, Debug, Default, Encode, Decode)]
 struct Promises {
-    /// Who may run the request, and its body.
+    /// Attempt that holds the claim, and the digest of its body.
     #[n(0)]
     holder: Option<(AttemptId, Digest)>,
-    /// How it ended, and the answer.
+    /// Outcome and answer of the settled claim.
     #[n(1)]
     end: Option<(RunOutcome, ByteVec)>,
 }
 
-/// The machine and its promises.
+/// The machine and its reference state.
 #[derive(Clone, Debug)]
 pub struct ClaimState {
     machine: JobMachine,
@@ -84,7 +85,7 @@
                 after.promises.check_settled(settle, outcome)?;
             }
             (JobCommand::Settle(_), JobReply::ClaimNotHeld) => {}
-            _ => return Err("the reply does not fit the command"),
+            _ => return Err("the reply does not match the command"),
         }
         Ok(after)
     }
@@ -97,7 +98,7 @@
 }
 
 impl Promises {
-    /// Judges the reply to a claim.
+    /// Checks the reply to a claim.
     fn check_claim(
         &mut self,
         request: &ClaimRequest,
@@ -117,7 +118,7 @@
             }
             ClaimReply::Held { attempt } => match self.holder {
                 Some((holder, digest)) if holder == attempt && digest == request.digest => Ok(()),
-                _ => Err("a claim is said to be held by another than its holder"),
+                _ => Err("a claim is said to be held by an attempt that does not hold it"),
             },
             ClaimReply::Settled { outcome, answer } => {
                 if self.end == Some((outcome, answer)) {
@@ -128,12 +129,12 @@
             }
             ClaimReply::KeyConflict => match self.holder {
                 Some((_, digest)) if digest != request.digest => Ok(()),
-                _ => Err("a key conflicts with itself"),
+                _ => Err("a key conflicts with the same body"),
             },
         }
     }
 
-    /// Judges the reply to a settlement.
+    /// Checks the reply to a settlement.
     fn check_settled(
         &mut self,
         settle: &SettleClaim,
@@ -163,7 +164,7 @@
     }
 }
 
-/// A claim of the key.
+/// Creates a claim command.
 fn claim(attempt: AttemptId, digest: Digest) -> JobCommand {
     JobCommand::Claim(ClaimRequest {
         tenant: TenantId::default(),
@@ -173,7 +174,7 @@
     })
 }
 
-/// An end of `attempt`; its answer names the attempt.
+/// Creates a settlement by `attempt`; its answer encodes the attempt.
 fn settle(attempt: AttemptId, outcome: RunOutcome) -> JobCommand {
     JobCommand::Settle(SettleClaim {
         tenant: TenantId::default(),
--- a/crates/state/src/explore/interned_log.rs
+++ b/crates/state/src/explore/interned_log.rs
@@ -1,14 +1,14 @@
-//! A payload log that stores equal payloads once, for the exploration only.
+//! A payload log that stores equal payloads once, used only for exploration.
 //!
-//! States that differ only in the order in which payloads were appended are
-//! one state to it, which keeps the number of states small.
+//! States that differ only in the order of appended payloads become equal, which keeps the
+//! number of states small.
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
 use crate::payload::{PayloadError, PayloadLocation, PayloadLog};
 
-/// The payloads of all states of one search.
+/// Payloads shared by all states of one search.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct InternedLog {
     payloads: Rc<RefCell<Vec<Vec<u8>>>>,
--- a/crates/state/src/explore/lease_model.rs
+++ b/crates/state/src/explore/lease_model.rs
@@ -1,4 +1,5 @@
-//! Two owners, one job of two items, every command at any point.
+//! Model of leases: two owners and one job of two items, with every command possible in
+//! every state.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -17,34 +18,34 @@
 const JOB: JobId = JobId(1);
 const ITEMS: u32 = 2;
 const OWNERS: u32 = 2;
-/// Most items wanted by the requests of an owner, in the order of sequences.
+/// Maximum number of items of each request of an owner, by sequence number.
 const REQUESTS: [u32; 2] = [1, 2];
-/// Renewals after which a lease is renewed no more.
+/// Maximum number of renewals of a lease.
 const MAX_RENEWALS: u64 = 1;
 
-/// Explores leases of one job.
+/// Model of the leases of one job.
 #[derive(Debug)]
 pub struct LeaseModel {
-    /// Whether items may run again when their run was cut short.
+    /// Whether items may run again after an interrupted run.
     pub repeatable: bool,
 }
 
-/// What the replies promised.
+/// Reference state: the guarantees given by earlier replies.
 #[derive(Clone, Debug, Default, Encode, Decode)]
 struct Promises {
     #[n(0)]
     accepted: bool,
     #[n(1)]
     cancelled: bool,
-    /// Items that each lease holds.
+    /// Items held by each lease.
     #[n(2)]
     held: BTreeMap<LeaseId, BTreeSet<u32>>,
-    /// The one result of each item.
+    /// First result of each item.
     #[n(3)]
     results: BTreeMap<u32, Vec<u8>>,
 }
 
-/// The machine and its promises.
+/// The machine and its reference state.
 #[derive(Clone, Debug)]
 pub struct LeaseState {
     machine: JobMachine,
@@ -122,7 +123,7 @@
 }
 
 impl Promises {
-    /// Judges a lease that was handed out.
+    /// Checks a granted lease.
     fn check_lease(&mut self, granted: &GrantedLease) -> Result<(), &'static str> {
         if !self.accepted {
             return Err("a job that was not accepted runs");
@@ -145,13 +146,13 @@
         }
         let known = self.held.get(&granted.lease);
         if known.is_some_and(|held| *held != items) {
-            return Err("a resent request gets other items");
+            return Err("a retried request gets different items");
         }
         self.held.insert(granted.lease, items);
         Ok(())
     }
 
-    /// Judges how many results of a record were taken.
+    /// Checks the number of results accepted by a record command.
     fn check_record(
         &mut self,
         lease: LeaseId,
@@ -176,13 +177,13 @@
         Ok(())
     }
 
-    /// Notes that a lease was given back.
+    /// Records that all items of a lease were returned.
     fn release(&mut self, lease: LeaseId) {
         self.held.entry(lease).or_default().clear();
     }
 
-    /// Notes that a lease ended in silence. Its items may have run, so those
-    /// of a non-repeatable job have ended too.
+    /// Records that a lease expired. Its items may have run, so those of a non-repeatable
+    /// job get an empty result.
     fn expire(&mut self, lease: LeaseId, repeatable: bool) {
         let held = std::mem::take(self.held.entry(lease).or_default());
         if !repeatable {
@@ -191,14 +192,14 @@
         }
     }
 
-    /// Whether some lease holds an item.
+    /// Whether any lease holds an item.
     fn lease_is_out(&self) -> bool {
         self.held.values().any(|held| !held.is_empty())
     }
 }
 
 impl LeaseState {
-    /// Judges what the job says of itself.
+    /// Checks the status of the job.
     fn check_status(&self) -> Result<(), &'static str> {
         let query = JobQuery::Status { job: JOB };
         let status = match self.machine.query(&query, &self.payloads) {
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Judges whether each result can be read and is the first one.
+    /// Checks that each result can be read and is the first one recorded.
     fn check_results(&self) -> Result<(), &'static str> {
         let query = JobQuery::Results {
             job: JOB,
@@ -245,7 +246,7 @@
     }
 }
 
-/// Renewals of the lease that an expiry names.
+/// Returns the renewals of the lease named by an expire command.
 fn renewals(machine: &JobMachine, command: &JobCommand) -> Option<u64> {
     let JobCommand::Expire { lease, .. } = command else {
         return None;
@@ -254,7 +255,7 @@
     record.map(|record| record.renewals)
 }
 
-/// Commands about a lease that was handed out, whether it is still out or not.
+/// Returns the commands for a granted lease, whether it is still active or not.
 fn commands_of(lease: LeaseId, state: &LeaseState) -> Vec<JobCommand> {
     let mut commands = vec![JobCommand::Return {
         lease,
@@ -277,7 +278,7 @@
     commands
 }
 
-/// The result of `item` under `lease`; its payload names the lease.
+/// Creates a record command for `item` under `lease`; its payload encodes the lease.
 fn record(lease: LeaseId, item: u32) -> JobCommand {
     let result = ItemResult {
         item: ItemIndex(item),
@@ -290,7 +291,7 @@
     }
 }
 
-/// Opens the job.
+/// Creates the command that opens the job.
 fn begin(repeatable: bool) -> JobCommand {
     JobCommand::Begin(BeginJob {
         job: JOB,
@@ -304,7 +305,7 @@
     })
 }
 
-/// Adds all items.
+/// Creates the command that adds all items.
 fn append() -> JobCommand {
     JobCommand::Append(AppendItems {
         job: JOB,
@@ -313,7 +314,7 @@
     })
 }
 
-/// Asks for items.
+/// Creates a lease request.
 fn request(owner: u32, sequence: u64, max_items: u32) -> JobCommand {
     JobCommand::Lease(LeaseRequest {
         owner: NodeId(owner),
--- a/crates/state/src/explore/mod.rs
+++ b/crates/state/src/explore/mod.rs
@@ -1,10 +1,10 @@
 //! Bounded exhaustive exploration of leases and claims.
 //!
-//! From the empty machine, every command of a small domain is applied in every
-//! state that can be reached, breadth first. A command may come any number of
-//! times and in any order, which covers resends, late duplicates and reordering.
-//! Beside the machine runs a record of what its replies promised; a reply or a
-//! state that breaks a promise ends the search with the shortest way there.
+//! Starting from the empty machine, every command of a small domain is applied in every
+//! reachable state, breadth first. A command may occur any number of times and in any
+//! order, which covers retries, late duplicates and reordering. A reference state records
+//! the guarantees given by earlier replies; a reply or a state that violates one ends the
+//! search with a shortest trace.
 
 mod claim_model;
 mod interned_log;
@@ -17,56 +17,56 @@
 
 use crate::job::JobCommand;
 
-/// A small domain to explore.
+/// A small state space to explore.
 pub trait Model {
-    /// The machine and the record of its promises.
+    /// The machine and its reference state.
     type State: Clone;
 
-    /// Where the search starts.
+    /// Returns the initial state.
     fn initial(&self) -> Self::State;
 
-    /// Commands that may come in `state`.
+    /// Returns the commands that may be applied in `state`.
     fn commands(&self, state: &Self::State) -> Vec<JobCommand>;
 
-    /// The state after `command`.
+    /// Returns the state after `command`.
     ///
     /// # Errors
-    /// When the machine breaks an invariant.
+    /// Returns the violated invariant.
     fn step(&self, state: &Self::State, command: &JobCommand) -> Result<Self::State, &'static str>;
 
-    /// Bytes that are equal for equal states only.
+    /// Returns a key that is equal only for equal states.
     fn key(&self, state: &Self::State) -> Vec<u8>;
 }
 
-/// A broken invariant and how to get there.
+/// A violated invariant and a trace that leads to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// What was broken.
+    /// Description of the violated invariant.
     pub invariant: &'static str,
-    /// The shortest sequence of commands that breaks it.
+    /// A shortest sequence of commands that violates it.
     pub trace: Vec<JobCommand>,
 }
 
-/// What a search found.
+/// Result of a search.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Exploration {
-    /// Distinct states that were reached.
+    /// Number of distinct states reached.
     pub states: usize,
-    /// Commands that were applied.
+    /// Number of commands applied.
     pub transitions: usize,
     /// Whether every reachable state was visited.
     pub exhausted: bool,
-    /// The first violation.
+    /// First violation found.
     pub violation: Option<Violation>,
 }
 
-/// A state that was reached, and from where by which command.
+/// A reached state, with its predecessor and the command that led to it.
 struct Reached<S> {
     state: S,
     origin: Option<(usize, JobCommand)>,
 }
 
-/// Visits the states of `model`, `max_states` at most.
+/// Explores the states of `model` until about `max_states` states have been reached.
 pub fn explore<M: Model>(model: &M, max_states: usize) -> Exploration {
     let initial = model.initial();
     let mut seen = HashSet::from([fingerprint(&model.key(&initial))]);
@@ -97,7 +97,7 @@
     finish(reached.len(), transitions, next == reached.len(), None)
 }
 
-/// What a search found.
+/// Result of a search.
 fn finish(
     states: usize,
     transitions: usize,
@@ -112,12 +112,12 @@
     }
 }
 
-/// A digest wide enough that two states of a search do not share it.
+/// Returns a digest that is wide enough to be unique among the states of a search.
 fn fingerprint(key: &[u8]) -> u128 {
     xxhash_rust::xxh3::xxh3_128(key)
 }
 
-/// The commands that led to state `last`, and `command` after them.
+/// Returns the commands that led to state `last`, followed by `command`.
 fn trace<S>(reached: &[Reached<S>], last: usize, command: JobCommand) -> Vec<JobCommand> {
     let mut commands = vec![command];
     let mut position = last;
--- a/crates/state/src/job/active.rs
+++ b/crates/state/src/job/active.rs
@@ -9,7 +9,7 @@
 use super::range_set::RangeSet;
 use crate::payload::PayloadLocation;
 
-/// Results by outcome.
+/// Number of results by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct OutcomeCounts {
     #[n(0)]
@@ -21,7 +21,7 @@
 }
 
 impl OutcomeCounts {
-    /// Counts one more result.
+    /// Counts one result.
     fn add(&mut self, outcome: ItemOutcome) {
         match outcome {
             ItemOutcome::Completed => self.completed += 1,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Results of every outcome.
+    /// Returns the number of results of all outcomes.
     fn total(self) -> u32 {
         self.completed + self.failed + self.unknown
     }
@@ -38,37 +38,37 @@
 
 /// A job that is being submitted, running or being cancelled.
 ///
-/// Invariant: an item is in `free`, held by exactly one lease, or has a result.
+/// Invariant: each item is in `free`, is held by exactly one lease, or has a result.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct ActiveJob {
-    /// The submission that opened it.
+    /// Submission that opened the job.
     #[n(0)]
     pub(crate) submission: BeginJob,
-    /// Its number among the jobs of the group, in the order they were begun.
+    /// Sequence number of the job in its group, in the order of submission.
     #[n(1)]
     pub(crate) sequence: u64,
-    /// Where it stands.
+    /// Current phase.
     #[n(2)]
     pub(crate) phase: JobPhase,
-    /// Its items.
+    /// Items received so far.
     #[n(3)]
     pub(crate) items: ItemTable,
-    /// Items that wait for a lease.
+    /// Items that are not leased and have no result.
     #[n(4)]
     pub(crate) free: RangeSet,
-    /// Leases that are out.
+    /// Number of active leases.
     #[n(5)]
     pub(crate) leases: u32,
-    /// Items held by those leases.
+    /// Number of items held by active leases.
     #[n(6)]
     pub(crate) leased: u32,
-    /// Results so far.
+    /// Results recorded so far.
     #[n(7)]
     pub(crate) counts: OutcomeCounts,
 }
 
 impl ActiveJob {
-    /// A job that was just opened.
+    /// Creates a job that has no items yet.
     pub(crate) fn open(submission: BeginJob, sequence: u64) -> Self {
         Self {
             submission,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Whether its items may be handed out.
+    /// Whether items of this job may be leased in its current phase.
     pub(crate) fn leases_items(&self) -> bool {
         match self.phase {
             JobPhase::Running => true,
@@ -91,17 +91,17 @@
         }
     }
 
-    /// Whether a lease would get an item.
+    /// Whether a lease request would get at least one item.
     pub(crate) fn has_work(&self) -> bool {
         self.leases_items() && !self.free.is_empty()
     }
 
-    /// Whether all items have arrived.
+    /// Whether all items have been received.
     pub(crate) fn is_whole(&self) -> bool {
         self.items.len() == self.submission.item_count
     }
 
-    /// Starts running it.
+    /// Starts the job and makes all its items available for leasing.
     pub(crate) fn start(&mut self) {
         self.phase = JobPhase::Running;
         self.items.shrink();
@@ -114,7 +114,7 @@
         self.counts.add(outcome);
     }
 
-    /// The phase that it should be finished in, if it should be.
+    /// Returns the final phase of the job, or `None` if the job is not finished.
     pub(crate) fn final_phase(&self) -> Option<JobPhase> {
         let no_lease_out = self.leases == 0 || !enabled(Mechanism::CancelWaitsForLeases);
         match self.phase {
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Its summary.
+    /// Returns the summary of the job.
     pub(crate) fn status(&self) -> JobStatus {
         let submission = &self.submission;
         JobStatus {
--- a/crates/state/src/job/claim_archive.rs
+++ b/crates/state/src/job/claim_archive.rs
@@ -1,10 +1,9 @@
 //! Settled claims on disk.
 //!
-//! A settled claim must be recognised for ever, or a request that is resent
-//! late would run twice. Claims that do not fit in memory are written to the
-//! payload log as sorted runs, and small runs are merged into larger ones, so
-//! that a look-up reads one chunk of few runs. In memory stays one index entry
-//! a chunk.
+//! A settled claim must be recognized forever; otherwise a request that is retried late
+//! would run twice. Claims that do not fit in memory are written to the payload log as
+//! sorted runs, and small runs are merged into larger ones, so that a lookup reads one
+//! chunk from each of a few runs. Only one index entry per chunk is kept in memory.
 
 use std::collections::BTreeMap;
 
@@ -13,15 +12,15 @@
 use super::claim_entry::{ClaimHash, ENTRY_BYTES, SettledClaim};
 use crate::payload::{PayloadError, PayloadLocation, PayloadLog};
 
-/// Claims in one chunk of a run.
+/// Number of claims in one chunk of a run.
 const CHUNK_CLAIMS: usize = 64;
-/// Runs of one level that are merged into a run of the next.
+/// Number of runs of one level that are merged into a run of the next level.
 const RUNS_MERGED: usize = 8;
-/// Levels whose runs are merged. Those of the last level stay as they are,
-/// which bounds the time that one command can take.
+/// Number of levels whose runs are merged. Runs of the last level are never merged, which
+/// bounds the time that one command can take.
 const MERGED_LEVELS: usize = 2;
 
-/// Where a chunk lies, and the first claim in it.
+/// Location of a chunk and the hash of its first claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 struct ChunkIndex {
     #[n(0)]
@@ -30,14 +29,14 @@
     location: PayloadLocation,
 }
 
-/// Claims in the order of their hashes.
+/// A run of claims sorted by hash.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 struct Run {
     #[n(0)]
     chunks: Vec<ChunkIndex>,
 }
 
-/// Runs by level, the smallest first.
+/// Sorted runs by level, smallest level first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct ClaimArchive {
     #[n(0)]
@@ -45,7 +44,7 @@
 }
 
 impl ClaimArchive {
-    /// Finds a settled claim.
+    /// Returns the settled claim with this hash, if there is one.
     pub(crate) fn find(
         &self,
         hash: ClaimHash,
@@ -59,8 +58,7 @@
         Ok(None)
     }
 
-    /// Writes `claims` as a run of the first level, and merges levels that
-    /// have become full.
+    /// Writes `claims` as a run of the first level and merges levels that are full.
     pub(crate) fn add(
         &mut self,
         claims: &BTreeMap<ClaimHash, SettledClaim>,
@@ -79,7 +77,7 @@
         Ok(())
     }
 
-    /// The runs of a level.
+    /// Returns the runs of a level and creates the level if needed.
     fn level(&mut self, level: usize) -> &mut Vec<Run> {
         if self.levels.len() <= level {
             self.levels.resize_with(level + 1, Vec::new);
@@ -89,7 +87,7 @@
 }
 
 impl Run {
-    /// Writes sorted claims.
+    /// Writes a run of sorted claims.
     fn write(
         entries: &[(ClaimHash, SettledClaim)],
         payloads: &mut dyn PayloadLog,
@@ -108,7 +106,7 @@
         Ok(Self { chunks })
     }
 
-    /// Writes one run in place of several.
+    /// Merges several runs into one new run.
     fn merge(runs: &[Run], payloads: &mut dyn PayloadLog) -> Result<Self, PayloadError> {
         let mut entries = Vec::new();
         for chunk in runs.iter().flat_map(|run| &run.chunks) {
@@ -118,7 +116,7 @@
         Self::write(&entries, payloads)
     }
 
-    /// Finds a claim in the one chunk that may have it.
+    /// Looks up a claim in the only chunk that can contain it.
     fn find(
         &self,
         hash: ClaimHash,
--- a/crates/state/src/job/claim_entry.rs
+++ b/crates/state/src/job/claim_entry.rs
@@ -1,4 +1,4 @@
-//! What stays of a settled claim, in memory and on disk.
+//! Representation of a settled claim in memory and on disk.
 
 use minicbor::bytes::ByteVec;
 use minicbor::{Decode, Encode};
@@ -6,11 +6,11 @@
 
 use crate::payload::PayloadLocation;
 
-/// Bytes of a claim in a chunk: hash, digest, offset, length, outcome.
+/// Size of a claim in a chunk, in bytes: hash, digest, offset, length, outcome.
 pub(crate) const ENTRY_BYTES: usize = 16 + 8 + 8 + 4 + 1;
 
-/// Digest of tenant and key. Equal hashes of two keys are told apart by the
-/// [`SettledRecord`].
+/// Hash of tenant and key. The [`SettledRecord`] distinguishes two keys that have the same
+/// hash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub(crate) struct ClaimHash {
     #[n(0)]
@@ -20,7 +20,7 @@
 }
 
 impl ClaimHash {
-    /// The hash of the key that `tenant` uses.
+    /// Returns the hash of `key` in the namespace of `tenant`.
     pub(crate) fn of(tenant: &TenantId, key: &str) -> Self {
         let joined = format!("{tenant}\n{key}");
         let hash = xxhash_rust::xxh3::xxh3_128(joined.as_bytes());
@@ -31,36 +31,36 @@
     }
 }
 
-/// A settled claim.
+/// Index entry of a settled claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct SettledClaim {
     /// Digest of the request's body.
     #[n(0)]
     pub(crate) digest: Digest,
-    /// How it ended.
+    /// Outcome of the request.
     #[n(1)]
     pub(crate) outcome: RunOutcome,
-    /// Where its [`SettledRecord`] lies.
+    /// Location of the [`SettledRecord`] in the payload log.
     #[n(2)]
     pub(crate) record: PayloadLocation,
 }
 
-/// What the payload log keeps of a settled claim.
+/// Record of a settled claim in the payload log.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct SettledRecord {
-    /// Who asked.
+    /// Tenant that sent the request.
     #[n(0)]
     pub(crate) tenant: TenantId,
-    /// Key of the request.
+    /// Idempotency key of the request.
     #[n(1)]
     pub(crate) key: String,
-    /// Response body when completed.
+    /// Response body if the request completed.
     #[n(2)]
     pub(crate) answer: ByteVec,
 }
 
 impl SettledClaim {
-    /// The claim under `hash` as it is written to a chunk.
+    /// Encodes the claim and its `hash` as they are stored in a chunk.
     pub(crate) fn to_bytes(self, hash: ClaimHash) -> [u8; ENTRY_BYTES] {
         let mut bytes = [0; ENTRY_BYTES];
         bytes[0..8].copy_from_slice(&hash.high.to_le_bytes());
@@ -72,7 +72,7 @@
         bytes
     }
 
-    /// Reads what [`Self::to_bytes`] wrote.
+    /// Decodes an entry written by [`Self::to_bytes`].
     pub(crate) fn from_bytes(bytes: &[u8; ENTRY_BYTES]) -> (ClaimHash, Self) {
         let hash = ClaimHash {
             high: word(bytes, 0),
@@ -95,7 +95,7 @@
     }
 }
 
-/// The 8 bytes at `at` as a number.
+/// Reads the 8 bytes at `at` as a little-endian number.
 fn word(bytes: &[u8; ENTRY_BYTES], at: usize) -> u64 {
     let mut word = [0; 8];
     word.copy_from_slice(&bytes[at..at + 8]);
--- a/crates/state/src/job/claims.rs
+++ b/crates/state/src/job/claims.rs
@@ -1,9 +1,9 @@
 //! Claims on non-repeatable requests.
 //!
-//! A claim is open from its grant until it is settled, and a settled one is
-//! remembered for ever: the newest in memory, the rest in the
-//! [`ClaimArchive`]. `NotRun` frees a claim instead of settling it. The leader
-//! settles a claim that was open for too long as `Unknown`.
+//! A claim is open from its grant until it is settled. Settled claims are kept forever: the
+//! newest in memory, the rest in the [`ClaimArchive`]. The outcome `NotRun` releases a
+//! claim instead of settling it. The leader settles a claim that was open for too long as
+//! `Unknown`.
 
 use std::collections::BTreeMap;
 
@@ -18,10 +18,10 @@
 use crate::codec::{decode, encode};
 use crate::payload::{PayloadError, PayloadLog};
 
-/// Settled claims kept in memory before they are written to the archive.
+/// Number of settled claims in memory at which they are written to the archive.
 const RECENT_CLAIMS: usize = 8_192;
 
-/// Names a claim.
+/// Identifies a claim.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 struct ClaimKey {
     #[n(0)]
@@ -30,17 +30,17 @@
     key: String,
 }
 
-/// A claim whose request may be running.
+/// A claim that was granted and not settled yet; its request may be running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 struct OpenClaim {
     #[n(0)]
     digest: Digest,
-    /// Attempt that it was granted to.
+    /// Attempt that holds the claim.
     #[n(1)]
     attempt: AttemptId,
 }
 
-/// The claims of a group.
+/// Claims of a job group.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Claims {
     #[n(0)]
@@ -52,7 +52,7 @@
 }
 
 impl Claims {
-    /// Claims that are open, by tenant and key.
+    /// Returns the open claims, ordered by tenant and key.
     pub(crate) fn open(&self) -> impl Iterator<Item = OpenClaimRecord> {
         self.open.iter().map(|(key, claim)| OpenClaimRecord {
             tenant: key.tenant.clone(),
@@ -61,7 +61,7 @@
         })
     }
 
-    /// Grants the claim or says what became of it.
+    /// Grants the claim, or reports the state of an earlier claim of the same key.
     pub(crate) fn claim(
         &mut self,
         request: &ClaimRequest,
@@ -87,7 +87,7 @@
         Ok(ClaimReply::Granted)
     }
 
-    /// What became of an earlier claim of the same key, if there was one.
+    /// Returns the reply for an earlier claim of the same key, if there is one.
     fn find(
         &self,
         request: &ClaimRequest,
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Finds a settled claim.
+    /// Looks up a settled claim in memory, then in the archive.
     fn find_settled(
         &self,
         key: &ClaimKey,
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Records how the claimed request ended. The first settlement stands.
+    /// Records the outcome of the claimed request. The first settlement wins.
     pub(crate) fn settle(
         &mut self,
         settle: &SettleClaim,
@@ -144,8 +144,8 @@
         })
     }
 
-    /// The reply to a settlement that finds no open claim. A resent `NotRun`
-    /// is one, since the first freed the claim.
+    /// Returns the reply to a settlement without an open claim. A retried `NotRun` is such
+    /// a settlement, since the first one released the claim.
     fn reply_not_open(
         &self,
         key: &ClaimKey,
@@ -163,7 +163,7 @@
         })
     }
 
-    /// Remembers a settled claim for ever.
+    /// Stores a settled claim permanently.
     fn keep_settled(
         &mut self,
         key: ClaimKey,
@@ -191,7 +191,7 @@
     }
 }
 
-/// The reply to a request whose key is claimed and may be running.
+/// Returns the reply to a claim whose key is already held by an open claim.
 fn reply_open(claim: &OpenClaim, request: &ClaimRequest) -> ClaimReply {
     if claim.digest != request.digest {
         return ClaimReply::KeyConflict;
@@ -204,7 +204,7 @@
     }
 }
 
-/// The reply to a request whose key was settled.
+/// Returns the reply to a claim whose key is already settled.
 fn reply_settled(
     claim: &SettledClaim,
     request: &ClaimRequest,
@@ -214,7 +214,7 @@
     let record: SettledRecord = decode(&bytes).map_err(|_| PayloadError::Corrupt {
         offset: claim.record.offset,
     })?;
-    // Two keys may have one hash: never show one tenant the answer of another.
+    // Two keys can have the same hash: never return the answer of one tenant to another.
     let same_key = record.tenant == request.tenant && record.key == request.key;
     if !same_key || claim.digest != request.digest {
         return Ok(ClaimReply::KeyConflict);
--- a/crates/state/src/job/command.rs
+++ b/crates/state/src/job/command.rs
@@ -10,19 +10,19 @@
 
 use super::query::{JobPhase, JobStatus};
 
-/// Opens a job, or finds the one that was opened under the same key.
+/// Opens a job, or returns the job already opened under the same key.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct BeginJob {
-    /// Derived from tenant and key.
+    /// Identifier of the job, derived from tenant and key.
     #[n(0)]
     pub job: JobId,
-    /// Who submits.
+    /// Tenant that submits the job.
     #[n(1)]
     pub tenant: TenantId,
-    /// Key under which a resubmission is recognised.
+    /// Idempotency key that identifies a resubmission.
     #[n(2)]
     pub key: String,
-    /// Digest of the whole submission; the same key with another is a conflict.
+    /// Digest of the whole submission; the same key with a different digest is a conflict.
     #[n(3)]
     pub digest: Digest,
     /// Service that runs the items.
@@ -31,7 +31,7 @@
     /// Number of items.
     #[n(5)]
     pub item_count: u32,
-    /// Whether an item may run again when its first run was cut short.
+    /// Whether an item may run again after an interrupted run.
     #[n(6)]
     pub repeatable: bool,
     /// Deadline in seconds since the Unix epoch, for ordering only.
@@ -39,8 +39,8 @@
     pub deadline_unix_seconds: u64,
 }
 
-/// Adds item inputs to a job that is still being submitted. Items at positions
-/// that are already there are ignored, so a resend is harmless.
+/// Adds item inputs to a job that is still being submitted. Items at positions that were
+/// already received are ignored, so a retry has no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct AppendItems {
     /// Job.
@@ -54,40 +54,40 @@
     pub inputs: Vec<ByteVec>,
 }
 
-/// Asks for items to run.
+/// Requests a lease on items to run.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct LeaseRequest {
     /// Gateway that will run them.
     #[n(0)]
     pub owner: NodeId,
-    /// Life of the gateway.
+    /// Incarnation of the gateway.
     #[n(1)]
     pub owner_incarnation: u64,
-    /// Number of this request in that life; a resend gets the same lease.
+    /// Number of this request within the incarnation; a retry gets the same lease.
     #[n(2)]
     pub sequence: u64,
-    /// Service whose back ends have room.
+    /// Service whose back ends have free capacity.
     #[n(3)]
     pub service: ServiceName,
     /// Back end that will run them.
     #[n(4)]
     pub backend: BackendId,
-    /// Most items wanted.
+    /// Maximum number of items to lease.
     #[n(5)]
     pub max_items: u32,
 }
 
-/// How the run of an item ended.
+/// Outcome of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum ItemOutcome {
-    /// It has an answer.
+    /// The item has an answer.
     #[n(0)]
     Completed,
-    /// It was refused for good, with the reason as its payload.
+    /// The item was permanently rejected; the payload is the reason.
     #[n(1)]
     Failed,
-    /// A non-repeatable item may have run and its answer is lost.
+    /// The item is not repeatable, may have run, and its answer is lost.
     #[n(2)]
     Unknown,
 }
@@ -98,10 +98,10 @@
     /// Item.
     #[n(0)]
     pub item: ItemIndex,
-    /// How it ended.
+    /// Outcome of the run.
     #[n(1)]
     pub outcome: ItemOutcome,
-    /// Response body or reason.
+    /// Response body, or the reason of a failure.
     #[n(2)]
     pub payload: ByteVec,
 }
@@ -112,33 +112,33 @@
     /// Who asks.
     #[n(0)]
     pub tenant: TenantId,
-    /// Key of the request.
+    /// Idempotency key of the request.
     #[n(1)]
     pub key: String,
-    /// Digest of its body.
+    /// Digest of the request body.
     #[n(2)]
     pub digest: Digest,
-    /// The attempt that would run it.
+    /// Attempt that will run the request if the claim is granted.
     #[n(3)]
     pub attempt: AttemptId,
 }
 
-/// Records how a claimed request ended. The first settlement wins.
+/// Records the outcome of a claimed request. The first settlement wins.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct SettleClaim {
-    /// Who asked.
+    /// Tenant that sent the request.
     #[n(0)]
     pub tenant: TenantId,
-    /// Key of the request.
+    /// Idempotency key of the request.
     #[n(1)]
     pub key: String,
     /// The attempt that holds the claim.
     #[n(2)]
     pub attempt: AttemptId,
-    /// How it ended; `NotRun` frees the claim.
+    /// Outcome; `NotRun` releases the claim.
     #[n(3)]
     pub outcome: RunOutcome,
-    /// Response body when completed.
+    /// Response body if the request completed.
     #[n(4)]
     pub answer: ByteVec,
 }
@@ -152,7 +152,7 @@
     /// Adds items.
     #[n(1)]
     Append(#[n(0)] AppendItems),
-    /// Accepts the job once all items are there.
+    /// Accepts the job once all items have been received.
     #[n(2)]
     #[from(skip)]
     Accept {
@@ -160,7 +160,7 @@
         #[n(0)]
         job: JobId,
     },
-    /// Stops a job.
+    /// Cancels a job.
     #[n(3)]
     #[from(skip)]
     Cancel {
@@ -168,87 +168,86 @@
         #[n(0)]
         job: JobId,
     },
-    /// Asks for items to run.
+    /// Requests a lease on items to run.
     #[n(4)]
     Lease(#[n(0)] LeaseRequest),
-    /// Keeps a lease alive. The reply carries the jobs that were cancelled.
+    /// Renews leases. The reply lists the leases whose job was cancelled.
     #[n(5)]
     #[from(skip)]
     Renew {
-        /// Leases to keep.
+        /// Leases to renew.
         #[n(0)]
         leases: Vec<LeaseId>,
     },
-    /// Records results; only items that the lease still holds are taken.
+    /// Records results. Results of items that the lease no longer holds are dropped.
     #[n(6)]
     #[from(skip)]
     Record {
-        /// Lease under which they ran.
+        /// Lease under which the items ran.
         #[n(0)]
         lease: LeaseId,
         /// Results.
         #[n(1)]
         results: Vec<ItemResult>,
     },
-    /// Gives items back that were not run.
+    /// Returns items that did not run.
     #[n(7)]
     #[from(skip)]
     Return {
         /// Lease.
         #[n(0)]
         lease: LeaseId,
-        /// Items; empty means every item that the lease still holds.
+        /// Items to return; empty means every item that the lease still holds.
         #[n(1)]
         items: Vec<ItemIndex>,
     },
-    /// Ends a lease whose owner was silent for its whole length by the
-    /// leader's clock. Items of a repeatable job become free again; those of
-    /// others end as unknown.
+    /// Expires a lease that was not renewed for its whole duration on the leader's clock.
+    /// Items of a repeatable job become free again; items of other jobs get the outcome
+    /// unknown.
     #[n(8)]
     #[from(skip)]
     Expire {
         /// Lease.
         #[n(0)]
         lease: LeaseId,
-        /// Renewals that the leader had seen; another number means that the
-        /// owner came back in time, and the expiry has no effect.
+        /// Number of renewals that the leader observed. If it differs, the owner renewed in
+        /// time and the expiry has no effect.
         #[n(1)]
         renewals: u64,
     },
-    /// Claims a non-repeatable request.
+    /// Claims the right to run a non-repeatable request.
     #[n(9)]
     Claim(#[n(0)] ClaimRequest),
-    /// Records how a claimed request ended.
+    /// Records the outcome of a claimed request.
     #[n(10)]
     Settle(#[n(0)] SettleClaim),
-    /// Sets the weight of a tenant's jobs against those of others.
+    /// Sets the scheduling weight of a tenant's jobs relative to other tenants.
     #[n(11)]
     #[from(skip)]
     SetWeight {
         /// Tenant.
         #[n(0)]
         tenant: TenantId,
-        /// Weight; 0 counts as 1, which is also the weight of a tenant that
-        /// has none set.
+        /// Weight; 0 counts as 1, which is also the default.
         #[n(1)]
         weight: u32,
     },
-    /// Drops a job whose submission was given up. Nothing of it was accepted,
-    /// so its key is free again.
+    /// Drops a job whose submission was abandoned. The job was never accepted, so its key
+    /// can be used again.
     #[n(12)]
     #[from(skip)]
     Abandon {
         /// Job.
         #[n(0)]
         job: JobId,
-        /// Items that the leader had seen; another number means that the
-        /// submission went on, and the command has no effect.
+        /// Number of items that the leader observed. If it differs, the submission
+        /// continued and the command has no effect.
         #[n(1)]
         received: u32,
     },
 }
 
-/// An item handed out under a lease.
+/// An item granted under a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct LeasedItem {
     /// Item.
@@ -265,24 +264,24 @@
     /// The attempt may run the request.
     #[n(0)]
     Granted,
-    /// Another attempt holds the claim and has not ended.
+    /// Another attempt holds the claim and may still be running.
     #[n(1)]
     Held {
-        /// That attempt.
+        /// Attempt that holds the claim.
         #[n(0)]
         attempt: AttemptId,
     },
-    /// It ended; this is its outcome and answer.
+    /// The claim is settled.
     #[n(2)]
     Settled {
-        /// How it ended.
+        /// Outcome of the run.
         #[n(0)]
         outcome: RunOutcome,
-        /// Response body when completed.
+        /// Response body if the request completed.
         #[n(1)]
         answer: ByteVec,
     },
-    /// The key was used for another body.
+    /// The key was already used with a different body.
     #[n(3)]
     KeyConflict,
 }
@@ -290,67 +289,66 @@
 /// Reply to a command of a job group.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum JobReply {
-    /// The job stands as described: after begin, append, accept and cancel.
+    /// Status of the job after a begin, append, accept or cancel command.
     #[n(0)]
     Job(#[n(0)] JobStatus),
-    /// The key was used for another submission.
+    /// The key was already used for a different submission.
     #[n(1)]
     KeyConflict {
-        /// Digest of that submission.
+        /// Digest of the earlier submission.
         #[n(0)]
         digest: Digest,
     },
-    /// No such job.
+    /// The job does not exist.
     #[n(2)]
     UnknownJob,
-    /// The command does not fit the job's phase, or leaves a gap in its items.
+    /// The command is not allowed in the job's phase, or leaves a gap in its items.
     #[n(3)]
     WrongPhase {
-        /// Phase it is in.
+        /// Current phase of the job.
         #[n(0)]
         phase: JobPhase,
-        /// Items it has.
+        /// Number of items received.
         #[n(1)]
         received: u32,
     },
-    /// Items to run; `None` when nothing waits for that service.
+    /// Items to run; `None` when no items are available for the service.
     #[n(4)]
     Leased(#[n(0)] Option<GrantedLease>),
-    /// To a renewal.
+    /// Reply to a renewal.
     #[n(5)]
     Renewed {
-        /// Leases that are no longer held and must be stopped.
+        /// Leases that no longer exist; their runs must be stopped.
         #[n(0)]
         lost: Vec<LeaseId>,
-        /// Leases whose job was cancelled: stop the streams, then return them.
+        /// Leases whose job was cancelled: stop their streams, then return their items.
         #[n(1)]
         cancelled: Vec<LeaseId>,
     },
-    /// To a record, return or expiry.
+    /// Reply to a record, return or expire command.
     #[n(6)]
     Recorded {
-        /// Items taken.
+        /// Number of items recorded, returned or expired.
         #[n(0)]
         taken: u32,
-        /// Items that the lease did not hold; their results were dropped.
+        /// Number of items that the lease did not hold; they were ignored.
         #[n(1)]
         dropped: u32,
     },
-    /// To a claim.
+    /// Reply to a claim.
     #[n(7)]
     Claim(#[n(0)] ClaimReply),
-    /// The settlement stands, this one or an earlier one.
+    /// The claim is settled by this settlement or an earlier one.
     #[n(8)]
     Settled {
-        /// Outcome on record.
+        /// Recorded outcome.
         #[n(0)]
         outcome: RunOutcome,
     },
-    /// The command's bytes could not be read; nothing changed.
+    /// The command could not be decoded; nothing changed.
     #[n(9)]
     Malformed,
-    /// The settlement is of an attempt that does not hold the claim; nothing
-    /// changed.
+    /// The settling attempt does not hold the claim; nothing changed.
     #[n(10)]
     ClaimNotHeld,
     /// The weight is set.
@@ -358,7 +356,7 @@
     WeightSet,
 }
 
-/// A lease and its items.
+/// A granted lease and its items.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct GrantedLease {
     /// Lease.
@@ -367,7 +365,7 @@
     /// Job that the items belong to.
     #[n(1)]
     pub job: JobId,
-    /// Whether an item may run again when its run was cut short.
+    /// Whether an item may run again after an interrupted run.
     #[n(2)]
     pub repeatable: bool,
     /// Items.
--- a/crates/state/src/job/finished.rs
+++ b/crates/state/src/job/finished.rs
@@ -1,8 +1,8 @@
-//! Finished jobs, whose items and summary lie in the payload log.
+//! Finished jobs, whose items and summary are stored in the payload log.
 //!
-//! The item table goes there in chunks, then a summary that names them. In
-//! memory stays only where the summary lies, so a page of results costs one
-//! read of the summary, one or two of chunks, and one for each result.
+//! The item table is written in chunks, followed by a summary with the locations of the
+//! chunks. Only the location of the summary stays in memory, so a page of results costs one
+//! read of the summary, one or two reads of chunks, and one read for each result.
 
 use minicbor::{Decode, Encode};
 use molespan_types::Digest;
@@ -13,36 +13,36 @@
 use crate::codec::{decode, encode};
 use crate::payload::{PayloadError, PayloadLocation, PayloadLog};
 
-/// Items in one chunk of the item table.
+/// Number of items in one chunk of the item table.
 pub(crate) const CHUNK_ITEMS: u32 = 1024;
 
-/// What stays in memory of a finished job.
+/// In-memory entry of a finished job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct FinishedJob {
-    /// Its number among the jobs of the group.
+    /// Sequence number of the job in its group.
     #[n(0)]
     pub(crate) sequence: u64,
-    /// Where its summary lies.
+    /// Location of the summary.
     #[n(1)]
     summary: PayloadLocation,
 }
 
-/// What the payload log keeps of a finished job besides its items.
+/// Summary of a finished job as stored in the payload log.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Summary {
     /// Digest of the submission.
     #[n(0)]
     pub(crate) digest: Digest,
-    /// Status at its end.
+    /// Final status.
     #[n(1)]
     pub(crate) status: JobStatus,
-    /// Chunks of its item table.
+    /// Locations of the chunks of the item table.
     #[n(2)]
     chunks: Vec<PayloadLocation>,
 }
 
 impl FinishedJob {
-    /// Writes `job`, which ends in `phase`, to the payload log.
+    /// Writes `job` with the final phase `phase` to the payload log.
     pub(crate) fn write(
         job: &ActiveJob,
         phase: JobPhase,
@@ -67,7 +67,7 @@
         })
     }
 
-    /// Reads its summary.
+    /// Reads the summary from the payload log.
     pub(crate) fn summary(&self, payloads: &dyn PayloadLog) -> Result<Summary, PayloadError> {
         let bytes = payloads.read(self.summary)?;
         decode(&bytes).map_err(|_| corrupt(self.summary))
@@ -75,7 +75,7 @@
 }
 
 impl Summary {
-    /// Reads chunk `number` of the item table; empty behind the last one.
+    /// Reads chunk `number` of the item table; empty past the last chunk.
     pub(crate) fn chunk(
         &self,
         number: u32,
@@ -90,7 +90,7 @@
     }
 }
 
-/// The error of bytes that are not what was written.
+/// Returns the error for stored bytes that cannot be decoded.
 fn corrupt(location: PayloadLocation) -> PayloadError {
     PayloadError::Corrupt {
         offset: location.offset,
--- a/crates/state/src/job/items.rs
+++ b/crates/state/src/job/items.rs
@@ -1,4 +1,4 @@
-//! What a job remembers of each of its items.
+//! The item table of a job.
 
 use minicbor::decode::Error as DecodeError;
 use minicbor::encode::{Error as EncodeError, Write};
@@ -7,17 +7,17 @@
 use super::command::ItemOutcome;
 use crate::payload::PayloadLocation;
 
-/// Bytes of an item in memory and in its encoded form.
+/// Size of an item in memory and in encoded form, in bytes.
 pub(crate) const ITEM_BYTES: usize = OFFSET_BYTES + LENGTH_BYTES;
 const OFFSET_BYTES: usize = 8;
 const LENGTH_BYTES: usize = 4;
-/// The outcome lies in the bits of the offset above this one.
+/// Bit position of the outcome, which is packed into the top bits of the offset.
 const OUTCOME_SHIFT: u32 = 62;
 const OFFSET_MASK: u64 = (1 << OUTCOME_SHIFT) - 1;
 
-/// One location and outcome an item. The location is that of the input until
-/// there is a result, and that of the result from then on: an item with a
-/// result never runs again, so nobody needs its input.
+/// Payload location and outcome of each item. The location points to the input until there
+/// is a result, and to the result from then on: an item with a result never runs again, so
+/// its input is no longer needed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ItemTable {
     offsets: Vec<u64>,
@@ -30,19 +30,19 @@
         self.offsets.len() as u32
     }
 
-    /// Adds an item that has only its input.
+    /// Adds an item without a result.
     pub(crate) fn push_input(&mut self, input: PayloadLocation) {
         self.offsets.push(input.offset & OFFSET_MASK);
         self.lengths.push(input.length);
     }
 
-    /// Gives back the room kept for items that will not come.
+    /// Releases spare capacity once no more items will be added.
     pub(crate) fn shrink(&mut self) {
         self.offsets.shrink_to_fit();
         self.lengths.shrink_to_fit();
     }
 
-    /// Where the input or the result of `item` lies.
+    /// Returns the location of the input or the result of `item`.
     pub(crate) fn location(&self, item: u32) -> Option<PayloadLocation> {
         let index = item as usize;
         Some(PayloadLocation {
@@ -51,7 +51,7 @@
         })
     }
 
-    /// How `item` ended; `None` when it has no result.
+    /// Returns the outcome of `item`, or `None` if it has no result.
     pub(crate) fn outcome(&self, item: u32) -> Option<ItemOutcome> {
         let packed = self.offsets.get(item as usize)?;
         match packed >> OUTCOME_SHIFT {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Replaces the input of `item` by its result.
+    /// Replaces the input of `item` with its result.
     pub(crate) fn set_result(&mut self, item: u32, outcome: ItemOutcome, at: PayloadLocation) {
         let code: u64 = match outcome {
             ItemOutcome::Completed => 1,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The items from `first` on, `count` at most, as bytes.
+    /// Encodes up to `count` items starting at `first`.
     pub(crate) fn to_bytes(&self, first: usize, count: usize) -> Vec<u8> {
         let end = self.offsets.len().min(first + count);
         let mut bytes = Vec::with_capacity(end.saturating_sub(first) * ITEM_BYTES);
@@ -89,7 +89,7 @@
         bytes
     }
 
-    /// Reads what [`Self::to_bytes`] wrote; `None` when it is cut short.
+    /// Decodes the output of [`Self::to_bytes`]; `None` if it is truncated.
     pub(crate) fn from_bytes(bytes: &[u8]) -> Option<Self> {
         let (records, rest) = bytes.as_chunks::<ITEM_BYTES>();
         if !rest.is_empty() {
--- a/crates/state/src/job/lease.rs
+++ b/crates/state/src/job/lease.rs
@@ -1,4 +1,4 @@
-//! A lease that is out.
+//! An active lease.
 
 use minicbor::{Decode, Encode};
 use molespan_types::{BackendId, JobId, LeaseId, NodeId};
@@ -12,22 +12,22 @@
     /// Job that the items belong to.
     #[n(0)]
     pub(crate) job: JobId,
-    /// Gateway that runs them.
+    /// Gateway that runs the items.
     #[n(1)]
     pub(crate) owner: NodeId,
-    /// Back end that they run on.
+    /// Back end that the items run on.
     #[n(2)]
     pub(crate) backend: BackendId,
-    /// Renewals so far.
+    /// Number of renewals so far.
     #[n(3)]
     pub(crate) renewals: u64,
-    /// Items that have neither a result nor were given back.
+    /// Items that neither have a result nor were returned.
     #[n(4)]
     pub(crate) held: RangeSet,
 }
 
 impl Lease {
-    /// Its record for readers.
+    /// Returns the lease as reported to readers.
     pub(crate) fn record(&self, lease: LeaseId) -> LeaseRecord {
         LeaseRecord {
             lease,
--- a/crates/state/src/job/leasing.rs
+++ b/crates/state/src/job/leasing.rs
@@ -1,4 +1,4 @@
-//! Handing out items and taking their results.
+//! Leasing items and recording their results.
 
 use minicbor::bytes::ByteVec;
 use molespan_types::mechanism::{Mechanism, enabled};
@@ -14,13 +14,14 @@
 use super::range_set::RangeSet;
 use crate::payload::{PayloadError, PayloadLog};
 
-/// Most items of one lease.
+/// Maximum number of items in one lease.
 const MAX_LEASE_ITEMS: u32 = 1024;
-/// Most bytes of inputs in one lease, unless its first item alone has more.
+/// Maximum total input size of one lease, in bytes. A single larger item is still leased
+/// alone.
 const MAX_LEASE_BYTES: u64 = 4 << 20;
 
 impl JobMachine {
-    /// Grants a lease, or finds the one that this request was granted before.
+    /// Grants a lease, or returns the lease granted earlier to the same request.
     pub(super) fn lease(
         &mut self,
         request: &LeaseRequest,
@@ -44,7 +45,7 @@
         Ok(JobReply::Leased(self.describe(lease, payloads)?))
     }
 
-    /// Takes items for a new request and remembers what it got.
+    /// Leases items to a new request and records the reply for retries.
     fn grant(&mut self, request: &LeaseRequest) -> Option<LeaseId> {
         let lease = self.take_items(request);
         if let Some(owner) = self.owners.get_mut(&request.owner) {
@@ -53,7 +54,7 @@
         lease
     }
 
-    /// Moves free items of the job whose turn it is under a new lease.
+    /// Moves free items of the next scheduled job to a new lease.
     fn take_items(&mut self, request: &LeaseRequest) -> Option<LeaseId> {
         let id = self.ready.next(&request.service, &self.shares)?;
         let job = self.active.get_mut(&id)?;
@@ -77,7 +78,7 @@
         Some(self.last_lease)
     }
 
-    /// The reply that hands out `id`: what it still holds, with the inputs.
+    /// Returns lease `id` with the items it still holds and their inputs.
     fn describe(
         &self,
         id: Option<LeaseId>,
@@ -106,7 +107,7 @@
         }))
     }
 
-    /// Keeps leases alive.
+    /// Renews leases.
     pub(super) fn renew(&mut self, ids: &[LeaseId]) -> JobReply {
         let mut lost = Vec::new();
         let mut cancelled = Vec::new();
@@ -153,7 +154,7 @@
         Ok(recorded(taken, results.len()))
     }
 
-    /// Frees items that were not run.
+    /// Makes items that did not run available again.
     pub(super) fn give_back(
         &mut self,
         id: LeaseId,
@@ -183,7 +184,7 @@
         Ok(recorded(taken, named.len()))
     }
 
-    /// Ends a lease whose owner was silent, unless it came back in between.
+    /// Expires a lease unless it was renewed in the meantime.
     pub(super) fn expire(
         &mut self,
         id: LeaseId,
@@ -215,14 +216,15 @@
         Ok(recorded(held.len(), held.len() as usize))
     }
 
-    /// A lease that is out and its job.
+    /// Returns an active lease and its job.
     fn lease_and_job(&mut self, id: LeaseId) -> Option<(&mut Lease, &mut ActiveJob)> {
         let lease = self.leases.get_mut(&id)?;
         let job = self.active.get_mut(&lease.job)?;
         Some((lease, job))
     }
 
-    /// Ends a lease that holds nothing any more, and its job if that was last.
+    /// Removes a lease that holds no items any more, and finishes its job if it was the
+    /// last.
     fn end_if_empty(
         &mut self,
         id: LeaseId,
@@ -245,14 +247,14 @@
         self.finish_if_done(job_id, payloads)
     }
 
-    /// Ends a lease whose job is finished. There is none unless a mechanism
-    /// was switched off.
+    /// Removes a lease whose job is finished. Such a lease exists only if a mechanism was
+    /// disabled.
     fn end_orphan(&mut self, id: LeaseId) {
         self.leases.remove(&id);
     }
 }
 
-/// Whether a result of `item` under `lease` is taken.
+/// Whether a result of `item` under `lease` is accepted.
 fn takes_result(lease: &Lease, job: &ActiveJob, item: u32) -> bool {
     if enabled(Mechanism::FirstResultWins) {
         lease.held.contains(item)
@@ -261,7 +263,8 @@
     }
 }
 
-/// Takes up to `max_items` of the lowest free items of `job`.
+/// Takes up to `max_items` of the lowest free items of `job`, within the limits of one
+/// lease.
 fn take_free(job: &mut ActiveJob, max_items: u32) -> RangeSet {
     let mut taken = RangeSet::default();
     let mut bytes = 0;
@@ -280,7 +283,7 @@
     taken
 }
 
-/// The reply to a record, return or expiry that named `named` items.
+/// Returns the reply to a record, return or expire command for `named` items.
 fn recorded(taken: u32, named: usize) -> JobReply {
     JobReply::Recorded {
         taken,
--- a/crates/state/src/job/machine.rs
+++ b/crates/state/src/job/machine.rs
@@ -19,44 +19,44 @@
 
 /// Jobs, items, leases, results and claims of one group.
 ///
-/// What clients may rely on lives here: an accepted item gets exactly one
+/// This machine enforces the guarantees to clients: an accepted item gets exactly one
 /// result, a cancelled job stops, and a claim is granted to one attempt.
 #[derive(Clone, Debug, Default, PartialEq, Encode, Decode)]
 pub struct JobMachine {
-    /// Jobs that are not finished.
+    /// Unfinished jobs.
     #[n(0)]
     pub(super) active: BTreeMap<JobId, ActiveJob>,
-    /// Jobs that are.
+    /// Finished jobs.
     #[n(1)]
     pub(super) finished: BTreeMap<JobId, FinishedJob>,
-    /// Number of the next job.
+    /// Sequence number of the next job.
     #[n(2)]
     pub(super) next_sequence: u64,
-    /// Leases that are out.
+    /// Active leases.
     #[n(3)]
     pub(super) leases: BTreeMap<LeaseId, Lease>,
-    /// The last lease that was granted.
+    /// Identifier of the latest lease.
     #[n(4)]
     pub(super) last_lease: LeaseId,
-    /// Answered lease requests by owner.
+    /// Lease requests already answered, by owner.
     #[n(5)]
     pub(super) owners: BTreeMap<NodeId, Owner>,
-    /// How much each tenant was served.
+    /// Fair-queueing state of each tenant.
     #[n(6)]
     pub(super) shares: Shares,
     /// Claims on non-repeatable requests.
     #[n(7)]
     pub(super) claims: Claims,
-    /// Jobs with free items; follows from `active`.
+    /// Jobs with free items; derived from `active`.
     #[cbor(skip)]
     pub(super) ready: ReadyJobs,
-    /// Every job by its number; follows from `active` and `finished`.
+    /// Every job by its sequence number; derived from `active` and `finished`.
     #[cbor(skip)]
     pub(super) by_sequence: BTreeMap<u64, JobId>,
 }
 
 impl JobMachine {
-    /// A machine without jobs.
+    /// Creates a machine without jobs.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
@@ -65,8 +65,8 @@
     /// Applies a committed command.
     ///
     /// # Errors
-    /// When the payload log fails. The machine and its log may then disagree
-    /// with other replicas: drop both and restore them from a snapshot.
+    /// Fails if the payload log fails. The machine and its log may then differ from other
+    /// replicas: drop both and restore them from a snapshot.
     pub fn apply(
         &mut self,
         command: &JobCommand,
@@ -95,42 +95,42 @@
         }
     }
 
-    /// Leases that are out, oldest first. The leader watches them on its clock.
+    /// Returns the active leases, oldest first. The leader expires them by its own clock.
     pub fn leases(&self) -> impl Iterator<Item = LeaseRecord> {
         self.leases.iter().map(|(&id, lease)| lease.record(id))
     }
 
-    /// Jobs that are still being submitted, with the items they have. The
-    /// leader watches them on its clock.
+    /// Returns the jobs that are still being submitted, with the number of items received.
+    /// The leader times them out by its own clock.
     pub fn submissions(&self) -> impl Iterator<Item = (JobId, u32)> {
         let jobs = self.active.iter();
         let open = jobs.filter(|(_, job)| job.phase == JobPhase::Submitting);
         open.map(|(&id, job)| (id, job.items.len()))
     }
 
-    /// Claims that are open. The leader watches them on its clock.
+    /// Returns the open claims. The leader times them out by its own clock.
     pub fn open_claims(&self) -> impl Iterator<Item = OpenClaimRecord> {
         self.claims.open()
     }
 
-    /// The machine's own bytes. A snapshot is these and the payload log as
-    /// long as it is now.
+    /// Encodes the machine. A full snapshot is these bytes plus the payload log at its
+    /// current length.
     #[must_use]
     pub fn snapshot(&self) -> Vec<u8> {
         snapshot::write(self)
     }
 
-    /// Reads a snapshot back.
+    /// Restores a machine from the bytes of [`Self::snapshot`].
     ///
     /// # Errors
-    /// When the bytes are damaged or of another format.
+    /// Fails if the bytes are damaged or have another format.
     pub fn restore(bytes: &[u8]) -> Result<Self, StateError> {
         let mut machine: Self = snapshot::read(bytes)?;
         machine.rebuild_indexes();
         Ok(machine)
     }
 
-    /// Builds what follows from the rest of the state.
+    /// Rebuilds the indexes that snapshots do not contain.
     fn rebuild_indexes(&mut self) {
         for (&id, job) in &self.active {
             self.by_sequence.insert(job.sequence, id);
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Finishes `id` if it has come to its end: its items go to the payload
-    /// log, and only their place stays in memory.
+    /// Finishes job `id` if it reached a final phase: its items are written to the payload
+    /// log, and only their location stays in memory.
     pub(super) fn finish_if_done(
         &mut self,
         id: JobId,
--- a/crates/state/src/job/owner.rs
+++ b/crates/state/src/job/owner.rs
@@ -1,41 +1,42 @@
-//! Which lease requests of an owner were answered already.
+//! Lease requests of an owner that were already answered.
 
 use std::collections::BTreeMap;
 
 use minicbor::{Decode, Encode};
 use molespan_types::LeaseId;
 
-/// Newest requests remembered of an owner. An older one is answered as ended,
-/// which is safe: it gets no items. Owners have far fewer in flight at once.
+/// Maximum number of requests kept per owner, newest first. An older request is answered as
+/// ended, which is safe because it gets no items. Owners have far fewer requests in flight
+/// at once.
 const REMEMBERED_REQUESTS: usize = 256;
 
-/// What is known of a request's number.
+/// Whether a request was answered before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestSeen {
-    /// It is new.
+    /// The request is new.
     New,
-    /// It was answered by this lease, which may have ended since.
+    /// The request was granted this lease, which may have ended since.
     Leased(LeaseId),
-    /// It was answered without a lease, or lies too far back.
+    /// The request got no lease, or is too old to be known.
     Ended,
 }
 
-/// One life of an owner.
+/// Answered requests of one incarnation of an owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Owner {
-    /// That life.
+    /// Incarnation of the owner.
     #[n(0)]
     pub(crate) incarnation: u64,
-    /// Requests below this number are not remembered.
+    /// Requests with a lower number are no longer known.
     #[n(1)]
     floor: u64,
-    /// Lease granted to each remembered request.
+    /// Lease granted to each known request, if any.
     #[n(2)]
     requests: BTreeMap<u64, Option<LeaseId>>,
 }
 
 impl Owner {
-    /// A life of which nothing is known yet.
+    /// Creates the entry of a new incarnation.
     pub(crate) fn starting(incarnation: u64) -> Self {
         Self {
             incarnation,
@@ -43,7 +44,7 @@
         }
     }
 
-    /// What is known of request `sequence`.
+    /// Returns whether request `sequence` was answered before.
     pub(crate) fn seen(&self, sequence: u64) -> RequestSeen {
         if sequence < self.floor {
             return RequestSeen::Ended;
@@ -55,7 +56,7 @@
         }
     }
 
-    /// Remembers the answer to request `sequence`.
+    /// Records the answer to request `sequence` and evicts the oldest requests.
     pub(crate) fn remember(&mut self, sequence: u64, lease: Option<LeaseId>) {
         self.requests.insert(sequence, lease);
         while self.requests.len() > REMEMBERED_REQUESTS {
--- a/crates/state/src/job/payloads.rs
+++ b/crates/state/src/job/payloads.rs
@@ -1,8 +1,8 @@
-//! Storing payloads, where an empty one takes no room.
+//! Payload storage in which empty payloads take no space.
 
 use crate::payload::{PayloadError, PayloadLocation, PayloadLog};
 
-/// Where an empty payload lies.
+/// Location of every empty payload.
 pub(crate) const NOWHERE: PayloadLocation = PayloadLocation {
     offset: 0,
     length: 0,
@@ -19,7 +19,7 @@
     payloads.append(payload)
 }
 
-/// Reads a payload that [`store`] put somewhere.
+/// Reads a payload that was written by [`store`].
 pub(crate) fn read(
     location: PayloadLocation,
     payloads: &dyn PayloadLog,
--- a/crates/state/src/job/query.rs
+++ b/crates/state/src/job/query.rs
@@ -1,4 +1,4 @@
-//! Reads of a job group.
+//! Read queries of a job group.
 
 use derive_more::Display;
 use minicbor::bytes::ByteVec;
@@ -10,7 +10,7 @@
 
 use super::command::{ItemOutcome, SettleClaim};
 
-/// Where a job stands.
+/// Phase of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Encode, Decode, Serialize, Deserialize)]
 #[cbor(index_only)]
 #[serde(rename_all = "lowercase")]
@@ -23,15 +23,15 @@
     #[n(1)]
     #[display("running")]
     Running,
-    /// Cancelled, and some lease is still out.
+    /// Cancelled, with leases still active.
     #[n(2)]
     #[display("cancelling")]
     Cancelling,
-    /// Cancelled, and nothing of it runs any more.
+    /// Cancelled, with no items running.
     #[n(3)]
     #[display("cancelled")]
     Cancelled,
-    /// Every item has its result.
+    /// Every item has a result.
     #[n(4)]
     #[display("completed")]
     Completed,
@@ -44,34 +44,34 @@
     #[n(0)]
     #[serde(serialize_with = "job_as_text", deserialize_with = "job_from_text")]
     pub job: JobId,
-    /// Who submitted it.
+    /// Tenant that submitted the job.
     #[n(1)]
     pub tenant: TenantId,
-    /// Its key.
+    /// Idempotency key of the job.
     #[n(2)]
     pub key: String,
-    /// Service that runs it.
+    /// Service that runs the job.
     #[n(3)]
     pub service: ServiceName,
-    /// Where it stands.
+    /// Current phase.
     #[n(4)]
     pub phase: JobPhase,
-    /// Items it will have.
+    /// Total number of items.
     #[n(5)]
     pub item_count: u32,
-    /// Items received.
+    /// Number of items received.
     #[n(6)]
     pub received: u32,
-    /// Items with an answer.
+    /// Number of items with an answer.
     #[n(7)]
     pub completed: u32,
-    /// Items refused for good.
+    /// Number of permanently rejected items.
     #[n(8)]
     pub failed: u32,
-    /// Non-repeatable items whose answer is lost.
+    /// Number of non-repeatable items whose answer is lost.
     #[n(9)]
     pub unknown: u32,
-    /// Items out under leases.
+    /// Number of leased items.
     #[n(10)]
     pub leased: u32,
     /// Deadline in seconds since the Unix epoch.
@@ -79,18 +79,18 @@
     pub deadline_unix_seconds: u64,
 }
 
-/// Writes a job as its text form.
+/// Serializes a job identifier as text.
 fn job_as_text<S: serde::Serializer>(job: &JobId, serializer: S) -> Result<S::Ok, S::Error> {
     serializer.collect_str(job)
 }
 
-/// Reads a job from its text form.
+/// Deserializes a job identifier from text.
 fn job_from_text<'de, D: serde::Deserializer<'de>>(deserializer: D) -> Result<JobId, D::Error> {
     let text = String::deserialize(deserializer)?;
     JobId::parse(&text).ok_or_else(|| serde::de::Error::custom("not a job identifier"))
 }
 
-/// A read of a job group.
+/// A read query of a job group.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum JobQuery {
     /// Summary of one job.
@@ -103,11 +103,11 @@
     /// Summaries, newest first.
     #[n(1)]
     List {
-        /// Most summaries wanted.
+        /// Maximum number of summaries.
         #[n(0)]
         limit: u32,
     },
-    /// Results in item order; items without one are left out.
+    /// Results in item order; items without a result are omitted.
     #[n(2)]
     Results {
         /// Job.
@@ -116,30 +116,30 @@
         /// First item.
         #[n(1)]
         first: ItemIndex,
-        /// Most results wanted.
+        /// Maximum number of results.
         #[n(2)]
         limit: u32,
     },
-    /// Leases that are out.
+    /// All active leases.
     #[n(3)]
     Leases,
 }
 
-/// The result of an item as it is read back.
+/// A recorded result of an item.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ItemRecord {
     /// Item.
     #[n(0)]
     pub item: ItemIndex,
-    /// How it ended.
+    /// Outcome.
     #[n(1)]
     pub outcome: ItemOutcome,
-    /// Response body or reason.
+    /// Response body, or the reason of a failure.
     #[n(2)]
     pub payload: ByteVec,
 }
 
-/// A lease that is out.
+/// An active lease.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct LeaseRecord {
     /// Lease.
@@ -154,59 +154,59 @@
     /// Back end.
     #[n(3)]
     pub backend: BackendId,
-    /// Items still held.
+    /// Number of items still held.
     #[n(4)]
     pub items: u32,
-    /// Renewals so far; see [`super::JobCommand::Expire`].
+    /// Number of renewals so far; see [`super::JobCommand::Expire`].
     #[n(5)]
     pub renewals: u64,
 }
 
-/// Answer to a read of a job group.
+/// Answer to a [`JobQuery`].
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum JobAnswer {
-    /// To [`JobQuery::Status`]; `None` when there is no such job.
+    /// Answer to [`JobQuery::Status`]; `None` if the job does not exist.
     #[n(0)]
     Status(#[n(0)] Option<JobStatus>),
-    /// To [`JobQuery::List`].
+    /// Answer to [`JobQuery::List`].
     #[n(1)]
     List(#[n(0)] Vec<JobStatus>),
-    /// To [`JobQuery::Results`].
+    /// Answer to [`JobQuery::Results`].
     #[n(2)]
     Results {
         /// Results.
         #[n(0)]
         results: Vec<ItemRecord>,
-        /// Where to go on; `None` at the end of the job.
+        /// First item of the next page; `None` at the end of the job.
         #[n(1)]
         next: Option<ItemIndex>,
     },
-    /// To [`JobQuery::Leases`].
+    /// Answer to [`JobQuery::Leases`].
     #[n(3)]
     Leases(#[n(0)] Vec<LeaseRecord>),
-    /// The payload log failed or the query could not be read.
+    /// The payload log failed or the query could not be decoded.
     #[n(4)]
     Failed {
-        /// Why.
+        /// Error message.
         #[n(0)]
         message: String,
     },
 }
 
-/// A claim that is open, as its leader watches it.
+/// An open claim, as tracked by the leader.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct OpenClaimRecord {
-    /// Who asked.
+    /// Tenant that sent the request.
     pub tenant: TenantId,
-    /// Key of the request.
+    /// Idempotency key of the request.
     pub key: String,
-    /// Attempt that it was granted to.
+    /// Attempt that holds the claim.
     pub attempt: AttemptId,
 }
 
 impl OpenClaimRecord {
-    /// The settlement that ends it as unknown. It has no effect if the attempt
-    /// no longer holds the claim.
+    /// Returns the settlement of the claim as unknown. It has no effect if the attempt no
+    /// longer holds the claim.
     #[must_use]
     pub fn into_unknown(self) -> SettleClaim {
         SettleClaim {
--- a/crates/state/src/job/range_set.rs
+++ b/crates/state/src/job/range_set.rs
@@ -1,23 +1,23 @@
-//! A set of item positions, kept as ranges.
+//! A set of item positions, stored as ranges.
 
 use std::collections::BTreeMap;
 
 use minicbor::{Decode, Encode};
 
-/// Item positions as disjoint ranges that never touch. Memory grows with the
-/// number of ranges, not of items.
+/// A set of item positions as disjoint, non-adjacent ranges. Memory grows with the number
+/// of ranges, not with the number of items.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct RangeSet {
-    /// End of each range, exclusive, by its start.
+    /// Exclusive end of each range, by its start.
     #[n(0)]
     ranges: BTreeMap<u32, u32>,
-    /// Positions in all ranges.
+    /// Number of positions in all ranges.
     #[n(1)]
     count: u32,
 }
 
 impl RangeSet {
-    /// The positions from 0 up to `end`, exclusive.
+    /// Creates the set of positions from 0 up to `end`, exclusive.
     pub(crate) fn up_to(end: u32) -> Self {
         let mut ranges = BTreeMap::new();
         if end > 0 {
@@ -31,7 +31,7 @@
         self.count
     }
 
-    /// Whether there is none.
+    /// Whether the set is empty.
     pub(crate) fn is_empty(&self) -> bool {
         self.count == 0
     }
@@ -42,7 +42,7 @@
         before.is_some_and(|(_, &end)| item < end)
     }
 
-    /// Adds `item` unless it is there already.
+    /// Adds `item` if it is absent.
     pub(crate) fn insert(&mut self, item: u32) {
         if self.contains(item) {
             return;
@@ -57,7 +57,7 @@
         self.ranges.insert(start, after_end.unwrap_or(item + 1));
     }
 
-    /// Takes `item` out and says whether it was there.
+    /// Removes `item` and returns whether it was present.
     pub(crate) fn remove(&mut self, item: u32) -> bool {
         let before = self.ranges.range(..=item).next_back();
         let Some((&start, &end)) = before.filter(|&(_, &end)| item < end) else {
@@ -74,12 +74,12 @@
         true
     }
 
-    /// The lowest position.
+    /// Returns the lowest position.
     pub(crate) fn first(&self) -> Option<u32> {
         self.ranges.first_key_value().map(|(&start, _)| start)
     }
 
-    /// Every position in order.
+    /// Iterates over all positions in ascending order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = u32> {
         self.ranges.iter().flat_map(|(&start, &end)| start..end)
     }
--- a/crates/state/src/job/reading.rs
+++ b/crates/state/src/job/reading.rs
@@ -1,4 +1,4 @@
-//! Reads of a job group.
+//! Execution of read queries of a job group.
 
 use minicbor::bytes::ByteVec;
 use molespan_types::{ItemIndex, JobId};
@@ -10,15 +10,16 @@
 use super::query::{ItemRecord, JobAnswer, JobQuery, JobStatus};
 use crate::payload::{PayloadError, PayloadLog};
 
-/// Most bytes of results in one answer, unless the first alone has more.
+/// Maximum total size of the results in one answer, in bytes. A single larger result is
+/// still returned alone.
 const MAX_RESULT_BYTES: usize = 4 << 20;
-/// Most results in one answer.
+/// Maximum number of results in one answer.
 const MAX_RESULTS: u32 = 4096;
-/// Most summaries in one answer.
+/// Maximum number of summaries in one answer.
 const MAX_SUMMARIES: u32 = 1000;
 
 impl JobMachine {
-    /// Answers a read.
+    /// Answers a query; a payload log error becomes [`JobAnswer::Failed`].
     #[must_use]
     pub fn query(&self, query: &JobQuery, payloads: &dyn PayloadLog) -> JobAnswer {
         self.answer(query, payloads)
@@ -27,7 +28,7 @@
             })
     }
 
-    /// Answers a read, or fails as the payload log does.
+    /// Answers a query, or returns the error of the payload log.
     fn answer(
         &self,
         query: &JobQuery,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Summary of a job.
+    /// Returns the summary of a job.
     pub(super) fn status(
         &self,
         id: JobId,
@@ -56,7 +57,7 @@
         Ok(Some(job.summary(payloads)?.status))
     }
 
-    /// Summaries, newest first.
+    /// Returns summaries, newest job first.
     fn list(&self, limit: u32, payloads: &dyn PayloadLog) -> Result<JobAnswer, PayloadError> {
         let limit = limit.min(MAX_SUMMARIES) as usize;
         let mut summaries = Vec::new();
@@ -66,7 +67,7 @@
         Ok(JobAnswer::List(summaries))
     }
 
-    /// Results of a job in item order.
+    /// Returns results of a job in item order.
     fn results(
         &self,
         id: JobId,
@@ -96,10 +97,10 @@
     }
 }
 
-/// A page of results that is being filled.
+/// Builder of a page of results.
 struct Page {
     results: Vec<ItemRecord>,
-    /// The next item to look at.
+    /// Next item to examine.
     next: u32,
     limit: u32,
     bytes: usize,
@@ -107,7 +108,7 @@
 }
 
 impl Page {
-    /// An empty page that starts at item `next`.
+    /// Creates an empty page that starts at item `next`.
     fn starting_at(next: u32, limit: u32) -> Self {
         Self {
             results: Vec::new(),
@@ -118,8 +119,8 @@
         }
     }
 
-    /// Adds the results of `items`, the first of which is item `base` of the
-    /// job, until the page is full.
+    /// Adds the results of `items` until the page is full. The first of `items` is item
+    /// `base` of the job.
     fn extend(
         &mut self,
         items: &ItemTable,
@@ -148,7 +149,7 @@
         Ok(())
     }
 
-    /// The answer, for a job that has `received` items.
+    /// Converts the page into the answer for a job with `received` items.
     fn answer(self, received: u32) -> JobAnswer {
         let next = (self.next < received).then_some(ItemIndex(self.next));
         JobAnswer::Results {
--- a/crates/state/src/job/schedule.rs
+++ b/crates/state/src/job/schedule.rs
@@ -1,10 +1,10 @@
-//! Which job the next lease takes its items from.
+//! Scheduling of jobs for leases.
 //!
-//! Between tenants it is the one that was served least, counted in leased
-//! items over its weight (start-time fair queueing). Between the jobs of a
-//! tenant it is the one with the earliest deadline, then the one begun first.
-//! A tenant that comes back after a pause starts at the least count in use, so
-//! it neither makes up for its pause nor pays for work done long ago.
+//! Tenants are scheduled by start-time fair queueing: the tenant with the lowest service
+//! count, measured in leased items divided by its weight, comes next. Among the jobs of a
+//! tenant, the earliest deadline comes first, then the earliest submission. A tenant that
+//! returns after an idle period starts at the current virtual time, so it neither catches
+//! up on the idle period nor pays for work done long ago.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,12 +13,12 @@
 
 use super::active::ActiveJob;
 
-/// What one item costs a tenant of weight 1.
+/// Cost of one item for a tenant of weight 1.
 const ITEM_COST: u64 = 1 << 16;
-/// Weight of a tenant that has none configured.
+/// Weight of a tenant without a configured weight.
 const DEFAULT_WEIGHT: u32 = 1;
 
-/// Place of a job among those of its tenant.
+/// Order of a job among the jobs of its tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct JobRank {
     deadline_unix_seconds: u64,
@@ -26,10 +26,10 @@
     job: JobId,
 }
 
-/// How much a tenant was served.
+/// Fair-queueing state of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 struct Share {
-    /// Items over weight, in units of `1 / ITEM_COST`.
+    /// Leased items divided by weight, in units of `1 / ITEM_COST`.
     #[n(0)]
     served: u64,
     #[n(1)]
@@ -37,7 +37,7 @@
 }
 
 impl Share {
-    /// The share of a tenant that starts at `served`.
+    /// Creates the share of a tenant whose service count starts at `served`.
     fn starting_at(served: u64) -> Self {
         Self {
             served,
@@ -45,24 +45,24 @@
         }
     }
 
-    /// What `items` cost at this weight.
+    /// Returns the cost of `items` at this weight.
     fn cost(&self, items: u32) -> u64 {
         u64::from(items) * ITEM_COST / u64::from(self.weight.max(1))
     }
 }
 
-/// The part of the schedule that snapshots keep.
+/// The part of the schedule that is stored in snapshots.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Shares {
     #[n(0)]
     tenants: BTreeMap<TenantId, Share>,
-    /// Count of the tenant that was chosen last; it never falls.
+    /// Service count of the tenant that was scheduled last; never decreases.
     #[n(1)]
     virtual_time: u64,
 }
 
 impl Shares {
-    /// Lifts a tenant that was idle to the count in use.
+    /// Raises the service count of an idle tenant to the virtual time.
     fn activate(&mut self, tenant: &TenantId) {
         let now = self.virtual_time;
         let share = self
@@ -72,12 +72,12 @@
         share.served = share.served.max(now);
     }
 
-    /// Count of a tenant.
+    /// Returns the service count of a tenant.
     fn served(&self, tenant: &TenantId) -> u64 {
         self.tenants.get(tenant).map_or(0, |share| share.served)
     }
 
-    /// Notes that `tenant` was chosen and takes `items`.
+    /// Charges `tenant` for leasing `items` and advances the virtual time.
     pub(crate) fn charge(&mut self, tenant: &TenantId, items: u32) {
         self.virtual_time = self.virtual_time.max(self.served(tenant));
         if let Some(share) = self.tenants.get_mut(tenant) {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Notes that `items` came back without having run.
+    /// Refunds `items` that were returned without having run.
     pub(crate) fn refund(&mut self, tenant: &TenantId, items: u32) {
         if let Some(share) = self.tenants.get_mut(tenant) {
             share.served = share.served.saturating_sub(share.cost(items));
@@ -100,15 +100,15 @@
     }
 }
 
-/// Jobs that have free items, by service and tenant. It follows from the jobs
-/// and is built anew when a snapshot is restored.
+/// Jobs that have free items, by service and tenant. Derived from the jobs and rebuilt when
+/// a snapshot is restored.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct ReadyJobs {
     services: BTreeMap<ServiceName, BTreeMap<TenantId, BTreeSet<JobRank>>>,
 }
 
 impl ReadyJobs {
-    /// Puts `job` in or takes it out, as its phase and free items demand.
+    /// Adds or removes `job` depending on its phase and free items.
     pub(crate) fn refresh(&mut self, job: &ActiveJob, shares: &mut Shares) {
         if job.has_work() {
             if self.insert(job) {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Puts `job` in and says whether it is the first of its tenant.
+    /// Adds `job` and returns whether its tenant had no ready job for the service before.
     pub(crate) fn insert(&mut self, job: &ActiveJob) -> bool {
         let submission = &job.submission;
         let tenants = self.services.entry(submission.service.clone()).or_default();
@@ -129,7 +129,7 @@
         first
     }
 
-    /// Takes `job` out, if it is in.
+    /// Removes `job` if it is present.
     pub(crate) fn remove(&mut self, job: &ActiveJob) {
         let submission = &job.submission;
         let Some(tenants) = self.services.get_mut(&submission.service) else {
@@ -146,7 +146,7 @@
         }
     }
 
-    /// The job whose turn it is among those of `service`.
+    /// Returns the next job to lease items from for `service`.
     pub(crate) fn next(&self, service: &ServiceName, shares: &Shares) -> Option<JobId> {
         let tenants = self.services.get(service)?;
         let (_, jobs) = tenants
@@ -156,7 +156,7 @@
     }
 }
 
-/// The place of `job` among those of its tenant.
+/// Returns the order of `job` among the jobs of its tenant.
 fn rank(job: &ActiveJob) -> JobRank {
     JobRank {
         deadline_unix_seconds: job.submission.deadline_unix_seconds,
--- a/crates/state/src/job/submission.rs
+++ b/crates/state/src/job/submission.rs
@@ -11,7 +11,7 @@
 use crate::payload::{PayloadError, PayloadLog};
 
 impl JobMachine {
-    /// Opens a job, or finds the one that was opened under the same key.
+    /// Opens a job, or returns the job already opened under the same key.
     pub(super) fn begin(
         &mut self,
         begin: &BeginJob,
@@ -32,7 +32,7 @@
         Ok(reply)
     }
 
-    /// Answers a submission whose job exists already.
+    /// Returns the reply to a submission whose job already exists.
     fn find_begun(
         &self,
         begin: &BeginJob,
@@ -46,8 +46,8 @@
         } else {
             return Ok(None);
         };
-        // Two keys may hash to one identifier: never show one tenant the job
-        // of another.
+        // Two keys can hash to the same identifier: never return the job of one tenant to
+        // another.
         let same_key = status.tenant == begin.tenant && status.key == begin.key;
         if same_key && digest == begin.digest {
             Ok(Some(JobReply::Job(status)))
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Drops every trace of a job.
+    /// Removes a job and its leases.
     pub(super) fn forget(&mut self, id: JobId) {
         if let Some(job) = self.active.remove(&id) {
             self.ready.remove(&job);
@@ -94,7 +94,7 @@
         Ok(JobReply::Job(job.status()))
     }
 
-    /// Drops a submission that has not gone on since the leader saw it.
+    /// Drops a submission that made no progress since the leader observed it.
     pub(super) fn abandon(
         &mut self,
         id: JobId,
@@ -111,7 +111,7 @@
         self.reply(id, payloads)
     }
 
-    /// Accepts a job once all its items are there.
+    /// Accepts a job once all its items have been received.
     pub(super) fn accept(
         &mut self,
         id: JobId,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Stops a job. One that is finished stays as it is.
+    /// Cancels a job. A finished job is unchanged.
     pub(super) fn cancel(
         &mut self,
         id: JobId,
@@ -146,14 +146,14 @@
         self.reply(id, payloads)
     }
 
-    /// The reply that describes job `id`.
+    /// Returns the reply with the status of job `id`.
     fn reply(&self, id: JobId, payloads: &dyn PayloadLog) -> Result<JobReply, PayloadError> {
         let status = self.status(id, payloads)?;
         Ok(status.map_or(JobReply::UnknownJob, JobReply::Job))
     }
 }
 
-/// The reply to a command that does not fit the job.
+/// Returns the reply to a command that is not allowed in the job's phase.
 fn wrong_phase(status: &JobStatus) -> JobReply {
     JobReply::WrongPhase {
         phase: status.phase,
