--- a/crates/state/src/lib.rs
+++ b/crates/state/src/lib.rs
@@ -1,14 +1,14 @@
 //! Replicated state machines: configuration, placement, jobs and claims.
 //!
-//! Both machines are pure. A committed command and the state before it decide
-//! the reply and the state after it; there is no clock, socket or unseeded
-//! random number. Lease expiry is therefore a command that the leader proposes
-//! after its own clock ran out, never a comparison of times in here.
+//! The machines are deterministic. The reply and the next state depend only on the
+//! committed command and the previous state; there is no clock, socket or unseeded random
+//! number. Lease expiry is therefore a command that the leader proposes after a timeout on
+//! its own clock, never a comparison of times in this crate.
 //!
-//! Item inputs and results do not stay in memory. The job machine appends them
-//! to a [`PayloadLog`] and keeps their locations. Since every replica applies
-//! the same commands in the same order, the log is the same byte for byte on
-//! each of them, and a snapshot is the machine's own bytes plus a prefix of it.
+//! Item inputs and results are not kept in memory. The job machine appends them to a
+//! [`PayloadLog`] and stores their locations. Since every replica applies the same commands
+//! in the same order, the log is identical on all of them, and a snapshot consists of the
+//! encoded machine plus a prefix of the log.
 
 pub mod batch;
 mod codec;
--- a/crates/state/src/machine.rs
+++ b/crates/state/src/machine.rs
@@ -1,4 +1,4 @@
-//! One enum over both machines, as the replica driver uses them.
+//! An enum over all state machines, used by the replica driver.
 
 use molespan_types::{GroupId, JobId};
 
@@ -12,16 +12,16 @@
 /// The state machine of a group.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Machine {
-    /// Of the control group.
+    /// Machine of the control group.
     Control(ControlMachine),
-    /// Of a job group.
+    /// Machine of a job group.
     Job(JobMachine),
-    /// Of the group of ordered batch jobs.
+    /// Machine of the group of ordered batch jobs.
     Batch(BatchMachine),
 }
 
 impl Machine {
-    /// The empty machine of `group`.
+    /// Creates the empty machine of `group`.
     #[must_use]
     pub fn for_group(group: GroupId) -> Self {
         match group {
@@ -31,12 +31,12 @@
         }
     }
 
-    /// Applies a committed command and gives the encoded reply. Bytes that are
-    /// no command change nothing and are replied to as malformed.
+    /// Applies a committed command and returns the encoded reply. Bytes that are not a
+    /// command change nothing and get a malformed reply.
     ///
     /// # Errors
-    /// When the payload log fails. The machine and its log may then disagree
-    /// with other replicas: drop both and restore them from a snapshot.
+    /// Fails if the payload log fails. The machine and its log may then differ from other
+    /// replicas: drop both and restore them from a snapshot.
     pub fn apply_bytes(
         &mut self,
         command: &[u8],
@@ -88,8 +88,8 @@
         }
     }
 
-    /// The machine's own bytes. A snapshot is these and the payload log as
-    /// long as it is now.
+    /// Encodes the machine. A full snapshot is these bytes plus the payload log at its
+    /// current length.
     #[must_use]
     pub fn snapshot(&self) -> Vec<u8> {
         match self {
@@ -99,10 +99,10 @@
         }
     }
 
-    /// Reads a snapshot of the machine of `group`.
+    /// Restores the machine of `group` from the bytes of [`Self::snapshot`].
     ///
     /// # Errors
-    /// When the bytes are damaged or of another format.
+    /// Fails if the bytes are damaged or have another format.
     pub fn restore(group: GroupId, bytes: &[u8]) -> Result<Self, StateError> {
         match group {
             GroupId::CONTROL => ControlMachine::restore(bytes).map(Self::Control),
@@ -111,9 +111,10 @@
         }
     }
 
-    /// Where the first payload lies that is still needed, of a machine that needs each for
-    /// some time only and whose log each replica keeps for itself; `None` for the others,
-    /// whose logs are the same on every replica and never shortened.
+    /// Returns the offset of the oldest payload that is still needed, or `length` if none
+    /// is, for a batch machine: it needs payloads only for some time, and its log is local
+    /// to each replica. Returns `None` for other machines, whose logs are identical on
+    /// every replica and never truncated.
     #[must_use]
     pub fn payloads_needed_from(&self, length: u64) -> Option<u64> {
         match self {
@@ -122,7 +123,8 @@
         }
     }
 
-    /// The log of another replica was copied, with what lay at `from` at `to` now.
+    /// Adjusts payload locations after the log of another replica was copied so that offset
+    /// `from` became `to`.
     pub fn move_payloads(&mut self, from: u64, to: u64) {
         match self {
             Self::Control(_) | Self::Job(_) => {}
@@ -130,23 +132,23 @@
         }
     }
 
-    /// Leases that are out; none in the control group.
+    /// Returns the active leases; empty except in job groups.
     pub fn leases(&self) -> impl Iterator<Item = LeaseRecord> {
         self.job().into_iter().flat_map(JobMachine::leases)
     }
 
-    /// Jobs that are still being submitted, with the items they have; none in
-    /// the control group.
+    /// Returns the jobs that are still being submitted, with the number of items received;
+    /// empty except in job groups.
     pub fn submissions(&self) -> impl Iterator<Item = (JobId, u32)> {
         self.job().into_iter().flat_map(JobMachine::submissions)
     }
 
-    /// Claims that are open; none in the control group.
+    /// Returns the open claims; empty except in job groups.
     pub fn open_claims(&self) -> impl Iterator<Item = OpenClaimRecord> {
         self.job().into_iter().flat_map(JobMachine::open_claims)
     }
 
-    /// The machine of a job group.
+    /// Returns the machine if it is one of a job group.
     fn job(&self) -> Option<&JobMachine> {
         match self {
             Self::Control(_) | Self::Batch(_) => None,
@@ -154,7 +156,8 @@
         }
     }
 
-    /// Rises when something changed that watchers of the group wait for.
+    /// Returns a number that increases with every change that watchers of the group wait
+    /// for; always 0 for a job group.
     #[must_use]
     pub fn revision(&self) -> u64 {
         match self {
--- a/crates/state/src/payload.rs
+++ b/crates/state/src/payload.rs
@@ -1,14 +1,13 @@
-//! The log of item inputs and results beside a job group, and of outputs beside a batch
-//! group.
+//! The payload log: item inputs and results of a job group, or outputs of a batch group.
 
 use derive_more::{Display, Error};
 use minicbor::{Decode, Encode};
 
-/// Where a payload lies in its group's payload log.
+/// Location of a payload in its group's payload log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(array)]
 pub struct PayloadLocation {
-    /// Bytes from the start of the log.
+    /// Offset from the start of the log, in bytes.
     #[n(0)]
     pub offset: u64,
     /// Length in bytes.
@@ -16,45 +15,46 @@
     pub length: u32,
 }
 
-/// Why a payload could not be read or written.
+/// Error from reading or writing a payload.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum PayloadError {
-    /// The location lies outside the log.
+    /// The location is outside the log.
     #[display("no payload at offset {offset}")]
     Missing {
         /// Requested offset.
         offset: u64,
     },
-    /// The bytes fail their checksum.
+    /// The payload fails its checksum.
     #[display("payload at offset {offset} fails its checksum")]
     Corrupt {
         /// Requested offset.
         offset: u64,
     },
-    /// The disk refused.
+    /// A disk operation failed.
     #[display("payload log: {message}")]
     Disk {
-        /// What the disk said.
+        /// Error message of the disk.
         message: String,
     },
 }
 
-/// An append-only log of payloads: the same on every replica of a job group, and each
-/// replica's own in a batch group.
+/// An append-only log of payloads. It is identical on every replica of a job group and
+/// local to each replica of a batch group.
 pub trait PayloadLog {
-    /// Appends `payload` and says where it lies.
+    /// Appends `payload` and returns its location.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     fn append(&mut self, payload: &[u8]) -> Result<PayloadLocation, PayloadError>;
 
-    /// Reads a payload back.
+    /// Reads a payload.
     ///
     /// # Errors
-    /// When there is none at `location`, it is damaged, or the disk refuses.
+    /// Fails if there is no payload at `location`, if it is damaged, or if the disk
+    /// operation fails.
     fn read(&self, location: PayloadLocation) -> Result<Vec<u8>, PayloadError>;
 
-    /// Bytes in the log.
+    /// Returns the length of the log, in bytes.
     fn length(&self) -> u64;
 }
 
@@ -65,13 +65,13 @@
 }
 
 impl MemoryPayloadLog {
-    /// The whole log.
+    /// Returns the content of the log.
     #[must_use]
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// A log with this content, as restored from a snapshot.
+    /// Creates a log with this content, for example from a snapshot.
     #[must_use]
     pub fn from_bytes(bytes: Vec<u8>) -> Self {
         Self { bytes }
--- a/crates/state/src/snapshot.rs
+++ b/crates/state/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The envelope of a snapshot: a format number before the machine itself.
+//! The snapshot envelope: a format number followed by the machine.
 
 use std::convert::Infallible;
 
@@ -11,14 +11,14 @@
 /// Format of the snapshots that this build writes and reads.
 const FORMAT: u32 = 1;
 
-/// Reads the format without the machine behind it.
+/// Decodes only the format, without the machine.
 #[derive(Decode)]
 struct Header {
     #[n(0)]
     format: u32,
 }
 
-/// A machine and the format that it is written in.
+/// A machine and its snapshot format.
 #[derive(Encode, Decode)]
 struct Envelope<M> {
     #[n(0)]
@@ -27,14 +27,14 @@
     machine: M,
 }
 
-/// Writes a snapshot of `machine`.
+/// Encodes a snapshot of `machine`.
 pub(crate) fn write<M: Encode<()>>(machine: &M) -> Vec<u8> {
     let envelope = Envelope {
         format: FORMAT,
         machine,
     };
-    // A vector that grows while a large machine is written takes up to three
-    // times its bytes for a moment; counting first costs only time.
+    // A vector that grows while a large machine is encoded briefly takes up to three times
+    // the final size. Counting the bytes first costs only time.
     let mut length = Length(0);
     minicbor::encode(&envelope, &mut length).expect("counting cannot fail");
     let mut bytes = Vec::with_capacity(length.0);
@@ -42,7 +42,7 @@
     bytes
 }
 
-/// Counts the bytes that are written to it.
+/// A writer that counts bytes.
 struct Length(usize);
 
 impl Write for Length {
@@ -54,10 +54,10 @@
     }
 }
 
-/// Reads a snapshot back.
+/// Decodes a machine from a snapshot.
 ///
 /// # Errors
-/// When the bytes are damaged or of another format.
+/// Fails if the bytes are damaged or have another format.
 pub(crate) fn read<'b, M: Decode<'b, ()>>(bytes: &'b [u8]) -> Result<M, StateError> {
     let header: Header = decode(bytes)?;
     if header.format != FORMAT {
