--- a/crates/state/tests/bars.rs
+++ b/crates/state/tests/bars.rs
@@ -37,7 +37,7 @@
 
 fn bar(machine: &ControlMachine, number: u64) -> Option<Bar> {
     let ControlAnswer::Declared(state) = machine.query(&ControlQuery::Declared) else {
-        panic!("another answer");
+        panic!("unexpected answer");
     };
     state.bars().get(&request(number)).copied()
 }
@@ -52,14 +52,14 @@
     assert_eq!(
         bar(&machine, 1),
         Some(first),
-        "a second asker changes nothing"
+        "a second request changes nothing"
     );
     assert_eq!(machine.declared().revision(), revision);
     let hours = BAR_HOLDS.as_millis() as u64;
     assert_eq!(first.holds_for(NOW), Some(BAR_HOLDS));
     assert!(first.holds_for(NOW + hours - 1).is_some());
     assert_eq!(first.holds_for(NOW + hours), None);
-    // Behind its time it is renewed, and newer than before.
+    // An expired bar is renewed and gets a higher change number.
     raise(&mut machine, 1, NOW + hours);
     let renewed = bar(&machine, 1).expect("a bar");
     assert!(renewed.change > first.change);
@@ -75,7 +75,7 @@
         let request = request(1);
         apply(&mut machine, DeclaredCommand::LiftBar { request });
     }
-    let lifted = bar(&machine, 1).expect("its memory");
+    let lifted = bar(&machine, 1).expect("the lifted bar is kept in memory");
     assert!(lifted.lifted && lifted.change > held.change);
     assert_eq!(lifted.holds_for(NOW), None);
     let request = request(9);
@@ -104,11 +104,11 @@
     let bytes = encode(machine.declared());
     let read: DeclaredState = decode(&bytes).expect("a state");
     assert_eq!(&read, machine.declared());
-    // What was written before there were bars: four parts, without the last one.
+    // The encoding before bars were introduced: four fields, without the last one.
     let mut old = encode(&DeclaredState::default());
     assert_eq!(old[0], 0x85, "an array of five");
     old[0] = 0x84;
     old.truncate(old.len() - encode(DeclaredState::default().bars()).len());
-    let read: DeclaredState = decode(&old).expect("a state of before");
+    let read: DeclaredState = decode(&old).expect("a state written before bars existed");
     assert_eq!(read, DeclaredState::default());
 }
--- a/crates/state/tests/batch.rs
+++ b/crates/state/tests/batch.rs
@@ -71,8 +71,8 @@
 }
 
 proptest! {
-    /// Whatever is recorded, in whatever order and however often: the first
-    /// outcome of an item stands, at a position that never changes.
+    /// For any sequence of recorded outcomes, the first outcome of an item is kept, at a
+    /// position that never changes.
     #[test]
     fn first_outcomes_keep_their_positions(
         records in prop::collection::vec((1..3_u64, 0..5_u32, 0..4_u8), 0..60),
@@ -150,7 +150,7 @@
     assert_eq!(machine.apply(&end("b")), BatchReply::Ended);
     assert_eq!(machine.apply(&end("none")), BatchReply::Unknown);
     assert_eq!(open(&machine, 10), [reference(1, 1), reference(3, 0)]);
-    // What is listed stays readable after the end.
+    // Results can still be recorded and read after the job has ended.
     machine.apply(&record(2, 0, "late"));
     assert_eq!(page(&machine, "b", 0, 10).expect("a job").results.len(), 1);
     machine.apply(&BatchCommand::Forget { job: 2 });
@@ -181,22 +181,21 @@
             BatchAnswer::Items(items) => items.first().map(|item| {
                 let pieces = item.progress.pieces.iter();
                 let pieces: Option<Vec<String>> = pieces.map(PackedText::unpack).collect();
-                let whole = pieces.expect("sound pieces").join("\n");
+                let whole = pieces.expect("valid pieces").join("\n");
                 (item.progress.last_event.unwrap_or(0), whole)
             }),
             other => panic!("{other:?}"),
         };
-    // A checkpoint from event to event, and the last event that is kept then.
+    // A checkpoint (after, last event), and the last stored event afterwards.
     let cases = [
         ((0, 3), 3),
         ((0, 2), 3),
         ((3, 5), 5),
-        // The same again, a gap, and an overlap.
+        // A repeated checkpoint, a gap, and an overlap.
         ((3, 5), 5),
         ((7, 9), 5),
         ((4, 8), 5),
-        // Another run that did not know of this one goes further, and so does
-        // one that goes on behind that.
+        // Another run that starts from the first event goes further, and is then continued.
         ((0, 6), 6),
         ((6, 8), 8),
     ];
@@ -227,7 +226,7 @@
 }
 
 proptest! {
-    /// Whatever an engine made comes back as it was.
+    /// Decompressing a compressed text returns the original.
     #[test]
     fn a_packed_text_is_unpacked_as_it_was(text in "\\PC{0,400}") {
         let packed = PackedText::pack(&text);
--- a/crates/state/tests/batch_output.rs
+++ b/crates/state/tests/batch_output.rs
@@ -1,5 +1,5 @@
-//! Output of an item at its gateway against what the batch group keeps of it,
-//! whatever becomes of the checkpoints on their way.
+//! Output of an item at its gateway compared with the progress stored by the batch group,
+//! with lost, late and unacknowledged checkpoints.
 
 use molespan_state::batch::{
     BatchAnswer, BatchCommand, BatchItem, BatchMachine, BatchQuery, BatchReply, ItemCheckpoint,
@@ -9,12 +9,12 @@
 
 const ITEM: ItemReference = ItemReference { job: 1, place: 0 };
 
-/// What becomes of a checkpoint.
+/// Delivery of a checkpoint.
 #[derive(Clone, Copy, Debug)]
 enum Fate {
-    /// It is committed, and the gateway hears so.
+    /// It is committed and the gateway receives the reply.
     Kept,
-    /// It is committed, and the gateway does not hear of it in time.
+    /// It is committed but the gateway does not receive the reply in time.
     Unheard,
     /// It is never committed.
     Lost,
@@ -22,19 +22,19 @@
     Late,
 }
 
-/// What happens; runs that go on are numbered from the latest one.
+/// A test step; runs are counted backwards from the latest one.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Events(usize, u8),
     Checkpoint(usize, Fate),
-    /// The oldest checkpoint that is late is committed.
+    /// The oldest late checkpoint is committed.
     Arrival,
-    /// Another gateway goes on with what is kept; the ones before it may not have
-    /// heard that they should stop.
+    /// Another gateway resumes from the stored progress; earlier gateways may not know that
+    /// they should stop.
     Gateway,
 }
 
-/// A run of the item at some gateway, with the events that it should show.
+/// A run of the item at a gateway, with its expected events.
 struct Run {
     number: u64,
     output: Output,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Makes events, which are its own.
+    /// Produces events that are unique to this run.
     fn make(&mut self, count: u8) {
         for _ in 0..count {
             let event = self.output.last_event().unwrap_or(0) + 1;
@@ -68,7 +68,7 @@
 }
 
 fn events_of(output: &Output) -> Vec<String> {
-    let text = output.text().unpack().expect("a sound text");
+    let text = output.text().unpack().expect("a valid text");
     text.lines().map(str::to_owned).collect()
 }
 
@@ -94,7 +94,7 @@
     machine
 }
 
-/// Commits a checkpoint; gives what the batch group answers.
+/// Commits a checkpoint and returns the reply of the batch group.
 fn keep(machine: &mut BatchMachine, checkpoint: ItemCheckpoint) -> Option<Mark> {
     let items = vec![checkpoint];
     match machine.apply(&BatchCommand::Checkpoint { items }) {
@@ -110,7 +110,7 @@
     }
 }
 
-/// Events up to the one of this number, as every engine makes them.
+/// Returns the events up to `last_event`, as produced by every engine.
 fn text(last_event: u64) -> String {
     let events: Vec<String> = (1..=last_event).map(|event| format!("e{event}")).collect();
     events.join("\n")
@@ -128,17 +128,17 @@
     let mut machine = machine();
     let mut output = Output::begin(1);
     run(&mut output, 3);
-    let (checkpoint, _) = output.checkpoint(ITEM).expect("something new");
+    let (checkpoint, _) = output.checkpoint(ITEM).expect("unsaved output");
     keep(&mut machine, checkpoint);
     output.forget_kept();
     run(&mut output, 2);
-    let (checkpoint, kept) = output.checkpoint(ITEM).expect("something new");
+    let (checkpoint, kept) = output.checkpoint(ITEM).expect("unsaved output");
     let answered = keep(&mut machine, checkpoint);
     output.note_kept(kept, answered);
     assert_eq!(progress(&machine).last_event, Some(5));
-    // From there on only what is new goes out.
+    // Later checkpoints contain only new events.
     run(&mut output, 1);
-    let (checkpoint, _) = output.checkpoint(ITEM).expect("something new");
+    let (checkpoint, _) = output.checkpoint(ITEM).expect("unsaved output");
     assert_eq!(checkpoint.after, Some(5));
     keep(&mut machine, checkpoint);
     let resumed = Output::resume(&progress(&machine), 2);
@@ -148,19 +148,19 @@
 
 #[test]
 fn two_runs_that_came_equally_far_are_not_joined() {
-    // Both begin at the first event, and make other events under the same numbers.
+    // Both start at the first event and produce different events with the same numbers.
     let mut machine = machine();
     let mut one = Output::begin(1);
     let mut two = Output::begin(2);
     one.push(Some(1), "one-1".to_owned());
     two.push(Some(1), "two-1".to_owned());
     for output in [&mut one, &mut two] {
-        let (checkpoint, kept) = output.checkpoint(ITEM).expect("something new");
+        let (checkpoint, kept) = output.checkpoint(ITEM).expect("unsaved output");
         let answered = keep(&mut machine, checkpoint);
         output.note_kept(kept, answered);
     }
     two.push(Some(2), "two-2".to_owned());
-    let (checkpoint, _) = two.checkpoint(ITEM).expect("something new");
+    let (checkpoint, _) = two.checkpoint(ITEM).expect("unsaved output");
     keep(&mut machine, checkpoint);
     let resumed = Output::resume(&progress(&machine), 3);
     assert_eq!(resumed.text().unpack().as_deref(), Some("two-1\ntwo-2"));
@@ -182,9 +182,9 @@
 }
 
 proptest! {
-    /// What is kept is always a whole beginning of what one run shows, its own
-    /// events behind those that it went on from. It never goes back, and nothing
-    /// keeps later checkpoints from being taken.
+    /// The stored progress is always a prefix of the events of one run, including the
+    /// events that the run resumed from. It never regresses, and later checkpoints are
+    /// always accepted.
     #[test]
     fn what_is_kept_is_a_beginning_of_one_run(
         steps in prop::collection::vec(any_step(), 0..60),
@@ -237,10 +237,10 @@
             prop_assert_eq!(shown.len() as u64, last_event);
             prop_assert!(
                 runs.iter().any(|run| run.events.starts_with(&shown)),
-                "{:?} is of no run", shown
+                "{:?} is not from any run", shown
             );
         }
-        // Two checkpoints that are heard of are enough to keep everything.
+        // Two acknowledged checkpoints are enough to store everything.
         let output = &mut runs.last_mut().expect("a run").output;
         for _ in 0..2 {
             if let Some((checkpoint, upto)) = output.checkpoint(ITEM) {
--- a/crates/state/tests/batch_payloads.rs
+++ b/crates/state/tests/batch_payloads.rs
@@ -34,7 +34,7 @@
     }))
 }
 
-/// A text that cannot be packed well, the same for each item.
+/// Returns a text that compresses badly and is deterministic for each item.
 fn output(job: u64, place: u32) -> String {
     let mut random = ChaCha8Rng::seed_from_u64(job << 32 | u64::from(place));
     let signs = (0..OUTPUT).map(|_| char::from(random.random_range(b'!'..=b'~')));
@@ -54,7 +54,7 @@
 
 fn apply(machine: &mut Machine, payloads: &mut MemoryPayloadLog, command: &BatchCommand) {
     let reply = machine.apply_bytes(&encode(command), payloads);
-    reply.expect("the log takes it");
+    reply.expect("the log accepts it");
 }
 
 fn results(machine: &Machine, payloads: &MemoryPayloadLog, id: &str) -> BatchAnswer {
@@ -92,8 +92,9 @@
     (machine, payloads)
 }
 
-/// Stores on small machines were killed for their memory: each kept all outputs of minutes
-/// in it, once more in each snapshot, and could not start again with them.
+/// Guards against stores on small machines that were killed for using too much memory: they
+/// kept the outputs of several minutes in memory and again in each snapshot, and could not
+/// restart with them.
 #[test]
 fn what_is_in_memory_and_in_snapshots_does_not_grow_with_outputs() {
     let (machine, payloads) = done(4);
@@ -120,7 +121,9 @@
         &mut payloads,
         &BatchCommand::Forget { job: 1 },
     );
-    let second = machine.payloads_needed_from(length).expect("of its own");
+    let second = machine
+        .payloads_needed_from(length)
+        .expect("a log of its own");
     assert!(second > 0 && second < length);
     apply(
         &mut machine,
@@ -136,7 +139,7 @@
     assert_eq!(machine.payloads_needed_from(length), Some(length));
 }
 
-/// An output that cannot be read is not one that never was.
+/// An unreadable output must be distinguishable from a missing one.
 #[test]
 fn an_output_that_the_log_does_not_give_is_told_apart_from_none() {
     let (machine, _) = done(1);
--- a/crates/state/tests/batch_queue.rs
+++ b/crates/state/tests/batch_queue.rs
@@ -1,4 +1,4 @@
-//! Tokens that wait on a route, and jobs that do not fit.
+//! Limits on the waiting tokens of a queue.
 
 use molespan_state::batch::{
     BatchAnswer, BatchCommand, BatchItem, BatchMachine, BatchQuery, BatchReply, ItemOutcome,
@@ -48,14 +48,14 @@
 #[test]
 fn a_job_fits_while_all_waiting_tokens_of_its_route_stay_within_the_limit() {
     let mut machine = BatchMachine::new();
-    // A command, its reply, and the tokens that wait in the first queue then.
+    // A command, its reply, and the waiting tokens of the first queue afterwards.
     let cases = [
         (submit("a", "one", &[30, 30]), BatchReply::Kept, 60),
         (submit("b", "one", &[41]), BatchReply::QueueFull, 60),
         (submit("c", "one", &[40]), BatchReply::Kept, 100),
-        // Another route has a limit of its own.
+        // Another queue has its own limit.
         (submit("d", "two", &[100]), BatchReply::Kept, 100),
-        // A job that is kept is found again, however full the queue is.
+        // Resubmitting a stored job succeeds even if the queue is full.
         (submit("a", "one", &[30, 30]), BatchReply::Kept, 100),
         (dead_letter(1, 0), BatchReply::Recorded, 70),
         (dead_letter(1, 0), BatchReply::Recorded, 70),
@@ -63,7 +63,7 @@
         (submit("b", "one", &[30]), BatchReply::Kept, 100),
         (end("c"), BatchReply::Ended, 60),
         (end("c"), BatchReply::Ended, 60),
-        // An outcome that comes behind the end frees nothing a second time.
+        // An outcome recorded after the end does not release tokens a second time.
         (dead_letter(2, 0), BatchReply::Recorded, 60),
         (BatchCommand::Forget { job: 4 }, BatchReply::Ended, 30),
         (
@@ -82,7 +82,7 @@
 fn without_a_limit_sums_that_overflow_are_counted_and_given_back() {
     let mut machine = BatchMachine::new();
     let BatchCommand::Submit(mut submit) = submit("a", "q", &[u64::MAX; 200]) else {
-        unreachable!("it is a job");
+        unreachable!("the command submits a job");
     };
     submit.max_queued_tokens = None;
     assert_eq!(
@@ -108,8 +108,8 @@
 }
 
 proptest! {
-    /// Whatever happens, and across a restart, the count is that of the items
-    /// that wait, and no job is kept beyond the limit.
+    /// After any sequence of commands, and across restarts, the count equals the tokens of
+    /// the open items, and no job is accepted beyond the limit.
     #[test]
     fn waiting_tokens_are_those_of_the_open_items(
         commands in prop::collection::vec(any_command(), 0..40),
@@ -117,9 +117,9 @@
         let mut machine = BatchMachine::new();
         for command in commands {
             let reply = machine.apply(&command);
-            machine = BatchMachine::restore(&machine.snapshot()).expect("a sound snapshot");
+            machine = BatchMachine::restore(&machine.snapshot()).expect("a valid snapshot");
             let BatchAnswer::Open(open) = machine.query(&BatchQuery::Open { limit: 1_000 }) else {
-                unreachable!("a query is answered in kind");
+                unreachable!("the query is answered with an answer of its kind");
             };
             let waiting: u64 = open.items.iter().map(|open| open.tokens).sum();
             let counted = machine.queued_tokens("one") + machine.queued_tokens("two");
--- a/crates/state/tests/bounds.rs
+++ b/crates/state/tests/bounds.rs
@@ -1,5 +1,5 @@
-//! What stays in memory, measured by the machine's own bytes: payloads lie in
-//! the payload log.
+//! Memory bounds, measured by the size of the encoded machine; payloads are in the payload
+//! log.
 
 mod support;
 
@@ -7,25 +7,25 @@
 use molespan_types::RunOutcome;
 use support::{Group, positions, result, settle, submission};
 
-/// Items of the largest job.
+/// Number of items of the largest job.
 const ITEMS: u32 = 110_000;
-/// Bytes that an item of a running job may take in memory.
+/// Maximum size of an item of a running job in memory, in bytes.
 const BYTES_PER_RUNNING_ITEM: usize = 16;
-/// Bytes that a finished job may take, whatever its size.
+/// Maximum size of a finished job in bytes, independent of its number of items.
 const BYTES_PER_FINISHED_JOB: usize = 64;
-/// Bytes that owners, shares and the like may take beside jobs and claims.
+/// Maximum size of other state, such as owners and shares, in bytes.
 const OTHER_BYTES: usize = 1 << 10;
-/// Bytes that the newest settled claims may take before they are archived.
+/// Maximum size of the newest settled claims before they are archived, in bytes.
 const BYTES_OF_RECENT_CLAIMS: usize = 512 << 10;
-/// Bytes that each archived claim may take on average.
+/// Maximum size of a thousand archived claims in memory, in bytes.
 const BYTES_PER_THOUSAND_ARCHIVED_CLAIMS: usize = 1_000;
 
 fn machine_bytes(group: &Group) -> usize {
     group.machine.snapshot().len()
 }
 
-/// Runs every item of the jobs that were submitted; `sequence` numbers the
-/// lease requests.
+/// Runs every item of all submitted jobs; `sequence` is the number of the last lease
+/// request.
 fn run_all(group: &mut Group, sequence: &mut u64) {
     loop {
         *sequence += 1;
--- a/crates/state/tests/claims.rs
+++ b/crates/state/tests/claims.rs
@@ -7,7 +7,7 @@
 use molespan_types::{AttemptId, Digest, RunOutcome};
 use support::{Group, claim, settle};
 
-/// The reply to a claim that ended with an answer.
+/// Returns the reply to a claim that is settled as completed.
 fn completed(answer: &str) -> ClaimReply {
     ClaimReply::Settled {
         outcome: RunOutcome::Completed,
@@ -15,7 +15,7 @@
     }
 }
 
-/// The reply to a claim that ended as unknown.
+/// Returns the reply to a claim that is settled as unknown.
 fn unknown() -> ClaimReply {
     ClaimReply::Settled {
         outcome: RunOutcome::Unknown,
@@ -23,7 +23,7 @@
     }
 }
 
-/// The reply to a settlement.
+/// Returns the reply to a settlement.
 fn settled(outcome: RunOutcome) -> JobReply {
     JobReply::Settled { outcome }
 }
@@ -116,7 +116,7 @@
     assert_eq!(restored.apply(other), conflict);
 }
 
-/// The settlements with which a leader ends the claims that are open now.
+/// Returns the settlements with which a leader would settle all open claims as unknown.
 fn endings(group: &Group) -> Vec<SettleClaim> {
     let open = group.machine.open_claims();
     open.map(OpenClaimRecord::into_unknown).collect()
@@ -159,7 +159,7 @@
             let replies = commands.map(|command| group.apply(command));
             assert_eq!(replies, [first.clone(), first.clone()]);
             let ClaimReply::Settled { outcome, .. } = group.claim("bill", 2) else {
-                panic!("it is granted again");
+                panic!("the claim is granted again");
             };
             assert_eq!(settled(outcome), first);
         }
--- a/crates/state/tests/control.rs
+++ b/crates/state/tests/control.rs
@@ -8,7 +8,7 @@
     BackendId, ConfigVersion, FencingToken, Incarnation, ModelName, NodeId, ZoneName,
 };
 
-/// An intent that puts one model.
+/// Creates an intent that puts one model.
 fn intent(number: u64, operator: &str, base: u64, version: u32) -> ConfirmIntent {
     ConfirmIntent {
         number: IntentNumber(number),
@@ -29,13 +29,13 @@
     }
 }
 
-/// The reply that version `version` is in force.
+/// Returns the reply that `version` is in force.
 fn confirmed(version: u64) -> ConfirmReply {
     let version = ConfigVersion(version);
     ConfirmReply::Confirmed { version }
 }
 
-/// The machine as restored from its own snapshot.
+/// Returns the machine restored from its own snapshot.
 fn restored(machine: &ControlMachine) -> ControlMachine {
     ControlMachine::restore(&machine.snapshot()).expect("a snapshot just taken")
 }
@@ -127,7 +127,7 @@
     assert_eq!(machine.configuration().version, ConfigVersion(version));
 }
 
-/// The announcement of one life of node 1.
+/// Creates the registration of an incarnation of node 1.
 fn register(incarnation: u64) -> ControlCommand {
     ControlCommand::Register(RegisterNode {
         node: NodeId(1),
@@ -140,7 +140,7 @@
     })
 }
 
-/// Marks one life of node 1.
+/// Creates a drain command for an incarnation of node 1.
 fn drain(incarnation: u64) -> ControlCommand {
     ControlCommand::Drain {
         node: NodeId(1),
@@ -148,7 +148,7 @@
     }
 }
 
-/// Removes one life of node 1.
+/// Creates a remove command for an incarnation of node 1.
 fn remove(incarnation: u64) -> ControlCommand {
     ControlCommand::Remove {
         node: NodeId(1),
@@ -156,7 +156,7 @@
     }
 }
 
-/// Life and draining mark of each registered node.
+/// Returns the incarnation and drain flag of each registered node.
 fn nodes(machine: &ControlMachine) -> Vec<(u64, bool)> {
     match machine.query(&ControlQuery::Nodes) {
         ControlAnswer::Nodes(nodes) => nodes
@@ -210,12 +210,12 @@
     assert_eq!(
         machine.apply(&register(3)),
         ControlReply::NodeAccepted,
-        "was cut off"
+        "reconnected after a partition"
     );
     assert_eq!(nodes(&machine), [(3, false)]);
 }
 
-/// An order to a back end.
+/// Creates an order to a back end.
 fn order(backend: u32, action: &str, expected_token: u64) -> ControlCommand {
     ControlCommand::Issue(IssueOrder {
         backend: BackendId(backend),
@@ -225,7 +225,7 @@
     })
 }
 
-/// The reply that carries a token.
+/// Returns the reply with an issued token.
 fn issued(token: u64) -> ControlReply {
     let token = FencingToken(token);
     ControlReply::OrderIssued { token }
--- a/crates/state/tests/declared.rs
+++ b/crates/state/tests/declared.rs
@@ -1,5 +1,4 @@
-//! The declared state: configuration under the operator's number, departures
-//! and stores.
+//! The declared state: versioned configuration, departures and stores.
 
 use std::collections::BTreeSet;
 
@@ -173,14 +172,14 @@
     let mut machine = ControlMachine::new();
     for (node, zone) in [(1, "a"), (2, "a"), (3, "b")] {
         apply(&mut machine, store(node, zone, 3, false));
-        // Two of three would be lost with their zone.
+        // Losing zone `a` would lose two of the three stores.
         assert!(state(&machine).stores().founders().is_empty());
     }
     apply(&mut machine, store(4, "c", 3, false));
     let founders = state(&machine).stores().founders().clone();
     let nodes: Vec<NodeId> = founders.keys().copied().collect();
     assert_eq!(nodes, [NodeId(1), NodeId(3), NodeId(4)]);
-    // A store that comes later, or with another disk, changes nothing of it.
+    // Stores that register later do not change the founders.
     apply(&mut machine, store(5, "d", 3, true));
     assert_eq!(*state(&machine).stores().founders(), founders);
     assert_eq!(state(&machine).stores().nodes().len(), 5);
@@ -257,7 +256,7 @@
         retire(&mut machine, "store-1", &[1, 2, 3, 4]),
         taken(Retirement::Active)
     );
-    // The same order again is acknowledged, another one would leave too few.
+    // A repeated request is acknowledged; another store would leave too few.
     assert_eq!(
         retire(&mut machine, "store-1", &[]),
         taken(Retirement::Active)
--- a/crates/state/tests/explore.rs
+++ b/crates/state/tests/explore.rs
@@ -1,8 +1,8 @@
-//! Exhaustive exploration of the small domains.
+//! Exhaustive exploration of the models.
 
 use molespan_state::explore::{ClaimModel, Exploration, LeaseModel, explore};
 
-/// More states than the domains have.
+/// Limit that is higher than the number of states of the models.
 const MAX_STATES: usize = 1_000_000;
 
 /// Asserts that every state was visited without a violation.
--- a/crates/state/tests/jobs.rs
+++ b/crates/state/tests/jobs.rs
@@ -26,7 +26,7 @@
     assert_eq!(
         group.try_lease(request(1, 2, 9)),
         None,
-        "and runs nothing again"
+        "no item runs again"
     );
 }
 
@@ -78,7 +78,11 @@
         received: 3,
     };
     assert_eq!(gap, refused);
-    assert_eq!(group.apply(append(3, 5)), refused, "more than announced");
+    assert_eq!(
+        group.apply(append(3, 5)),
+        refused,
+        "more items than declared"
+    );
     assert_eq!(group.apply(JobCommand::Accept { job }), refused);
     assert_eq!(group.try_lease(request(1, 1, 9)), None, "nothing runs yet");
     group.apply(append(2, 4));
@@ -105,7 +109,11 @@
     group.record(first.lease, vec![result(0, "a")]);
     assert_eq!(positions(&group.lease(1, 1, 2)), [1], "what is still held");
     group.record(first.lease, vec![result(1, "b")]);
-    assert_eq!(group.try_lease(request(1, 1, 2)), None, "it ended");
+    assert_eq!(
+        group.try_lease(request(1, 1, 2)),
+        None,
+        "the lease has ended"
+    );
     assert_eq!(positions(&group.lease(1, 2, 2)), [4]);
 }
 
@@ -117,7 +125,7 @@
     assert_eq!(
         group.try_lease(request(1, 1, 2)),
         None,
-        "nobody waits for it"
+        "its requester no longer waits"
     );
     assert_eq!(positions(&group.lease(1, 2, 2)), [0]);
 }
@@ -209,7 +217,11 @@
     group.expire(lease, 0);
     assert_eq!(group.status(job).unknown, 1);
     let again = group.lease(2, 1, 9);
-    assert_eq!(positions(&again), [2], "only the item that was not run");
+    assert_eq!(
+        positions(&again),
+        [2],
+        "only the item that was returned and did not run"
+    );
     group.record(again.lease, vec![result(2, "c")]);
     assert_eq!(group.phase(job), JobPhase::Completed);
 }
@@ -222,7 +234,11 @@
     group.apply(JobCommand::Cancel { job });
     assert_eq!(group.phase(job), JobPhase::Cancelling);
     assert_eq!(group.try_lease(request(2, 1, 9)), None);
-    assert_eq!(group.try_lease(request(1, 1, 2)), None, "not even resent");
+    assert_eq!(
+        group.try_lease(request(1, 1, 2)),
+        None,
+        "a retry gets nothing either"
+    );
     let reply = group.apply(JobCommand::Renew {
         leases: vec![lease],
     });
@@ -237,7 +253,7 @@
     assert_eq!(
         group.results(job),
         [(0, "a".to_owned())],
-        "what was done stays"
+        "what was done is kept"
     );
     group.apply(JobCommand::Cancel { job });
     assert_eq!(group.phase(job), JobPhase::Cancelled);
@@ -310,7 +326,7 @@
     let open: Vec<_> = group.machine.submissions().collect();
     assert_eq!(open, [(job, 1)]);
 
-    // It went on since the leader saw it.
+    // The submission made progress after the leader observed it.
     group.apply(append(1, 1));
     group.apply(JobCommand::Abandon { job, received: 1 });
     assert_eq!(group.status(job).received, 2);
--- a/crates/state/tests/mutants.rs
+++ b/crates/state/tests/mutants.rs
@@ -1,4 +1,4 @@
-//! Each mechanism switched off breaks an invariant that the exploration finds.
+//! Disabling any mechanism violates an invariant that the exploration detects.
 
 use molespan_state::control::{
     Change, ConfirmIntent, ControlCommand, ControlMachine, ControlReply, IntentNumber, IssueOrder,
@@ -10,7 +10,7 @@
 
 const MAX_STATES: usize = 1_000_000;
 
-/// The invariant that breaks without `mechanism`.
+/// Returns the invariant that is violated without `mechanism`.
 fn broken(model: &impl Model, mechanism: Mechanism) -> Option<&'static str> {
     disable(Some(mechanism));
     let exploration = explore(model, MAX_STATES);
@@ -32,7 +32,10 @@
     for (model, mechanism) in cases {
         let invariant = broken(model, mechanism);
         println!("without {mechanism}: {invariant:?}");
-        assert!(invariant.is_some(), "nothing breaks without {mechanism}");
+        assert!(
+            invariant.is_some(),
+            "no violation found without {mechanism}"
+        );
     }
 }
 
--- a/crates/state/tests/plan.rs
+++ b/crates/state/tests/plan.rs
@@ -1,4 +1,4 @@
-//! What a plan tells operators.
+//! Plan output for operators.
 
 use std::fmt::Write;
 
@@ -9,7 +9,7 @@
 };
 use molespan_types::{ModelName, ServiceName, TenantId};
 
-/// A service that runs the model `caption`.
+/// Returns a service that runs the model `caption`.
 fn captions() -> Service {
     Service {
         kind: ServiceKind::Completion,
@@ -23,13 +23,13 @@
     }
 }
 
-/// Puts a service of that name.
+/// Creates a change that puts a service.
 fn put_service(name: &str, service: Service) -> Change {
     let name = ServiceName::from(name);
     Change::PutService { name, service }
 }
 
-/// Puts a model of that name.
+/// Creates a change that puts a model.
 fn put_model(name: &str, version: u32) -> Change {
     Change::PutModel {
         name: ModelName::from(name),
@@ -37,7 +37,7 @@
     }
 }
 
-/// Puts an adapter of that name.
+/// Creates a change that puts an adapter.
 fn put_adapter(name: &str, model: &str) -> Change {
     Change::PutAdapter {
         name: name.to_owned(),
@@ -48,7 +48,7 @@
     }
 }
 
-/// Sets limits of a tenant.
+/// Creates a change that sets the limits of a tenant.
 fn put_tenant(name: &str, limits: [u32; 3]) -> Change {
     let [requests_per_second, burst, batch_weight] = limits;
     Change::PutTenant {
@@ -61,7 +61,7 @@
     }
 }
 
-/// A configuration with one service, its model and an adapter of it.
+/// Returns a configuration with one service, its model, an adapter and a tenant.
 fn archive() -> Configuration {
     let mut configuration = Configuration::default();
     let changes = [
@@ -74,7 +74,7 @@
     configuration
 }
 
-/// The plan of an intent as text.
+/// Formats a plan as text.
 fn text(plan: &Plan) -> String {
     let mut text = String::new();
     for line in &plan.lines {
@@ -97,7 +97,7 @@
     text
 }
 
-/// Compares the plan of `changes` against the archive with `expected`.
+/// Compares the plan of `changes` against [`archive`] with `expected`.
 fn check(changes: &[Change], expected: &Expect) {
     expected.assert_eq(&text(&plan(&archive(), IntentNumber(1), changes)));
 }
--- a/crates/state/tests/replay.rs
+++ b/crates/state/tests/replay.rs
@@ -1,5 +1,5 @@
-//! A machine restored from a snapshot anywhere and fed the rest of the log
-//! ends in the same state, and gives the same replies on the way.
+//! A machine that is restored from a snapshot at any point and applies the rest of the log
+//! reaches the same state and returns the same replies.
 
 mod support;
 
@@ -38,7 +38,7 @@
     submission(&format!("job {number}"), 0).job
 }
 
-/// Commands over few jobs, leases and keys, so that they meet.
+/// Generates commands over few jobs, leases and keys, so that they interact.
 fn job_command() -> impl Strategy<Value = JobCommand> {
     let jobs = 0..4_u32;
     let lease = (0..12_u64).prop_map(LeaseId);
--- a/crates/state/tests/sharing.rs
+++ b/crates/state/tests/sharing.rs
@@ -1,4 +1,4 @@
-//! Whose items are leased next, and how much at once.
+//! Fair scheduling of leases and the size limits of a lease.
 
 mod support;
 
@@ -7,7 +7,7 @@
 use molespan_types::{ItemIndex, JobId, ServiceName, TenantId};
 use support::{Group, positions, request, submission};
 
-/// A submission of 1,000 items by `tenant`.
+/// Creates a submission of 1,000 items by `tenant`.
 fn of_tenant(tenant: &str, key: &str, deadline: u64) -> BeginJob {
     let tenant = TenantId::from(tenant);
     BeginJob {
@@ -18,7 +18,7 @@
     }
 }
 
-/// Leases `count` times ten items and counts those of `job`.
+/// Requests ten items for each sequence number and counts the leases of `job`.
 fn leases_of(group: &mut Group, sequences: std::ops::Range<u64>, job: JobId) -> usize {
     sequences
         .map(|sequence| group.lease(1, sequence, 10))
--- a/crates/state/tests/support/mod.rs
+++ b/crates/state/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Short ways to drive a job machine.
+//! Helpers for tests of the job machine.
 #![allow(dead_code)]
 
 use minicbor::bytes::ByteVec;
@@ -20,7 +20,7 @@
     pub payloads: MemoryPayloadLog,
 }
 
-/// A submission of `items` repeatable items.
+/// Creates a submission of `items` repeatable items.
 pub fn submission(key: &str, items: u32) -> BeginJob {
     let tenant = TenantId::from("archive");
     BeginJob {
@@ -35,12 +35,12 @@
     }
 }
 
-/// The input of item `item`.
+/// Returns the input of item `item`.
 pub fn input(item: u32) -> ByteVec {
     ByteVec::from(format!("input {item}").into_bytes())
 }
 
-/// A completed result of item `item`.
+/// Creates a completed result of item `item`.
 pub fn result(item: u32, text: &str) -> ItemResult {
     ItemResult {
         item: ItemIndex(item),
@@ -49,7 +49,7 @@
     }
 }
 
-/// A request for `max_items` by owner `owner`.
+/// Creates a lease request for `max_items` by owner `owner`.
 pub fn request(owner: u32, sequence: u64, max_items: u32) -> LeaseRequest {
     LeaseRequest {
         owner: NodeId(owner),
@@ -61,7 +61,7 @@
     }
 }
 
-/// A claim of `attempt` on `key`.
+/// Creates a claim of `attempt` on `key`.
 pub fn claim(key: &str, attempt: u64) -> ClaimRequest {
     ClaimRequest {
         tenant: TenantId::from("archive"),
@@ -74,7 +74,7 @@
     }
 }
 
-/// The end of `attempt` on `key`.
+/// Creates a settlement by `attempt` on `key`.
 pub fn settle(key: &str, attempt: u64, outcome: RunOutcome, answer: &str) -> SettleClaim {
     let request = claim(key, attempt);
     SettleClaim {
@@ -86,7 +86,7 @@
     }
 }
 
-/// Positions of a lease's items.
+/// Returns the item positions of a lease.
 pub fn positions(lease: &GrantedLease) -> Vec<u32> {
     lease.items.iter().map(|leased| leased.item.0).collect()
 }
@@ -112,7 +112,7 @@
         begin.job
     }
 
-    /// Asks for items and gives the lease, if there is one.
+    /// Requests items and returns the lease, if one was granted.
     pub fn try_lease(&mut self, request: LeaseRequest) -> Option<GrantedLease> {
         match self.apply(request) {
             JobReply::Leased(lease) => lease,
@@ -120,13 +120,13 @@
         }
     }
 
-    /// Asks for items, which there must be.
+    /// Requests items and panics if none are granted.
     pub fn lease(&mut self, owner: u32, sequence: u64, max_items: u32) -> GrantedLease {
         self.try_lease(request(owner, sequence, max_items))
             .expect("items are free")
     }
 
-    /// Records results and gives how many were taken and dropped.
+    /// Records results and returns how many were accepted and dropped.
     pub fn record(&mut self, lease: LeaseId, results: Vec<ItemResult>) -> (u32, u32) {
         match self.apply(JobCommand::Record { lease, results }) {
             JobReply::Recorded { taken, dropped } => (taken, dropped),
@@ -139,7 +139,7 @@
         self.apply(JobCommand::Expire { lease, renewals })
     }
 
-    /// Gives back every item of a lease.
+    /// Returns every item of a lease.
     pub fn give_back(&mut self, lease: LeaseId) -> JobReply {
         let items = Vec::new();
         self.apply(JobCommand::Return { lease, items })
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Summary of a job.
+    /// Returns the summary of a job.
     pub fn status(&self, job: JobId) -> JobStatus {
         match self
             .machine
@@ -164,12 +164,12 @@
         }
     }
 
-    /// Phase of a job.
+    /// Returns the phase of a job.
     pub fn phase(&self, job: JobId) -> JobPhase {
         self.status(job).phase
     }
 
-    /// One page of results.
+    /// Returns one page of results.
     pub fn page(&self, job: JobId, first: u32, limit: u32) -> (Vec<ItemRecord>, Option<ItemIndex>) {
         let first = ItemIndex(first);
         let query = JobQuery::Results { job, first, limit };
@@ -179,7 +179,7 @@
         }
     }
 
-    /// Results of a job as text by item.
+    /// Returns the results of a job as text, by item.
     pub fn results(&self, job: JobId) -> Vec<(u32, String)> {
         let (results, _) = self.page(job, 0, u32::MAX);
         let text = |record: ItemRecord| String::from_utf8(record.payload.to_vec()).unwrap();
@@ -189,7 +189,7 @@
             .collect()
     }
 
-    /// The group as restored from a snapshot taken now.
+    /// Returns the group restored from a snapshot of its current state.
     pub fn restored(&self) -> Self {
         Self {
             machine: JobMachine::restore(&self.machine.snapshot()).expect("a snapshot just taken"),
--- a/crates/state/tests/tenants.rs
+++ b/crates/state/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants in the declared configuration, and whose a batch job is.
+//! Tenants in the declared configuration, and ownership of batch jobs.
 
 use molespan_state::batch::{
     BatchAnswer, BatchCommand, BatchItem, BatchMachine, BatchQuery, BatchReply, SubmitJob,
@@ -61,9 +61,9 @@
 #[test]
 fn a_model_from_before_there_were_tenants_needs_no_keys() {
     let before = molespan_state::encode(&ServingModel::default());
-    // As it was encoded before: routes, services and limits alone.
+    // The previous encoding: only routes, services and limits.
     assert_eq!(before[0], 0x83);
-    let read: ServingModel = molespan_state::decode(&before).expect("it can be read");
+    let read: ServingModel = molespan_state::decode(&before).expect("decodes");
     assert_eq!(read.tenants, None);
 }
 
@@ -122,13 +122,13 @@
     assert_eq!(total(&machine, Some("c"), "job"), None);
     assert_eq!(machine.apply(&end(Some("c"))), BatchReply::Unknown);
     assert_eq!(machine.apply(&end(Some("a"))), BatchReply::Ended);
-    // The others' jobs are open still.
+    // The jobs of the others are still open.
     let BatchAnswer::Open(open) = machine.query(&BatchQuery::Open { limit: 10 }) else {
         panic!("open items");
     };
     let jobs: Vec<u64> = open.items.iter().map(|open| open.item.job).collect();
     assert_eq!(jobs, [1, 3]);
-    let restored = BatchMachine::restore(&machine.snapshot()).expect("it can be read");
+    let restored = BatchMachine::restore(&machine.snapshot()).expect("decodes");
     assert_eq!(restored, machine);
     machine.apply(&BatchCommand::Forget { job: 2 });
     assert_eq!(total(&machine, Some("a"), "job"), None);
--- a/crates/state/tests/update.rs
+++ b/crates/state/tests/update.rs
@@ -1,4 +1,4 @@
-//! Updates of the configuration for nodes that lag behind.
+//! Configuration updates for nodes with an older version.
 
 use molespan_state::control::{
     Adapter, Change, Configuration, ConfigurationDelta, ConfigurationHistory, ConfigurationUpdate,
@@ -8,7 +8,7 @@
 use molespan_types::{ConfigVersion, Digest, ModelName, ServiceName, TenantId};
 use proptest::prelude::*;
 
-/// Any change; names are few, so that changes meet.
+/// Generates any change over few names, so that changes affect each other.
 fn any_change() -> impl Strategy<Value = Change> {
     let name = 0..4_u8;
     let number = 1..4_u32;
@@ -67,7 +67,7 @@
     }
 }
 
-/// The configuration after `changes`, one version later.
+/// Returns the configuration after `changes`, with the next version.
 fn after(old: &Configuration, changes: &[Change]) -> Configuration {
     let mut new = old.clone();
     apply_changes(&mut new, changes);
@@ -75,7 +75,7 @@
     new
 }
 
-/// Versions 1 to `count` of a configuration with many tenants.
+/// Returns versions 1 to `count` of a configuration with several tenants.
 fn versions(count: u32) -> Vec<Configuration> {
     let mut first = Configuration::default();
     let tenants: Vec<Change> = (0..4).map(|name| change(6, name, 1)).collect();
@@ -97,8 +97,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, ..ProptestConfig::default() })]
 
-    /// From every version that the replica saw, and from versions that it did
-    /// not see, an update leads to exactly the newest configuration.
+    /// An update leads to exactly the newest configuration from every version, whether or
+    /// not the replica observed it.
     #[test]
     fn every_update_leads_to_the_newest(
         steps in prop::collection::vec(prop::collection::vec(any_change(), 0..4), 1..12),
@@ -117,7 +117,7 @@
         for held in &all {
             match read(&mut history, held.version) {
                 Some(update) => {
-                    let reached = update.apply_to(Some(held)).expect("it fits");
+                    let reached = update.apply_to(Some(held)).expect("the update applies");
                     prop_assert_eq!(Some(&reached), newest);
                 }
                 None => prop_assert!(held.version >= history.version()),
@@ -186,7 +186,7 @@
         held: ConfigVersion(0),
     };
     assert_eq!(update.clone().apply_to(None), Err(none));
-    // Right version, but the node's content is not the replica's.
+    // The version matches, but the content of the node differs from the replica's.
     let to = ConfigVersion(3);
     assert_eq!(
         update.apply_to(Some(&all[1])),
