--- a/crates/storage/src/checked_file.rs
+++ b/crates/storage/src/checked_file.rs
@@ -1,18 +1,18 @@
-//! Small files that are replaced as a whole and carry a checksum.
+//! Files with a checksum that are replaced atomically.
 
 use crate::{Disk, StorageError};
 
-/// Suffix of a file that is being written.
+/// File name suffix of a file that is being written.
 pub(crate) const TEMPORARY_SUFFIX: &str = ".tmp";
-/// Bytes of the checksum in front of the content.
+/// Size of the checksum before the content, in bytes.
 const CHECKSUM_BYTES: usize = 4;
 
-/// Replaces `file` in `directory` by one with this content. After a crash
-/// either the old or the new content is there, never a mix. The parts are
-/// written one after the other, so that a large one needs no copy.
+/// Replaces the content of `file` in `directory` atomically: after a crash the file has
+/// either the old or the new content. The parts are written one after another, so that a
+/// large part does not need to be copied.
 ///
 /// # Errors
-/// When the disk refuses; then the old content stands.
+/// Fails if the disk operation fails; the old content is then kept.
 pub fn write_checked<D: Disk>(
     disk: &D,
     directory: &str,
@@ -48,10 +48,11 @@
     disk.sync(temporary)
 }
 
-/// Reads a file that [`write_checked`] wrote; `None` when there is none.
+/// Reads a file written by [`write_checked`]; `None` if it does not exist.
 ///
 /// # Errors
-/// [`StorageError::Corrupt`] when the checksum does not fit.
+/// Returns [`StorageError::Corrupt`] if the checksum does not match, or the error of the
+/// disk.
 pub fn read_checked<D: Disk>(
     disk: &D,
     directory: &str,
@@ -62,16 +63,20 @@
         return Ok(None);
     };
     let Some((checksum, content)) = bytes.split_first_chunk::<CHECKSUM_BYTES>() else {
-        return Err(StorageError::corrupt(&path, 0, "too short"));
+        return Err(StorageError::corrupt(
+            &path,
+            0,
+            "file is too short for a checksum",
+        ));
     };
     if crc32fast::hash(content) != u32::from_le_bytes(*checksum) {
-        return Err(StorageError::corrupt(&path, 0, "checksum does not fit"));
+        return Err(StorageError::corrupt(&path, 0, "checksum mismatch"));
     }
     bytes.drain(..CHECKSUM_BYTES);
     Ok(Some(bytes))
 }
 
-/// The path of `file` in `directory`.
+/// Returns the path of `file` in `directory`.
 pub(crate) fn join(directory: &str, file: &str) -> String {
     if directory.is_empty() {
         return file.to_owned();
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,81 +1,81 @@
-//! The file operations that the rest of the crate is built on.
+//! Abstraction of the file operations used by this crate.
 
 use crate::StorageError;
 
 /// Blocking file operations under one data folder.
 ///
-/// Paths are relative to that folder, with `/` between their parts. A handle
-/// is cheap to clone, and clones see the same files. Appended bytes outlive a
-/// crash only after [`Disk::sync`]; created, renamed and removed files only
-/// after [`Disk::sync_dir`] of their directory.
+/// Paths are relative to that folder and use `/` as the separator. A handle is cheap to
+/// clone, and clones share the same files. Appended bytes survive a crash only after
+/// [`Disk::sync`]; created, renamed and removed files only after [`Disk::sync_dir`] of
+/// their directory.
 pub trait Disk: Clone {
-    /// Creates a directory and its parents, if missing. They outlive a crash on
-    /// return.
+    /// Creates a directory and its parents if they are missing. They are durable on return.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     fn create_dir(&self, directory: &str) -> Result<(), StorageError>;
 
-    /// Names of the files in a directory, sorted; none when it is missing.
+    /// Returns the sorted names of the files in a directory; empty if the directory is
+    /// missing.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     fn list(&self, directory: &str) -> Result<Vec<String>, StorageError>;
 
-    /// Length of a file in bytes; `None` when there is none.
+    /// Returns the length of a file in bytes, or `None` if it does not exist.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     fn length(&self, file: &str) -> Result<Option<u64>, StorageError>;
 
     /// Reads exactly `length` bytes from `offset`.
     ///
     /// # Errors
-    /// When the file is missing or shorter, or the disk refuses.
+    /// Fails if the file is missing or too short, or if the disk operation fails.
     fn read_at(&self, file: &str, offset: u64, length: usize) -> Result<Vec<u8>, StorageError>;
 
-    /// Appends to a file and creates it when missing. After an error some of
-    /// the bytes may be there.
+    /// Appends to a file and creates it if it is missing. After an error some of the bytes
+    /// may have been written.
     ///
     /// # Errors
-    /// [`StorageError::Full`] when no room is left, or the disk refuses.
+    /// Returns [`StorageError::Full`] if no space is left, or another error of the disk.
     fn append(&self, file: &str, bytes: &[u8]) -> Result<(), StorageError>;
 
-    /// Makes a file's bytes outlive a crash.
+    /// Makes the content of a file durable.
     ///
     /// # Errors
-    /// When the disk refuses; then nothing is known about the bytes written
-    /// since the last good sync.
+    /// Fails if the disk operation fails; the state of bytes written since the last
+    /// successful sync is then unknown.
     fn sync(&self, file: &str) -> Result<(), StorageError>;
 
-    /// Makes the names in a directory outlive a crash.
+    /// Makes the names in a directory durable.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     fn sync_dir(&self, directory: &str) -> Result<(), StorageError>;
 
-    /// Renames a file within its directory, over an existing one if need be.
+    /// Renames a file within its directory, replacing an existing one.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     fn rename(&self, from: &str, to: &str) -> Result<(), StorageError>;
 
-    /// Removes a file, if it is there.
+    /// Removes a file if it exists.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     fn remove(&self, file: &str) -> Result<(), StorageError>;
 
-    /// Cuts a file to `length` bytes.
+    /// Truncates a file to `length` bytes.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     fn truncate(&self, file: &str, length: u64) -> Result<(), StorageError>;
 
-    /// Reads a whole file; `None` when there is none.
+    /// Reads a whole file; `None` if it does not exist.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     fn read(&self, file: &str) -> Result<Option<Vec<u8>>, StorageError> {
         match self.length(file)? {
             Some(length) => self.read_at(file, 0, length as usize).map(Some),
--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,38 +1,37 @@
-//! The one error type of this crate.
+//! The error type of this crate.
 
 use derive_more::{Display, Error};
 
-/// Why the disk could not do what was asked.
+/// Error of a storage operation.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum StorageError {
-    /// No room is left. Nothing was acknowledged, and trying again after room
-    /// was made is safe.
+    /// The disk is full. Nothing was acknowledged, and the operation can be retried after
+    /// space was freed.
     #[display("disk is full while writing {file}")]
     Full {
         /// File that was written.
         file: String,
     },
-    /// Bytes that were synced are damaged or missing. The data folder must not
-    /// be used any further.
+    /// Synced bytes are damaged or missing. The data folder must not be used any further.
     #[display("{file} is corrupt at offset {offset}: {reason}")]
     Corrupt {
         /// Damaged file.
         file: String,
-        /// Where in it.
+        /// Offset in the file, in bytes.
         offset: u64,
-        /// What was found.
+        /// Description of the damage.
         reason: String,
     },
-    /// The operating system refused.
+    /// An operation of the operating system failed.
     #[display("{file}: {message}")]
     Io {
         /// File or directory.
         file: String,
-        /// What it said.
+        /// Error message.
         message: String,
     },
-    /// An earlier sync failed, so that it is unknown what is on disk. Only a
-    /// restart, which reads everything back, helps.
+    /// An earlier sync failed, so the content of the disk is unknown. Only a restart, which
+    /// reads everything again, can recover.
     #[display("an earlier sync of {file} failed")]
     Poisoned {
         /// File whose sync failed.
@@ -41,7 +40,7 @@
 }
 
 impl StorageError {
-    /// Damage at `offset` of `file`.
+    /// Creates a [`Self::Corrupt`] error at `offset` of `file`.
     pub(crate) fn corrupt(file: &str, offset: u64, reason: impl Into<String>) -> Self {
         Self::Corrupt {
             file: file.to_owned(),
@@ -50,7 +49,7 @@
         }
     }
 
-    /// Whether room on the disk would help.
+    /// Whether the error was caused by a full disk.
     #[must_use]
     pub fn is_full(&self) -> bool {
         matches!(self, Self::Full { .. })
--- a/crates/storage/src/identity.rs
+++ b/crates/storage/src/identity.rs
@@ -1,4 +1,4 @@
-//! Which life of a disk this is.
+//! Identity of a disk.
 
 use minicbor::{Decode, Encode};
 use molespan_types::NodeId;
@@ -7,28 +7,28 @@
 
 use crate::layout::IDENTITY as FILE;
 
-/// The identity of a data folder. A blank folder gets a new one, so that a
-/// replica whose disk was lost is never taken for its former self.
+/// The identity of a data folder. An empty folder gets a new one, so that a replica whose
+/// disk was lost is not mistaken for its previous incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct DiskIdentity {
     /// Node that the folder belongs to.
     #[n(0)]
     pub node: NodeId,
-    /// Drawn at random when the folder was blank.
+    /// Random number generated when the folder was empty.
     #[n(1)]
     pub incarnation: u32,
-    /// Starts on this folder so far, this one included.
+    /// Number of starts on this folder, including the current one.
     #[n(2)]
     pub boot: u64,
 }
 
 impl DiskIdentity {
-    /// Opens the folder for one more start: raises and syncs the boot counter.
-    /// A blank folder takes `fresh_incarnation`.
+    /// Opens the folder for a new start: increments and syncs the boot counter. An empty
+    /// folder gets `fresh_incarnation`.
     ///
     /// # Errors
-    /// When the file is damaged or belongs to another node, or the disk
-    /// refuses.
+    /// Fails if the file is damaged or belongs to another node, or if the disk operation
+    /// fails.
     pub fn open<D: Disk>(
         disk: &D,
         node: NodeId,
@@ -51,10 +51,10 @@
         Ok(identity)
     }
 
-    /// Replaces the stored identity by this one.
+    /// Replaces the stored identity with this one.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     pub fn store<D: Disk>(&self, disk: &D) -> Result<(), StorageError> {
         let bytes = molespan_state::encode(self);
         write_checked(disk, "", FILE, &[&bytes])
--- a/crates/storage/src/layout.rs
+++ b/crates/storage/src/layout.rs
@@ -1,30 +1,30 @@
-//! Where things lie in the data folder.
+//! Layout of the data folder.
 
 use molespan_types::GroupId;
 
 use crate::checked_file::join;
 use crate::{Disk, StorageError};
 
-/// File of the disk's identity.
+/// File name of the disk identity.
 pub(crate) const IDENTITY: &str = "identity";
 /// Directory of the write-ahead log.
 pub(crate) const LOG: &str = "log";
 
-/// Directory of a group's snapshots.
+/// Returns the directory of a group's snapshots.
 pub(crate) fn snapshots(group: GroupId) -> String {
     format!("snapshot/{group}")
 }
 
-/// Directory of a group's payload log.
+/// Returns the directory of a group's payload log.
 pub(crate) fn payloads(group: GroupId) -> String {
     format!("payload/{group}")
 }
 
-/// Removes the identity, the write-ahead log and everything of `groups`. It
-/// may be cut short and is then to be called again.
+/// Removes the identity, the write-ahead log and all files of `groups`. If it is
+/// interrupted, it must be called again.
 ///
 /// # Errors
-/// When the disk refuses.
+/// Fails if the disk operation fails.
 pub fn remove_everything<D: Disk>(
     disk: &D,
     groups: impl IntoIterator<Item = GroupId>,
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,10 +1,9 @@
-//! What a replica keeps on disk: the write-ahead log, snapshots, the payload
-//! logs and the identity of the disk.
+//! On-disk storage of a replica: the write-ahead log, snapshots, payload logs and the
+//! identity of the disk.
 //!
-//! Everything goes through the [`Disk`] trait, so that the daemon's
-//! [`RealDisk`] and the [`SimulatedDisk`] of tests run the same code. A write
-//! counts only once it was synced; after a failed sync nothing that was
-//! written since the last good one may be relied on.
+//! All file access uses the [`Disk`] trait, so that the daemon's [`RealDisk`] and the
+//! [`SimulatedDisk`] of tests run the same code. A write is durable only once it is synced;
+//! after a failed sync, nothing written since the last successful sync can be relied on.
 
 mod checked_file;
 mod disk;
--- a/crates/storage/src/log/frame.rs
+++ b/crates/storage/src/log/frame.rs
@@ -1,38 +1,38 @@
-//! The unit that is written and synced at once.
+//! Frames, the unit of writing and syncing.
 
 use crate::StorageError;
 
-/// Marks the start of a frame.
+/// Magic number at the start of a frame.
 const MAGIC: u32 = 0x6d6f_6c77;
-/// Bytes of magic, length, checksum and sequence.
+/// Size of magic number, length, checksum and sequence number, in bytes.
 pub(super) const HEADER_BYTES: usize = 20;
-/// Longest body. A longer length can only be damage.
+/// Maximum size of a body, in bytes. A greater length can only be the result of corruption.
 pub(super) const MAX_BODY_BYTES: usize = 1 << 30;
 
-/// Where a frame lies. The checksum covers it, so that old bytes that turn up
-/// elsewhere are never taken for a frame.
+/// Location of a frame. It is included in the checksum, so that stale bytes at another
+/// location are never accepted as a frame.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Place {
     pub segment: u64,
     pub offset: u64,
 }
 
-/// A frame as it was read.
+/// A decoded frame.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Frame<'a> {
-    /// Number of the frame in the whole log.
+    /// Sequence number of the frame in the whole log.
     pub sequence: u64,
     pub body: &'a [u8],
 }
 
 impl Frame<'_> {
-    /// Bytes of the whole frame.
+    /// Returns the size of the frame with its header, in bytes.
     pub fn length(&self) -> u64 {
         (HEADER_BYTES + self.body.len()) as u64
     }
 }
 
-/// The header of a frame with this body.
+/// Encodes the header of a frame.
 pub(super) fn header(place: Place, sequence: u64, body: &[u8]) -> [u8; HEADER_BYTES] {
     let mut header = [0; HEADER_BYTES];
     header[..4].copy_from_slice(&MAGIC.to_le_bytes());
@@ -52,7 +52,8 @@
     hasher.finalize()
 }
 
-/// The frame at the start of `bytes`, which lie at `place`, if it is whole.
+/// Decodes the frame at the start of `bytes`, which were read at `place`; `None` if it is
+/// incomplete or invalid.
 pub(super) fn parse(place: Place, bytes: &[u8]) -> Option<Frame<'_>> {
     let (header, rest) = bytes.split_first_chunk::<HEADER_BYTES>()?;
     let word = |at: usize| u32::from_le_bytes([0, 1, 2, 3].map(|byte| header[at + byte]));
@@ -69,7 +70,7 @@
     fits.then_some(Frame { sequence, body })
 }
 
-/// Where the first whole frame behind `place` lies, if there is one.
+/// Returns the offset of the first valid frame after `place`, if there is one.
 pub(super) fn find_later(place: Place, bytes: &[u8]) -> Option<u64> {
     (1..bytes.len()).find_map(|skipped| {
         let later = Place {
@@ -80,13 +81,16 @@
     })
 }
 
-/// Refuses a body that no reader would take back.
+/// Rejects a body that is too long to be read back.
 pub(super) fn check_length(file: &str, body: &[u8]) -> Result<(), StorageError> {
     if body.len() <= MAX_BODY_BYTES {
         return Ok(());
     }
     Err(StorageError::Io {
         file: file.to_owned(),
-        message: format!("a batch of {} bytes is too long", body.len()),
+        message: format!(
+            "batch of {} bytes exceeds the maximum frame size",
+            body.len()
+        ),
     })
 }
--- a/crates/storage/src/log/mod.rs
+++ b/crates/storage/src/log/mod.rs
@@ -1,4 +1,4 @@
-//! The write-ahead log: one for every group of a process.
+//! The write-ahead log, which all groups of a process share.
 
 mod frame;
 mod record;
@@ -20,15 +20,16 @@
 use track::Track;
 
 use crate::layout::LOG as DIRECTORY;
-/// Suffix of a segment's file.
+/// File name suffix of a segment.
 const SUFFIX: &str = ".segment";
 
-/// Sizes of the log.
+/// Size limits of the log.
 #[derive(Clone, Copy, Debug)]
 pub struct LogSettings {
-    /// A new segment is begun once one has as many bytes.
+    /// Size in bytes at which a new segment is started.
     pub segment_bytes: u64,
-    /// Bytes held back for the writes that are under way when the disk fills.
+    /// Reserved disk space in bytes for writes that are in progress when the disk becomes
+    /// full.
     pub reserve_bytes: u64,
 }
 
@@ -44,26 +45,26 @@
 /// An entry of a group's replicated log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogEntry {
-    /// Position in that log.
+    /// Index in that log.
     pub index: u64,
-    /// The entry.
+    /// Encoded entry.
     pub bytes: Vec<u8>,
 }
 
-/// A group's latest snapshot.
+/// Reference to the latest snapshot of a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotMark {
-    /// Last entry that it covers.
+    /// Index of the last entry that the snapshot covers.
     pub index: u64,
-    /// What the caller needs to know of it; small.
+    /// Small metadata defined by the caller.
     pub bytes: Vec<u8>,
 }
 
 /// The write-ahead log of all groups.
 ///
-/// Changes are gathered and become durable together with one
-/// [`WriteAheadLog::sync`]: a frame with one checksum, written and synced
-/// before the next is begun.
+/// Changes are buffered and become durable together with one [`WriteAheadLog::sync`], as a
+/// frame with one checksum. Each frame is written and synced before the next one is
+/// started.
 #[derive(Debug)]
 pub struct WriteAheadLog<D> {
     disk: D,
@@ -71,9 +72,9 @@
     tracks: BTreeMap<GroupId, Track>,
     /// Length of each segment.
     segments: BTreeMap<u64, u64>,
-    /// Segment that is written to.
+    /// Segment that new frames are written to.
     current: u64,
-    /// Number of the last synced frame.
+    /// Sequence number of the last synced frame.
     sequence: u64,
     buffer: Vec<u8>,
     reserve: Reserve,
@@ -81,11 +82,11 @@
 }
 
 impl<D: Disk> WriteAheadLog<D> {
-    /// Opens the log and reads it back.
+    /// Opens the log and recovers its content.
     ///
     /// # Errors
-    /// [`StorageError::Corrupt`] when synced bytes are damaged, or the disk
-    /// refuses.
+    /// Returns [`StorageError::Corrupt`] if synced bytes are damaged, or the error of the
+    /// disk.
     pub fn open(disk: D, settings: LogSettings) -> Result<(Self, Recovery), StorageError> {
         disk.create_dir(DIRECTORY)?;
         let names = disk.list(DIRECTORY)?;
@@ -98,8 +99,8 @@
         let sequence = reader.sequence.unwrap_or(0);
         let current = numbers.last().copied().unwrap_or(1);
         if !numbers.is_empty() {
-            // A write whose sync was cut short may be whole by luck: make
-            // sure of it before anything rests on it.
+            // A frame whose sync was interrupted may be complete by chance. Sync it before
+            // relying on it.
             disk.sync(&segment_path(current))?;
             disk.sync_dir(DIRECTORY)?;
         }
@@ -118,7 +119,7 @@
         Ok((log, recovery))
     }
 
-    /// Adds an entry. It replaces those at its index and behind.
+    /// Adds an entry. It replaces existing entries at its index and above.
     pub fn append_entry(&mut self, group: GroupId, index: u64, body: &[u8]) {
         let body = body.into();
         self.append(Record::Entry { group, index, body });
@@ -130,21 +131,21 @@
         self.append(Record::HardState { group, body });
     }
 
-    /// Notes that a durable snapshot covers the entries up to `index`.
+    /// Records that a durable snapshot covers the entries up to `index`.
     pub fn mark_snapshot(&mut self, group: GroupId, index: u64, body: &[u8]) {
         let body = body.into();
         self.append(Record::Snapshot { group, index, body });
     }
 
-    /// Drops a group's entries from `from` on.
+    /// Removes a group's entries from index `from` on.
     pub fn truncate(&mut self, group: GroupId, from: u64) {
         self.append(Record::Truncate { group, from });
     }
 
     fn append(&mut self, record: Record<'_>) {
         if self.buffer.is_empty() {
-            // Only here, so that all records of a frame are noted for the
-            // segment that the frame will lie in.
+            // A new segment is only started here, so that all records of a frame are
+            // tracked in the segment that the frame is written to.
             self.begin_segment_if_due();
         }
         let track = self.tracks.entry(record.group()).or_default();
@@ -152,46 +153,46 @@
         record.write(&mut self.buffer);
     }
 
-    /// Whether changes wait for [`WriteAheadLog::sync`].
+    /// Whether there are changes that have not been synced.
     #[must_use]
     pub fn has_unsynced(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Number of the last synced frame. It rises by one with each, and a disk
-    /// that was rolled back shows a lower one.
+    /// Returns the sequence number of the last synced frame. It increases by one with each
+    /// frame, so a lower number reveals a disk that was rolled back.
     #[must_use]
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// Bytes in all segments.
+    /// Returns the total size of all segments, in bytes.
     #[must_use]
     pub fn size(&self) -> u64 {
         self.segments.values().sum()
     }
 
-    /// Whether the disk was full at the last write. What is under way is
-    /// carried by the reserve, but nothing new should be taken in.
+    /// Whether the disk was full and the reserve is spent. Writes in progress use the space
+    /// of the reserve, but no new work should be accepted.
     #[must_use]
     pub fn is_low(&self) -> bool {
         self.reserve.is_spent()
     }
 
-    /// Tries to set the reserve aside again; says whether it is there.
+    /// Tries to allocate the reserve again and returns whether it is available.
     ///
     /// # Errors
-    /// When the disk refuses for another reason than that it is full.
+    /// Fails if a disk operation fails for a reason other than a full disk.
     pub fn restore_reserve(&mut self) -> Result<bool, StorageError> {
         self.reserve.restore(&self.disk)
     }
 
-    /// Writes and syncs every change since the last call, of all groups at
-    /// once. Returns the bytes written.
+    /// Writes and syncs all changes of all groups since the last call. Returns the number
+    /// of bytes written.
     ///
     /// # Errors
-    /// [`StorageError::Full`]: nothing was written, and the changes wait for
-    /// the next call. Any other error is final: what is on disk is unknown.
+    /// After [`StorageError::Full`] nothing was written, and the changes are kept for the
+    /// next call. Any other error is final, since the content of the disk is unknown.
     pub fn sync(&mut self) -> Result<u64, StorageError> {
         if self.poisoned {
             let file = segment_path(self.current);
@@ -232,8 +233,8 @@
         Ok(bytes.len() as u64)
     }
 
-    /// The next frame. The first one of a segment repeats what older segments
-    /// hold besides entries, so that these can be removed.
+    /// Encodes the next frame. The first frame of a segment repeats the hard states and
+    /// snapshot marks of older segments, so that these can be removed.
     fn frame(&self, place: Place) -> Result<Vec<u8>, StorageError> {
         let mut bytes = vec![0; HEADER_BYTES];
         if place.offset == 0 {
@@ -262,7 +263,8 @@
         }
     }
 
-    /// Appends to the segment; on a full disk it is as before afterwards.
+    /// Appends to the segment. If the disk is full, the segment is restored to its previous
+    /// length.
     fn write(&self, path: &str, offset: u64, bytes: &[u8]) -> Result<(), StorageError> {
         let written = self.disk.append(path, bytes);
         if matches!(&written, Err(error) if error.is_full()) {
@@ -274,13 +276,13 @@
         written
     }
 
-    /// Removes the oldest segment if no group needs it; says whether it did.
-    /// Changes must have been synced first; with some waiting nothing is
-    /// removed. It is one at a time because a file system may take long over
-    /// a file, and a caller has other things to do in between.
+    /// Removes the oldest segment if no group needs it, and returns whether it did. Nothing
+    /// is removed while there are unsynced changes. Only one segment is removed per call,
+    /// because a file system may take long to delete a file and the caller has other work
+    /// to do in between.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     pub fn remove_obsolete(&mut self) -> Result<bool, StorageError> {
         if self.has_unsynced() {
             return Ok(false);
@@ -300,9 +302,9 @@
         Ok(true)
     }
 
-    /// The group whose entries keep the oldest segment alive, when the log has
-    /// more than `segments` of them. Appending its live entries again lets the
-    /// old ones go.
+    /// Returns a group whose entries prevent the removal of the oldest segment, if the log
+    /// has more than `segments` segments. Appending its live entries again allows the old
+    /// segments to be removed.
     #[must_use]
     pub fn lagging_group(&self, segments: usize) -> Option<GroupId> {
         if self.segments.len() <= segments {
--- a/crates/storage/src/log/record.rs
+++ b/crates/storage/src/log/record.rs
@@ -1,13 +1,13 @@
-//! What a frame's body is made of.
+//! Records, which make up the body of a frame.
 
 use minicbor::bytes::ByteSlice;
 use minicbor::{Decode, Encode};
 use molespan_types::GroupId;
 
-/// One change to one group.
+/// A change to one group.
 #[derive(Clone, Copy, Debug, Encode, Decode)]
 pub(super) enum Record<'a> {
-    /// An entry. It replaces those at its index and behind.
+    /// An entry. It replaces existing entries at its index and above.
     #[n(0)]
     Entry {
         #[n(0)]
@@ -17,7 +17,7 @@
         #[b(2)]
         body: &'a ByteSlice,
     },
-    /// The latest hard state.
+    /// A new hard state.
     #[n(1)]
     HardState {
         #[n(0)]
@@ -35,7 +35,7 @@
         #[b(2)]
         body: &'a ByteSlice,
     },
-    /// Entries from this index on are gone.
+    /// Entries from this index on are removed.
     #[n(3)]
     Truncate {
         #[n(0)]
@@ -53,7 +53,7 @@
     }
 }
 
-/// Reads the records of a body in order.
+/// Decodes the records of a body in order.
 pub(super) fn read_all<'a>(
     body: &'a [u8],
     mut each: impl FnMut(Record<'a>),
@@ -66,7 +66,7 @@
 }
 
 impl Record<'_> {
-    /// The group that the record belongs to.
+    /// Returns the group that the record belongs to.
     pub fn group(&self) -> GroupId {
         match *self {
             Record::Entry { group, .. }
--- a/crates/storage/src/log/recovery.rs
+++ b/crates/storage/src/log/recovery.rs
@@ -1,4 +1,4 @@
-//! Reading the log back after a restart.
+//! Recovery of the log after a restart.
 
 use std::collections::BTreeMap;
 
@@ -10,23 +10,23 @@
 use super::{DIRECTORY, LogEntry, SnapshotMark, segment_path};
 use crate::{Disk, StorageError};
 
-/// What the log holds of one group.
+/// Recovered state of one group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GroupRecovery {
     /// Latest hard state.
     pub hard_state: Option<Vec<u8>>,
     /// Latest snapshot.
     pub snapshot: Option<SnapshotMark>,
-    /// Entries behind that snapshot, without a gap.
+    /// Entries after that snapshot, without gaps.
     pub entries: Vec<LogEntry>,
 }
 
-/// What the log holds.
+/// Recovered content of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// By group.
+    /// Recovered state by group.
     pub groups: BTreeMap<GroupId, GroupRecovery>,
-    /// Bytes of an unfinished write that were cut from the end.
+    /// Number of bytes of an incomplete write that were removed from the end.
     pub torn_bytes: u64,
 }
 
@@ -52,7 +52,7 @@
         self.entries.truncate(kept);
     }
 
-    /// Drops what the snapshot covers; says the first missing index, if any.
+    /// Removes entries covered by the snapshot and returns the first missing index, if any.
     fn settle(&mut self) -> Option<u64> {
         let covered = self.snapshot.as_ref().map_or(0, |mark| mark.index);
         self.entries.retain(|entry| entry.index > covered);
@@ -62,12 +62,12 @@
     }
 }
 
-/// Reads segments one after the other.
+/// Reads segments in order.
 pub(super) struct Reader<'a, D> {
     disk: &'a D,
     pub recovery: Recovery,
     pub tracks: BTreeMap<GroupId, Track>,
-    /// Number of the last frame.
+    /// Sequence number of the last frame.
     pub sequence: Option<u64>,
     /// Length of each segment.
     pub segments: BTreeMap<u64, u64>,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Reads every segment and cuts a torn tail.
+    /// Reads every segment and truncates a torn tail.
     pub fn run(&mut self, segments: &[u64]) -> Result<(), StorageError> {
         for (position, &segment) in segments.iter().enumerate() {
             let follows = position == 0 || segments[position - 1] + 1 == segment;
@@ -120,7 +120,7 @@
         let path = segment_path(place.segment);
         let expected = self.sequence.map(|sequence| sequence + 1);
         if expected.is_some_and(|expected| expected != frame.sequence) {
-            let reason = format!("write {} is missing", expected.unwrap_or(0));
+            let reason = format!("frame {} is missing", expected.unwrap_or(0));
             return Err(StorageError::corrupt(&path, place.offset, reason));
         }
         self.sequence = Some(frame.sequence);
@@ -137,18 +137,18 @@
         .map_err(|error| StorageError::corrupt(&path, place.offset, error.to_string()))
     }
 
-    /// Decides whether bytes that are no whole frame are the rest of a write
-    /// that a crash cut short. A frame is begun only after the one before it
-    /// was synced: so the rest of an unfinished write is the very last thing
-    /// in the log, and with anything whole behind it, it is damage.
+    /// Truncates an invalid frame if it is a write that a crash interrupted, and reports
+    /// corruption otherwise. A frame is only started after the previous one was synced, so
+    /// an incomplete write can only be at the very end of the log. An invalid frame before
+    /// a valid one is corruption.
     fn cut_torn_tail(&mut self, place: Place, rest: &[u8], last: bool) -> Result<(), StorageError> {
         let path = segment_path(place.segment);
         if !last {
-            let reason = "damaged write in an older segment";
+            let reason = "damaged frame in an older segment";
             return Err(StorageError::corrupt(&path, place.offset, reason));
         }
         if let Some(later) = frame::find_later(place, rest) {
-            let reason = format!("damaged write before a whole one at offset {later}");
+            let reason = format!("damaged frame before a valid frame at offset {later}");
             return Err(StorageError::corrupt(&path, place.offset, reason));
         }
         self.recovery.torn_bytes = rest.len() as u64;
--- a/crates/storage/src/log/reserve.rs
+++ b/crates/storage/src/log/reserve.rs
@@ -1,14 +1,14 @@
-//! Bytes held back for writes that are under way when the disk fills.
+//! Reserved disk space for writes that are in progress when the disk becomes full.
 
 use super::DIRECTORY;
 use crate::{Disk, StorageError};
 
-/// File that takes the room up.
+/// File that occupies the reserved space.
 const FILE: &str = "log/reserve";
-/// Bytes written at once.
+/// Number of bytes written at once.
 const PIECE: usize = 256 << 10;
 
-/// A file whose removal makes room.
+/// A file that is removed to free space.
 #[derive(Debug)]
 pub(super) struct Reserve {
     bytes: u64,
@@ -16,7 +16,7 @@
 }
 
 impl Reserve {
-    /// Sets the reserve aside, or finds it. On a full disk it counts as spent.
+    /// Opens or creates the reserve. On a full disk it counts as spent.
     pub fn open<D: Disk>(disk: &D, bytes: u64) -> Result<Self, StorageError> {
         let mut reserve = Self { bytes, spent: true };
         reserve.restore(disk)?;
@@ -27,7 +27,7 @@
         self.spent
     }
 
-    /// Makes room. Says whether there was any to make.
+    /// Frees the reserved space and returns whether the reserve was available.
     pub fn spend<D: Disk>(&mut self, disk: &D) -> Result<bool, StorageError> {
         if self.spent {
             return Ok(false);
@@ -38,7 +38,7 @@
         Ok(true)
     }
 
-    /// Sets the room aside again; says whether it is there.
+    /// Allocates the reserve again and returns whether it is available.
     pub fn restore<D: Disk>(&mut self, disk: &D) -> Result<bool, StorageError> {
         if !self.spent {
             return Ok(true);
--- a/crates/storage/src/log/track.rs
+++ b/crates/storage/src/log/track.rs
@@ -1,4 +1,4 @@
-//! Which segments still hold something that a group needs.
+//! Tracking of the segments that a group still needs.
 
 use std::collections::BTreeMap;
 
@@ -7,17 +7,17 @@
 use super::SnapshotMark;
 use super::record::Record;
 
-/// What the log knows of one group without its entries.
+/// State of one group in the log, without the bytes of its entries.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Track {
     hard_state: Option<Vec<u8>>,
     snapshot: Option<SnapshotMark>,
-    /// First and last live entry in each segment.
+    /// First and last live entry index in each segment.
     entries: BTreeMap<u64, (u64, u64)>,
 }
 
 impl Track {
-    /// Takes note of a record that lies in `segment`.
+    /// Records the effect of a record stored in `segment`.
     pub fn note(&mut self, record: &Record<'_>, segment: u64) {
         match *record {
             Record::Entry { index, .. } => self.note_entry(index, segment),
@@ -36,7 +36,7 @@
         *last = index;
     }
 
-    /// Forgets entries from `from` on.
+    /// Removes entries from index `from` on.
     fn cut(&mut self, from: u64) {
         while let Some(mut newest) = self.entries.last_entry() {
             let (first, last) = *newest.get();
@@ -51,25 +51,26 @@
         }
     }
 
-    /// Whether `segment` holds an entry that no snapshot covers.
+    /// Whether `segment` contains an entry that is not covered by a snapshot.
     pub fn needs(&self, segment: u64) -> bool {
         let covered = self.snapshot.as_ref().map_or(0, |mark| mark.index);
         let entries = self.entries.get(&segment);
         entries.is_some_and(|&(_, last)| last > covered)
     }
 
-    /// The oldest segment that is still needed.
+    /// Returns the oldest segment that is still needed.
     pub fn oldest_needed(&self) -> Option<u64> {
         let mut segments = self.entries.keys().copied();
         segments.find(|&segment| self.needs(segment))
     }
 
-    /// Forgets segments before `segment`, which are gone.
+    /// Removes segments before `segment`, which have been deleted.
     pub fn forget_before(&mut self, segment: u64) {
         self.entries = self.entries.split_off(&segment);
     }
 
-    /// Writes what a new segment must repeat, since older ones will go.
+    /// Writes the hard state and snapshot mark, which a new segment must repeat because
+    /// older segments will be removed.
     pub fn write_checkpoint(&self, group: GroupId, buffer: &mut Vec<u8>) {
         if let Some(body) = &self.hard_state {
             let body = body.as_slice().into();
--- a/crates/storage/src/payload.rs
+++ b/crates/storage/src/payload.rs
@@ -1,4 +1,4 @@
-//! The payload log of a group in files.
+//! File-based payload log of a group.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,55 +9,56 @@
 use crate::layout;
 use crate::{Disk, StorageError};
 
-/// Bytes after which a new segment is begun.
+/// Size in bytes at which a new segment is started.
 const SEGMENT_BYTES: u64 = 64 << 20;
-/// The same of a log whose beginning is dropped when it is not needed any more: a segment
-/// goes as a whole, and small disks have room for few.
+/// Segment size in bytes for logs whose beginning is dropped when it is no longer needed.
+/// Segments are only removed as a whole, and small disks have space for few.
 const SHORT_SEGMENT_BYTES: u64 = 4 << 20;
-/// Bytes of length and checksum in front of each payload.
+/// Size of the length and checksum before each payload, in bytes.
 const HEADER_BYTES: usize = 8;
-/// Suffix of a segment's file.
+/// File name suffix of a segment.
 const SUFFIX: &str = ".payload";
 
-/// An append-only log of payloads. Offsets count the headers too, so that
-/// they are the same on every replica.
+/// An append-only log of payloads. Offsets include the headers, so that they are the same
+/// on every replica.
 ///
-/// Appended payloads wait in memory until [`FilePayloadLog::flush`], which the
-/// caller runs after each batch of commands: so an append never fails, and a
-/// full disk holds up the application of commands but cannot make a replica's
-/// machine differ from the others.
+/// Appended payloads are buffered in memory until [`FilePayloadLog::flush`], which the
+/// caller runs after each batch of commands. An append therefore never fails, and a full
+/// disk delays the application of commands but cannot make a replica's machine diverge from
+/// the others.
 #[derive(Debug)]
 pub struct FilePayloadLog<D> {
     disk: D,
     directory: String,
-    /// Length of each segment by its offset in the log.
+    /// Length of each segment, by its offset in the log.
     segments: BTreeMap<u64, u64>,
-    /// Bytes after which a new segment is begun.
+    /// Size in bytes at which a new segment is started.
     segment_bytes: u64,
-    /// Bytes in files.
+    /// Length of the log in files, in bytes.
     flushed: u64,
-    /// Bytes not yet in files.
+    /// Buffered bytes that are not yet in files.
     waiting: Vec<u8>,
-    /// Whether files hold bytes that were not synced.
+    /// Whether files contain bytes that were not synced.
     unsynced: bool,
 }
 
 impl<D: Disk> FilePayloadLog<D> {
-    /// Opens the log of `group` and cuts it to `length`, the length that the
-    /// group's snapshot covers. Replaying the group's log appends the rest
-    /// again.
+    /// Opens the log of `group` and truncates it to `length`, the length that the group's
+    /// snapshot covers. Replaying the group's log appends the rest again.
     ///
     /// # Errors
-    /// [`StorageError::Corrupt`] when the log is shorter than that.
+    /// Returns [`StorageError::Corrupt`] if the log is shorter than `length`, or the error
+    /// of the disk.
     pub fn open(disk: D, group: GroupId, length: u64) -> Result<Self, StorageError> {
         Self::open_part(disk, group, 0, length, SEGMENT_BYTES)
     }
 
-    /// The same of a log that is needed from `start` on only, and whose beginning is
-    /// dropped from time to time.
+    /// Opens a log that is only needed from `start` on, and whose beginning is dropped from
+    /// time to time.
     ///
     /// # Errors
-    /// [`StorageError::Corrupt`] when the log is shorter than `length`.
+    /// Returns [`StorageError::Corrupt`] if the log is shorter than `length`, or the error
+    /// of the disk.
     pub fn open_from(
         disk: D,
         group: GroupId,
@@ -87,7 +88,7 @@
         };
         log.find_segments(start)?;
         if log.flushed < length {
-            let reason = format!("snapshot needs {length} bytes");
+            let reason = format!("log is shorter than the {length} bytes required by the snapshot");
             return Err(StorageError::corrupt(&log.directory, log.flushed, reason));
         }
         log.truncate(length)?;
@@ -97,15 +98,16 @@
     fn find_segments(&mut self, start: u64) -> Result<(), StorageError> {
         let names = self.disk.list(&self.directory)?;
         let offsets: BTreeSet<u64> = names.iter().filter_map(|name| parse_name(name)).collect();
-        // The one that holds the start is the first: a crash may have kept earlier ones.
+        // The first segment is the one that contains `start`: a crash may have kept earlier
+        // ones.
         let first = offsets.range(..=start).next_back();
         self.flushed = first.copied().unwrap_or(start);
         for offset in offsets {
             let path = self.path(offset);
             let length = self.disk.length(&path)?.unwrap_or(0);
             if offset != self.flushed {
-                // Dropped before, or left over behind a gap; the bytes before that decide
-                // whether enough of the log is there.
+                // The segment was dropped earlier, or is left over after a gap. The bytes
+                // before the gap determine whether the log is long enough.
                 self.disk.remove(&path)?;
                 continue;
             }
@@ -115,10 +117,10 @@
         Ok(())
     }
 
-    /// Cuts the log to `length`, which must not lie past its end.
+    /// Truncates the log to `length`, which must not be past its end.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     pub fn truncate(&mut self, length: u64) -> Result<(), StorageError> {
         self.waiting.clear();
         let removed = self.segments.split_off(&length);
@@ -137,10 +139,10 @@
         Ok(())
     }
 
-    /// Hands waiting payloads to the disk. They are not synced yet.
+    /// Writes buffered payloads to the disk without syncing them.
     ///
     /// # Errors
-    /// When the disk refuses; the payloads go on waiting.
+    /// Fails if the disk operation fails; the payloads then remain buffered.
     pub fn flush(&mut self) -> Result<(), StorageError> {
         if self.waiting.is_empty() {
             return Ok(());
@@ -153,18 +155,18 @@
         written
     }
 
-    /// Where what is there of the log begins.
+    /// Returns the offset at which the existing part of the log starts.
     #[must_use]
     pub fn start(&self) -> u64 {
         let first = self.segments.keys().next();
         first.copied().unwrap_or(self.flushed)
     }
 
-    /// Removes segments of which nothing at `offset` or behind is part, but for the last.
-    /// What rests on the log must outlive a crash without them by now.
+    /// Removes segments that end at or before `offset`, except the last segment. State that
+    /// refers to the log must already be durable without the removed segments.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     pub fn drop_before(&mut self, offset: u64) -> Result<(), StorageError> {
         while self.segments.len() > 1
             && let Some((&first, &held)) = self.segments.first_key_value()
@@ -176,16 +178,16 @@
         Ok(())
     }
 
-    /// Bytes that wait for [`FilePayloadLog::flush`].
+    /// Returns the number of buffered bytes that [`FilePayloadLog::flush`] will write.
     #[must_use]
     pub fn waiting_bytes(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Makes the whole log outlive a crash.
+    /// Makes the whole log durable.
     ///
     /// # Errors
-    /// When the disk refuses; a failed sync must not be tried again.
+    /// Fails if the disk operation fails; a failed sync must not be retried.
     pub fn sync(&mut self) -> Result<(), StorageError> {
         self.flush()?;
         if !self.unsynced {
@@ -199,26 +201,26 @@
         Ok(())
     }
 
-    /// Appends bytes that another replica's [`FilePayloadLog::read_raw`] gave.
+    /// Appends bytes returned by [`FilePayloadLog::read_raw`] of another replica.
     ///
     /// # Errors
-    /// When the disk refuses; then none of them were appended.
+    /// Fails if the disk operation fails; none of the bytes are appended then.
     pub fn append_raw(&mut self, bytes: &[u8]) -> Result<(), StorageError> {
         self.flush()?;
         self.write(bytes)
     }
 
-    /// Reads `length` bytes from `offset`, headers included.
+    /// Reads `length` bytes from `offset`, including headers.
     ///
     /// # Errors
-    /// When the range lies outside the log or the disk refuses.
+    /// Fails if the range is outside the log or the disk operation fails.
     pub fn read_raw(&self, offset: u64, length: usize) -> Result<Vec<u8>, StorageError> {
         let end = offset.saturating_add(length as u64);
         if end > self.length() {
             return Err(StorageError::corrupt(
                 &self.directory,
                 offset,
-                "range lies past the end",
+                "range is past the end of the log",
             ));
         }
         let mut bytes = Vec::with_capacity(length);
@@ -236,11 +238,15 @@
         Ok(bytes)
     }
 
-    /// Reads what one segment has of the range.
+    /// Reads the part of the range that is in its first segment.
     fn read_piece(&self, from: u64, to: u64) -> Result<Vec<u8>, StorageError> {
         let segment = self.segments.range(..=from).next_back();
         let Some((&offset, &held)) = segment else {
-            return Err(StorageError::corrupt(&self.directory, from, "no segment"));
+            return Err(StorageError::corrupt(
+                &self.directory,
+                from,
+                "no segment contains this offset",
+            ));
         };
         let end = to.min(offset + held);
         let length = (end - from) as usize;
@@ -263,8 +269,8 @@
         Ok(())
     }
 
-    /// The segment that takes the next bytes. A finished one is synced before
-    /// the next is begun.
+    /// Returns the offset of the segment to append to. A full segment is synced before the
+    /// next one is started.
     fn segment_for_writing(&mut self) -> Result<u64, StorageError> {
         let last = self.segments.iter().next_back();
         match last.map(|(&offset, &held)| (offset, held)) {
@@ -315,7 +321,7 @@
     }
 }
 
-/// Length and checksum of a payload as they stand in the log.
+/// Encodes the length and checksum of a payload.
 fn header(payload: &[u8]) -> [u8; HEADER_BYTES] {
     let mut header = [0; HEADER_BYTES];
     let (length, checksum) = header.split_at_mut(HEADER_BYTES / 2);
--- a/crates/storage/src/real.rs
+++ b/crates/storage/src/real.rs
@@ -1,4 +1,4 @@
-//! Files of the operating system.
+//! A disk backed by files of the operating system.
 
 use std::collections::HashMap;
 use std::fs::{self, File, OpenOptions};
@@ -10,10 +10,11 @@
 use crate::checked_file::join;
 use crate::{Disk, StorageError};
 
-/// Open files kept at most; beyond that all are closed and opened on demand.
+/// Maximum number of cached open files; when it is reached, all are closed and reopened on
+/// demand.
 const OPEN_FILES: usize = 64;
 
-/// A data folder of the operating system.
+/// A data folder in the file system.
 #[derive(Clone, Debug)]
 pub struct RealDisk {
     root: Arc<PathBuf>,
@@ -21,10 +22,10 @@
 }
 
 impl RealDisk {
-    /// The folder at `root`, created when missing.
+    /// Opens the folder at `root` and creates it if it is missing.
     ///
     /// # Errors
-    /// When the operating system refuses.
+    /// Fails if the folder cannot be created.
     pub fn open(root: impl AsRef<Path>) -> Result<Self, StorageError> {
         let root = root.as_ref().to_path_buf();
         fs::create_dir_all(&root).map_err(|error| io_error(".", &error))?;
@@ -34,17 +35,17 @@
         })
     }
 
-    /// The operating system's path of a file.
+    /// Returns the path of a file in the file system.
     fn path(&self, file: &str) -> PathBuf {
         self.root.join(file)
     }
 
-    /// The open files.
+    /// Locks and returns the cached open files.
     fn handles(&self) -> MutexGuard<'_, HashMap<String, Arc<File>>> {
         self.open.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Creates a directory, if missing, and makes its name outlive a crash.
+    /// Creates a directory if it is missing and makes its name durable.
     fn create_child(&self, parent: &str, child: &str) -> Result<(), StorageError> {
         match fs::create_dir(self.path(child)) {
             Ok(()) => self.sync_dir(parent),
@@ -53,12 +54,12 @@
         }
     }
 
-    /// Forgets an open file whose name is about to change.
+    /// Removes an open file from the cache, since its name is about to change.
     fn close(&self, file: &str) {
         self.handles().remove(file);
     }
 
-    /// An open file, for reading and appending.
+    /// Returns a file opened for reading and appending.
     fn handle(&self, file: &str, create: bool) -> Result<Arc<File>, StorageError> {
         let mut handles = self.handles();
         if let Some(handle) = handles.get(file) {
@@ -79,7 +80,7 @@
     }
 }
 
-/// Turns an operating system's error into ours.
+/// Converts an error of the operating system.
 fn io_error(file: &str, error: &io::Error) -> StorageError {
     let file = file.to_owned();
     match error.kind() {
--- a/crates/storage/src/simulated/mod.rs
+++ b/crates/storage/src/simulated/mod.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that loses and damages what real ones lose and damage.
+//! An in-memory disk that simulates the data loss and corruption of real disks.
 
 mod names;
 mod operations;
@@ -10,18 +10,18 @@
 use rand_chacha::ChaCha8Rng;
 use state::{Power, State, tear};
 
-/// What a simulated disk was asked to do so far.
+/// Operation counters of a simulated disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SimulatedDiskCounters {
-    /// Syncs of files.
+    /// Number of file syncs.
     pub syncs: u64,
-    /// Bytes appended.
+    /// Number of bytes appended.
     pub bytes_written: u64,
-    /// Operations that change something: appends, syncs, renames and so on.
+    /// Number of operations that change the disk: appends, syncs, renames and so on.
     pub changes: u64,
 }
 
-/// A disk in memory. Clones share it, so that a test keeps a handle while the
+/// An in-memory disk. Clones share its state, so that a test can keep a handle while the
 /// code under test is dropped and opened again.
 #[derive(Clone, Debug, Default)]
 pub struct SimulatedDisk {
@@ -29,15 +29,14 @@
 }
 
 impl SimulatedDisk {
-    /// A blank disk without a limit.
+    /// Creates an empty disk without a capacity limit.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Loses power. Bytes and names that were not synced are lost wholly, in
-    /// part or not at all, and the last kept bytes may be damaged; `seed`
-    /// decides.
+    /// Simulates a power loss. Unsynced bytes and names are lost completely, partly or not
+    /// at all, and the last kept unsynced bytes may be damaged, depending on `seed`.
     pub fn crash(&self, seed: u64) {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let mut state = self.state();
@@ -55,7 +54,7 @@
         state.power = Power::On;
     }
 
-    /// Loses power and keeps exactly what was synced.
+    /// Simulates a power loss that keeps exactly the synced data.
     pub fn crash_clean(&self) {
         let mut state = self.state();
         state.pending.clear();
@@ -68,7 +67,7 @@
         state.power = Power::On;
     }
 
-    /// Replaces the disk by a blank one.
+    /// Replaces the disk with an empty one.
     pub fn lose(&self) {
         let mut state = self.state();
         let counters = state.counters;
@@ -78,8 +77,7 @@
         };
     }
 
-    /// A copy of everything that is durable now, to be put back by
-    /// [`SimulatedDisk::roll_back`].
+    /// Returns a copy of all durable data, for [`SimulatedDisk::roll_back`].
     #[must_use]
     pub fn backup(&self) -> SimulatedDisk {
         let state = self.state();
@@ -97,7 +95,7 @@
         copy
     }
 
-    /// Puts the files of an earlier [`SimulatedDisk::backup`] back.
+    /// Restores the files of an earlier [`SimulatedDisk::backup`].
     pub fn roll_back(&self, backup: &SimulatedDisk) {
         let earlier = backup.backup();
         let mut state = self.state();
@@ -109,31 +107,31 @@
         state.next_content = earlier.next_content;
     }
 
-    /// Takes all free room away, or gives unlimited room back. Removing or
-    /// cutting files makes room as on a real disk.
+    /// Removes all free space, or sets the capacity to unlimited. Removing or truncating
+    /// files frees space as on a real disk.
     pub fn set_full(&self, full: bool) {
         let mut state = self.state();
         state.capacity = full.then(|| state.used());
     }
 
-    /// Leaves room for so many more bytes.
+    /// Sets the free space to `bytes`.
     pub fn set_free(&self, bytes: u64) {
         let mut state = self.state();
         state.capacity = Some(state.used() + bytes);
     }
 
-    /// Lets the next `count` syncs of files fail.
+    /// Makes the next `count` file syncs fail.
     pub fn fail_syncs(&self, count: u32) {
         self.state().failing_syncs = count;
     }
 
-    /// Fails every operation after `changes` more changes. The append that comes
-    /// next still writes half of its bytes. A crash brings the power back.
+    /// Fails every change after `changes` more changes. If the first failing change is an
+    /// append, it still writes half of its bytes. A crash restores the power.
     pub fn fail_power_after(&self, changes: u64) {
         self.state().power = Power::Ending(changes);
     }
 
-    /// Flips bits of one byte, durably. Returns whether there is such a byte.
+    /// Flips bits of one byte durably. Returns whether the byte exists.
     pub fn flip(&self, file: &str, offset: u64) -> bool {
         const EVERY_OTHER_BIT: u8 = 0x55;
         let mut state = self.state();
@@ -149,13 +147,13 @@
         }
     }
 
-    /// Every file, sorted.
+    /// Returns the names of all files, sorted.
     #[must_use]
     pub fn files(&self) -> Vec<String> {
         self.state().names.keys().cloned().collect()
     }
 
-    /// What it was asked to do so far.
+    /// Returns the operation counters.
     #[must_use]
     pub fn counters(&self) -> SimulatedDiskCounters {
         self.state().counters
--- a/crates/storage/src/simulated/names.rs
+++ b/crates/storage/src/simulated/names.rs
@@ -1,8 +1,8 @@
-//! Names of files, and what a crash makes of changes to them.
+//! File names and the changes to them that a crash may lose.
 
 use std::collections::BTreeMap;
 
-/// A change of names that is not yet durable.
+/// A change to file names that is not yet durable.
 #[derive(Clone, Debug)]
 pub(super) enum NameChange {
     Create { file: String, content: u64 },
@@ -11,7 +11,7 @@
 }
 
 impl NameChange {
-    /// The directory that it happens in.
+    /// Returns the directory of the change.
     pub(super) fn directory(&self) -> &str {
         match self {
             Self::Create { file, .. } | Self::Remove { file } => directory_of(file),
@@ -19,12 +19,12 @@
         }
     }
 
-    /// Whether it gives `content` its name.
+    /// Whether the change creates the file with `content`.
     pub(super) fn creates(&self, content: u64) -> bool {
         matches!(self, Self::Create { content: created, .. } if *created == content)
     }
 
-    /// Makes the change in `names`.
+    /// Applies the change to `names`.
     pub(super) fn apply(&self, names: &mut BTreeMap<String, u64>) {
         match self {
             Self::Create { file, content } => {
@@ -42,7 +42,7 @@
     }
 }
 
-/// The directory of a file; empty for the data folder itself.
+/// Returns the directory of a file; empty for the data folder itself.
 pub(super) fn directory_of(file: &str) -> &str {
     file.rsplit_once('/').map_or("", |(directory, _)| directory)
 }
--- a/crates/storage/src/simulated/operations.rs
+++ b/crates/storage/src/simulated/operations.rs
@@ -1,4 +1,4 @@
-//! The operations of a simulated disk.
+//! Disk operations of the simulated disk.
 
 use super::SimulatedDisk;
 use super::names::{NameChange, directory_of};
--- a/crates/storage/src/simulated/state.rs
+++ b/crates/storage/src/simulated/state.rs
@@ -1,4 +1,4 @@
-//! What a simulated disk holds.
+//! State of a simulated disk.
 
 use std::collections::BTreeMap;
 
@@ -9,22 +9,22 @@
 use super::names::NameChange;
 use crate::StorageError;
 
-/// A file's bytes. The first `synced` of them outlive a crash.
+/// Content of a file. The first `synced` bytes survive a crash.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Content {
     pub(super) bytes: Vec<u8>,
     pub(super) synced: usize,
 }
 
-/// Whether changes are carried out.
+/// Power state, which decides whether changes succeed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) enum Power {
-    /// They are.
+    /// Changes succeed.
     #[default]
     On,
-    /// So many more are.
+    /// This number of changes still succeeds.
     Ending(u64),
-    /// None is.
+    /// All changes fail.
     Off,
 }
 
@@ -41,7 +41,7 @@
     pub(super) counters: SimulatedDiskCounters,
 }
 
-/// Loses part of what was not synced.
+/// Removes or damages part of the unsynced bytes.
 pub(super) fn tear(content: &mut Content, random: &mut ChaCha8Rng) {
     const DAMAGED_AT_MOST: usize = 16;
     if content.synced >= content.bytes.len() {
@@ -57,7 +57,7 @@
 }
 
 impl State {
-    /// Counts a change; refuses it without power.
+    /// Counts a change and rejects it without power.
     pub(super) fn note_change(&mut self, file: &str) -> Result<(), StorageError> {
         self.counters.changes += 1;
         match &mut self.power {
@@ -70,11 +70,11 @@
         }
         Err(StorageError::Io {
             file: file.to_owned(),
-            message: "the power has failed".to_owned(),
+            message: "the power failed (simulated)".to_owned(),
         })
     }
 
-    /// Adds bytes, as far as there is room.
+    /// Appends bytes up to the free capacity.
     pub(super) fn write(&mut self, file: &str, bytes: &[u8]) -> Result<(), StorageError> {
         if !self.names.contains_key(file) {
             self.create(file);
@@ -102,7 +102,7 @@
             .sum()
     }
 
-    /// Forgets contents that no name leads to.
+    /// Removes contents that no name refers to.
     pub(super) fn drop_unnamed(&mut self) {
         let names = &self.names;
         let durable = &self.durable_names;
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the groups' state machines.
+//! Storage for snapshots of state machines.
 
 use molespan_types::GroupId;
 
@@ -6,23 +6,23 @@
 use crate::layout;
 use crate::{Disk, StorageError, read_checked, write_checked};
 
-/// Snapshots kept of each group.
+/// Number of snapshots kept for each group.
 const KEPT: usize = 2;
-/// Suffix of a snapshot's file.
+/// File name suffix of a snapshot.
 const SUFFIX: &str = ".snapshot";
-/// Bytes in front of the header that hold its length.
+/// Size of the length field before the header, in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// A snapshot as it was stored.
+/// A stored snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// What the caller needs to know of it; small.
+    /// Small metadata defined by the caller.
     pub header: Vec<u8>,
-    /// The machine's bytes.
+    /// Encoded state machine.
     pub machine: Vec<u8>,
 }
 
-/// The snapshots of one group, a file each, named by log index.
+/// Snapshots of one group, stored as one file each and named by log index.
 #[derive(Clone, Debug)]
 pub struct SnapshotStore<D> {
     disk: D,
@@ -30,11 +30,10 @@
 }
 
 impl<D: Disk> SnapshotStore<D> {
-    /// Opens the store of `group` and clears away what a crash left half
-    /// written.
+    /// Opens the store of `group` and removes files that a crash left incomplete.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     pub fn open(disk: D, group: GroupId) -> Result<Self, StorageError> {
         let directory = layout::snapshots(group);
         disk.create_dir(&directory)?;
@@ -46,20 +45,21 @@
         Ok(Self { disk, directory })
     }
 
-    /// Stores the snapshot at `index`; it is durable on return.
+    /// Stores the snapshot at `index`. It is durable on return.
     ///
     /// # Errors
-    /// When the disk refuses; the earlier ones stand.
+    /// Fails if the disk operation fails; earlier snapshots are kept.
     pub fn save(&self, index: u64, header: &[u8], machine: &[u8]) -> Result<(), StorageError> {
         let length = (header.len() as u32).to_le_bytes();
         let parts = [&length[..], header, machine];
         write_checked(&self.disk, &self.directory, &file_name(index), &parts)
     }
 
-    /// Reads the snapshot at `index`; `None` when there is none.
+    /// Reads the snapshot at `index`; `None` if it does not exist.
     ///
     /// # Errors
-    /// [`StorageError::Corrupt`] when it is damaged.
+    /// Returns [`StorageError::Corrupt`] if the snapshot is damaged, or the error of the
+    /// disk.
     pub fn load(&self, index: u64) -> Result<Option<Snapshot>, StorageError> {
         let name = file_name(index);
         let Some(bytes) = read_checked(&self.disk, &self.directory, &name)? else {
@@ -67,24 +67,24 @@
         };
         split(bytes).map(Some).ok_or_else(|| {
             let path = join(&self.directory, &name);
-            StorageError::corrupt(&path, 0, "header does not fit")
+            StorageError::corrupt(&path, 0, "file is shorter than its header")
         })
     }
 
-    /// Log indexes of the snapshots, rising.
+    /// Returns the log indexes of the snapshots in ascending order.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     pub fn indexes(&self) -> Result<Vec<u64>, StorageError> {
         let names = self.disk.list(&self.directory)?;
         Ok(names.iter().filter_map(|name| parse_name(name)).collect())
     }
 
-    /// Removes all but the latest two up to `index`, which is the one that the
-    /// log refers to.
+    /// Removes all but the latest two of the snapshots up to `index`, which is the snapshot
+    /// that the log refers to.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     pub fn remove_older(&self, index: u64) -> Result<(), StorageError> {
         let mut indexes = self.indexes()?;
         indexes.retain(|&stored| stored <= index);
@@ -96,7 +96,7 @@
     }
 }
 
-/// Splits what was read without a copy of the machine, which may be large.
+/// Splits the content of a file without copying the machine, which may be large.
 fn split(mut bytes: Vec<u8>) -> Option<Snapshot> {
     let (length, rest) = bytes.split_first_chunk::<LENGTH_BYTES>()?;
     let length = u32::from_le_bytes(*length) as usize;
