--- a/crates/storage/tests/crash_points.rs
+++ b/crates/storage/tests/crash_points.rs
@@ -1,4 +1,4 @@
-//! The power fails at each change of the disk in turn.
+//! Power failures simulated at every disk change.
 
 use molespan_storage::{
     LogEntry, LogSettings, Recovery, SimulatedDisk, SnapshotStore, StorageError, WriteAheadLog,
@@ -8,14 +8,14 @@
 
 const GROUP: GroupId = GroupId(2);
 const OTHER: GroupId = GroupId(3);
-/// Entries written by the workload.
+/// Number of entries written by the workload.
 const ENTRIES: u64 = 24;
-/// Entries between two snapshots.
+/// Number of entries between two snapshots.
 const SNAPSHOT_EVERY: u64 = 5;
-/// Crashes tried at each change, which tear different parts.
+/// Number of crashes simulated at each change, with different torn bytes.
 const SEEDS: u64 = 6;
 
-/// What the workload was told is durable.
+/// State that was acknowledged to the workload as durable.
 #[derive(Debug, Default)]
 struct Promises {
     entries: u64,
@@ -55,7 +55,8 @@
     Ok(())
 }
 
-/// What was read back holds at least what was promised, and hangs together.
+/// Checks that the recovered state is consistent and contains at least the acknowledged
+/// state.
 fn check(disk: &SimulatedDisk, recovery: &Recovery, promises: &Promises) {
     let Some(group) = recovery.groups.get(&GROUP) else {
         assert_eq!(promises.entries, 0);
@@ -80,7 +81,7 @@
     assert_eq!(other.hard_state, Some(body(last)));
 }
 
-/// Changes that `work` makes without a failure.
+/// Returns the number of disk changes that `work` makes without a failure.
 fn changes_of(work: impl Fn(&SimulatedDisk)) -> u64 {
     let disk = SimulatedDisk::new();
     work(&disk);
--- a/crates/storage/tests/disk_contract.rs
+++ b/crates/storage/tests/disk_contract.rs
@@ -1,9 +1,9 @@
-//! What both kinds of disk promise alike.
+//! Contract tests that both disk implementations must pass.
 
 use molespan_storage::{Disk, RealDisk, SimulatedDisk, StorageError, WriteAheadLog};
 use molespan_types::GroupId;
 
-/// A promise of the interface, checked on a blank disk.
+/// A requirement of the interface, checked on an empty disk.
 struct Case<D> {
     name: &'static str,
     check: fn(&D) -> Result<(), StorageError>,
@@ -21,7 +21,7 @@
             },
         },
         Case {
-            name: "a directory may be made twice and in another one",
+            name: "a directory may be created twice and inside another one",
             check: |disk| {
                 disk.create_dir("outer/inner")?;
                 disk.create_dir("outer/inner")?;
@@ -64,7 +64,7 @@
             },
         },
         Case {
-            name: "appends go on behind a cut",
+            name: "appends go on at the end of a truncated file",
             check: |disk| {
                 disk.append("file", b"content")?;
                 disk.truncate("file", 3)?;
@@ -97,7 +97,7 @@
             },
         },
         Case {
-            name: "what is not there cannot be synced, cut or renamed",
+            name: "what does not exist cannot be synced, truncated or renamed",
             check: |disk| {
                 assert!(disk.sync("nothing").is_err());
                 assert!(disk.truncate("nothing", 0).is_err());
--- a/crates/storage/tests/files.rs
+++ b/crates/storage/tests/files.rs
@@ -1,4 +1,4 @@
-//! Snapshots, payload logs and the disk's identity, on both kinds of disk.
+//! Snapshots, payload logs and the disk identity, on simulated and real disks.
 
 use molespan_state::{PayloadError, PayloadLog};
 use molespan_storage::{
@@ -62,7 +62,7 @@
     assert_eq!(store.indexes().unwrap(), [3, 4, 5]);
 }
 
-/// Runs on one kind of disk what must hold on both.
+/// Checks the payload log on one disk implementation.
 fn payload_log_behaves<D: Disk>(disk: &D) {
     let mut log = FilePayloadLog::open(disk.clone(), GROUP, 0).unwrap();
     let first = log.append(b"first").unwrap();
@@ -146,9 +146,9 @@
 fn crash_may_keep_a_file_that_was_created_and_removed_since_the_last_sync() {
     for seed in 0..50 {
         let disk = SimulatedDisk::new();
-        disk.append("log/file", b"bytes").expect("has room");
-        disk.remove("log/file").expect("is there");
-        disk.sync_dir("elsewhere").expect("is there");
+        disk.append("log/file", b"bytes").expect("has free space");
+        disk.remove("log/file").expect("the file exists");
+        disk.sync_dir("elsewhere").expect("the file exists");
         disk.crash(seed);
         for file in disk.files() {
             disk.sync(&file).expect("a name leads to a file");
--- a/crates/storage/tests/write_ahead_log.rs
+++ b/crates/storage/tests/write_ahead_log.rs
@@ -29,7 +29,7 @@
     })
 }
 
-/// Three synced frames; returns the lengths of the segment after each.
+/// Writes three synced frames and returns the length of the segment after each.
 fn three_frames(disk: &SimulatedDisk) -> Vec<u64> {
     let (mut log, _) = open(disk);
     (1..=3)
@@ -74,10 +74,10 @@
         copy.roll_back(&disk.backup());
         copy.truncate(FIRST_SEGMENT, length).unwrap();
         let (mut log, recovery) = open(&copy);
-        assert_eq!(indexes(&recovery, GROUP), [1, 2], "cut at {length}");
+        assert_eq!(indexes(&recovery, GROUP), [1, 2], "truncated at {length}");
         assert_eq!(recovery.torn_bytes, length - ends[1]);
         log.append_entry(GROUP, 3, b"again");
-        log.sync().expect("goes on behind the cut");
+        log.sync().expect("goes on after the truncated tail");
         assert_eq!(indexes(&open(&copy).1, GROUP), [1, 2, 3]);
     }
 }
@@ -90,7 +90,7 @@
         let copy = SimulatedDisk::new();
         copy.roll_back(&disk.backup());
         assert!(copy.flip(FIRST_SEGMENT, offset));
-        let error = WriteAheadLog::open(copy, settings()).expect_err("stops");
+        let error = WriteAheadLog::open(copy, settings()).expect_err("opening stops with an error");
         let start = if offset < ends[0] { 0 } else { ends[0] };
         match error {
             StorageError::Corrupt { file, offset, .. } => {
@@ -111,7 +111,7 @@
     }
     let length = disk.length(FIRST_SEGMENT).unwrap().unwrap();
     disk.truncate(FIRST_SEGMENT, length - 1).unwrap();
-    let error = WriteAheadLog::open(disk, settings()).expect_err("stops");
+    let error = WriteAheadLog::open(disk, settings()).expect_err("opening stops with an error");
     assert!(matches!(error, StorageError::Corrupt { ref file, .. } if file == FIRST_SEGMENT));
 }
 
@@ -124,7 +124,7 @@
         log.sync().expect("syncs");
     }
     disk.remove("log/00000000000000000002.segment").unwrap();
-    let error = WriteAheadLog::open(disk, settings()).expect_err("stops");
+    let error = WriteAheadLog::open(disk, settings()).expect_err("opening stops with an error");
     assert!(matches!(error, StorageError::Corrupt { .. }));
 }
 
@@ -193,15 +193,15 @@
     log.sync().unwrap();
     disk.set_full(true);
     log.append_entry(GROUP, 2, &[0; 100]);
-    log.sync().expect("the reserve carries it");
+    log.sync().expect("the write uses the reserve");
     assert!(log.is_low());
     assert!(!log.restore_reserve().unwrap());
     log.append_entry(GROUP, 3, &[0; 2_000]);
-    let error = log.sync().expect_err("no room is left");
+    let error = log.sync().expect_err("no space is left");
     assert!(error.is_full());
     assert_eq!(indexes(&open(&disk).1, GROUP), [1, 2]);
     disk.set_full(false);
-    log.sync().expect("waits for room and goes on");
+    log.sync().expect("goes on once space is free");
     assert!(log.restore_reserve().unwrap());
     assert_eq!(indexes(&open(&disk).1, GROUP), [1, 2, 3]);
 }
@@ -233,7 +233,7 @@
     disk.fail_syncs(1);
     log.append_entry(GROUP, 1, b"body");
     log.sync().expect_err("the sync fails");
-    let again = log.sync().expect_err("it is not tried again");
+    let again = log.sync().expect_err("the sync is not tried again");
     assert!(matches!(again, StorageError::Poisoned { .. }));
 }
 
