--- a/crates/state/src/job/active.rs
+++ b/crates/state/src/job/active.rs
@@ -83,7 +83,7 @@
     }
 
     /// Whether items of this job may be leased in its current phase.
-    pub(crate) fn leases_items(&self) -> bool {
+    pub(crate) fn may_lease_items(&self) -> bool {
         match self.phase {
             JobPhase::Running => true,
             JobPhase::Cancelling => !enabled(Mechanism::CancelStopsLeasing),
@@ -93,11 +93,11 @@
 
     /// Whether a lease request would get at least one item.
     pub(crate) fn has_work(&self) -> bool {
-        self.leases_items() && !self.free.is_empty()
+        self.may_lease_items() && !self.free.is_empty()
     }
 
     /// Whether all items have been received.
-    pub(crate) fn is_whole(&self) -> bool {
+    pub(crate) fn has_all_items(&self) -> bool {
         self.items.len() == self.submission.item_count
     }
 
@@ -116,12 +116,12 @@
 
     /// Returns the final phase of the job, or `None` if the job is not finished.
     pub(crate) fn final_phase(&self) -> Option<JobPhase> {
-        let no_lease_out = self.leases == 0 || !enabled(Mechanism::CancelWaitsForLeases);
+        let no_active_lease = self.leases == 0 || !enabled(Mechanism::CancelWaitsForLeases);
         match self.phase {
             JobPhase::Running if self.counts.total() >= self.submission.item_count => {
                 Some(JobPhase::Completed)
             }
-            JobPhase::Cancelling if no_lease_out => Some(JobPhase::Cancelled),
+            JobPhase::Cancelling if no_active_lease => Some(JobPhase::Cancelled),
             _ => None,
         }
     }
--- a/crates/state/src/job/claim_archive.rs
+++ b/crates/state/src/job/claim_archive.rs
@@ -15,7 +15,7 @@
 /// Number of claims in one chunk of a run.
 const CHUNK_CLAIMS: usize = 64;
 /// Number of runs of one level that are merged into a run of the next level.
-const RUNS_MERGED: usize = 8;
+const RUNS_PER_MERGE: usize = 8;
 /// Number of levels whose runs are merged. Runs of the last level are never merged, which
 /// bounds the time that one command can take.
 const MERGED_LEVELS: usize = 2;
@@ -68,7 +68,7 @@
         let run = Run::write(&entries, payloads)?;
         self.level(0).push(run);
         for level in 0..MERGED_LEVELS {
-            if self.level(level).len() == RUNS_MERGED {
+            if self.level(level).len() == RUNS_PER_MERGE {
                 let runs = std::mem::take(self.level(level));
                 let merged = Run::merge(&runs, payloads)?;
                 self.level(level + 1).push(merged);
@@ -122,8 +122,8 @@
         hash: ClaimHash,
         payloads: &dyn PayloadLog,
     ) -> Result<Option<SettledClaim>, PayloadError> {
-        let behind = self.chunks.partition_point(|chunk| chunk.first <= hash);
-        let Some(chunk) = behind.checked_sub(1).and_then(|at| self.chunks.get(at)) else {
+        let next = self.chunks.partition_point(|chunk| chunk.first <= hash);
+        let Some(chunk) = next.checked_sub(1).and_then(|at| self.chunks.get(at)) else {
             return Ok(None);
         };
         let entries = read_chunk(chunk.location, payloads)?;
--- a/crates/state/src/job/claim_entry.rs
+++ b/crates/state/src/job/claim_entry.rs
@@ -75,19 +75,19 @@
     /// Decodes an entry written by [`Self::to_bytes`].
     pub(crate) fn from_bytes(bytes: &[u8; ENTRY_BYTES]) -> (ClaimHash, Self) {
         let hash = ClaimHash {
-            high: word(bytes, 0),
-            low: word(bytes, 8),
+            high: read_u64(bytes, 0),
+            low: read_u64(bytes, 8),
         };
         let length = [bytes[32], bytes[33], bytes[34], bytes[35]];
         let claim = Self {
-            digest: Digest(word(bytes, 16)),
+            digest: Digest(read_u64(bytes, 16)),
             outcome: if bytes[36] == 1 {
                 RunOutcome::Completed
             } else {
                 RunOutcome::Unknown
             },
             record: PayloadLocation {
-                offset: word(bytes, 24),
+                offset: read_u64(bytes, 24),
                 length: u32::from_le_bytes(length),
             },
         };
@@ -96,8 +96,8 @@
 }
 
 /// Reads the 8 bytes at `at` as a little-endian number.
-fn word(bytes: &[u8; ENTRY_BYTES], at: usize) -> u64 {
-    let mut word = [0; 8];
-    word.copy_from_slice(&bytes[at..at + 8]);
-    u64::from_le_bytes(word)
+fn read_u64(bytes: &[u8; ENTRY_BYTES], at: usize) -> u64 {
+    let mut buffer = [0; 8];
+    buffer.copy_from_slice(&bytes[at..at + 8]);
+    u64::from_le_bytes(buffer)
 }
--- a/crates/state/src/job/claims.rs
+++ b/crates/state/src/job/claims.rs
@@ -19,7 +19,7 @@
 use crate::payload::{PayloadError, PayloadLog};
 
 /// Number of settled claims in memory at which they are written to the archive.
-const RECENT_CLAIMS: usize = 8_192;
+const MAX_RECENT_CLAIMS: usize = 8_192;
 
 /// Identifies a claim.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
@@ -137,7 +137,7 @@
         }
         self.open.remove(&key);
         if settle.outcome != RunOutcome::NotRun {
-            self.keep_settled(key, claim.digest, settle, payloads)?;
+            self.store_settled(key, claim.digest, settle, payloads)?;
         }
         Ok(JobReply::Settled {
             outcome: settle.outcome,
@@ -164,7 +164,7 @@
     }
 
     /// Stores a settled claim permanently.
-    fn keep_settled(
+    fn store_settled(
         &mut self,
         key: ClaimKey,
         digest: Digest,
@@ -183,7 +183,7 @@
             record: payloads.append(&encode(&record))?,
         };
         self.recent.insert(hash, claim);
-        if self.recent.len() >= RECENT_CLAIMS {
+        if self.recent.len() >= MAX_RECENT_CLAIMS {
             let full = std::mem::take(&mut self.recent);
             self.archive.add(&full, payloads)?;
         }
--- a/crates/state/src/job/leasing.rs
+++ b/crates/state/src/job/leasing.rs
@@ -8,8 +8,8 @@
 use super::command::{GrantedLease, ItemOutcome, ItemResult, JobReply, LeaseRequest, LeasedItem};
 use super::lease::Lease;
 use super::machine::JobMachine;
-use super::owner::{Owner, RequestSeen};
-use super::payloads::{NOWHERE, read, store};
+use super::owner::{Owner, RequestStatus};
+use super::payloads::{EMPTY_PAYLOAD, read, store};
 use super::query::JobPhase;
 use super::range_set::RangeSet;
 use crate::payload::{PayloadError, PayloadLog};
@@ -30,26 +30,26 @@
         let owner = self
             .owners
             .entry(request.owner)
-            .or_insert(Owner::starting(request.owner_incarnation));
+            .or_insert(Owner::new(request.owner_incarnation));
         if request.owner_incarnation < owner.incarnation {
             return Ok(JobReply::Leased(None));
         }
         if request.owner_incarnation > owner.incarnation {
-            *owner = Owner::starting(request.owner_incarnation);
+            *owner = Owner::new(request.owner_incarnation);
         }
-        let lease = match owner.seen(request.sequence) {
-            RequestSeen::Ended => None,
-            RequestSeen::Leased(lease) => Some(lease),
-            RequestSeen::New => self.grant(request),
+        let lease = match owner.status_of(request.sequence) {
+            RequestStatus::Ended => None,
+            RequestStatus::Leased(lease) => Some(lease),
+            RequestStatus::New => self.grant(request),
         };
-        Ok(JobReply::Leased(self.describe(lease, payloads)?))
+        Ok(JobReply::Leased(self.granted_lease(lease, payloads)?))
     }
 
     /// Leases items to a new request and records the reply for retries.
     fn grant(&mut self, request: &LeaseRequest) -> Option<LeaseId> {
         let lease = self.take_items(request);
         if let Some(owner) = self.owners.get_mut(&request.owner) {
-            owner.remember(request.sequence, lease);
+            owner.record(request.sequence, lease);
         }
         lease
     }
@@ -79,7 +79,7 @@
     }
 
     /// Returns lease `id` with the items it still holds and their inputs.
-    fn describe(
+    fn granted_lease(
         &self,
         id: Option<LeaseId>,
         payloads: &dyn PayloadLog,
@@ -88,12 +88,16 @@
         let Some((id, lease)) = found else {
             return Ok(None);
         };
-        let Some(job) = self.active.get(&lease.job).filter(|job| job.leases_items()) else {
+        let Some(job) = self
+            .active
+            .get(&lease.job)
+            .filter(|job| job.may_lease_items())
+        else {
             return Ok(None);
         };
         let mut items = Vec::with_capacity(lease.held.len() as usize);
         for item in lease.held.iter() {
-            let location = job.items.location(item).unwrap_or(NOWHERE);
+            let location = job.items.location(item).unwrap_or(EMPTY_PAYLOAD);
             items.push(LeasedItem {
                 item: ItemIndex(item),
                 input: ByteVec::from(read(location, payloads)?),
@@ -139,7 +143,7 @@
         if let Some((lease, job)) = self.lease_and_job(id) {
             for result in results {
                 let item = result.item.0;
-                if !takes_result(lease, job, item) {
+                if !accepts_result(lease, job, item) {
                     continue;
                 }
                 let location = store(&result.payload, payloads)?;
@@ -150,19 +154,19 @@
                 taken += 1;
             }
         }
-        self.end_if_empty(id, payloads)?;
+        self.remove_if_empty(id, payloads)?;
         Ok(recorded(taken, results.len()))
     }
 
     /// Makes items that did not run available again.
-    pub(super) fn give_back(
+    pub(super) fn return_items(
         &mut self,
         id: LeaseId,
         items: &[ItemIndex],
         payloads: &mut dyn PayloadLog,
     ) -> Result<JobReply, PayloadError> {
         let Some((lease, job)) = self.lease_and_job(id) else {
-            self.end_orphan(id);
+            self.remove_orphaned_lease(id);
             return Ok(recorded(0, items.len()));
         };
         let named: Vec<u32> = if items.is_empty() {
@@ -180,7 +184,7 @@
         }
         let tenant = job.submission.tenant.clone();
         self.shares.refund(&tenant, taken);
-        self.end_if_empty(id, payloads)?;
+        self.remove_if_empty(id, payloads)?;
         Ok(recorded(taken, named.len()))
     }
 
@@ -191,15 +195,15 @@
         renewals: u64,
         payloads: &mut dyn PayloadLog,
     ) -> Result<JobReply, PayloadError> {
-        let silent = self
+        let unchanged = self
             .leases
             .get(&id)
             .is_some_and(|lease| lease.renewals == renewals);
-        if !silent {
+        if !unchanged {
             return Ok(recorded(0, 0));
         }
         let Some((lease, job)) = self.lease_and_job(id) else {
-            self.end_orphan(id);
+            self.remove_orphaned_lease(id);
             return Ok(recorded(0, 0));
         };
         let held = std::mem::take(&mut lease.held);
@@ -209,10 +213,10 @@
             if may_run_again {
                 job.free.insert(item);
             } else {
-                job.set_result(item, ItemOutcome::Unknown, NOWHERE);
+                job.set_result(item, ItemOutcome::Unknown, EMPTY_PAYLOAD);
             }
         }
-        self.end_if_empty(id, payloads)?;
+        self.remove_if_empty(id, payloads)?;
         Ok(recorded(held.len(), held.len() as usize))
     }
 
@@ -225,7 +229,7 @@
 
     /// Removes a lease that holds no items any more, and finishes its job if it was the
     /// last.
-    fn end_if_empty(
+    fn remove_if_empty(
         &mut self,
         id: LeaseId,
         payloads: &mut dyn PayloadLog,
@@ -249,13 +253,13 @@
 
     /// Removes a lease whose job is finished. Such a lease exists only if a mechanism was
     /// disabled.
-    fn end_orphan(&mut self, id: LeaseId) {
+    fn remove_orphaned_lease(&mut self, id: LeaseId) {
         self.leases.remove(&id);
     }
 }
 
 /// Whether a result of `item` under `lease` is accepted.
-fn takes_result(lease: &Lease, job: &ActiveJob, item: u32) -> bool {
+fn accepts_result(lease: &Lease, job: &ActiveJob, item: u32) -> bool {
     if enabled(Mechanism::FirstResultWins) {
         lease.held.contains(item)
     } else {
@@ -272,7 +276,7 @@
         let Some(item) = job.free.first() else {
             break;
         };
-        let location = job.items.location(item).unwrap_or(NOWHERE);
+        let location = job.items.location(item).unwrap_or(EMPTY_PAYLOAD);
         bytes += u64::from(location.length);
         if bytes > MAX_LEASE_BYTES && !taken.is_empty() {
             break;
--- a/crates/state/src/job/machine.rs
+++ b/crates/state/src/job/machine.rs
@@ -80,7 +80,7 @@
             JobCommand::Lease(request) => self.lease(request, payloads),
             JobCommand::Renew { leases } => Ok(self.renew(leases)),
             JobCommand::Record { lease, results } => self.record(*lease, results, payloads),
-            JobCommand::Return { lease, items } => self.give_back(*lease, items, payloads),
+            JobCommand::Return { lease, items } => self.return_items(*lease, items, payloads),
             JobCommand::Expire { lease, renewals } => self.expire(*lease, *renewals, payloads),
             JobCommand::Claim(request) => {
                 let reply = self.claims.claim(request, payloads)?;
--- a/crates/state/src/job/owner.rs
+++ b/crates/state/src/job/owner.rs
@@ -8,11 +8,11 @@
 /// Maximum number of requests kept per owner, newest first. An older request is answered as
 /// ended, which is safe because it gets no items. Owners have far fewer requests in flight
 /// at once.
-const REMEMBERED_REQUESTS: usize = 256;
+const MAX_TRACKED_REQUESTS: usize = 256;
 
 /// Whether a request was answered before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RequestSeen {
+pub(crate) enum RequestStatus {
     /// The request is new.
     New,
     /// The request was granted this lease, which may have ended since.
@@ -37,7 +37,7 @@
 
 impl Owner {
     /// Creates the entry of a new incarnation.
-    pub(crate) fn starting(incarnation: u64) -> Self {
+    pub(crate) fn new(incarnation: u64) -> Self {
         Self {
             incarnation,
             ..Self::default()
@@ -45,21 +45,21 @@
     }
 
     /// Returns whether request `sequence` was answered before.
-    pub(crate) fn seen(&self, sequence: u64) -> RequestSeen {
+    pub(crate) fn status_of(&self, sequence: u64) -> RequestStatus {
         if sequence < self.floor {
-            return RequestSeen::Ended;
+            return RequestStatus::Ended;
         }
         match self.requests.get(&sequence) {
-            None => RequestSeen::New,
-            Some(Some(lease)) => RequestSeen::Leased(*lease),
-            Some(None) => RequestSeen::Ended,
+            None => RequestStatus::New,
+            Some(Some(lease)) => RequestStatus::Leased(*lease),
+            Some(None) => RequestStatus::Ended,
         }
     }
 
     /// Records the answer to request `sequence` and evicts the oldest requests.
-    pub(crate) fn remember(&mut self, sequence: u64, lease: Option<LeaseId>) {
+    pub(crate) fn record(&mut self, sequence: u64, lease: Option<LeaseId>) {
         self.requests.insert(sequence, lease);
-        while self.requests.len() > REMEMBERED_REQUESTS {
+        while self.requests.len() > MAX_TRACKED_REQUESTS {
             if let Some((oldest, _)) = self.requests.pop_first() {
                 self.floor = oldest.saturating_add(1);
             }
--- a/crates/state/src/job/payloads.rs
+++ b/crates/state/src/job/payloads.rs
@@ -3,7 +3,7 @@
 use crate::payload::{PayloadError, PayloadLocation, PayloadLog};
 
 /// Location of every empty payload.
-pub(crate) const NOWHERE: PayloadLocation = PayloadLocation {
+pub(crate) const EMPTY_PAYLOAD: PayloadLocation = PayloadLocation {
     offset: 0,
     length: 0,
 };
@@ -14,7 +14,7 @@
     payloads: &mut dyn PayloadLog,
 ) -> Result<PayloadLocation, PayloadError> {
     if payload.is_empty() {
-        return Ok(NOWHERE);
+        return Ok(EMPTY_PAYLOAD);
     }
     payloads.append(payload)
 }
--- a/crates/state/src/job/submission.rs
+++ b/crates/state/src/job/submission.rs
@@ -18,7 +18,7 @@
         payloads: &dyn PayloadLog,
     ) -> Result<JobReply, PayloadError> {
         if enabled(Mechanism::JobKeyDedupe) {
-            if let Some(reply) = self.find_begun(begin, payloads)? {
+            if let Some(reply) = self.find_existing(begin, payloads)? {
                 return Ok(reply);
             }
         } else {
@@ -33,7 +33,7 @@
     }
 
     /// Returns the reply to a submission whose job already exists.
-    fn find_begun(
+    fn find_existing(
         &self,
         begin: &BeginJob,
         payloads: &dyn PayloadLog,
@@ -101,11 +101,11 @@
         received: u32,
         payloads: &dyn PayloadLog,
     ) -> Result<JobReply, PayloadError> {
-        let given_up = self
+        let abandoned = self
             .active
             .get(&id)
             .is_some_and(|job| job.phase == JobPhase::Submitting && job.items.len() == received);
-        if given_up {
+        if abandoned {
             self.forget(id);
         }
         self.reply(id, payloads)
@@ -121,7 +121,7 @@
             return self.reply(id, payloads);
         };
         match job.phase {
-            JobPhase::Submitting if job.is_whole() => {
+            JobPhase::Submitting if job.has_all_items() => {
                 job.start();
                 self.ready.refresh(job, &mut self.shares);
                 self.finish_if_done(id, payloads)?;
--- a/crates/state/tests/jobs.rs
+++ b/crates/state/tests/jobs.rs
@@ -248,7 +248,7 @@
     };
     assert_eq!(reply, told);
     group.record(lease, vec![result(0, "a")]);
-    group.give_back(lease);
+    group.return_items(lease);
     assert_eq!(group.phase(job), JobPhase::Cancelled);
     assert_eq!(
         group.results(job),
--- a/crates/state/tests/replay.rs
+++ b/crates/state/tests/replay.rs
@@ -66,8 +66,8 @@
             job: job(number),
             received,
         }),
-        6 => (1..4_u32, 0..6_u64, 0..4_u32).prop_map(|(owner, sequence, most)| {
-            request(owner, sequence, most).into()
+        6 => (1..4_u32, 0..6_u64, 0..4_u32).prop_map(|(owner, sequence, max_items)| {
+            request(owner, sequence, max_items).into()
         }),
         2 => vec(lease.clone(), 0..4).prop_map(|leases| JobCommand::Renew { leases }),
         6 => (lease.clone(), items.clone(), 0..3_u8).prop_map(|(lease, items, outcome)| {
@@ -111,10 +111,10 @@
                 })
             }
         ),
-        2 => node.clone().prop_map(|(node, life)| {
+        2 => node.clone().prop_map(|(node, incarnation)| {
             ControlCommand::Register(RegisterNode {
                 node: NodeId(node),
-                incarnation: Incarnation(life),
+                incarnation: Incarnation(incarnation),
                 name: format!("node {node}"),
                 zone: ZoneName::from("hall"),
                 internal_address: String::new(),
@@ -122,13 +122,13 @@
                 roles: Vec::new(),
             })
         }),
-        1 => node.clone().prop_map(|(node, life)| ControlCommand::Drain {
+        1 => node.clone().prop_map(|(node, incarnation)| ControlCommand::Drain {
             node: NodeId(node),
-            incarnation: Incarnation(life),
+            incarnation: Incarnation(incarnation),
         }),
-        1 => node.prop_map(|(node, life)| ControlCommand::Remove {
+        1 => node.prop_map(|(node, incarnation)| ControlCommand::Remove {
             node: NodeId(node),
-            incarnation: Incarnation(life),
+            incarnation: Incarnation(incarnation),
         }),
         2 => (1..4_u32, 0..8_u64).prop_map(|(backend, token)| {
             ControlCommand::Issue(IssueOrder {
--- a/crates/state/tests/sharing.rs
+++ b/crates/state/tests/sharing.rs
@@ -73,7 +73,7 @@
     for sequence in 0..10 {
         let lease = group.lease(1, sequence, 10);
         if lease.job == other {
-            group.give_back(lease.lease);
+            group.return_items(lease.lease);
         }
     }
     let taken = leases_of(&mut group, 10..30, other);
--- a/crates/state/tests/support/mod.rs
+++ b/crates/state/tests/support/mod.rs
@@ -140,7 +140,7 @@
     }
 
     /// Returns every item of a lease.
-    pub fn give_back(&mut self, lease: LeaseId) -> JobReply {
+    pub fn return_items(&mut self, lease: LeaseId) -> JobReply {
         let items = Vec::new();
         self.apply(JobCommand::Return { lease, items })
     }
