--- a/crates/state/src/control/configuration.rs
+++ b/crates/state/src/control/configuration.rs
@@ -95,9 +95,9 @@
 
 impl Default for Policy {
     fn default() -> Self {
-        const EVEN: u8 = 50;
+        const DEFAULT_TAIL_PROTECTION: u8 = 50;
         Self {
-            tail_protection: EVEN,
+            tail_protection: DEFAULT_TAIL_PROTECTION,
         }
     }
 }
--- a/crates/state/src/control/confirmations.rs
+++ b/crates/state/src/control/confirmations.rs
@@ -1,6 +1,6 @@
 //! Retained confirmations of intents.
 //!
-//! A confirmation takes about 60 bytes. The [`REMEMBERED_CONFIRMATIONS`] highest numbers
+//! A confirmation takes about 60 bytes. The [`MAX_CONFIRMATIONS`] highest numbers
 //! are retained. A lower number is rejected as too old and never applied, whether it was
 //! confirmed before or not. Operators with increasing numbers, such as counters or dates,
 //! are not affected.
@@ -13,7 +13,7 @@
 use super::command::{ConfirmIntent, ConfirmReply, IntentNumber};
 
 /// Maximum number of retained confirmations: about eleven days at 12,000 changes per day.
-pub(crate) const REMEMBERED_CONFIRMATIONS: usize = 131_072;
+pub(crate) const MAX_CONFIRMATIONS: usize = 131_072;
 
 /// Identity of a confirmed intent, and the version it produced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
@@ -50,10 +50,10 @@
         }
         let first = self.by_number.get(&intent.number)?;
         let operator = self.operator(first.operator);
-        let resent = operator == intent.operator
+        let retried = operator == intent.operator
             && first.digest == digest
             && first.base_version == intent.base_version;
-        if resent {
+        if retried {
             return Some(ConfirmReply::Confirmed {
                 version: first.version,
             });
@@ -66,7 +66,7 @@
     }
 
     /// Records that `intent` produced `version`.
-    pub(crate) fn remember(
+    pub(crate) fn record(
         &mut self,
         intent: &ConfirmIntent,
         digest: Digest,
@@ -79,10 +79,10 @@
             version,
         };
         self.by_number.insert(intent.number, confirmation);
-        if self.by_number.len() > REMEMBERED_CONFIRMATIONS {
+        if self.by_number.len() > MAX_CONFIRMATIONS {
             self.by_number.pop_first();
         }
-        if self.by_number.len() == REMEMBERED_CONFIRMATIONS
+        if self.by_number.len() == MAX_CONFIRMATIONS
             && let Some((&lowest, _)) = self.by_number.first_key_value()
         {
             self.floor = lowest;
--- a/crates/state/src/control/history.rs
+++ b/crates/state/src/control/history.rs
@@ -12,7 +12,7 @@
 use crate::codec::encode;
 
 /// Maximum number of retained steps.
-const MOST_STEPS: usize = 64;
+const MAX_STEPS: usize = 64;
 
 /// Changes between two consecutive observed versions.
 #[derive(Clone, Debug)]
@@ -55,7 +55,7 @@
             }),
             None => self.steps.clear(),
         }
-        if self.steps.len() > MOST_STEPS {
+        if self.steps.len() > MAX_STEPS {
             self.steps.pop_front();
         }
         self.digest = digest_of_configuration(&newer);
--- a/crates/state/src/control/machine.rs
+++ b/crates/state/src/control/machine.rs
@@ -84,7 +84,7 @@
         apply_changes(&mut self.configuration, &intent.changes);
         let version = current.next();
         self.configuration.version = version;
-        self.confirmations.remember(intent, digest, version);
+        self.confirmations.record(intent, digest, version);
         ConfirmReply::Confirmed { version }
     }
 
--- a/crates/state/src/control/nodes.rs
+++ b/crates/state/src/control/nodes.rs
@@ -45,8 +45,8 @@
 
     /// Marks an incarnation of a node as draining.
     pub(crate) fn drain(&mut self, node: NodeId, incarnation: Incarnation) -> ControlReply {
-        if let Some(refusal) = self.refuse(node, incarnation) {
-            return refusal;
+        if let Some(rejection) = self.reject(node, incarnation) {
+            return rejection;
         }
         if let Some(record) = self.registered.get_mut(&node) {
             record.draining = true;
@@ -61,8 +61,8 @@
         if removed_before {
             return ControlReply::NodeAccepted;
         }
-        if let Some(refusal) = self.refuse(node, incarnation) {
-            return refusal;
+        if let Some(rejection) = self.reject(node, incarnation) {
+            return rejection;
         }
         self.registered.remove(&node);
         self.removed.insert(node, incarnation);
@@ -78,7 +78,7 @@
     }
 
     /// Returns the rejection of a command for an incarnation that is not registered.
-    fn refuse(&self, node: NodeId, incarnation: Incarnation) -> Option<ControlReply> {
+    fn reject(&self, node: NodeId, incarnation: Incarnation) -> Option<ControlReply> {
         let latest = self.latest(node);
         if incarnation < latest {
             return Some(ControlReply::NodeStale { registered: latest });
--- a/crates/state/src/control/orders.rs
+++ b/crates/state/src/control/orders.rs
@@ -28,9 +28,9 @@
     /// returns the same token.
     pub(crate) fn issue(&mut self, order: &IssueOrder) -> ControlReply {
         let latest = self.latest.get(&order.backend);
-        if let Some(resent) = latest.filter(|latest| latest.order == *order) {
+        if let Some(retried) = latest.filter(|latest| latest.order == *order) {
             return ControlReply::OrderIssued {
-                token: resent.token,
+                token: retried.token,
             };
         }
         let current = latest.map(|latest| latest.token).unwrap_or_default();
--- a/crates/state/src/control/update.rs
+++ b/crates/state/src/control/update.rs
@@ -94,11 +94,11 @@
 /// the difference, which is the case if the limits of a tenant were removed.
 #[must_use]
 pub fn changes_between(old: &Configuration, new: &Configuration) -> Option<Vec<Change>> {
-    let forgotten = old
+    let tenant_removed = old
         .tenants
         .keys()
         .any(|name| !new.tenants.contains_key(name));
-    if forgotten {
+    if tenant_removed {
         return None;
     }
     let mut changes = Vec::new();
--- a/crates/state/tests/control.rs
+++ b/crates/state/tests/control.rs
@@ -64,15 +64,15 @@
         version: ConfigVersion(1),
         digest: digest_of_changes(&winner.changes),
     };
-    let rivals = [
+    let conflicts = [
         intent(1, "ilona", 0, 2),
         intent(1, "ilona", 0, 1),
         intent(1, "abebe", 0, 2),
         intent(1, "abebe", 1, 1),
     ];
     let mut machine = restored(&machine);
-    for rival in rivals {
-        assert_eq!(confirm(&mut machine, rival), taken);
+    for conflict in conflicts {
+        assert_eq!(confirm(&mut machine, conflict), taken);
     }
     assert_eq!(machine.configuration().version, ConfigVersion(1));
 }
@@ -110,13 +110,13 @@
 
 #[test]
 fn number_below_the_memory_is_refused_and_never_run() {
-    const REMEMBERED: u64 = 131_072;
+    const MAX_CONFIRMATIONS: u64 = 131_072;
     let mut machine = ControlMachine::new();
-    for version in 0..REMEMBERED + 10 {
+    for version in 0..MAX_CONFIRMATIONS + 10 {
         confirm(&mut machine, intent(version + 100, "abebe", version, 1));
     }
     let floor = IntentNumber(110);
-    let version = REMEMBERED + 10;
+    let version = MAX_CONFIRMATIONS + 10;
     let mut machine = restored(&machine);
     let forgotten = confirm(&mut machine, intent(105, "abebe", 5, 1));
     assert_eq!(forgotten, ConfirmReply::TooOld { floor });
--- a/crates/state/tests/update.rs
+++ b/crates/state/tests/update.rs
@@ -143,8 +143,8 @@
 
 #[test]
 fn a_node_far_behind_or_without_any_gets_the_whole() {
-    const MORE_THAN_REMEMBERED: u32 = 200;
-    let all = versions(MORE_THAN_REMEMBERED);
+    const MORE_THAN_RETAINED: u32 = 200;
+    let all = versions(MORE_THAN_RETAINED);
     let mut history = ConfigurationHistory::default();
     for one in &all {
         history.advance(one.clone());
