--- a/crates/state/src/batch/job.rs
+++ b/crates/state/src/batch/job.rs
@@ -32,13 +32,13 @@
 
 /// Maximum number of tokens counted for one item. The declared number is unbounded; this
 /// cap keeps all sums exact.
-const MOST_TOKENS: u64 = 1 << 40;
+const MAX_COUNTED_TOKENS: u64 = 1 << 40;
 
 impl BatchItem {
     /// Returns the number of tokens that count against limits.
     #[must_use]
     pub fn counted_tokens(&self) -> u64 {
-        self.tokens.min(MOST_TOKENS)
+        self.tokens.min(MAX_COUNTED_TOKENS)
     }
 }
 
@@ -85,7 +85,7 @@
 /// An outcome as stored by a replica. Outputs are stored in the payload log: in memory they
 /// would take as much space as the output of all jobs within their retention time.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub(super) enum KeptOutcome {
+pub(super) enum StoredOutcome {
     /// The item completed and its output is in memory: before it is moved to the log, and
     /// in snapshots written before the log existed.
     #[n(0)]
@@ -109,7 +109,7 @@
     },
 }
 
-impl KeptOutcome {
+impl StoredOutcome {
     fn of(outcome: &ItemOutcome) -> Self {
         match outcome {
             ItemOutcome::Completed { text } => Self::Completed { text: text.clone() },
@@ -158,9 +158,9 @@
 /// the same one.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 #[cbor(transparent)]
-pub(super) struct JobName(#[n(0)] String);
+pub(super) struct JobKey(#[n(0)] String);
 
-impl JobName {
+impl JobKey {
     /// Creates the key of a job of `tenant`. Without a tenant it is the identifier itself,
     /// as in snapshots written before tenants existed. The separator is unambiguous because
     /// headers cannot contain a line feed.
@@ -192,7 +192,7 @@
     pub items: Vec<BatchItem>,
     /// Outcome of each item; `None` while it is open.
     #[n(5)]
-    pub(super) outcomes: Vec<Option<KeptOutcome>>,
+    pub(super) outcomes: Vec<Option<StoredOutcome>>,
     /// Indexes of the items in the order in which their outcomes were recorded.
     #[n(6)]
     pub listed: Vec<u32>,
@@ -214,8 +214,8 @@
 }
 
 impl BatchJob {
-    pub(super) fn name(&self) -> JobName {
-        JobName::new(self.tenant.as_deref(), &self.id)
+    pub(super) fn key(&self) -> JobKey {
+        JobKey::new(self.tenant.as_deref(), &self.id)
     }
 
     /// Whether any item still has to run.
@@ -241,7 +241,7 @@
         if slot.is_some() {
             return 0;
         }
-        *slot = Some(KeptOutcome::of(outcome));
+        *slot = Some(StoredOutcome::of(outcome));
         // Headers and body are only needed until the item has an outcome.
         let item = &mut self.items[place as usize];
         item.headers = Vec::new();
@@ -271,8 +271,8 @@
     pub(super) fn oldest_payload(&self) -> Option<u64> {
         let kept = self.outcomes.iter().flatten();
         let offsets = kept.filter_map(|kept| match kept {
-            KeptOutcome::Logged { at, .. } => Some(at.offset),
-            KeptOutcome::Completed { .. } | KeptOutcome::DeadLettered => None,
+            StoredOutcome::Logged { at, .. } => Some(at.offset),
+            StoredOutcome::Completed { .. } | StoredOutcome::DeadLettered => None,
         });
         offsets.min()
     }
@@ -281,8 +281,8 @@
     pub(super) fn locations(&mut self) -> impl Iterator<Item = &mut PayloadLocation> {
         let kept = self.outcomes.iter_mut().flatten();
         kept.filter_map(|kept| match kept {
-            KeptOutcome::Logged { at, .. } => Some(at),
-            KeptOutcome::Completed { .. } | KeptOutcome::DeadLettered => None,
+            StoredOutcome::Logged { at, .. } => Some(at),
+            StoredOutcome::Completed { .. } | StoredOutcome::DeadLettered => None,
         })
     }
 
@@ -290,7 +290,7 @@
     /// not continue the stored progress comes from another run; it replaces the progress
     /// only if it starts at the first event and ends at a later one. Returns the stored
     /// progress afterwards.
-    pub(super) fn keep(&mut self, checkpoint: &ItemCheckpoint) -> Option<Mark> {
+    pub(super) fn store_checkpoint(&mut self, checkpoint: &ItemCheckpoint) -> Option<Mark> {
         let place = checkpoint.item.place;
         self.outcomes
             .get(place as usize)
@@ -298,11 +298,11 @@
         let kept = self.progress.get(&place).and_then(|kept| kept.last_event);
         // Each event number is stored by only one run, since stored progress only grows,
         // and a run only continues it after confirmation that its own events are stored.
-        let follows = checkpoint.after == kept;
-        let goes_further = kept.is_none_or(|kept| checkpoint.last_event > kept);
-        if goes_further && (follows || checkpoint.after.is_none()) {
+        let continues = checkpoint.after == kept;
+        let is_longer = kept.is_none_or(|kept| checkpoint.last_event > kept);
+        if is_longer && (continues || checkpoint.after.is_none()) {
             let progress = self.progress.entry(place).or_default();
-            if !follows {
+            if !continues {
                 progress.pieces.clear();
             }
             progress.pieces.push(checkpoint.text.clone());
--- a/crates/state/src/batch/machine.rs
+++ b/crates/state/src/batch/machine.rs
@@ -7,7 +7,7 @@
 use super::command::{
     BatchCommand, BatchReply, ItemCheckpoint, ItemReference, RecordOutcome, SubmitJob,
 };
-use super::job::{BatchJob, JobName};
+use super::job::{BatchJob, JobKey};
 use super::query::{
     BatchAnswer, BatchQuery, ItemToRun, ListedResult, OpenItem, OpenWork, ResultPage,
 };
@@ -24,7 +24,7 @@
     jobs: BTreeMap<u64, BatchJob>,
     /// Job numbers by job key.
     #[n(1)]
-    numbers: BTreeMap<JobName, u64>,
+    numbers: BTreeMap<JobKey, u64>,
     /// Number of the latest job.
     #[n(2)]
     last: u64,
@@ -61,7 +61,7 @@
         match command {
             BatchCommand::Submit(submit) => self.submit(submit),
             BatchCommand::Record(outcome) => self.record(outcome),
-            BatchCommand::End { id, tenant } => self.end(&JobName::new(tenant.as_deref(), id)),
+            BatchCommand::End { id, tenant } => self.end(&JobKey::new(tenant.as_deref(), id)),
             BatchCommand::Checkpoint { items } => self.checkpoint(items),
             BatchCommand::Forget { job } => self.forget(*job),
         }
@@ -107,8 +107,8 @@
     }
 
     fn submit(&mut self, submit: &SubmitJob) -> BatchReply {
-        let name = JobName::new(submit.tenant.as_deref(), &submit.id);
-        if self.numbers.contains_key(&name) {
+        let key = JobKey::new(submit.tenant.as_deref(), &submit.id);
+        if self.numbers.contains_key(&key) {
             return BatchReply::Kept;
         }
         if !self.waiting.fits(submit) {
@@ -130,7 +130,7 @@
             progress: BTreeMap::new(),
         };
         self.waiting.add(&job.queue, job.waiting_tokens());
-        self.numbers.insert(name, self.last);
+        self.numbers.insert(key, self.last);
         self.jobs.insert(self.last, job);
         self.revision += 1;
         BatchReply::Kept
@@ -150,15 +150,15 @@
     fn checkpoint(&mut self, items: &[ItemCheckpoint]) -> BatchReply {
         let kept = items.iter().map(|checkpoint| {
             let job = self.jobs.get_mut(&checkpoint.item.job)?;
-            job.keep(checkpoint)
+            job.store_checkpoint(checkpoint)
         });
         let kept = kept.collect();
         self.revision += 1;
         BatchReply::Progress { kept }
     }
 
-    fn end(&mut self, name: &JobName) -> BatchReply {
-        let number = self.numbers.get(name);
+    fn end(&mut self, key: &JobKey) -> BatchReply {
+        let number = self.numbers.get(key);
         let Some(job) = number.and_then(|number| self.jobs.get_mut(number)) else {
             return BatchReply::Unknown;
         };
@@ -174,7 +174,7 @@
         match self.jobs.remove(&number) {
             Some(job) => {
                 self.waiting.remove(&job.queue, job.waiting_tokens());
-                self.numbers.remove(&job.name());
+                self.numbers.remove(&job.key());
                 BatchReply::Ended
             }
             None => BatchReply::Unknown,
@@ -227,7 +227,7 @@
     }
 
     fn job(&self, tenant: Option<&str>, id: &str) -> Option<&BatchJob> {
-        let number = self.numbers.get(&JobName::new(tenant, id))?;
+        let number = self.numbers.get(&JobKey::new(tenant, id))?;
         self.jobs.get(number)
     }
 
--- a/crates/state/src/batch/queue.rs
+++ b/crates/state/src/batch/queue.rs
@@ -20,7 +20,7 @@
     /// Whether the tokens of a job fit within the limit of its queue.
     pub fn fits(&self, submit: &SubmitJob) -> bool {
         let all = self.of(&submit.queue) + submit.tokens();
-        submit.max_queued_tokens.is_none_or(|most| all <= most)
+        submit.max_queued_tokens.is_none_or(|limit| all <= limit)
     }
 
     /// Adds waiting tokens to a queue.
