--- a/crates/state/src/declared/bars.rs
+++ b/crates/state/src/declared/bars.rs
@@ -9,7 +9,7 @@
 
 /// Maximum number of retained bars, including lifted ones; the oldest are evicted first.
 /// Each takes about 40 bytes in every snapshot and at every gateway.
-const REMEMBERED: usize = 1_024;
+const MAX_BARS: usize = 1_024;
 
 /// Duration of a bar. A request that is sent every day crashes at most three engines per
 /// day. Nodes use their wall clocks, which differ only by seconds.
@@ -67,7 +67,7 @@
 
     /// Bars a request and returns whether anything changed. Several gateways may request
     /// the same bar; a bar is only renewed if it is expired or lifted.
-    pub(super) fn raise(&mut self, request: RequestDigest, since_ms: u64, crashes: u32) -> bool {
+    pub(super) fn add(&mut self, request: RequestDigest, since_ms: u64, crashes: u32) -> bool {
         let holds = self.get(&request).and_then(|bar| bar.holds_for(since_ms));
         if holds.is_some() {
             return false;
@@ -80,7 +80,7 @@
             change: self.changes,
         };
         self.known.insert(request, bar);
-        self.forget_oldest();
+        self.evict_oldest();
         true
     }
 
@@ -95,8 +95,8 @@
         true
     }
 
-    fn forget_oldest(&mut self) {
-        while self.known.len() > REMEMBERED {
+    fn evict_oldest(&mut self) {
+        while self.known.len() > MAX_BARS {
             let oldest = self.known.iter().min_by_key(|(_, bar)| bar.change);
             let Some(request) = oldest.map(|(request, _)| *request) else {
                 return;
--- a/crates/state/src/declared/departures.rs
+++ b/crates/state/src/declared/departures.rs
@@ -7,7 +7,7 @@
 /// Maximum number of retained departures; the oldest are evicted first. This is far more
 /// than the number of engines that leave while a late message of one may still be in
 /// flight.
-const REMEMBERED: usize = 10_000;
+const MAX_DEPARTURES: usize = 10_000;
 
 /// Progress of the departure of an engine. It never regresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
@@ -46,7 +46,7 @@
     }
 
     /// Records a departure and returns whether anything changed.
-    pub(super) fn note(&mut self, engine: &str, departure: Departure) -> bool {
+    pub(super) fn record(&mut self, engine: &str, departure: Departure) -> bool {
         match self.known.get_mut(engine) {
             Some(known) if *known >= departure => return false,
             Some(known) => *known = departure,
@@ -55,7 +55,7 @@
                 self.order.push_back(engine.to_owned());
             }
         }
-        while self.order.len() > REMEMBERED {
+        while self.order.len() > MAX_DEPARTURES {
             if let Some(oldest) = self.order.pop_front() {
                 self.known.remove(&oldest);
             }
--- a/crates/state/src/declared/state.rs
+++ b/crates/state/src/declared/state.rs
@@ -83,12 +83,12 @@
         match command {
             DeclaredCommand::Declare(declaration) => self.declare(declaration),
             DeclaredCommand::Depart { engine, departure } => {
-                let changed = self.departures.note(engine, *departure);
-                self.noted(changed)
+                let changed = self.departures.record(engine, *departure);
+                self.count_change(changed)
             }
             DeclaredCommand::RegisterStore(register) => {
                 let changed = self.stores.register(register);
-                self.noted(changed)
+                self.count_change(changed)
             }
             DeclaredCommand::Retire {
                 name,
@@ -100,20 +100,20 @@
                 DeclaredReply::Retire(reply)
             }
             DeclaredCommand::RetirementCompleted { node } => {
-                let changed = self.stores.complete(*node);
-                self.noted(changed)
+                let changed = self.stores.complete_retirement(*node);
+                self.count_change(changed)
             }
             DeclaredCommand::Bar {
                 request,
                 since_ms,
                 crashes,
             } => {
-                let changed = self.bars.raise(*request, *since_ms, *crashes);
-                self.noted(changed)
+                let changed = self.bars.add(*request, *since_ms, *crashes);
+                self.count_change(changed)
             }
             DeclaredCommand::LiftBar { request } => {
                 let changed = self.bars.lift(request);
-                self.noted(changed)
+                self.count_change(changed)
             }
         }
     }
@@ -132,7 +132,7 @@
         }
     }
 
-    fn noted(&mut self, changed: bool) -> DeclaredReply {
+    fn count_change(&mut self, changed: bool) -> DeclaredReply {
         self.revision += u64::from(changed);
         DeclaredReply::Noted
     }
--- a/crates/state/src/declared/stores.rs
+++ b/crates/state/src/declared/stores.rs
@@ -100,18 +100,18 @@
             };
             self.nodes.insert(register.node, node);
         }
-        let founded = self.found_if_due(register);
-        !same || founded
+        let created = self.create_group_if_ready(register);
+        !same || created
     }
 
-    fn found_if_due(&mut self, register: &RegisterStore) -> bool {
+    fn create_group_if_ready(&mut self, register: &RegisterStore) -> bool {
         let wanted = register.replicas as usize;
         if !self.founders.is_empty() {
             return false;
         }
         let chosen = spread_over_zones(&self.nodes, wanted);
         // All stores of one zone may register before those of other zones.
-        let enough = chosen.len() == wanted && self.outlive_a_zone(&chosen);
+        let enough = chosen.len() == wanted && self.survive_zone_loss(&chosen);
         if !enough && !register.patience_over {
             return false;
         }
@@ -124,7 +124,7 @@
 
     /// Whether a majority of these nodes survives the loss of any one zone. A single node
     /// is accepted, since it survives no loss in any zone.
-    fn outlive_a_zone(&self, chosen: &[NodeId]) -> bool {
+    fn survive_zone_loss(&self, chosen: &[NodeId]) -> bool {
         let mut of_zone: BTreeMap<&ZoneName, usize> = BTreeMap::new();
         for id in chosen {
             *of_zone.entry(&self.nodes[id].zone).or_default() += 1;
@@ -150,7 +150,7 @@
         let retiring = self.retiring();
         let staying = alive
             .iter()
-            .filter(|one| **one != id && !retiring.contains(one));
+            .filter(|other| **other != id && !retiring.contains(other));
         if staying.count() < replicas as usize {
             return RetireReply::TooFew;
         }
@@ -161,7 +161,7 @@
     }
 
     /// Records that the retirement of a node is complete.
-    pub(super) fn complete(&mut self, id: NodeId) -> bool {
+    pub(super) fn complete_retirement(&mut self, id: NodeId) -> bool {
         let active = self.nodes.get(&id).and_then(|node| node.retirement);
         if active != Some(Retirement::Active) {
             return false;
