--- a/crates/state/src/explore/claim_model.rs
+++ b/crates/state/src/explore/claim_model.rs
@@ -26,13 +26,13 @@
 
 /// Reference state: the guarantees given by earlier replies.
 #[derive(Clone, Debug, Default, Encode, Decode)]
-struct Promises {
+struct ReferenceState {
     /// Attempt that holds the claim, and the digest of its body.
     #[n(0)]
     holder: Option<(AttemptId, Digest)>,
     /// Outcome and answer of the settled claim.
     #[n(1)]
-    end: Option<(RunOutcome, ByteVec)>,
+    settled: Option<(RunOutcome, ByteVec)>,
 }
 
 /// The machine and its reference state.
@@ -40,7 +40,7 @@
 pub struct ClaimState {
     machine: JobMachine,
     payloads: InternedLog,
-    promises: Promises,
+    reference: ReferenceState,
 }
 
 impl Model for ClaimModel {
@@ -50,7 +50,7 @@
         ClaimState {
             machine: JobMachine::new(),
             payloads: InternedLog::default(),
-            promises: Promises::default(),
+            reference: ReferenceState::default(),
         }
     }
 
@@ -79,10 +79,10 @@
             .map_err(|_| "a payload is lost")?;
         match (command, reply) {
             (JobCommand::Claim(request), JobReply::Claim(reply)) => {
-                after.promises.check_claim(request, reply)?;
+                after.reference.check_claim(request, reply)?;
             }
             (JobCommand::Settle(settle), JobReply::Settled { outcome }) => {
-                after.promises.check_settled(settle, outcome)?;
+                after.reference.check_settled(settle, outcome)?;
             }
             (JobCommand::Settle(_), JobReply::ClaimNotHeld) => {}
             _ => return Err("the reply does not match the command"),
@@ -92,12 +92,12 @@
 
     fn key(&self, state: &ClaimState) -> Vec<u8> {
         let mut key = state.machine.snapshot();
-        key.extend(encode(&state.promises));
+        key.extend(encode(&state.reference));
         key
     }
 }
 
-impl Promises {
+impl ReferenceState {
     /// Checks the reply to a claim.
     fn check_claim(
         &mut self,
@@ -106,7 +106,7 @@
     ) -> Result<(), &'static str> {
         match reply {
             ClaimReply::Granted => {
-                if self.end.is_some() {
+                if self.settled.is_some() {
                     return Err("a claim is granted after the request ended");
                 }
                 let claimed = (request.attempt, request.digest);
@@ -121,7 +121,7 @@
                 _ => Err("a claim is said to be held by an attempt that does not hold it"),
             },
             ClaimReply::Settled { outcome, answer } => {
-                if self.end == Some((outcome, answer)) {
+                if self.settled == Some((outcome, answer)) {
                     Ok(())
                 } else {
                     Err("a settled claim changes its answer")
@@ -140,7 +140,7 @@
         settle: &SettleClaim,
         outcome: RunOutcome,
     ) -> Result<(), &'static str> {
-        if let Some((first, _)) = &self.end {
+        if let Some((first, _)) = &self.settled {
             if *first == outcome {
                 return Ok(());
             }
@@ -155,7 +155,7 @@
                 Ok(())
             }
             (true, _) => {
-                self.end = Some((outcome, settle.answer.clone()));
+                self.settled = Some((outcome, settle.answer.clone()));
                 Ok(())
             }
             (false, RunOutcome::NotRun) if self.holder.is_none() => Ok(()),
--- a/crates/state/src/explore/lease_model.rs
+++ b/crates/state/src/explore/lease_model.rs
@@ -32,7 +32,7 @@
 
 /// Reference state: the guarantees given by earlier replies.
 #[derive(Clone, Debug, Default, Encode, Decode)]
-struct Promises {
+struct ReferenceState {
     #[n(0)]
     accepted: bool,
     #[n(1)]
@@ -50,7 +50,7 @@
 pub struct LeaseState {
     machine: JobMachine,
     payloads: InternedLog,
-    promises: Promises,
+    reference: ReferenceState,
 }
 
 impl Model for LeaseModel {
@@ -60,7 +60,7 @@
         LeaseState {
             machine: JobMachine::new(),
             payloads: InternedLog::default(),
-            promises: Promises::default(),
+            reference: ReferenceState::default(),
         }
     }
 
@@ -76,7 +76,7 @@
                 commands.push(request(owner, sequence as u64, max_items));
             }
         }
-        for &lease in state.promises.held.keys() {
+        for &lease in state.reference.held.keys() {
             commands.extend(commands_of(lease, state));
         }
         commands
@@ -91,22 +91,22 @@
             .map_err(|_| "a payload is lost")?;
         match (command, reply) {
             (JobCommand::Lease(_), JobReply::Leased(Some(lease))) => {
-                after.promises.check_lease(&lease)?;
+                after.reference.check_lease(&lease)?;
             }
             (JobCommand::Record { lease, results }, JobReply::Recorded { taken, .. }) => {
-                after.promises.check_record(*lease, results, taken)?;
+                after.reference.check_record(*lease, results, taken)?;
             }
             (JobCommand::Return { lease, .. }, JobReply::Recorded { .. }) => {
-                after.promises.release(*lease);
+                after.reference.release(*lease);
             }
             (JobCommand::Expire { lease, renewals }, JobReply::Recorded { .. })
                 if before_renewals == Some(*renewals) =>
             {
-                after.promises.expire(*lease, self.repeatable);
+                after.reference.expire(*lease, self.repeatable);
             }
-            (JobCommand::Accept { .. }, JobReply::Job(_)) => after.promises.accepted = true,
+            (JobCommand::Accept { .. }, JobReply::Job(_)) => after.reference.accepted = true,
             (JobCommand::Cancel { .. }, JobReply::Job(status)) => {
-                after.promises.cancelled |= status.phase != JobPhase::Completed;
+                after.reference.cancelled |= status.phase != JobPhase::Completed;
             }
             _ => {}
         }
@@ -117,12 +117,12 @@
 
     fn key(&self, state: &LeaseState) -> Vec<u8> {
         let mut key = state.machine.snapshot();
-        key.extend(encode(&state.promises));
+        key.extend(encode(&state.reference));
         key
     }
 }
 
-impl Promises {
+impl ReferenceState {
     /// Checks a granted lease.
     fn check_lease(&mut self, granted: &GrantedLease) -> Result<(), &'static str> {
         if !self.accepted {
@@ -136,11 +136,11 @@
             if self.results.contains_key(item) {
                 return Err("an item that has a result is leased again");
             }
-            let elsewhere = self
+            let held_by_other_lease = self
                 .held
                 .iter()
                 .any(|(lease, held)| *lease != granted.lease && held.contains(item));
-            if elsewhere {
+            if held_by_other_lease {
                 return Err("an item is held by two leases");
             }
         }
@@ -193,7 +193,7 @@
     }
 
     /// Whether any lease holds an item.
-    fn lease_is_out(&self) -> bool {
+    fn any_item_leased(&self) -> bool {
         self.held.values().any(|held| !held.is_empty())
     }
 }
@@ -204,22 +204,22 @@
         let query = JobQuery::Status { job: JOB };
         let status = match self.machine.query(&query, &self.payloads) {
             JobAnswer::Status(Some(status)) => status,
-            JobAnswer::Status(None) if !self.promises.accepted => return Ok(()),
+            JobAnswer::Status(None) if !self.reference.accepted => return Ok(()),
             _ => return Err("a job is lost"),
         };
-        if self.promises.accepted && status.phase == JobPhase::Submitting {
+        if self.reference.accepted && status.phase == JobPhase::Submitting {
             return Err("an accepted job is forgotten");
         }
         let results = status.completed + status.failed + status.unknown;
-        if results as usize != self.promises.results.len() {
+        if results as usize != self.reference.results.len() {
             return Err("the count of results is wrong");
         }
         match status.phase {
             JobPhase::Completed if results != ITEMS => Err("a job completes without every result"),
-            JobPhase::Cancelled if self.promises.lease_is_out() => {
+            JobPhase::Cancelled if self.reference.any_item_leased() => {
                 Err("a job is cancelled while a lease is out")
             }
-            JobPhase::Running if self.promises.cancelled => Err("a cancelled job runs on"),
+            JobPhase::Running if self.reference.cancelled => Err("a cancelled job runs on"),
             _ => Ok(()),
         }
     }
@@ -238,7 +238,7 @@
             .into_iter()
             .map(|record| (record.item.0, record.payload.into()))
             .collect();
-        if read == self.promises.results {
+        if read == self.reference.results {
             Ok(())
         } else {
             Err("a result is lost or replaced")
