--- a/crates/storage/src/log/frame.rs
+++ b/crates/storage/src/log/frame.rs
@@ -12,7 +12,7 @@
 /// Location of a frame. It is included in the checksum, so that stale bytes at another
 /// location are never accepted as a frame.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Place {
+pub(super) struct FrameLocation {
     pub segment: u64,
     pub offset: u64,
 }
@@ -33,28 +33,28 @@
 }
 
 /// Encodes the header of a frame.
-pub(super) fn header(place: Place, sequence: u64, body: &[u8]) -> [u8; HEADER_BYTES] {
+pub(super) fn header(location: FrameLocation, sequence: u64, body: &[u8]) -> [u8; HEADER_BYTES] {
     let mut header = [0; HEADER_BYTES];
     header[..4].copy_from_slice(&MAGIC.to_le_bytes());
     header[4..8].copy_from_slice(&(body.len() as u32).to_le_bytes());
-    header[8..12].copy_from_slice(&checksum(place, sequence, body).to_le_bytes());
+    header[8..12].copy_from_slice(&checksum(location, sequence, body).to_le_bytes());
     header[12..].copy_from_slice(&sequence.to_le_bytes());
     header
 }
 
-fn checksum(place: Place, sequence: u64, body: &[u8]) -> u32 {
+fn checksum(location: FrameLocation, sequence: u64, body: &[u8]) -> u32 {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&place.segment.to_le_bytes());
-    hasher.update(&place.offset.to_le_bytes());
+    hasher.update(&location.segment.to_le_bytes());
+    hasher.update(&location.offset.to_le_bytes());
     hasher.update(&sequence.to_le_bytes());
     hasher.update(&(body.len() as u32).to_le_bytes());
     hasher.update(body);
     hasher.finalize()
 }
 
-/// Decodes the frame at the start of `bytes`, which were read at `place`; `None` if it is
+/// Decodes the frame at the start of `bytes`, which were read at `location`; `None` if it is
 /// incomplete or invalid.
-pub(super) fn parse(place: Place, bytes: &[u8]) -> Option<Frame<'_>> {
+pub(super) fn parse(location: FrameLocation, bytes: &[u8]) -> Option<Frame<'_>> {
     let (header, rest) = bytes.split_first_chunk::<HEADER_BYTES>()?;
     let word = |at: usize| u32::from_le_bytes([0, 1, 2, 3].map(|byte| header[at + byte]));
     if word(0) != MAGIC {
@@ -66,16 +66,16 @@
     }
     let body = rest.get(..length)?;
     let sequence = u64::from(word(12)) | u64::from(word(16)) << 32;
-    let fits = checksum(place, sequence, body) == word(8);
+    let fits = checksum(location, sequence, body) == word(8);
     fits.then_some(Frame { sequence, body })
 }
 
-/// Returns the offset of the first valid frame after `place`, if there is one.
-pub(super) fn find_later(place: Place, bytes: &[u8]) -> Option<u64> {
+/// Returns the offset of the first valid frame after `location`, if there is one.
+pub(super) fn find_later(location: FrameLocation, bytes: &[u8]) -> Option<u64> {
     (1..bytes.len()).find_map(|skipped| {
-        let later = Place {
-            segment: place.segment,
-            offset: place.offset + skipped as u64,
+        let later = FrameLocation {
+            segment: location.segment,
+            offset: location.offset + skipped as u64,
         };
         parse(later, &bytes[skipped..]).map(|_| later.offset)
     })
--- a/crates/storage/src/log/mod.rs
+++ b/crates/storage/src/log/mod.rs
@@ -12,12 +12,12 @@
 
 use crate::checked_file::join;
 use crate::{Disk, StorageError};
-use frame::{HEADER_BYTES, Place};
+use frame::{FrameLocation, HEADER_BYTES};
 use record::Record;
 use recovery::Reader;
 pub use recovery::{GroupRecovery, Recovery};
 use reserve::Reserve;
-use track::Track;
+use track::GroupTracker;
 
 use crate::layout::LOG as DIRECTORY;
 /// File name suffix of a segment.
@@ -69,7 +69,7 @@
 pub struct WriteAheadLog<D> {
     disk: D,
     settings: LogSettings,
-    tracks: BTreeMap<GroupId, Track>,
+    trackers: BTreeMap<GroupId, GroupTracker>,
     /// Length of each segment.
     segments: BTreeMap<u64, u64>,
     /// Segment that new frames are written to.
@@ -94,7 +94,7 @@
         let mut reader = Reader::new(&disk);
         reader.run(&numbers)?;
         let recovery = std::mem::take(&mut reader.recovery);
-        let tracks = std::mem::take(&mut reader.tracks);
+        let trackers = std::mem::take(&mut reader.trackers);
         let segments = std::mem::take(&mut reader.segments);
         let sequence = reader.sequence.unwrap_or(0);
         let current = numbers.last().copied().unwrap_or(1);
@@ -108,7 +108,7 @@
         let log = Self {
             disk,
             settings,
-            tracks,
+            trackers,
             segments,
             current,
             sequence,
@@ -148,8 +148,8 @@
             // tracked in the segment that the frame is written to.
             self.begin_segment_if_due();
         }
-        let track = self.tracks.entry(record.group()).or_default();
-        track.note(&record, self.current);
+        let tracker = self.trackers.entry(record.group()).or_default();
+        tracker.apply(&record, self.current);
         record.write(&mut self.buffer);
     }
 
@@ -221,7 +221,7 @@
         let segment = self.current;
         let path = segment_path(segment);
         let offset = self.segments.get(&segment).copied().unwrap_or(0);
-        let bytes = self.frame(Place { segment, offset })?;
+        let bytes = self.frame(FrameLocation { segment, offset })?;
         self.write_or_use_reserve(&path, offset, &bytes)?;
         self.disk.sync(&path)?;
         if offset == 0 {
@@ -235,17 +235,17 @@
 
     /// Encodes the next frame. The first frame of a segment repeats the hard states and
     /// snapshot marks of older segments, so that these can be removed.
-    fn frame(&self, place: Place) -> Result<Vec<u8>, StorageError> {
+    fn frame(&self, location: FrameLocation) -> Result<Vec<u8>, StorageError> {
         let mut bytes = vec![0; HEADER_BYTES];
-        if place.offset == 0 {
-            for (&group, track) in &self.tracks {
-                track.write_checkpoint(group, &mut bytes);
+        if location.offset == 0 {
+            for (&group, tracker) in &self.trackers {
+                tracker.write_checkpoint(group, &mut bytes);
             }
         }
         bytes.extend_from_slice(&self.buffer);
         let (header, body) = bytes.split_at_mut(HEADER_BYTES);
-        frame::check_length(&segment_path(place.segment), body)?;
-        header.copy_from_slice(&frame::header(place, self.sequence + 1, body));
+        frame::check_length(&segment_path(location.segment), body)?;
+        header.copy_from_slice(&frame::header(location, self.sequence + 1, body));
         Ok(bytes)
     }
 
@@ -290,14 +290,14 @@
         let Some((&oldest, _)) = self.segments.first_key_value() else {
             return Ok(false);
         };
-        let needed = self.tracks.values().any(|track| track.needs(oldest));
+        let needed = self.trackers.values().any(|tracker| tracker.needs(oldest));
         if oldest == self.current || needed {
             return Ok(false);
         }
         self.disk.remove(&segment_path(oldest))?;
         self.segments.remove(&oldest);
-        for track in self.tracks.values_mut() {
-            track.forget_before(oldest + 1);
+        for tracker in self.trackers.values_mut() {
+            tracker.remove_before(oldest + 1);
         }
         Ok(true)
     }
@@ -311,8 +311,8 @@
             return None;
         }
         let oldest = self.segments.first_key_value().map(|(&oldest, _)| oldest);
-        let mut tracks = self.tracks.iter();
-        let lagging = tracks.find(|(_, track)| track.oldest_needed() == oldest);
+        let mut trackers = self.trackers.iter();
+        let lagging = trackers.find(|(_, tracker)| tracker.oldest_needed() == oldest);
         lagging.map(|(&group, _)| group)
     }
 }
--- a/crates/storage/src/log/recovery.rs
+++ b/crates/storage/src/log/recovery.rs
@@ -4,9 +4,9 @@
 
 use molespan_types::GroupId;
 
-use super::frame::{self, Frame, Place};
+use super::frame::{self, Frame, FrameLocation};
 use super::record::{self, Record};
-use super::track::Track;
+use super::track::GroupTracker;
 use super::{DIRECTORY, LogEntry, SnapshotMark, segment_path};
 use crate::{Disk, StorageError};
 
@@ -34,7 +34,7 @@
     fn apply(&mut self, record: Record<'_>) {
         match record {
             Record::Entry { index, body, .. } => {
-                self.cut(index);
+                self.truncate(index);
                 let bytes = body.to_vec();
                 self.entries.push(LogEntry { index, bytes });
             }
@@ -43,17 +43,17 @@
                 let bytes = body.to_vec();
                 self.snapshot = Some(SnapshotMark { index, bytes });
             }
-            Record::Truncate { from, .. } => self.cut(from),
+            Record::Truncate { from, .. } => self.truncate(from),
         }
     }
 
-    fn cut(&mut self, from: u64) {
+    fn truncate(&mut self, from: u64) {
         let kept = self.entries.partition_point(|entry| entry.index < from);
         self.entries.truncate(kept);
     }
 
     /// Removes entries covered by the snapshot and returns the first missing index, if any.
-    fn settle(&mut self) -> Option<u64> {
+    fn drop_covered_entries(&mut self) -> Option<u64> {
         let covered = self.snapshot.as_ref().map_or(0, |mark| mark.index);
         self.entries.retain(|entry| entry.index > covered);
         let expected = (covered + 1)..;
@@ -66,7 +66,7 @@
 pub(super) struct Reader<'a, D> {
     disk: &'a D,
     pub recovery: Recovery,
-    pub tracks: BTreeMap<GroupId, Track>,
+    pub trackers: BTreeMap<GroupId, GroupTracker>,
     /// Sequence number of the last frame.
     pub sequence: Option<u64>,
     /// Length of each segment.
@@ -78,7 +78,7 @@
         Self {
             disk,
             recovery: Recovery::default(),
-            tracks: BTreeMap::new(),
+            trackers: BTreeMap::new(),
             sequence: None,
             segments: BTreeMap::new(),
         }
@@ -103,62 +103,71 @@
         let bytes = self.disk.read(&path)?.unwrap_or_default();
         let mut offset = 0;
         while (offset as usize) < bytes.len() {
-            let place = Place { segment, offset };
+            let location = FrameLocation { segment, offset };
             let rest = &bytes[offset as usize..];
-            let Some(frame) = frame::parse(place, rest) else {
-                self.cut_torn_tail(place, rest, last)?;
+            let Some(frame) = frame::parse(location, rest) else {
+                self.truncate_torn_tail(location, rest, last)?;
                 break;
             };
-            self.read_frame(place, frame)?;
+            self.read_frame(location, frame)?;
             offset += frame.length();
         }
         self.segments.insert(segment, offset);
         Ok(())
     }
 
-    fn read_frame(&mut self, place: Place, frame: Frame<'_>) -> Result<(), StorageError> {
-        let path = segment_path(place.segment);
+    fn read_frame(
+        &mut self,
+        location: FrameLocation,
+        frame: Frame<'_>,
+    ) -> Result<(), StorageError> {
+        let path = segment_path(location.segment);
         let expected = self.sequence.map(|sequence| sequence + 1);
         if expected.is_some_and(|expected| expected != frame.sequence) {
             let reason = format!("frame {} is missing", expected.unwrap_or(0));
-            return Err(StorageError::corrupt(&path, place.offset, reason));
+            return Err(StorageError::corrupt(&path, location.offset, reason));
         }
         self.sequence = Some(frame.sequence);
         let recovery = &mut self.recovery.groups;
-        let tracks = &mut self.tracks;
+        let trackers = &mut self.trackers;
         record::read_all(frame.body, |record| {
             let group = record.group();
-            tracks
+            trackers
                 .entry(group)
                 .or_default()
-                .note(&record, place.segment);
+                .apply(&record, location.segment);
             recovery.entry(group).or_default().apply(record);
         })
-        .map_err(|error| StorageError::corrupt(&path, place.offset, error.to_string()))
+        .map_err(|error| StorageError::corrupt(&path, location.offset, error.to_string()))
     }
 
     /// Truncates an invalid frame if it is a write that a crash interrupted, and reports
     /// corruption otherwise. A frame is only started after the previous one was synced, so
     /// an incomplete write can only be at the very end of the log. An invalid frame before
     /// a valid one is corruption.
-    fn cut_torn_tail(&mut self, place: Place, rest: &[u8], last: bool) -> Result<(), StorageError> {
-        let path = segment_path(place.segment);
+    fn truncate_torn_tail(
+        &mut self,
+        location: FrameLocation,
+        rest: &[u8],
+        last: bool,
+    ) -> Result<(), StorageError> {
+        let path = segment_path(location.segment);
         if !last {
             let reason = "damaged frame in an older segment";
-            return Err(StorageError::corrupt(&path, place.offset, reason));
+            return Err(StorageError::corrupt(&path, location.offset, reason));
         }
-        if let Some(later) = frame::find_later(place, rest) {
+        if let Some(later) = frame::find_later(location, rest) {
             let reason = format!("damaged frame before a valid frame at offset {later}");
-            return Err(StorageError::corrupt(&path, place.offset, reason));
+            return Err(StorageError::corrupt(&path, location.offset, reason));
         }
         self.recovery.torn_bytes = rest.len() as u64;
-        self.disk.truncate(&path, place.offset)?;
+        self.disk.truncate(&path, location.offset)?;
         self.disk.sync(&path)
     }
 
     fn check_entries(&mut self) -> Result<(), StorageError> {
         for (group, recovery) in &mut self.recovery.groups {
-            if let Some(missing) = recovery.settle() {
+            if let Some(missing) = recovery.drop_covered_entries() {
                 let reason = format!("entry {missing} of group {group} is missing");
                 return Err(StorageError::corrupt(DIRECTORY, 0, reason));
             }
--- a/crates/storage/src/log/reserve.rs
+++ b/crates/storage/src/log/reserve.rs
@@ -6,7 +6,7 @@
 /// File that occupies the reserved space.
 const FILE: &str = "log/reserve";
 /// Number of bytes written at once.
-const PIECE: usize = 256 << 10;
+const CHUNK_BYTES: usize = 256 << 10;
 
 /// A file that is removed to free space.
 #[derive(Debug)]
@@ -61,11 +61,11 @@
         if length >= self.bytes {
             return Ok(());
         }
-        let zeros = vec![0; PIECE];
+        let zeros = vec![0; CHUNK_BYTES];
         while length < self.bytes {
-            let piece = (self.bytes - length).min(PIECE as u64) as usize;
-            disk.append(FILE, &zeros[..piece])?;
-            length += piece as u64;
+            let chunk = (self.bytes - length).min(CHUNK_BYTES as u64) as usize;
+            disk.append(FILE, &zeros[..chunk])?;
+            length += chunk as u64;
         }
         disk.sync(FILE)
     }
--- a/crates/storage/src/log/track.rs
+++ b/crates/storage/src/log/track.rs
@@ -9,35 +9,35 @@
 
 /// State of one group in the log, without the bytes of its entries.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Track {
+pub(super) struct GroupTracker {
     hard_state: Option<Vec<u8>>,
     snapshot: Option<SnapshotMark>,
     /// First and last live entry index in each segment.
     entries: BTreeMap<u64, (u64, u64)>,
 }
 
-impl Track {
+impl GroupTracker {
     /// Records the effect of a record stored in `segment`.
-    pub fn note(&mut self, record: &Record<'_>, segment: u64) {
+    pub fn apply(&mut self, record: &Record<'_>, segment: u64) {
         match *record {
-            Record::Entry { index, .. } => self.note_entry(index, segment),
+            Record::Entry { index, .. } => self.apply_entry(index, segment),
             Record::HardState { body, .. } => self.hard_state = Some(body.to_vec()),
             Record::Snapshot { index, body, .. } => {
                 let bytes = body.to_vec();
                 self.snapshot = Some(SnapshotMark { index, bytes });
             }
-            Record::Truncate { from, .. } => self.cut(from),
+            Record::Truncate { from, .. } => self.truncate(from),
         }
     }
 
-    fn note_entry(&mut self, index: u64, segment: u64) {
-        self.cut(index);
+    fn apply_entry(&mut self, index: u64, segment: u64) {
+        self.truncate(index);
         let (_, last) = self.entries.entry(segment).or_insert((index, index));
         *last = index;
     }
 
     /// Removes entries from index `from` on.
-    fn cut(&mut self, from: u64) {
+    fn truncate(&mut self, from: u64) {
         while let Some(mut newest) = self.entries.last_entry() {
             let (first, last) = *newest.get();
             if last < from {
@@ -65,7 +65,7 @@
     }
 
     /// Removes segments before `segment`, which have been deleted.
-    pub fn forget_before(&mut self, segment: u64) {
+    pub fn remove_before(&mut self, segment: u64) {
         self.entries = self.entries.split_off(&segment);
     }
 
--- a/crates/storage/src/payload.rs
+++ b/crates/storage/src/payload.rs
@@ -13,7 +13,7 @@
 const SEGMENT_BYTES: u64 = 64 << 20;
 /// Segment size in bytes for logs whose beginning is dropped when it is no longer needed.
 /// Segments are only removed as a whole, and small disks have space for few.
-const SHORT_SEGMENT_BYTES: u64 = 4 << 20;
+const TRIMMED_LOG_SEGMENT_BYTES: u64 = 4 << 20;
 /// Size of the length and checksum before each payload, in bytes.
 const HEADER_BYTES: usize = 8;
 /// File name suffix of a segment.
@@ -37,7 +37,7 @@
     /// Length of the log in files, in bytes.
     flushed: u64,
     /// Buffered bytes that are not yet in files.
-    waiting: Vec<u8>,
+    buffered: Vec<u8>,
     /// Whether files contain bytes that were not synced.
     unsynced: bool,
 }
@@ -65,7 +65,7 @@
         start: u64,
         length: u64,
     ) -> Result<Self, StorageError> {
-        Self::open_part(disk, group, start, length, SHORT_SEGMENT_BYTES)
+        Self::open_part(disk, group, start, length, TRIMMED_LOG_SEGMENT_BYTES)
     }
 
     fn open_part(
@@ -83,7 +83,7 @@
             segment_bytes,
             segments: BTreeMap::new(),
             flushed: 0,
-            waiting: Vec::new(),
+            buffered: Vec::new(),
             unsynced: false,
         };
         log.find_segments(start)?;
@@ -122,7 +122,7 @@
     /// # Errors
     /// Fails if the disk operation fails.
     pub fn truncate(&mut self, length: u64) -> Result<(), StorageError> {
-        self.waiting.clear();
+        self.buffered.clear();
         let removed = self.segments.split_off(&length);
         for &offset in removed.keys() {
             self.disk.remove(&self.path(offset))?;
@@ -144,13 +144,13 @@
     /// # Errors
     /// Fails if the disk operation fails; the payloads then remain buffered.
     pub fn flush(&mut self) -> Result<(), StorageError> {
-        if self.waiting.is_empty() {
+        if self.buffered.is_empty() {
             return Ok(());
         }
-        let waiting = std::mem::take(&mut self.waiting);
-        let written = self.write(&waiting);
+        let buffered = std::mem::take(&mut self.buffered);
+        let written = self.write(&buffered);
         if written.is_err() {
-            self.waiting = waiting;
+            self.buffered = buffered;
         }
         written
     }
@@ -169,8 +169,8 @@
     /// Fails if the disk operation fails.
     pub fn drop_before(&mut self, offset: u64) -> Result<(), StorageError> {
         while self.segments.len() > 1
-            && let Some((&first, &held)) = self.segments.first_key_value()
-            && first + held <= offset
+            && let Some((&first, &segment_length)) = self.segments.first_key_value()
+            && first + segment_length <= offset
         {
             self.disk.remove(&self.path(first))?;
             self.segments.remove(&first);
@@ -181,7 +181,7 @@
     /// Returns the number of buffered bytes that [`FilePayloadLog::flush`] will write.
     #[must_use]
     pub fn waiting_bytes(&self) -> usize {
-        self.waiting.len()
+        self.buffered.len()
     }
 
     /// Makes the whole log durable.
@@ -226,29 +226,29 @@
         let mut bytes = Vec::with_capacity(length);
         let mut position = offset;
         while position < end.min(self.flushed) {
-            let piece = self.read_piece(position, end.min(self.flushed))?;
-            position += piece.len() as u64;
-            bytes.extend_from_slice(&piece);
+            let chunk = self.read_from_segment(position, end.min(self.flushed))?;
+            position += chunk.len() as u64;
+            bytes.extend_from_slice(&chunk);
         }
         if end > self.flushed {
             let from = (position - self.flushed) as usize;
             let to = (end - self.flushed) as usize;
-            bytes.extend_from_slice(&self.waiting[from..to]);
+            bytes.extend_from_slice(&self.buffered[from..to]);
         }
         Ok(bytes)
     }
 
     /// Reads the part of the range that is in its first segment.
-    fn read_piece(&self, from: u64, to: u64) -> Result<Vec<u8>, StorageError> {
+    fn read_from_segment(&self, from: u64, to: u64) -> Result<Vec<u8>, StorageError> {
         let segment = self.segments.range(..=from).next_back();
-        let Some((&offset, &held)) = segment else {
+        let Some((&offset, &segment_length)) = segment else {
             return Err(StorageError::corrupt(
                 &self.directory,
                 from,
                 "no segment contains this offset",
             ));
         };
-        let end = to.min(offset + held);
+        let end = to.min(offset + segment_length);
         let length = (end - from) as usize;
         self.disk.read_at(&self.path(offset), from - offset, length)
     }
@@ -256,14 +256,15 @@
     fn write(&mut self, bytes: &[u8]) -> Result<(), StorageError> {
         let offset = self.segment_for_writing()?;
         let path = self.path(offset);
-        let held = self.segments.get(&offset).copied().unwrap_or(0);
+        let segment_length = self.segments.get(&offset).copied().unwrap_or(0);
         if let Err(error) = self.disk.append(&path, bytes) {
             if self.disk.length(&path)?.is_some() {
-                self.disk.truncate(&path, held)?;
+                self.disk.truncate(&path, segment_length)?;
             }
             return Err(error);
         }
-        self.segments.insert(offset, held + bytes.len() as u64);
+        self.segments
+            .insert(offset, segment_length + bytes.len() as u64);
         self.flushed += bytes.len() as u64;
         self.unsynced = true;
         Ok(())
@@ -273,8 +274,8 @@
     /// next one is started.
     fn segment_for_writing(&mut self) -> Result<u64, StorageError> {
         let last = self.segments.iter().next_back();
-        match last.map(|(&offset, &held)| (offset, held)) {
-            Some((offset, held)) if held < self.segment_bytes => Ok(offset),
+        match last.map(|(&offset, &segment_length)| (offset, segment_length)) {
+            Some((offset, segment_length)) if segment_length < self.segment_bytes => Ok(offset),
             Some((offset, _)) => {
                 self.disk.sync(&self.path(offset))?;
                 Ok(self.flushed)
@@ -292,8 +293,8 @@
     fn append(&mut self, payload: &[u8]) -> Result<PayloadLocation, PayloadError> {
         let offset = self.length();
         let length = payload.len() as u32;
-        self.waiting.extend_from_slice(&header(payload));
-        self.waiting.extend_from_slice(payload);
+        self.buffered.extend_from_slice(&header(payload));
+        self.buffered.extend_from_slice(payload);
         Ok(PayloadLocation { offset, length })
     }
 
@@ -317,7 +318,7 @@
     }
 
     fn length(&self) -> u64 {
-        self.flushed + self.waiting.len() as u64
+        self.flushed + self.buffered.len() as u64
     }
 }
 
--- a/crates/storage/src/real.rs
+++ b/crates/storage/src/real.rs
@@ -12,7 +12,7 @@
 
 /// Maximum number of cached open files; when it is reached, all are closed and reopened on
 /// demand.
-const OPEN_FILES: usize = 64;
+const MAX_OPEN_FILES: usize = 64;
 
 /// A data folder in the file system.
 #[derive(Clone, Debug)]
@@ -71,7 +71,7 @@
             .create(create)
             .open(self.path(file))
             .map_err(|error| io_error(file, &error))?;
-        if handles.len() >= OPEN_FILES {
+        if handles.len() >= MAX_OPEN_FILES {
             handles.clear();
         }
         let handle = Arc::new(opened);
--- a/crates/storage/src/simulated/mod.rs
+++ b/crates/storage/src/simulated/mod.rs
@@ -49,7 +49,7 @@
         for content in state.contents.values_mut() {
             tear(content, &mut random);
         }
-        state.drop_unnamed();
+        state.remove_unreferenced();
         state.failing_syncs = 0;
         state.power = Power::On;
     }
@@ -62,7 +62,7 @@
         for content in state.contents.values_mut() {
             content.bytes.truncate(content.synced);
         }
-        state.drop_unnamed();
+        state.remove_unreferenced();
         state.failing_syncs = 0;
         state.power = Power::On;
     }
@@ -128,7 +128,7 @@
     /// Fails every change after `changes` more changes. If the first failing change is an
     /// append, it still writes half of its bytes. A crash restores the power.
     pub fn fail_power_after(&self, changes: u64) {
-        self.state().power = Power::Ending(changes);
+        self.state().power = Power::FailingAfter(changes);
     }
 
     /// Flips bits of one byte durably. Returns whether the byte exists.
--- a/crates/storage/src/simulated/operations.rs
+++ b/crates/storage/src/simulated/operations.rs
@@ -40,8 +40,8 @@
 
     fn append(&self, file: &str, bytes: &[u8]) -> Result<(), StorageError> {
         let mut state = self.state();
-        let fails_now = matches!(state.power, Power::Ending(0));
-        if let Err(error) = state.note_change(file) {
+        let fails_now = matches!(state.power, Power::FailingAfter(0));
+        if let Err(error) = state.count_change(file) {
             if fails_now {
                 state.write(file, &bytes[..bytes.len() / 2])?;
             }
@@ -52,7 +52,7 @@
 
     fn sync(&self, file: &str) -> Result<(), StorageError> {
         let mut state = self.state();
-        state.note_change(file)?;
+        state.count_change(file)?;
         state.counters.syncs += 1;
         if state.failing_syncs > 0 {
             state.failing_syncs -= 1;
@@ -68,7 +68,7 @@
 
     fn sync_dir(&self, directory: &str) -> Result<(), StorageError> {
         let mut state = self.state();
-        state.note_change(directory)?;
+        state.count_change(directory)?;
         let pending = std::mem::take(&mut state.pending);
         for change in pending {
             if change.directory() == directory {
@@ -77,13 +77,13 @@
                 state.pending.push(change);
             }
         }
-        state.drop_unnamed();
+        state.remove_unreferenced();
         Ok(())
     }
 
     fn rename(&self, from: &str, to: &str) -> Result<(), StorageError> {
         let mut state = self.state();
-        state.note_change(from)?;
+        state.count_change(from)?;
         state.existing(from)?;
         state.change(NameChange::Rename {
             from: from.to_owned(),
@@ -94,7 +94,7 @@
 
     fn remove(&self, file: &str) -> Result<(), StorageError> {
         let mut state = self.state();
-        state.note_change(file)?;
+        state.count_change(file)?;
         if state.names.contains_key(file) {
             state.change(NameChange::Remove {
                 file: file.to_owned(),
@@ -105,7 +105,7 @@
 
     fn truncate(&self, file: &str, length: u64) -> Result<(), StorageError> {
         let mut state = self.state();
-        state.note_change(file)?;
+        state.count_change(file)?;
         let content = state.existing(file)?;
         content.bytes.truncate(length as usize);
         content.synced = content.synced.min(content.bytes.len());
--- a/crates/storage/src/simulated/state.rs
+++ b/crates/storage/src/simulated/state.rs
@@ -23,7 +23,7 @@
     #[default]
     On,
     /// This number of changes still succeeds.
-    Ending(u64),
+    FailingAfter(u64),
     /// All changes fail.
     Off,
 }
@@ -43,14 +43,14 @@
 
 /// Removes or damages part of the unsynced bytes.
 pub(super) fn tear(content: &mut Content, random: &mut ChaCha8Rng) {
-    const DAMAGED_AT_MOST: usize = 16;
+    const MAX_DAMAGED_BYTES: usize = 16;
     if content.synced >= content.bytes.len() {
         return;
     }
     let kept = random.random_range(content.synced..=content.bytes.len());
     content.bytes.truncate(kept);
     if random.random_bool(0.3) {
-        let from = kept.saturating_sub(DAMAGED_AT_MOST).max(content.synced);
+        let from = kept.saturating_sub(MAX_DAMAGED_BYTES).max(content.synced);
         content.bytes[from..].fill(0);
     }
     content.synced = content.bytes.len();
@@ -58,15 +58,15 @@
 
 impl State {
     /// Counts a change and rejects it without power.
-    pub(super) fn note_change(&mut self, file: &str) -> Result<(), StorageError> {
+    pub(super) fn count_change(&mut self, file: &str) -> Result<(), StorageError> {
         self.counters.changes += 1;
         match &mut self.power {
             Power::On => return Ok(()),
-            Power::Ending(left) if *left > 0 => {
+            Power::FailingAfter(left) if *left > 0 => {
                 *left -= 1;
                 return Ok(());
             }
-            Power::Ending(_) | Power::Off => self.power = Power::Off,
+            Power::FailingAfter(_) | Power::Off => self.power = Power::Off,
         }
         Err(StorageError::Io {
             file: file.to_owned(),
@@ -103,7 +103,7 @@
     }
 
     /// Removes contents that no name refers to.
-    pub(super) fn drop_unnamed(&mut self) {
+    pub(super) fn remove_unreferenced(&mut self) {
         let names = &self.names;
         let durable = &self.durable_names;
         let pending = &self.pending;
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -7,7 +7,7 @@
 use crate::{Disk, StorageError, read_checked, write_checked};
 
 /// Number of snapshots kept for each group.
-const KEPT: usize = 2;
+const KEPT_SNAPSHOTS: usize = 2;
 /// File name suffix of a snapshot.
 const SUFFIX: &str = ".snapshot";
 /// Size of the length field before the header, in bytes.
@@ -88,7 +88,7 @@
     pub fn remove_older(&self, index: u64) -> Result<(), StorageError> {
         let mut indexes = self.indexes()?;
         indexes.retain(|&stored| stored <= index);
-        let surplus = indexes.len().saturating_sub(KEPT);
+        let surplus = indexes.len().saturating_sub(KEPT_SNAPSHOTS);
         for &old in &indexes[..surplus] {
             self.disk.remove(&join(&self.directory, &file_name(old)))?;
         }
