--- a/crates/state/tests/bars.rs
+++ b/crates/state/tests/bars.rs
@@ -26,7 +26,7 @@
     assert_eq!(reply, ControlReply::Declared(DeclaredReply::Noted));
 }
 
-fn raise(machine: &mut ControlMachine, number: u64, since_ms: u64) {
+fn bar_request(machine: &mut ControlMachine, number: u64, since_ms: u64) {
     let command = DeclaredCommand::Bar {
         request: request(number),
         since_ms,
@@ -43,12 +43,12 @@
 }
 
 #[test]
-fn many_gateways_ask_for_one_bar_and_it_holds_for_its_time() {
+fn repeated_bar_request_does_not_renew_a_bar_before_it_expires() {
     let mut machine = ControlMachine::default();
-    raise(&mut machine, 1, NOW);
+    bar_request(&mut machine, 1, NOW);
     let first = bar(&machine, 1).expect("a bar");
     let revision = machine.declared().revision();
-    raise(&mut machine, 1, NOW + 700);
+    bar_request(&mut machine, 1, NOW + 700);
     assert_eq!(
         bar(&machine, 1),
         Some(first),
@@ -60,16 +60,16 @@
     assert!(first.holds_for(NOW + hours - 1).is_some());
     assert_eq!(first.holds_for(NOW + hours), None);
     // An expired bar is renewed and gets a higher change number.
-    raise(&mut machine, 1, NOW + hours);
+    bar_request(&mut machine, 1, NOW + hours);
     let renewed = bar(&machine, 1).expect("a bar");
     assert!(renewed.change > first.change);
     assert!(renewed.holds_for(NOW + hours).is_some());
 }
 
 #[test]
-fn a_lifted_bar_stays_known_and_new_crashes_raise_it_again() {
+fn lifted_bar_is_retained_and_new_crashes_renew_it() {
     let mut machine = ControlMachine::default();
-    raise(&mut machine, 1, NOW);
+    bar_request(&mut machine, 1, NOW);
     let held = bar(&machine, 1).expect("a bar");
     for _ in 0..2 {
         let request = request(1);
@@ -81,16 +81,16 @@
     let request = request(9);
     apply(&mut machine, DeclaredCommand::LiftBar { request });
     assert_eq!(bar(&machine, 9), None, "nothing to lift");
-    raise(&mut machine, 1, NOW + 5_000);
+    bar_request(&mut machine, 1, NOW + 5_000);
     let again = bar(&machine, 1).expect("a bar");
     assert!(!again.lifted && again.change > lifted.change);
 }
 
 #[test]
-fn the_oldest_bars_are_forgotten() {
+fn oldest_bars_are_evicted() {
     let mut machine = ControlMachine::default();
     for number in 0..1_100 {
-        raise(&mut machine, number, NOW + number);
+        bar_request(&mut machine, number, NOW + number);
     }
     assert_eq!(bar(&machine, 75), None);
     assert!(bar(&machine, 76).is_some());
@@ -98,9 +98,9 @@
 }
 
 #[test]
-fn bars_survive_a_snapshot_and_one_of_before_has_none() {
+fn bars_survive_a_snapshot_and_older_snapshots_have_none() {
     let mut machine = ControlMachine::default();
-    raise(&mut machine, 1, NOW);
+    bar_request(&mut machine, 1, NOW);
     let bytes = encode(machine.declared());
     let read: DeclaredState = decode(&bytes).expect("a state");
     assert_eq!(&read, machine.declared());
--- a/crates/state/tests/batch.rs
+++ b/crates/state/tests/batch.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_job_handed_in_again_is_kept_and_unchanged() {
+fn resubmitted_job_is_unchanged() {
     let mut machine = BatchMachine::new();
     assert_eq!(machine.apply(&submit("a", 2)), BatchReply::Kept);
     machine.apply(&record(1, 1, "x"));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn pages_hold_at_least_one_result_and_few_bytes() {
+fn pages_have_at_least_one_result_and_respect_the_byte_limit() {
     let mut machine = BatchMachine::new();
     machine.apply(&submit("a", 3));
     for place in 0..3 {
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn bodies_are_there_until_an_outcome_is() {
+fn bodies_are_available_until_an_outcome_is_recorded() {
     let mut machine = BatchMachine::new();
     machine.apply(&submit("a", 2));
     assert_eq!(body(&machine, "a", "a-1"), Some(b"body 1".to_vec()));
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn progress_is_kept_until_there_is_an_outcome_and_never_goes_back() {
+fn progress_is_stored_until_an_outcome_and_never_regresses() {
     let mut machine = BatchMachine::new();
     machine.apply(&submit("a", 2));
     let item = ItemReference { job: 1, place: 0 };
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn whoever_hands_items_out_notices_each_change_of_the_open_ones() {
+fn revision_increases_with_each_change_of_open_items() {
     let mut machine = BatchMachine::default();
     let mut seen = machine.revision();
     let end = BatchCommand::End {
@@ -228,7 +228,7 @@
 proptest! {
     /// Decompressing a compressed text returns the original.
     #[test]
-    fn a_packed_text_is_unpacked_as_it_was(text in "\\PC{0,400}") {
+    fn packed_text_round_trips(text in "\\PC{0,400}") {
         let packed = PackedText::pack(&text);
         prop_assert_eq!(packed.unpack(), Some(text));
     }
--- a/crates/state/tests/batch_output.rs
+++ b/crates/state/tests/batch_output.rs
@@ -11,14 +11,14 @@
 
 /// Delivery of a checkpoint.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
+enum Delivery {
     /// It is committed and the gateway receives the reply.
-    Kept,
+    Acknowledged,
     /// It is committed but the gateway does not receive the reply in time.
-    Unheard,
+    Unacknowledged,
     /// It is never committed.
     Lost,
-    /// It is committed later, at a [`Step::Arrival`].
+    /// It is committed later, at a [`Step::CommitLate`].
     Late,
 }
 
@@ -26,12 +26,12 @@
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Events(usize, u8),
-    Checkpoint(usize, Fate),
+    Checkpoint(usize, Delivery),
     /// The oldest late checkpoint is committed.
-    Arrival,
+    CommitLate,
     /// Another gateway resumes from the stored progress; earlier gateways may not know that
     /// they should stop.
-    Gateway,
+    NewGateway,
 }
 
 /// A run of the item at a gateway, with its expected events.
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_checkpoint_that_was_committed_unheard_does_not_stop_the_later_ones() {
+fn unacknowledged_checkpoint_does_not_block_later_ones() {
     let mut machine = machine();
     let mut output = Output::begin(1);
     run(&mut output, 3);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn two_runs_that_came_equally_far_are_not_joined() {
+fn runs_with_equal_progress_are_not_mixed() {
     // Both start at the first event and produce different events with the same numbers.
     let mut machine = machine();
     let mut one = Output::begin(1);
@@ -167,17 +167,17 @@
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
-    let fate = prop_oneof![
-        3 => Just(Fate::Kept),
-        1 => Just(Fate::Unheard),
-        1 => Just(Fate::Lost),
-        1 => Just(Fate::Late),
+    let delivery = prop_oneof![
+        3 => Just(Delivery::Acknowledged),
+        1 => Just(Delivery::Unacknowledged),
+        1 => Just(Delivery::Lost),
+        1 => Just(Delivery::Late),
     ];
     prop_oneof![
         4 => (0..2_usize, 0..4_u8).prop_map(|(run, events)| Step::Events(run, events)),
-        4 => (0..2_usize, fate).prop_map(|(run, fate)| Step::Checkpoint(run, fate)),
-        1 => Just(Step::Arrival),
-        1 => Just(Step::Gateway),
+        4 => (0..2_usize, delivery).prop_map(|(run, delivery)| Step::Checkpoint(run, delivery)),
+        1 => Just(Step::CommitLate),
+        1 => Just(Step::NewGateway),
     ]
 }
 
@@ -186,7 +186,7 @@
     /// events that the run resumed from. It never regresses, and later checkpoints are
     /// always accepted.
     #[test]
-    fn what_is_kept_is_a_beginning_of_one_run(
+    fn stored_progress_is_a_prefix_of_one_run(
         steps in prop::collection::vec(any_step(), 0..60),
     ) {
         let mut machine = machine();
@@ -198,32 +198,32 @@
             let place = |back: usize| latest.saturating_sub(back);
             match step {
                 Step::Events(run, events) => runs[place(run)].make(events),
-                Step::Gateway => {
+                Step::NewGateway => {
                     let number = runs.len() as u64;
                     runs.push(Run::resume(number, &progress(&machine)));
                 }
-                Step::Checkpoint(run, fate) => {
+                Step::Checkpoint(run, delivery) => {
                     let run = &mut runs[place(run)];
-                    let Some((checkpoint, upto)) = run.checkpoint() else {
+                    let Some((checkpoint, expected)) = run.checkpoint() else {
                         continue;
                     };
-                    match fate {
-                        Fate::Kept => {
+                    match delivery {
+                        Delivery::Acknowledged => {
                             let kept = keep(&mut machine, checkpoint);
-                            run.output.note_kept(upto, kept);
+                            run.output.note_kept(expected, kept);
                         }
-                        Fate::Unheard => {
+                        Delivery::Unacknowledged => {
                             keep(&mut machine, checkpoint);
                             run.output.forget_kept();
                         }
-                        Fate::Lost => run.output.forget_kept(),
-                        Fate::Late => {
+                        Delivery::Lost => run.output.forget_kept(),
+                        Delivery::Late => {
                             late.push(checkpoint);
                             run.output.forget_kept();
                         }
                     }
                 }
-                Step::Arrival => {
+                Step::CommitLate => {
                     if !late.is_empty() {
                         keep(&mut machine, late.remove(0));
                     }
@@ -243,9 +243,9 @@
         // Two acknowledged checkpoints are enough to store everything.
         let output = &mut runs.last_mut().expect("a run").output;
         for _ in 0..2 {
-            if let Some((checkpoint, upto)) = output.checkpoint(ITEM) {
+            if let Some((checkpoint, expected)) = output.checkpoint(ITEM) {
                 let kept = keep(&mut machine, checkpoint);
-                output.note_kept(upto, kept);
+                output.note_kept(expected, kept);
             }
         }
         prop_assert!(progress(&machine).last_event >= output.last_event());
--- a/crates/state/tests/batch_payloads.rs
+++ b/crates/state/tests/batch_payloads.rs
@@ -11,7 +11,7 @@
 
 const ITEMS: u32 = 60;
 /// Length of an output in bytes.
-const OUTPUT: usize = 10_000;
+const OUTPUT_BYTES: usize = 10_000;
 
 fn submit(id: &str) -> BatchCommand {
     let items = (0..ITEMS).map(|place| BatchItem {
@@ -37,8 +37,8 @@
 /// Returns a text that compresses badly and is deterministic for each item.
 fn output(job: u64, place: u32) -> String {
     let mut random = ChaCha8Rng::seed_from_u64(job << 32 | u64::from(place));
-    let signs = (0..OUTPUT).map(|_| char::from(random.random_range(b'!'..=b'~')));
-    signs.collect()
+    let characters = (0..OUTPUT_BYTES).map(|_| char::from(random.random_range(b'!'..=b'~')));
+    characters.collect()
 }
 
 fn record(job: u64, place: u32) -> BatchCommand {
@@ -96,11 +96,11 @@
 /// kept the outputs of several minutes in memory and again in each snapshot, and could not
 /// restart with them.
 #[test]
-fn what_is_in_memory_and_in_snapshots_does_not_grow_with_outputs() {
+fn memory_and_snapshots_do_not_grow_with_outputs() {
     let (machine, payloads) = done(4);
     let snapshot = machine.snapshot();
     assert!(
-        snapshot.len() < OUTPUT * ITEMS as usize / 10,
+        snapshot.len() < OUTPUT_BYTES * ITEMS as usize / 10,
         "{} bytes of snapshot for {} of outputs",
         snapshot.len(),
         payloads.length()
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn the_log_is_needed_from_the_first_output_of_a_job_that_is_kept() {
+fn log_is_needed_from_the_oldest_output_of_a_stored_job() {
     let (mut machine, mut payloads) = done(3);
     let length = payloads.length();
     assert_eq!(machine.payloads_needed_from(length), Some(0));
@@ -141,7 +141,7 @@
 
 /// An unreadable output must be distinguishable from a missing one.
 #[test]
-fn an_output_that_the_log_does_not_give_is_told_apart_from_none() {
+fn unreadable_output_is_distinguished_from_a_missing_one() {
     let (machine, _) = done(1);
     let answer = results(&machine, &MemoryPayloadLog::default(), "job-1");
     assert!(
--- a/crates/state/tests/batch_queue.rs
+++ b/crates/state/tests/batch_queue.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn without_a_limit_sums_that_overflow_are_counted_and_given_back() {
+fn token_sums_do_not_overflow_without_a_limit() {
     let mut machine = BatchMachine::new();
     let BatchCommand::Submit(mut submit) = submit("a", "q", &[u64::MAX; 200]) else {
         unreachable!("the command submits a job");
--- a/crates/state/tests/bounds.rs
+++ b/crates/state/tests/bounds.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn job_of_the_largest_size_is_small_in_memory() {
+fn largest_job_has_bounded_memory() {
     let mut group = Group::default();
     let job = group.submit(&submission("large", ITEMS));
     let running = machine_bytes(&group);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn finished_jobs_take_the_same_whatever_their_size() {
+fn finished_jobs_take_constant_memory() {
     let mut group = Group::default();
     let mut sequence = 0;
     const JOBS: usize = 500;
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn claims_are_remembered_for_ever_in_bounded_memory() {
+fn settled_claims_are_kept_in_bounded_memory() {
     let mut group = Group::default();
     const CLAIMS: u64 = 100_000;
     for number in 0..CLAIMS {
--- a/crates/state/tests/claims.rs
+++ b/crates/state/tests/claims.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn second_attempt_is_held_off_until_the_first_ended() {
+fn second_attempt_is_not_granted_until_the_first_is_settled() {
     let mut group = Group::default();
     assert_eq!(group.claim("bill", 1), ClaimReply::Granted);
     assert_eq!(group.claim("bill", 1), ClaimReply::Granted, "resent");
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn not_run_frees_the_claim() {
+fn not_run_releases_the_claim() {
     let mut group = Group::default();
     group.claim("bill", 1);
     let not_run = settle("bill", 1, RunOutcome::NotRun, "");
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn unknown_end_is_final() {
+fn unknown_outcome_is_final() {
     let mut group = Group::default();
     group.claim("bill", 1);
     group.apply(settle("bill", 1, RunOutcome::Unknown, ""));
@@ -86,10 +86,10 @@
 #[test]
 fn attempt_without_the_claim_settles_nothing() {
     let mut group = Group::default();
-    let stranger = settle("bill", 2, RunOutcome::Completed, "other");
-    assert_eq!(group.apply(stranger.clone()), JobReply::ClaimNotHeld);
+    let not_holder = settle("bill", 2, RunOutcome::Completed, "other");
+    assert_eq!(group.apply(not_holder.clone()), JobReply::ClaimNotHeld);
     group.claim("bill", 1);
-    assert_eq!(group.apply(stranger), JobReply::ClaimNotHeld);
+    assert_eq!(group.apply(not_holder), JobReply::ClaimNotHeld);
     group.apply(settle("bill", 1, RunOutcome::Completed, "paid"));
     assert_eq!(group.claim("bill", 2), completed("paid"));
 }
@@ -117,42 +117,48 @@
 }
 
 /// Returns the settlements with which a leader would settle all open claims as unknown.
-fn endings(group: &Group) -> Vec<SettleClaim> {
+fn unknown_settlements(group: &Group) -> Vec<SettleClaim> {
     let open = group.machine.open_claims();
     open.map(OpenClaimRecord::into_unknown).collect()
 }
 
 #[test]
-fn ending_an_open_claim_twice_is_as_once_also_from_a_snapshot() {
+fn settling_an_open_claim_as_unknown_is_idempotent_also_after_a_snapshot() {
     let mut group = Group::default();
     group.claim("bill", 1);
     group.claim("grade", 2);
     let mut restored = group.restored();
-    assert_eq!(endings(&restored), endings(&group));
-    for ending in endings(&group) {
-        assert_eq!(group.apply(ending.clone()), settled(RunOutcome::Unknown));
+    assert_eq!(unknown_settlements(&restored), unknown_settlements(&group));
+    for settlement in unknown_settlements(&group) {
+        assert_eq!(
+            group.apply(settlement.clone()),
+            settled(RunOutcome::Unknown)
+        );
         let once = group.clone();
-        assert_eq!(group.apply(ending.clone()), settled(RunOutcome::Unknown));
+        assert_eq!(
+            group.apply(settlement.clone()),
+            settled(RunOutcome::Unknown)
+        );
         assert_eq!(group.machine, once.machine);
         assert_eq!(group.payloads.bytes(), once.payloads.bytes());
-        assert_eq!(restored.apply(ending), settled(RunOutcome::Unknown));
+        assert_eq!(restored.apply(settlement), settled(RunOutcome::Unknown));
         restored = restored.restored();
     }
     assert_eq!(restored.machine, group.machine);
     assert_eq!(restored.payloads.bytes(), group.payloads.bytes());
-    assert_eq!(endings(&restored), []);
+    assert_eq!(unknown_settlements(&restored), []);
     assert_eq!(restored.claim("bill", 1), unknown());
 }
 
 #[test]
-fn the_first_of_an_ending_and_a_settlement_stands() {
+fn first_settlement_wins_whether_by_leader_or_holder() {
     for outcome in [RunOutcome::Completed, RunOutcome::Unknown] {
-        for ending_first in [true, false] {
+        for leader_first in [true, false] {
             let mut group = Group::default();
             group.claim("bill", 1);
             let by_holder = settle("bill", 1, outcome, "");
-            let mut commands = [endings(&group).remove(0), by_holder];
-            if !ending_first {
+            let mut commands = [unknown_settlements(&group).remove(0), by_holder];
+            if !leader_first {
                 commands.reverse();
             }
             let first = settled(commands[0].outcome);
@@ -167,10 +173,10 @@
 }
 
 #[test]
-fn late_ending_leaves_the_claim_of_a_later_attempt_alone() {
+fn late_unknown_settlement_does_not_affect_a_later_attempt() {
     let mut group = Group::default();
     group.claim("bill", 1);
-    let late = endings(&group).remove(0);
+    let late = unknown_settlements(&group).remove(0);
     group.apply(settle("bill", 1, RunOutcome::NotRun, ""));
     assert_eq!(group.apply(late.clone()), JobReply::ClaimNotHeld);
     assert_eq!(group.claim("bill", 2), ClaimReply::Granted);
--- a/crates/state/tests/control.rs
+++ b/crates/state/tests/control.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn resent_confirmation_gets_the_first_answer_after_many_changes_and_a_restart() {
+fn retried_confirmation_gets_the_first_reply_after_many_changes_and_a_restart() {
     let mut machine = ControlMachine::new();
     let first = intent(1, "abebe", 0, 1);
     assert_eq!(confirm(&mut machine, first.clone()), confirmed(1));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn rival_with_the_same_number_is_told_the_winner() {
+fn conflicting_intent_with_a_used_number_gets_the_winner() {
     let mut machine = ControlMachine::new();
     let winner = intent(1, "abebe", 0, 1);
     confirm(&mut machine, winner.clone());
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn number_below_the_memory_is_refused_and_never_run() {
+fn number_below_the_retained_range_is_rejected() {
     const MAX_CONFIRMATIONS: u64 = 131_072;
     let mut machine = ControlMachine::new();
     for version in 0..MAX_CONFIRMATIONS + 10 {
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn late_commands_about_an_earlier_life_of_a_node_are_refused() {
+fn late_commands_for_an_earlier_incarnation_are_rejected() {
     let mut machine = ControlMachine::new();
     let registered = Incarnation(3);
     let stale = ControlReply::NodeStale { registered };
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn resent_registration_keeps_the_drain_mark_and_a_new_life_loses_it() {
+fn repeated_registration_keeps_the_drain_flag_and_a_new_incarnation_clears_it() {
     let mut machine = ControlMachine::new();
     machine.apply(&register(3));
     machine.apply(&drain(3));
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn removed_life_does_not_come_back_as_an_earlier_one() {
+fn earlier_incarnation_cannot_register_after_a_removal() {
     let mut machine = ControlMachine::new();
     machine.apply(&register(3));
     assert_eq!(machine.apply(&remove(3)), ControlReply::NodeAccepted);
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn tokens_rise_over_all_back_ends_and_never_come_twice() {
+fn tokens_increase_across_back_ends_and_are_unique() {
     let mut machine = ControlMachine::new();
     assert_eq!(machine.apply(&order(1, "load", 0)), issued(1));
     assert_eq!(machine.apply(&order(2, "load", 0)), issued(2));
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn resent_order_keeps_its_token_and_a_rival_conflicts() {
+fn retried_order_keeps_its_token_and_a_concurrent_order_conflicts() {
     let mut machine = ControlMachine::new();
     machine.apply(&order(1, "load", 0));
     assert_eq!(machine.apply(&order(1, "load", 0)), issued(1));
--- a/crates/state/tests/declared.rs
+++ b/crates/state/tests/declared.rs
@@ -86,7 +86,7 @@
 
 proptest! {
     #[test]
-    fn the_highest_number_holds_with_its_first_content(
+    fn highest_version_is_in_force_with_its_first_content(
         versions in prop::collection::vec((0..20_u64, 0..3_u8), 1..40),
     ) {
         let mut machine = ControlMachine::new();
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_departure_never_goes_back() {
+fn departure_never_regresses() {
     let mut machine = ControlMachine::new();
     let cases = [
         (Departure::Draining, Departure::Draining),
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn stores_found_once_over_the_zones() {
+fn stores_found_the_group_once_across_zones() {
     let mut machine = ControlMachine::new();
     for (node, zone) in [(1, "a"), (2, "a"), (3, "b")] {
         apply(&mut machine, store(node, zone, 3, false));
@@ -186,19 +186,19 @@
 }
 
 #[test]
-fn the_stores_of_one_zone_that_come_first_do_not_found_alone() {
+fn stores_of_a_single_zone_do_not_found_the_group() {
     let mut machine = ControlMachine::new();
-    let comes = |machine: &mut ControlMachine, node: u32, zone: &str| {
+    let register = |machine: &mut ControlMachine, node: u32, zone: &str| {
         apply(machine, store(node, zone, 5, false));
         state(machine).stores().founders().clone()
     };
     for node in 1..=5 {
-        assert!(comes(&mut machine, node, "b").is_empty());
+        assert!(register(&mut machine, node, "b").is_empty());
     }
     for node in 6..=7 {
-        assert!(comes(&mut machine, node, "a").is_empty());
+        assert!(register(&mut machine, node, "a").is_empty());
     }
-    let founders = comes(&mut machine, 8, "c");
+    let founders = register(&mut machine, 8, "c");
     let of_zone = |nodes: std::ops::RangeInclusive<u32>| {
         let there = nodes.filter(|node| founders.contains_key(&NodeId(*node)));
         there.count()
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn stores_of_too_few_zones_found_when_no_more_come() {
+fn stores_of_too_few_zones_found_the_group_after_the_wait() {
     let mut machine = ControlMachine::new();
     for (node, zone) in [(1, "a"), (2, "a"), (3, "b")] {
         apply(&mut machine, store(node, zone, 3, false));
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn fewer_stores_than_wanted_found_when_no_more_come() {
+fn fewer_stores_than_wanted_found_the_group_after_the_wait() {
     let mut machine = ControlMachine::new();
     apply(&mut machine, store(1, "a", 3, false));
     apply(&mut machine, store(1, "a", 3, true));
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_store_retires_only_when_enough_live_ones_stay() {
+fn store_retires_only_if_enough_live_stores_remain() {
     let mut machine = ControlMachine::new();
     for node in 1..=4 {
         apply(&mut machine, store(node, "a", 3, false));
--- a/crates/state/tests/jobs.rs
+++ b/crates/state/tests/jobs.rs
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn resent_lease_request_gets_the_same_lease() {
+fn retried_lease_request_gets_the_same_lease() {
     let mut group = Group::default();
     group.submit(&submission("album", 5));
     let first = group.lease(1, 1, 2);
@@ -131,17 +131,17 @@
 }
 
 #[test]
-fn earlier_life_of_an_owner_gets_nothing() {
+fn earlier_incarnation_of_an_owner_gets_nothing() {
     let mut group = Group::default();
     group.submit(&submission("album", 2));
-    let mut reborn = request(1, 1, 1);
-    reborn.owner_incarnation = 2;
-    assert!(group.try_lease(reborn).is_some());
+    let mut restarted = request(1, 1, 1);
+    restarted.owner_incarnation = 2;
+    assert!(group.try_lease(restarted).is_some());
     assert_eq!(group.try_lease(request(1, 2, 1)), None);
 }
 
 #[test]
-fn requests_beyond_the_memory_of_an_owner_get_nothing_new() {
+fn requests_older_than_the_tracked_ones_get_nothing() {
     let mut group = Group::default();
     group.submit(&submission("album", 1_000));
     for sequence in 1..=300 {
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn result_named_twice_is_taken_once() {
+fn result_sent_twice_is_recorded_once() {
     let mut group = Group::default();
     let job = group.submit(&submission("album", 2));
     let lease = group.lease(1, 1, 2).lease;
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn lost_lease_is_told_at_renewal() {
+fn renewal_reports_a_lost_lease() {
     let mut group = Group::default();
     group.submit(&submission("album", 1));
     let lease = group.lease(1, 1, 1).lease;
@@ -242,11 +242,11 @@
     let reply = group.apply(JobCommand::Renew {
         leases: vec![lease],
     });
-    let told = JobReply::Renewed {
+    let expected = JobReply::Renewed {
         lost: Vec::new(),
         cancelled: vec![lease],
     };
-    assert_eq!(reply, told);
+    assert_eq!(reply, expected);
     group.record(lease, vec![result(0, "a")]);
     group.return_items(lease);
     assert_eq!(group.phase(job), JobPhase::Cancelled);
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn cut_off_owner_does_not_hold_up_a_cancellation_for_ever() {
+fn disconnected_owner_does_not_block_a_cancellation() {
     let mut group = Group::default();
     let job = group.submit(&submission("album", 1));
     let lease = group.lease(1, 1, 1).lease;
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn unknown_job_is_said_so() {
+fn unknown_job_is_reported() {
     let mut group = Group::default();
     let job = JobId(5);
     assert_eq!(
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn submission_that_was_given_up_frees_its_key() {
+fn abandoned_submission_releases_its_key() {
     let mut group = Group::default();
     let begin = submission("given up", 3);
     let job = begin.job;
--- a/crates/state/tests/mutants.rs
+++ b/crates/state/tests/mutants.rs
@@ -11,7 +11,7 @@
 const MAX_STATES: usize = 1_000_000;
 
 /// Returns the invariant that is violated without `mechanism`.
-fn broken(model: &impl Model, mechanism: Mechanism) -> Option<&'static str> {
+fn violated_invariant(model: &impl Model, mechanism: Mechanism) -> Option<&'static str> {
     disable(Some(mechanism));
     let exploration = explore(model, MAX_STATES);
     disable(None);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn exploration_notices_each_missing_mechanism_of_jobs() {
+fn exploration_detects_each_missing_mechanism_of_jobs() {
     let repeatable = LeaseModel { repeatable: true };
     let once = LeaseModel { repeatable: false };
     let cases = [
@@ -30,7 +30,7 @@
         (&once, Mechanism::NoRetryAfterAmbiguity),
     ];
     for (model, mechanism) in cases {
-        let invariant = broken(model, mechanism);
+        let invariant = violated_invariant(model, mechanism);
         println!("without {mechanism}: {invariant:?}");
         assert!(
             invariant.is_some(),
@@ -40,14 +40,14 @@
 }
 
 #[test]
-fn exploration_notices_missing_claims() {
-    let invariant = broken(&ClaimModel, Mechanism::ClaimBeforeDispatch);
+fn exploration_detects_missing_claims() {
+    let invariant = violated_invariant(&ClaimModel, Mechanism::ClaimBeforeDispatch);
     println!("without claims: {invariant:?}");
     assert!(invariant.is_some());
 }
 
 #[test]
-fn second_intent_under_one_number_passes_without_the_memory() {
+fn reused_number_is_accepted_without_confirmation_memory() {
     let intent = |base: u64, tail_protection: u8| {
         ControlCommand::Confirm(ConfirmIntent {
             number: IntentNumber(1),
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn tokens_do_not_rise_without_fencing() {
+fn tokens_do_not_increase_without_fencing() {
     let order = |action: &str| {
         ControlCommand::Issue(IssueOrder {
             backend: BackendId(1),
--- a/crates/state/tests/plan.rs
+++ b/crates/state/tests/plan.rs
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn first_configuration_is_explained() {
+fn first_configuration_is_described() {
     let changes = [put_service("captions", captions()), put_model("caption", 3)];
     let plan = plan(&Configuration::default(), IntentNumber(1), &changes);
     expect![[r#"
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn falling_limits_are_warned_of() {
+fn decreased_limits_produce_warnings() {
     let service = Service {
         max_queue: 4,
         replicas: 6,
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn removal_of_the_last_user_of_a_model_is_warned_of() {
+fn removing_the_last_service_of_a_model_produces_a_warning() {
     let name = ServiceName::from("captions");
     check(
         &[Change::DeleteService { name }],
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn every_problem_is_found_at_once_with_its_place() {
+fn all_problems_are_reported_with_their_change() {
     let broken = Service {
         model: None,
         max_concurrency: 0,
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn adapter_moved_away_from_under_a_service_is_a_problem() {
+fn moving_a_used_adapter_to_another_model_is_a_problem() {
     let mut service = captions();
     service.adapters = vec!["amharic".to_owned()];
     let mut configuration = archive();
--- a/crates/state/tests/sharing.rs
+++ b/crates/state/tests/sharing.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn earliest_deadline_of_a_tenant_goes_first() {
+fn earliest_deadline_of_a_tenant_is_scheduled_first() {
     let mut group = Group::default();
     group.submit(&of_tenant("archive", "later", 200));
     let sooner = group.submit(&of_tenant("archive", "sooner", 100));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn weight_of_a_tenant_counts() {
+fn tenant_weight_determines_its_share() {
     let mut group = Group::default();
     group.apply(JobCommand::SetWeight {
         tenant: TenantId::from("lab"),
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn tenant_that_comes_back_does_not_make_up_for_its_pause() {
+fn returning_tenant_does_not_catch_up_on_its_idle_period() {
     let mut group = Group::default();
     group.submit(&of_tenant("archive", "album", 1));
     for sequence in 0..50 {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn items_given_back_are_not_held_against_their_tenant() {
+fn returned_items_are_not_charged_to_their_tenant() {
     let mut group = Group::default();
     group.submit(&of_tenant("archive", "album", 1));
     let other = group.submit(&of_tenant("lab", "grades", 1));
@@ -84,9 +84,9 @@
 fn other_services_get_nothing() {
     let mut group = Group::default();
     group.submit(&submission("album", 5));
-    let mut elsewhere = request(1, 1, 5);
-    elsewhere.service = ServiceName::from("tutor");
-    assert_eq!(group.try_lease(elsewhere), None);
+    let mut other_service = request(1, 1, 5);
+    other_service.service = ServiceName::from("tutor");
+    assert_eq!(group.try_lease(other_service), None);
 }
 
 #[test]
--- a/crates/state/tests/tenants.rs
+++ b/crates/state/tests/tenants.rs
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn every_problem_of_tenants_is_named() {
+fn all_problems_of_tenants_are_reported() {
     let sound = vec![
         tenant("a", &["1", "2"]),
         tenant("b", &["3"]),
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_model_from_before_there_were_tenants_needs_no_keys() {
+fn model_encoded_before_tenants_existed_needs_no_keys() {
     let before = molespan_state::encode(&ServingModel::default());
     // The previous encoding: only routes, services and limits.
     assert_eq!(before[0], 0x83);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_limit_tells_requests_a_second() {
+fn rate_limit_converts_to_requests_per_second() {
     let limit = RateLimit {
         per_1000_s: 2_500,
         burst: 3,
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn tenants_that_choose_the_same_identifier_have_a_job_each() {
+fn tenants_with_the_same_identifier_have_separate_jobs() {
     let mut machine = BatchMachine::new();
     for tenant in [None, Some("a"), Some("b")] {
         assert_eq!(machine.apply(&submit(tenant, "job")), BatchReply::Kept);
--- a/crates/state/tests/update.rs
+++ b/crates/state/tests/update.rs
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_node_close_behind_gets_only_what_differs() {
+fn node_slightly_behind_gets_a_delta() {
     let all = versions(3);
     let mut history = ConfigurationHistory::default();
     for one in &all {
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_node_far_behind_or_without_any_gets_the_whole() {
+fn node_far_behind_or_without_configuration_gets_the_whole() {
     const MORE_THAN_RETAINED: u32 = 200;
     let all = versions(MORE_THAN_RETAINED);
     let mut history = ConfigurationHistory::default();
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_delta_fits_its_own_start_only() {
+fn delta_applies_only_to_its_base_version() {
     let all = versions(3);
     let delta = ConfigurationDelta {
         from: ConfigVersion(2),
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn updates_are_read_back_as_written() {
+fn updates_round_trip() {
     let whole = ConfigurationUpdate::Whole(versions(1)[0].clone());
     let read: ConfigurationUpdate = decode(&encode(&whole)).expect("an update");
     assert_eq!(read, whole);
