--- a/crates/storage/tests/crash_points.rs
+++ b/crates/storage/tests/crash_points.rs
@@ -17,7 +17,7 @@
 
 /// State that was acknowledged to the workload as durable.
 #[derive(Debug, Default)]
-struct Promises {
+struct Acknowledged {
     entries: u64,
     snapshot: u64,
 }
@@ -34,20 +34,20 @@
 }
 
 /// Writes entries and snapshots as a replica does, until the power fails.
-fn work(disk: &SimulatedDisk, promises: &mut Promises) -> Result<(), StorageError> {
+fn work(disk: &SimulatedDisk, acknowledged: &mut Acknowledged) -> Result<(), StorageError> {
     let (mut log, recovery) = WriteAheadLog::open(disk.clone(), settings())?;
-    check(disk, &recovery, promises);
+    check(disk, &recovery, acknowledged);
     let store = SnapshotStore::open(disk.clone(), GROUP)?;
     for index in 1..=ENTRIES {
         log.append_entry(GROUP, index, &body(index));
         log.set_hard_state(OTHER, &body(index));
         log.sync()?;
-        promises.entries = index;
+        acknowledged.entries = index;
         if index % SNAPSHOT_EVERY == 0 {
             store.save(index, b"header", &body(index))?;
             log.mark_snapshot(GROUP, index, b"mark");
             log.sync()?;
-            promises.snapshot = index;
+            acknowledged.snapshot = index;
             store.remove_older(index)?;
             while log.remove_obsolete()? {}
         }
@@ -57,13 +57,13 @@
 
 /// Checks that the recovered state is consistent and contains at least the acknowledged
 /// state.
-fn check(disk: &SimulatedDisk, recovery: &Recovery, promises: &Promises) {
+fn check(disk: &SimulatedDisk, recovery: &Recovery, acknowledged: &Acknowledged) {
     let Some(group) = recovery.groups.get(&GROUP) else {
-        assert_eq!(promises.entries, 0);
+        assert_eq!(acknowledged.entries, 0);
         return;
     };
     let covered = group.snapshot.as_ref().map_or(0, |mark| mark.index);
-    assert!(covered >= promises.snapshot, "{promises:?}");
+    assert!(covered >= acknowledged.snapshot, "{acknowledged:?}");
     if covered > 0 {
         let store = SnapshotStore::open(disk.clone(), GROUP).unwrap();
         let snapshot = store.load(covered).unwrap().expect("the log refers to it");
@@ -76,7 +76,7 @@
     let last = covered + group.entries.len() as u64;
     let expected: Vec<LogEntry> = (covered + 1..=last).map(entry).collect();
     assert_eq!(group.entries, expected);
-    assert!(last >= promises.entries, "{promises:?}");
+    assert!(last >= acknowledged.entries, "{acknowledged:?}");
     let other = &recovery.groups[&OTHER];
     assert_eq!(other.hard_state, Some(body(last)));
 }
@@ -89,30 +89,30 @@
 }
 
 #[test]
-fn log_and_snapshots_hang_together_when_power_fails_at_each_change() {
-    let changes = changes_of(|disk| work(disk, &mut Promises::default()).unwrap());
+fn log_and_snapshots_are_consistent_after_a_power_failure_at_each_change() {
+    let changes = changes_of(|disk| work(disk, &mut Acknowledged::default()).unwrap());
     for point in 0..changes {
         for seed in 0..SEEDS {
             let disk = SimulatedDisk::new();
-            let mut promises = Promises::default();
+            let mut acknowledged = Acknowledged::default();
             disk.fail_power_after(point);
-            let stopped = work(&disk, &mut promises);
+            let stopped = work(&disk, &mut acknowledged);
             assert!(stopped.is_err(), "no failure at {point}");
             disk.crash(seed);
             let (_, recovery) = WriteAheadLog::open(disk.clone(), settings())
                 .unwrap_or_else(|error| panic!("change {point}, seed {seed}: {error}"));
-            check(&disk, &recovery, &promises);
+            check(&disk, &recovery, &acknowledged);
         }
     }
 }
 
 #[test]
-fn recovery_can_itself_be_cut_short_at_each_change() {
+fn recovery_can_be_interrupted_at_each_change() {
     for seed in 0..40 {
         let disk = SimulatedDisk::new();
-        let mut promises = Promises::default();
+        let mut acknowledged = Acknowledged::default();
         disk.fail_power_after(60 + seed);
-        work(&disk, &mut promises).unwrap_err();
+        work(&disk, &mut acknowledged).unwrap_err();
         disk.crash(seed);
         for point in 0.. {
             disk.fail_power_after(point);
@@ -121,7 +121,7 @@
             drop(opened);
             disk.crash(seed + point);
             let (_, recovery) = WriteAheadLog::open(disk.clone(), settings()).unwrap();
-            check(&disk, &recovery, &promises);
+            check(&disk, &recovery, &acknowledged);
             if done {
                 break;
             }
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn small_file_is_old_or_new_when_power_fails_at_each_change() {
+fn small_file_is_old_or_new_after_a_power_failure_at_each_change() {
     let replace = |disk: &SimulatedDisk| write_checked(disk, "", "file", &[b"new", b" content"]);
     let first = |disk: &SimulatedDisk| write_checked(disk, "", "file", &[b"old"]).unwrap();
     let changes = changes_of(|disk| {
--- a/crates/storage/tests/files.rs
+++ b/crates/storage/tests/files.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn damaged_snapshot_is_refused_at_every_byte() {
+fn damaged_snapshot_is_rejected_at_every_byte() {
     let disk = SimulatedDisk::new();
     let store = SnapshotStore::open(disk.clone(), GROUP).unwrap();
     store.save(5, b"header", b"machine").unwrap();
@@ -63,7 +63,7 @@
 }
 
 /// Checks the payload log on one disk implementation.
-fn payload_log_behaves<D: Disk>(disk: &D) {
+fn check_payload_log<D: Disk>(disk: &D) {
     let mut log = FilePayloadLog::open(disk.clone(), GROUP, 0).unwrap();
     let first = log.append(b"first").unwrap();
     let waiting = log.append(b"second").unwrap();
@@ -91,17 +91,17 @@
 
 #[test]
 fn payload_log_on_a_simulated_disk() {
-    payload_log_behaves(&SimulatedDisk::new());
+    check_payload_log(&SimulatedDisk::new());
 }
 
 #[test]
 fn payload_log_on_a_real_disk() {
     let folder = tempfile::tempdir().unwrap();
-    payload_log_behaves(&RealDisk::open(folder.path()).unwrap());
+    check_payload_log(&RealDisk::open(folder.path()).unwrap());
 }
 
 #[test]
-fn damaged_payload_is_told() {
+fn damaged_payload_is_detected() {
     let disk = SimulatedDisk::new();
     let mut log = FilePayloadLog::open(disk.clone(), GROUP, 0).unwrap();
     let location = log.append(b"payload").unwrap();
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn full_disk_keeps_payloads_waiting() {
+fn full_disk_keeps_payloads_buffered() {
     let disk = SimulatedDisk::new();
     let mut log = FilePayloadLog::open(disk.clone(), GROUP, 0).unwrap();
     for free in 0..20 {
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn payload_log_shorter_than_its_snapshot_stops() {
+fn payload_log_shorter_than_its_snapshot_fails_to_open() {
     let disk = SimulatedDisk::new();
     let mut log = FilePayloadLog::open(disk.clone(), GROUP, 0).unwrap();
     log.append(b"payload").unwrap();
@@ -161,14 +161,14 @@
     let disk = SimulatedDisk::new();
     let mut log = FilePayloadLog::open_from(disk.clone(), GROUP, 0, 0).unwrap();
     let payload = vec![7; 1 << 20];
-    let mut places = Vec::new();
+    let mut locations = Vec::new();
     for _ in 0..20 {
-        places.push(log.append(&payload).unwrap());
+        locations.push(log.append(&payload).unwrap());
         log.flush().unwrap();
     }
     log.sync().unwrap();
     let before = disk.files().len();
-    let needed = places[11].offset;
+    let needed = locations[11].offset;
     log.drop_before(needed).unwrap();
     assert!(disk.files().len() < before);
     assert!(log.start() > 0 && log.start() <= needed);
@@ -180,8 +180,8 @@
             disk.crash(3);
         }
         let mut log = FilePayloadLog::open_from(disk.clone(), GROUP, needed, length).unwrap();
-        for place in &places[11..] {
-            assert_eq!(log.read(*place).unwrap(), payload);
+        for location in &locations[11..] {
+            assert_eq!(log.read(*location).unwrap(), payload);
         }
         assert_eq!(log.length(), length);
         let next = log.append(b"next").unwrap();
@@ -193,11 +193,11 @@
 }
 
 #[test]
-fn a_payload_log_of_which_nothing_is_needed_goes_on_where_it_was() {
+fn payload_log_without_needed_payloads_continues_at_its_offset() {
     let disk = SimulatedDisk::new();
     let mut log = FilePayloadLog::open_from(disk, GROUP, 500, 500).unwrap();
     assert_eq!((log.start(), log.length()), (500, 500));
-    let place = log.append(b"first").unwrap();
+    let location = log.append(b"first").unwrap();
     log.sync().unwrap();
-    assert_eq!(log.read(place).unwrap(), b"first");
+    assert_eq!(log.read(location).unwrap(), b"first");
 }
--- a/crates/storage/tests/write_ahead_log.rs
+++ b/crates/storage/tests/write_ahead_log.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn torn_tail_is_cut_at_every_byte() {
+fn torn_tail_is_truncated_at_every_byte() {
     let disk = SimulatedDisk::new();
     let ends = three_frames(&disk);
     for length in ends[1]..ends[2] {
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn damage_at_every_byte_before_a_whole_frame_stops() {
+fn damage_at_every_byte_before_a_valid_frame_is_an_error() {
     let disk = SimulatedDisk::new();
     let ends = three_frames(&disk);
     for offset in 0..ends[1] {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn damage_in_an_older_segment_stops() {
+fn damage_in_an_older_segment_is_an_error() {
     let disk = SimulatedDisk::new();
     let (mut log, _) = open(&disk);
     for index in 1..=20 {
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn missing_segment_stops() {
+fn missing_segment_is_an_error() {
     let disk = SimulatedDisk::new();
     let (mut log, _) = open(&disk);
     for index in 1..=20 {
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn snapshots_let_old_segments_go() {
+fn snapshots_allow_removal_of_old_segments() {
     let disk = SimulatedDisk::new();
     let (mut log, _) = open(&disk);
     log.set_hard_state(GROUP, b"vote");
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_lagging_group_is_written_again() {
+fn lagging_group_can_be_appended_again() {
     let disk = SimulatedDisk::new();
     let (mut log, _) = open(&disk);
     log.append_entry(OTHER, 1, b"lone entry");
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn full_disk_is_carried_by_the_reserve_then_refused_whole() {
+fn full_disk_uses_the_reserve_and_then_rejects_the_write() {
     let disk = SimulatedDisk::new();
     let (mut log, _) = open(&disk);
     log.append_entry(GROUP, 1, b"first");
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn any_crash_leaves_the_synced_state_or_the_one_under_way() {
+fn any_crash_leaves_the_synced_state_or_the_one_in_progress() {
     let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let config = ProptestConfig {
         cases: 200,
