--- a/crates/state/src/batch/command.rs
+++ b/crates/state/src/batch/command.rs
@@ -104,7 +104,7 @@
 
 /// Progress of an item as stored by the batch group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct Mark {
+pub struct StoredProgress {
     /// Number of the last stored event.
     #[n(0)]
     pub last_event: u64,
@@ -174,6 +174,6 @@
     Progress {
         /// Stored progress; `None` for an item without stored progress.
         #[n(1)]
-        kept: Vec<Option<Mark>>,
+        kept: Vec<Option<StoredProgress>>,
     },
 }
--- a/crates/state/src/batch/job.rs
+++ b/crates/state/src/batch/job.rs
@@ -5,7 +5,7 @@
 use minicbor::bytes::ByteVec;
 use minicbor::{Decode, Encode};
 
-use super::command::{ItemCheckpoint, Mark, RunId};
+use super::command::{ItemCheckpoint, RunId, StoredProgress};
 use super::packed::PackedText;
 use crate::codec::{decode, encode};
 use crate::payload::{PayloadError, PayloadLocation, PayloadLog};
@@ -61,9 +61,10 @@
 impl ItemProgress {
     /// Returns the stored progress, or `None` if nothing is stored.
     #[must_use]
-    pub fn mark(&self) -> Option<Mark> {
+    pub fn stored(&self) -> Option<StoredProgress> {
         let run = self.run;
-        self.last_event.map(|last_event| Mark { last_event, run })
+        self.last_event
+            .map(|last_event| StoredProgress { last_event, run })
     }
 }
 
@@ -290,7 +291,10 @@
     /// not continue the stored progress comes from another run; it replaces the progress
     /// only if it starts at the first event and ends at a later one. Returns the stored
     /// progress afterwards.
-    pub(super) fn store_checkpoint(&mut self, checkpoint: &ItemCheckpoint) -> Option<Mark> {
+    pub(super) fn store_checkpoint(
+        &mut self,
+        checkpoint: &ItemCheckpoint,
+    ) -> Option<StoredProgress> {
         let place = checkpoint.item.place;
         self.outcomes
             .get(place as usize)
@@ -309,7 +313,7 @@
             progress.last_event = Some(checkpoint.last_event);
             progress.run = checkpoint.run;
         }
-        self.progress.get(&place).and_then(ItemProgress::mark)
+        self.progress.get(&place).and_then(ItemProgress::stored)
     }
 
     /// Iterates over the indexes of items that still have to run.
--- a/crates/state/src/batch/mod.rs
+++ b/crates/state/src/batch/mod.rs
@@ -13,8 +13,8 @@
 mod queue;
 
 pub use command::{
-    BatchCommand, BatchReply, ItemCheckpoint, ItemRecord, ItemReference, Mark, RecordOutcome,
-    RunId, SubmitJob,
+    BatchCommand, BatchReply, ItemCheckpoint, ItemRecord, ItemReference, RecordOutcome, RunId,
+    StoredProgress, SubmitJob,
 };
 pub use job::{BatchItem, BatchJob, ItemOutcome, ItemProgress};
 pub use machine::BatchMachine;
--- a/crates/state/src/batch/output.rs
+++ b/crates/state/src/batch/output.rs
@@ -1,7 +1,7 @@
 //! Output of an item at the gateway that runs it, and tracking of the part that the batch
 //! group has stored.
 
-use super::command::{ItemCheckpoint, ItemReference, Mark, RunId};
+use super::command::{ItemCheckpoint, ItemReference, RunId, StoredProgress};
 use super::job::ItemProgress;
 use super::packed::PackedText;
 
@@ -24,7 +24,7 @@
 /// The prefix of an output that the batch group has stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Kept {
-    mark: Option<Mark>,
+    stored: Option<StoredProgress>,
     pieces: usize,
 }
 
@@ -49,7 +49,7 @@
             return Self::begin(run);
         };
         let kept = Kept {
-            mark: progress.mark(),
+            stored: progress.stored(),
             pieces: data.len(),
         };
         Self {
@@ -83,7 +83,7 @@
     #[must_use]
     pub fn checkpoint(&self, item: ItemReference) -> Option<(ItemCheckpoint, Kept)> {
         let last_event = self.last_event?;
-        let after = self.kept.mark;
+        let after = self.kept.stored;
         if after.is_some_and(|kept| kept.last_event >= last_event) {
             return None;
         }
@@ -96,16 +96,16 @@
             run,
         };
         let kept = Kept {
-            mark: Some(Mark { last_event, run }),
+            stored: Some(StoredProgress { last_event, run }),
             pieces: self.data.len(),
         };
         Some((checkpoint, kept))
     }
 
-    /// Records the reply to a checkpoint: `kept` is the expected prefix, `mark` the
+    /// Records the reply to a checkpoint: `kept` is the expected prefix, `stored` the
     /// progress that the batch group reports.
-    pub fn note_kept(&mut self, kept: Kept, mark: Option<Mark>) {
-        match mark == kept.mark {
+    pub fn note_kept(&mut self, kept: Kept, stored: Option<StoredProgress>) {
+        match stored == kept.stored {
             true => self.kept = kept,
             false => self.forget_kept(),
         }
--- a/crates/state/src/declared/bars.rs
+++ b/crates/state/src/declared/bars.rs
@@ -13,7 +13,7 @@
 
 /// Duration of a bar. A request that is sent every day crashes at most three engines per
 /// day. Nodes use their wall clocks, which differ only by seconds.
-pub const BAR_HOLDS: Duration = Duration::from_secs(24 * 3_600);
+pub const BAR_DURATION: Duration = Duration::from_secs(24 * 3_600);
 
 /// A bar on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
@@ -37,7 +37,7 @@
     /// or `None` if it is lifted or expired.
     #[must_use]
     pub fn holds_for(&self, now_ms: u64) -> Option<Duration> {
-        let ends_ms = self.since_ms + BAR_HOLDS.as_millis() as u64;
+        let ends_ms = self.since_ms + BAR_DURATION.as_millis() as u64;
         let left = ends_ms.checked_sub(now_ms).filter(|left| *left > 0)?;
         (!self.lifted).then(|| Duration::from_millis(left))
     }
--- a/crates/state/src/declared/mod.rs
+++ b/crates/state/src/declared/mod.rs
@@ -18,7 +18,7 @@
 mod stores;
 mod tenants;
 
-pub use bars::{BAR_HOLDS, Bar, Bars};
+pub use bars::{BAR_DURATION, Bar, Bars};
 pub use command::{Declaration, DeclaredCommand, DeclaredReply, RegisterStore, RetireReply};
 pub use departures::{Departure, Departures};
 pub use document::Document;
--- a/crates/state/src/job/submission.rs
+++ b/crates/state/src/job/submission.rs
@@ -22,7 +22,7 @@
                 return Ok(reply);
             }
         } else {
-            self.forget(begin.job);
+            self.remove_job(begin.job);
         }
         let job = ActiveJob::open(begin.clone(), self.next_sequence);
         self.next_sequence += 1;
@@ -57,7 +57,7 @@
     }
 
     /// Removes a job and its leases.
-    pub(super) fn forget(&mut self, id: JobId) {
+    pub(super) fn remove_job(&mut self, id: JobId) {
         if let Some(job) = self.active.remove(&id) {
             self.ready.remove(&job);
             self.by_sequence.remove(&job.sequence);
@@ -106,7 +106,7 @@
             .get(&id)
             .is_some_and(|job| job.phase == JobPhase::Submitting && job.items.len() == received);
         if abandoned {
-            self.forget(id);
+            self.remove_job(id);
         }
         self.reply(id, payloads)
     }
--- a/crates/state/tests/bars.rs
+++ b/crates/state/tests/bars.rs
@@ -4,7 +4,7 @@
     ControlAnswer, ControlCommand, ControlMachine, ControlQuery, ControlReply,
 };
 use molespan_state::declared::{
-    BAR_HOLDS, Bar, DeclaredCommand, DeclaredReply, DeclaredState, RequestDigest, RequestParts,
+    BAR_DURATION, Bar, DeclaredCommand, DeclaredReply, DeclaredState, RequestDigest, RequestParts,
 };
 use molespan_state::{decode, encode};
 
@@ -23,7 +23,7 @@
 
 fn apply(machine: &mut ControlMachine, command: DeclaredCommand) {
     let reply = machine.apply(&ControlCommand::Declared(command));
-    assert_eq!(reply, ControlReply::Declared(DeclaredReply::Noted));
+    assert_eq!(reply, ControlReply::Declared(DeclaredReply::Applied));
 }
 
 fn bar_request(machine: &mut ControlMachine, number: u64, since_ms: u64) {
@@ -55,8 +55,8 @@
         "a second request changes nothing"
     );
     assert_eq!(machine.declared().revision(), revision);
-    let hours = BAR_HOLDS.as_millis() as u64;
-    assert_eq!(first.holds_for(NOW), Some(BAR_HOLDS));
+    let hours = BAR_DURATION.as_millis() as u64;
+    assert_eq!(first.holds_for(NOW), Some(BAR_DURATION));
     assert!(first.holds_for(NOW + hours - 1).is_some());
     assert_eq!(first.holds_for(NOW + hours), None);
     // An expired bar is renewed and gets a higher change number.
--- a/crates/state/tests/batch_output.rs
+++ b/crates/state/tests/batch_output.rs
@@ -3,7 +3,7 @@
 
 use molespan_state::batch::{
     BatchAnswer, BatchCommand, BatchItem, BatchMachine, BatchQuery, BatchReply, ItemCheckpoint,
-    ItemProgress, ItemReference, Kept, Mark, Output, SubmitJob,
+    ItemProgress, ItemReference, Kept, Output, StoredProgress, SubmitJob,
 };
 use proptest::prelude::*;
 
@@ -95,7 +95,7 @@
 }
 
 /// Commits a checkpoint and returns the reply of the batch group.
-fn keep(machine: &mut BatchMachine, checkpoint: ItemCheckpoint) -> Option<Mark> {
+fn keep(machine: &mut BatchMachine, checkpoint: ItemCheckpoint) -> Option<StoredProgress> {
     let items = vec![checkpoint];
     match machine.apply(&BatchCommand::Checkpoint { items }) {
         BatchReply::Progress { kept } => kept[0],
--- a/crates/storage/src/simulated/mod.rs
+++ b/crates/storage/src/simulated/mod.rs
@@ -55,7 +55,7 @@
     }
 
     /// Simulates a power loss that keeps exactly the synced data.
-    pub fn crash_clean(&self) {
+    pub fn crash_to_synced(&self) {
         let mut state = self.state();
         state.pending.clear();
         state.names = state.durable_names.clone();
@@ -91,7 +91,7 @@
         let copy = SimulatedDisk {
             state: Arc::new(Mutex::new(copy)),
         };
-        copy.crash_clean();
+        copy.crash_to_synced();
         copy
     }
 
--- a/crates/storage/tests/files.rs
+++ b/crates/storage/tests/files.rs
@@ -137,7 +137,7 @@
     log.append(b"payload").unwrap();
     log.flush().unwrap();
     let length = log.length();
-    disk.crash_clean();
+    disk.crash_to_synced();
     let error = FilePayloadLog::open(disk, GROUP, length).unwrap_err();
     assert!(matches!(error, StorageError::Corrupt { .. }));
 }
