--- a/crates/state/tests/batch_output.rs
+++ b/crates/state/tests/batch_output.rs
@@ -53,7 +53,7 @@
     }
 
     /// Produces events that are unique to this run.
-    fn make(&mut self, count: u8) {
+    fn produce(&mut self, count: u8) {
         for _ in 0..count {
             let event = self.output.last_event().unwrap_or(0) + 1;
             let data = format!("run {} event {event}", self.number);
@@ -95,7 +95,7 @@
 }
 
 /// Commits a checkpoint and returns the reply of the batch group.
-fn keep(machine: &mut BatchMachine, checkpoint: ItemCheckpoint) -> Option<StoredProgress> {
+fn commit(machine: &mut BatchMachine, checkpoint: ItemCheckpoint) -> Option<StoredProgress> {
     let items = vec![checkpoint];
     match machine.apply(&BatchCommand::Checkpoint { items }) {
         BatchReply::Progress { kept } => kept[0],
@@ -116,7 +116,7 @@
     events.join("\n")
 }
 
-fn run(output: &mut Output, events: u8) {
+fn produce_events(output: &mut Output, events: u8) {
     for _ in 0..events {
         let event = output.last_event().unwrap_or(0) + 1;
         output.push(Some(event), format!("e{event}"));
@@ -127,20 +127,20 @@
 fn unacknowledged_checkpoint_does_not_block_later_ones() {
     let mut machine = machine();
     let mut output = Output::begin(1);
-    run(&mut output, 3);
+    produce_events(&mut output, 3);
     let (checkpoint, _) = output.checkpoint(ITEM).expect("unsaved output");
-    keep(&mut machine, checkpoint);
+    commit(&mut machine, checkpoint);
     output.forget_kept();
-    run(&mut output, 2);
+    produce_events(&mut output, 2);
     let (checkpoint, kept) = output.checkpoint(ITEM).expect("unsaved output");
-    let answered = keep(&mut machine, checkpoint);
+    let answered = commit(&mut machine, checkpoint);
     output.note_kept(kept, answered);
     assert_eq!(progress(&machine).last_event, Some(5));
     // Later checkpoints contain only new events.
-    run(&mut output, 1);
+    produce_events(&mut output, 1);
     let (checkpoint, _) = output.checkpoint(ITEM).expect("unsaved output");
     assert_eq!(checkpoint.after, Some(5));
-    keep(&mut machine, checkpoint);
+    commit(&mut machine, checkpoint);
     let resumed = Output::resume(&progress(&machine), 2);
     assert_eq!(resumed.text().unpack(), Some(text(6)));
     assert!(resumed.checkpoint(ITEM).is_none(), "all of it is kept");
@@ -156,12 +156,12 @@
     two.push(Some(1), "two-1".to_owned());
     for output in [&mut one, &mut two] {
         let (checkpoint, kept) = output.checkpoint(ITEM).expect("unsaved output");
-        let answered = keep(&mut machine, checkpoint);
+        let answered = commit(&mut machine, checkpoint);
         output.note_kept(kept, answered);
     }
     two.push(Some(2), "two-2".to_owned());
     let (checkpoint, _) = two.checkpoint(ITEM).expect("unsaved output");
-    keep(&mut machine, checkpoint);
+    commit(&mut machine, checkpoint);
     let resumed = Output::resume(&progress(&machine), 3);
     assert_eq!(resumed.text().unpack().as_deref(), Some("two-1\ntwo-2"));
 }
@@ -197,7 +197,7 @@
             let latest = runs.len() - 1;
             let place = |back: usize| latest.saturating_sub(back);
             match step {
-                Step::Events(run, events) => runs[place(run)].make(events),
+                Step::Events(run, events) => runs[place(run)].produce(events),
                 Step::NewGateway => {
                     let number = runs.len() as u64;
                     runs.push(Run::resume(number, &progress(&machine)));
@@ -209,11 +209,11 @@
                     };
                     match delivery {
                         Delivery::Acknowledged => {
-                            let kept = keep(&mut machine, checkpoint);
+                            let kept = commit(&mut machine, checkpoint);
                             run.output.note_kept(expected, kept);
                         }
                         Delivery::Unacknowledged => {
-                            keep(&mut machine, checkpoint);
+                            commit(&mut machine, checkpoint);
                             run.output.forget_kept();
                         }
                         Delivery::Lost => run.output.forget_kept(),
@@ -225,7 +225,7 @@
                 }
                 Step::CommitLate => {
                     if !late.is_empty() {
-                        keep(&mut machine, late.remove(0));
+                        commit(&mut machine, late.remove(0));
                     }
                 }
             }
@@ -244,7 +244,7 @@
         let output = &mut runs.last_mut().expect("a run").output;
         for _ in 0..2 {
             if let Some((checkpoint, expected)) = output.checkpoint(ITEM) {
-                let kept = keep(&mut machine, checkpoint);
+                let kept = commit(&mut machine, checkpoint);
                 output.note_kept(expected, kept);
             }
         }
--- a/crates/state/tests/batch_payloads.rs
+++ b/crates/state/tests/batch_payloads.rs
@@ -80,7 +80,7 @@
     }
 }
 
-fn done(jobs: u64) -> (Machine, MemoryPayloadLog) {
+fn completed_jobs(jobs: u64) -> (Machine, MemoryPayloadLog) {
     let mut machine = Machine::for_group(GroupId::BATCH);
     let mut payloads = MemoryPayloadLog::default();
     for job in 1..=jobs {
@@ -97,7 +97,7 @@
 /// restart with them.
 #[test]
 fn memory_and_snapshots_do_not_grow_with_outputs() {
-    let (machine, payloads) = done(4);
+    let (machine, payloads) = completed_jobs(4);
     let snapshot = machine.snapshot();
     assert!(
         snapshot.len() < OUTPUT_BYTES * ITEMS as usize / 10,
@@ -113,7 +113,7 @@
 
 #[test]
 fn log_is_needed_from_the_oldest_output_of_a_stored_job() {
-    let (mut machine, mut payloads) = done(3);
+    let (mut machine, mut payloads) = completed_jobs(3);
     let length = payloads.length();
     assert_eq!(machine.payloads_needed_from(length), Some(0));
     apply(
@@ -142,7 +142,7 @@
 /// An unreadable output must be distinguishable from a missing one.
 #[test]
 fn unreadable_output_is_distinguished_from_a_missing_one() {
-    let (machine, _) = done(1);
+    let (machine, _) = completed_jobs(1);
     let answer = results(&machine, &MemoryPayloadLog::default(), "job-1");
     assert!(
         matches!(answer, BatchAnswer::Unreadable { .. }),
--- a/crates/state/tests/declared.rs
+++ b/crates/state/tests/declared.rs
@@ -152,14 +152,14 @@
     assert!(model(vec![route("a", "/x/")]).problems().is_empty());
     let mut unknown = route("a", "/u/");
     unknown.destinations[0].service = "none".to_owned();
-    let mut weightless = route("a", "/w/");
-    weightless.destinations[0].weight = 0;
-    let mut timeless = route("a", "/t/");
-    timeless.timeout_ms = 0;
+    let mut without_weight = route("a", "/w/");
+    without_weight.destinations[0].weight = 0;
+    let mut without_timeout = route("a", "/t/");
+    without_timeout.timeout_ms = 0;
     let routes = vec![
         unknown,
-        weightless,
-        timeless,
+        without_weight,
+        without_timeout,
         route("a", "/x/"),
         route("a", "/x/"),
         route("a", "x"),
--- a/crates/state/tests/replay.rs
+++ b/crates/state/tests/replay.rs
@@ -149,19 +149,19 @@
         commands in vec(job_command(), 1..120),
         cuts in vec(any::<Index>(), 1..4),
     ) {
-        let mut straight = Group::default();
+        let mut uninterrupted = Group::default();
         let mut restored = Group::default();
         let cuts: Vec<usize> = cuts.iter().map(|cut| cut.index(commands.len())).collect();
         for (position, command) in commands.into_iter().enumerate() {
             if cuts.contains(&position) {
                 restored = restored.restored();
             }
-            let expected = straight.apply(command.clone());
+            let expected = uninterrupted.apply(command.clone());
             prop_assert_eq!(restored.apply(command), expected);
         }
-        prop_assert_eq!(&restored.machine, &straight.machine);
-        prop_assert_eq!(restored.machine.snapshot(), straight.machine.snapshot());
-        prop_assert_eq!(restored.payloads.bytes(), straight.payloads.bytes());
+        prop_assert_eq!(&restored.machine, &uninterrupted.machine);
+        prop_assert_eq!(restored.machine.snapshot(), uninterrupted.machine.snapshot());
+        prop_assert_eq!(restored.payloads.bytes(), uninterrupted.payloads.bytes());
     }
 
     #[test]
@@ -169,16 +169,16 @@
         commands in vec(control_command(), 1..120),
         cuts in vec(any::<Index>(), 1..4),
     ) {
-        let mut straight = ControlMachine::new();
+        let mut uninterrupted = ControlMachine::new();
         let mut restored = ControlMachine::new();
         let cuts: Vec<usize> = cuts.iter().map(|cut| cut.index(commands.len())).collect();
         for (position, command) in commands.iter().enumerate() {
             if cuts.contains(&position) {
                 restored = ControlMachine::restore(&restored.snapshot()).unwrap();
             }
-            prop_assert_eq!(restored.apply(command), straight.apply(command));
+            prop_assert_eq!(restored.apply(command), uninterrupted.apply(command));
         }
-        prop_assert_eq!(&restored, &straight);
-        prop_assert_eq!(restored.snapshot(), straight.snapshot());
+        prop_assert_eq!(&restored, &uninterrupted);
+        prop_assert_eq!(restored.snapshot(), uninterrupted.snapshot());
     }
 }
--- a/crates/state/tests/sharing.rs
+++ b/crates/state/tests/sharing.rs
@@ -8,7 +8,7 @@
 use support::{Group, positions, request, submission};
 
 /// Creates a submission of 1,000 items by `tenant`.
-fn of_tenant(tenant: &str, key: &str, deadline: u64) -> BeginJob {
+fn submission_of(tenant: &str, key: &str, deadline: u64) -> BeginJob {
     let tenant = TenantId::from(tenant);
     BeginJob {
         job: JobId::from_key(&tenant, key),
@@ -19,7 +19,7 @@
 }
 
 /// Requests ten items for each sequence number and counts the leases of `job`.
-fn leases_of(group: &mut Group, sequences: std::ops::Range<u64>, job: JobId) -> usize {
+fn count_leases_of(group: &mut Group, sequences: std::ops::Range<u64>, job: JobId) -> usize {
     sequences
         .map(|sequence| group.lease(1, sequence, 10))
         .filter(|lease| lease.job == job)
@@ -29,17 +29,17 @@
 #[test]
 fn earliest_deadline_of_a_tenant_is_scheduled_first() {
     let mut group = Group::default();
-    group.submit(&of_tenant("archive", "later", 200));
-    let sooner = group.submit(&of_tenant("archive", "sooner", 100));
+    group.submit(&submission_of("archive", "later", 200));
+    let sooner = group.submit(&submission_of("archive", "sooner", 100));
     assert_eq!(group.lease(1, 1, 10).job, sooner);
 }
 
 #[test]
 fn tenant_with_early_deadlines_does_not_starve_another() {
     let mut group = Group::default();
-    group.submit(&of_tenant("archive", "soon", 1));
-    let late = group.submit(&of_tenant("lab", "late", 9_999));
-    assert_eq!(leases_of(&mut group, 0..20, late), 10);
+    group.submit(&submission_of("archive", "soon", 1));
+    let late = group.submit(&submission_of("lab", "late", 9_999));
+    assert_eq!(count_leases_of(&mut group, 0..20, late), 10);
 }
 
 #[test]
@@ -49,34 +49,34 @@
         tenant: TenantId::from("lab"),
         weight: 3,
     });
-    group.submit(&of_tenant("archive", "album", 1));
-    let heavy = group.submit(&of_tenant("lab", "grades", 1));
-    assert_eq!(leases_of(&mut group, 0..40, heavy), 30);
+    group.submit(&submission_of("archive", "album", 1));
+    let heavy = group.submit(&submission_of("lab", "grades", 1));
+    assert_eq!(count_leases_of(&mut group, 0..40, heavy), 30);
 }
 
 #[test]
 fn returning_tenant_does_not_catch_up_on_its_idle_period() {
     let mut group = Group::default();
-    group.submit(&of_tenant("archive", "album", 1));
+    group.submit(&submission_of("archive", "album", 1));
     for sequence in 0..50 {
         group.lease(1, sequence, 10);
     }
-    let newcomer = group.submit(&of_tenant("lab", "grades", 1));
-    assert_eq!(leases_of(&mut group, 50..70, newcomer), 10);
+    let newcomer = group.submit(&submission_of("lab", "grades", 1));
+    assert_eq!(count_leases_of(&mut group, 50..70, newcomer), 10);
 }
 
 #[test]
 fn returned_items_are_not_charged_to_their_tenant() {
     let mut group = Group::default();
-    group.submit(&of_tenant("archive", "album", 1));
-    let other = group.submit(&of_tenant("lab", "grades", 1));
+    group.submit(&submission_of("archive", "album", 1));
+    let other = group.submit(&submission_of("lab", "grades", 1));
     for sequence in 0..10 {
         let lease = group.lease(1, sequence, 10);
         if lease.job == other {
             group.return_items(lease.lease);
         }
     }
-    let taken = leases_of(&mut group, 10..30, other);
+    let taken = count_leases_of(&mut group, 10..30, other);
     assert!(taken >= 10, "{taken} of 20");
 }
 
