--- a/crates/storage/tests/crash_points.rs
+++ b/crates/storage/tests/crash_points.rs
@@ -34,7 +34,7 @@
 }
 
 /// Writes entries and snapshots as a replica does, until the power fails.
-fn work(disk: &SimulatedDisk, acknowledged: &mut Acknowledged) -> Result<(), StorageError> {
+fn run_workload(disk: &SimulatedDisk, acknowledged: &mut Acknowledged) -> Result<(), StorageError> {
     let (mut log, recovery) = WriteAheadLog::open(disk.clone(), settings())?;
     check(disk, &recovery, acknowledged);
     let store = SnapshotStore::open(disk.clone(), GROUP)?;
@@ -90,13 +90,13 @@
 
 #[test]
 fn log_and_snapshots_are_consistent_after_a_power_failure_at_each_change() {
-    let changes = changes_of(|disk| work(disk, &mut Acknowledged::default()).unwrap());
+    let changes = changes_of(|disk| run_workload(disk, &mut Acknowledged::default()).unwrap());
     for point in 0..changes {
         for seed in 0..SEEDS {
             let disk = SimulatedDisk::new();
             let mut acknowledged = Acknowledged::default();
             disk.fail_power_after(point);
-            let stopped = work(&disk, &mut acknowledged);
+            let stopped = run_workload(&disk, &mut acknowledged);
             assert!(stopped.is_err(), "no failure at {point}");
             disk.crash(seed);
             let (_, recovery) = WriteAheadLog::open(disk.clone(), settings())
@@ -112,7 +112,7 @@
         let disk = SimulatedDisk::new();
         let mut acknowledged = Acknowledged::default();
         disk.fail_power_after(60 + seed);
-        work(&disk, &mut acknowledged).unwrap_err();
+        run_workload(&disk, &mut acknowledged).unwrap_err();
         disk.crash(seed);
         for point in 0.. {
             disk.fail_power_after(point);
--- a/crates/storage/tests/write_ahead_log.rs
+++ b/crates/storage/tests/write_ahead_log.rs
@@ -30,7 +30,7 @@
 }
 
 /// Writes three synced frames and returns the length of the segment after each.
-fn three_frames(disk: &SimulatedDisk) -> Vec<u64> {
+fn write_three_frames(disk: &SimulatedDisk) -> Vec<u64> {
     let (mut log, _) = open(disk);
     (1..=3)
         .map(|index| {
@@ -45,7 +45,7 @@
 #[test]
 fn reads_back_what_was_synced() {
     let disk = SimulatedDisk::new();
-    three_frames(&disk);
+    write_three_frames(&disk);
     let (log, recovery) = open(&disk);
     assert_eq!(indexes(&recovery, GROUP), [1, 2, 3]);
     let other = &recovery.groups[&OTHER];
@@ -68,7 +68,7 @@
 #[test]
 fn torn_tail_is_truncated_at_every_byte() {
     let disk = SimulatedDisk::new();
-    let ends = three_frames(&disk);
+    let ends = write_three_frames(&disk);
     for length in ends[1]..ends[2] {
         let copy = SimulatedDisk::new();
         copy.roll_back(&disk.backup());
@@ -85,7 +85,7 @@
 #[test]
 fn damage_at_every_byte_before_a_valid_frame_is_an_error() {
     let disk = SimulatedDisk::new();
-    let ends = three_frames(&disk);
+    let ends = write_three_frames(&disk);
     for offset in 0..ends[1] {
         let copy = SimulatedDisk::new();
         copy.roll_back(&disk.backup());
