--- a/crates/state/src/declared/command.rs
+++ b/crates/state/src/declared/command.rs
@@ -140,7 +140,7 @@
     },
     /// The command was applied.
     #[n(1)]
-    Applied,
+    Noted,
     /// Reply to [`DeclaredCommand::Retire`].
     #[n(2)]
     Retire(#[n(0)] RetireReply),
--- a/crates/state/src/declared/state.rs
+++ b/crates/state/src/declared/state.rs
@@ -134,6 +134,6 @@
 
     fn count_change(&mut self, changed: bool) -> DeclaredReply {
         self.revision += u64::from(changed);
-        DeclaredReply::Applied
+        DeclaredReply::Noted
     }
 }
--- a/crates/state/tests/bars.rs
+++ b/crates/state/tests/bars.rs
@@ -23,7 +23,7 @@
 
 fn apply(machine: &mut ControlMachine, command: DeclaredCommand) {
     let reply = machine.apply(&ControlCommand::Declared(command));
-    assert_eq!(reply, ControlReply::Declared(DeclaredReply::Applied));
+    assert_eq!(reply, ControlReply::Declared(DeclaredReply::Noted));
 }
 
 fn bar_request(machine: &mut ControlMachine, number: u64, since_ms: u64) {
