--- a/crates/state/src/batch/command.rs
+++ b/crates/state/src/batch/command.rs
@@ -108,7 +108,7 @@
     /// Number of the last stored event.
     #[n(0)]
     pub last_event: u64,
-    /// Run that produced the output.
+    /// Run that produced the event.
     #[n(1)]
     pub run: RunId,
 }
@@ -139,7 +139,7 @@
         #[n(0)]
         items: Vec<ItemCheckpoint>,
     },
-    /// Removes a job whose retention time has passed.
+    /// Removes a job whose results may no longer be requested.
     #[n(3)]
     Forget {
         /// Number of the job.
--- a/crates/state/src/batch/job.rs
+++ b/crates/state/src/batch/job.rs
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Length of the uncompressed output in bytes.
+    /// Returns the length of the uncompressed output in bytes.
     pub fn length(&self) -> u64 {
         match self {
             Self::Completed { text } => text.length(),
--- a/crates/state/src/batch/packed.rs
+++ b/crates/state/src/batch/packed.rs
@@ -45,7 +45,7 @@
         (text.len() as u64 == self.length).then_some(text)
     }
 
-    /// Length of the uncompressed text in bytes.
+    /// Returns the length of the uncompressed text in bytes.
     #[must_use]
     pub fn length(&self) -> u64 {
         self.length
--- a/crates/state/src/batch/query.rs
+++ b/crates/state/src/batch/query.rs
@@ -141,7 +141,7 @@
     /// Answer to [`BatchQuery::Results`]; `None` if the job does not exist.
     #[n(0)]
     Results(#[n(0)] Option<ResultPage>),
-    /// Answer to [`BatchQuery::Body`]; `None` if there is no such open item.
+    /// Answer to [`BatchQuery::Body`]; `None` if there is no such item without an outcome.
     #[n(1)]
     Body(#[n(0)] Option<ByteVec>),
     /// Answer to [`BatchQuery::Open`].
--- a/crates/state/src/declared/command.rs
+++ b/crates/state/src/declared/command.rs
@@ -122,7 +122,7 @@
     /// The store is being emptied or is already empty.
     #[n(2)]
     Taken {
-        /// Progress of its departure.
+        /// Progress of the retirement.
         #[n(0)]
         retirement: Retirement,
     },
@@ -134,7 +134,7 @@
     /// The version in force after the command.
     #[n(0)]
     Version {
-        /// The emptied store.
+        /// Version in force.
         #[n(0)]
         version: u64,
     },
--- a/crates/state/src/explore/mod.rs
+++ b/crates/state/src/explore/mod.rs
@@ -97,7 +97,7 @@
     finish(reached.len(), transitions, next == reached.len(), None)
 }
 
-/// Result of a search.
+/// Builds the result of a search.
 fn finish(
     states: usize,
     transitions: usize,
--- a/crates/state/src/job/command.rs
+++ b/crates/state/src/job/command.rs
@@ -109,7 +109,7 @@
 /// Claims the right to run a non-repeatable request.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ClaimRequest {
-    /// Who asks.
+    /// Tenant that sends the request.
     #[n(0)]
     pub tenant: TenantId,
     /// Idempotency key of the request.
