--- a/crates/state/src/explore/claim_model.rs
+++ b/crates/state/src/explore/claim_model.rs
@@ -1,4 +1,5 @@
-//! One key, three attempts, two bodies, every end at any point.
+//! Model of claims: one key, three attempts and two bodies, with every command possible in
+//! every state.
 
 use minicbor::bytes::ByteVec;
 use minicbor::{Decode, Encode};
@@ -9,9 +10,9 @@
 use crate::codec::encode;
 use crate::job::{ClaimReply, ClaimRequest, JobCommand, JobMachine, JobReply, SettleClaim};
 
-/// Attempts that race for the claim.
+/// Number of attempts that compete for the claim.
 const ATTEMPTS: u64 = 3;
-/// The body that is sent, and another one under the same key.
+/// Digests of two different bodies sent with the same key.
 const BODIES: [Digest; 2] = [Digest(1), Digest(2)];
 const OUTCOMES: [RunOutcome; 3] = [
     RunOutcome::Completed,
@@ -19,27 +20,27 @@
     RunOutcome::Unknown,
 ];
 
-/// Explores a claim.
+/// Model of a single claim.
 #[derive(Debug, Default)]
 pub struct ClaimModel;
 
-/// What the replies promised.
+/// Reference state: the guarantees given by earlier replies.
 #[derive(Clone, Debug, Default, Encode, Decode)]
-struct Promises {
-    /// Who may run the request, and its body.
+struct ReferenceState {
+    /// Attempt that holds the claim, and the digest of its body.
     #[n(0)]
     holder: Option<(AttemptId, Digest)>,
-    /// How it ended, and the answer.
+    /// Outcome and answer of the settled claim.
     #[n(1)]
-    end: Option<(RunOutcome, ByteVec)>,
+    settled: Option<(RunOutcome, ByteVec)>,
 }
 
-/// The machine and its promises.
+/// The machine and its reference state.
 #[derive(Clone, Debug)]
 pub struct ClaimState {
     machine: JobMachine,
     payloads: InternedLog,
-    promises: Promises,
+    reference: ReferenceState,
 }
 
 impl Model for ClaimModel {
@@ -49,7 +50,7 @@
         ClaimState {
             machine: JobMachine::new(),
             payloads: InternedLog::default(),
-            promises: Promises::default(),
+            reference: ReferenceState::default(),
         }
     }
 
@@ -78,26 +79,26 @@
             .map_err(|_| "a payload is lost")?;
         match (command, reply) {
             (JobCommand::Claim(request), JobReply::Claim(reply)) => {
-                after.promises.check_claim(request, reply)?;
+                after.reference.check_claim(request, reply)?;
             }
             (JobCommand::Settle(settle), JobReply::Settled { outcome }) => {
-                after.promises.check_settled(settle, outcome)?;
+                after.reference.check_settled(settle, outcome)?;
             }
             (JobCommand::Settle(_), JobReply::ClaimNotHeld) => {}
-            _ => return Err("the reply does not fit the command"),
+            _ => return Err("the reply does not match the command"),
         }
         Ok(after)
     }
 
     fn key(&self, state: &ClaimState) -> Vec<u8> {
         let mut key = state.machine.snapshot();
-        key.extend(encode(&state.promises));
+        key.extend(encode(&state.reference));
         key
     }
 }
 
-impl Promises {
-    /// Judges the reply to a claim.
+impl ReferenceState {
+    /// Checks the reply to a claim.
     fn check_claim(
         &mut self,
         request: &ClaimRequest,
@@ -105,7 +106,7 @@
     ) -> Result<(), &'static str> {
         match reply {
             ClaimReply::Granted => {
-                if self.end.is_some() {
+                if self.settled.is_some() {
                     return Err("a claim is granted after the request ended");
                 }
                 let claimed = (request.attempt, request.digest);
@@ -117,10 +118,10 @@
             }
             ClaimReply::Held { attempt } => match self.holder {
                 Some((holder, digest)) if holder == attempt && digest == request.digest => Ok(()),
-                _ => Err("a claim is said to be held by another than its holder"),
+                _ => Err("a claim is said to be held by an attempt that does not hold it"),
             },
             ClaimReply::Settled { outcome, answer } => {
-                if self.end == Some((outcome, answer)) {
+                if self.settled == Some((outcome, answer)) {
                     Ok(())
                 } else {
                     Err("a settled claim changes its answer")
@@ -128,18 +129,18 @@
             }
             ClaimReply::KeyConflict => match self.holder {
                 Some((_, digest)) if digest != request.digest => Ok(()),
-                _ => Err("a key conflicts with itself"),
+                _ => Err("a key conflicts with the same body"),
             },
         }
     }
 
-    /// Judges the reply to a settlement.
+    /// Checks the reply to a settlement.
     fn check_settled(
         &mut self,
         settle: &SettleClaim,
         outcome: RunOutcome,
     ) -> Result<(), &'static str> {
-        if let Some((first, _)) = &self.end {
+        if let Some((first, _)) = &self.settled {
             if *first == outcome {
                 return Ok(());
             }
@@ -154,7 +155,7 @@
                 Ok(())
             }
             (true, _) => {
-                self.end = Some((outcome, settle.answer.clone()));
+                self.settled = Some((outcome, settle.answer.clone()));
                 Ok(())
             }
             (false, RunOutcome::NotRun) if self.holder.is_none() => Ok(()),
@@ -163,7 +164,7 @@
     }
 }
 
-/// A claim of the key.
+/// Creates a claim command.
 fn claim(attempt: AttemptId, digest: Digest) -> JobCommand {
     JobCommand::Claim(ClaimRequest {
         tenant: TenantId::default(),
@@ -173,7 +174,7 @@
     })
 }
 
-/// An end of `attempt`; its answer names the attempt.
+/// Creates a settlement by `attempt`; its answer encodes the attempt.
 fn settle(attempt: AttemptId, outcome: RunOutcome) -> JobCommand {
     JobCommand::Settle(SettleClaim {
         tenant: TenantId::default(),
--- a/crates/state/src/job/leasing.rs
+++ b/crates/state/src/job/leasing.rs
@@ -1,4 +1,4 @@
-//! Handing out items and taking their results.
+//! Leasing items and recording their results.
 
 use minicbor::bytes::ByteVec;
 use molespan_types::mechanism::{Mechanism, enabled};
@@ -8,19 +8,20 @@
 use super::command::{GrantedLease, ItemOutcome, ItemResult, JobReply, LeaseRequest, LeasedItem};
 use super::lease::Lease;
 use super::machine::JobMachine;
-use super::owner::{Owner, RequestSeen};
-use super::payloads::{NOWHERE, read, store};
+use super::owner::{Owner, RequestStatus};
+use super::payloads::{EMPTY_PAYLOAD, read, store};
 use super::query::JobPhase;
 use super::range_set::RangeSet;
 use crate::payload::{PayloadError, PayloadLog};
 
-/// Most items of one lease.
+/// Maximum number of items in one lease.
 const MAX_LEASE_ITEMS: u32 = 1024;
-/// Most bytes of inputs in one lease, unless its first item alone has more.
+/// Maximum total input size of one lease, in bytes. A single larger item is still leased
+/// alone.
 const MAX_LEASE_BYTES: u64 = 4 << 20;
 
 impl JobMachine {
-    /// Grants a lease, or finds the one that this request was granted before.
+    /// Grants a lease, or returns the lease granted earlier to the same request.
     pub(super) fn lease(
         &mut self,
         request: &LeaseRequest,
@@ -29,31 +30,31 @@
         let owner = self
             .owners
             .entry(request.owner)
-            .or_insert(Owner::starting(request.owner_incarnation));
+            .or_insert(Owner::new(request.owner_incarnation));
         if request.owner_incarnation < owner.incarnation {
             return Ok(JobReply::Leased(None));
         }
         if request.owner_incarnation > owner.incarnation {
-            *owner = Owner::starting(request.owner_incarnation);
+            *owner = Owner::new(request.owner_incarnation);
         }
-        let lease = match owner.seen(request.sequence) {
-            RequestSeen::Ended => None,
-            RequestSeen::Leased(lease) => Some(lease),
-            RequestSeen::New => self.grant(request),
+        let lease = match owner.status_of(request.sequence) {
+            RequestStatus::Ended => None,
+            RequestStatus::Leased(lease) => Some(lease),
+            RequestStatus::New => self.grant(request),
         };
-        Ok(JobReply::Leased(self.describe(lease, payloads)?))
+        Ok(JobReply::Leased(self.granted_lease(lease, payloads)?))
     }
 
-    /// Takes items for a new request and remembers what it got.
+    /// Leases items to a new request and records the reply for retries.
     fn grant(&mut self, request: &LeaseRequest) -> Option<LeaseId> {
         let lease = self.take_items(request);
         if let Some(owner) = self.owners.get_mut(&request.owner) {
-            owner.remember(request.sequence, lease);
+            owner.record(request.sequence, lease);
         }
         lease
     }
 
-    /// Moves free items of the job whose turn it is under a new lease.
+    /// Moves free items of the next scheduled job to a new lease.
     fn take_items(&mut self, request: &LeaseRequest) -> Option<LeaseId> {
         let id = self.ready.next(&request.service, &self.shares)?;
         let job = self.active.get_mut(&id)?;
@@ -77,8 +78,8 @@
         Some(self.last_lease)
     }
 
-    /// The reply that hands out `id`: what it still holds, with the inputs.
-    fn describe(
+    /// Returns lease `id` with the items it still holds and their inputs.
+    fn granted_lease(
         &self,
         id: Option<LeaseId>,
         payloads: &dyn PayloadLog,
@@ -87,12 +88,16 @@
         let Some((id, lease)) = found else {
             return Ok(None);
         };
-        let Some(job) = self.active.get(&lease.job).filter(|job| job.leases_items()) else {
+        let Some(job) = self
+            .active
+            .get(&lease.job)
+            .filter(|job| job.may_lease_items())
+        else {
             return Ok(None);
         };
         let mut items = Vec::with_capacity(lease.held.len() as usize);
         for item in lease.held.iter() {
-            let location = job.items.location(item).unwrap_or(NOWHERE);
+            let location = job.items.location(item).unwrap_or(EMPTY_PAYLOAD);
             items.push(LeasedItem {
                 item: ItemIndex(item),
                 input: ByteVec::from(read(location, payloads)?),
@@ -106,7 +111,7 @@
         }))
     }
 
-    /// Keeps leases alive.
+    /// Renews leases.
     pub(super) fn renew(&mut self, ids: &[LeaseId]) -> JobReply {
         let mut lost = Vec::new();
         let mut cancelled = Vec::new();
@@ -138,7 +143,7 @@
         if let Some((lease, job)) = self.lease_and_job(id) {
             for result in results {
                 let item = result.item.0;
-                if !takes_result(lease, job, item) {
+                if !accepts_result(lease, job, item) {
                     continue;
                 }
                 let location = store(&result.payload, payloads)?;
@@ -149,19 +154,19 @@
                 taken += 1;
             }
         }
-        self.end_if_empty(id, payloads)?;
+        self.remove_if_empty(id, payloads)?;
         Ok(recorded(taken, results.len()))
     }
 
-    /// Frees items that were not run.
-    pub(super) fn give_back(
+    /// Makes items that did not run available again.
+    pub(super) fn return_items(
         &mut self,
         id: LeaseId,
         items: &[ItemIndex],
         payloads: &mut dyn PayloadLog,
     ) -> Result<JobReply, PayloadError> {
         let Some((lease, job)) = self.lease_and_job(id) else {
-            self.end_orphan(id);
+            self.remove_orphaned_lease(id);
             return Ok(recorded(0, items.len()));
         };
         let named: Vec<u32> = if items.is_empty() {
@@ -179,26 +184,26 @@
         }
         let tenant = job.submission.tenant.clone();
         self.shares.refund(&tenant, taken);
-        self.end_if_empty(id, payloads)?;
+        self.remove_if_empty(id, payloads)?;
         Ok(recorded(taken, named.len()))
     }
 
-    /// Ends a lease whose owner was silent, unless it came back in between.
+    /// Expires a lease unless it was renewed in the meantime.
     pub(super) fn expire(
         &mut self,
         id: LeaseId,
         renewals: u64,
         payloads: &mut dyn PayloadLog,
     ) -> Result<JobReply, PayloadError> {
-        let silent = self
+        let unchanged = self
             .leases
             .get(&id)
             .is_some_and(|lease| lease.renewals == renewals);
-        if !silent {
+        if !unchanged {
             return Ok(recorded(0, 0));
         }
         let Some((lease, job)) = self.lease_and_job(id) else {
-            self.end_orphan(id);
+            self.remove_orphaned_lease(id);
             return Ok(recorded(0, 0));
         };
         let held = std::mem::take(&mut lease.held);
@@ -208,22 +213,23 @@
             if may_run_again {
                 job.free.insert(item);
             } else {
-                job.set_result(item, ItemOutcome::Unknown, NOWHERE);
+                job.set_result(item, ItemOutcome::Unknown, EMPTY_PAYLOAD);
             }
         }
-        self.end_if_empty(id, payloads)?;
+        self.remove_if_empty(id, payloads)?;
         Ok(recorded(held.len(), held.len() as usize))
     }
 
-    /// A lease that is out and its job.
+    /// Returns an active lease and its job.
     fn lease_and_job(&mut self, id: LeaseId) -> Option<(&mut Lease, &mut ActiveJob)> {
         let lease = self.leases.get_mut(&id)?;
         let job = self.active.get_mut(&lease.job)?;
         Some((lease, job))
     }
 
-    /// Ends a lease that holds nothing any more, and its job if that was last.
-    fn end_if_empty(
+    /// Removes a lease that holds no items any more, and finishes its job if it was the
+    /// last.
+    fn remove_if_empty(
         &mut self,
         id: LeaseId,
         payloads: &mut dyn PayloadLog,
@@ -245,15 +251,15 @@
         self.finish_if_done(job_id, payloads)
     }
 
-    /// Ends a lease whose job is finished. There is none unless a mechanism
-    /// was switched off.
-    fn end_orphan(&mut self, id: LeaseId) {
+    /// Removes a lease whose job is finished. Such a lease exists only if a mechanism was
+    /// disabled.
+    fn remove_orphaned_lease(&mut self, id: LeaseId) {
         self.leases.remove(&id);
     }
 }
 
-/// Whether a result of `item` under `lease` is taken.
-fn takes_result(lease: &Lease, job: &ActiveJob, item: u32) -> bool {
+/// Whether a result of `item` under `lease` is accepted.
+fn accepts_result(lease: &Lease, job: &ActiveJob, item: u32) -> bool {
     if enabled(Mechanism::FirstResultWins) {
         lease.held.contains(item)
     } else {
@@ -261,7 +267,8 @@
     }
 }
 
-/// Takes up to `max_items` of the lowest free items of `job`.
+/// Takes up to `max_items` of the lowest free items of `job`, within the limits of one
+/// lease.
 fn take_free(job: &mut ActiveJob, max_items: u32) -> RangeSet {
     let mut taken = RangeSet::default();
     let mut bytes = 0;
@@ -269,7 +276,7 @@
         let Some(item) = job.free.first() else {
             break;
         };
-        let location = job.items.location(item).unwrap_or(NOWHERE);
+        let location = job.items.location(item).unwrap_or(EMPTY_PAYLOAD);
         bytes += u64::from(location.length);
         if bytes > MAX_LEASE_BYTES && !taken.is_empty() {
             break;
@@ -280,7 +287,7 @@
     taken
 }
 
-/// The reply to a record, return or expiry that named `named` items.
+/// Returns the reply to a record, return or expire command for `named` items.
 fn recorded(taken: u32, named: usize) -> JobReply {
     JobReply::Recorded {
         taken,
--- a/crates/state/src/job/owner.rs
+++ b/crates/state/src/job/owner.rs
@@ -1,64 +1,65 @@
-//! Which lease requests of an owner were answered already.
+//! Lease requests of an owner that were already answered.
 
 use std::collections::BTreeMap;
 
 use minicbor::{Decode, Encode};
 use molespan_types::LeaseId;
 
-/// Newest requests remembered of an owner. An older one is answered as ended,
-/// which is safe: it gets no items. Owners have far fewer in flight at once.
-const REMEMBERED_REQUESTS: usize = 256;
+/// Maximum number of requests kept per owner, newest first. An older request is answered as
+/// ended, which is safe because it gets no items. Owners have far fewer requests in flight
+/// at once.
+const MAX_TRACKED_REQUESTS: usize = 256;
 
-/// What is known of a request's number.
+/// Whether a request was answered before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum RequestSeen {
-    /// It is new.
+pub(crate) enum RequestStatus {
+    /// The request is new.
     New,
-    /// It was answered by this lease, which may have ended since.
+    /// The request was granted this lease, which may have ended since.
     Leased(LeaseId),
-    /// It was answered without a lease, or lies too far back.
+    /// The request got no lease, or is too old to be known.
     Ended,
 }
 
-/// One life of an owner.
+/// Answered requests of one incarnation of an owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Owner {
-    /// That life.
+    /// Incarnation of the owner.
     #[n(0)]
     pub(crate) incarnation: u64,
-    /// Requests below this number are not remembered.
+    /// Requests with a lower number are no longer known.
     #[n(1)]
     floor: u64,
-    /// Lease granted to each remembered request.
+    /// Lease granted to each known request, if any.
     #[n(2)]
     requests: BTreeMap<u64, Option<LeaseId>>,
 }
 
 impl Owner {
-    /// A life of which nothing is known yet.
-    pub(crate) fn starting(incarnation: u64) -> Self {
+    /// Creates the entry of a new incarnation.
+    pub(crate) fn new(incarnation: u64) -> Self {
         Self {
             incarnation,
             ..Self::default()
         }
     }
 
-    /// What is known of request `sequence`.
-    pub(crate) fn seen(&self, sequence: u64) -> RequestSeen {
+    /// Returns whether request `sequence` was answered before.
+    pub(crate) fn status_of(&self, sequence: u64) -> RequestStatus {
         if sequence < self.floor {
-            return RequestSeen::Ended;
+            return RequestStatus::Ended;
         }
         match self.requests.get(&sequence) {
-            None => RequestSeen::New,
-            Some(Some(lease)) => RequestSeen::Leased(*lease),
-            Some(None) => RequestSeen::Ended,
+            None => RequestStatus::New,
+            Some(Some(lease)) => RequestStatus::Leased(*lease),
+            Some(None) => RequestStatus::Ended,
         }
     }
 
-    /// Remembers the answer to request `sequence`.
-    pub(crate) fn remember(&mut self, sequence: u64, lease: Option<LeaseId>) {
+    /// Records the answer to request `sequence` and evicts the oldest requests.
+    pub(crate) fn record(&mut self, sequence: u64, lease: Option<LeaseId>) {
         self.requests.insert(sequence, lease);
-        while self.requests.len() > REMEMBERED_REQUESTS {
+        while self.requests.len() > MAX_TRACKED_REQUESTS {
             if let Some((oldest, _)) = self.requests.pop_first() {
                 self.floor = oldest.saturating_add(1);
             }
--- a/crates/state/src/job/payloads.rs
+++ b/crates/state/src/job/payloads.rs
@@ -1,9 +1,9 @@
-//! Storing payloads, where an empty one takes no room.
+//! Payload storage in which empty payloads take no space.
 
 use crate::payload::{PayloadError, PayloadLocation, PayloadLog};
 
-/// Where an empty payload lies.
-pub(crate) const NOWHERE: PayloadLocation = PayloadLocation {
+/// Location of every empty payload.
+pub(crate) const EMPTY_PAYLOAD: PayloadLocation = PayloadLocation {
     offset: 0,
     length: 0,
 };
@@ -14,12 +14,12 @@
     payloads: &mut dyn PayloadLog,
 ) -> Result<PayloadLocation, PayloadError> {
     if payload.is_empty() {
-        return Ok(NOWHERE);
+        return Ok(EMPTY_PAYLOAD);
     }
     payloads.append(payload)
 }
 
-/// Reads a payload that [`store`] put somewhere.
+/// Reads a payload that was written by [`store`].
 pub(crate) fn read(
     location: PayloadLocation,
     payloads: &dyn PayloadLog,
--- a/crates/state/tests/batch_output.rs
+++ b/crates/state/tests/batch_output.rs
@@ -1,40 +1,40 @@
-//! Output of an item at its gateway against what the batch group keeps of it,
-//! whatever becomes of the checkpoints on their way.
+//! Output of an item at its gateway compared with the progress stored by the batch group,
+//! with lost, late and unacknowledged checkpoints.
 
 use molespan_state::batch::{
     BatchAnswer, BatchCommand, BatchItem, BatchMachine, BatchQuery, BatchReply, ItemCheckpoint,
-    ItemProgress, ItemReference, Kept, Mark, Output, SubmitJob,
+    ItemProgress, ItemReference, Kept, Output, StoredProgress, SubmitJob,
 };
 use proptest::prelude::*;
 
 const ITEM: ItemReference = ItemReference { job: 1, place: 0 };
 
-/// What becomes of a checkpoint.
+/// Delivery of a checkpoint.
 #[derive(Clone, Copy, Debug)]
-enum Fate {
-    /// It is committed, and the gateway hears so.
-    Kept,
-    /// It is committed, and the gateway does not hear of it in time.
-    Unheard,
+enum Delivery {
+    /// It is committed and the gateway receives the reply.
+    Acknowledged,
+    /// It is committed but the gateway does not receive the reply in time.
+    Unacknowledged,
     /// It is never committed.
     Lost,
-    /// It is committed later, at a [`Step::Arrival`].
+    /// It is committed later, at a [`Step::CommitLate`].
     Late,
 }
 
-/// What happens; runs that go on are numbered from the latest one.
+/// A test step; runs are counted backwards from the latest one.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Events(usize, u8),
-    Checkpoint(usize, Fate),
-    /// The oldest checkpoint that is late is committed.
-    Arrival,
-    /// Another gateway goes on with what is kept; the ones before it may not have
-    /// heard that they should stop.
-    Gateway,
+    Checkpoint(usize, Delivery),
+    /// The oldest late checkpoint is committed.
+    CommitLate,
+    /// Another gateway resumes from the stored progress; earlier gateways may not know that
+    /// they should stop.
+    NewGateway,
 }
 
-/// A run of the item at some gateway, with the events that it should show.
+/// A run of the item at a gateway, with its expected events.
 struct Run {
     number: u64,
     output: Output,
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Makes events, which are its own.
-    fn make(&mut self, count: u8) {
+    /// Produces events that are unique to this run.
+    fn produce(&mut self, count: u8) {
         for _ in 0..count {
             let event = self.output.last_event().unwrap_or(0) + 1;
             let data = format!("run {} event {event}", self.number);
@@ -68,7 +68,7 @@
 }
 
 fn events_of(output: &Output) -> Vec<String> {
-    let text = output.text().unpack().expect("a sound text");
+    let text = output.text().unpack().expect("a valid text");
     text.lines().map(str::to_owned).collect()
 }
 
@@ -94,8 +94,8 @@
     machine
 }
 
-/// Commits a checkpoint; gives what the batch group answers.
-fn keep(machine: &mut BatchMachine, checkpoint: ItemCheckpoint) -> Option<Mark> {
+/// Commits a checkpoint and returns the reply of the batch group.
+fn commit(machine: &mut BatchMachine, checkpoint: ItemCheckpoint) -> Option<StoredProgress> {
     let items = vec![checkpoint];
     match machine.apply(&BatchCommand::Checkpoint { items }) {
         BatchReply::Progress { kept } => kept[0],
@@ -110,13 +110,13 @@
     }
 }
 
-/// Events up to the one of this number, as every engine makes them.
+/// Returns the events up to `last_event`, as produced by every engine.
 fn text(last_event: u64) -> String {
     let events: Vec<String> = (1..=last_event).map(|event| format!("e{event}")).collect();
     events.join("\n")
 }
 
-fn run(output: &mut Output, events: u8) {
+fn produce_events(output: &mut Output, events: u8) {
     for _ in 0..events {
         let event = output.last_event().unwrap_or(0) + 1;
         output.push(Some(event), format!("e{event}"));
@@ -124,69 +124,69 @@
 }
 
 #[test]
-fn a_checkpoint_that_was_committed_unheard_does_not_stop_the_later_ones() {
+fn unacknowledged_checkpoint_does_not_block_later_ones() {
     let mut machine = machine();
     let mut output = Output::begin(1);
-    run(&mut output, 3);
-    let (checkpoint, _) = output.checkpoint(ITEM).expect("something new");
-    keep(&mut machine, checkpoint);
+    produce_events(&mut output, 3);
+    let (checkpoint, _) = output.checkpoint(ITEM).expect("unsaved output");
+    commit(&mut machine, checkpoint);
     output.forget_kept();
-    run(&mut output, 2);
-    let (checkpoint, kept) = output.checkpoint(ITEM).expect("something new");
-    let answered = keep(&mut machine, checkpoint);
+    produce_events(&mut output, 2);
+    let (checkpoint, kept) = output.checkpoint(ITEM).expect("unsaved output");
+    let answered = commit(&mut machine, checkpoint);
     output.note_kept(kept, answered);
     assert_eq!(progress(&machine).last_event, Some(5));
-    // From there on only what is new goes out.
-    run(&mut output, 1);
-    let (checkpoint, _) = output.checkpoint(ITEM).expect("something new");
+    // Later checkpoints contain only new events.
+    produce_events(&mut output, 1);
+    let (checkpoint, _) = output.checkpoint(ITEM).expect("unsaved output");
     assert_eq!(checkpoint.after, Some(5));
-    keep(&mut machine, checkpoint);
+    commit(&mut machine, checkpoint);
     let resumed = Output::resume(&progress(&machine), 2);
     assert_eq!(resumed.text().unpack(), Some(text(6)));
     assert!(resumed.checkpoint(ITEM).is_none(), "all of it is kept");
 }
 
 #[test]
-fn two_runs_that_came_equally_far_are_not_joined() {
-    // Both begin at the first event, and make other events under the same numbers.
+fn runs_with_equal_progress_are_not_mixed() {
+    // Both start at the first event and produce different events with the same numbers.
     let mut machine = machine();
     let mut one = Output::begin(1);
     let mut two = Output::begin(2);
     one.push(Some(1), "one-1".to_owned());
     two.push(Some(1), "two-1".to_owned());
     for output in [&mut one, &mut two] {
-        let (checkpoint, kept) = output.checkpoint(ITEM).expect("something new");
-        let answered = keep(&mut machine, checkpoint);
+        let (checkpoint, kept) = output.checkpoint(ITEM).expect("unsaved output");
+        let answered = commit(&mut machine, checkpoint);
         output.note_kept(kept, answered);
     }
     two.push(Some(2), "two-2".to_owned());
-    let (checkpoint, _) = two.checkpoint(ITEM).expect("something new");
-    keep(&mut machine, checkpoint);
+    let (checkpoint, _) = two.checkpoint(ITEM).expect("unsaved output");
+    commit(&mut machine, checkpoint);
     let resumed = Output::resume(&progress(&machine), 3);
     assert_eq!(resumed.text().unpack().as_deref(), Some("two-1\ntwo-2"));
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
-    let fate = prop_oneof![
-        3 => Just(Fate::Kept),
-        1 => Just(Fate::Unheard),
-        1 => Just(Fate::Lost),
-        1 => Just(Fate::Late),
+    let delivery = prop_oneof![
+        3 => Just(Delivery::Acknowledged),
+        1 => Just(Delivery::Unacknowledged),
+        1 => Just(Delivery::Lost),
+        1 => Just(Delivery::Late),
     ];
     prop_oneof![
         4 => (0..2_usize, 0..4_u8).prop_map(|(run, events)| Step::Events(run, events)),
-        4 => (0..2_usize, fate).prop_map(|(run, fate)| Step::Checkpoint(run, fate)),
-        1 => Just(Step::Arrival),
-        1 => Just(Step::Gateway),
+        4 => (0..2_usize, delivery).prop_map(|(run, delivery)| Step::Checkpoint(run, delivery)),
+        1 => Just(Step::CommitLate),
+        1 => Just(Step::NewGateway),
     ]
 }
 
 proptest! {
-    /// What is kept is always a whole beginning of what one run shows, its own
-    /// events behind those that it went on from. It never goes back, and nothing
-    /// keeps later checkpoints from being taken.
+    /// The stored progress is always a prefix of the events of one run, including the
+    /// events that the run resumed from. It never regresses, and later checkpoints are
+    /// always accepted.
     #[test]
-    fn what_is_kept_is_a_beginning_of_one_run(
+    fn stored_progress_is_a_prefix_of_one_run(
         steps in prop::collection::vec(any_step(), 0..60),
     ) {
         let mut machine = machine();
@@ -197,35 +197,35 @@
             let latest = runs.len() - 1;
             let place = |back: usize| latest.saturating_sub(back);
             match step {
-                Step::Events(run, events) => runs[place(run)].make(events),
-                Step::Gateway => {
+                Step::Events(run, events) => runs[place(run)].produce(events),
+                Step::NewGateway => {
                     let number = runs.len() as u64;
                     runs.push(Run::resume(number, &progress(&machine)));
                 }
-                Step::Checkpoint(run, fate) => {
+                Step::Checkpoint(run, delivery) => {
                     let run = &mut runs[place(run)];
-                    let Some((checkpoint, upto)) = run.checkpoint() else {
+                    let Some((checkpoint, expected)) = run.checkpoint() else {
                         continue;
                     };
-                    match fate {
-                        Fate::Kept => {
-                            let kept = keep(&mut machine, checkpoint);
-                            run.output.note_kept(upto, kept);
+                    match delivery {
+                        Delivery::Acknowledged => {
+                            let kept = commit(&mut machine, checkpoint);
+                            run.output.note_kept(expected, kept);
                         }
-                        Fate::Unheard => {
-                            keep(&mut machine, checkpoint);
+                        Delivery::Unacknowledged => {
+                            commit(&mut machine, checkpoint);
                             run.output.forget_kept();
                         }
-                        Fate::Lost => run.output.forget_kept(),
-                        Fate::Late => {
+                        Delivery::Lost => run.output.forget_kept(),
+                        Delivery::Late => {
                             late.push(checkpoint);
                             run.output.forget_kept();
                         }
                     }
                 }
-                Step::Arrival => {
+                Step::CommitLate => {
                     if !late.is_empty() {
-                        keep(&mut machine, late.remove(0));
+                        commit(&mut machine, late.remove(0));
                     }
                 }
             }
@@ -237,15 +237,15 @@
             prop_assert_eq!(shown.len() as u64, last_event);
             prop_assert!(
                 runs.iter().any(|run| run.events.starts_with(&shown)),
-                "{:?} is of no run", shown
+                "{:?} is not from any run", shown
             );
         }
-        // Two checkpoints that are heard of are enough to keep everything.
+        // Two acknowledged checkpoints are enough to store everything.
         let output = &mut runs.last_mut().expect("a run").output;
         for _ in 0..2 {
-            if let Some((checkpoint, upto)) = output.checkpoint(ITEM) {
-                let kept = keep(&mut machine, checkpoint);
-                output.note_kept(upto, kept);
+            if let Some((checkpoint, expected)) = output.checkpoint(ITEM) {
+                let kept = commit(&mut machine, checkpoint);
+                output.note_kept(expected, kept);
             }
         }
         prop_assert!(progress(&machine).last_event >= output.last_event());
--- a/crates/state/tests/control.rs
+++ b/crates/state/tests/control.rs
@@ -8,7 +8,7 @@
     BackendId, ConfigVersion, FencingToken, Incarnation, ModelName, NodeId, ZoneName,
 };
 
-/// An intent that puts one model.
+/// Creates an intent that puts one model.
 fn intent(number: u64, operator: &str, base: u64, version: u32) -> ConfirmIntent {
     ConfirmIntent {
         number: IntentNumber(number),
@@ -29,19 +29,19 @@
     }
 }
 
-/// The reply that version `version` is in force.
+/// Returns the reply that `version` is in force.
 fn confirmed(version: u64) -> ConfirmReply {
     let version = ConfigVersion(version);
     ConfirmReply::Confirmed { version }
 }
 
-/// The machine as restored from its own snapshot.
+/// Returns the machine restored from its own snapshot.
 fn restored(machine: &ControlMachine) -> ControlMachine {
     ControlMachine::restore(&machine.snapshot()).expect("a snapshot just taken")
 }
 
 #[test]
-fn resent_confirmation_gets_the_first_answer_after_many_changes_and_a_restart() {
+fn retried_confirmation_gets_the_first_reply_after_many_changes_and_a_restart() {
     let mut machine = ControlMachine::new();
     let first = intent(1, "abebe", 0, 1);
     assert_eq!(confirm(&mut machine, first.clone()), confirmed(1));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn rival_with_the_same_number_is_told_the_winner() {
+fn conflicting_intent_with_a_used_number_gets_the_winner() {
     let mut machine = ControlMachine::new();
     let winner = intent(1, "abebe", 0, 1);
     confirm(&mut machine, winner.clone());
@@ -64,15 +64,15 @@
         version: ConfigVersion(1),
         digest: digest_of_changes(&winner.changes),
     };
-    let rivals = [
+    let conflicts = [
         intent(1, "ilona", 0, 2),
         intent(1, "ilona", 0, 1),
         intent(1, "abebe", 0, 2),
         intent(1, "abebe", 1, 1),
     ];
     let mut machine = restored(&machine);
-    for rival in rivals {
-        assert_eq!(confirm(&mut machine, rival), taken);
+    for conflict in conflicts {
+        assert_eq!(confirm(&mut machine, conflict), taken);
     }
     assert_eq!(machine.configuration().version, ConfigVersion(1));
 }
@@ -109,14 +109,14 @@
 }
 
 #[test]
-fn number_below_the_memory_is_refused_and_never_run() {
-    const REMEMBERED: u64 = 131_072;
+fn number_below_the_retained_range_is_rejected() {
+    const MAX_CONFIRMATIONS: u64 = 131_072;
     let mut machine = ControlMachine::new();
-    for version in 0..REMEMBERED + 10 {
+    for version in 0..MAX_CONFIRMATIONS + 10 {
         confirm(&mut machine, intent(version + 100, "abebe", version, 1));
     }
     let floor = IntentNumber(110);
-    let version = REMEMBERED + 10;
+    let version = MAX_CONFIRMATIONS + 10;
     let mut machine = restored(&machine);
     let forgotten = confirm(&mut machine, intent(105, "abebe", 5, 1));
     assert_eq!(forgotten, ConfirmReply::TooOld { floor });
@@ -127,7 +127,7 @@
     assert_eq!(machine.configuration().version, ConfigVersion(version));
 }
 
-/// The announcement of one life of node 1.
+/// Creates the registration of an incarnation of node 1.
 fn register(incarnation: u64) -> ControlCommand {
     ControlCommand::Register(RegisterNode {
         node: NodeId(1),
@@ -140,7 +140,7 @@
     })
 }
 
-/// Marks one life of node 1.
+/// Creates a drain command for an incarnation of node 1.
 fn drain(incarnation: u64) -> ControlCommand {
     ControlCommand::Drain {
         node: NodeId(1),
@@ -148,7 +148,7 @@
     }
 }
 
-/// Removes one life of node 1.
+/// Creates a remove command for an incarnation of node 1.
 fn remove(incarnation: u64) -> ControlCommand {
     ControlCommand::Remove {
         node: NodeId(1),
@@ -156,7 +156,7 @@
     }
 }
 
-/// Life and draining mark of each registered node.
+/// Returns the incarnation and drain flag of each registered node.
 fn nodes(machine: &ControlMachine) -> Vec<(u64, bool)> {
     match machine.query(&ControlQuery::Nodes) {
         ControlAnswer::Nodes(nodes) => nodes
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn late_commands_about_an_earlier_life_of_a_node_are_refused() {
+fn late_commands_for_an_earlier_incarnation_are_rejected() {
     let mut machine = ControlMachine::new();
     let registered = Incarnation(3);
     let stale = ControlReply::NodeStale { registered };
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn resent_registration_keeps_the_drain_mark_and_a_new_life_loses_it() {
+fn repeated_registration_keeps_the_drain_flag_and_a_new_incarnation_clears_it() {
     let mut machine = ControlMachine::new();
     machine.apply(&register(3));
     machine.apply(&drain(3));
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn removed_life_does_not_come_back_as_an_earlier_one() {
+fn earlier_incarnation_cannot_register_after_a_removal() {
     let mut machine = ControlMachine::new();
     machine.apply(&register(3));
     assert_eq!(machine.apply(&remove(3)), ControlReply::NodeAccepted);
@@ -210,12 +210,12 @@
     assert_eq!(
         machine.apply(&register(3)),
         ControlReply::NodeAccepted,
-        "was cut off"
+        "reconnected after a partition"
     );
     assert_eq!(nodes(&machine), [(3, false)]);
 }
 
-/// An order to a back end.
+/// Creates an order to a back end.
 fn order(backend: u32, action: &str, expected_token: u64) -> ControlCommand {
     ControlCommand::Issue(IssueOrder {
         backend: BackendId(backend),
@@ -225,14 +225,14 @@
     })
 }
 
-/// The reply that carries a token.
+/// Returns the reply with an issued token.
 fn issued(token: u64) -> ControlReply {
     let token = FencingToken(token);
     ControlReply::OrderIssued { token }
 }
 
 #[test]
-fn tokens_rise_over_all_back_ends_and_never_come_twice() {
+fn tokens_increase_across_back_ends_and_are_unique() {
     let mut machine = ControlMachine::new();
     assert_eq!(machine.apply(&order(1, "load", 0)), issued(1));
     assert_eq!(machine.apply(&order(2, "load", 0)), issued(2));
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn resent_order_keeps_its_token_and_a_rival_conflicts() {
+fn retried_order_keeps_its_token_and_a_concurrent_order_conflicts() {
     let mut machine = ControlMachine::new();
     machine.apply(&order(1, "load", 0));
     assert_eq!(machine.apply(&order(1, "load", 0)), issued(1));
--- a/crates/state/tests/jobs.rs
+++ b/crates/state/tests/jobs.rs
@@ -26,7 +26,7 @@
     assert_eq!(
         group.try_lease(request(1, 2, 9)),
         None,
-        "and runs nothing again"
+        "no item runs again"
     );
 }
 
@@ -78,7 +78,11 @@
         received: 3,
     };
     assert_eq!(gap, refused);
-    assert_eq!(group.apply(append(3, 5)), refused, "more than announced");
+    assert_eq!(
+        group.apply(append(3, 5)),
+        refused,
+        "more items than declared"
+    );
     assert_eq!(group.apply(JobCommand::Accept { job }), refused);
     assert_eq!(group.try_lease(request(1, 1, 9)), None, "nothing runs yet");
     group.apply(append(2, 4));
@@ -95,7 +99,7 @@
 }
 
 #[test]
-fn resent_lease_request_gets_the_same_lease() {
+fn retried_lease_request_gets_the_same_lease() {
     let mut group = Group::default();
     group.submit(&submission("album", 5));
     let first = group.lease(1, 1, 2);
@@ -105,7 +109,11 @@
     group.record(first.lease, vec![result(0, "a")]);
     assert_eq!(positions(&group.lease(1, 1, 2)), [1], "what is still held");
     group.record(first.lease, vec![result(1, "b")]);
-    assert_eq!(group.try_lease(request(1, 1, 2)), None, "it ended");
+    assert_eq!(
+        group.try_lease(request(1, 1, 2)),
+        None,
+        "the lease has ended"
+    );
     assert_eq!(positions(&group.lease(1, 2, 2)), [4]);
 }
 
@@ -117,23 +125,23 @@
     assert_eq!(
         group.try_lease(request(1, 1, 2)),
         None,
-        "nobody waits for it"
+        "its requester no longer waits"
     );
     assert_eq!(positions(&group.lease(1, 2, 2)), [0]);
 }
 
 #[test]
-fn earlier_life_of_an_owner_gets_nothing() {
+fn earlier_incarnation_of_an_owner_gets_nothing() {
     let mut group = Group::default();
     group.submit(&submission("album", 2));
-    let mut reborn = request(1, 1, 1);
-    reborn.owner_incarnation = 2;
-    assert!(group.try_lease(reborn).is_some());
+    let mut restarted = request(1, 1, 1);
+    restarted.owner_incarnation = 2;
+    assert!(group.try_lease(restarted).is_some());
     assert_eq!(group.try_lease(request(1, 2, 1)), None);
 }
 
 #[test]
-fn requests_beyond_the_memory_of_an_owner_get_nothing_new() {
+fn requests_older_than_the_tracked_ones_get_nothing() {
     let mut group = Group::default();
     group.submit(&submission("album", 1_000));
     for sequence in 1..=300 {
@@ -158,7 +166,7 @@
 }
 
 #[test]
-fn result_named_twice_is_taken_once() {
+fn result_sent_twice_is_recorded_once() {
     let mut group = Group::default();
     let job = group.submit(&submission("album", 2));
     let lease = group.lease(1, 1, 2).lease;
@@ -181,7 +189,7 @@
 }
 
 #[test]
-fn lost_lease_is_told_at_renewal() {
+fn renewal_reports_a_lost_lease() {
     let mut group = Group::default();
     group.submit(&submission("album", 1));
     let lease = group.lease(1, 1, 1).lease;
@@ -209,7 +217,11 @@
     group.expire(lease, 0);
     assert_eq!(group.status(job).unknown, 1);
     let again = group.lease(2, 1, 9);
-    assert_eq!(positions(&again), [2], "only the item that was not run");
+    assert_eq!(
+        positions(&again),
+        [2],
+        "only the item that was returned and did not run"
+    );
     group.record(again.lease, vec![result(2, "c")]);
     assert_eq!(group.phase(job), JobPhase::Completed);
 }
@@ -222,22 +234,26 @@
     group.apply(JobCommand::Cancel { job });
     assert_eq!(group.phase(job), JobPhase::Cancelling);
     assert_eq!(group.try_lease(request(2, 1, 9)), None);
-    assert_eq!(group.try_lease(request(1, 1, 2)), None, "not even resent");
+    assert_eq!(
+        group.try_lease(request(1, 1, 2)),
+        None,
+        "a retry gets nothing either"
+    );
     let reply = group.apply(JobCommand::Renew {
         leases: vec![lease],
     });
-    let told = JobReply::Renewed {
+    let expected = JobReply::Renewed {
         lost: Vec::new(),
         cancelled: vec![lease],
     };
-    assert_eq!(reply, told);
+    assert_eq!(reply, expected);
     group.record(lease, vec![result(0, "a")]);
-    group.give_back(lease);
+    group.return_items(lease);
     assert_eq!(group.phase(job), JobPhase::Cancelled);
     assert_eq!(
         group.results(job),
         [(0, "a".to_owned())],
-        "what was done stays"
+        "what was done is kept"
     );
     group.apply(JobCommand::Cancel { job });
     assert_eq!(group.phase(job), JobPhase::Cancelled);
@@ -245,7 +261,7 @@
 }
 
 #[test]
-fn cut_off_owner_does_not_hold_up_a_cancellation_for_ever() {
+fn disconnected_owner_does_not_block_a_cancellation() {
     let mut group = Group::default();
     let job = group.submit(&submission("album", 1));
     let lease = group.lease(1, 1, 1).lease;
@@ -282,7 +298,7 @@
 }
 
 #[test]
-fn unknown_job_is_said_so() {
+fn unknown_job_is_reported() {
     let mut group = Group::default();
     let job = JobId(5);
     assert_eq!(
@@ -296,7 +312,7 @@
 }
 
 #[test]
-fn submission_that_was_given_up_frees_its_key() {
+fn abandoned_submission_releases_its_key() {
     let mut group = Group::default();
     let begin = submission("given up", 3);
     let job = begin.job;
@@ -310,7 +326,7 @@
     let open: Vec<_> = group.machine.submissions().collect();
     assert_eq!(open, [(job, 1)]);
 
-    // It went on since the leader saw it.
+    // The submission made progress after the leader observed it.
     group.apply(append(1, 1));
     group.apply(JobCommand::Abandon { job, received: 1 });
     assert_eq!(group.status(job).received, 2);
--- a/crates/state/tests/replay.rs
+++ b/crates/state/tests/replay.rs
@@ -1,5 +1,5 @@
-//! A machine restored from a snapshot anywhere and fed the rest of the log
-//! ends in the same state, and gives the same replies on the way.
+//! A machine that is restored from a snapshot at any point and applies the rest of the log
+//! reaches the same state and returns the same replies.
 
 mod support;
 
@@ -38,7 +38,7 @@
     submission(&format!("job {number}"), 0).job
 }
 
-/// Commands over few jobs, leases and keys, so that they meet.
+/// Generates commands over few jobs, leases and keys, so that they interact.
 fn job_command() -> impl Strategy<Value = JobCommand> {
     let jobs = 0..4_u32;
     let lease = (0..12_u64).prop_map(LeaseId);
@@ -66,8 +66,8 @@
             job: job(number),
             received,
         }),
-        6 => (1..4_u32, 0..6_u64, 0..4_u32).prop_map(|(owner, sequence, most)| {
-            request(owner, sequence, most).into()
+        6 => (1..4_u32, 0..6_u64, 0..4_u32).prop_map(|(owner, sequence, max_items)| {
+            request(owner, sequence, max_items).into()
         }),
         2 => vec(lease.clone(), 0..4).prop_map(|leases| JobCommand::Renew { leases }),
         6 => (lease.clone(), items.clone(), 0..3_u8).prop_map(|(lease, items, outcome)| {
@@ -111,10 +111,10 @@
                 })
             }
         ),
-        2 => node.clone().prop_map(|(node, life)| {
+        2 => node.clone().prop_map(|(node, incarnation)| {
             ControlCommand::Register(RegisterNode {
                 node: NodeId(node),
-                incarnation: Incarnation(life),
+                incarnation: Incarnation(incarnation),
                 name: format!("node {node}"),
                 zone: ZoneName::from("hall"),
                 internal_address: String::new(),
@@ -122,13 +122,13 @@
                 roles: Vec::new(),
             })
         }),
-        1 => node.clone().prop_map(|(node, life)| ControlCommand::Drain {
+        1 => node.clone().prop_map(|(node, incarnation)| ControlCommand::Drain {
             node: NodeId(node),
-            incarnation: Incarnation(life),
+            incarnation: Incarnation(incarnation),
         }),
-        1 => node.prop_map(|(node, life)| ControlCommand::Remove {
+        1 => node.prop_map(|(node, incarnation)| ControlCommand::Remove {
             node: NodeId(node),
-            incarnation: Incarnation(life),
+            incarnation: Incarnation(incarnation),
         }),
         2 => (1..4_u32, 0..8_u64).prop_map(|(backend, token)| {
             ControlCommand::Issue(IssueOrder {
@@ -149,19 +149,19 @@
         commands in vec(job_command(), 1..120),
         cuts in vec(any::<Index>(), 1..4),
     ) {
-        let mut straight = Group::default();
+        let mut uninterrupted = Group::default();
         let mut restored = Group::default();
         let cuts: Vec<usize> = cuts.iter().map(|cut| cut.index(commands.len())).collect();
         for (position, command) in commands.into_iter().enumerate() {
             if cuts.contains(&position) {
                 restored = restored.restored();
             }
-            let expected = straight.apply(command.clone());
+            let expected = uninterrupted.apply(command.clone());
             prop_assert_eq!(restored.apply(command), expected);
         }
-        prop_assert_eq!(&restored.machine, &straight.machine);
-        prop_assert_eq!(restored.machine.snapshot(), straight.machine.snapshot());
-        prop_assert_eq!(restored.payloads.bytes(), straight.payloads.bytes());
+        prop_assert_eq!(&restored.machine, &uninterrupted.machine);
+        prop_assert_eq!(restored.machine.snapshot(), uninterrupted.machine.snapshot());
+        prop_assert_eq!(restored.payloads.bytes(), uninterrupted.payloads.bytes());
     }
 
     #[test]
@@ -169,16 +169,16 @@
         commands in vec(control_command(), 1..120),
         cuts in vec(any::<Index>(), 1..4),
     ) {
-        let mut straight = ControlMachine::new();
+        let mut uninterrupted = ControlMachine::new();
         let mut restored = ControlMachine::new();
         let cuts: Vec<usize> = cuts.iter().map(|cut| cut.index(commands.len())).collect();
         for (position, command) in commands.iter().enumerate() {
             if cuts.contains(&position) {
                 restored = ControlMachine::restore(&restored.snapshot()).unwrap();
             }
-            prop_assert_eq!(restored.apply(command), straight.apply(command));
+            prop_assert_eq!(restored.apply(command), uninterrupted.apply(command));
         }
-        prop_assert_eq!(&restored, &straight);
-        prop_assert_eq!(restored.snapshot(), straight.snapshot());
+        prop_assert_eq!(&restored, &uninterrupted);
+        prop_assert_eq!(restored.snapshot(), uninterrupted.snapshot());
     }
 }
--- a/crates/state/tests/tenants.rs
+++ b/crates/state/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants in the declared configuration, and whose a batch job is.
+//! Tenants in the declared configuration, and ownership of batch jobs.
 
 use molespan_state::batch::{
     BatchAnswer, BatchCommand, BatchItem, BatchMachine, BatchQuery, BatchReply, SubmitJob,
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn every_problem_of_tenants_is_named() {
+fn all_problems_of_tenants_are_reported() {
     let sound = vec![
         tenant("a", &["1", "2"]),
         tenant("b", &["3"]),
@@ -59,16 +59,16 @@
 }
 
 #[test]
-fn a_model_from_before_there_were_tenants_needs_no_keys() {
+fn model_encoded_before_tenants_existed_needs_no_keys() {
     let before = molespan_state::encode(&ServingModel::default());
-    // As it was encoded before: routes, services and limits alone.
+    // The previous encoding: only routes, services and limits.
     assert_eq!(before[0], 0x83);
-    let read: ServingModel = molespan_state::decode(&before).expect("it can be read");
+    let read: ServingModel = molespan_state::decode(&before).expect("decodes");
     assert_eq!(read.tenants, None);
 }
 
 #[test]
-fn a_limit_tells_requests_a_second() {
+fn rate_limit_converts_to_requests_per_second() {
     let limit = RateLimit {
         per_1000_s: 2_500,
         burst: 3,
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn tenants_that_choose_the_same_identifier_have_a_job_each() {
+fn tenants_with_the_same_identifier_have_separate_jobs() {
     let mut machine = BatchMachine::new();
     for tenant in [None, Some("a"), Some("b")] {
         assert_eq!(machine.apply(&submit(tenant, "job")), BatchReply::Kept);
@@ -122,13 +122,13 @@
     assert_eq!(total(&machine, Some("c"), "job"), None);
     assert_eq!(machine.apply(&end(Some("c"))), BatchReply::Unknown);
     assert_eq!(machine.apply(&end(Some("a"))), BatchReply::Ended);
-    // The others' jobs are open still.
+    // The jobs of the others are still open.
     let BatchAnswer::Open(open) = machine.query(&BatchQuery::Open { limit: 10 }) else {
         panic!("open items");
     };
     let jobs: Vec<u64> = open.items.iter().map(|open| open.item.job).collect();
     assert_eq!(jobs, [1, 3]);
-    let restored = BatchMachine::restore(&machine.snapshot()).expect("it can be read");
+    let restored = BatchMachine::restore(&machine.snapshot()).expect("decodes");
     assert_eq!(restored, machine);
     machine.apply(&BatchCommand::Forget { job: 2 });
     assert_eq!(total(&machine, Some("a"), "job"), None);
--- a/crates/state/tests/update.rs
+++ b/crates/state/tests/update.rs
@@ -1,4 +1,4 @@
-//! Updates of the configuration for nodes that lag behind.
+//! Configuration updates for nodes with an older version.
 
 use molespan_state::control::{
     Adapter, Change, Configuration, ConfigurationDelta, ConfigurationHistory, ConfigurationUpdate,
@@ -8,7 +8,7 @@
 use molespan_types::{ConfigVersion, Digest, ModelName, ServiceName, TenantId};
 use proptest::prelude::*;
 
-/// Any change; names are few, so that changes meet.
+/// Generates any change over few names, so that changes affect each other.
 fn any_change() -> impl Strategy<Value = Change> {
     let name = 0..4_u8;
     let number = 1..4_u32;
@@ -67,7 +67,7 @@
     }
 }
 
-/// The configuration after `changes`, one version later.
+/// Returns the configuration after `changes`, with the next version.
 fn after(old: &Configuration, changes: &[Change]) -> Configuration {
     let mut new = old.clone();
     apply_changes(&mut new, changes);
@@ -75,7 +75,7 @@
     new
 }
 
-/// Versions 1 to `count` of a configuration with many tenants.
+/// Returns versions 1 to `count` of a configuration with several tenants.
 fn versions(count: u32) -> Vec<Configuration> {
     let mut first = Configuration::default();
     let tenants: Vec<Change> = (0..4).map(|name| change(6, name, 1)).collect();
@@ -97,8 +97,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, ..ProptestConfig::default() })]
 
-    /// From every version that the replica saw, and from versions that it did
-    /// not see, an update leads to exactly the newest configuration.
+    /// An update leads to exactly the newest configuration from every version, whether or
+    /// not the replica observed it.
     #[test]
     fn every_update_leads_to_the_newest(
         steps in prop::collection::vec(prop::collection::vec(any_change(), 0..4), 1..12),
@@ -117,7 +117,7 @@
         for held in &all {
             match read(&mut history, held.version) {
                 Some(update) => {
-                    let reached = update.apply_to(Some(held)).expect("it fits");
+                    let reached = update.apply_to(Some(held)).expect("the update applies");
                     prop_assert_eq!(Some(&reached), newest);
                 }
                 None => prop_assert!(held.version >= history.version()),
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_node_close_behind_gets_only_what_differs() {
+fn node_slightly_behind_gets_a_delta() {
     let all = versions(3);
     let mut history = ConfigurationHistory::default();
     for one in &all {
@@ -142,9 +142,9 @@
 }
 
 #[test]
-fn a_node_far_behind_or_without_any_gets_the_whole() {
-    const MORE_THAN_REMEMBERED: u32 = 200;
-    let all = versions(MORE_THAN_REMEMBERED);
+fn node_far_behind_or_without_configuration_gets_the_whole() {
+    const MORE_THAN_RETAINED: u32 = 200;
+    let all = versions(MORE_THAN_RETAINED);
     let mut history = ConfigurationHistory::default();
     for one in &all {
         history.advance(one.clone());
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn a_delta_fits_its_own_start_only() {
+fn delta_applies_only_to_its_base_version() {
     let all = versions(3);
     let delta = ConfigurationDelta {
         from: ConfigVersion(2),
@@ -186,7 +186,7 @@
         held: ConfigVersion(0),
     };
     assert_eq!(update.clone().apply_to(None), Err(none));
-    // Right version, but the node's content is not the replica's.
+    // The version matches, but the content of the node differs from the replica's.
     let to = ConfigVersion(3);
     assert_eq!(
         update.apply_to(Some(&all[1])),
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn updates_are_read_back_as_written() {
+fn updates_round_trip() {
     let whole = ConfigurationUpdate::Whole(versions(1)[0].clone());
     let read: ConfigurationUpdate = decode(&encode(&whole)).expect("an update");
     assert_eq!(read, whole);
--- a/crates/storage/src/log/recovery.rs
+++ b/crates/storage/src/log/recovery.rs
@@ -1,32 +1,32 @@
-//! Reading the log back after a restart.
+//! Recovery of the log after a restart.
 
 use std::collections::BTreeMap;
 
 use molespan_types::GroupId;
 
-use super::frame::{self, Frame, Place};
+use super::frame::{self, Frame, FrameLocation};
 use super::record::{self, Record};
-use super::track::Track;
+use super::track::GroupTracker;
 use super::{DIRECTORY, LogEntry, SnapshotMark, segment_path};
 use crate::{Disk, StorageError};
 
-/// What the log holds of one group.
+/// Recovered state of one group.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GroupRecovery {
     /// Latest hard state.
     pub hard_state: Option<Vec<u8>>,
     /// Latest snapshot.
     pub snapshot: Option<SnapshotMark>,
-    /// Entries behind that snapshot, without a gap.
+    /// Entries after that snapshot, without gaps.
     pub entries: Vec<LogEntry>,
 }
 
-/// What the log holds.
+/// Recovered content of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Recovery {
-    /// By group.
+    /// Recovered state by group.
     pub groups: BTreeMap<GroupId, GroupRecovery>,
-    /// Bytes of an unfinished write that were cut from the end.
+    /// Number of bytes of an incomplete write that were removed from the end.
     pub torn_bytes: u64,
 }
 
@@ -34,7 +34,7 @@
     fn apply(&mut self, record: Record<'_>) {
         match record {
             Record::Entry { index, body, .. } => {
-                self.cut(index);
+                self.truncate(index);
                 let bytes = body.to_vec();
                 self.entries.push(LogEntry { index, bytes });
             }
@@ -43,17 +43,17 @@
                 let bytes = body.to_vec();
                 self.snapshot = Some(SnapshotMark { index, bytes });
             }
-            Record::Truncate { from, .. } => self.cut(from),
+            Record::Truncate { from, .. } => self.truncate(from),
         }
     }
 
-    fn cut(&mut self, from: u64) {
+    fn truncate(&mut self, from: u64) {
         let kept = self.entries.partition_point(|entry| entry.index < from);
         self.entries.truncate(kept);
     }
 
-    /// Drops what the snapshot covers; says the first missing index, if any.
-    fn settle(&mut self) -> Option<u64> {
+    /// Removes entries covered by the snapshot and returns the first missing index, if any.
+    fn drop_covered_entries(&mut self) -> Option<u64> {
         let covered = self.snapshot.as_ref().map_or(0, |mark| mark.index);
         self.entries.retain(|entry| entry.index > covered);
         let expected = (covered + 1)..;
@@ -62,12 +62,12 @@
     }
 }
 
-/// Reads segments one after the other.
+/// Reads segments in order.
 pub(super) struct Reader<'a, D> {
     disk: &'a D,
     pub recovery: Recovery,
-    pub tracks: BTreeMap<GroupId, Track>,
-    /// Number of the last frame.
+    pub trackers: BTreeMap<GroupId, GroupTracker>,
+    /// Sequence number of the last frame.
     pub sequence: Option<u64>,
     /// Length of each segment.
     pub segments: BTreeMap<u64, u64>,
@@ -78,13 +78,13 @@
         Self {
             disk,
             recovery: Recovery::default(),
-            tracks: BTreeMap::new(),
+            trackers: BTreeMap::new(),
             sequence: None,
             segments: BTreeMap::new(),
         }
     }
 
-    /// Reads every segment and cuts a torn tail.
+    /// Reads every segment and truncates a torn tail.
     pub fn run(&mut self, segments: &[u64]) -> Result<(), StorageError> {
         for (position, &segment) in segments.iter().enumerate() {
             let follows = position == 0 || segments[position - 1] + 1 == segment;
@@ -103,62 +103,71 @@
         let bytes = self.disk.read(&path)?.unwrap_or_default();
         let mut offset = 0;
         while (offset as usize) < bytes.len() {
-            let place = Place { segment, offset };
+            let location = FrameLocation { segment, offset };
             let rest = &bytes[offset as usize..];
-            let Some(frame) = frame::parse(place, rest) else {
-                self.cut_torn_tail(place, rest, last)?;
+            let Some(frame) = frame::parse(location, rest) else {
+                self.truncate_torn_tail(location, rest, last)?;
                 break;
             };
-            self.read_frame(place, frame)?;
+            self.read_frame(location, frame)?;
             offset += frame.length();
         }
         self.segments.insert(segment, offset);
         Ok(())
     }
 
-    fn read_frame(&mut self, place: Place, frame: Frame<'_>) -> Result<(), StorageError> {
-        let path = segment_path(place.segment);
+    fn read_frame(
+        &mut self,
+        location: FrameLocation,
+        frame: Frame<'_>,
+    ) -> Result<(), StorageError> {
+        let path = segment_path(location.segment);
         let expected = self.sequence.map(|sequence| sequence + 1);
         if expected.is_some_and(|expected| expected != frame.sequence) {
-            let reason = format!("write {} is missing", expected.unwrap_or(0));
-            return Err(StorageError::corrupt(&path, place.offset, reason));
+            let reason = format!("frame {} is missing", expected.unwrap_or(0));
+            return Err(StorageError::corrupt(&path, location.offset, reason));
         }
         self.sequence = Some(frame.sequence);
         let recovery = &mut self.recovery.groups;
-        let tracks = &mut self.tracks;
+        let trackers = &mut self.trackers;
         record::read_all(frame.body, |record| {
             let group = record.group();
-            tracks
+            trackers
                 .entry(group)
                 .or_default()
-                .note(&record, place.segment);
+                .apply(&record, location.segment);
             recovery.entry(group).or_default().apply(record);
         })
-        .map_err(|error| StorageError::corrupt(&path, place.offset, error.to_string()))
+        .map_err(|error| StorageError::corrupt(&path, location.offset, error.to_string()))
     }
 
-    /// Decides whether bytes that are no whole frame are the rest of a write
-    /// that a crash cut short. A frame is begun only after the one before it
-    /// was synced: so the rest of an unfinished write is the very last thing
-    /// in the log, and with anything whole behind it, it is damage.
-    fn cut_torn_tail(&mut self, place: Place, rest: &[u8], last: bool) -> Result<(), StorageError> {
-        let path = segment_path(place.segment);
+    /// Truncates an invalid frame if it is a write that a crash interrupted, and reports
+    /// corruption otherwise. A frame is only started after the previous one was synced, so
+    /// an incomplete write can only be at the very end of the log. An invalid frame before
+    /// a valid one is corruption.
+    fn truncate_torn_tail(
+        &mut self,
+        location: FrameLocation,
+        rest: &[u8],
+        last: bool,
+    ) -> Result<(), StorageError> {
+        let path = segment_path(location.segment);
         if !last {
-            let reason = "damaged write in an older segment";
-            return Err(StorageError::corrupt(&path, place.offset, reason));
+            let reason = "damaged frame in an older segment";
+            return Err(StorageError::corrupt(&path, location.offset, reason));
         }
-        if let Some(later) = frame::find_later(place, rest) {
-            let reason = format!("damaged write before a whole one at offset {later}");
-            return Err(StorageError::corrupt(&path, place.offset, reason));
+        if let Some(later) = frame::find_later(location, rest) {
+            let reason = format!("damaged frame before a valid frame at offset {later}");
+            return Err(StorageError::corrupt(&path, location.offset, reason));
         }
         self.recovery.torn_bytes = rest.len() as u64;
-        self.disk.truncate(&path, place.offset)?;
+        self.disk.truncate(&path, location.offset)?;
         self.disk.sync(&path)
     }
 
     fn check_entries(&mut self) -> Result<(), StorageError> {
         for (group, recovery) in &mut self.recovery.groups {
-            if let Some(missing) = recovery.settle() {
+            if let Some(missing) = recovery.drop_covered_entries() {
                 let reason = format!("entry {missing} of group {group} is missing");
                 return Err(StorageError::corrupt(DIRECTORY, 0, reason));
             }
--- a/crates/storage/src/payload.rs
+++ b/crates/storage/src/payload.rs
@@ -1,4 +1,4 @@
-//! The payload log of a group in files.
+//! File-based payload log of a group.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,62 +9,63 @@
 use crate::layout;
 use crate::{Disk, StorageError};
 
-/// Bytes after which a new segment is begun.
+/// Size in bytes at which a new segment is started.
 const SEGMENT_BYTES: u64 = 64 << 20;
-/// The same of a log whose beginning is dropped when it is not needed any more: a segment
-/// goes as a whole, and small disks have room for few.
-const SHORT_SEGMENT_BYTES: u64 = 4 << 20;
-/// Bytes of length and checksum in front of each payload.
+/// Segment size in bytes for logs whose beginning is dropped when it is no longer needed.
+/// Segments are only removed as a whole, and small disks have space for few.
+const TRIMMED_LOG_SEGMENT_BYTES: u64 = 4 << 20;
+/// Size of the length and checksum before each payload, in bytes.
 const HEADER_BYTES: usize = 8;
-/// Suffix of a segment's file.
+/// File name suffix of a segment.
 const SUFFIX: &str = ".payload";
 
-/// An append-only log of payloads. Offsets count the headers too, so that
-/// they are the same on every replica.
+/// An append-only log of payloads. Offsets include the headers, so that they are the same
+/// on every replica.
 ///
-/// Appended payloads wait in memory until [`FilePayloadLog::flush`], which the
-/// caller runs after each batch of commands: so an append never fails, and a
-/// full disk holds up the application of commands but cannot make a replica's
-/// machine differ from the others.
+/// Appended payloads are buffered in memory until [`FilePayloadLog::flush`], which the
+/// caller runs after each batch of commands. An append therefore never fails, and a full
+/// disk delays the application of commands but cannot make a replica's machine diverge from
+/// the others.
 #[derive(Debug)]
 pub struct FilePayloadLog<D> {
     disk: D,
     directory: String,
-    /// Length of each segment by its offset in the log.
+    /// Length of each segment, by its offset in the log.
     segments: BTreeMap<u64, u64>,
-    /// Bytes after which a new segment is begun.
+    /// Size in bytes at which a new segment is started.
     segment_bytes: u64,
-    /// Bytes in files.
+    /// Length of the log in files, in bytes.
     flushed: u64,
-    /// Bytes not yet in files.
-    waiting: Vec<u8>,
-    /// Whether files hold bytes that were not synced.
+    /// Buffered bytes that are not yet in files.
+    buffered: Vec<u8>,
+    /// Whether files contain bytes that were not synced.
     unsynced: bool,
 }
 
 impl<D: Disk> FilePayloadLog<D> {
-    /// Opens the log of `group` and cuts it to `length`, the length that the
-    /// group's snapshot covers. Replaying the group's log appends the rest
-    /// again.
+    /// Opens the log of `group` and truncates it to `length`, the length that the group's
+    /// snapshot covers. Replaying the group's log appends the rest again.
     ///
     /// # Errors
-    /// [`StorageError::Corrupt`] when the log is shorter than that.
+    /// Returns [`StorageError::Corrupt`] if the log is shorter than `length`, or the error
+    /// of the disk.
     pub fn open(disk: D, group: GroupId, length: u64) -> Result<Self, StorageError> {
         Self::open_part(disk, group, 0, length, SEGMENT_BYTES)
     }
 
-    /// The same of a log that is needed from `start` on only, and whose beginning is
-    /// dropped from time to time.
+    /// Opens a log that is only needed from `start` on, and whose beginning is dropped from
+    /// time to time.
     ///
     /// # Errors
-    /// [`StorageError::Corrupt`] when the log is shorter than `length`.
+    /// Returns [`StorageError::Corrupt`] if the log is shorter than `length`, or the error
+    /// of the disk.
     pub fn open_from(
         disk: D,
         group: GroupId,
         start: u64,
         length: u64,
     ) -> Result<Self, StorageError> {
-        Self::open_part(disk, group, start, length, SHORT_SEGMENT_BYTES)
+        Self::open_part(disk, group, start, length, TRIMMED_LOG_SEGMENT_BYTES)
     }
 
     fn open_part(
@@ -82,12 +83,12 @@
             segment_bytes,
             segments: BTreeMap::new(),
             flushed: 0,
-            waiting: Vec::new(),
+            buffered: Vec::new(),
             unsynced: false,
         };
         log.find_segments(start)?;
         if log.flushed < length {
-            let reason = format!("snapshot needs {length} bytes");
+            let reason = format!("log is shorter than the {length} bytes required by the snapshot");
             return Err(StorageError::corrupt(&log.directory, log.flushed, reason));
         }
         log.truncate(length)?;
@@ -97,15 +98,16 @@
     fn find_segments(&mut self, start: u64) -> Result<(), StorageError> {
         let names = self.disk.list(&self.directory)?;
         let offsets: BTreeSet<u64> = names.iter().filter_map(|name| parse_name(name)).collect();
-        // The one that holds the start is the first: a crash may have kept earlier ones.
+        // The first segment is the one that contains `start`: a crash may have kept earlier
+        // ones.
         let first = offsets.range(..=start).next_back();
         self.flushed = first.copied().unwrap_or(start);
         for offset in offsets {
             let path = self.path(offset);
             let length = self.disk.length(&path)?.unwrap_or(0);
             if offset != self.flushed {
-                // Dropped before, or left over behind a gap; the bytes before that decide
-                // whether enough of the log is there.
+                // The segment was dropped earlier, or is left over after a gap. The bytes
+                // before the gap determine whether the log is long enough.
                 self.disk.remove(&path)?;
                 continue;
             }
@@ -115,12 +117,12 @@
         Ok(())
     }
 
-    /// Cuts the log to `length`, which must not lie past its end.
+    /// Truncates the log to `length`, which must not be past its end.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     pub fn truncate(&mut self, length: u64) -> Result<(), StorageError> {
-        self.waiting.clear();
+        self.buffered.clear();
         let removed = self.segments.split_off(&length);
         for &offset in removed.keys() {
             self.disk.remove(&self.path(offset))?;
@@ -137,38 +139,38 @@
         Ok(())
     }
 
-    /// Hands waiting payloads to the disk. They are not synced yet.
+    /// Writes buffered payloads to the disk without syncing them.
     ///
     /// # Errors
-    /// When the disk refuses; the payloads go on waiting.
+    /// Fails if the disk operation fails; the payloads then remain buffered.
     pub fn flush(&mut self) -> Result<(), StorageError> {
-        if self.waiting.is_empty() {
+        if self.buffered.is_empty() {
             return Ok(());
         }
-        let waiting = std::mem::take(&mut self.waiting);
-        let written = self.write(&waiting);
+        let buffered = std::mem::take(&mut self.buffered);
+        let written = self.write(&buffered);
         if written.is_err() {
-            self.waiting = waiting;
+            self.buffered = buffered;
         }
         written
     }
 
-    /// Where what is there of the log begins.
+    /// Returns the offset at which the existing part of the log starts.
     #[must_use]
     pub fn start(&self) -> u64 {
         let first = self.segments.keys().next();
         first.copied().unwrap_or(self.flushed)
     }
 
-    /// Removes segments of which nothing at `offset` or behind is part, but for the last.
-    /// What rests on the log must outlive a crash without them by now.
+    /// Removes segments that end at or before `offset`, except the last segment. State that
+    /// refers to the log must already be durable without the removed segments.
     ///
     /// # Errors
-    /// When the disk refuses.
+    /// Fails if the disk operation fails.
     pub fn drop_before(&mut self, offset: u64) -> Result<(), StorageError> {
         while self.segments.len() > 1
-            && let Some((&first, &held)) = self.segments.first_key_value()
-            && first + held <= offset
+            && let Some((&first, &segment_length)) = self.segments.first_key_value()
+            && first + segment_length <= offset
         {
             self.disk.remove(&self.path(first))?;
             self.segments.remove(&first);
@@ -176,16 +178,16 @@
         Ok(())
     }
 
-    /// Bytes that wait for [`FilePayloadLog::flush`].
+    /// Returns the number of buffered bytes that [`FilePayloadLog::flush`] will write.
     #[must_use]
     pub fn waiting_bytes(&self) -> usize {
-        self.waiting.len()
+        self.buffered.len()
     }
 
-    /// Makes the whole log outlive a crash.
+    /// Makes the whole log durable.
     ///
     /// # Errors
-    /// When the disk refuses; a failed sync must not be tried again.
+    /// Fails if the disk operation fails; a failed sync must not be retried.
     pub fn sync(&mut self) -> Result<(), StorageError> {
         self.flush()?;
         if !self.unsynced {
@@ -199,50 +201,54 @@
         Ok(())
     }
 
-    /// Appends bytes that another replica's [`FilePayloadLog::read_raw`] gave.
+    /// Appends bytes returned by [`FilePayloadLog::read_raw`] of another replica.
     ///
     /// # Errors
-    /// When the disk refuses; then none of them were appended.
+    /// Fails if the disk operation fails; none of the bytes are appended then.
     pub fn append_raw(&mut self, bytes: &[u8]) -> Result<(), StorageError> {
         self.flush()?;
         self.write(bytes)
     }
 
-    /// Reads `length` bytes from `offset`, headers included.
+    /// Reads `length` bytes from `offset`, including headers.
     ///
     /// # Errors
-    /// When the range lies outside the log or the disk refuses.
+    /// Fails if the range is outside the log or the disk operation fails.
     pub fn read_raw(&self, offset: u64, length: usize) -> Result<Vec<u8>, StorageError> {
         let end = offset.saturating_add(length as u64);
         if end > self.length() {
             return Err(StorageError::corrupt(
                 &self.directory,
                 offset,
-                "range lies past the end",
+                "range is past the end of the log",
             ));
         }
         let mut bytes = Vec::with_capacity(length);
         let mut position = offset;
         while position < end.min(self.flushed) {
-            let piece = self.read_piece(position, end.min(self.flushed))?;
-            position += piece.len() as u64;
-            bytes.extend_from_slice(&piece);
+            let chunk = self.read_from_segment(position, end.min(self.flushed))?;
+            position += chunk.len() as u64;
+            bytes.extend_from_slice(&chunk);
         }
         if end > self.flushed {
             let from = (position - self.flushed) as usize;
             let to = (end - self.flushed) as usize;
-            bytes.extend_from_slice(&self.waiting[from..to]);
+            bytes.extend_from_slice(&self.buffered[from..to]);
         }
         Ok(bytes)
     }
 
-    /// Reads what one segment has of the range.
-    fn read_piece(&self, from: u64, to: u64) -> Result<Vec<u8>, StorageError> {
+    /// Reads the part of the range that is in its first segment.
+    fn read_from_segment(&self, from: u64, to: u64) -> Result<Vec<u8>, StorageError> {
         let segment = self.segments.range(..=from).next_back();
-        let Some((&offset, &held)) = segment else {
-            return Err(StorageError::corrupt(&self.directory, from, "no segment"));
+        let Some((&offset, &segment_length)) = segment else {
+            return Err(StorageError::corrupt(
+                &self.directory,
+                from,
+                "no segment contains this offset",
+            ));
         };
-        let end = to.min(offset + held);
+        let end = to.min(offset + segment_length);
         let length = (end - from) as usize;
         self.disk.read_at(&self.path(offset), from - offset, length)
     }
@@ -250,25 +256,26 @@
     fn write(&mut self, bytes: &[u8]) -> Result<(), StorageError> {
         let offset = self.segment_for_writing()?;
         let path = self.path(offset);
-        let held = self.segments.get(&offset).copied().unwrap_or(0);
+        let segment_length = self.segments.get(&offset).copied().unwrap_or(0);
         if let Err(error) = self.disk.append(&path, bytes) {
             if self.disk.length(&path)?.is_some() {
-                self.disk.truncate(&path, held)?;
+                self.disk.truncate(&path, segment_length)?;
             }
             return Err(error);
         }
-        self.segments.insert(offset, held + bytes.len() as u64);
+        self.segments
+            .insert(offset, segment_length + bytes.len() as u64);
         self.flushed += bytes.len() as u64;
         self.unsynced = true;
         Ok(())
     }
 
-    /// The segment that takes the next bytes. A finished one is synced before
-    /// the next is begun.
+    /// Returns the offset of the segment to append to. A full segment is synced before the
+    /// next one is started.
     fn segment_for_writing(&mut self) -> Result<u64, StorageError> {
         let last = self.segments.iter().next_back();
-        match last.map(|(&offset, &held)| (offset, held)) {
-            Some((offset, held)) if held < self.segment_bytes => Ok(offset),
+        match last.map(|(&offset, &segment_length)| (offset, segment_length)) {
+            Some((offset, segment_length)) if segment_length < self.segment_bytes => Ok(offset),
             Some((offset, _)) => {
                 self.disk.sync(&self.path(offset))?;
                 Ok(self.flushed)
@@ -286,8 +293,8 @@
     fn append(&mut self, payload: &[u8]) -> Result<PayloadLocation, PayloadError> {
         let offset = self.length();
         let length = payload.len() as u32;
-        self.waiting.extend_from_slice(&header(payload));
-        self.waiting.extend_from_slice(payload);
+        self.buffered.extend_from_slice(&header(payload));
+        self.buffered.extend_from_slice(payload);
         Ok(PayloadLocation { offset, length })
     }
 
@@ -311,11 +318,11 @@
     }
 
     fn length(&self) -> u64 {
-        self.flushed + self.waiting.len() as u64
+        self.flushed + self.buffered.len() as u64
     }
 }
 
-/// Length and checksum of a payload as they stand in the log.
+/// Encodes the length and checksum of a payload.
 fn header(payload: &[u8]) -> [u8; HEADER_BYTES] {
     let mut header = [0; HEADER_BYTES];
     let (length, checksum) = header.split_at_mut(HEADER_BYTES / 2);
--- a/crates/storage/tests/write_ahead_log.rs
+++ b/crates/storage/tests/write_ahead_log.rs
@@ -29,8 +29,8 @@
     })
 }
 
-/// Three synced frames; returns the lengths of the segment after each.
-fn three_frames(disk: &SimulatedDisk) -> Vec<u64> {
+/// Writes three synced frames and returns the length of the segment after each.
+fn write_three_frames(disk: &SimulatedDisk) -> Vec<u64> {
     let (mut log, _) = open(disk);
     (1..=3)
         .map(|index| {
@@ -45,7 +45,7 @@
 #[test]
 fn reads_back_what_was_synced() {
     let disk = SimulatedDisk::new();
-    three_frames(&disk);
+    write_three_frames(&disk);
     let (log, recovery) = open(&disk);
     assert_eq!(indexes(&recovery, GROUP), [1, 2, 3]);
     let other = &recovery.groups[&OTHER];
@@ -66,31 +66,31 @@
 }
 
 #[test]
-fn torn_tail_is_cut_at_every_byte() {
+fn torn_tail_is_truncated_at_every_byte() {
     let disk = SimulatedDisk::new();
-    let ends = three_frames(&disk);
+    let ends = write_three_frames(&disk);
     for length in ends[1]..ends[2] {
         let copy = SimulatedDisk::new();
         copy.roll_back(&disk.backup());
         copy.truncate(FIRST_SEGMENT, length).unwrap();
         let (mut log, recovery) = open(&copy);
-        assert_eq!(indexes(&recovery, GROUP), [1, 2], "cut at {length}");
+        assert_eq!(indexes(&recovery, GROUP), [1, 2], "truncated at {length}");
         assert_eq!(recovery.torn_bytes, length - ends[1]);
         log.append_entry(GROUP, 3, b"again");
-        log.sync().expect("goes on behind the cut");
+        log.sync().expect("goes on after the truncated tail");
         assert_eq!(indexes(&open(&copy).1, GROUP), [1, 2, 3]);
     }
 }
 
 #[test]
-fn damage_at_every_byte_before_a_whole_frame_stops() {
+fn damage_at_every_byte_before_a_valid_frame_is_an_error() {
     let disk = SimulatedDisk::new();
-    let ends = three_frames(&disk);
+    let ends = write_three_frames(&disk);
     for offset in 0..ends[1] {
         let copy = SimulatedDisk::new();
         copy.roll_back(&disk.backup());
         assert!(copy.flip(FIRST_SEGMENT, offset));
-        let error = WriteAheadLog::open(copy, settings()).expect_err("stops");
+        let error = WriteAheadLog::open(copy, settings()).expect_err("opening stops with an error");
         let start = if offset < ends[0] { 0 } else { ends[0] };
         match error {
             StorageError::Corrupt { file, offset, .. } => {
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn damage_in_an_older_segment_stops() {
+fn damage_in_an_older_segment_is_an_error() {
     let disk = SimulatedDisk::new();
     let (mut log, _) = open(&disk);
     for index in 1..=20 {
@@ -111,12 +111,12 @@
     }
     let length = disk.length(FIRST_SEGMENT).unwrap().unwrap();
     disk.truncate(FIRST_SEGMENT, length - 1).unwrap();
-    let error = WriteAheadLog::open(disk, settings()).expect_err("stops");
+    let error = WriteAheadLog::open(disk, settings()).expect_err("opening stops with an error");
     assert!(matches!(error, StorageError::Corrupt { ref file, .. } if file == FIRST_SEGMENT));
 }
 
 #[test]
-fn missing_segment_stops() {
+fn missing_segment_is_an_error() {
     let disk = SimulatedDisk::new();
     let (mut log, _) = open(&disk);
     for index in 1..=20 {
@@ -124,7 +124,7 @@
         log.sync().expect("syncs");
     }
     disk.remove("log/00000000000000000002.segment").unwrap();
-    let error = WriteAheadLog::open(disk, settings()).expect_err("stops");
+    let error = WriteAheadLog::open(disk, settings()).expect_err("opening stops with an error");
     assert!(matches!(error, StorageError::Corrupt { .. }));
 }
 
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn snapshots_let_old_segments_go() {
+fn snapshots_allow_removal_of_old_segments() {
     let disk = SimulatedDisk::new();
     let (mut log, _) = open(&disk);
     log.set_hard_state(GROUP, b"vote");
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_lagging_group_is_written_again() {
+fn lagging_group_can_be_appended_again() {
     let disk = SimulatedDisk::new();
     let (mut log, _) = open(&disk);
     log.append_entry(OTHER, 1, b"lone entry");
@@ -186,22 +186,22 @@
 }
 
 #[test]
-fn full_disk_is_carried_by_the_reserve_then_refused_whole() {
+fn full_disk_uses_the_reserve_and_then_rejects_the_write() {
     let disk = SimulatedDisk::new();
     let (mut log, _) = open(&disk);
     log.append_entry(GROUP, 1, b"first");
     log.sync().unwrap();
     disk.set_full(true);
     log.append_entry(GROUP, 2, &[0; 100]);
-    log.sync().expect("the reserve carries it");
+    log.sync().expect("the write uses the reserve");
     assert!(log.is_low());
     assert!(!log.restore_reserve().unwrap());
     log.append_entry(GROUP, 3, &[0; 2_000]);
-    let error = log.sync().expect_err("no room is left");
+    let error = log.sync().expect_err("no space is left");
     assert!(error.is_full());
     assert_eq!(indexes(&open(&disk).1, GROUP), [1, 2]);
     disk.set_full(false);
-    log.sync().expect("waits for room and goes on");
+    log.sync().expect("goes on once space is free");
     assert!(log.restore_reserve().unwrap());
     assert_eq!(indexes(&open(&disk).1, GROUP), [1, 2, 3]);
 }
@@ -233,7 +233,7 @@
     disk.fail_syncs(1);
     log.append_entry(GROUP, 1, b"body");
     log.sync().expect_err("the sync fails");
-    let again = log.sync().expect_err("it is not tried again");
+    let again = log.sync().expect_err("the sync is not tried again");
     assert!(matches!(again, StorageError::Poisoned { .. }));
 }
 
@@ -312,7 +312,7 @@
 }
 
 #[test]
-fn any_crash_leaves_the_synced_state_or_the_one_under_way() {
+fn any_crash_leaves_the_synced_state_or_the_one_in_progress() {
     let random = TestRng::from_seed(RngAlgorithm::ChaCha, &[7; 32]);
     let config = ProptestConfig {
         cases: 200,
