--- a/crates/routing/src/placement/message.rs
+++ b/crates/routing/src/placement/message.rs
@@ -76,9 +76,7 @@
         zone: ZoneName,
     },
     /// The engine runs another version, and enough other copies stay in service.
-    #[display(
-        "service {service} changes to version {version}; {others} other copies stay in service"
-    )]
+    #[display("service {service} moves to version {version}; {others} other copies stay")]
     OtherVersion {
         /// Service.
         service: ServiceName,
@@ -102,13 +100,13 @@
         service: ServiceName,
     },
     /// The engine's service no longer uses this model.
-    #[display("the service of this engine does not use model {model}")]
+    #[display("no service wants model {model} there")]
     UnwantedModel {
         /// Model.
         model: String,
     },
     /// An earlier order has had no reported effect.
-    #[display("no effect yet of the order with expected token {token}")]
+    #[display("no effect of the order with token {token} yet")]
     NoEffectYet {
         /// Expected token of the earlier order: the highest issued when it was proposed.
         token: FencingToken,
