--- a/crates/fleet/src/control/relay.rs
+++ b/crates/fleet/src/control/relay.rs
@@ -9,16 +9,16 @@
 use async_io::Timer;
 use molespan_daemon::boot_clock::BootClock;
 use molespan_daemon::cluster::{PeerTransport, WireTransport};
-use molespan_routing::dispatch::{DemandRelay, ServiceDemand, Teller, WorkRelay, WorkShare};
+use molespan_routing::dispatch::{DemandRelay, ReportSource, ServiceDemand, WorkRelay, WorkShare};
 use molespan_routing::quota::{Usage, UsageRelay};
-use molespan_routing::reach::{ReachRelay, ReachTelling};
+use molespan_routing::reach::{ReachRelay, ReachReport};
 use molespan_routing::suspects::{Blame, SuspectTable};
 use molespan_types::{NodeId, Timestamp};
 use molespan_wire::Request;
 use slog::Logger;
 
 use super::hub::Hub;
-use crate::telling;
+use crate::notification;
 
 /// Interval after which unchanged reports are sent again to other relays and to gateways.
 const RESEND_INTERVAL: Duration = Duration::from_millis(400);
@@ -68,13 +68,17 @@
     /// Records the number of gateways that another relay reports for.
     pub fn record_gateway_count(&self, from: NodeId, gateways: u32) {
         let now = self.now();
-        self.lock().work.note_spoken_for(from, gateways, now);
+        self.lock()
+            .work
+            .record_represented_gateways(from, gateways, now);
     }
 
     /// Records a report by a gateway or another relay of requests that were running on
     /// engines when those terminated.
     pub fn record_blames(&self, from: NodeId, blames: &[u8]) {
-        let Some(blames) = telling::read::<Vec<Blame>>(&self.logger, from, "blames", blames) else {
+        let Some(blames) =
+            notification::decode_or_log::<Vec<Blame>>(&self.logger, from, "blames", blames)
+        else {
             return;
         };
         let now = self.now();
@@ -86,7 +90,9 @@
     /// Records a report by a gateway or another relay of unreachable zones.
     pub fn record_reach(&self, from: NodeId, reach: Option<&[u8]>, relayed: bool) {
         let reports = match reach {
-            Some(reach) => telling::read(&self.logger, from, "zones out of reach", reach),
+            Some(reach) => {
+                notification::decode_or_log(&self.logger, from, "zones out of reach", reach)
+            }
             None => Some(Vec::new()),
         };
         // A malformed report does not revoke the earlier ones.
@@ -107,7 +113,7 @@
     /// with the load in the same message.
     pub fn record_demand(&self, from: NodeId, demand: &[u8], relayed: bool) {
         let Some(demand) =
-            telling::read::<Vec<ServiceDemand>>(&self.logger, from, "demand", demand)
+            notification::decode_or_log::<Vec<ServiceDemand>>(&self.logger, from, "demand", demand)
         else {
             return;
         };
@@ -120,12 +126,14 @@
     /// Records a report of load and of the use of tenants' limits by a gateway or another
     /// relay.
     pub fn record_work(&self, from: NodeId, shares: &[u8], usage: Option<&[u8]>, relayed: bool) {
-        let Some(shares) = telling::read::<Vec<WorkShare>>(&self.logger, from, "work", shares)
+        let Some(shares) =
+            notification::decode_or_log::<Vec<WorkShare>>(&self.logger, from, "work", shares)
         else {
             return;
         };
-        let usage =
-            usage.and_then(|usage| telling::read(&self.logger, from, "use of limits", usage));
+        let usage = usage.and_then(|usage| {
+            notification::decode_or_log(&self.logger, from, "use of limits", usage)
+        });
         let sender = sender_kind(relayed);
         let now = self.now();
         let changed = {
@@ -138,16 +146,16 @@
         };
         // Repeated reports of gateways are forwarded so that they do not expire. Relays
         // that forwarded each other's repeated reports would never become idle.
-        if changed || sender == Teller::Gateway {
+        if changed || sender == ReportSource::Gateway {
             let _already_signaled = self.received.0.try_send(());
         }
     }
 }
 
-fn sender_kind(relayed: bool) -> Teller {
+fn sender_kind(relayed: bool) -> ReportSource {
     match relayed {
-        true => Teller::Relay,
-        false => Teller::Gateway,
+        true => ReportSource::Relay,
+        false => ReportSource::Gateway,
     }
 }
 
@@ -181,7 +189,7 @@
         };
         let relay = &mut relays.work;
         relay.expire(now);
-        let scale = relay.all_by_told(present, now);
+        let scale = relay.total_to_reported_ratio(present, now);
         let mut by_gateway = relay.shares_by_user(|engines| hub.users_of(engines));
         let shares = by_gateway.iter_mut().flat_map(|(_, shares)| shares);
         shares.for_each(|share| share.multiply(scale));
@@ -216,15 +224,15 @@
         let now = self.now();
         let suspects = &mut self.lock().suspects;
         suspects.expire(now);
-        let blames = suspects.tell(now);
+        let blames = suspects.blames_to_send(now);
         (!blames.is_empty()).then(|| molespan_state::encode(&blames))
     }
 }
 
 /// Unreachable zones to forward in one round.
 struct ReachRound {
-    of_gateways: Vec<ReachTelling>,
-    by_gateway: BTreeMap<NodeId, Vec<ReachTelling>>,
+    of_gateways: Vec<ReachReport>,
+    by_gateway: BTreeMap<NodeId, Vec<ReachReport>>,
 }
 
 impl RelayState {
@@ -253,7 +261,7 @@
     }
 }
 
-fn encoded(reach: &[ReachTelling]) -> Option<Vec<u8>> {
+fn encoded(reach: &[ReachReport]) -> Option<Vec<u8>> {
     (!reach.is_empty()).then(|| molespan_state::encode(&reach))
 }
 
@@ -299,7 +307,7 @@
         let blames = work.blames();
         let message = |shares: &[WorkShare],
                        usage: Option<&Usage>,
-                       reach: &[ReachTelling],
+                       reach: &[ReachReport],
                        demand: &[ServiceDemand],
                        gateways| Request::EngineWork {
             from: own,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,9 +8,9 @@
 
 pub mod control;
 pub mod membership;
+pub mod notification;
 pub mod refusals;
 pub mod store;
-pub mod telling;
 pub mod view;
 mod wakeup;
 mod watch;
--- a/crates/fleet/src/telling.rs
+++ b/crates/fleet/src/notification.rs
@@ -4,7 +4,7 @@
 use slog::{Logger, warn};
 
 /// Decodes a one-way message. Logs a warning and returns `None` if it is malformed.
-pub fn read<T>(logger: &Logger, from: NodeId, what: &str, bytes: &[u8]) -> Option<T>
+pub fn decode_or_log<T>(logger: &Logger, from: NodeId, what: &str, bytes: &[u8]) -> Option<T>
 where
     T: for<'b> minicbor::Decode<'b, ()>,
 {
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -10,7 +10,7 @@
     self, BodyError, BodyReader, Connection, Framing, HeadError, Headers, ResponseHead,
 };
 use molespan_routing::dispatch::{Doubt, EngineFacts, Failure, Picked, WorkClass};
-use molespan_routing::reach::Sign;
+use molespan_routing::reach::ReturnEvidence;
 use molespan_state::declared::{RequestDigest, RequestParts};
 use molespan_types::{EngineLife, Timestamp};
 
@@ -198,7 +198,7 @@
                 engines.answered(&engine.id, failed, state.now());
             }
             drop(engines);
-            state.note_reached(&engine.id, began, Sign::Answer);
+            state.note_reached(&engine.id, began, ReturnEvidence::Answer);
         }
         Err(failure) => note_failure(state, &engine.id, *failure, outbound.class, began),
     }
--- a/crates/proxy/src/bars.rs
+++ b/crates/proxy/src/bars.rs
@@ -115,7 +115,7 @@
             Verdict::Barred { crashes } => {
                 info!(self.logger, "request barred"; "request" => &request.id,
                     "digest" => %request.digest(), "crashes" => crashes,
-                    "heard_ms_ago" => suspects.heard_ago(&request.digest(), now)
+                    "heard_ms_ago" => suspects.last_learned_age(&request.digest(), now)
                         .map_or(0, |ago| ago.as_millis() as u64));
                 Permit::Denied
             }
--- a/crates/proxy/src/race.rs
+++ b/crates/proxy/src/race.rs
@@ -12,7 +12,7 @@
 use futures_lite::future;
 use molespan_http::h1::{self, Connection, SocketOptions};
 use molespan_routing::dispatch::{Doubt, EngineFacts, Failure, Picked, WorkClass};
-use molespan_routing::reach::Sign;
+use molespan_routing::reach::ReturnEvidence;
 use molespan_types::Timestamp;
 
 use crate::attempt::AttemptLimits;
@@ -153,7 +153,7 @@
         Ok(stream) => {
             let took = state.now().since(began);
             state.engines.borrow_mut().connected(&engine.id, took);
-            state.note_reached(&engine.id, began, Sign::Connect);
+            state.note_reached(&engine.id, began, ReturnEvidence::Connect);
             Some(Connection::new(stream))
         }
         Err(_) => {
--- a/crates/proxy/src/reach.rs
+++ b/crates/proxy/src/reach.rs
@@ -12,8 +12,8 @@
 use async_io::Timer;
 use futures_lite::future;
 use molespan_http::h1::{self, SocketOptions};
-use molespan_routing::dispatch::{Doubt, Failure, Probe, Teller};
-use molespan_routing::reach::{Change, Evidence, ReachRelay, ReachTelling, Sign};
+use molespan_routing::dispatch::{Doubt, Failure, Probe, ReportSource};
+use molespan_routing::reach::{Change, Evidence, ReachRelay, ReachReport, ReturnEvidence};
 use molespan_types::{NodeId, Timestamp};
 use slog::{info, warn};
 
@@ -74,7 +74,7 @@
     }
 
     /// Records that an attempt that started at `began` reached an engine.
-    pub fn note_reached(&self, engine: &str, began: Timestamp, by: Sign) {
+    pub fn note_reached(&self, engine: &str, began: Timestamp, by: ReturnEvidence) {
         let now = self.now();
         self.engines.borrow_mut().reached(engine, began, by, now);
         self.note_reach_changes();
@@ -82,21 +82,21 @@
 
     /// Records a report of unreachable zones from another gateway, or from a relay for all
     /// others.
-    pub fn apply_reach_report(&self, from: NodeId, relayed: bool, report: Vec<ReachTelling>) {
+    pub fn apply_reach_report(&self, from: NodeId, relayed: bool, report: Vec<ReachReport>) {
         let now = self.now();
         let report = match relayed {
             true => report.into_iter().next(),
             false => {
                 let mut all = self.reach.reports.borrow_mut();
                 all.expire(now);
-                all.note(from, Teller::Gateway, report, now);
+                all.note(from, ReportSource::Gateway, report, now);
                 all.for_gateway(self.own, self.zone())
             }
         };
         let Some(report) = report else {
             return;
         };
-        let probes = self.engines.borrow_mut().note_reach_told(&report, now);
+        let probes = self.engines.borrow_mut().record_reach_report(&report, now);
         self.note_reach_changes();
         if !probes.is_empty() {
             self.queue_probes(probes);
@@ -164,7 +164,7 @@
                 warn!(self.logger, "zone out of reach"; "zone" => zone, "evidence" => "own",
                     "failed_hosts" => failed, "of" => of, "age_ms" => age.as_millis() as u64);
             }
-            Evidence::Told { by } => {
+            Evidence::Reported { by } => {
                 warn!(self.logger, "zone out of reach"; "zone" => zone, "evidence" => "told",
                     "gateways" => by);
             }
@@ -210,7 +210,7 @@
         Ok(_closed_again) => {
             let took = now.since(began);
             state.engines.borrow_mut().connected(&engine, took);
-            state.note_reached(&engine, began, Sign::Connect);
+            state.note_reached(&engine, began, ReturnEvidence::Connect);
         }
         Err(_) => {
             let mut engines = state.engines.borrow_mut();
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -522,7 +522,7 @@
     }
 
     fn unwatched(&self, node: NodeId) {
-        self.engines.borrow_mut().forget_teller(node);
+        self.engines.borrow_mut().remove_control_node(node);
     }
 
     fn version(&self) -> Option<u64> {
--- a/crates/proxy/src/tenants.rs
+++ b/crates/proxy/src/tenants.rs
@@ -112,7 +112,7 @@
             info!(self.logger, "tenant over its limit"; "request" => request, "tenant" => tenant,
                 "left" => format!("{:.1}", refused.left),
                 "others_asked" => format!("{:.1}", refused.others_asked),
-                "told_ago_ms" => refused.told_ago.map(|ago| ago.as_millis() as u64),
+                "told_ago_ms" => refused.last_report_age.map(|ago| ago.as_millis() as u64),
                 "retry_after_ms" => refused.retry_after.as_millis() as u64);
             Refusal::OverLimit {
                 retry_after: refused.retry_after,
--- a/crates/proxy/src/work_shares.rs
+++ b/crates/proxy/src/work_shares.rs
@@ -14,10 +14,10 @@
 use molespan_daemon::DaemonError;
 use molespan_daemon::cluster::{PeerTransport, WireTransport};
 use molespan_fleet::view::MOST_NAMED;
-use molespan_fleet::{ClusterAddresses, telling};
+use molespan_fleet::{ClusterAddresses, notification};
 use molespan_routing::dispatch::{ServiceDemand, WorkShare};
 use molespan_routing::quota::Usage;
-use molespan_routing::reach::ReachTelling;
+use molespan_routing::reach::ReachReport;
 use molespan_routing::suspects::Blame;
 use molespan_types::{NodeId, RunOutcome, Timestamp};
 use molespan_wire::{Handler, Request, Response, Server, ServerLimits};
@@ -52,7 +52,7 @@
     shares: Vec<WorkShare>,
     usage: Option<Usage>,
     blames: Vec<Blame>,
-    reach: Vec<ReachTelling>,
+    reach: Vec<ReachReport>,
     demand: Option<Vec<ServiceDemand>>,
     relayed: bool,
 }
@@ -83,16 +83,20 @@
             demand,
             ..
         } = request
-            && let Some(shares) = telling::read(&self.logger, from, "work", &shares)
+            && let Some(shares) = notification::decode_or_log(&self.logger, from, "work", &shares)
         {
-            let usage =
-                usage.and_then(|usage| telling::read(&self.logger, from, "use of limits", &usage));
-            let blames =
-                blames.and_then(|blames| telling::read(&self.logger, from, "blames", &blames));
-            let reach = reach
-                .and_then(|reach| telling::read(&self.logger, from, "zones out of reach", &reach));
-            let demand =
-                demand.and_then(|demand| telling::read(&self.logger, from, "demand", &demand));
+            let usage = usage.and_then(|usage| {
+                notification::decode_or_log(&self.logger, from, "use of limits", &usage)
+            });
+            let blames = blames.and_then(|blames| {
+                notification::decode_or_log(&self.logger, from, "blames", &blames)
+            });
+            let reach = reach.and_then(|reach| {
+                notification::decode_or_log(&self.logger, from, "zones out of reach", &reach)
+            });
+            let demand = demand.and_then(|demand| {
+                notification::decode_or_log(&self.logger, from, "demand", &demand)
+            });
             let report = PeerReport {
                 from,
                 shares,
@@ -138,7 +142,7 @@
         let now = state.now();
         state.note_heard();
         if report.relayed {
-            state.relay.borrow_mut().heard(report.from, now);
+            state.relay.borrow_mut().record_message(report.from, now);
         }
         if let Some(usage) = report.usage {
             let mut tenants = state.tenants.borrow_mut();
@@ -210,7 +214,7 @@
         unchanged = if shares == before { unchanged + 1 } else { 0 };
         let now = state.now();
         let usage = state.has_tenants() && (short || now.since(usage_reported) >= USAGE_INTERVAL);
-        let reach = state.engines.borrow().reach_telling();
+        let reach = state.engines.borrow().reach_report();
         let reach_changed = reach != reported_reach;
         let has_news = usage || reach_changed || state.suspects.borrow().has_news();
         if unchanged % REPEAT_INTERVALS != 0 && !has_news {
@@ -251,7 +255,7 @@
     let now = state.now();
     let mut suspects = state.suspects.borrow_mut();
     suspects.expire(now);
-    let blames = suspects.tell(now);
+    let blames = suspects.blames_to_send(now);
     (!blames.is_empty()).then(|| molespan_state::encode(&blames))
 }
 
--- a/crates/routing/src/dispatch/demand.rs
+++ b/crates/routing/src/dispatch/demand.rs
@@ -14,7 +14,7 @@
 use molespan_types::{NodeId, Timestamp};
 
 use super::engine::SHARE_HOLDS;
-use super::relay::Teller;
+use super::relay::ReportSource;
 use super::room::START_VISIBILITY_DELAY;
 use super::table::EngineTable;
 use crate::decay::FadingSum;
@@ -221,7 +221,7 @@
 /// Demand reported to a relay.
 #[derive(Clone, Debug, Default)]
 pub struct DemandRelay {
-    reported: BTreeMap<NodeId, (Teller, ReportedDemand)>,
+    reported: BTreeMap<NodeId, (ReportSource, ReportedDemand)>,
 }
 
 impl DemandRelay {
@@ -229,12 +229,12 @@
     pub fn note(
         &mut self,
         from: NodeId,
-        teller: Teller,
+        source: ReportSource,
         demands: Vec<ServiceDemand>,
         now: Timestamp,
     ) {
         self.reported
-            .insert(from, (teller, ReportedDemand::new(demands, now)));
+            .insert(from, (source, ReportedDemand::new(demands, now)));
     }
 
     /// Removes reports that have expired.
@@ -247,7 +247,7 @@
     #[must_use]
     pub fn of_gateways(&self) -> Vec<ServiceDemand> {
         let reported = self.reported.values();
-        let gateways = reported.filter(|(teller, _)| *teller == Teller::Gateway);
+        let gateways = reported.filter(|(source, _)| *source == ReportSource::Gateway);
         sum(gateways.flat_map(|(_, reported)| &reported.demands))
     }
 
@@ -259,7 +259,7 @@
             .values()
             .flat_map(|(_, reported)| &reported.demands));
         let reported = self.reported.iter();
-        let gateways = reported.filter(|(_, (teller, _))| *teller == Teller::Gateway);
+        let gateways = reported.filter(|(_, (source, _))| *source == ReportSource::Gateway);
         gateways
             .map(|(&gateway, (_, own))| (gateway, without(&all, &own.demands)))
             .collect()
--- a/crates/routing/src/dispatch/mod.rs
+++ b/crates/routing/src/dispatch/mod.rs
@@ -34,7 +34,7 @@
 pub use pace::PaceFigures;
 pub use prompt::{PromptCost, PromptPart, SharedPrompt};
 pub use reachable::{Doubt, Probe};
-pub use relay::{RelayChoice, Teller, WorkRelay};
+pub use relay::{RelayChoice, ReportSource, WorkRelay};
 pub use short::Shortage;
 pub use slow::{SlowChange, SlowWatch};
 pub use split::WeightedSplit;
--- a/crates/routing/src/dispatch/reachable.rs
+++ b/crates/routing/src/dispatch/reachable.rs
@@ -9,7 +9,7 @@
 
 use super::engine::Engine;
 use super::table::{EngineTable, Pick, Picked};
-use crate::reach::{Change, Hosts, ReachTelling, Sign, slow_after};
+use crate::reach::{Change, Hosts, ReachReport, ReturnEvidence, slow_after};
 
 /// Engines probed besides the suspected one to find out whether its zone is unreachable.
 /// Together with it, as many as that decision needs.
@@ -134,7 +134,7 @@
 
     /// Records that an attempt started at `began` was answered by an engine or established
     /// a connection.
-    pub fn reached(&mut self, id: &str, began: Timestamp, by: Sign, now: Timestamp) {
+    pub fn reached(&mut self, id: &str, began: Timestamp, by: ReturnEvidence, now: Timestamp) {
         if let Some(engine) = self.engines.get(id) {
             self.reach.reached(&engine.facts.zone, began, by, now);
         }
@@ -157,7 +157,7 @@
         };
         let hosts = self.hosts();
         let wide = doubt == Doubt::Slow || self.reach.have_several_failed(&zone, now);
-        if !self.reach.look(&zone, wide, &hosts, now) {
+        if !self.reach.check(&zone, wide, &hosts, now) {
             return Vec::new();
         }
         let mut others = self.probe_zone(&zone, now);
@@ -170,18 +170,18 @@
 
     /// Returns which zones are unreachable, to report to other gateways of the own zone.
     #[must_use]
-    pub fn reach_telling(&self) -> Option<ReachTelling> {
-        self.reach.telling(&self.zone)
+    pub fn reach_report(&self) -> Option<ReachReport> {
+        self.reach.report(&self.zone)
     }
 
     /// Records which zones other gateways of the own zone report as unreachable. Returns
     /// the probes with which this gateway checks them.
-    pub fn note_reach_told(&mut self, told: &ReachTelling, now: Timestamp) -> Vec<Probe> {
-        if told.from != self.zone {
+    pub fn record_reach_report(&mut self, report: &ReachReport, now: Timestamp) -> Vec<Probe> {
+        if report.from != self.zone {
             return Vec::new();
         }
         let hosts = self.hosts();
-        let doubted = self.reach.note_told(told, &hosts, now);
+        let doubted = self.reach.record_report(report, &hosts, now);
         let zones = doubted.iter();
         zones.flat_map(|zone| self.probe_zone(zone, now)).collect()
     }
--- a/crates/routing/src/dispatch/relay.rs
+++ b/crates/routing/src/dispatch/relay.rs
@@ -82,7 +82,7 @@
     }
 
     /// Records a message from a relay.
-    pub fn heard(&mut self, from: NodeId, now: Timestamp) {
+    pub fn record_message(&mut self, from: NodeId, now: Timestamp) {
         if self.relay == Some(from) {
             self.last_heard = now;
         }
@@ -91,7 +91,7 @@
 
 /// Kind of a node that reports to a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Teller {
+pub enum ReportSource {
     /// A gateway, reporting its own requests.
     Gateway,
     /// Another relay, reporting the requests of its gateways.
@@ -101,7 +101,7 @@
 /// Latest report of a node.
 #[derive(Clone, Debug)]
 struct NodeReport {
-    teller: Teller,
+    source: ReportSource,
     shares: Vec<WorkShare>,
     at: Timestamp,
 }
@@ -120,12 +120,12 @@
     pub fn note(
         &mut self,
         from: NodeId,
-        teller: Teller,
+        source: ReportSource,
         shares: Vec<WorkShare>,
         now: Timestamp,
     ) -> bool {
         let reported = NodeReport {
-            teller,
+            source,
             shares,
             at: now,
         };
@@ -134,7 +134,7 @@
     }
 
     /// Records how many gateways another relay represents.
-    pub fn note_spoken_for(&mut self, from: NodeId, gateways: u32, now: Timestamp) {
+    pub fn record_represented_gateways(&mut self, from: NodeId, gateways: u32, now: Timestamp) {
         self.represented.insert(from, (gateways, now));
     }
 
@@ -143,7 +143,7 @@
     pub fn gateways(&self) -> u32 {
         let reported = self.reported.values();
         reported
-            .filter(|reported| reported.teller == Teller::Gateway)
+            .filter(|reported| reported.source == ReportSource::Gateway)
             .count() as u32
     }
 
@@ -174,7 +174,7 @@
     /// engines. Gateways that left a silent relay report through another one, so no more
     /// are counted as missing than are `present` and not reporting.
     #[must_use]
-    pub fn all_by_told(&self, present: u32, now: Timestamp) -> f64 {
+    pub fn total_to_reported_ratio(&self, present: u32, now: Timestamp) -> f64 {
         let (mut reporting, mut missing) = (self.gateways(), 0);
         for (gateways, at) in self.represented.values() {
             match now.since(*at) < SHARE_HOLDS {
@@ -190,7 +190,7 @@
     #[must_use]
     pub fn sum_of_gateways(&self) -> Vec<WorkShare> {
         let reported = self.reported.values();
-        let of_gateways = reported.filter(|reported| reported.teller == Teller::Gateway);
+        let of_gateways = reported.filter(|reported| reported.source == ReportSource::Gateway);
         sum(of_gateways.flat_map(|reported| &reported.shares))
     }
 
@@ -213,7 +213,7 @@
         let engines: Vec<&str> = all.iter().map(|share| share.engine.as_str()).collect();
         let users = users(&engines);
         let reported = self.reported.iter();
-        let gateways = reported.filter(|(_, reported)| reported.teller == Teller::Gateway);
+        let gateways = reported.filter(|(_, reported)| reported.source == ReportSource::Gateway);
         let mut by_gateway: BTreeMap<NodeId, (&NodeReport, Vec<WorkShare>)> = gateways
             .map(|(&gateway, reported)| (gateway, (reported, Vec::new())))
             .collect();
--- a/crates/routing/src/dispatch/table.rs
+++ b/crates/routing/src/dispatch/table.rs
@@ -203,7 +203,7 @@
 
     /// Removes a control node that no longer reports: engines that it alone listed are
     /// removed, and it no longer delays the removal of others.
-    pub fn forget_teller(&mut self, from: NodeId) {
+    pub fn remove_control_node(&mut self, from: NodeId) {
         self.engines.retain(|_, engine| {
             let listed = engine.known_by.remove(&from);
             !listed || !engine.known_by.is_empty()
--- a/crates/routing/src/quota/relay.rs
+++ b/crates/routing/src/quota/relay.rs
@@ -6,7 +6,7 @@
 
 use super::table::{RECENT_WITHIN, REPORT_TTL};
 use super::telling::{TenantKey, TenantUse, Usage};
-use crate::dispatch::Teller;
+use crate::dispatch::ReportSource;
 
 /// Maximum number of tenants that a relay accepts in one report; the rest is not
 /// forwarded. Several times the expected number, so that no report makes the relay grow
@@ -15,7 +15,7 @@
 
 #[derive(Clone, Debug)]
 struct Report {
-    teller: Teller,
+    source: ReportSource,
     usage: Usage,
     at: Timestamp,
 }
@@ -28,10 +28,10 @@
 
 impl UsageRelay {
     /// Records the report of a gateway, or of another relay about its gateways.
-    pub fn note(&mut self, from: NodeId, teller: Teller, mut usage: Usage, now: Timestamp) {
+    pub fn note(&mut self, from: NodeId, source: ReportSource, mut usage: Usage, now: Timestamp) {
         usage.tenants.truncate(MAX_TENANTS);
         let report = Report {
-            teller,
+            source,
             usage,
             at: now,
         };
@@ -49,7 +49,7 @@
     pub fn of_gateways(&self, now: Timestamp) -> Usage {
         let reports = self.reports.values();
         sum(
-            reports.filter(|report| report.teller == Teller::Gateway),
+            reports.filter(|report| report.source == ReportSource::Gateway),
             now,
         )
     }
@@ -59,7 +59,7 @@
     pub fn by_gateway(&self, now: Timestamp) -> Vec<(NodeId, Usage)> {
         let all = sum(self.reports.values(), now);
         let reports = self.reports.iter();
-        let gateways = reports.filter(|(_, report)| report.teller == Teller::Gateway);
+        let gateways = reports.filter(|(_, report)| report.source == ReportSource::Gateway);
         gateways
             .map(|(&gateway, report)| (gateway, subtract(&all, report, now)))
             .collect()
@@ -79,7 +79,9 @@
             admitted: sum
                 .admitted
                 .saturating_sub(own.map_or(0, |own| own.admitted)),
-            asked: sum.asked.saturating_sub(own.map_or(0, |own| own.asked)),
+            requested: sum
+                .requested
+                .saturating_sub(own.map_or(0, |own| own.requested)),
             ..*sum
         }
     });
--- a/crates/routing/src/quota/table.rs
+++ b/crates/routing/src/quota/table.rs
@@ -31,7 +31,7 @@
     /// Rate of incoming requests that the other gateways reported, per second.
     pub others_asked: f64,
     /// Time since the latest report of any gateway or relay; `None` before the first one.
-    pub told_ago: Option<Duration>,
+    pub last_report_age: Option<Duration>,
 }
 
 /// A report of another node.
@@ -198,7 +198,7 @@
             .filter_map(|report| report.by_tenant.get(&key))
         {
             others.admitted += one.admitted as f64 / 1_000.0;
-            others.asked += one.asked as f64 / 1_000.0;
+            others.asked += one.requested as f64 / 1_000.0;
             let left = one.left.map(|left| left as f64 / 1_000.0);
             others.left = match (others.left, left) {
                 (Some(known), Some(left)) => Some(known.min(left)),
@@ -218,7 +218,7 @@
         let scale = self.scale(now);
         self.advance_tenant(key, scale, now);
         let others = self.others(key);
-        let told_ago = self.last_report_at.map(|at| now.since(at));
+        let last_report_age = self.last_report_at.map(|at| now.since(at));
         let Some(tenant) = self.tenants.get_mut(&key) else {
             return Ok(());
         };
@@ -229,7 +229,7 @@
             retry_after: tenant.retry_after(scale, others, now),
             left: tenant.left(),
             others_asked: others.asked,
-            told_ago,
+            last_report_age,
         })
     }
 
--- a/crates/routing/src/quota/telling.rs
+++ b/crates/routing/src/quota/telling.rs
@@ -23,7 +23,7 @@
     pub admitted: u64,
     /// Recent rate of incoming requests, per thousand seconds.
     #[n(2)]
-    pub asked: u64,
+    pub requested: u64,
     /// Estimate of the tokens left, in thousandths; `None` while the sender does not
     /// know.
     #[n(3)]
@@ -34,7 +34,7 @@
     /// Adds the usage at others. The lower of two estimates of the tokens left counts.
     pub(super) fn add(&mut self, others: &Self) {
         self.admitted = self.admitted.saturating_add(others.admitted);
-        self.asked = self.asked.saturating_add(others.asked);
+        self.requested = self.requested.saturating_add(others.requested);
         self.left = match (self.left, others.left) {
             (Some(one), Some(other)) => Some(one.min(other)),
             (one, other) => one.or(other),
--- a/crates/routing/src/quota/tenant.rs
+++ b/crates/routing/src/quota/tenant.rs
@@ -242,7 +242,7 @@
         (!idle).then(|| TenantUse {
             tenant: key,
             admitted: per_1000_s(admitted),
-            asked: per_1000_s(asked),
+            requested: per_1000_s(asked),
             left: self.settled.then_some((self.left * 1_000.0) as i64),
         })
     }
--- a/crates/routing/src/reach/mod.rs
+++ b/crates/routing/src/reach/mod.rs
@@ -10,8 +10,8 @@
 mod zone;
 
 pub use table::{Hosts, ReachTable};
-pub use telling::{ReachRelay, ReachTelling};
-pub use zone::{Change, Evidence, Sign};
+pub use telling::{ReachRelay, ReachReport};
+pub use zone::{Change, Evidence, ReturnEvidence};
 
 use std::time::Duration;
 
--- a/crates/routing/src/reach/table.rs
+++ b/crates/routing/src/reach/table.rs
@@ -6,8 +6,8 @@
 
 use molespan_types::{Timestamp, ZoneName};
 
-use super::telling::ReachTelling;
-use super::zone::{Change, Evidence, Sign, Zone};
+use super::telling::ReachReport;
+use super::zone::{Change, Evidence, ReturnEvidence, Zone};
 
 /// Hosts of engines by zone.
 pub type Hosts = BTreeMap<ZoneName, BTreeSet<IpAddr>>;
@@ -92,10 +92,10 @@
     /// Returns the report to gateways of the `own` zone: the zones found out of reach
     /// here.
     #[must_use]
-    pub fn telling(&self, own: &ZoneName) -> Option<ReachTelling> {
+    pub fn report(&self, own: &ZoneName) -> Option<ReachReport> {
         let zones = self.zones.iter().filter(|(_, zone)| zone.is_found_out());
         let out: Vec<(ZoneName, u32)> = zones.map(|(name, _)| (name.clone(), 1)).collect();
-        (!out.is_empty()).then(|| ReachTelling {
+        (!out.is_empty()).then(|| ReachReport {
             from: own.clone(),
             out,
         })
@@ -104,14 +104,14 @@
     /// Records a report of other gateways of this gateway's zone. Returns the zones to
     /// check from here. A zone reported by several gateways counts as out of reach even
     /// before the check.
-    pub fn note_told(
+    pub fn record_report(
         &mut self,
-        told: &ReachTelling,
+        report: &ReachReport,
         hosts: &Hosts,
         now: Timestamp,
     ) -> Vec<ZoneName> {
         let mut to_check = Vec::new();
-        for (name, by) in &told.out {
+        for (name, by) in &report.out {
             if !is_tracked(name, hosts) || !hosts.contains_key(name) {
                 continue;
             }
@@ -122,14 +122,20 @@
                 }
             } else if zone.report(now) {
                 to_check.push(name.clone());
-                self.mark_out_of_reach(name, Evidence::Told { by: *by }, hosts);
+                self.mark_out_of_reach(name, Evidence::Reported { by: *by }, hosts);
             }
         }
         to_check
     }
 
     /// Records that an attempt started at `began` reached a zone.
-    pub fn reached(&mut self, zone: &ZoneName, began: Timestamp, by: Sign, now: Timestamp) {
+    pub fn reached(
+        &mut self,
+        zone: &ZoneName,
+        began: Timestamp,
+        by: ReturnEvidence,
+        now: Timestamp,
+    ) {
         // Nothing is recorded for zones that never failed: there may be many answers per
         // second.
         let Some(state) = self.zones.get_mut(zone) else {
@@ -140,7 +146,7 @@
         }
     }
 
-    fn mark_reachable(&mut self, zone: ZoneName, after: Duration, by: Sign) {
+    fn mark_reachable(&mut self, zone: ZoneName, after: Duration, by: ReturnEvidence) {
         self.avoided.remove(&zone);
         self.changes.push(Change::Back { zone, after, by });
     }
@@ -179,7 +185,7 @@
 
     /// Whether to check now whether a zone is out of reach, since one of its engines may
     /// be: at one host or, if `wide`, at several. If so, the check counts as done.
-    pub fn look(&mut self, zone: &ZoneName, wide: bool, hosts: &Hosts, now: Timestamp) -> bool {
+    pub fn check(&mut self, zone: &ZoneName, wide: bool, hosts: &Hosts, now: Timestamp) -> bool {
         is_tracked(zone, hosts) && self.zones.entry(zone.clone()).or_default().check(wide, now)
     }
 
@@ -196,7 +202,7 @@
             }
         }
         for (zone, after) in dropped {
-            self.mark_reachable(zone, after, Sign::NoEngines);
+            self.mark_reachable(zone, after, ReturnEvidence::NoEngines);
         }
         self.zones.retain(|name, _| hosts.contains_key(name));
         self.update_avoided(hosts);
--- a/crates/routing/src/reach/telling.rs
+++ b/crates/routing/src/reach/telling.rs
@@ -8,7 +8,7 @@
 use minicbor::{Decode, Encode};
 use molespan_types::{NodeId, Timestamp, ZoneName};
 
-use crate::dispatch::{SHARE_HOLDS, Teller};
+use crate::dispatch::{ReportSource, SHARE_HOLDS};
 
 /// Number of gateways of a zone that have to find another zone out of reach before a
 /// relay accepts it.
@@ -16,7 +16,7 @@
 
 /// Findings of the gateways of one zone.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct ReachTelling {
+pub struct ReachReport {
     /// Zone of these gateways.
     #[n(0)]
     pub from: ZoneName,
@@ -27,8 +27,8 @@
 
 #[derive(Clone, Debug)]
 struct Report {
-    teller: Teller,
-    findings: Vec<ReachTelling>,
+    source: ReportSource,
+    findings: Vec<ReachReport>,
     at: Timestamp,
 }
 
@@ -45,15 +45,15 @@
     pub fn note(
         &mut self,
         from: NodeId,
-        teller: Teller,
-        findings: Vec<ReachTelling>,
+        source: ReportSource,
+        findings: Vec<ReachReport>,
         now: Timestamp,
     ) -> bool {
         if findings.is_empty() {
             return self.reports.remove(&from).is_some();
         }
         let report = Report {
-            teller,
+            source,
             findings,
             at: now,
         };
@@ -75,15 +75,15 @@
 
     /// Returns the combined findings of the gateways of this relay, for other relays.
     #[must_use]
-    pub fn of_gateways(&self) -> Vec<ReachTelling> {
+    pub fn of_gateways(&self) -> Vec<ReachReport> {
         let reports = self.reports.values();
-        sum(reports.filter(|report| report.teller == Teller::Gateway))
+        sum(reports.filter(|report| report.source == ReportSource::Gateway))
     }
 
     /// Returns, for a gateway in `zone`, the findings of the other gateways of that zone;
     /// `None` if there are none.
     #[must_use]
-    pub fn for_gateway(&self, gateway: NodeId, zone: &ZoneName) -> Option<ReachTelling> {
+    pub fn for_gateway(&self, gateway: NodeId, zone: &ZoneName) -> Option<ReachReport> {
         let others = self.reports.iter().filter(|(from, _)| **from != gateway);
         let all = sum(others.map(|(_, report)| report));
         all.into_iter().find(|finding| finding.from == *zone)
@@ -101,7 +101,7 @@
     }
 }
 
-fn sum<'t>(reports: impl Iterator<Item = &'t Report>) -> Vec<ReachTelling> {
+fn sum<'t>(reports: impl Iterator<Item = &'t Report>) -> Vec<ReachReport> {
     let mut sums: BTreeMap<&ZoneName, BTreeMap<&ZoneName, u32>> = BTreeMap::new();
     for finding in reports.flat_map(|report| &report.findings) {
         let sum = sums.entry(&finding.from).or_default();
@@ -112,7 +112,7 @@
     }
     let findings = sums.into_iter().map(|(from, out)| {
         let out = out.into_iter().map(|(zone, by)| (zone.clone(), by));
-        ReachTelling {
+        ReachReport {
             from: from.clone(),
             out: out.collect(),
         }
--- a/crates/routing/src/reach/zone.rs
+++ b/crates/routing/src/reach/zone.rs
@@ -46,7 +46,7 @@
 
 /// What showed that a zone is reachable again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum ReturnEvidence {
     /// A probe connected.
     Connect,
     /// A request was answered.
@@ -55,7 +55,7 @@
     NoEngines,
 }
 
-impl Sign {
+impl ReturnEvidence {
     /// Name in log lines.
     #[must_use]
     pub fn name(self) -> &'static str {
@@ -80,7 +80,7 @@
         age: Duration,
     },
     /// Other gateways of this gateway's zone reported it.
-    Told {
+    Reported {
         /// Number of gateways that reported it.
         by: u32,
     },
@@ -111,7 +111,7 @@
         /// How long it was out of reach.
         after: Duration,
         /// What showed that it is reachable.
-        by: Sign,
+        by: ReturnEvidence,
     },
 }
 
--- a/crates/routing/src/suspects/table.rs
+++ b/crates/routing/src/suspects/table.rs
@@ -292,7 +292,7 @@
 
     /// Time since this node learned of the latest crash of a request.
     #[must_use]
-    pub fn heard_ago(&self, request: &RequestDigest, now: Timestamp) -> Option<Duration> {
+    pub fn last_learned_age(&self, request: &RequestDigest, now: Timestamp) -> Option<Duration> {
         let suspect = self.suspects.get(request)?;
         Some(now.since(suspect.last_learned_at()))
     }
@@ -304,7 +304,7 @@
     }
 
     /// Returns the blames to send now: new ones, and some of the others in rotation.
-    pub fn tell(&mut self, now: Timestamp) -> Vec<Blame> {
+    pub fn blames_to_send(&mut self, now: Timestamp) -> Vec<Blame> {
         let mut pairs: Vec<(RequestDigest, EngineKey)> = Vec::new();
         let mut again = VecDeque::new();
         while pairs.len() < MAX_REPORT_BLAMES
--- a/crates/routing/tests/demand.rs
+++ b/crates/routing/tests/demand.rs
@@ -8,7 +8,7 @@
 
 use many_gateways::{Engines, Load, Simulation};
 use molespan_routing::dispatch::{
-    DemandRelay, EngineFacts, EngineTable, Pick, PromptCost, ServiceDemand, Standing, Teller,
+    DemandRelay, EngineFacts, EngineTable, Pick, PromptCost, ReportSource, ServiceDemand, Standing,
     WorkClass, WorkShare,
 };
 use molespan_types::{NodeId, Timestamp};
@@ -207,12 +207,12 @@
     for gateway in 0..100 {
         let relay = &mut relays[gateway as usize % 2];
         let reported = vec![demand(1, gateway, 1)];
-        relay.note(NodeId(gateway), Teller::Gateway, reported, at(0));
+        relay.note(NodeId(gateway), ReportSource::Gateway, reported, at(0));
     }
     let [near, far] = &mut relays;
     let sum = far.of_gateways();
     assert_eq!(sum, [demand(50, (1..100).step_by(2).sum(), 50)]);
-    near.note(RELAY, Teller::Relay, sum, at(0));
+    near.note(RELAY, ReportSource::Relay, sum, at(0));
     let by_gateway = near.by_gateway();
     assert_eq!(by_gateway.len(), 50);
     let all: u32 = (0..100).sum();
--- a/crates/routing/tests/dispatch.rs
+++ b/crates/routing/tests/dispatch.rs
@@ -861,7 +861,7 @@
 fn replaced_control_node_does_not_delay_engine_removal() {
     let mut table = table(&[(1, "near"), (2, "near")]);
     table.learn(OTHER_CONTROL, facts(1, "near"), now(0));
-    table.forget_teller(CONTROL);
+    table.remove_control_node(CONTROL);
     assert!(table.is_present("e1"));
     assert!(!table.is_present("e2"), "no other control node lists it");
     table.lose(OTHER_CONTROL, "e1");
--- a/crates/routing/tests/fleet_size.rs
+++ b/crates/routing/tests/fleet_size.rs
@@ -4,7 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use molespan_routing::dispatch::{
-    EngineFacts, EngineTable, Pick, PromptCost, Standing, Teller, WorkClass, WorkRelay, WorkShare,
+    EngineFacts, EngineTable, Pick, PromptCost, ReportSource, Standing, WorkClass, WorkRelay,
+    WorkShare,
 };
 use molespan_routing::subset::Subsets;
 use molespan_types::{NodeId, Timestamp, ZoneName};
@@ -73,12 +74,17 @@
         let now = Timestamp::ZERO;
         for (gateway, shares) in self.work(1) {
             let relay = (gateway.0 as usize - 1) % RELAYS;
-            relays[relay].note(gateway, Teller::Gateway, shares, now);
+            relays[relay].note(gateway, ReportSource::Gateway, shares, now);
         }
         let sums: Vec<Vec<WorkShare>> = relays.iter().map(WorkRelay::sum_of_gateways).collect();
         let mut relay = relays.swap_remove(0);
         for (place, sum) in sums.into_iter().enumerate().skip(1) {
-            relay.note(NodeId(900_000 + place as u32), Teller::Relay, sum, now);
+            relay.note(
+                NodeId(900_000 + place as u32),
+                ReportSource::Relay,
+                sum,
+                now,
+            );
         }
         let sent = relay.shares_by_user(|engines| {
             let users = engines.iter();
--- a/crates/routing/tests/many_gateways/mod.rs
+++ b/crates/routing/tests/many_gateways/mod.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use molespan_routing::dispatch::{
-    DemandRelay, EngineFacts, EngineLoad, EngineTable, Failure, Pick, Picked, PromptCost, Standing,
-    Teller, WorkClass, WorkRelay,
+    DemandRelay, EngineFacts, EngineLoad, EngineTable, Failure, Pick, Picked, PromptCost,
+    ReportSource, Standing, WorkClass, WorkRelay,
 };
 use molespan_types::{NodeId, Timestamp};
 use rand::{Rng, SeedableRng};
@@ -518,10 +518,15 @@
             if (self.now + gateway as u64 * 7).is_multiple_of(REPORT_MS) {
                 let shares = self.tables[gateway].shares(now);
                 let from = NodeId(gateway as u32);
-                self.relays[gateway % RELAYS].note(from, Teller::Gateway, shares, now);
+                self.relays[gateway % RELAYS].note(from, ReportSource::Gateway, shares, now);
                 if self.load.demand_reported {
                     let demands = self.tables[gateway].demands(now);
-                    self.demand_relays[gateway % RELAYS].note(from, Teller::Gateway, demands, now);
+                    self.demand_relays[gateway % RELAYS].note(
+                        from,
+                        ReportSource::Gateway,
+                        demands,
+                        now,
+                    );
                 }
             }
         }
@@ -533,7 +538,7 @@
             self.relays[relay].expire(now);
             let sum = self.relays[relay].sum_of_gateways();
             for other in (0..RELAYS).filter(|&other| other != relay) {
-                self.relays[other].note(from, Teller::Relay, sum.clone(), now);
+                self.relays[other].note(from, ReportSource::Relay, sum.clone(), now);
             }
             self.exchange_demand(relay);
             for (gateway, shares) in self.relays[relay].shares_by_gateway() {
@@ -548,7 +553,7 @@
         self.demand_relays[relay].expire(now);
         let sum = self.demand_relays[relay].of_gateways();
         for other in (0..RELAYS).filter(|&other| other != relay) {
-            self.demand_relays[other].note(from, Teller::Relay, sum.clone(), now);
+            self.demand_relays[other].note(from, ReportSource::Relay, sum.clone(), now);
         }
         for (gateway, demands) in self.demand_relays[relay].by_gateway() {
             self.tables[gateway.0 as usize].note_demands(from, demands, now);
--- a/crates/routing/tests/pace/fleet.rs
+++ b/crates/routing/tests/pace/fleet.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use molespan_routing::dispatch::{
-    EngineFacts, EngineLoad, EngineTable, Pick, Picked, PromptCost, PromptPart, Standing, Teller,
-    WorkClass, WorkRelay, WorkShare,
+    EngineFacts, EngineLoad, EngineTable, Pick, Picked, PromptCost, PromptPart, ReportSource,
+    Standing, WorkClass, WorkRelay, WorkShare,
 };
 use molespan_types::{NodeId, Timestamp};
 use rand::{Rng, SeedableRng};
@@ -540,7 +540,7 @@
         for (gateway, table) in self.tables.iter().enumerate() {
             let from = NodeId(gateway as u32 + 1);
             self.relay
-                .note(from, Teller::Gateway, table.shares(at(now)), at(now));
+                .note(from, ReportSource::Gateway, table.shares(at(now)), at(now));
         }
         let reported = self.relay.shares_by_gateway();
         self.in_transit = reported
--- a/crates/routing/tests/pace/main.rs
+++ b/crates/routing/tests/pace/main.rs
@@ -9,8 +9,8 @@
 use fleet::{Fleet, Outcome, SimulationConfig, Slow, Sources};
 use minicbor::{Decode, Encode};
 use molespan_routing::dispatch::{
-    EngineFacts, EngineLoad, EngineTable, LoadFault, LoadReport, Pick, PromptCost, SlowChange,
-    SlowWatch, Standing, Teller, WorkClass, WorkRelay, WorkShare,
+    EngineFacts, EngineLoad, EngineTable, LoadFault, LoadReport, Pick, PromptCost, ReportSource,
+    SlowChange, SlowWatch, Standing, WorkClass, WorkRelay, WorkShare,
 };
 use molespan_types::{NodeId, Timestamp};
 
@@ -248,8 +248,8 @@
     feed_events(&mut one, "e2", 50, 5_000, 5_300);
     let mut relay = WorkRelay::default();
     let shares = one.shares(now(5_300));
-    relay.note(NodeId(10), Teller::Gateway, shares, now(5_300));
-    relay.note(NodeId(11), Teller::Gateway, Vec::new(), now(5_300));
+    relay.note(NodeId(10), ReportSource::Gateway, shares, now(5_300));
+    relay.note(NodeId(11), ReportSource::Gateway, Vec::new(), now(5_300));
     let mut other = gateway();
     other.started("e2", WorkClass::Online, 0, now(5_300));
     assert_eq!(chosen(&mut other, 5_300), "e1");
--- a/crates/routing/tests/quota.rs
+++ b/crates/routing/tests/quota.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use molespan_routing::dispatch::Teller;
+use molespan_routing::dispatch::ReportSource;
 use molespan_routing::quota::{Limit, TenantTable, Usage, UsageRelay};
 use molespan_types::{NodeId, Timestamp};
 use proptest::prelude::*;
@@ -143,7 +143,7 @@
                 let relay = self.relay_of(gateway);
                 let from = NodeId(gateway as u32);
                 if !self.frozen[relay] {
-                    self.relays[relay].note(from, Teller::Gateway, usage, now);
+                    self.relays[relay].note(from, ReportSource::Gateway, usage, now);
                 }
             }
         }
@@ -184,7 +184,7 @@
             let reached = self.sides[other] == self.sides[relay] && !self.frozen[other];
             if other != relay && reached {
                 let from = relay_node(relay);
-                self.relays[other].note(from, Teller::Relay, sum.clone(), now);
+                self.relays[other].note(from, ReportSource::Relay, sum.clone(), now);
             }
         }
         for (gateway, usage) in self.relays[relay].by_gateway(now) {
@@ -479,14 +479,14 @@
         usage.tenants.push(molespan_routing::quota::TenantUse {
             tenant,
             admitted: 1,
-            asked: 1,
+            requested: 1,
             left: None,
         });
     }
     table.note_gateway(NodeId(7), usage.clone(), at(2));
     assert!(table.usage(at(3)).tenants.is_empty());
     let mut relay = UsageRelay::default();
-    relay.note(NodeId(7), Teller::Gateway, usage, at(2));
+    relay.note(NodeId(7), ReportSource::Gateway, usage, at(2));
     assert!(relay.of_gateways(at(2)).tenants.len() < 10_000);
 }
 
--- a/crates/routing/tests/reach/main.rs
+++ b/crates/routing/tests/reach/main.rs
@@ -6,9 +6,11 @@
 use std::time::Duration;
 
 use molespan_routing::dispatch::{
-    Doubt, EngineTable, NoEngine, Pick, PromptCost, Standing, Teller, WorkClass, WorkShare,
+    Doubt, EngineTable, NoEngine, Pick, PromptCost, ReportSource, Standing, WorkClass, WorkShare,
+};
+use molespan_routing::reach::{
+    Change, Evidence, ReachRelay, ReachReport, ReturnEvidence, slow_after,
 };
-use molespan_routing::reach::{Change, Evidence, ReachRelay, ReachTelling, Sign, slow_after};
 use molespan_types::{NodeId, Timestamp};
 use world::{Links, Outcome, SLOTS, Scenario, Simulation, ZONES, facts};
 
@@ -91,13 +93,13 @@
             Change::Out { zone, evidence } => {
                 match evidence {
                     Evidence::Own { failed, .. } => assert!(*failed >= 5),
-                    Evidence::Told { by } => assert!(*by >= 2),
+                    Evidence::Reported { by } => assert!(*by >= 2),
                 }
                 zone.as_str().to_owned()
             }
             Change::Confirmed { zone, .. } => zone.as_str().to_owned(),
             Change::Back { zone, by, .. } => {
-                assert_eq!(*by, Sign::Connect);
+                assert_eq!(*by, ReturnEvidence::Connect);
                 zone.as_str().to_owned()
             }
         });
@@ -220,7 +222,7 @@
     assert!(table.zones_out_of_reach().is_empty());
     // An answer in between shows that the zone is reachable and that these engines are
     // not.
-    table.reached("e28", at(1), Sign::Answer, at(2));
+    table.reached("e28", at(1), ReturnEvidence::Answer, at(2));
     fail_engines_of_b(&mut table, 4..8, 3);
     assert!(table.zones_out_of_reach().is_empty());
     // A host that failed twice counts once.
@@ -242,7 +244,7 @@
 fn attempts_started_before_an_answer_and_old_failures_do_not_count() {
     let mut table = table(10, &ZONES);
     table.connected("e1", Duration::from_millis(1));
-    table.reached("e1", at(100), Sign::Answer, at(110));
+    table.reached("e1", at(100), ReturnEvidence::Answer, at(110));
     for number in 1..10 {
         table.unreached(&format!("e{}", number * 3 + 1), at(90), at(400));
     }
@@ -290,7 +292,7 @@
     assert_eq!(table.zones_out_of_reach().len(), 3);
     assert!((0..15).all(|number| !table.is_out_of_reach(&format!("e{number}"))));
     // As soon as one of them answers, the others are avoided.
-    table.reached("e0", at(20), Sign::Answer, at(21));
+    table.reached("e0", at(20), ReturnEvidence::Answer, at(21));
     table.probes(at(30));
     assert!(table.is_out_of_reach("e1"));
     assert!(!table.is_out_of_reach("e0"));
@@ -342,23 +344,23 @@
         table.unreached(&id, at(0), at(0));
     }
     table.take_reach_changes(at(0));
-    table.reached("e1", at(0).max(at(0)), Sign::Answer, at(1));
+    table.reached("e1", at(0).max(at(0)), ReturnEvidence::Answer, at(1));
     let before = Timestamp::from_millis(9_000);
     fail_engines_of_b(&mut table, 0..10, 2);
-    table.reached("e1", before, Sign::Answer, at(3));
+    table.reached("e1", before, ReturnEvidence::Answer, at(3));
     assert_eq!(table.zones_out_of_reach(), ["b".into()]);
     assert!(
         table.shares(at(3)).is_empty(),
         "others are not told of failures of its links"
     );
-    table.reached("e1", at(5), Sign::Connect, at(7));
+    table.reached("e1", at(5), ReturnEvidence::Connect, at(7));
     assert!(table.zones_out_of_reach().is_empty());
     let changes = table.take_reach_changes(at(7));
     assert!(
         matches!(
             changes.last(),
             Some(Change::Back {
-                by: Sign::Connect,
+                by: ReturnEvidence::Connect,
                 ..
             })
         ),
@@ -393,7 +395,7 @@
         matches!(
             changes.as_slice(),
             [Change::Back {
-                by: Sign::NoEngines,
+                by: ReturnEvidence::NoEngines,
                 ..
             }]
         ),
@@ -533,8 +535,8 @@
     }
 }
 
-fn report(from: &str, zone: &str, by: u32) -> ReachTelling {
-    ReachTelling {
+fn report(from: &str, zone: &str, by: u32) -> ReachReport {
+    ReachReport {
         from: from.into(),
         out: vec![(zone.into(), by)],
     }
@@ -546,24 +548,27 @@
     // A zone that is out of reach from elsewhere may be reachable from here.
     assert!(
         table
-            .note_reach_told(&report("c", "b", 9), at(0))
+            .record_reach_report(&report("c", "b", 9), at(0))
             .is_empty()
     );
     assert!(table.zones_out_of_reach().is_empty());
-    assert_eq!(table.note_reach_told(&report("a", "b", 2), at(0)).len(), 5);
+    assert_eq!(
+        table.record_reach_report(&report("a", "b", 2), at(0)).len(),
+        5
+    );
     let out = |evidence| Change::Out {
         zone: "b".into(),
         evidence,
     };
     let changes = table.take_reach_changes(at(0));
-    assert_eq!(changes, [out(Evidence::Told { by: 2 })]);
+    assert_eq!(changes, [out(Evidence::Reported { by: 2 })]);
     assert!(table.is_out_of_reach("e1"));
     assert!(
         !table.was_found_out_of_reach("e1"),
         "pending attempts are not ended"
     );
     assert_eq!(
-        table.reach_telling(),
+        table.reach_report(),
         None,
         "what others told is not passed on"
     );
@@ -575,34 +580,34 @@
         "{changes:?}"
     );
     assert!(table.was_found_out_of_reach("e1"));
-    assert_eq!(table.reach_telling(), Some(report("a", "b", 1)));
+    assert_eq!(table.reach_report(), Some(report("a", "b", 1)));
     // Own observations take precedence, and earlier reports are not accepted again.
-    table.reached("e1", at(20), Sign::Connect, at(22));
-    table.note_reach_told(&report("a", "b", 5), at(60));
+    table.reached("e1", at(20), ReturnEvidence::Connect, at(22));
+    table.record_reach_report(&report("a", "b", 5), at(60));
     assert!(table.zones_out_of_reach().is_empty());
     // An earlier report may be held by two relays in sequence.
-    table.note_reach_told(&report("a", "b", 5), at(22 + 2 * 1_200));
+    table.record_reach_report(&report("a", "b", 5), at(22 + 2 * 1_200));
     assert!(table.zones_out_of_reach().is_empty());
-    table.note_reach_told(&report("a", "b", 5), at(4_000));
+    table.record_reach_report(&report("a", "b", 5), at(4_000));
     assert_eq!(table.zones_out_of_reach(), ["b".into()]);
     // If no host failed here, the gateways that reported may be cut off themselves, and
     // stay so.
-    table.reached("e1", at(4_001), Sign::Connect, at(4_003));
-    table.note_reach_told(&report("a", "b", 5), at(30_000));
+    table.reached("e1", at(4_001), ReturnEvidence::Connect, at(4_003));
+    table.record_reach_report(&report("a", "b", 5), at(30_000));
     assert!(table.zones_out_of_reach().is_empty());
 }
 
 #[test]
 fn the_report_of_a_single_gateway_is_checked_but_not_accepted() {
     let mut table = table(10, &ZONES);
-    let probes = table.note_reach_told(&report("a", "b", 1), at(0));
+    let probes = table.record_reach_report(&report("a", "b", 1), at(0));
     assert_eq!(probes.len(), 5);
     assert!(table.zones_out_of_reach().is_empty());
     // That gateway may stay cut off, so its report does not trigger checks all the time.
     for now in (50..5_000).step_by(50) {
         assert!(
             table
-                .note_reach_told(&report("a", "b", 1), at(now))
+                .record_reach_report(&report("a", "b", 1), at(now))
                 .is_empty()
         );
     }
@@ -612,11 +617,11 @@
 fn a_relay_sums_the_findings_of_a_zone_and_excludes_those_of_the_recipient() {
     let mut relay = ReachRelay::default();
     let (one, other, far, other_relay) = (NodeId(1), NodeId(2), NodeId(3), NodeId(9));
-    assert!(relay.note(one, Teller::Gateway, vec![report("a", "b", 1)], at(0)));
-    assert!(!relay.note(one, Teller::Gateway, vec![report("a", "b", 1)], at(1)));
-    relay.note(far, Teller::Gateway, vec![report("c", "b", 1)], at(0));
+    assert!(relay.note(one, ReportSource::Gateway, vec![report("a", "b", 1)], at(0)));
+    assert!(!relay.note(one, ReportSource::Gateway, vec![report("a", "b", 1)], at(1)));
+    relay.note(far, ReportSource::Gateway, vec![report("c", "b", 1)], at(0));
     let elsewhere = vec![report("a", "b", 3), report("b", "a", 7)];
-    relay.note(other_relay, Teller::Relay, elsewhere, at(0));
+    relay.note(other_relay, ReportSource::Relay, elsewhere, at(0));
     let zone = "a".into();
     assert_eq!(relay.for_gateway(one, &zone), Some(report("a", "b", 3)));
     assert_eq!(relay.for_gateway(other, &zone), Some(report("a", "b", 4)));
@@ -633,7 +638,7 @@
         "a single gateway"
     );
     // A node that reports nothing, or sends no report, is forgotten.
-    assert!(relay.note(one, Teller::Gateway, Vec::new(), at(10)));
+    assert!(relay.note(one, ReportSource::Gateway, Vec::new(), at(10)));
     assert_eq!(relay.for_gateway(other, &zone), Some(report("a", "b", 3)));
     relay.expire(at(1_300));
     assert!(relay.is_empty());
--- a/crates/routing/tests/reach/world.rs
+++ b/crates/routing/tests/reach/world.rs
@@ -6,9 +6,9 @@
 
 use molespan_routing::dispatch::{
     Doubt, EngineFacts, EngineLoad, EngineTable, Failure, Pick, Picked, Probe, PromptCost,
-    Standing, Teller, WorkClass, WorkRelay,
+    ReportSource, Standing, WorkClass, WorkRelay,
 };
-use molespan_routing::reach::{Change, ReachRelay, Sign};
+use molespan_routing::reach::{Change, ReachRelay, ReturnEvidence};
 use molespan_types::{NodeId, Timestamp, ZoneName};
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -388,7 +388,7 @@
                     if self.scenario.by_zone {
                         gateway
                             .table
-                            .reached(&id, at(began), Sign::Connect, at(now));
+                            .reached(&id, at(began), ReturnEvidence::Connect, at(now));
                     }
                     return Some(place);
                 }
@@ -476,7 +476,7 @@
         if self.scenario.by_zone {
             gateway
                 .table
-                .reached(&engine.id, at(now), Sign::Answer, at(now));
+                .reached(&engine.id, at(now), ReturnEvidence::Answer, at(now));
         }
         self.running
             .push((now + SLOT_TIME, request.gateway, winner.engine));
@@ -504,7 +504,9 @@
                 let id = &open_probe.probe.engine;
                 match result {
                     None => open.push(open_probe),
-                    Some(true) => table.reached(id, at(open_probe.began), Sign::Connect, at(now)),
+                    Some(true) => {
+                        table.reached(id, at(open_probe.began), ReturnEvidence::Connect, at(now))
+                    }
                     Some(false) => {
                         if !table.is_out_of_reach(id) {
                             table.failed(id, Failure::Unreachable, at(now));
@@ -540,9 +542,9 @@
             let shares = gateway.table.shares(now);
             let (relay, reach) = &mut self.relays[gateway.zone];
             let node = NodeId(place as u32);
-            relay.note(node, Teller::Gateway, shares, now);
-            let findings = gateway.table.reach_telling().into_iter().collect();
-            reach.note(node, Teller::Gateway, findings, now);
+            relay.note(node, ReportSource::Gateway, shares, now);
+            let findings = gateway.table.reach_report().into_iter().collect();
+            reach.note(node, ReportSource::Gateway, findings, now);
         }
         let sums: Vec<_> = self
             .relays
@@ -557,9 +559,9 @@
                 if other != zone && self.link(zone, other) == Links::Up {
                     let node = NodeId(800 + other as u32);
                     let (relay, reach) = &mut self.relays[zone];
-                    relay.note(node, Teller::Relay, sum.clone(), now);
-                    relay.note_spoken_for(node, *gateways, now);
-                    reach.note(node, Teller::Relay, out.clone(), now);
+                    relay.note(node, ReportSource::Relay, sum.clone(), now);
+                    relay.record_represented_gateways(node, *gateways, now);
+                    reach.note(node, ReportSource::Relay, out.clone(), now);
                 }
             }
             let (relay, reach) = &mut self.relays[zone];
@@ -568,17 +570,17 @@
             let own: ZoneName = name.into();
             let unreachable = reach.out_of_reach(&own).len() * self.scenario.gateways / ZONES.len();
             let present = self.scenario.gateways - unreachable;
-            let all_by_told = relay.all_by_told(present as u32, now);
+            let total_to_reported_ratio = relay.total_to_reported_ratio(present as u32, now);
             for (gateway, mut shares) in relay.shares_by_gateway() {
                 shares
                     .iter_mut()
-                    .for_each(|share| share.multiply(all_by_told));
+                    .for_each(|share| share.multiply(total_to_reported_ratio));
                 let findings = reach.for_gateway(gateway, &own);
                 let gateway = &mut self.gateways[gateway.0 as usize];
                 let node = NodeId(800 + zone as u32);
                 gateway.table.note_shares(node, &shares, now);
                 if let Some(findings) = findings.filter(|_| self.scenario.by_zone) {
-                    let probes = gateway.table.note_reach_told(&findings, now);
+                    let probes = gateway.table.record_reach_report(&findings, now);
                     gateway.start_probes(probes, self.now);
                 }
             }
--- a/crates/routing/tests/relay.rs
+++ b/crates/routing/tests/relay.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use molespan_routing::dispatch::{RelayChoice, Teller, WorkRelay, WorkShare};
+use molespan_routing::dispatch::{RelayChoice, ReportSource, WorkRelay, WorkShare};
 use molespan_types::{NodeId, Timestamp};
 
 const A: NodeId = NodeId(1);
@@ -35,10 +35,15 @@
 fn gateway_receives_work_of_all_others() {
     let mut relay = WorkRelay::default();
     let from_a = vec![share("x", 2, 100, 1), share("y", 1, 0, 0)];
-    assert!(relay.note(A, Teller::Gateway, from_a.clone(), at(0)));
-    assert!(!relay.note(A, Teller::Gateway, from_a, at(1)));
-    relay.note(B, Teller::Gateway, vec![share("x", 3, 50, 0)], at(0));
-    relay.note(OTHER_RELAY, Teller::Relay, vec![share("x", 5, 7, 2)], at(0));
+    assert!(relay.note(A, ReportSource::Gateway, from_a.clone(), at(0)));
+    assert!(!relay.note(A, ReportSource::Gateway, from_a, at(1)));
+    relay.note(B, ReportSource::Gateway, vec![share("x", 3, 50, 0)], at(0));
+    relay.note(
+        OTHER_RELAY,
+        ReportSource::Relay,
+        vec![share("x", 5, 7, 2)],
+        at(0),
+    );
     let reported = reported(&relay);
     assert_eq!(reported[&A], [share("x", 8, 57, 2)]);
     assert_eq!(reported[&B], [share("x", 7, 107, 3), share("y", 1, 0, 0)]);
@@ -58,9 +63,9 @@
         ..share("x", 0, 0, 0)
     };
     let mut relay = WorkRelay::default();
-    relay.note(A, Teller::Gateway, vec![outcome(1, 0)], at(0));
-    relay.note(B, Teller::Gateway, vec![outcome(0, 1)], at(0));
-    relay.note(OTHER_RELAY, Teller::Relay, vec![outcome(5, 2)], at(0));
+    relay.note(A, ReportSource::Gateway, vec![outcome(1, 0)], at(0));
+    relay.note(B, ReportSource::Gateway, vec![outcome(0, 1)], at(0));
+    relay.note(OTHER_RELAY, ReportSource::Relay, vec![outcome(5, 2)], at(0));
     let reported = reported(&relay);
     assert_eq!(reported[&A], [outcome(5, 3)]);
     assert_eq!(reported[&B], [outcome(6, 2)]);
@@ -70,8 +75,8 @@
 #[test]
 fn report_of_silent_gateway_expires() {
     let mut relay = WorkRelay::default();
-    relay.note(A, Teller::Gateway, vec![share("x", 2, 0, 0)], at(0));
-    relay.note(B, Teller::Gateway, vec![], at(1_000));
+    relay.note(A, ReportSource::Gateway, vec![share("x", 2, 0, 0)], at(0));
+    relay.note(B, ReportSource::Gateway, vec![], at(1_000));
     relay.expire(at(1_250));
     assert_eq!(reported(&relay), BTreeMap::from([(B, vec![])]));
     assert!(relay.sum_of_gateways().is_empty());
@@ -82,7 +87,7 @@
     for gateways in [10, 100, 1_000] {
         let mut relay = WorkRelay::default();
         for gateway in 0..gateways {
-            relay.note(NodeId(100 + gateway), Teller::Gateway, vec![], at(0));
+            relay.note(NodeId(100 + gateway), ReportSource::Gateway, vec![], at(0));
         }
         assert_eq!(reported(&relay).len(), gateways as usize);
     }
@@ -97,7 +102,7 @@
         let mut choice = RelayChoice::default();
         let first = choice.relay(own, &relays, &BTreeSet::new(), at(0)).unwrap();
         *used.entry(first).or_default() += 1;
-        choice.heard(first, at(900));
+        choice.record_message(first, at(900));
         assert_eq!(
             choice.relay(own, &relays, &BTreeSet::new(), at(1_800)),
             Some(first)
@@ -107,7 +112,7 @@
             .unwrap();
         assert_ne!(second, first);
         // A message from the relay that was left does not make the gateway keep it.
-        choice.heard(first, at(2_900));
+        choice.record_message(first, at(2_900));
         assert_ne!(
             choice.relay(own, &relays, &BTreeSet::new(), at(3_100)),
             Some(second)
@@ -135,7 +140,7 @@
         assert!(!used.contains(&NodeId(3)));
         assert_eq!(used.len(), 3);
         let last = relay(5_000);
-        choice.heard(last, at(10_900));
+        choice.record_message(last, at(10_900));
         let mut relay = |millis| choice.relay(own, &relays, &near, at(millis)).unwrap();
         assert_eq!(relay(11_000), last);
         assert_eq!(relay(11_200), NodeId(3), "10 s after it fell silent");
@@ -161,10 +166,10 @@
 fn gateways_of_partitioned_relays_are_accounted_for() {
     let mut relay = WorkRelay::default();
     for gateway in 0..8 {
-        relay.note(NodeId(100 + gateway), Teller::Gateway, vec![], at(0));
+        relay.note(NodeId(100 + gateway), ReportSource::Gateway, vec![], at(0));
     }
-    relay.note_spoken_for(NodeId(1), 8, at(0));
-    relay.note_spoken_for(NodeId(2), 16, at(0));
+    relay.record_represented_gateways(NodeId(1), 8, at(0));
+    relay.record_represented_gateways(NodeId(2), 16, at(0));
     // Time, gateways that are present, and expected ratio of all work to reported work.
     let cases = [
         (1_000, 32, 1.0),
@@ -178,10 +183,19 @@
     ];
     for (now, present, all) in cases {
         for gateway in 0..8 {
-            relay.note(NodeId(100 + gateway), Teller::Gateway, vec![], at(now));
+            relay.note(
+                NodeId(100 + gateway),
+                ReportSource::Gateway,
+                vec![],
+                at(now),
+            );
         }
         relay.expire(at(now));
-        assert_eq!(relay.all_by_told(present, at(now)), all, "{now} {present}");
+        assert_eq!(
+            relay.total_to_reported_ratio(present, at(now)),
+            all,
+            "{now} {present}"
+        );
     }
     let mut work = share("x", 3, 100, 1);
     work.multiply(2.0);
@@ -199,14 +213,19 @@
     };
     relay.note(
         NodeId(1),
-        Teller::Gateway,
+        ReportSource::Gateway,
         shares(&["a", "b"]),
         Timestamp::ZERO,
     );
-    relay.note(NodeId(2), Teller::Gateway, shares(&["b"]), Timestamp::ZERO);
+    relay.note(
+        NodeId(2),
+        ReportSource::Gateway,
+        shares(&["b"]),
+        Timestamp::ZERO,
+    );
     relay.note(
         NodeId(9),
-        Teller::Relay,
+        ReportSource::Relay,
         shares(&["c", "d"]),
         Timestamp::ZERO,
     );
@@ -239,7 +258,7 @@
         let mut relay = WorkRelay::default();
         for gateway in 1..=gateways {
             let shares = vec![share("x", requests, 0, 0)];
-            relay.note(NodeId(gateway), Teller::Gateway, shares, at(0));
+            relay.note(NodeId(gateway), ReportSource::Gateway, shares, at(0));
         }
         relay.pause(slots).as_millis()
     };
@@ -265,9 +284,9 @@
         outcome("errs", 0, 1, 3),
         outcome("fails", 1, 0, 0),
     ];
-    relay.note(A, Teller::Gateway, from_a, at(0));
+    relay.note(A, ReportSource::Gateway, from_a, at(0));
     let from_b = vec![outcome("answers", 0, 1, 0), outcome("fails", 0, 1, 0)];
-    relay.note(B, Teller::Gateway, from_b, at(0));
+    relay.note(B, ReportSource::Gateway, from_b, at(0));
     let reported = reported(&relay);
     let engines = |shares: &[WorkShare]| {
         let engines = shares.iter().map(|share| share.engine.clone());
@@ -276,10 +295,15 @@
     assert_eq!(engines(&reported[&B]), ["errs", "fails"]);
     // The engine fails no other gateway, and A knows of its own failure.
     assert_eq!(engines(&reported[&A]), Vec::<String>::new());
-    relay.note(B, Teller::Gateway, vec![outcome("errs", 0, 1, 0)], at(0));
+    relay.note(
+        B,
+        ReportSource::Gateway,
+        vec![outcome("errs", 0, 1, 0)],
+        at(0),
+    );
     assert_eq!(engines(&self::reported(&relay)[&A]), ["errs"]);
     let from_b = vec![outcome("answers", 0, 1, 0), outcome("fails", 0, 1, 0)];
-    relay.note(B, Teller::Gateway, from_b, at(0));
+    relay.note(B, ReportSource::Gateway, from_b, at(0));
     // Other relays sum up which gateways are answered, and receive all engines.
     assert_eq!(
         engines(&relay.sum_of_gateways()),
--- a/crates/routing/tests/suspect_schedules/world.rs
+++ b/crates/routing/tests/suspect_schedules/world.rs
@@ -663,7 +663,7 @@
 
     fn send_report(&mut self, gateway: usize) {
         let now = self.now();
-        let blames = self.gateways[gateway].table.tell(now);
+        let blames = self.gateways[gateway].table.blames_to_send(now);
         if blames.is_empty() || self.gateways[gateway].cut {
             return;
         }
--- a/crates/routing/tests/suspects.rs
+++ b/crates/routing/tests/suspects.rs
@@ -80,14 +80,14 @@
 #[test]
 fn a_complete_answer_clears_a_request_and_late_reports_do_not_blame_it_again() {
     let mut table = table(&[(1, 1, 0), (1, 2, 10)]);
-    let before = table.tell(now(20));
+    let before = table.blames_to_send(now(20));
     assert!(table.answered(&request(1)));
     assert!(!table.answered(&request(1)), "nothing was left to clear");
     table.note(&before, now(30));
     assert_eq!(table.verdict(&request(1), now(40)), Verdict::Free);
     // Others learn that it is cleared, including those that blame it themselves.
     let mut other = self::table(&[(1, 1, 0), (1, 2, 10), (1, 3, 20)]);
-    other.note(&table.tell(now(50)), now(60));
+    other.note(&table.blames_to_send(now(50)), now(60));
     assert_eq!(other.crashes(&request(1)), 1);
 }
 
@@ -165,7 +165,7 @@
     assert_eq!(own.to_bar(now(200 + SETTLED_MS)), [(request(1), 3)]);
     let mut sender = own.clone();
     let mut other = SuspectTable::default();
-    other.note(&sender.tell(now(250)), now(260));
+    other.note(&sender.blames_to_send(now(250)), now(260));
     assert!(other.has_candidates(now(300)));
     assert_eq!(other.to_bar(now(1_000)), []);
     assert_eq!(other.to_bar(now(3_300)), [(request(1), 3)]);
@@ -191,14 +191,17 @@
     }
     for _ in 0..3 {
         assert!(table.has_news());
-        assert_eq!(table.tell(now(100)).len(), 40);
+        assert_eq!(table.blames_to_send(now(100)).len(), 40);
     }
     assert!(!table.has_news());
-    assert_eq!(table.tell(now(200)), []);
+    assert_eq!(table.blames_to_send(now(200)), []);
     // Within some seconds a node that was cut off receives all of them.
     let mut other = SuspectTable::default();
     for second in 2..9 {
-        other.note(&table.tell(now(second * 1_000)), now(second * 1_000));
+        other.note(
+            &table.blames_to_send(now(second * 1_000)),
+            now(second * 1_000),
+        );
     }
     assert_eq!(other.len(), 40);
 }
