--- a/crates/fleet/src/store/peer.rs
+++ b/crates/fleet/src/store/peer.rs
@@ -9,7 +9,7 @@
 use molespan_daemon::boot_clock::BootClock;
 use molespan_daemon::replica::ReplicaRole;
 use molespan_daemon::wall_clock::unix_millis;
-use molespan_routing::renewal::LEADER_SURE_FOR;
+use molespan_routing::renewal::LEADER_CONFIRMATION_INTERVAL;
 use molespan_state::batch::{BatchAnswer, BatchQuery, ItemReference};
 use molespan_types::{GroupId, NodeId, RunOutcome, Timestamp};
 use molespan_wire::{Consistency, Handler, Request, Response, TakeItems};
@@ -174,14 +174,14 @@
         }
     }
 
-    /// Whether a quorum confirmed within [`LEADER_SURE_FOR`] that no other node is the
-    /// leader.
+    /// Whether a quorum confirmed within [`LEADER_CONFIRMATION_INTERVAL`] that no other node
+    /// is the leader.
     async fn confirm_leadership(&self) -> bool {
         // Concurrent requests share one round trip to the quorum.
         let mut leadership = self.leadership.lock().await;
         let began = self.now();
         if let Some((at, confirmed)) = *leadership
-            && began.since(at) < LEADER_SURE_FOR
+            && began.since(at) < LEADER_CONFIRMATION_INTERVAL
         {
             return confirmed;
         }
--- a/crates/proxy/src/batch/api.rs
+++ b/crates/proxy/src/batch/api.rs
@@ -23,7 +23,7 @@
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Interval between checks whether other nodes are still heard from while a job is
 /// submitted.
-const HEARING_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+const ISOLATION_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 /// Timeout for reading or ending a job.
 const CALL_TIMEOUT: Duration = Duration::from_millis(900);
 /// Maximum bytes of results in one answer, unless the first result is longer. Each answer
@@ -90,9 +90,11 @@
     let target = Duration::from_millis(u64::from(route.target_latency_ms));
     let began = state.now();
     loop {
-        Timer::after(HEARING_CHECK_INTERVAL).await;
-        let hearing = state.hearing.get();
-        if state.gateways() > MAX_DIRECT_GATEWAYS && hearing.gives_up(began, target, state.now()) {
+        Timer::after(ISOLATION_CHECK_INTERVAL).await;
+        let isolation = state.isolation.get();
+        if state.gateways() > MAX_DIRECT_GATEWAYS
+            && isolation.should_abandon(began, target, state.now())
+        {
             return BatchOutcome::Uncertain;
         }
     }
--- a/crates/proxy/src/batch/runner.rs
+++ b/crates/proxy/src/batch/runner.rs
@@ -242,7 +242,7 @@
         };
         let wait = wait.min(self.state.renewal.get().longest_silence());
         let ask = self.next_call(capacity, held, wait);
-        let asked = self.state.now();
+        let called = self.state.now();
         let taken = match self.state.batch.take_items(&ask, TAKE_TIMEOUT).await {
             Ok(taken) => taken,
             Err(error) => {
@@ -256,7 +256,7 @@
                 info!(self.state.logger, "item stopped on request of the batch group"; "job" => job, "place" => place);
             }
         }
-        self.state.renewed(asked);
+        self.state.renewed(called);
         for item in taken.items {
             self.start(item);
         }
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -15,10 +15,10 @@
 use molespan_routing::dispatch::{
     EngineFacts, EngineTable, Picked, RelayChoice, WeightedSplit, WorkClass,
 };
-use molespan_routing::hearing::Hearing;
+use molespan_routing::isolation::IsolationDetector;
 use molespan_routing::queue::Limits;
 use molespan_routing::quota::TenantTable;
-use molespan_routing::renewal::{Change, Renewal};
+use molespan_routing::renewal::{Renewal, SendingChange};
 use molespan_routing::suspects::SuspectTable;
 use molespan_state::declared::{Route, RouteKind, ServingModel};
 use molespan_types::{NodeId, Timestamp, ZoneName};
@@ -124,8 +124,8 @@
     unusable: RefCell<Refusals>,
     topology: RefCell<Topology>,
     topology_view: RefCell<TopologyView>,
-    /// When other nodes were last heard from.
-    pub hearing: Cell<Hearing>,
+    /// Detects when this gateway is cut off from all other nodes.
+    pub isolation: Cell<IsolationDetector>,
     /// Signalled to send a report to the other gateways early.
     report_requests: (Sender<()>, Receiver<()>),
     /// Whether a planned stop has begun.
@@ -171,7 +171,7 @@
             unusable: RefCell::default(),
             topology: RefCell::default(),
             topology_view: RefCell::default(),
-            hearing: Cell::default(),
+            isolation: Cell::default(),
             report_requests: async_channel::bounded(1),
             stopping: Cell::new(false),
             closing_idle: async_channel::bounded(1),
@@ -244,13 +244,13 @@
             return true;
         }
         self.log_renewal_change();
-        self.renewal.get().may_start(self.now())
+        self.renewal.get().may_send(self.now())
     }
 
-    /// Records that the batch group answered a call that began at `asked`.
-    pub fn renewed(&self, asked: Timestamp) {
+    /// Records that the batch group answered a call that began at `called`.
+    pub fn renewed(&self, called: Timestamp) {
         let mut renewal = self.renewal.get();
-        renewal.note(asked);
+        renewal.record_answer(called);
         self.renewal.set(renewal);
         self.log_renewal_change();
     }
@@ -261,12 +261,12 @@
         let change = renewal.change(self.now());
         self.renewal.set(renewal);
         match change {
-            Some(Change::HeldBack(silence)) => {
+            Some(SendingChange::HeldBack(silence)) => {
                 warn!(self.logger, "batch items held back, the stores are silent";
                     "silence_ms" => silence.as_millis() as u64);
                 self.metrics.batch_held_back();
             }
-            Some(Change::Resumed) => info!(self.logger, "batch items go on"),
+            Some(SendingChange::Resumed) => info!(self.logger, "batch items go on"),
             None => {}
         }
     }
@@ -393,11 +393,11 @@
         self.engines.borrow_mut().answered(engine, true, now);
     }
 
-    /// Records that another node was heard from.
-    pub fn note_heard(&self) {
-        let mut hearing = self.hearing.get();
-        hearing.note(self.now());
-        self.hearing.set(hearing);
+    /// Records a message from another node.
+    pub fn record_node_message(&self) {
+        let mut isolation = self.isolation.get();
+        isolation.record_message(self.now());
+        self.isolation.set(isolation);
     }
 
     /// Requests that changes here are reported to other gateways at once.
@@ -499,7 +499,7 @@
 
 impl ViewSink for GatewayState {
     fn update(&self, from: NodeId, update: ViewUpdate) {
-        self.note_heard();
+        self.record_node_message();
         if let Some(configuration) = update.configuration {
             self.apply_configuration(configuration.version, configuration.model);
         }
--- a/crates/proxy/src/work_shares.rs
+++ b/crates/proxy/src/work_shares.rs
@@ -140,7 +140,7 @@
     let mut by_demand = false;
     while let Ok(report) = reports.recv().await {
         let now = state.now();
-        state.note_heard();
+        state.record_node_message();
         if report.relayed {
             state.relay.borrow_mut().record_message(report.from, now);
         }
--- a/crates/routing/src/decay.rs
+++ b/crates/routing/src/decay.rs
@@ -6,31 +6,31 @@
 
 /// A sum that decays exponentially, to 1/e after its time constant.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct FadingSum {
+pub(crate) struct DecayingSum {
     sum: f64,
     at: Timestamp,
-    fades_over: Duration,
+    time_constant: Duration,
 }
 
-impl FadingSum {
+impl DecayingSum {
     /// Creates a sum of 0 that decays with this time constant.
-    pub fn new(fades_over: Duration) -> Self {
+    pub fn new(time_constant: Duration) -> Self {
         Self {
             sum: 0.0,
             at: Timestamp::ZERO,
-            fades_over,
+            time_constant,
         }
     }
 
     /// Returns the time constant of the decay.
-    pub fn fades_over(&self) -> Duration {
-        self.fades_over
+    pub fn time_constant(&self) -> Duration {
+        self.time_constant
     }
 
     /// Returns the sum at this time.
     pub fn at(&self, now: Timestamp) -> f64 {
         let age = now.since(self.at).as_secs_f64();
-        self.sum * (-age / self.fades_over.as_secs_f64()).exp()
+        self.sum * (-age / self.time_constant.as_secs_f64()).exp()
     }
 
     /// Adds a value, which may be negative; the sum does not fall below 0.
--- a/crates/routing/src/dispatch/demand.rs
+++ b/crates/routing/src/dispatch/demand.rs
@@ -17,7 +17,7 @@
 use super::relay::ReportSource;
 use super::room::START_VISIBILITY_DELAY;
 use super::table::EngineTable;
-use crate::decay::FadingSum;
+use crate::decay::DecayingSum;
 
 /// Decay time of the arrival count. A shorter one makes the estimate noisy; a longer one
 /// detects a burst only after it has passed.
@@ -78,14 +78,14 @@
 #[derive(Clone, Copy, Debug)]
 struct OwnDemand {
     waiting: u32,
-    asked: FadingSum,
+    asked: DecayingSum,
 }
 
 impl Default for OwnDemand {
     fn default() -> Self {
         Self {
             waiting: 0,
-            asked: FadingSum::new(ARRIVAL_DECAY),
+            asked: DecayingSum::new(ARRIVAL_DECAY),
         }
     }
 }
--- a/crates/routing/src/dispatch/errors.rs
+++ b/crates/routing/src/dispatch/errors.rs
@@ -8,7 +8,7 @@
 
 use molespan_types::Timestamp;
 
-use crate::decay::FadingSum;
+use crate::decay::DecayingSum;
 
 /// Decay time of the counts. With it an engine is avoided for about 5 s.
 const DECAY_TIME: Duration = Duration::from_secs(4);
@@ -25,8 +25,8 @@
 /// Recent errors and answers of one engine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ErrorStats {
-    errors: FadingSum,
-    answers: FadingSum,
+    errors: DecayingSum,
+    answers: DecayingSum,
     avoided: bool,
 }
 
@@ -40,8 +40,8 @@
 impl Default for ErrorStats {
     fn default() -> Self {
         Self {
-            errors: FadingSum::new(DECAY_TIME),
-            answers: FadingSum::new(DECAY_TIME),
+            errors: DecayingSum::new(DECAY_TIME),
+            answers: DecayingSum::new(DECAY_TIME),
             avoided: false,
         }
     }
@@ -58,7 +58,7 @@
 
     /// Returns this gateway's own counts, to report to others.
     pub fn own(&self, now: Timestamp) -> Counts {
-        let scaled = |count: &FadingSum| (count.at(now) * COUNT_SCALE).round() as u32;
+        let scaled = |count: &DecayingSum| (count.at(now) * COUNT_SCALE).round() as u32;
         Counts {
             errors: scaled(&self.errors),
             answers: scaled(&self.answers),
--- a/crates/routing/src/dispatch/pace.rs
+++ b/crates/routing/src/dispatch/pace.rs
@@ -12,7 +12,7 @@
 
 use super::engine::{Engine, SHARE_HOLDS};
 use super::table::EngineTable;
-use crate::decay::FadingSum;
+use crate::decay::DecayingSum;
 
 /// Time for which a computed pace is cached if there is no new observation: waiting
 /// requests check many times a second.
@@ -47,15 +47,15 @@
 /// Times between events at the engines of one service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EventIntervals {
-    events: FadingSum,
-    seconds: FadingSum,
+    events: DecayingSum,
+    seconds: DecayingSum,
 }
 
 impl Default for EventIntervals {
     fn default() -> Self {
         Self {
-            events: FadingSum::new(BASELINE_DECAY),
-            seconds: FadingSum::new(BASELINE_DECAY),
+            events: DecayingSum::new(BASELINE_DECAY),
+            seconds: DecayingSum::new(BASELINE_DECAY),
         }
     }
 }
@@ -126,9 +126,9 @@
 /// Pace estimate of one engine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Pace {
-    events: FadingSum,
+    events: DecayingSum,
     /// Sum of the paces of those events.
-    paces: FadingSum,
+    paces: DecayingSum,
     reported: Option<ReportedPace>,
     /// Mean pace that the engine reports. A pace that it always reports is its baseline.
     mean_reported: f64,
@@ -140,8 +140,8 @@
 impl Default for Pace {
     fn default() -> Self {
         Self {
-            events: FadingSum::new(EVENT_DECAY),
-            paces: FadingSum::new(EVENT_DECAY),
+            events: DecayingSum::new(EVENT_DECAY),
+            paces: DecayingSum::new(EVENT_DECAY),
             reported: None,
             mean_reported: 1.0,
             baseline: 1.0,
--- a/crates/routing/src/dispatch/short.rs
+++ b/crates/routing/src/dispatch/short.rs
@@ -15,7 +15,7 @@
 use super::engine::{Engine, Failure};
 use super::room::START_VISIBILITY_DELAY;
 use super::table::{EngineTable, Pick, Standing};
-use crate::decay::FadingSum;
+use crate::decay::DecayingSum;
 
 /// Weight of the latest request in the mean.
 const LATEST_WEIGHT: f64 = 1.0 / 32.0;
@@ -48,14 +48,14 @@
 /// Detects whether requests of a service recently found engines without capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct Shortage {
-    rejections: FadingSum,
+    rejections: DecayingSum,
     short: bool,
 }
 
 impl Default for Shortage {
     fn default() -> Self {
         Self {
-            rejections: FadingSum::new(SHORTAGE_DECAY),
+            rejections: DecayingSum::new(SHORTAGE_DECAY),
             short: false,
         }
     }
--- a/crates/routing/src/hearing.rs
+++ b/crates/routing/src/isolation.rs
@@ -14,13 +14,13 @@
 
 /// Tracks when a gateway last received a message from another node.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Hearing {
+pub struct IsolationDetector {
     last_message: Timestamp,
 }
 
-impl Hearing {
+impl IsolationDetector {
     /// Records a message from another node.
-    pub fn note(&mut self, now: Timestamp) {
+    pub fn record_message(&mut self, now: Timestamp) {
         self.last_message = now;
     }
 
@@ -33,7 +33,7 @@
     /// it were late without this rule and 16 with it (one run each, with other changes in
     /// between).
     #[must_use]
-    pub fn gives_up(&self, began: Timestamp, target: Duration, now: Timestamp) -> bool {
+    pub fn should_abandon(&self, began: Timestamp, target: Duration, now: Timestamp) -> bool {
         let in_time = target >= CUT_OFF_AFTER + RETRY_ELSEWHERE_TIME;
         in_time && now.since(self.last_message.max(began)) >= CUT_OFF_AFTER
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -7,7 +7,7 @@
 pub mod batch;
 mod decay;
 pub mod dispatch;
-pub mod hearing;
+pub mod isolation;
 pub mod pick;
 pub mod placement;
 pub mod queue;
--- a/crates/routing/src/queue/forecast.rs
+++ b/crates/routing/src/queue/forecast.rs
@@ -13,7 +13,7 @@
 
 use molespan_types::Timestamp;
 
-use crate::decay::FadingSum;
+use crate::decay::DecayingSum;
 
 /// Time constant of the dispatch rate, in waiting time and in total time.
 const DISPATCH_RATE_WINDOW: Duration = Duration::from_secs(2);
@@ -44,17 +44,17 @@
     /// Clock that advances only while requests wait.
     waiting_clock: Timestamp,
     /// Seconds during which requests waited.
-    waiting_seconds: FadingSum,
-    dispatches: FadingSum,
+    waiting_seconds: DecayingSum,
+    dispatches: DecayingSum,
     /// All dispatches, on the caller's clock.
-    all_dispatches: FadingSum,
+    all_dispatches: DecayingSum,
     /// Number of requests that hold an engine slot.
     running: u32,
     /// Mean time in seconds for which a request holds its slot.
     mean_held: f64,
     /// Time of the latest dispatch, on the clock of waiting time.
     last_dispatch: Option<Timestamp>,
-    arrivals: [FadingSum; 2],
+    arrivals: [DecayingSum; 2],
 }
 
 impl Default for Forecast {
@@ -62,13 +62,13 @@
         Self {
             last_advance: Timestamp::ZERO,
             waiting_clock: Timestamp::ZERO,
-            waiting_seconds: FadingSum::new(DISPATCH_RATE_WINDOW),
-            dispatches: FadingSum::new(DISPATCH_RATE_WINDOW),
-            all_dispatches: FadingSum::new(DISPATCH_RATE_WINDOW),
+            waiting_seconds: DecayingSum::new(DISPATCH_RATE_WINDOW),
+            dispatches: DecayingSum::new(DISPATCH_RATE_WINDOW),
+            all_dispatches: DecayingSum::new(DISPATCH_RATE_WINDOW),
             running: 0,
             mean_held: 0.0,
             last_dispatch: None,
-            arrivals: ARRIVAL_RATE_WINDOWS.map(FadingSum::new),
+            arrivals: ARRIVAL_RATE_WINDOWS.map(DecayingSum::new),
         }
     }
 }
@@ -99,8 +99,8 @@
         let stalled = self.is_stalled();
         self.last_dispatch = Some(self.waiting_clock);
         if stalled {
-            self.waiting_seconds = FadingSum::new(DISPATCH_RATE_WINDOW);
-            self.dispatches = FadingSum::new(DISPATCH_RATE_WINDOW);
+            self.waiting_seconds = DecayingSum::new(DISPATCH_RATE_WINDOW);
+            self.dispatches = DecayingSum::new(DISPATCH_RATE_WINDOW);
         }
         if waited {
             self.dispatches.add(1.0, self.waiting_clock);
@@ -143,7 +143,7 @@
         let next = f64::from(u8::from(!self.is_stalled()));
         let arrival_rates = self.arrivals.iter().map(|arrivals| {
             let count = arrivals.at(now);
-            (count - count.sqrt()).max(0.0) / arrivals.fades_over().as_secs_f64()
+            (count - count.sqrt()).max(0.0) / arrivals.time_constant().as_secs_f64()
         });
         let while_waiting = match waiting_seconds > 0.0 {
             true => (dispatches + dispatches.sqrt() + next) / waiting_seconds,
--- a/crates/routing/src/quota/flow.rs
+++ b/crates/routing/src/quota/flow.rs
@@ -4,22 +4,22 @@
 
 use molespan_types::Timestamp;
 
-use crate::decay::FadingSum;
+use crate::decay::DecayingSum;
 
 /// A smoothed rate in requests per second. Its integral over time is the number of
 /// requests, so that a sum over time misses none, but counts them later by the smoothing.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Flow(FadingSum);
+pub(super) struct Flow(DecayingSum);
 
 impl Flow {
     /// Creates a flow without requests.
     pub fn new(smoothed_over: Duration) -> Self {
-        Self(FadingSum::new(smoothed_over))
+        Self(DecayingSum::new(smoothed_over))
     }
 
     /// Requests per second at `now`.
     pub fn at(&self, now: Timestamp) -> f64 {
-        self.0.at(now) / self.0.fades_over().as_secs_f64()
+        self.0.at(now) / self.0.time_constant().as_secs_f64()
     }
 
     /// Adds `count` requests; a negative count takes some back.
--- a/crates/routing/src/renewal.rs
+++ b/crates/routing/src/renewal.rs
@@ -11,7 +11,7 @@
 
 /// Maximum age of the state that the leader of the batch group reports; a leader confirms at
 /// this interval that there is no other leader.
-pub const LEADER_SURE_FOR: Duration = Duration::from_millis(300);
+pub const LEADER_CONFIRMATION_INTERVAL: Duration = Duration::from_millis(300);
 /// Time from the check whether an item may be sent until it reaches the engine: a new
 /// connection, network delay and CPU scheduling delay.
 const SEND_DELAY: Duration = Duration::from_millis(400);
@@ -32,7 +32,7 @@
 
 /// Whether batch items became blocked or unblocked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum SendingChange {
     /// The last report is too old, by its age given here; no items are sent.
     HeldBack(Duration),
     /// The group responded again; items are sent.
@@ -44,7 +44,7 @@
     /// `within` after the job is ended.
     #[must_use]
     pub fn new(within: Duration) -> Self {
-        let delays = (LEADER_SURE_FOR + SEND_DELAY).min(within / MAX_DELAY_DIVISOR);
+        let delays = (LEADER_CONFIRMATION_INTERVAL + SEND_DELAY).min(within / MAX_DELAY_DIVISOR);
         Self {
             valid_for: within - delays,
             last_answered_call: None,
@@ -52,23 +52,23 @@
         }
     }
 
-    /// Records that the leader answered a call that began at `asked`, after its answer was
-    /// applied. The age counts from `asked`, since the answer may have been in transit, or
+    /// Records that the leader answered a call that began at `called`, after its answer was
+    /// applied. The age counts from `called`, since the answer may have been in transit, or
     /// the machine suspended, for any part of the time since.
-    pub fn note(&mut self, asked: Timestamp) {
-        self.last_answered_call = self.last_answered_call.max(Some(asked));
+    pub fn record_answer(&mut self, called: Timestamp) {
+        self.last_answered_call = self.last_answered_call.max(Some(called));
     }
 
     /// Whether an item may be sent to an engine now.
     #[must_use]
-    pub fn may_start(&self, now: Timestamp) -> bool {
+    pub fn may_send(&self, now: Timestamp) -> bool {
         self.age(now).is_some_and(|age| age < self.valid_for)
     }
 
     /// Returns the age of the last report; `None` before the first one.
     #[must_use]
     pub fn age(&self, now: Timestamp) -> Option<Duration> {
-        self.last_answered_call.map(|asked| now.since(asked))
+        self.last_answered_call.map(|called| now.since(called))
     }
 
     /// Returns the maximum time for which a call may be delayed, or held open by the leader,
@@ -79,15 +79,15 @@
     }
 
     /// Returns the change since the previous call of this method, if any.
-    pub fn change(&mut self, now: Timestamp) -> Option<Change> {
+    pub fn change(&mut self, now: Timestamp) -> Option<SendingChange> {
         let age = self.age(now)?;
-        let is_blocked = !self.may_start(now);
+        let is_blocked = !self.may_send(now);
         if std::mem::replace(&mut self.is_blocked, is_blocked) == is_blocked {
             return None;
         }
         Some(match is_blocked {
-            true => Change::HeldBack(age),
-            false => Change::Resumed,
+            true => SendingChange::HeldBack(age),
+            false => SendingChange::Resumed,
         })
     }
 }
