--- a/crates/daemon/src/gateway/batch_stream.rs
+++ b/crates/daemon/src/gateway/batch_stream.rs
@@ -191,7 +191,7 @@
         let mut budget = RetryBudget::new(RetryBudgetSettings {
             ratio: 0.0,
             reserve_per_second: 0.0,
-            most_saved: 0.0,
+            max_tokens: 0.0,
         });
         let mut next = steps.begin();
         loop {
--- a/crates/daemon/src/gateway/pick.rs
+++ b/crates/daemon/src/gateway/pick.rs
@@ -109,7 +109,7 @@
         match services.get_mut(service) {
             Some(pick) => work(&mut pick.budget),
             None => work(&mut RetryBudget::new(RetryBudgetSettings {
-                most_saved: 0.0,
+                max_tokens: 0.0,
                 ..RetryBudgetSettings::default()
             })),
         }
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -9,7 +9,7 @@
 use molespan_http::h1::{
     self, BodyError, BodyReader, Connection, Framing, HeadError, Headers, ResponseHead,
 };
-use molespan_routing::dispatch::{Doubt, EngineFacts, Failure, Picked, WorkClass};
+use molespan_routing::dispatch::{EngineFacts, Failure, Picked, SuspectReason, WorkClass};
 use molespan_routing::reach::ReturnEvidence;
 use molespan_state::declared::{RequestDigest, RequestParts};
 use molespan_types::{EngineLife, Timestamp};
@@ -222,7 +222,7 @@
     drop(engines);
     match failure {
         AttemptFailure::Silent => state.note_unreached(engine, began),
-        AttemptFailure::Broken => state.check_reach(engine, Doubt::Failed),
+        AttemptFailure::Broken => state.check_reach(engine, SuspectReason::Failed),
         AttemptFailure::Unreachable | AttemptFailure::Withheld => {}
     }
 }
--- a/crates/proxy/src/batch/preemption.rs
+++ b/crates/proxy/src/batch/preemption.rs
@@ -6,7 +6,7 @@
 
 use async_channel::{Receiver, Sender};
 use molespan_daemon::wall_clock::unix_millis;
-use molespan_routing::dispatch::{Loss, Urgency};
+use molespan_routing::dispatch::{PreemptionCost, Urgency};
 use slog::info;
 
 use super::item::SharedOutput;
@@ -29,11 +29,11 @@
 impl Run {
     /// Returns the cost of preempting this run. Each event counts as one token, its
     /// minimum.
-    fn loss(&self, number: u64, now_ms: u64) -> Loss {
+    fn preemption_cost(&self, number: u64, now_ms: u64) -> PreemptionCost {
         let made = self.output.borrow().last_event().unwrap_or_default();
         let read_again = self.prompt_tokens.saturating_add(made);
         let urgency = Urgency::of(self.due_ms, now_ms, 0);
-        Loss::of(urgency, now_ms, read_again, number)
+        PreemptionCost::of(urgency, now_ms, read_again, number)
     }
 }
 
@@ -110,19 +110,19 @@
 /// Preempts own batch runs at engines where online work needs their slots, in ascending
 /// order of cost.
 pub(crate) fn preempt_batch_runs(state: &GatewayState) {
-    let preemptions = state.engines.borrow_mut().batch_to_cut(state.now());
+    let preemptions = state.engines.borrow_mut().batch_to_preempt(state.now());
     if preemptions.is_empty() {
         return;
     }
     let runs = state.batch_runs.runs.borrow();
     let now_ms = unix_millis();
     for (engine, count) in preemptions {
-        let mut running: Vec<(Loss, &Run)> = runs
+        let mut running: Vec<(PreemptionCost, &Run)> = runs
             .iter()
             .filter(|(_, run)| run.engine == engine && !run.preempt.is_closed())
-            .map(|(number, run)| (run.loss(*number, now_ms), run))
+            .map(|(number, run)| (run.preemption_cost(*number, now_ms), run))
             .collect();
-        running.sort_unstable_by_key(|(loss, _)| *loss);
+        running.sort_unstable_by_key(|(cost, _)| *cost);
         let mut preempted = 0;
         for (_, run) in running.iter().take(count as usize) {
             run.preempt.close();
--- a/crates/proxy/src/batch/runner.rs
+++ b/crates/proxy/src/batch/runner.rs
@@ -189,7 +189,7 @@
         }
         let now = self.state.now();
         let occupancy = self.state.engines.borrow().occupancy(now);
-        let kept = self.kept_for_online(now);
+        let kept = self.reserved_for_online(now);
         self.state.metrics.batch.set_reserved_slots(kept);
         info!(self.state.logger, "batch work"; "items" => items,
             "at_engines" => self.state.batch_runs.count_at_engines(),
@@ -197,13 +197,15 @@
     }
 
     /// Returns the slots that batch work leaves free at the services it uses.
-    fn kept_for_online(&self, now: Timestamp) -> f64 {
+    fn reserved_for_online(&self, now: Timestamp) -> f64 {
         let Some(in_force) = self.state.in_force() else {
             return 0.0;
         };
         let engines = self.state.engines.borrow();
         let services = batch_services(&in_force.model).into_iter();
-        services.map(|one| engines.kept_for_online(one, now)).sum()
+        services
+            .map(|one| engines.reserved_for_online(one, now))
+            .sum()
     }
 
     /// Returns the next call for items.
--- a/crates/proxy/src/batch/turn.rs
+++ b/crates/proxy/src/batch/turn.rs
@@ -8,14 +8,14 @@
 
 use async_channel::{Receiver, Sender};
 use molespan_daemon::wall_clock::unix_millis;
-use molespan_routing::dispatch::{Asked, Place, TurnQueue};
+use molespan_routing::dispatch::{TurnQueue, TurnRequest, WaiterId};
 
 /// The turns of one gateway.
 #[derive(Debug, Default)]
 pub(crate) struct Turns {
     queue: RefCell<TurnQueue>,
-    /// Wake-up channels, closed when the place has the turn.
-    wakes: RefCell<BTreeMap<Place, Sender<()>>>,
+    /// Wake-up channels, closed when the waiter gets the turn.
+    wakes: RefCell<BTreeMap<WaiterId, Sender<()>>>,
 }
 
 /// The turn, held until it is dropped.
@@ -24,7 +24,7 @@
 /// An item that waits until it has the turn or gives up.
 struct Waiter {
     turns: Rc<Turns>,
-    place: Place,
+    id: WaiterId,
     woken: Receiver<()>,
     /// Whether the item has received the turn.
     granted: bool,
@@ -33,17 +33,17 @@
 impl Turns {
     /// Waits for the turn of an item that is due at `due_ms`.
     pub async fn acquire(self: &Rc<Self>, due_ms: Option<u64>) -> Turn {
-        let asked = self.queue.borrow_mut().ask(due_ms);
-        if let Asked::Waits(place) = asked {
-            Waiter::new(self, place).turn().await;
+        let requested = self.queue.borrow_mut().request(due_ms);
+        if let TurnRequest::Queued(id) = requested {
+            Waiter::new(self, id).turn().await;
         }
         Turn(self.clone())
     }
 
     fn pass_on(&self) {
         let next = self.queue.borrow_mut().pass_on(unix_millis());
-        if let Some(place) = next
-            && let Some(wake) = self.wakes.borrow_mut().remove(&place)
+        if let Some(id) = next
+            && let Some(wake) = self.wakes.borrow_mut().remove(&id)
         {
             wake.close();
         }
@@ -57,12 +57,12 @@
 }
 
 impl Waiter {
-    fn new(turns: &Rc<Turns>, place: Place) -> Self {
+    fn new(turns: &Rc<Turns>, id: WaiterId) -> Self {
         let (wake, woken) = async_channel::bounded(1);
-        turns.wakes.borrow_mut().insert(place, wake);
+        turns.wakes.borrow_mut().insert(id, wake);
         Self {
             turns: turns.clone(),
-            place,
+            id,
             woken,
             granted: false,
         }
@@ -82,8 +82,8 @@
         if self.granted {
             return;
         }
-        self.turns.wakes.borrow_mut().remove(&self.place);
-        let waited = self.turns.queue.borrow_mut().leave(self.place);
+        self.turns.wakes.borrow_mut().remove(&self.id);
+        let waited = self.turns.queue.borrow_mut().leave(self.id);
         if !waited {
             self.turns.pass_on();
         }
--- a/crates/proxy/src/dispatch.rs
+++ b/crates/proxy/src/dispatch.rs
@@ -100,7 +100,10 @@
             digest: OnceCell::new(),
         };
         let deadline = request.arrived + patience;
-        state.engines.borrow_mut().asked(&service, request.arrived);
+        state
+            .engines
+            .borrow_mut()
+            .record_arrival(&service, request.arrived);
         Self::new(state, dialect, route, service, outbound, facts, deadline)
     }
 
@@ -186,9 +189,9 @@
             let engine = &picked.facts;
             debug!(self.state.logger, "attempt"; "request" => &self.outbound.id,
                 "engine" => &engine.id, "load" => picked.load,
-                "unread" => picked.unread_tokens, "before" => picked.before_tokens,
+                "unread" => picked.unread_tokens, "before" => picked.queued_tokens,
                 "runs" => self.runs);
-            let another = |first: &Picked| self.pick_beside(first);
+            let another = |first: &Picked| self.pick_alternative(first);
             let (state, dialect) = (self.state, self.dialect);
             let outbound = &self.outbound;
             let result = attempt(state, dialect, &mut picked, another, outbound, limits).await;
@@ -468,7 +471,7 @@
 
     /// Chooses a second engine for an online request whose connection to the first one is
     /// slow.
-    fn pick_beside(&self, first: &Picked) -> Option<Picked> {
+    fn pick_alternative(&self, first: &Picked) -> Option<Picked> {
         let target = Duration::from_millis(u64::from(self.route.target_latency_ms));
         let now = self.state.now();
         let left = (self.arrived + target.mul_f64(BEGIN_SHARE)).since(now);
@@ -488,7 +491,7 @@
             suspect: self.state.is_suspect(&self.outbound),
         };
         let mut engines = self.state.engines.borrow_mut();
-        engines.pick_beside(&pick, first, now)
+        engines.pick_alternative(&pick, first, now)
     }
 
     /// Returns the connect time after which another engine is tried in parallel; `None` for
--- a/crates/proxy/src/pace.rs
+++ b/crates/proxy/src/pace.rs
@@ -78,7 +78,7 @@
     }
     let slow = engines.slow_engines(now);
     drop(engines);
-    for change in state.pace.slow.borrow_mut().look(&slow, now) {
+    for change in state.pace.slow.borrow_mut().update(&slow, now) {
         match change {
             SlowChange::Slow { engine, pace } => {
                 info!(state.logger, "engine is slow"; "engine" => engine,
--- a/crates/proxy/src/race.rs
+++ b/crates/proxy/src/race.rs
@@ -11,7 +11,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use molespan_http::h1::{self, Connection, SocketOptions};
-use molespan_routing::dispatch::{Doubt, EngineFacts, Failure, Picked, WorkClass};
+use molespan_routing::dispatch::{EngineFacts, Failure, Picked, SuspectReason, WorkClass};
 use molespan_routing::reach::ReturnEvidence;
 use molespan_types::Timestamp;
 
@@ -47,7 +47,7 @@
             in_flight,
         });
     }
-    state.check_reach(&engine.id, Doubt::Slow);
+    state.check_reach(&engine.id, SuspectReason::Slow);
     let Some(beside) = another(picked) else {
         let connection = first.await?;
         return Some(CountedConnection {
--- a/crates/proxy/src/reach.rs
+++ b/crates/proxy/src/reach.rs
@@ -12,7 +12,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use molespan_http::h1::{self, SocketOptions};
-use molespan_routing::dispatch::{Doubt, Failure, Probe, ReportSource};
+use molespan_routing::dispatch::{Failure, Probe, ReportSource, SuspectReason};
 use molespan_routing::reach::{Change, Evidence, ReachRelay, ReachReport, ReturnEvidence};
 use molespan_types::{NodeId, Timestamp};
 use slog::{info, warn};
@@ -48,9 +48,12 @@
 
 impl GatewayState {
     /// Checks whether the zone of an engine that may be unreachable is unreachable.
-    pub fn check_reach(&self, engine: &str, doubt: Doubt) {
+    pub fn check_reach(&self, engine: &str, reason: SuspectReason) {
         let now = self.now();
-        let probes = self.engines.borrow_mut().doubt(engine, doubt, now);
+        let probes = self
+            .engines
+            .borrow_mut()
+            .probes_for_suspect(engine, reason, now);
         if !probes.is_empty() {
             self.queue_probes(probes);
         }
@@ -68,15 +71,19 @@
     /// Records that an attempt that started at `began` did not reach an engine.
     pub fn note_unreached(&self, engine: &str, began: Timestamp) {
         let now = self.now();
-        self.engines.borrow_mut().unreached(engine, began, now);
+        self.engines
+            .borrow_mut()
+            .record_unreachable(engine, began, now);
         self.note_reach_changes();
-        self.check_reach(engine, Doubt::Failed);
+        self.check_reach(engine, SuspectReason::Failed);
     }
 
     /// Records that an attempt that started at `began` reached an engine.
     pub fn note_reached(&self, engine: &str, began: Timestamp, by: ReturnEvidence) {
         let now = self.now();
-        self.engines.borrow_mut().reached(engine, began, by, now);
+        self.engines
+            .borrow_mut()
+            .record_reachable(engine, began, by, now);
         self.note_reach_changes();
     }
 
@@ -105,7 +112,7 @@
 
     /// Waits until this gateway finds the zone of an engine unreachable.
     pub async fn wait_until_unreachable(&self, engine: &str) {
-        while !self.engines.borrow().was_found_out_of_reach(engine) {
+        while !self.engines.borrow().is_zone_found_unreachable(engine) {
             let zone_lost = self.reach.zone_lost.borrow().1.clone();
             let _closed = zone_lost.recv().await;
         }
@@ -120,7 +127,7 @@
         for change in changes {
             self.note_reach_change(change);
         }
-        let out = self.engines.borrow().zones_out_of_reach();
+        let out = self.engines.borrow().unreachable_zones();
         self.metrics.reach.set_unreachable_zones(out.len());
     }
 
@@ -176,7 +183,7 @@
 pub(crate) async fn watch_reach(state: Rc<GatewayState>, local: Rc<LocalExecutor<'static>>) {
     loop {
         let asked = async { state.reach.probes.1.recv().await.unwrap_or_default() };
-        let out = !state.engines.borrow().zones_out_of_reach().is_empty();
+        let out = !state.engines.borrow().unreachable_zones().is_empty();
         let probes = match out {
             true => future::or(asked, due_probes(&state)).await,
             false => asked.await,
@@ -214,7 +221,7 @@
         }
         Err(_) => {
             let mut engines = state.engines.borrow_mut();
-            if !engines.is_out_of_reach(&engine) {
+            if !engines.is_zone_avoided(&engine) {
                 engines.failed(&engine, Failure::Unreachable, now);
             }
             drop(engines);
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -350,7 +350,7 @@
 
     /// Counts a request as waiting for an engine of a service until the guard is dropped.
     pub fn count_waiting_request(self: &Rc<Self>, service: &str) -> WaitingGuard {
-        self.engines.borrow_mut().begins_to_wait(service);
+        self.engines.borrow_mut().start_waiting(service);
         WaitingGuard {
             state: self.clone(),
             service: service.to_owned(),
@@ -453,7 +453,7 @@
         *self.topology.borrow_mut() = topology;
     }
 
-    fn learn(&self, from: NodeId, record: EngineRecord) {
+    fn add_engine(&self, from: NodeId, record: EngineRecord) {
         let Ok(address) = record.address.parse() else {
             self.note_unusable(&record);
             return;
@@ -466,7 +466,7 @@
             slots: record.slots.max(1),
         };
         let now = self.now();
-        self.engines.borrow_mut().learn(from, facts, now);
+        self.engines.borrow_mut().add_engine(from, facts, now);
     }
 
     /// Counts an engine record without a usable address; control nodes of an older release
@@ -480,10 +480,10 @@
         }
     }
 
-    fn use_part(&self, from: NodeId, part: ServicePart) {
+    fn set_subset(&self, from: NodeId, part: ServicePart) {
         let engines: Option<BTreeSet<String>> = part.engines.map(|ids| ids.into_iter().collect());
         let mut table = self.engines.borrow_mut();
-        table.use_part(from, &part.service, part.users, engines.as_ref());
+        table.set_subset(from, &part.service, part.users, engines.as_ref());
         info!(self.logger, "assigned part of a service"; "service" => part.service,
             "users" => part.users, "told" => engines.map(|ids| ids.len()), "from" => from.0,
             "engines_known" => table.len());
@@ -507,13 +507,13 @@
             self.depart(&engine);
         }
         for record in update.engines {
-            self.learn(from, record);
+            self.add_engine(from, record);
         }
         for engine in update.lost {
-            self.engines.borrow_mut().lose(from, &engine);
+            self.engines.borrow_mut().remove_report(from, &engine);
         }
         for part in update.parts {
-            self.use_part(from, part);
+            self.set_subset(from, part);
         }
         for (request, bar) in update.bars {
             self.apply_bar(request, bar);
@@ -573,7 +573,7 @@
 impl Drop for WaitingGuard {
     fn drop(&mut self) {
         let mut engines = self.state.engines.borrow_mut();
-        engines.ends_to_wait(&self.service);
+        engines.stop_waiting(&self.service);
     }
 }
 
@@ -611,7 +611,7 @@
     pub fn note_events(&self, events: u32, took: Duration) {
         let now = self.state.now();
         let mut engines = self.state.engines.borrow_mut();
-        engines.heard(&self.engine, events, took, now);
+        engines.record_answer_events(&self.engine, events, took, now);
     }
 
     /// Returns the current time, on the clock of the engine table.
@@ -639,7 +639,7 @@
             engines.note_slot_time(&self.service, held);
         }
         if self.class == WorkClass::Online && self.is_serving.get() {
-            engines.note_time_at(&self.engine, now.since(self.started), now);
+            engines.record_time_at_engine(&self.engine, now.since(self.started), now);
         }
         drop(engines);
         match (&self.queue, held) {
--- a/crates/proxy/src/work_shares.rs
+++ b/crates/proxy/src/work_shares.rs
@@ -174,7 +174,7 @@
 
 /// Logs a change of whether capacity is shared by demand, and returns the new value.
 fn log_sharing_change(state: &GatewayState, before: bool) -> bool {
-    let by_demand = state.engines.borrow().hears_demand(state.now());
+    let by_demand = state.engines.borrow().has_demand_reports(state.now());
     if by_demand != before {
         info!(state.logger, "sharing of engine capacity changed"; "by_demand" => by_demand);
     }
@@ -263,7 +263,7 @@
 fn export_demand(state: &GatewayState, demands: &[ServiceDemand], now: Timestamp) {
     let engines = state.engines.borrow();
     for demand in demands {
-        let part = engines.part_by_demand(&demand.service, now);
+        let part = engines.share_by_demand(&demand.service, now);
         state.metrics.capacity.set_demand(demand, part);
     }
 }
--- a/crates/routing/src/dispatch/candidate.rs
+++ b/crates/routing/src/dispatch/candidate.rs
@@ -33,7 +33,7 @@
     pub facts: &'e EngineFacts,
     pub load: f64,
     pub unread_tokens: u64,
-    pub before_tokens: u64,
+    pub queued_tokens: u64,
     /// Batch requests of this gateway there.
     pub own_batch: f64,
     /// Batch requests of other gateways there.
@@ -62,7 +62,7 @@
             false => ZONE_TOKENS,
         };
         let slots = f64::from(self.facts.slots);
-        let reading = (self.before_tokens + self.unread_tokens) as f64 * self.pace;
+        let reading = (self.queued_tokens + self.unread_tokens) as f64 * self.pace;
         let running = self.load / slots.max(1.0) * RUNNING_TOKENS;
         let delaying = self.load * self.unread_tokens as f64 * DELAY_SHARE;
         let answering = (self.pace - 1.0) * self.answer_tokens;
@@ -86,7 +86,7 @@
             facts: self.facts.clone(),
             load: self.load,
             unread_tokens: self.unread_tokens,
-            before_tokens: self.before_tokens,
+            queued_tokens: self.queued_tokens,
             takes_over: false,
         }
     }
--- a/crates/routing/src/dispatch/demand.rs
+++ b/crates/routing/src/dispatch/demand.rs
@@ -13,7 +13,7 @@
 use minicbor::{Decode, Encode};
 use molespan_types::{NodeId, Timestamp};
 
-use super::engine::SHARE_HOLDS;
+use super::engine::SHARE_TTL;
 use super::relay::ReportSource;
 use super::room::START_VISIBILITY_DELAY;
 use super::table::EngineTable;
@@ -116,7 +116,7 @@
     }
 
     fn is_fresh(&self, now: Timestamp) -> bool {
-        now.since(self.at) < SHARE_HOLDS
+        now.since(self.at) < SHARE_TTL
     }
 }
 
@@ -157,17 +157,17 @@
 
 impl EngineTable {
     /// Records the arrival of an online request for a service.
-    pub fn asked(&mut self, service: &str, now: Timestamp) {
+    pub fn record_arrival(&mut self, service: &str, now: Timestamp) {
         self.demands.own_mut(service).asked.add(1.0, now);
     }
 
-    /// Records that a request begins to wait for an engine of a service.
-    pub fn begins_to_wait(&mut self, service: &str) {
+    /// Records that a request starts to wait for an engine of a service.
+    pub fn start_waiting(&mut self, service: &str) {
         self.demands.own_mut(service).waiting += 1;
     }
 
     /// Records that a waiting request got an engine or gave up.
-    pub fn ends_to_wait(&mut self, service: &str) {
+    pub fn stop_waiting(&mut self, service: &str) {
         let own = self.demands.own_mut(service);
         own.waiting = own.waiting.saturating_sub(1);
     }
@@ -205,7 +205,7 @@
 
     /// Whether other gateways report their demand.
     #[must_use]
-    pub fn hears_demand(&self, now: Timestamp) -> bool {
+    pub fn has_demand_reports(&self, now: Timestamp) -> bool {
         let mut others = self.demands.others.values();
         others.any(|reported| reported.is_fresh(now) && !reported.demands.is_empty())
     }
@@ -213,7 +213,7 @@
     /// Returns this gateway's share of a service's free capacity by demand, from 0 to 1, or
     /// `None` while no other gateway reports demand for the service.
     #[must_use]
-    pub fn part_by_demand(&self, service: &str, now: Timestamp) -> Option<f64> {
+    pub fn share_by_demand(&self, service: &str, now: Timestamp) -> Option<f64> {
         self.demands.share(service, self.users_of(service), now)
     }
 }
--- a/crates/routing/src/dispatch/engine.rs
+++ b/crates/routing/src/dispatch/engine.rs
@@ -17,7 +17,7 @@
 /// Age at which an engine's load report no longer counts for the work of other gateways.
 const REPORT_MAX_AGE: Duration = Duration::from_secs(2);
 /// Time for which another gateway's report of its work is valid.
-pub(crate) const SHARE_HOLDS: Duration = Duration::from_millis(1_200);
+pub(crate) const SHARE_TTL: Duration = Duration::from_millis(1_200);
 /// Time for which batch work stays away from an engine whose slots online work needed:
 /// about as long as gateways take to observe one another's requests there. Returning too
 /// early costs rereading one prompt; staying away longer than a lull between two bursts
@@ -359,7 +359,7 @@
 
     fn fresh_shares(&self, now: Timestamp) -> impl Iterator<Item = &Share> {
         let shares = self.shares.values();
-        shares.filter(move |share| now.since(share.at) < SHARE_HOLDS)
+        shares.filter(move |share| now.since(share.at) < SHARE_TTL)
     }
 
     /// Returns what others reported of its pace, and when.
@@ -412,7 +412,7 @@
     /// from 0 up to 1, rounds the share at random, so that the shares of all gateways add
     /// up to the excess. At least one is preempted where an online request of this gateway
     /// has just started: the other gateways then observe both changes at once.
-    pub fn batch_to_cut(&mut self, now: Timestamp, others_report: bool, draw: f64) -> u32 {
+    pub fn batch_to_preempt(&mut self, now: Timestamp, others_report: bool, draw: f64) -> u32 {
         let online_started = std::mem::take(&mut self.online_started);
         let excess = self.load(now, others_report) - f64::from(self.facts.slots);
         if excess <= 0.0 {
--- a/crates/routing/src/dispatch/loss.rs
+++ b/crates/routing/src/dispatch/loss.rs
@@ -8,7 +8,7 @@
 /// drops the tokens that the run has read and generated, another engine reads all of them
 /// again, and the item completes later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Loss {
+pub struct PreemptionCost {
     /// Urgency of the item: rises by one each time the remaining time halves, so that the
     /// tokens to read again decide among items with similar deadlines.
     urgency_level: u32,
@@ -18,7 +18,7 @@
     number: Reverse<u64>,
 }
 
-impl Loss {
+impl PreemptionCost {
     /// Returns the cost of preempting the run `number`, which would have `reread_tokens`
     /// tokens read again, of an item of this urgency, by a clock that shows `now_ms`.
     #[must_use]
--- a/crates/routing/src/dispatch/pace.rs
+++ b/crates/routing/src/dispatch/pace.rs
@@ -10,7 +10,7 @@
 
 use molespan_types::Timestamp;
 
-use super::engine::{Engine, SHARE_HOLDS};
+use super::engine::{Engine, SHARE_TTL};
 use super::table::EngineTable;
 use crate::decay::DecayingSum;
 
@@ -217,7 +217,7 @@
     pub fn update_baseline(&mut self, others: WeightedPace, now: Timestamp) {
         let observed = self.own(now).weight + others.weight;
         // Time without observations does not count: the pace may have differed then.
-        let age = now.since(self.baseline_at).min(SHARE_HOLDS).as_secs_f64();
+        let age = now.since(self.baseline_at).min(SHARE_TTL).as_secs_f64();
         self.baseline_at = now;
         if observed < BASELINE_WEIGHT {
             return;
@@ -229,7 +229,7 @@
 
 /// Returns the remaining weight of a report of this age, from 1 down to 0.
 fn remaining_weight(age: Duration) -> f64 {
-    match age < SHARE_HOLDS {
+    match age < SHARE_TTL {
         true => (-age.as_secs_f64() / REPORT_DECAY.as_secs_f64()).exp(),
         false => 0.0,
     }
@@ -258,7 +258,7 @@
     }
 
     /// Records a number of events of an answer that came from an engine within a time.
-    pub fn heard(&mut self, id: &str, events: u32, took: Duration, now: Timestamp) {
+    pub fn record_answer_events(&mut self, id: &str, events: u32, took: Duration, now: Timestamp) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
--- a/crates/routing/src/dispatch/reachable.rs
+++ b/crates/routing/src/dispatch/reachable.rs
@@ -17,7 +17,7 @@
 
 /// Why an engine may be unreachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Doubt {
+pub enum SuspectReason {
     /// Connecting to it is slow, as when the network drops packets.
     Slow,
     /// An attempt failed there, as when the engine has exited.
@@ -39,21 +39,21 @@
     /// Whether this gateway itself found an engine's zone unreachable. Reports of other
     /// gateways alone don't end a request that waits for an answer.
     #[must_use]
-    pub fn was_found_out_of_reach(&self, id: &str) -> bool {
+    pub fn is_zone_found_unreachable(&self, id: &str) -> bool {
         let engine = self.engines.get(id);
         engine.is_some_and(|engine| self.reach.is_found_out(&engine.facts.zone))
     }
 
     /// Whether no requests go to the engine's zone.
     #[must_use]
-    pub fn is_out_of_reach(&self, id: &str) -> bool {
+    pub fn is_zone_avoided(&self, id: &str) -> bool {
         let engine = self.engines.get(id);
         engine.is_some_and(|engine| self.reach.is_avoided(&engine.facts.zone))
     }
 
     /// Returns the zones that are unreachable.
     #[must_use]
-    pub fn zones_out_of_reach(&self) -> Vec<ZoneName> {
+    pub fn unreachable_zones(&self) -> Vec<ZoneName> {
         self.reach.out().cloned().collect()
     }
 
@@ -91,7 +91,12 @@
     /// slow: one in the own zone if `first` isn't there, otherwise or failing that one in
     /// any zone other than that of `first`. `None` if zones are unknown or there is only
     /// one.
-    pub fn pick_beside(&mut self, pick: &Pick<'_>, first: &str, now: Timestamp) -> Option<Picked> {
+    pub fn pick_alternative(
+        &mut self,
+        pick: &Pick<'_>,
+        first: &str,
+        now: Timestamp,
+    ) -> Option<Picked> {
         let zone = self.engines.get(first)?.facts.zone.clone();
         if self.hosts().len() < 2 || zone.as_str().is_empty() {
             return None;
@@ -124,7 +129,7 @@
     }
 
     /// Records that an attempt started at `began` did not reach an engine.
-    pub fn unreached(&mut self, id: &str, began: Timestamp, now: Timestamp) {
+    pub fn record_unreachable(&mut self, id: &str, began: Timestamp, now: Timestamp) {
         let Some((zone, host)) = self.place(id) else {
             return;
         };
@@ -134,7 +139,13 @@
 
     /// Records that an attempt started at `began` was answered by an engine or established
     /// a connection.
-    pub fn reached(&mut self, id: &str, began: Timestamp, by: ReturnEvidence, now: Timestamp) {
+    pub fn record_reachable(
+        &mut self,
+        id: &str,
+        began: Timestamp,
+        by: ReturnEvidence,
+        now: Timestamp,
+    ) {
         if let Some(engine) = self.engines.get(id) {
             self.reach.reached(&engine.facts.zone, began, by, now);
         }
@@ -151,12 +162,17 @@
     /// others of its zone that seem healthy, or a single other one if only this engine
     /// failed, since usually the engine has just exited. Returns none if a check is already
     /// in progress.
-    pub fn doubt(&mut self, id: &str, doubt: Doubt, now: Timestamp) -> Vec<Probe> {
+    pub fn probes_for_suspect(
+        &mut self,
+        id: &str,
+        reason: SuspectReason,
+        now: Timestamp,
+    ) -> Vec<Probe> {
         let Some((zone, host)) = self.place(id) else {
             return Vec::new();
         };
         let hosts = self.hosts();
-        let wide = doubt == Doubt::Slow || self.reach.have_several_failed(&zone, now);
+        let wide = reason == SuspectReason::Slow || self.reach.have_several_failed(&zone, now);
         if !self.reach.check(&zone, wide, &hosts, now) {
             return Vec::new();
         }
@@ -181,8 +197,8 @@
             return Vec::new();
         }
         let hosts = self.hosts();
-        let doubted = self.reach.record_report(report, &hosts, now);
-        let zones = doubted.iter();
+        let to_check = self.reach.record_report(report, &hosts, now);
+        let zones = to_check.iter();
         zones.flat_map(|zone| self.probe_zone(zone, now)).collect()
     }
 
--- a/crates/routing/src/dispatch/relay.rs
+++ b/crates/routing/src/dispatch/relay.rs
@@ -11,7 +11,7 @@
 use molespan_types::{NodeId, Timestamp};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::engine::{SHARE_HOLDS, WorkShare};
+use super::engine::{SHARE_TTL, WorkShare};
 
 /// Silence after which a gateway switches to the next relay.
 const RELAY_SILENCE: Duration = Duration::from_millis(1_000);
@@ -164,7 +164,7 @@
     /// Removes reports that have expired.
     pub fn expire(&mut self, now: Timestamp) {
         self.reported
-            .retain(|_, reported| now.since(reported.at) < SHARE_HOLDS);
+            .retain(|_, reported| now.since(reported.at) < SHARE_TTL);
         self.represented
             .retain(|_, (_, at)| now.since(*at) < MISSING_TTL);
     }
@@ -177,7 +177,7 @@
     pub fn total_to_reported_ratio(&self, present: u32, now: Timestamp) -> f64 {
         let (mut reporting, mut missing) = (self.gateways(), 0);
         for (gateways, at) in self.represented.values() {
-            match now.since(*at) < SHARE_HOLDS {
+            match now.since(*at) < SHARE_TTL {
                 true => reporting += gateways,
                 false => missing += gateways,
             }
--- a/crates/routing/src/dispatch/reserve.rs
+++ b/crates/routing/src/dispatch/reserve.rs
@@ -16,7 +16,7 @@
     /// state requests start as often as they end, so this is the number of online requests
     /// in flight times the visibility delay divided by the mean slot time.
     #[must_use]
-    pub fn kept_for_online(&self, service: &str, now: Timestamp) -> f64 {
+    pub fn reserved_for_online(&self, service: &str, now: Timestamp) -> f64 {
         let slot_time = self.slot_times.mean(service);
         if slot_time <= START_VISIBILITY_DELAY {
             return 0.0;
--- a/crates/routing/src/dispatch/room.rs
+++ b/crates/routing/src/dispatch/room.rs
@@ -137,7 +137,7 @@
         let by_running = || (own + 1.0) / (all + self.sharing_gateways(pick.service));
         let in_time = matches!(pick.standing, Standing::InTime { .. });
         let share = in_time
-            .then(|| self.part_by_demand(pick.service, now))
+            .then(|| self.share_by_demand(pick.service, now))
             .flatten();
         let share = share.unwrap_or_else(by_running);
         self.online_starts
--- a/crates/routing/src/dispatch/short.rs
+++ b/crates/routing/src/dispatch/short.rs
@@ -121,7 +121,7 @@
 impl EngineTable {
     /// Records the time from sending an online request to an engine until its complete
     /// answer, including the wait there.
-    pub fn note_time_at(&mut self, id: &str, took: Duration, now: Timestamp) {
+    pub fn record_time_at_engine(&mut self, id: &str, took: Duration, now: Timestamp) {
         let others_report = self.others_report(now);
         let Some(engine) = self.engines.get(id) else {
             return;
--- a/crates/routing/src/dispatch/slow.rs
+++ b/crates/routing/src/dispatch/slow.rs
@@ -43,7 +43,7 @@
 impl SlowWatch {
     /// Updates the engines that are slow now, with their paces, and returns the changes to
     /// report.
-    pub fn look(&mut self, slow: &[(String, f64)], now: Timestamp) -> Vec<SlowChange> {
+    pub fn update(&mut self, slow: &[(String, f64)], now: Timestamp) -> Vec<SlowChange> {
         let mut changes = Vec::new();
         self.0.retain(|engine, since| {
             let still_slow = slow.iter().any(|(one, _)| one == engine);
--- a/crates/routing/src/dispatch/table.rs
+++ b/crates/routing/src/dispatch/table.rs
@@ -93,7 +93,7 @@
     /// Prompt tokens that it has to read for this request.
     pub unread_tokens: u64,
     /// Prompt tokens that it has to read before that.
-    pub before_tokens: u64,
+    pub queued_tokens: u64,
     /// Whether the request takes a slot that another request of this gateway has just
     /// freed.
     pub takes_over: bool,
@@ -168,7 +168,7 @@
     /// Records that a control node lists an engine. An engine that departed, or that a
     /// later incarnation replaced, is not added again. An address belongs to the latest
     /// engine that has it.
-    pub fn learn(&mut self, from: NodeId, facts: EngineFacts, now: Timestamp) {
+    pub fn add_engine(&mut self, from: NodeId, facts: EngineFacts, now: Timestamp) {
         if self.departures.applies_to(&facts.id) || self.latest.has_later(&facts.id) {
             return;
         }
@@ -192,7 +192,7 @@
 
     /// Records that a control node no longer lists an engine. The engine is removed once no
     /// control node lists it.
-    pub fn lose(&mut self, from: NodeId, id: &str) {
+    pub fn remove_report(&mut self, from: NodeId, id: &str) {
         if let Some(engine) = self.engines.get_mut(id) {
             engine.known_by.remove(&from);
             if engine.known_by.is_empty() {
@@ -211,24 +211,24 @@
     }
 
     /// Records how many gateways use each engine of a service, `None` for all, as a control
-    /// node reports it. `part` lists the engines that the control node assigns to this
+    /// node reports it. `subset` lists the engines that the control node assigns to this
     /// gateway; it is `None` if none was withdrawn.
-    pub fn use_part(
+    pub fn set_subset(
         &mut self,
         from: NodeId,
         service: &str,
         users: Option<u32>,
-        part: Option<&BTreeSet<String>>,
+        subset: Option<&BTreeSet<String>>,
     ) {
         match users {
             Some(users) => self.users.insert(service.to_owned(), users),
             None => self.users.remove(service),
         };
-        let Some(part) = part else {
+        let Some(subset) = subset else {
             return;
         };
         self.engines.retain(|id, engine| {
-            if engine.facts.service == service && !part.contains(id) {
+            if engine.facts.service == service && !subset.contains(id) {
                 engine.known_by.remove(&from);
             }
             !engine.known_by.is_empty()
@@ -479,7 +479,7 @@
         let of_service: Vec<&Engine> = self.reachable_engines(service).collect();
         let slots: u32 = of_service.iter().map(|one| one.facts.slots).sum();
         let loads = of_service.iter().map(|one| one.load(now, others_report));
-        let reserved = self.kept_for_online(service, now);
+        let reserved = self.reserved_for_online(service, now);
         let free = f64::from(slots) - loads.sum::<f64>() - reserved;
         let avoided = self.avoided(service, now);
         let usable = of_service
@@ -531,12 +531,12 @@
 
     /// Returns the engines at which this gateway's batch work is to be preempted, with the
     /// number of requests.
-    pub fn batch_to_cut(&mut self, now: Timestamp) -> Vec<(String, u32)> {
+    pub fn batch_to_preempt(&mut self, now: Timestamp) -> Vec<(String, u32)> {
         let others_report = self.others_report(now);
         let mut cuts = Vec::new();
         for (id, engine) in &mut self.engines {
             let draw = self.random.random();
-            let cut = engine.batch_to_cut(now, others_report, draw);
+            let cut = engine.batch_to_preempt(now, others_report, draw);
             if cut > 0 {
                 cuts.push((id.clone(), cut));
             }
@@ -671,7 +671,7 @@
             facts,
             load: engine.load(now, others_report),
             unread_tokens: pick.prompt.tokens.saturating_sub(held_tokens),
-            before_tokens: engine.unread_tokens(now),
+            queued_tokens: engine.unread_tokens(now),
             own_batch: f64::from(engine.own_batch()),
             others_batch: f64::from(engine.others_batch(now)),
             pace: engine.pace(now),
--- a/crates/routing/src/dispatch/turn.rs
+++ b/crates/routing/src/dispatch/turn.rs
@@ -5,15 +5,15 @@
 use super::urgency::Urgency;
 
 /// Identifies a waiter.
-pub type Place = u64;
+pub type WaiterId = u64;
 
 /// Result of requesting the turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum TurnRequest {
     /// The caller has the turn.
     Turn,
     /// The caller waits under this identifier.
-    Waits(Place),
+    Queued(WaiterId),
 }
 
 /// A single turn that passes to the most urgent waiter, like a lock with a priority queue.
@@ -23,29 +23,29 @@
 pub struct TurnQueue {
     taken: bool,
     /// Deadline of each waiter's work, in milliseconds since 1970.
-    waiting: BTreeMap<Place, Option<u64>>,
-    last: Place,
+    waiting: BTreeMap<WaiterId, Option<u64>>,
+    last: WaiterId,
 }
 
 impl TurnQueue {
     /// Requests the turn for work that is due at `due_ms`.
-    pub fn ask(&mut self, due_ms: Option<u64>) -> Asked {
+    pub fn request(&mut self, due_ms: Option<u64>) -> TurnRequest {
         if !std::mem::replace(&mut self.taken, true) {
-            return Asked::Turn;
+            return TurnRequest::Turn;
         }
         self.last += 1;
         self.waiting.insert(self.last, due_ms);
-        Asked::Waits(self.last)
+        TurnRequest::Queued(self.last)
     }
 
     /// Ends the turn. Returns the waiter that gets it next, if there is one.
-    pub fn pass_on(&mut self, now_ms: u64) -> Option<Place> {
+    pub fn pass_on(&mut self, now_ms: u64) -> Option<WaiterId> {
         let waiting = self.waiting.iter();
-        let urgencies = waiting.map(|(&place, &due_ms)| (Urgency::of(due_ms, now_ms, 0), place));
-        let next = urgencies.min().map(|(_, place)| place);
+        let urgencies = waiting.map(|(&id, &due_ms)| (Urgency::of(due_ms, now_ms, 0), id));
+        let next = urgencies.min().map(|(_, id)| id);
         match next {
-            Some(place) => {
-                self.waiting.remove(&place);
+            Some(id) => {
+                self.waiting.remove(&id);
             }
             None => self.taken = false,
         }
@@ -54,7 +54,7 @@
 
     /// Cancels a wait. Returns whether the caller was still waiting; if not, it holds the
     /// turn and must pass it on.
-    pub fn leave(&mut self, place: Place) -> bool {
-        self.waiting.remove(&place).is_some()
+    pub fn leave(&mut self, id: WaiterId) -> bool {
+        self.waiting.remove(&id).is_some()
     }
 }
--- a/crates/routing/src/reach/telling.rs
+++ b/crates/routing/src/reach/telling.rs
@@ -8,7 +8,7 @@
 use minicbor::{Decode, Encode};
 use molespan_types::{NodeId, Timestamp, ZoneName};
 
-use crate::dispatch::{ReportSource, SHARE_HOLDS};
+use crate::dispatch::{ReportSource, SHARE_TTL};
 
 /// Number of gateways of a zone that have to find another zone out of reach before a
 /// relay accepts it.
@@ -70,7 +70,7 @@
     /// Drops the reports of nodes that have been silent for too long.
     pub fn expire(&mut self, now: Timestamp) {
         self.reports
-            .retain(|_, report| now.since(report.at) < SHARE_HOLDS);
+            .retain(|_, report| now.since(report.at) < SHARE_TTL);
     }
 
     /// Returns the combined findings of the gateways of this relay, for other relays.
--- a/crates/routing/src/retry/budget.rs
+++ b/crates/routing/src/retry/budget.rs
@@ -10,7 +10,7 @@
     /// Retries per second that are always allowed, for services with few requests.
     pub reserve_per_second: f64,
     /// Most retries that can accumulate.
-    pub most_saved: f64,
+    pub max_tokens: f64,
 }
 
 impl Default for RetryBudgetSettings {
@@ -18,7 +18,7 @@
         Self {
             ratio: 0.1,
             reserve_per_second: 1.0,
-            most_saved: 20.0,
+            max_tokens: 20.0,
         }
     }
 }
@@ -36,7 +36,7 @@
     #[must_use]
     pub fn new(settings: RetryBudgetSettings) -> Self {
         Self {
-            tokens: settings.most_saved,
+            tokens: settings.max_tokens,
             settings,
             updated: Timestamp::ZERO,
         }
@@ -60,6 +60,6 @@
     }
 
     fn add(&mut self, tokens: f64) {
-        self.tokens = (self.tokens + tokens).min(self.settings.most_saved);
+        self.tokens = (self.tokens + tokens).min(self.settings.max_tokens);
     }
 }
--- a/crates/routing/tests/demand.rs
+++ b/crates/routing/tests/demand.rs
@@ -83,7 +83,7 @@
             zone: "near".into(),
             slots: 8,
         };
-        table.learn(NodeId(1), facts, Timestamp::ZERO);
+        table.add_engine(NodeId(1), facts, Timestamp::ZERO);
     }
     table.serve(["s".to_owned()].into_iter());
     table
@@ -110,19 +110,19 @@
     // 15 requests of other gateways wait or arrive within 150 ms.
     table.note_demands(RELAY, vec![demand(35, 12, 20)], at(0));
     // This gateway has just started.
-    table.begins_to_wait("s");
+    table.start_waiting("s");
     let part = table
-        .part_by_demand("s", at(0))
+        .share_by_demand("s", at(0))
         .expect("demand is reported");
     assert!((part - 1.0 / 16.0).abs() < 0.001, "{part}");
-    table.begins_to_wait("s");
-    table.begins_to_wait("s");
+    table.start_waiting("s");
+    table.start_waiting("s");
     let part = table
-        .part_by_demand("s", at(0))
+        .share_by_demand("s", at(0))
         .expect("demand is reported");
     assert!((part - 3.0 / 18.0).abs() < 0.001, "{part}");
     for _ in 0..3 {
-        table.ends_to_wait("s");
+        table.stop_waiting("s");
     }
     let own = table.demands(at(0));
     assert_eq!(own, [demand(1, 0, 0)]);
@@ -133,7 +133,7 @@
     let mut table = table();
     table.note_demands(RELAY, vec![demand(7, 7, 0)], at(0));
     let part = table
-        .part_by_demand("s", at(0))
+        .share_by_demand("s", at(0))
         .expect("demand is reported");
     assert!((part - 1.0 / 36.0).abs() < 0.001, "{part}");
 }
@@ -179,8 +179,8 @@
     let kept = Duration::from_secs(1);
     let mut silent = table();
     silent.note_slot_time("s", kept);
-    assert!(!silent.hears_demand(at(0)));
-    assert_eq!(silent.part_by_demand("s", at(0)), None);
+    assert!(!silent.has_demand_reports(at(0)));
+    assert_eq!(silent.share_by_demand("s", at(0)), None);
     let by_running = count_starts(&mut silent, 1_200);
     // Demand reports that have expired, as when a relay fell silent, or of other services.
     let mut cut_off = table();
@@ -191,8 +191,8 @@
         ..demand(35, 9, 9)
     };
     cut_off.note_demands(NodeId(1_001), vec![elsewhere], at(1_199));
-    assert!(cut_off.hears_demand(at(1_200)));
-    assert_eq!(cut_off.part_by_demand("s", at(1_200)), None);
+    assert!(cut_off.has_demand_reports(at(1_200)));
+    assert_eq!(cut_off.share_by_demand("s", at(1_200)), None);
     assert_eq!(count_starts(&mut cut_off, 1_200), by_running);
     // If other gateways want little, this gateway's share is larger.
     let mut reported = table();
--- a/crates/routing/tests/dispatch.rs
+++ b/crates/routing/tests/dispatch.rs
@@ -29,7 +29,7 @@
 fn table(engines: &[(u8, &str)]) -> EngineTable {
     let mut table = EngineTable::new("near".into(), 1);
     for (number, zone) in engines {
-        table.learn(CONTROL, facts(*number, zone), Timestamp::ZERO);
+        table.add_engine(CONTROL, facts(*number, zone), Timestamp::ZERO);
     }
     table
 }
@@ -158,19 +158,19 @@
 #[test]
 fn departed_engine_is_not_listed_again_but_lost_one_may_be() {
     let mut table = table(&[(1, "near")]);
-    table.learn(NodeId(2), facts(1, "near"), Timestamp::ZERO);
-    table.lose(CONTROL, "e1");
+    table.add_engine(NodeId(2), facts(1, "near"), Timestamp::ZERO);
+    table.remove_report(CONTROL, "e1");
     assert!(
         table.is_present("e1"),
         "another control node still lists it"
     );
-    table.lose(NodeId(2), "e1");
+    table.remove_report(NodeId(2), "e1");
     assert_eq!(online(&mut table, 0), Err(NoEngine::None));
-    table.learn(CONTROL, facts(1, "near"), Timestamp::ZERO);
+    table.add_engine(CONTROL, facts(1, "near"), Timestamp::ZERO);
     assert!(table.is_present("e1"));
     assert!(table.depart("e1"));
     assert!(!table.depart("e1"));
-    table.learn(NodeId(2), facts(1, "near"), Timestamp::ZERO);
+    table.add_engine(NodeId(2), facts(1, "near"), Timestamp::ZERO);
     assert_eq!(online(&mut table, 0), Err(NoEngine::None));
 }
 
@@ -180,7 +180,7 @@
     let mut taken = facts(1, "near");
     taken.id = "successor".to_owned();
     taken.service = "other".to_owned();
-    table.learn(CONTROL, taken, Timestamp::ZERO);
+    table.add_engine(CONTROL, taken, Timestamp::ZERO);
     assert_eq!(online(&mut table, 0), Err(NoEngine::None));
     assert!(!table.is_present("e1"));
 }
@@ -197,7 +197,7 @@
     assert_eq!(table.batch_headroom("s", now(0)), 0.0);
     assert_eq!(online(&mut table, 0), Ok("e1".to_owned()));
     table.started("e1", WorkClass::Online, 0, now(0));
-    assert_eq!(table.batch_to_cut(now(0)), [("e1".to_owned(), 1)]);
+    assert_eq!(table.batch_to_preempt(now(0)), [("e1".to_owned(), 1)]);
 }
 
 #[test]
@@ -468,14 +468,18 @@
             ..WorkShare::default()
         };
         table.note_shares(NodeId(9), &[share], now(0));
-        let cuts: u32 = table.batch_to_cut(now(0)).iter().map(|(_, cut)| cut).sum();
+        let cuts: u32 = table
+            .batch_to_preempt(now(0))
+            .iter()
+            .map(|(_, cut)| cut)
+            .sum();
         assert!(
             cut.contains(&cuts),
             "{batch} {online} {other_batch} {other_online}: {cuts}"
         );
         // The other gateways observe the preemption only later; nothing is preempted twice
         // in the meantime.
-        assert!(cuts == 0 || table.batch_to_cut(now(10)).is_empty());
+        assert!(cuts == 0 || table.batch_to_preempt(now(10)).is_empty());
     }
 }
 
@@ -486,7 +490,7 @@
         table.started("e1", WorkClass::Online, 0, now(0));
     }
     assert!(
-        table.batch_to_cut(now(0)).is_empty(),
+        table.batch_to_preempt(now(0)).is_empty(),
         "there is no batch work to preempt"
     );
     for _ in 0..9 {
@@ -512,7 +516,7 @@
     for gateway in 0..48 {
         let mut table = EngineTable::new("near".into(), gateway);
         for (number, zone) in &engines {
-            table.learn(CONTROL, facts(*number, zone), Timestamp::ZERO);
+            table.add_engine(CONTROL, facts(*number, zone), Timestamp::ZERO);
         }
         for number in 2..=24 {
             table.started(&format!("e{number}"), WorkClass::Online, 0, now(0));
@@ -545,7 +549,7 @@
         let mut table = EngineTable::new("near".into(), gateway);
         table.set_gateways(8);
         for number in 1..=4 {
-            table.learn(CONTROL, facts(number, "near"), Timestamp::ZERO);
+            table.add_engine(CONTROL, facts(number, "near"), Timestamp::ZERO);
         }
         while let Ok(engine) = pick(&mut table, WorkClass::Batch, &[], 0) {
             table.started(&engine, WorkClass::Batch, 0, now(0));
@@ -661,8 +665,8 @@
     let mut started = 0;
     for seed in 0..40 {
         let mut table = EngineTable::new("near".into(), seed);
-        table.learn(CONTROL, facts(1, "near"), Timestamp::ZERO);
-        table.learn(CONTROL, facts(2, "near"), Timestamp::ZERO);
+        table.add_engine(CONTROL, facts(1, "near"), Timestamp::ZERO);
+        table.add_engine(CONTROL, facts(2, "near"), Timestamp::ZERO);
         table.set_gateways(40);
         table.note_slot_time("s", slot_time);
         for _ in 0..5 {
@@ -705,8 +709,8 @@
 fn gateways_with_failing_engine() -> [EngineTable; 2] {
     [1, 2].map(|seed| {
         let mut table = EngineTable::new("near".into(), seed);
-        table.learn(CONTROL, facts(1, "near"), Timestamp::ZERO);
-        table.learn(CONTROL, facts(2, "near"), Timestamp::ZERO);
+        table.add_engine(CONTROL, facts(1, "near"), Timestamp::ZERO);
+        table.add_engine(CONTROL, facts(2, "near"), Timestamp::ZERO);
         table.started("e2", WorkClass::Online, 0, now(0));
         table
     })
@@ -751,8 +755,8 @@
 fn gateway_takes_over_only_the_slot_its_own_request_freed() {
     let tables = || {
         let mut table = EngineTable::new("near".into(), 3);
-        table.learn(CONTROL, facts(1, "near"), Timestamp::ZERO);
-        table.learn(CONTROL, facts(2, "near"), Timestamp::ZERO);
+        table.add_engine(CONTROL, facts(1, "near"), Timestamp::ZERO);
+        table.add_engine(CONTROL, facts(2, "near"), Timestamp::ZERO);
         table.set_gateways(40);
         table.note_slot_time("s", Duration::from_secs(1));
         table.note_shares(
@@ -811,7 +815,7 @@
     // One engine has just restarted, and therefore has the lowest load.
     let mut table = table(&[(1, "near")]);
     table.started("e1", WorkClass::Online, 0, now(0));
-    table.learn(CONTROL, facts(2, "near"), now(10_000));
+    table.add_engine(CONTROL, facts(2, "near"), now(10_000));
     let tried = BTreeSet::new();
     let mut to = |suspect: bool, at: u64| {
         let pick = Pick {
@@ -839,32 +843,32 @@
 #[test]
 fn engines_assigned_to_other_gateways_are_dropped() {
     let mut table = table(&[(1, "near"), (2, "near"), (3, "near")]);
-    table.learn(OTHER_CONTROL, facts(3, "near"), now(0));
+    table.add_engine(OTHER_CONTROL, facts(3, "near"), now(0));
     let part = ids(&["e2"]);
-    table.use_part(CONTROL, "s", Some(24), Some(&part));
+    table.set_subset(CONTROL, "s", Some(24), Some(&part));
     // The other control node still assigns the engine to this gateway.
     assert!(table.is_present("e3"));
     assert!(!table.is_present("e1"));
-    table.use_part(OTHER_CONTROL, "s", Some(24), Some(&part));
+    table.set_subset(OTHER_CONTROL, "s", Some(24), Some(&part));
     assert_eq!(table.len(), 1);
     assert_eq!(online(&mut table, 0), Ok("e2".to_owned()));
     // Engines of another service are kept.
-    table.use_part(CONTROL, "other", Some(24), Some(&BTreeSet::new()));
+    table.set_subset(CONTROL, "other", Some(24), Some(&BTreeSet::new()));
     assert!(table.is_present("e2"));
     // The engine did not announce a departure, and may be assigned again.
     assert!(!table.has_departed("e1"));
-    table.learn(CONTROL, facts(1, "near"), now(1));
+    table.add_engine(CONTROL, facts(1, "near"), now(1));
     assert!(table.is_present("e1"));
 }
 
 #[test]
 fn replaced_control_node_does_not_delay_engine_removal() {
     let mut table = table(&[(1, "near"), (2, "near")]);
-    table.learn(OTHER_CONTROL, facts(1, "near"), now(0));
+    table.add_engine(OTHER_CONTROL, facts(1, "near"), now(0));
     table.remove_control_node(CONTROL);
     assert!(table.is_present("e1"));
     assert!(!table.is_present("e2"), "no other control node lists it");
-    table.lose(OTHER_CONTROL, "e1");
+    table.remove_report(OTHER_CONTROL, "e1");
     assert!(!table.is_present("e1"));
 }
 
@@ -874,13 +878,13 @@
     let mut table = table(&engines);
     table.set_gateways(800);
     assert_eq!(table.batch_headroom("s", now(0)), 400.0 / 800.0);
-    table.use_part(CONTROL, "s", Some(25), None);
+    table.set_subset(CONTROL, "s", Some(25), None);
     assert_eq!(table.batch_headroom("s", now(0)), 400.0 / 25.0);
     assert_eq!(table.fair_slots("s"), 400.0 / 25.0);
-    table.use_part(CONTROL, "s", None, None);
+    table.set_subset(CONTROL, "s", None, None);
     assert_eq!(table.fair_slots("s"), 400.0 / 800.0);
     // There are fewer gateways than that.
-    table.use_part(CONTROL, "s", Some(25), None);
+    table.set_subset(CONTROL, "s", Some(25), None);
     table.set_gateways(5);
     assert_eq!(table.fair_slots("s"), 400.0 / 5.0);
 }
--- a/crates/routing/tests/fleet_size.rs
+++ b/crates/routing/tests/fleet_size.rs
@@ -108,7 +108,7 @@
                 zone: zone(0),
                 slots: 8,
             };
-            table.learn(NodeId(900_000), facts, now);
+            table.add_engine(NodeId(900_000), facts, now);
         }
         let pick = Pick {
             service: SERVICE,
--- a/crates/routing/tests/lives.rs
+++ b/crates/routing/tests/lives.rs
@@ -45,7 +45,7 @@
 
 fn table_of(id: &str) -> EngineTable {
     let mut table = EngineTable::new("z".into(), 7);
-    table.learn(CONTROL, facts(id, 1), now(0));
+    table.add_engine(CONTROL, facts(id, 1), now(0));
     table
 }
 
@@ -60,7 +60,7 @@
             table.failed("e#100", Failure::Broken, now(0));
         }
         assert_eq!(pick(&mut table, 1), Err(NoEngine::Busy));
-        table.learn(CONTROL, facts("e#200", port), now(1));
+        table.add_engine(CONTROL, facts("e#200", port), now(1));
         assert_eq!(table.len(), 1, "one incarnation at a time");
         assert_eq!(pick(&mut table, 1).as_deref(), Ok("e#200"));
         assert_eq!(table.occupancy(now(1)), 0.0);
@@ -71,7 +71,7 @@
 fn late_messages_about_earlier_incarnation_have_no_effect() {
     let mut table = table_of("e#100");
     table.started("e#100", WorkClass::Online, 0, now(0));
-    table.learn(CONTROL, facts("e#200", 2), now(1));
+    table.add_engine(CONTROL, facts("e#200", 2), now(1));
     table.started("e#200", WorkClass::Online, 0, now(1));
     // Late messages about it: from an answer, from a control node that was cut off, and
     // from other gateways.
@@ -101,10 +101,10 @@
         paces: 0,
     };
     table.note_shares(OTHER_GATEWAY, &[share], now(1));
-    table.learn(OTHER_CONTROL, facts("e#100", 1), now(2));
-    table.learn(OTHER_CONTROL, facts("e#100", 2), now(2));
-    table.learn(OTHER_CONTROL, facts("e", 2), now(2));
-    table.lose(CONTROL, "e#100");
+    table.add_engine(OTHER_CONTROL, facts("e#100", 1), now(2));
+    table.add_engine(OTHER_CONTROL, facts("e#100", 2), now(2));
+    table.add_engine(OTHER_CONTROL, facts("e", 2), now(2));
+    table.remove_report(CONTROL, "e#100");
     table.depart("e#100");
     assert_eq!(table.len(), 1);
     assert_eq!(table.slots("s"), 8);
@@ -116,11 +116,11 @@
 #[test]
 fn earlier_incarnation_is_not_added_after_later_one_was_lost() {
     let mut table = table_of("e#100");
-    table.learn(CONTROL, facts("e#200", 2), now(1));
-    table.lose(CONTROL, "e#200");
-    table.learn(OTHER_CONTROL, facts("e#100", 1), now(2));
+    table.add_engine(CONTROL, facts("e#200", 2), now(1));
+    table.remove_report(CONTROL, "e#200");
+    table.add_engine(OTHER_CONTROL, facts("e#100", 1), now(2));
     assert!(table.is_empty());
-    table.learn(OTHER_CONTROL, facts("e#200", 2), now(2));
+    table.add_engine(OTHER_CONTROL, facts("e#200", 2), now(2));
     assert_eq!(pick(&mut table, 2).as_deref(), Ok("e#200"));
 }
 
@@ -129,9 +129,9 @@
     let mut table = table_of("e#100");
     assert!(table.depart("e#100"));
     assert!(!table.depart("e#100"));
-    table.learn(CONTROL, facts("e#100", 1), now(1));
+    table.add_engine(CONTROL, facts("e#100", 1), now(1));
     assert_eq!(pick(&mut table, 1), Err(NoEngine::None));
-    table.learn(CONTROL, facts("e#200", 1), now(1));
+    table.add_engine(CONTROL, facts("e#200", 1), now(1));
     assert_eq!(pick(&mut table, 1).as_deref(), Ok("e#200"));
     assert!(table.has_departed("e#100"));
 }
@@ -158,7 +158,7 @@
         assert_eq!(before.is_empty(), is_bound, "{incarnation} before {end}");
         let mut after = EngineTable::new("z".into(), 7);
         after.depart(end);
-        after.learn(CONTROL, facts(incarnation, 1), now(1));
+        after.add_engine(CONTROL, facts(incarnation, 1), now(1));
         assert_eq!(after.is_empty(), is_bound, "{incarnation} after {end}");
         assert_eq!(
             after.has_departed(incarnation),
@@ -192,18 +192,18 @@
 #[test]
 fn service_has_left_until_another_engine_is_listed() {
     let mut table = table_of("e#100");
-    table.learn(CONTROL, facts("f", 2), now(0));
+    table.add_engine(CONTROL, facts("f", 2), now(0));
     assert!(!table.has_left("s"));
     table.depart("e#100");
     assert!(!table.has_left("s"), "one engine is left");
-    table.lose(CONTROL, "f");
+    table.remove_report(CONTROL, "f");
     assert!(!table.has_left("s"), "it fell silent and may come back");
-    table.learn(CONTROL, facts("f", 2), now(1));
+    table.add_engine(CONTROL, facts("f", 2), now(1));
     table.depart("f");
     assert!(table.has_left("s"));
-    table.learn(CONTROL, facts("e#101", 1), now(2));
+    table.add_engine(CONTROL, facts("e#101", 1), now(2));
     assert!(!table.has_left("s"));
-    table.use_part(CONTROL, "s", Some(32), None);
+    table.set_subset(CONTROL, "s", Some(32), None);
     table.depart("e#101");
     assert!(
         !table.has_left("s"),
--- a/crates/routing/tests/many_gateways/mod.rs
+++ b/crates/routing/tests/many_gateways/mod.rs
@@ -235,7 +235,7 @@
                     zone: format!("z{}", engine % 3).as_str().into(),
                     slots: load.engines.slots as u32,
                 };
-                table.learn(CONTROL, facts, at(0));
+                table.add_engine(CONTROL, facts, at(0));
             }
             table
         };
@@ -313,8 +313,8 @@
                 self.results.asked += 1;
                 self.results.by_gateway[gateway].0 += 1;
                 self.requests.insert(self.next, request);
-                self.tables[gateway].asked(SERVICE, at(self.now));
-                self.tables[gateway].begins_to_wait(SERVICE);
+                self.tables[gateway].record_arrival(SERVICE, at(self.now));
+                self.tables[gateway].start_waiting(SERVICE);
                 self.in_time[gateway].push(self.next);
                 self.next += 1;
             }
@@ -491,7 +491,7 @@
         let held = request_began.map_or(0, |began| self.now - began);
         table.note_slot_time(SERVICE, Duration::from_millis(held));
         let took = Duration::from_millis(self.now - since);
-        table.note_time_at(&name(engine), took, now);
+        table.record_time_at_engine(&name(engine), took, now);
         let request = self.requests.remove(&id).expect("the request exists");
         if request.began.is_none() {
             self.count(gateway, self.now - request.arrived);
@@ -504,7 +504,7 @@
         request.next_try = self.now;
         let gateway = request.gateway;
         if self.now - request.arrived < START_WITHIN_MS {
-            self.tables[gateway].begins_to_wait(SERVICE);
+            self.tables[gateway].start_waiting(SERVICE);
         }
         match self.now - request.arrived < START_WITHIN_MS {
             true => self.in_time[gateway].push(id),
@@ -586,7 +586,7 @@
                 continue;
             }
             if left.is_none() && now - self.requests[&id].arrived < START_WITHIN_MS {
-                self.tables[gateway].ends_to_wait(SERVICE);
+                self.tables[gateway].stop_waiting(SERVICE);
             }
             self.in_time[gateway].retain(|one| *one != id);
             self.late[gateway].retain(|one| *one != id);
@@ -605,7 +605,7 @@
                 let request = &self.requests[&id];
                 let age = self.now - request.arrived;
                 if age >= START_WITHIN_MS {
-                    self.tables[gateway].ends_to_wait(SERVICE);
+                    self.tables[gateway].stop_waiting(SERVICE);
                     self.late[gateway].push_back(id);
                     continue;
                 }
@@ -673,7 +673,7 @@
         } = picked;
         let table = &mut self.tables[gateway];
         if standing != Standing::Late {
-            table.ends_to_wait(SERVICE);
+            table.stop_waiting(SERVICE);
         }
         match takes_over {
             true => table.took_over(&facts.id, WorkClass::Online, 0),
--- a/crates/routing/tests/pace/fleet.rs
+++ b/crates/routing/tests/pace/fleet.rs
@@ -205,7 +205,7 @@
                     zone: zone.as_str().into(),
                     slots: SLOTS,
                 };
-                table.learn(CONTROL, facts, at(0));
+                table.add_engine(CONTROL, facts, at(0));
             }
             table.set_gateways(config.gateways as u32);
             table
@@ -435,7 +435,7 @@
             }
             if self.config.sources.measured {
                 let took = Duration::from_micros(took);
-                self.tables[gateway].heard(&name, 1, took, at(now));
+                self.tables[gateway].record_answer_events(&name, 1, took, at(now));
             }
         }
         if self.requests[request].events == 0 {
@@ -509,7 +509,7 @@
     }
 
     fn preempt_batch(&mut self, gateway: usize, now: Time) {
-        for (engine, count) in self.tables[gateway].batch_to_cut(at(now)) {
+        for (engine, count) in self.tables[gateway].batch_to_preempt(at(now)) {
             let engine = number(&engine);
             let runs = self
                 .runs
--- a/crates/routing/tests/pace/main.rs
+++ b/crates/routing/tests/pace/main.rs
@@ -153,7 +153,7 @@
             zone: "near".into(),
             slots: 8,
         };
-        table.learn(CONTROL, facts, Timestamp::ZERO);
+        table.add_engine(CONTROL, facts, Timestamp::ZERO);
     }
     table.started("e2", WorkClass::Online, 0, Timestamp::ZERO);
     table
@@ -185,7 +185,7 @@
 /// Feeds events of an answer, one every `step` milliseconds, between two times.
 fn feed_events(table: &mut EngineTable, engine: &str, step: u64, from: u64, until: u64) {
     for at in (from + step..=until).step_by(step as usize) {
-        table.heard(engine, 1, Duration::from_millis(step), now(at));
+        table.record_answer_events(engine, 1, Duration::from_millis(step), now(at));
     }
 }
 
@@ -231,9 +231,9 @@
     }
     assert_eq!(chosen(&mut table, 6_000), "e1");
     // It turns slow: a single event shows that, and it is avoided.
-    table.heard("e1", 1, Duration::from_millis(400), now(6_400));
+    table.record_answer_events("e1", 1, Duration::from_millis(400), now(6_400));
     table.report("e1", reported(50), now(6_400));
-    table.heard("e1", 1, Duration::from_millis(400), now(6_800));
+    table.record_answer_events("e1", 1, Duration::from_millis(400), now(6_800));
     assert_eq!(chosen(&mut table, 6_800), "e2");
     // It is used again as soon as it recovers.
     feed_events(&mut table, "e1", 50, 6_800, 7_200);
@@ -244,7 +244,7 @@
 fn gateways_without_measurements_use_those_of_others() {
     let mut one = gateway_with_baseline();
     one.started("e1", WorkClass::Online, 0, now(5_000));
-    one.heard("e1", 1, Duration::from_millis(300), now(5_300));
+    one.record_answer_events("e1", 1, Duration::from_millis(300), now(5_300));
     feed_events(&mut one, "e2", 50, 5_000, 5_300);
     let mut relay = WorkRelay::default();
     let shares = one.shares(now(5_300));
@@ -366,20 +366,20 @@
 fn slow_engine_is_reported_to_operators_once() {
     let mut watch = SlowWatch::default();
     let slow = vec![("e1".to_owned(), 4.0)];
-    assert_eq!(watch.look(&slow, now(0)), []);
+    assert_eq!(watch.update(&slow, now(0)), []);
     // A short slow span is not reported.
-    assert_eq!(watch.look(&[], now(600)), []);
-    assert_eq!(watch.look(&slow, now(1_000)), []);
+    assert_eq!(watch.update(&[], now(600)), []);
+    assert_eq!(watch.update(&slow, now(1_000)), []);
     let engine = "e1".to_owned();
     let news = SlowChange::Slow { engine, pace: 4.0 };
-    assert_eq!(watch.look(&slow, now(2_000)), [news]);
-    assert_eq!(watch.look(&slow, now(3_000)), []);
+    assert_eq!(watch.update(&slow, now(2_000)), [news]);
+    assert_eq!(watch.update(&slow, now(3_000)), []);
     let engine = "e1".to_owned();
-    assert_eq!(watch.look(&[], now(4_000)), [SlowChange::Back { engine }]);
+    assert_eq!(watch.update(&[], now(4_000)), [SlowChange::Back { engine }]);
     // Of many changes at once some are only counted.
     let many: Vec<_> = (0..50).map(|number| (format!("e{number}"), 4.0)).collect();
-    watch.look(&many, now(5_000));
-    let news = watch.look(&many, now(6_000));
+    watch.update(&many, now(5_000));
+    let news = watch.update(&many, now(6_000));
     assert_eq!(news.len(), 9);
     assert_eq!(news.last(), Some(&SlowChange::More(42)));
 }
--- a/crates/routing/tests/pace/peaks.rs
+++ b/crates/routing/tests/pace/peaks.rs
@@ -1,9 +1,9 @@
 //! Tests that batch work fills the capacity that online work leaves, and that preemption
-//! hits the run with the least loss.
+//! hits the run with the lowest preemption cost.
 
 use std::time::Duration;
 
-use molespan_routing::dispatch::{EngineTable, Loss, Urgency, WorkClass, WorkShare};
+use molespan_routing::dispatch::{EngineTable, PreemptionCost, Urgency, WorkClass, WorkShare};
 
 use super::fleet::{Fleet, SimulationConfig};
 use super::{BOTH, RELAY, config, gateway, now};
@@ -59,10 +59,10 @@
 fn headroom_follows_online_requests() {
     let mut table = beside_online(4);
     // A slot is held for 600 ms, and a start is observed within 150 ms.
-    assert!((table.kept_for_online("s", now(0)) - 1.0).abs() < 1e-6);
+    assert!((table.reserved_for_online("s", now(0)) - 1.0).abs() < 1e-6);
     assert!((table.batch_headroom("s", now(0)) - 11.0).abs() < 1e-6);
     table.note_shares(RELAY, &[], now(100));
-    assert_eq!(table.kept_for_online("s", now(100)), 0.0);
+    assert_eq!(table.reserved_for_online("s", now(100)), 0.0);
     assert_eq!(table.batch_headroom("s", now(100)), 16.0);
     // Batch work reserves nothing for itself.
     let batch = WorkShare {
@@ -72,14 +72,14 @@
         ..WorkShare::default()
     };
     table.note_shares(RELAY, &[batch], now(200));
-    assert_eq!(table.kept_for_online("s", now(200)), 0.0);
+    assert_eq!(table.reserved_for_online("s", now(200)), 0.0);
 }
 
 #[test]
 fn silent_relay_keeps_no_headroom() {
     let table = beside_online(8);
-    assert!(table.kept_for_online("s", now(1_100)) > 1.9);
-    assert_eq!(table.kept_for_online("s", now(1_300)), 0.0);
+    assert!(table.reserved_for_online("s", now(1_100)) > 1.9);
+    assert_eq!(table.reserved_for_online("s", now(1_300)), 0.0);
     assert_eq!(table.batch_headroom("s", now(1_300)), 16.0);
 }
 
@@ -87,25 +87,25 @@
 fn short_requests_keep_no_headroom() {
     let mut table = gateway();
     table.note_slot_time("s", Duration::from_millis(20));
-    assert_eq!(table.kept_for_online("s", now(0)), 0.0);
+    assert_eq!(table.reserved_for_online("s", now(0)), 0.0);
     // Nor before any slot time was measured.
-    assert_eq!(gateway().kept_for_online("s", now(0)), 0.0);
+    assert_eq!(gateway().reserved_for_online("s", now(0)), 0.0);
 }
 
 #[test]
 fn run_with_least_loss_is_preempted_first() {
     let at = 1_000_000;
-    let loss = |due_in: Option<u64>, read_again, number| {
+    let cost = |due_in: Option<u64>, read_again, number| {
         let urgency = Urgency::of(due_in.map(|due_in| at + due_in), at, 0);
-        Loss::of(urgency, at, read_again, number)
+        PreemptionCost::of(urgency, at, read_again, number)
     };
-    let late = Loss::of(Urgency::of(Some(at - 1), at, 0), at, 9_000, 1);
-    let never_due = loss(None, 9_000, 1);
-    let later = loss(Some(60_000), 9_000, 1);
-    let little = loss(Some(9_000), 300, 1);
-    let latest = loss(Some(9_000), 2_000, 8);
-    let much = loss(Some(9_500), 2_000, 1);
-    let soon = loss(Some(500), 300, 9);
+    let late = PreemptionCost::of(Urgency::of(Some(at - 1), at, 0), at, 9_000, 1);
+    let never_due = cost(None, 9_000, 1);
+    let later = cost(Some(60_000), 9_000, 1);
+    let little = cost(Some(9_000), 300, 1);
+    let latest = cost(Some(9_000), 2_000, 8);
+    let much = cost(Some(9_500), 2_000, 1);
+    let soon = cost(Some(500), 300, 9);
     let order = [late, never_due, later, little, latest, much, soon];
     assert!(order.is_sorted(), "{order:?}");
 }
@@ -124,16 +124,16 @@
             ..WorkShare::default()
         };
         table.note_shares(RELAY, std::slice::from_ref(&others), now(0));
-        assert_eq!(table.batch_to_cut(now(1)), []);
+        assert_eq!(table.batch_to_preempt(now(1)), []);
         // A request of this gateway finds no slot: one run is preempted at once, whatever
         // is drawn.
         table.started("e1", WorkClass::Online, 0, now(2));
-        assert_eq!(table.batch_to_cut(now(2)), [("e1".to_owned(), 1)]);
+        assert_eq!(table.batch_to_preempt(now(2)), [("e1".to_owned(), 1)]);
         table.ended("e1", WorkClass::Batch);
-        assert_eq!(table.batch_to_cut(now(3)), []);
+        assert_eq!(table.batch_to_preempt(now(3)), []);
         // A request that finds a slot preempts nothing.
         table.ended("e1", WorkClass::Batch);
         table.started("e1", WorkClass::Online, 0, now(4));
-        assert_eq!(table.batch_to_cut(now(4)), []);
+        assert_eq!(table.batch_to_preempt(now(4)), []);
     }
 }
--- a/crates/routing/tests/reach/main.rs
+++ b/crates/routing/tests/reach/main.rs
@@ -6,7 +6,8 @@
 use std::time::Duration;
 
 use molespan_routing::dispatch::{
-    Doubt, EngineTable, NoEngine, Pick, PromptCost, ReportSource, Standing, WorkClass, WorkShare,
+    EngineTable, NoEngine, Pick, PromptCost, ReportSource, Standing, SuspectReason, WorkClass,
+    WorkShare,
 };
 use molespan_routing::reach::{
     Change, Evidence, ReachRelay, ReachReport, ReturnEvidence, slow_after,
@@ -150,7 +151,7 @@
     simulation.relays_up = false;
     simulation.run(3_000);
     for gateway in &simulation.gateways {
-        let out = gateway.table.zones_out_of_reach().len();
+        let out = gateway.table.unreachable_zones().len();
         assert_eq!(out, if gateway.zone == 1 { 2 } else { 1 });
     }
     // Gateways that receive no reports of each other may put twice the load on an engine,
@@ -160,7 +161,7 @@
     simulation.links[1] = Links::Up;
     simulation.run(150);
     for gateway in &simulation.gateways {
-        assert!(gateway.table.zones_out_of_reach().is_empty());
+        assert!(gateway.table.unreachable_zones().is_empty());
     }
 }
 
@@ -178,7 +179,7 @@
     let arrived = simulation.arrived_between(2_000, 8_000);
     assert_eq!(late(&arrived), 0, "of {}", arrived.len());
     for gateway in &simulation.gateways {
-        assert!(gateway.table.zones_out_of_reach().is_empty());
+        assert!(gateway.table.unreachable_zones().is_empty());
     }
 }
 
@@ -187,7 +188,7 @@
     let mut table = EngineTable::new("a".into(), 1);
     for number in 0..engines * zones.len() {
         let zone = zones[number % zones.len()];
-        table.learn(CONTROL, facts(number, zone), at(0));
+        table.add_engine(CONTROL, facts(number, zone), at(0));
     }
     table
 }
@@ -211,7 +212,7 @@
 fn fail_engines_of_b(table: &mut EngineTable, engines: std::ops::Range<usize>, now: u64) {
     for number in engines {
         let id = format!("e{}", number * 3 + 1);
-        table.unreached(&id, at(now), at(now));
+        table.record_unreachable(&id, at(now), at(now));
     }
 }
 
@@ -219,17 +220,17 @@
 fn a_zone_is_out_of_reach_once_five_hosts_failed_and_none_answered() {
     let mut table = table(10, &ZONES);
     fail_engines_of_b(&mut table, 0..4, 0);
-    assert!(table.zones_out_of_reach().is_empty());
+    assert!(table.unreachable_zones().is_empty());
     // An answer in between shows that the zone is reachable and that these engines are
     // not.
-    table.reached("e28", at(1), ReturnEvidence::Answer, at(2));
+    table.record_reachable("e28", at(1), ReturnEvidence::Answer, at(2));
     fail_engines_of_b(&mut table, 4..8, 3);
-    assert!(table.zones_out_of_reach().is_empty());
+    assert!(table.unreachable_zones().is_empty());
     // A host that failed twice counts once.
     fail_engines_of_b(&mut table, 4..8, 4);
-    assert!(table.zones_out_of_reach().is_empty());
+    assert!(table.unreachable_zones().is_empty());
     fail_engines_of_b(&mut table, 8..9, 5);
-    assert_eq!(table.zones_out_of_reach(), ["b".into()]);
+    assert_eq!(table.unreachable_zones(), ["b".into()]);
     let changes = table.take_reach_changes(at(5));
     let evidence = Evidence::Own {
         failed: 5,
@@ -244,16 +245,16 @@
 fn attempts_started_before_an_answer_and_old_failures_do_not_count() {
     let mut table = table(10, &ZONES);
     table.connected("e1", Duration::from_millis(1));
-    table.reached("e1", at(100), ReturnEvidence::Answer, at(110));
+    table.record_reachable("e1", at(100), ReturnEvidence::Answer, at(110));
     for number in 1..10 {
-        table.unreached(&format!("e{}", number * 3 + 1), at(90), at(400));
+        table.record_unreachable(&format!("e{}", number * 3 + 1), at(90), at(400));
     }
-    assert!(table.zones_out_of_reach().is_empty());
+    assert!(table.unreachable_zones().is_empty());
     for number in 1..10 {
         let now = number as u64 * 1_000;
-        table.unreached(&format!("e{}", number * 3 + 1), at(now), at(now));
+        table.record_unreachable(&format!("e{}", number * 3 + 1), at(now), at(now));
     }
-    assert!(table.zones_out_of_reach().is_empty());
+    assert!(table.unreachable_zones().is_empty());
 }
 
 #[test]
@@ -262,17 +263,17 @@
     for number in 0..12 {
         let mut engine = facts(number, ["a", "b"][number % 2]);
         engine.address = ([127, 0, 0, (number % 2) as u8], 80 + number as u16).into();
-        table.learn(CONTROL, engine, at(0));
+        table.add_engine(CONTROL, engine, at(0));
     }
     let mut other = facts(50, "b");
     other.address = ([127, 0, 0, 9], 80).into();
-    table.learn(CONTROL, other, at(0));
+    table.add_engine(CONTROL, other, at(0));
     for number in [1, 3, 5, 7, 9, 11] {
-        table.unreached(&format!("e{number}"), at(0), at(10));
+        table.record_unreachable(&format!("e{number}"), at(0), at(10));
     }
-    assert!(table.zones_out_of_reach().is_empty());
-    table.unreached("e50", at(0), at(20));
-    assert_eq!(table.zones_out_of_reach(), ["b".into()]);
+    assert!(table.unreachable_zones().is_empty());
+    table.record_unreachable("e50", at(0), at(20));
+    assert_eq!(table.unreachable_zones(), ["b".into()]);
 }
 
 #[test]
@@ -280,22 +281,22 @@
     let mut table = table(1, &ZONES);
     fail_engines_of_b(&mut table, 0..1, 0);
     fail_engines_of_b(&mut table, 0..1, 1);
-    assert!(table.zones_out_of_reach().is_empty());
+    assert!(table.unreachable_zones().is_empty());
 }
 
 #[test]
 fn no_zone_is_avoided_if_all_are_out_of_reach() {
     let mut table = table(5, &ZONES);
     for number in 0..15 {
-        table.unreached(&format!("e{number}"), at(0), at(10));
+        table.record_unreachable(&format!("e{number}"), at(0), at(10));
     }
-    assert_eq!(table.zones_out_of_reach().len(), 3);
-    assert!((0..15).all(|number| !table.is_out_of_reach(&format!("e{number}"))));
+    assert_eq!(table.unreachable_zones().len(), 3);
+    assert!((0..15).all(|number| !table.is_zone_avoided(&format!("e{number}"))));
     // As soon as one of them answers, the others are avoided.
-    table.reached("e0", at(20), ReturnEvidence::Answer, at(21));
+    table.record_reachable("e0", at(20), ReturnEvidence::Answer, at(21));
     table.probes(at(30));
-    assert!(table.is_out_of_reach("e1"));
-    assert!(!table.is_out_of_reach("e0"));
+    assert!(table.is_zone_avoided("e1"));
+    assert!(!table.is_zone_avoided("e0"));
 }
 
 #[test]
@@ -341,20 +342,20 @@
             let silent = molespan_routing::dispatch::Failure::Silent;
             table.failed(&id, silent, at(0));
         }
-        table.unreached(&id, at(0), at(0));
+        table.record_unreachable(&id, at(0), at(0));
     }
     table.take_reach_changes(at(0));
-    table.reached("e1", at(0).max(at(0)), ReturnEvidence::Answer, at(1));
+    table.record_reachable("e1", at(0).max(at(0)), ReturnEvidence::Answer, at(1));
     let before = Timestamp::from_millis(9_000);
     fail_engines_of_b(&mut table, 0..10, 2);
-    table.reached("e1", before, ReturnEvidence::Answer, at(3));
-    assert_eq!(table.zones_out_of_reach(), ["b".into()]);
+    table.record_reachable("e1", before, ReturnEvidence::Answer, at(3));
+    assert_eq!(table.unreachable_zones(), ["b".into()]);
     assert!(
         table.shares(at(3)).is_empty(),
         "others are not told of failures of its links"
     );
-    table.reached("e1", at(5), ReturnEvidence::Connect, at(7));
-    assert!(table.zones_out_of_reach().is_empty());
+    table.record_reachable("e1", at(5), ReturnEvidence::Connect, at(7));
+    assert!(table.unreachable_zones().is_empty());
     let changes = table.take_reach_changes(at(7));
     assert!(
         matches!(
@@ -386,7 +387,7 @@
     // A zone that stays out of reach is probed less often.
     assert!(probed(&mut table, 10_101, 20_101) <= 21);
     for number in 0..10 {
-        table.lose(CONTROL, &format!("e{}", number * 3 + 1));
+        table.remove_report(CONTROL, &format!("e{}", number * 3 + 1));
     }
     table.take_reach_changes(at(20_200));
     assert!(table.probes(at(20_200)).is_empty());
@@ -406,14 +407,22 @@
 #[test]
 fn an_engine_in_doubt_triggers_probes_of_its_zone_at_a_bounded_rate() {
     let mut table = table(10, &ZONES);
-    let probes = table.doubt("e1", Doubt::Slow, at(0));
+    let probes = table.probes_for_suspect("e1", SuspectReason::Slow, at(0));
     let engines: BTreeSet<&str> = probes.iter().map(|one| one.engine.as_str()).collect();
     assert_eq!(engines.len(), 5);
     assert!(engines.contains("e1"));
     let of_b = |id: &str| id[1..].parse::<usize>().expect("a number") % 3 == 1;
     assert!(engines.iter().all(|id| of_b(id)));
-    assert!(table.doubt("e4", Doubt::Slow, at(100)).is_empty());
-    assert!(!table.doubt("e4", Doubt::Slow, at(200)).is_empty());
+    assert!(
+        table
+            .probes_for_suspect("e4", SuspectReason::Slow, at(100))
+            .is_empty()
+    );
+    assert!(
+        !table
+            .probes_for_suspect("e4", SuspectReason::Slow, at(200))
+            .is_empty()
+    );
 }
 
 /// Most engines that fail have crashed, and a connect to another one shows that the zone
@@ -422,15 +431,28 @@
 fn one_failure_triggers_one_probe_and_two_trigger_several() {
     let mut table = table(10, &ZONES);
     fail_engines_of_b(&mut table, 0..1, 0);
-    let probes = table.doubt("e1", Doubt::Failed, at(0));
+    let probes = table.probes_for_suspect("e1", SuspectReason::Failed, at(0));
     let [probe] = probes.as_slice() else {
         panic!("{probes:?}");
     };
     assert_ne!(probe.engine, "e1");
-    assert!(table.doubt("e1", Doubt::Failed, at(1)).is_empty());
-    table.unreached(&probe.engine, at(0), at(2));
-    assert_eq!(table.doubt(&probe.engine, Doubt::Failed, at(2)).len(), 5);
-    assert!(table.doubt("e1", Doubt::Slow, at(3)).is_empty());
+    assert!(
+        table
+            .probes_for_suspect("e1", SuspectReason::Failed, at(1))
+            .is_empty()
+    );
+    table.record_unreachable(&probe.engine, at(0), at(2));
+    assert_eq!(
+        table
+            .probes_for_suspect(&probe.engine, SuspectReason::Failed, at(2))
+            .len(),
+        5
+    );
+    assert!(
+        table
+            .probes_for_suspect("e1", SuspectReason::Slow, at(3))
+            .is_empty()
+    );
 }
 
 #[test]
@@ -449,8 +471,11 @@
         let (mut one, mut other) = (table(10, &[zone]), table(10, &[zone]));
         for now in 0..500 {
             let id = format!("e{}", now % 10);
-            one.unreached(&id, at(now), at(now));
-            assert!(one.doubt(&id, Doubt::Slow, at(now)).is_empty());
+            one.record_unreachable(&id, at(now), at(now));
+            assert!(
+                one.probes_for_suspect(&id, SuspectReason::Slow, at(now))
+                    .is_empty()
+            );
             assert!(one.probes(at(now)).is_empty());
             let tried = BTreeSet::new();
             let beside = Pick {
@@ -461,7 +486,7 @@
                 tried: &tried,
                 suspect: false,
             };
-            assert_eq!(one.pick_beside(&beside, &id, at(now)), None);
+            assert_eq!(one.pick_alternative(&beside, &id, at(now)), None);
             for class in [WorkClass::Online, WorkClass::Batch] {
                 assert_eq!(pick(&mut one, class, now), pick(&mut other, class, now));
             }
@@ -551,7 +576,7 @@
             .record_reach_report(&report("c", "b", 9), at(0))
             .is_empty()
     );
-    assert!(table.zones_out_of_reach().is_empty());
+    assert!(table.unreachable_zones().is_empty());
     assert_eq!(
         table.record_reach_report(&report("a", "b", 2), at(0)).len(),
         5
@@ -562,9 +587,9 @@
     };
     let changes = table.take_reach_changes(at(0));
     assert_eq!(changes, [out(Evidence::Reported { by: 2 })]);
-    assert!(table.is_out_of_reach("e1"));
+    assert!(table.is_zone_avoided("e1"));
     assert!(
-        !table.was_found_out_of_reach("e1"),
+        !table.is_zone_found_unreachable("e1"),
         "pending attempts are not ended"
     );
     assert_eq!(
@@ -579,22 +604,22 @@
         matches!(changes.as_slice(), [Change::Confirmed { .. }]),
         "{changes:?}"
     );
-    assert!(table.was_found_out_of_reach("e1"));
+    assert!(table.is_zone_found_unreachable("e1"));
     assert_eq!(table.reach_report(), Some(report("a", "b", 1)));
     // Own observations take precedence, and earlier reports are not accepted again.
-    table.reached("e1", at(20), ReturnEvidence::Connect, at(22));
+    table.record_reachable("e1", at(20), ReturnEvidence::Connect, at(22));
     table.record_reach_report(&report("a", "b", 5), at(60));
-    assert!(table.zones_out_of_reach().is_empty());
+    assert!(table.unreachable_zones().is_empty());
     // An earlier report may be held by two relays in sequence.
     table.record_reach_report(&report("a", "b", 5), at(22 + 2 * 1_200));
-    assert!(table.zones_out_of_reach().is_empty());
+    assert!(table.unreachable_zones().is_empty());
     table.record_reach_report(&report("a", "b", 5), at(4_000));
-    assert_eq!(table.zones_out_of_reach(), ["b".into()]);
+    assert_eq!(table.unreachable_zones(), ["b".into()]);
     // If no host failed here, the gateways that reported may be cut off themselves, and
     // stay so.
-    table.reached("e1", at(4_001), ReturnEvidence::Connect, at(4_003));
+    table.record_reachable("e1", at(4_001), ReturnEvidence::Connect, at(4_003));
     table.record_reach_report(&report("a", "b", 5), at(30_000));
-    assert!(table.zones_out_of_reach().is_empty());
+    assert!(table.unreachable_zones().is_empty());
 }
 
 #[test]
@@ -602,7 +627,7 @@
     let mut table = table(10, &ZONES);
     let probes = table.record_reach_report(&report("a", "b", 1), at(0));
     assert_eq!(probes.len(), 5);
-    assert!(table.zones_out_of_reach().is_empty());
+    assert!(table.unreachable_zones().is_empty());
     // That gateway may stay cut off, so its report does not trigger checks all the time.
     for now in (50..5_000).step_by(50) {
         assert!(
--- a/crates/routing/tests/reach/world.rs
+++ b/crates/routing/tests/reach/world.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use molespan_routing::dispatch::{
-    Doubt, EngineFacts, EngineLoad, EngineTable, Failure, Pick, Picked, Probe, PromptCost,
-    ReportSource, Standing, WorkClass, WorkRelay,
+    EngineFacts, EngineLoad, EngineTable, Failure, Pick, Picked, Probe, PromptCost, ReportSource,
+    Standing, SuspectReason, WorkClass, WorkRelay,
 };
 use molespan_routing::reach::{Change, ReachRelay, ReturnEvidence};
 use molespan_types::{NodeId, Timestamp, ZoneName};
@@ -171,7 +171,7 @@
             let seed = scenario.seed * 1_000 + number as u64;
             let mut table = EngineTable::new(ZONES[zone].into(), seed);
             for (number, engine) in engines.iter().enumerate() {
-                table.learn(CONTROL, facts(number, ZONES[engine.zone]), at(0));
+                table.add_engine(CONTROL, facts(number, ZONES[engine.zone]), at(0));
             }
             table.set_gateways(scenario.gateways as u32);
             // Measurements of the engines from earlier requests.
@@ -382,13 +382,16 @@
             };
             let result = self.connected(from, engine, began, timeout);
             let gateway = &mut self.gateways[request.gateway];
-            let out = gateway.table.was_found_out_of_reach(&id);
+            let out = gateway.table.is_zone_found_unreachable(&id);
             match result {
                 Some(true) => {
                     if self.scenario.by_zone {
-                        gateway
-                            .table
-                            .reached(&id, at(began), ReturnEvidence::Connect, at(now));
+                        gateway.table.record_reachable(
+                            &id,
+                            at(began),
+                            ReturnEvidence::Connect,
+                            at(now),
+                        );
                     }
                     return Some(place);
                 }
@@ -399,8 +402,8 @@
                         request.tried.insert(id.clone());
                         gateway.table.failed(&id, Failure::Unreachable, at(now));
                         if self.scenario.by_zone {
-                            gateway.table.unreached(&id, at(began), at(now));
-                            gateway.doubt(&id, Doubt::Failed, now);
+                            gateway.table.record_unreachable(&id, at(began), at(now));
+                            gateway.check_suspect(&id, SuspectReason::Failed, now);
                         }
                     }
                     request.connects.remove(place);
@@ -429,7 +432,7 @@
             return;
         }
         request.raced = true;
-        gateway.doubt(&id, Doubt::Slow, now);
+        gateway.check_suspect(&id, SuspectReason::Slow, now);
         let left = (request.arrived + START_WITHIN).saturating_sub(now);
         let mut tried = request.tried.clone();
         tried.insert(id.clone());
@@ -446,7 +449,7 @@
             tried: &tried,
             suspect: false,
         };
-        let picked = gateway.table.pick_beside(&pick, &id, at(now));
+        let picked = gateway.table.pick_alternative(&pick, &id, at(now));
         if let Some(picked) = picked {
             Self::occupy(&mut gateway.table, request, picked, false, now);
         }
@@ -476,7 +479,7 @@
         if self.scenario.by_zone {
             gateway
                 .table
-                .reached(&engine.id, at(now), ReturnEvidence::Answer, at(now));
+                .record_reachable(&engine.id, at(now), ReturnEvidence::Answer, at(now));
         }
         self.running
             .push((now + SLOT_TIME, request.gateway, winner.engine));
@@ -504,14 +507,17 @@
                 let id = &open_probe.probe.engine;
                 match result {
                     None => open.push(open_probe),
-                    Some(true) => {
-                        table.reached(id, at(open_probe.began), ReturnEvidence::Connect, at(now))
-                    }
+                    Some(true) => table.record_reachable(
+                        id,
+                        at(open_probe.began),
+                        ReturnEvidence::Connect,
+                        at(now),
+                    ),
                     Some(false) => {
-                        if !table.is_out_of_reach(id) {
+                        if !table.is_zone_avoided(id) {
                             table.failed(id, Failure::Unreachable, at(now));
                         }
-                        table.unreached(id, at(open_probe.began), at(now));
+                        table.record_unreachable(id, at(open_probe.began), at(now));
                         failed.push(open_probe.probe.engine.clone());
                     }
                 }
@@ -519,9 +525,9 @@
             let gateway = &mut self.gateways[place];
             gateway.open_probes.extend(open);
             for id in failed {
-                gateway.doubt(&id, Doubt::Failed, now);
+                gateway.check_suspect(&id, SuspectReason::Failed, now);
             }
-            if now.is_multiple_of(PROBE_TICK) && !gateway.table.zones_out_of_reach().is_empty() {
+            if now.is_multiple_of(PROBE_TICK) && !gateway.table.unreachable_zones().is_empty() {
                 let due = gateway.table.probes(at(now));
                 self.probes += due.len() as u64;
                 gateway.start_probes(due, now);
@@ -598,8 +604,8 @@
 }
 
 impl Gateway {
-    fn doubt(&mut self, id: &str, doubt: Doubt, now: u64) {
-        let probes = self.table.doubt(id, doubt, at(now));
+    fn check_suspect(&mut self, id: &str, reason: SuspectReason, now: u64) {
+        let probes = self.table.probes_for_suspect(id, reason, at(now));
         self.start_probes(probes, now);
     }
 
--- a/crates/routing/tests/retry.rs
+++ b/crates/routing/tests/retry.rs
@@ -47,7 +47,7 @@
     RetryBudget::new(RetryBudgetSettings {
         ratio: 0.1,
         reserve_per_second: 0.0,
-        most_saved: tokens,
+        max_tokens: tokens,
     })
 }
 
@@ -352,7 +352,7 @@
     let mut budget = RetryBudget::new(RetryBudgetSettings {
         ratio: 0.0,
         reserve_per_second: 1.0,
-        most_saved: 2.0,
+        max_tokens: 2.0,
     });
     assert!(budget.spend(at(0)) && budget.spend(at(0)) && !budget.spend(at(0)));
     assert!(!budget.spend(at(900)));
--- a/crates/routing/tests/short_requests.rs
+++ b/crates/routing/tests/short_requests.rs
@@ -125,9 +125,9 @@
         zone: "near".into(),
         slots: 8,
     };
-    table.learn(NodeId(1), facts, Timestamp::ZERO);
+    table.add_engine(NodeId(1), facts, Timestamp::ZERO);
     if let Some(took) = took {
-        table.note_time_at("e1", took, Timestamp::ZERO);
+        table.record_time_at_engine("e1", took, Timestamp::ZERO);
     }
     table
 }
--- a/crates/routing/tests/turn.rs
+++ b/crates/routing/tests/turn.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use molespan_routing::dispatch::{Asked, Place, TurnQueue};
+use molespan_routing::dispatch::{TurnQueue, TurnRequest, WaiterId};
 use proptest::prelude::*;
 
 const NOW_MS: u64 = 1_000;
@@ -10,15 +10,15 @@
 #[test]
 fn turn_goes_to_earliest_deadline_and_late_work_last() {
     let mut queue = TurnQueue::default();
-    assert_eq!(queue.ask(Some(5_000)), Asked::Turn);
+    assert_eq!(queue.request(Some(5_000)), TurnRequest::Turn);
     let due = [Some(900), Some(3_000), None, Some(2_000), Some(2_000)];
-    let places = due.map(|due_ms| match queue.ask(due_ms) {
-        Asked::Waits(place) => place,
-        Asked::Turn => panic!("two callers have the turn"),
+    let places = due.map(|due_ms| match queue.request(due_ms) {
+        TurnRequest::Queued(place) => place,
+        TurnRequest::Turn => panic!("two callers have the turn"),
     });
-    let order: Vec<Place> = std::iter::from_fn(|| queue.pass_on(NOW_MS)).collect();
+    let order: Vec<WaiterId> = std::iter::from_fn(|| queue.pass_on(NOW_MS)).collect();
     assert_eq!(order, [3, 4, 1, 2, 0].map(|place: usize| places[place]));
-    assert_eq!(queue.ask(None), Asked::Turn, "it is free again");
+    assert_eq!(queue.request(None), TurnRequest::Turn, "it is free again");
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -45,18 +45,18 @@
         steps in prop::collection::vec(any_step(), 0..60),
     ) {
         let mut queue = TurnQueue::default();
-        let mut waiting: BTreeMap<Place, Option<u64>> = BTreeMap::new();
+        let mut waiting: BTreeMap<WaiterId, Option<u64>> = BTreeMap::new();
         // The caller that has the turn, with its waiter identifier if it waited before.
-        let mut holder: Option<Option<Place>> = None;
+        let mut holder: Option<Option<WaiterId>> = None;
         for step in steps {
             let passes = match step {
                 Step::Ask(due_ms) => {
-                    match queue.ask(due_ms) {
-                        Asked::Turn => {
+                    match queue.request(due_ms) {
+                        TurnRequest::Turn => {
                             prop_assert!(holder.is_none() && waiting.is_empty());
                             holder = Some(None);
                         }
-                        Asked::Waits(place) => {
+                        TurnRequest::Queued(place) => {
                             prop_assert!(holder.is_some());
                             waiting.insert(place, due_ms);
                         }
@@ -65,7 +65,7 @@
                 }
                 Step::PassOn => holder.is_some(),
                 Step::Leave(number) => {
-                    let places: Vec<Place> =
+                    let places: Vec<WaiterId> =
                         waiting.keys().copied().chain(holder.flatten()).collect();
                     match places.get(number % places.len().max(1)) {
                         Some(&place) => {
