--- a/crates/proxy/src/dispatch.rs
+++ b/crates/proxy/src/dispatch.rs
@@ -8,7 +8,7 @@
 use async_io::Timer;
 use molespan_http::h1::Headers;
 use molespan_routing::dispatch::{NoEngine, Pick, Picked, PromptCost, Standing, WorkClass};
-use molespan_routing::queue::{Rank, Refused, Want, retry_after};
+use molespan_routing::queue::{QueueRequest, Rank, Refused, retry_after};
 use molespan_state::declared::{Route, RouteKind};
 use molespan_types::Timestamp;
 use slog::{debug, info};
@@ -315,16 +315,16 @@
     /// Returns the refusal when no engine takes the request. It may be reported as not run
     /// only if no engine may have run it.
     fn give_up(&self) -> Refusal {
-        let room_in = self.state.queue(&self.service).room_in();
-        self.no_engine_refusal(room_in)
+        let capacity_in = self.state.queue(&self.service).capacity_in();
+        self.no_engine_refusal(capacity_in)
     }
 
     /// The same, where it is known when capacity returns.
-    fn no_engine_refusal(&self, room_in: Option<Duration>) -> Refusal {
+    fn no_engine_refusal(&self, capacity_in: Option<Duration>) -> Refusal {
         let left = self.deadline.since(self.state.now());
         match self.runs {
             0 => Refusal::Busy {
-                retry_after: retry_after(room_in, left, rand::random()),
+                retry_after: retry_after(capacity_in, left, rand::random()),
             },
             _ => Refusal::AnswerLost,
         }
@@ -333,13 +333,13 @@
     /// Logs and returns the refusal of a request whose turn cannot come.
     fn refused_by_queue(&self, refused: Refused) -> Refusal {
         self.state.metrics.queue.count_refusal(refused.reason);
-        let refusal = self.no_engine_refusal(refused.room_in);
+        let refusal = self.no_engine_refusal(refused.capacity_in);
         info!(self.state.logger, "queue refused the request"; "request" => &self.outbound.id,
             "service" => &self.service, "reason" => %refused.reason,
             "ahead" => refused.ahead,
-            "begin_per_s" => format!("{:.1}", refused.rates.begin),
-            "come_per_s" => format!("{:.1}", refused.rates.come),
-            "room_in_ms" => refused.room_in.map(|room_in| room_in.as_millis() as u64),
+            "begin_per_s" => format!("{:.1}", refused.rates.dispatch),
+            "come_per_s" => format!("{:.1}", refused.rates.arrival),
+            "room_in_ms" => refused.capacity_in.map(|capacity_in| capacity_in.as_millis() as u64),
             "left_ms" => self.deadline.since(self.state.now()).as_millis() as u64,
             "tried" => self.tried.len(), "runs" => self.runs,
             "after_ms" => self.age().as_millis() as u64, "refusal" => ?refusal);
@@ -359,16 +359,16 @@
     /// urgent ones pass.
     async fn pick(&mut self) -> Result<Picked, Refusal> {
         let target = Duration::from_millis(u64::from(self.route.target_latency_ms));
-        let begins_by = self.arrived + target.mul_f64(BEGIN_SHARE);
+        let start_by = self.arrived + target.mul_f64(BEGIN_SHARE);
         if self.has_left() {
             return Err(self.no_engine_left());
         }
-        let waiter = self.enqueue(begins_by)?;
+        let waiter = self.enqueue(start_by)?;
         let mut waiting = Some(self.state.count_waiting_request(&self.service));
         loop {
             let standing = match waiter.woken().await {
                 Woken::Refused(refused) => return Err(self.refused_by_queue(refused)),
-                Woken::MayPick(_) => self.standing(begins_by),
+                Woken::MayPick(_) => self.standing(start_by),
             };
             if standing == Standing::Late {
                 // A late request only takes spare slots and claims no share of the
@@ -405,31 +405,31 @@
         refusal
     }
 
-    fn enqueue(&self, begins_by: Timestamp) -> Result<Waiter, Refusal> {
-        let again = self.runs + self.rejections > 0;
+    fn enqueue(&self, start_by: Timestamp) -> Result<Waiter, Refusal> {
+        let returned = self.runs + self.rejections > 0;
         let patience = self.deadline.since(self.arrived);
         let waits_until = self.arrived + patience.mul_f64(WAIT_SHARE);
         let min_pick_until = self.state.now() + MIN_REPICK_TIME;
-        let want = Want {
+        let request = QueueRequest {
             tenant: self.outbound.tenant.as_deref(),
             weight: 1,
             rank: self.rank,
             size: self.facts.answer_tokens,
-            begins_by,
-            leaves_at: match again {
+            start_by,
+            useful_until: match returned {
                 true => waits_until.max(min_pick_until),
                 false => waits_until,
             },
-            again,
+            returned,
         };
         let queue = self.state.queue(&self.service);
         queue
-            .enqueue(&want)
+            .enqueue(&request)
             .map_err(|refused| self.refused_by_queue(refused))
     }
 
-    fn standing(&self, begins_by: Timestamp) -> Standing {
-        let left = begins_by.since(self.state.now());
+    fn standing(&self, start_by: Timestamp) -> Standing {
+        let left = start_by.since(self.state.now());
         match left.is_zero() {
             true => Standing::Late,
             false => Standing::InTime { left },
--- a/crates/proxy/src/queue.rs
+++ b/crates/proxy/src/queue.rs
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use futures_lite::future;
 use molespan_daemon::boot_clock::BootClock;
-use molespan_routing::queue::{Limits, Place, Queue, Refused, Turn, Want};
+use molespan_routing::queue::{EntryId, Limits, Queue, QueueRequest, Refused, Turn};
 use molespan_types::Timestamp;
 
 /// Interval at which a request that can still be in time tries to pick an engine.
@@ -22,9 +22,9 @@
 #[derive(Debug)]
 pub struct ServiceQueue {
     queue: RefCell<Queue>,
-    entries: RefCell<BTreeMap<Place, WaiterEntry>>,
+    entries: RefCell<BTreeMap<EntryId, WaiterEntry>>,
     /// Requests that have the turn.
-    turn_holders: RefCell<Vec<Place>>,
+    turn_holders: RefCell<Vec<EntryId>>,
     clock: BootClock,
 }
 
@@ -49,7 +49,7 @@
 #[derive(Debug)]
 pub struct Waiter {
     queue: Rc<ServiceQueue>,
-    place: Place,
+    id: EntryId,
     wake: Receiver<()>,
     /// Whether it has been allowed to pick since it was woken.
     has_picked: Cell<bool>,
@@ -74,20 +74,20 @@
     ///
     /// # Errors
     /// When its turn cannot come.
-    pub fn enqueue(self: &Rc<Self>, want: &Want<'_>) -> Result<Waiter, Refused> {
+    pub fn enqueue(self: &Rc<Self>, request: &QueueRequest<'_>) -> Result<Waiter, Refused> {
         let now = self.clock.now();
-        let place = self.queue.borrow_mut().ask(want, now)?;
-        let expected = self.queue.borrow().expected_wait(place, now);
+        let id = self.queue.borrow_mut().enqueue(request, now)?;
+        let expected = self.queue.borrow().expected_wait(id, now);
         let (sender, wake) = async_channel::bounded(1);
         let entry = WaiterEntry {
             wake: sender,
             turn: None,
             refused: None,
         };
-        self.entries.borrow_mut().insert(place, entry);
+        self.entries.borrow_mut().insert(id, entry);
         let waiter = Waiter {
             queue: self.clone(),
-            place,
+            id,
             wake,
             has_picked: Cell::new(false),
             since: now,
@@ -101,8 +101,8 @@
     pub fn wake_turn_holders(&self) {
         self.update();
         let entries = self.entries.borrow();
-        for place in self.turn_holders.borrow().iter() {
-            if let Some(entry) = entries.get(place) {
+        for id in self.turn_holders.borrow().iter() {
+            if let Some(entry) = entries.get(id) {
                 entry.wake();
             }
         }
@@ -136,34 +136,34 @@
     /// Returns the longest expected wait of a request that arrives now; `None` if it cannot be
     /// estimated.
     #[must_use]
-    pub fn room_in(&self) -> Option<Duration> {
-        self.queue.borrow().room_in(self.clock.now())
+    pub fn capacity_in(&self) -> Option<Duration> {
+        self.queue.borrow().capacity_in(self.clock.now())
     }
 
     /// Updates turns and refusals to the current time.
     fn update(&self) {
         let now = self.clock.now();
         let refused = self.queue.borrow_mut().sweep(now);
-        let turns = self.queue.borrow_mut().lookers(now);
+        let turns = self.queue.borrow_mut().searching(now);
         let mut entries = self.entries.borrow_mut();
-        for (place, refused) in refused {
-            if let Some(entry) = entries.get_mut(&place) {
+        for (id, refused) in refused {
+            if let Some(entry) = entries.get_mut(&id) {
                 entry.refused = Some(refused);
                 entry.wake();
             }
         }
-        let places = turns.iter().map(|&(place, _)| place).collect();
+        let places = turns.iter().map(|&(id, _)| id).collect();
         let before = self.turn_holders.replace(places);
         let over = before
             .iter()
-            .filter(|before| turns.iter().all(|(place, _)| place != *before));
-        for place in over {
-            if let Some(entry) = entries.get_mut(place) {
+            .filter(|before| turns.iter().all(|(id, _)| id != *before));
+        for id in over {
+            if let Some(entry) = entries.get_mut(id) {
                 entry.turn = None;
             }
         }
-        for (place, turn) in turns {
-            if let Some(entry) = entries.get_mut(&place)
+        for (id, turn) in turns {
+            if let Some(entry) = entries.get_mut(&id)
                 && entry.turn.replace(turn).is_none()
             {
                 entry.wake();
@@ -209,7 +209,7 @@
     #[must_use]
     pub fn finish(self) -> WaitResult {
         let now = self.queue.clock.now();
-        let in_time = self.queue.queue.borrow_mut().begun(self.place, now);
+        let in_time = self.queue.queue.borrow_mut().dispatched(self.id, now);
         let waited = now.since(self.since);
         WaitResult {
             in_time: in_time.unwrap_or_default(),
@@ -219,7 +219,7 @@
 
     fn state(&self) -> (Option<Turn>, Option<Refused>) {
         let entries = self.queue.entries.borrow();
-        let entry = entries.get(&self.place);
+        let entry = entries.get(&self.id);
         entry.map_or((None, None), |entry| (entry.turn, entry.refused))
     }
 
@@ -242,9 +242,9 @@
 impl Drop for Waiter {
     /// Leaves the queue and updates the turns, so that the next request gets one.
     fn drop(&mut self) {
-        self.queue.entries.borrow_mut().remove(&self.place);
+        self.queue.entries.borrow_mut().remove(&self.id);
         let now = self.queue.clock.now();
-        self.queue.queue.borrow_mut().leave(self.place, now);
+        self.queue.queue.borrow_mut().remove(self.id, now);
         self.queue.update();
     }
 }
--- a/crates/proxy/tests/queue.rs
+++ b/crates/proxy/tests/queue.rs
@@ -7,7 +7,7 @@
 use futures_lite::future::{block_on, poll_once};
 use molespan_daemon::boot_clock::BootClock;
 use molespan_proxy::queue::{ServiceQueue, Waiter, Woken};
-use molespan_routing::queue::{Limits, Rank, Reason, Want};
+use molespan_routing::queue::{Limits, QueueRequest, Rank, Reason};
 
 /// Time within which a request can be in time, and time for which it waits.
 const IN_TIME: Duration = Duration::from_secs(30);
@@ -17,22 +17,22 @@
 
 fn queue() -> (Rc<ServiceQueue>, BootClock) {
     let clock = BootClock::start();
-    let limits = Limits { most_waiting: 100 };
+    let limits = Limits { max_waiting: 100 };
     (ServiceQueue::new(limits, clock.clone()), clock)
 }
 
 fn enqueue(queue: &Rc<ServiceQueue>, clock: &BootClock, waits: Duration) -> Waiter {
     let now = clock.now();
-    let want = Want {
+    let request = QueueRequest {
         tenant: None,
         weight: 1,
         rank: Rank::new(None, 0),
         size: None,
-        begins_by: now + IN_TIME.min(waits),
-        leaves_at: now + waits,
-        again: false,
+        start_by: now + IN_TIME.min(waits),
+        useful_until: now + waits,
+        returned: false,
     };
-    queue.enqueue(&want).expect("the queue is not full")
+    queue.enqueue(&request).expect("the queue is not full")
 }
 
 /// Whether the waiter may pick an engine now, without waiting.
@@ -144,18 +144,18 @@
         .map(|_| enqueue(&queue, &clock, MAX_WAIT))
         .collect();
     let now = clock.now();
-    let want = Want {
+    let request = QueueRequest {
         tenant: None,
         weight: 1,
         rank: Rank::new(None, 0),
         size: None,
-        begins_by: now + IN_TIME,
-        leaves_at: now + MAX_WAIT,
-        again: false,
+        start_by: now + IN_TIME,
+        useful_until: now + MAX_WAIT,
+        returned: false,
     };
-    let refused = queue.enqueue(&want).expect_err("the queue is full");
+    let refused = queue.enqueue(&request).expect_err("the queue is full");
     assert_eq!(refused.reason, Reason::Full);
     drop(waiters);
     assert!(queue.is_empty());
-    assert!(queue.enqueue(&want).is_ok());
+    assert!(queue.enqueue(&request).is_ok());
 }
--- a/crates/routing/src/queue/forecast.rs
+++ b/crates/routing/src/queue/forecast.rs
@@ -32,9 +32,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Rates {
     /// Dispatch rate while requests wait.
-    pub begin: f64,
+    pub dispatch: f64,
     /// Arrival rate.
-    pub come: f64,
+    pub arrival: f64,
 }
 
 /// Measurements of one queue.
@@ -157,15 +157,15 @@
             false => f64::from(self.running) / self.mean_held,
         };
         Rates {
-            begin: while_waiting.max(at_least).max(ending),
-            come: arrival_rates.fold(f64::INFINITY, f64::min),
+            dispatch: while_waiting.max(at_least).max(ending),
+            arrival: arrival_rates.fold(f64::INFINITY, f64::min),
         }
     }
 
     /// Expected wait behind `ahead` requests that nobody overtakes; `None` if nothing
     /// moves.
     pub fn wait(&self, ahead: usize) -> Option<Duration> {
-        time_at_rate(ahead, self.rates(self.last_advance).begin)
+        time_at_rate(ahead, self.rates(self.last_advance).dispatch)
     }
 
     /// Expected wait behind `ahead` requests and all that arrive meanwhile; `None` if
@@ -175,7 +175,7 @@
             return Some(Duration::ZERO);
         }
         let rates = self.rates(now);
-        time_at_rate(ahead, rates.begin - rates.come)
+        time_at_rate(ahead, rates.dispatch - rates.arrival)
     }
 }
 
--- a/crates/routing/src/queue/mod.rs
+++ b/crates/routing/src/queue/mod.rs
@@ -27,7 +27,7 @@
 use order::{AnswerSizes, Key};
 
 /// Identifies a waiting request.
-pub type Place = u64;
+pub type EntryId = u64;
 
 /// Maximum number of requests that look for an engine at the same time, so that a request
 /// that suits no engine with free slots does not block those behind it. These requests
@@ -47,20 +47,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
     /// Maximum number of waiting requests.
-    pub most_waiting: usize,
+    pub max_waiting: usize,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self {
-            most_waiting: 4_096,
-        }
+        Self { max_waiting: 4_096 }
     }
 }
 
 /// A request that needs an engine.
 #[derive(Clone, Copy, Debug)]
-pub struct Want<'a> {
+pub struct QueueRequest<'a> {
     /// Tenant of the request; no per-tenant limit applies to requests without one.
     pub tenant: Option<&'a str>,
     /// Weight of the tenant relative to others; 0 counts as 1.
@@ -70,12 +68,12 @@
     /// Size of the answer in tokens, if the request states it.
     pub size: Option<u64>,
     /// The request is in time if an engine starts it before this time.
-    pub begins_by: Timestamp,
+    pub start_by: Timestamp,
     /// After this time, starting the request is of no use to its caller.
-    pub leaves_at: Timestamp,
+    pub useful_until: Timestamp,
     /// Whether the request returns from an engine. If so, it is refused only when its own
     /// time is up.
-    pub again: bool,
+    pub returned: bool,
 }
 
 /// Why a request is refused.
@@ -106,7 +104,7 @@
     pub rates: Rates,
     /// Expected time until the current queue is served; `None` if that cannot be
     /// foreseen.
-    pub room_in: Option<Duration>,
+    pub capacity_in: Option<Duration>,
 }
 
 /// Passed to a request that may look for an engine.
@@ -122,9 +120,9 @@
     key: Key,
     enqueued_at: Timestamp,
     tenant: Option<String>,
-    begins_by: Timestamp,
-    leaves_at: Timestamp,
-    again: bool,
+    start_by: Timestamp,
+    useful_until: Timestamp,
+    returned: bool,
     in_time: bool,
 }
 
@@ -132,17 +130,17 @@
 #[derive(Clone, Debug)]
 pub struct Queue {
     limits: Limits,
-    waiting: BTreeMap<Place, Waiting>,
+    waiting: BTreeMap<EntryId, Waiting>,
     /// Requests that can still start in time, in dispatch order.
     in_time: BTreeSet<Key>,
     /// The same requests by the time at which they become late.
-    becomes_late: BTreeSet<(Timestamp, Place)>,
+    becomes_late: BTreeSet<(Timestamp, EntryId)>,
     late: BTreeSet<Key>,
     shares: Shares,
     sizes: AnswerSizes,
     forecast: Forecast,
     last_sweep: Timestamp,
-    last_place: Place,
+    last_id: EntryId,
 }
 
 impl Queue {
@@ -159,7 +157,7 @@
             sizes: AnswerSizes::default(),
             forecast: Forecast::default(),
             last_sweep: Timestamp::ZERO,
-            last_place: 0,
+            last_id: 0,
         }
     }
 
@@ -187,62 +185,64 @@
     /// # Errors
     /// Returns a refusal if the queue or the tenant's share of it is full, or if the
     /// request cannot be dispatched in time.
-    pub fn ask(&mut self, want: &Want<'_>, now: Timestamp) -> Result<Place, Refused> {
+    pub fn enqueue(
+        &mut self,
+        request: &QueueRequest<'_>,
+        now: Timestamp,
+    ) -> Result<EntryId, Refused> {
         self.advance(now);
-        if !want.again {
-            self.check_capacity(want, now)?;
+        if !request.returned {
+            self.check_capacity(request, now)?;
             self.forecast.arrived(now);
         }
-        let round = self.shares.round(want.tenant);
-        self.last_place += 1;
+        let round = self.shares.round(request.tenant);
+        self.last_id += 1;
         let waiting = Waiting {
             key: Key {
-                first_time: !want.again,
-                rank: want.rank,
+                first_time: !request.returned,
+                rank: request.rank,
                 round,
                 due: Timestamp::ZERO,
-                place: self.last_place,
+                id: self.last_id,
             },
             enqueued_at: now,
-            tenant: want.tenant.map(str::to_owned),
-            begins_by: want.begins_by,
-            leaves_at: want.leaves_at,
-            again: want.again,
-            in_time: now < want.begins_by,
+            tenant: request.tenant.map(str::to_owned),
+            start_by: request.start_by,
+            useful_until: request.useful_until,
+            returned: request.returned,
+            in_time: now < request.start_by,
         };
-        let waiting = self.with_due(waiting, want.size, now);
-        if !want.again
+        let waiting = self.with_due(waiting, request.size, now);
+        if !request.returned
             && let Some(refused) = self.refusal_on_arrival(&waiting, now)
         {
             return Err(refused);
         }
-        if !want.again {
-            self.shares.enter(want.tenant, want.weight);
+        if !request.returned {
+            self.shares.enter(request.tenant, request.weight);
         }
         self.insert(waiting);
-        Ok(self.last_place)
+        Ok(self.last_id)
     }
 
     /// Returns the requests that may look for an engine now, in dispatch order.
-    pub fn lookers(&mut self, now: Timestamp) -> Vec<(Place, Turn)> {
+    pub fn searching(&mut self, now: Timestamp) -> Vec<(EntryId, Turn)> {
         self.advance(now);
         // Late requests that return from an engine go before those that are in time.
         let returned = self.late.iter().take_while(|key| !key.first_time);
         let late = self.late.iter().skip_while(|key| !key.first_time);
-        let in_time = self.in_time.iter().map(|key| (key.place, true));
-        let returned = returned.map(|key| (key.place, false));
-        let late = late.map(|key| (key.place, false));
+        let in_time = self.in_time.iter().map(|key| (key.id, true));
+        let returned = returned.map(|key| (key.id, false));
+        let late = late.map(|key| (key.id, false));
         let order = returned.chain(in_time).chain(late).take(MAX_SEARCHING);
-        order
-            .map(|(place, in_time)| (place, Turn { in_time }))
-            .collect()
+        order.map(|(id, in_time)| (id, Turn { in_time })).collect()
     }
 
     /// Records that an engine was found for a request. Returns whether the request was in
     /// time; `None` if it does not wait here.
-    pub fn begun(&mut self, place: Place, now: Timestamp) -> Option<bool> {
+    pub fn dispatched(&mut self, id: EntryId, now: Timestamp) -> Option<bool> {
         self.advance(now);
-        let waiting = self.remove(place)?;
+        let waiting = self.remove_entry(id)?;
         self.shares.dispatched(waiting.key.round);
         let immediate = self.is_empty() && now.since(waiting.enqueued_at) < IMMEDIATE_WITHIN;
         self.forecast.dispatched(!immediate);
@@ -261,13 +261,13 @@
     }
 
     /// Removes a request that gets no engine: its caller left, or no engine suits it.
-    pub fn leave(&mut self, place: Place, now: Timestamp) {
+    pub fn remove(&mut self, id: EntryId, now: Timestamp) {
         self.advance(now);
-        let _removed = self.remove(place);
+        let _removed = self.remove_entry(id);
     }
 
     /// Removes and returns requests that can no longer be dispatched in time.
-    pub fn sweep(&mut self, now: Timestamp) -> Vec<(Place, Refused)> {
+    pub fn sweep(&mut self, now: Timestamp) -> Vec<(EntryId, Refused)> {
         self.advance(now);
         if now.since(self.last_sweep) < SWEEP_INTERVAL {
             return Vec::new();
@@ -275,23 +275,23 @@
         self.last_sweep = now;
         let mut refused = Vec::new();
         let order = self.in_time.iter().chain(&self.late);
-        let order: Vec<Place> = order.map(|key| key.place).collect();
+        let order: Vec<EntryId> = order.map(|key| key.id).collect();
         let (mut ahead, mut in_time_ahead) = (0, 0);
-        for place in order {
-            let Some(waiting) = self.waiting.get(&place) else {
+        for id in order {
+            let Some(waiting) = self.waiting.get(&id) else {
                 continue;
             };
             let in_time = waiting.in_time;
             match self.refusal_reason(waiting, in_time_ahead, ahead, now) {
-                Some(reason) => refused.push((place, self.refusal(reason, ahead, now))),
+                Some(reason) => refused.push((id, self.refusal(reason, ahead, now))),
                 None => {
                     ahead += 1;
                     in_time_ahead += usize::from(in_time);
                 }
             }
         }
-        for (place, _) in &refused {
-            let _removed = self.remove(*place);
+        for (id, _) in &refused {
+            let _removed = self.remove_entry(*id);
         }
         refused
     }
@@ -299,15 +299,15 @@
     /// Longest expected wait of a request that arrives now; `None` if no end can be
     /// foreseen.
     #[must_use]
-    pub fn room_in(&self, now: Timestamp) -> Option<Duration> {
+    pub fn capacity_in(&self, now: Timestamp) -> Option<Duration> {
         self.forecast.late_wait(self.len(), now)
     }
 
     /// Expected remaining wait of a request; `None` if nothing was measured yet, or no
     /// end can be foreseen.
     #[must_use]
-    pub fn expected_wait(&self, place: Place, now: Timestamp) -> Option<Duration> {
-        let waiting = self.waiting.get(&place)?;
+    pub fn expected_wait(&self, id: EntryId, now: Timestamp) -> Option<Duration> {
+        let waiting = self.waiting.get(&id)?;
         let (in_time_ahead, ahead) = self.ahead_of(waiting);
         self.forecast.is_measured().then_some(())?;
         self.wait_behind(waiting, in_time_ahead, ahead, now)
@@ -323,17 +323,17 @@
     /// late ones.
     fn advance(&mut self, now: Timestamp) {
         self.forecast.advance(now, !self.waiting.is_empty());
-        while let Some(&(begins_by, place)) = self.becomes_late.first() {
-            if now < begins_by {
+        while let Some(&(start_by, id)) = self.becomes_late.first() {
+            if now < start_by {
                 break;
             }
             self.becomes_late.pop_first();
-            if let Some(waiting) = self.waiting.get_mut(&place) {
+            if let Some(waiting) = self.waiting.get_mut(&id) {
                 self.in_time.remove(&waiting.key);
                 waiting.in_time = false;
-                // Moves the due time from `begins_by` to `leaves_at`, with the same
+                // Moves the due time from `start_by` to `useful_until`, with the same
                 // adjustment for size.
-                let later = waiting.leaves_at.since(waiting.begins_by);
+                let later = waiting.useful_until.since(waiting.start_by);
                 waiting.key.due = waiting.key.due + later;
                 self.late.insert(waiting.key);
             }
@@ -345,22 +345,22 @@
 
     fn with_due(&mut self, mut waiting: Waiting, size: Option<u64>, now: Timestamp) -> Waiting {
         let due = match waiting.in_time {
-            true => waiting.begins_by,
-            false => waiting.leaves_at,
+            true => waiting.start_by,
+            false => waiting.useful_until,
         };
-        let left = waiting.begins_by.since(now);
+        let left = waiting.start_by.since(now);
         waiting.key.due = self.sizes.due(due, size, left);
         waiting
     }
 
     /// Checks whether one more request may wait.
-    fn check_capacity(&self, want: &Want<'_>, now: Timestamp) -> Result<(), Refused> {
+    fn check_capacity(&self, request: &QueueRequest<'_>, now: Timestamp) -> Result<(), Refused> {
         let waiting = self.waiting.len();
-        let free = self.limits.most_waiting.saturating_sub(waiting);
+        let free = self.limits.max_waiting.saturating_sub(waiting);
         if free == 0 {
             return Err(self.refusal(Reason::Full, waiting, now));
         }
-        match want.tenant {
+        match request.tenant {
             Some(tenant) if self.shares.waiting(tenant) >= free => {
                 Err(self.refusal(Reason::TenantFull, waiting, now))
             }
@@ -372,22 +372,22 @@
         let key = waiting.key;
         if waiting.in_time {
             self.in_time.insert(key);
-            self.becomes_late.insert((waiting.begins_by, key.place));
+            self.becomes_late.insert((waiting.start_by, key.id));
         } else {
             self.late.insert(key);
         }
-        self.waiting.insert(key.place, waiting);
+        self.waiting.insert(key.id, waiting);
     }
 
-    fn remove(&mut self, place: Place) -> Option<Waiting> {
-        let waiting = self.waiting.remove(&place)?;
+    fn remove_entry(&mut self, id: EntryId) -> Option<Waiting> {
+        let waiting = self.waiting.remove(&id)?;
         if waiting.in_time {
             self.in_time.remove(&waiting.key);
-            self.becomes_late.remove(&(waiting.begins_by, place));
+            self.becomes_late.remove(&(waiting.start_by, id));
         } else {
             self.late.remove(&waiting.key);
         }
-        if !waiting.again {
+        if !waiting.returned {
             self.shares.leave(waiting.tenant.as_deref());
         }
         Some(waiting)
@@ -423,11 +423,11 @@
         ahead: usize,
         now: Timestamp,
     ) -> Option<Reason> {
-        let left = waiting.leaves_at.since(now);
+        let left = waiting.useful_until.since(now);
         if left.is_zero() {
             return Some(Reason::Waited);
         }
-        if ahead < MAX_SEARCHING || waiting.again || !self.forecast.is_measured() {
+        if ahead < MAX_SEARCHING || waiting.returned || !self.forecast.is_measured() {
             return None;
         }
         let wait = self.wait_behind(waiting, in_time_ahead, ahead, now);
@@ -445,7 +445,7 @@
     ) -> Option<Duration> {
         if waiting.in_time {
             let wait = self.forecast.wait(in_time_ahead);
-            if let Some(wait) = wait.filter(|&wait| now + wait < waiting.begins_by) {
+            if let Some(wait) = wait.filter(|&wait| now + wait < waiting.start_by) {
                 return Some(wait);
             }
             // The request will become late, and then wait behind all that are late by
@@ -460,7 +460,7 @@
             reason,
             ahead,
             rates: self.forecast.rates(now),
-            room_in: self.room_in(now),
+            capacity_in: self.capacity_in(now),
         }
     }
 }
--- a/crates/routing/src/queue/order.rs
+++ b/crates/routing/src/queue/order.rs
@@ -43,7 +43,7 @@
     pub round: u64,
     /// Time by which it has to start, adjusted for the size of its answer.
     pub due: Timestamp,
-    pub place: u64,
+    pub id: u64,
 }
 
 /// Recent answer sizes.
--- a/crates/routing/tests/queue/rules.rs
+++ b/crates/routing/tests/queue/rules.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use molespan_routing::queue::{Limits, Place, Queue, Rank, Reason, Want, retry_after};
+use molespan_routing::queue::{EntryId, Limits, Queue, QueueRequest, Rank, Reason, retry_after};
 use molespan_types::Timestamp;
 use proptest::prelude::*;
 
@@ -16,28 +16,30 @@
 }
 
 /// A request that arrives at `ms`, without a tenant, rank or size.
-fn plain(ms: u64) -> Want<'static> {
-    Want {
+fn plain(ms: u64) -> QueueRequest<'static> {
+    QueueRequest {
         tenant: None,
         weight: 1,
         rank: Rank::new(None, 0),
         size: None,
-        begins_by: at(ms + 240),
-        leaves_at: at(ms + 3_500),
-        again: false,
+        start_by: at(ms + 240),
+        useful_until: at(ms + 3_500),
+        returned: false,
     }
 }
 
-fn ask(queue: &mut Queue, want: &Want<'_>, ms: u64) -> Place {
-    queue.ask(want, at(ms)).expect("the queue accepts it")
+fn enqueue(queue: &mut Queue, request: &QueueRequest<'_>, ms: u64) -> EntryId {
+    queue
+        .enqueue(request, at(ms))
+        .expect("the queue accepts it")
 }
 
 /// All waiting requests in dispatch order.
-fn order(queue: &Queue, ms: u64) -> Vec<Place> {
+fn order(queue: &Queue, ms: u64) -> Vec<EntryId> {
     let mut queue = queue.clone();
     std::iter::from_fn(|| {
-        let &(place, _) = queue.lookers(at(ms)).first()?;
-        queue.begun(place, at(ms));
+        let &(place, _) = queue.searching(at(ms)).first()?;
+        queue.dispatched(place, at(ms));
         Some(place)
     })
     .collect()
@@ -46,18 +48,18 @@
 #[test]
 fn a_request_in_an_empty_queue_may_search_immediately() {
     let mut queue = Queue::new(Limits::default());
-    let place = ask(&mut queue, &plain(1_000), 1_000);
-    let (first, turn) = queue.lookers(at(1_000))[0];
+    let place = enqueue(&mut queue, &plain(1_000), 1_000);
+    let (first, turn) = queue.searching(at(1_000))[0];
     assert_eq!(first, place);
     assert!(turn.in_time);
-    assert_eq!(queue.begun(place, at(1_000)), Some(true));
+    assert_eq!(queue.dispatched(place, at(1_000)), Some(true));
     assert!(queue.is_empty());
 }
 
 #[test]
 fn without_ranks_tenants_or_sizes_order_is_by_age_with_in_time_requests_first() {
     let mut queue = Queue::new(Limits::default());
-    let places = [1_000, 1_100, 1_200, 1_300].map(|ms| ask(&mut queue, &plain(ms), ms));
+    let places = [1_000, 1_100, 1_200, 1_300].map(|ms| enqueue(&mut queue, &plain(ms), ms));
     assert_eq!(
         order(&queue, 1_300),
         [1, 2, 3, 0].map(|one: usize| places[one])
@@ -81,43 +83,47 @@
     ];
     let places = ranks.map(|(tenant, route)| {
         let rank = Rank::new(tenant, route);
-        let want = Want {
+        let request = QueueRequest {
             rank,
             ..plain(1_000)
         };
-        ask(&mut queue, &want, 1_000)
+        enqueue(&mut queue, &request, 1_000)
     });
     assert_eq!(
         order(&queue, 1_000),
         [1, 3, 2, 0, 4].map(|one: usize| places[one])
     );
-    let late = Want {
+    let late = QueueRequest {
         rank: Rank::new(None, 0),
         ..plain(0)
     };
-    let late = ask(&mut queue, &late, 1_000);
+    let late = enqueue(&mut queue, &late, 1_000);
     assert_eq!(order(&queue, 1_000).last(), Some(&late), "it is late");
 }
 
 #[test]
 fn a_later_request_goes_before_the_backlog_of_another_tenant() {
     let mut queue = Queue::new(Limits::default());
-    let flood = Want {
+    let flood = QueueRequest {
         tenant: Some("flood"),
         ..plain(1_000)
     };
-    let backlog: Vec<Place> = (0..10).map(|_| ask(&mut queue, &flood, 1_000)).collect();
-    let one = Want {
+    let backlog: Vec<EntryId> = (0..10)
+        .map(|_| enqueue(&mut queue, &flood, 1_000))
+        .collect();
+    let one = QueueRequest {
         tenant: Some("one"),
         ..plain(1_010)
     };
-    let one = ask(&mut queue, &one, 1_010);
-    let weighted = Want {
+    let one = enqueue(&mut queue, &one, 1_010);
+    let weighted = QueueRequest {
         tenant: Some("weighty"),
         weight: 3,
         ..plain(1_020)
     };
-    let weighted: Vec<Place> = (0..4).map(|_| ask(&mut queue, &weighted, 1_020)).collect();
+    let weighted: Vec<EntryId> = (0..4)
+        .map(|_| enqueue(&mut queue, &weighted, 1_020))
+        .collect();
     let turns = order(&queue, 1_030);
     let first = [
         backlog[0],
@@ -135,35 +141,35 @@
 fn a_request_returned_from_an_engine_searches_first_however_late_it_is() {
     let mut queue = Queue::new(Limits::default());
     for _ in 0..10 {
-        ask(&mut queue, &plain(1_000), 1_000);
+        enqueue(&mut queue, &plain(1_000), 1_000);
     }
-    let returned = Want {
-        begins_by: at(500),
-        leaves_at: at(1_050),
-        again: true,
+    let returned = QueueRequest {
+        start_by: at(500),
+        useful_until: at(1_050),
+        returned: true,
         ..plain(1_000)
     };
-    let returned = ask(&mut queue, &returned, 1_000);
-    let searching = queue.lookers(at(1_000));
+    let returned = enqueue(&mut queue, &returned, 1_000);
+    let searching = queue.searching(at(1_000));
     assert!(searching.iter().any(|(place, _)| *place == returned));
 }
 
 #[test]
 fn requests_without_a_tenant_delay_no_tenant() {
     let mut queue = Queue::new(Limits::default());
-    let keyed = Want {
+    let keyed = QueueRequest {
         tenant: Some("t"),
         ..plain(1_010)
     };
     for _ in 0..3 {
-        ask(&mut queue, &keyed, 1_010);
+        enqueue(&mut queue, &keyed, 1_010);
     }
     let mut begun = Vec::new();
     for ms in 1_011..1_021 {
         // For each dispatch, two more requests without a tenant arrive.
-        let anonymous = [0, 1].map(|_| ask(&mut queue, &plain(900), ms));
-        let (place, _) = queue.lookers(at(ms))[0];
-        queue.begun(place, at(ms));
+        let anonymous = [0, 1].map(|_| enqueue(&mut queue, &plain(900), ms));
+        let (place, _) = queue.searching(at(ms))[0];
+        queue.dispatched(place, at(ms));
         begun.push(anonymous.contains(&place) || place > 3);
     }
     let of_tenant = begun.iter().filter(|&&anonymous| !anonymous).count();
@@ -173,16 +179,16 @@
 #[test]
 fn short_answers_overtake_long_ones_within_a_bound() {
     let mut queue = Queue::new(Limits::default());
-    let sized = |ms: u64, size: u64| Want {
+    let sized = |ms: u64, size: u64| QueueRequest {
         size: Some(size),
         ..plain(ms)
     };
-    ask(&mut queue, &sized(1_000, 100), 1_000);
-    let long = ask(&mut queue, &sized(1_010, u64::MAX), 1_010);
-    let near = ask(&mut queue, &sized(1_050, 100), 1_050);
-    let far = ask(&mut queue, &sized(1_140, 0), 1_140);
+    enqueue(&mut queue, &sized(1_000, 100), 1_000);
+    let long = enqueue(&mut queue, &sized(1_010, u64::MAX), 1_010);
+    let near = enqueue(&mut queue, &sized(1_050, 100), 1_050);
+    let far = enqueue(&mut queue, &sized(1_140, 0), 1_140);
     let turns = order(&queue, 1_140);
-    let turn = |place: Place| turns.iter().position(|&one| one == place);
+    let turn = |place: EntryId| turns.iter().position(|&one| one == place);
     assert!(turn(near) < turn(long));
     assert!(turn(long) < turn(far));
 }
@@ -193,17 +199,17 @@
     let mut queue = Queue::new(Limits::default());
     // Requests dispatched at once give no information about later capacity.
     for ms in (1_000..590_000).step_by(100) {
-        let place = ask(&mut queue, &plain(ms), ms);
-        queue.begun(place, at(ms));
+        let place = enqueue(&mut queue, &plain(ms), ms);
+        queue.dispatched(place, at(ms));
     }
     for _ in 0..8 {
-        ask(&mut queue, &plain(601_000), 601_000);
+        enqueue(&mut queue, &plain(601_000), 601_000);
     }
     for number in 0..3 * per_second {
         let ms = 601_000 + number * 1_000 / per_second;
-        let (place, _) = queue.lookers(at(ms))[0];
-        queue.begun(place, at(ms));
-        ask(&mut queue, &plain(ms), ms);
+        let (place, _) = queue.searching(at(ms))[0];
+        queue.dispatched(place, at(ms));
+        enqueue(&mut queue, &plain(ms), ms);
     }
     queue
 }
@@ -213,7 +219,7 @@
     let mut queue = measured(10);
     let mut refused = None;
     for _ in 0..100 {
-        match queue.ask(&plain(604_000), at(604_000)) {
+        match queue.enqueue(&plain(604_000), at(604_000)) {
             Ok(_) => {}
             Err(one) => {
                 refused = Some(one);
@@ -226,16 +232,16 @@
     assert_eq!(refused.reason, Reason::Hopeless);
     assert!(refused.ahead >= 3);
     assert!(
-        (5.0..=15.0).contains(&refused.rates.begin),
+        (5.0..=15.0).contains(&refused.rates.dispatch),
         "{:?}",
         refused.rates
     );
-    let again = Want {
-        again: true,
+    let again = QueueRequest {
+        returned: true,
         ..plain(604_000)
     };
     assert!(
-        queue.ask(&again, at(604_000)).is_ok(),
+        queue.enqueue(&again, at(604_000)).is_ok(),
         "it comes back from an engine"
     );
     // From here on no request is dispatched.
@@ -248,8 +254,8 @@
         queue.len() >= 3,
         "some requests stay to detect when there is capacity again"
     );
-    let lookers = queue.lookers(at(606_500));
-    assert_eq!(lookers.len(), 3);
+    let searching = queue.searching(at(606_500));
+    assert_eq!(searching.len(), 3);
     let swept = queue.sweep(at(609_000));
     assert!(queue.is_empty(), "their own time is over");
     assert!(
@@ -264,49 +270,50 @@
     let mut queue = Queue::new(Limits::default());
     for number in 0..1_000 {
         let ms = 1_000 + number / 10;
-        ask(&mut queue, &plain(ms), ms);
+        enqueue(&mut queue, &plain(ms), ms);
     }
     assert!(queue.sweep(at(1_150)).is_empty());
-    assert_eq!(queue.room_in(at(1_150)), Some(Duration::ZERO));
+    assert_eq!(queue.capacity_in(at(1_150)), Some(Duration::ZERO));
     // This queue never dispatched a request: its engines may be found at any time.
     assert!(queue.sweep(at(3_000)).is_empty());
-    ask(&mut queue, &plain(3_000), 3_000);
+    enqueue(&mut queue, &plain(3_000), 3_000);
 }
 
 #[test]
 fn a_dispatch_after_a_stall_resets_the_forecast() {
     let mut queue = measured(10);
-    let again = Want {
-        again: true,
+    let again = QueueRequest {
+        returned: true,
         ..plain(606_400)
     };
-    ask(&mut queue, &again, 606_400);
-    while queue.ask(&plain(606_500), at(606_500)).is_ok() {}
-    let &(place, _) = queue.lookers(at(606_600)).first().expect("a request waits");
-    queue.begun(place, at(606_600));
-    assert!(queue.ask(&plain(606_600), at(606_600)).is_ok());
+    enqueue(&mut queue, &again, 606_400);
+    while queue.enqueue(&plain(606_500), at(606_500)).is_ok() {}
+    let &(place, _) = queue
+        .searching(at(606_600))
+        .first()
+        .expect("a request waits");
+    queue.dispatched(place, at(606_600));
+    assert!(queue.enqueue(&plain(606_600), at(606_600)).is_ok());
 }
 
 #[test]
 fn a_flood_of_requests_stays_within_the_queue_limit_and_the_share_of_a_tenant() {
-    let mut queue = Queue::new(Limits {
-        most_waiting: 1_000,
-    });
-    let flood = Want {
+    let mut queue = Queue::new(Limits { max_waiting: 1_000 });
+    let flood = QueueRequest {
         tenant: Some("flood"),
         ..plain(1_000)
     };
-    let asked = (0..100_000).map(|_| queue.ask(&flood, at(1_000)));
-    let refused: Vec<_> = asked.filter_map(Result::err).collect();
+    let results = (0..100_000).map(|_| queue.enqueue(&flood, at(1_000)));
+    let refused: Vec<_> = results.filter_map(Result::err).collect();
     assert_eq!(refused.len(), 100_000 - 500);
     assert!(refused.iter().all(|one| one.reason == Reason::TenantFull));
-    let other = Want {
+    let other = QueueRequest {
         tenant: Some("unknown"),
         ..plain(1_000)
     };
-    assert!(queue.ask(&other, at(1_000)).is_ok());
-    let asked = (0..100_000).map(|_| queue.ask(&plain(1_000), at(1_000)));
-    let refused: Vec<_> = asked.filter_map(Result::err).collect();
+    assert!(queue.enqueue(&other, at(1_000)).is_ok());
+    let results = (0..100_000).map(|_| queue.enqueue(&plain(1_000), at(1_000)));
+    let refused: Vec<_> = results.filter_map(Result::err).collect();
     assert!(refused.iter().all(|one| one.reason == Reason::Full));
     assert_eq!(queue.len(), 1_000);
 }
@@ -362,32 +369,32 @@
     fn no_request_is_lost_and_the_first_in_order_may_search(
         steps in prop::collection::vec(any_step(), 0..200),
     ) {
-        let mut queue = Queue::new(Limits { most_waiting: 32 });
-        let mut waiting: BTreeSet<Place> = BTreeSet::new();
+        let mut queue = Queue::new(Limits { max_waiting: 32 });
+        let mut waiting: BTreeSet<EntryId> = BTreeSet::new();
         let mut ms = 1_000;
         for step in steps {
             match step {
                 Step::Ask { tenant, rank, size } => {
                     let tenant = tenant.map(|tenant| tenant.to_string());
-                    let want = Want {
+                    let request = QueueRequest {
                         tenant: tenant.as_deref(),
                         rank: Rank::new(None, rank),
                         size,
                         ..plain(ms)
                     };
-                    if let Ok(place) = queue.ask(&want, at(ms)) {
+                    if let Ok(place) = queue.enqueue(&request, at(ms)) {
                         prop_assert!(waiting.insert(place));
                     }
                 }
                 Step::Begin(number) => {
-                    if let Some(&(place, turn)) = queue.lookers(at(ms)).get(number) {
-                        prop_assert_eq!(queue.begun(place, at(ms)), Some(turn.in_time));
+                    if let Some(&(place, turn)) = queue.searching(at(ms)).get(number) {
+                        prop_assert_eq!(queue.dispatched(place, at(ms)), Some(turn.in_time));
                         prop_assert!(waiting.remove(&place));
                     }
                 }
                 Step::Leave(number) => {
                     if let Some(&place) = waiting.iter().nth(number) {
-                        queue.leave(place, at(ms));
+                        queue.remove(place, at(ms));
                         waiting.remove(&place);
                     }
                 }
@@ -398,11 +405,11 @@
                 }
                 Step::Pass(passed) => ms += passed,
             }
-            let lookers = queue.lookers(at(ms));
+            let searching = queue.searching(at(ms));
             prop_assert_eq!(queue.len(), waiting.len());
-            prop_assert_eq!(lookers.len(), waiting.len().min(3));
-            prop_assert!(lookers.iter().all(|(place, _)| waiting.contains(place)));
-            let in_time = lookers.iter().take_while(|(_, turn)| turn.in_time).count();
+            prop_assert_eq!(searching.len(), waiting.len().min(3));
+            prop_assert!(searching.iter().all(|(place, _)| waiting.contains(place)));
+            let in_time = searching.iter().take_while(|(_, turn)| turn.in_time).count();
             prop_assert_eq!(in_time, queue.in_time().min(3));
         }
     }
--- a/crates/routing/tests/queue/world.rs
+++ b/crates/routing/tests/queue/world.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use molespan_routing::queue::{Limits, Place, Queue, Rank, Want, retry_after};
+use molespan_routing::queue::{EntryId, Limits, Queue, QueueRequest, Rank, retry_after};
 use molespan_types::Timestamp;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -106,8 +106,8 @@
     /// Separate generator, so that arrivals are the same for every policy.
     arrivals: ChaCha8Rng,
     queue: Queue,
-    waiting: BTreeMap<Place, Request>,
-    last: Place,
+    waiting: BTreeMap<EntryId, Request>,
+    last: EntryId,
     /// End time and slot time of each running request, in milliseconds.
     running: Vec<(f64, f64)>,
     now_us: u64,
@@ -206,42 +206,42 @@
         };
         self.tally(&request, |tally| tally.arrived += 1);
         self.last += 1;
-        let asked = match self.is_queue() {
-            true => self.ask(&request),
+        let enqueued = match self.is_queue() {
+            true => self.enqueue(&request),
             false => Ok(self.last),
         };
-        match asked {
+        match enqueued {
             Ok(place) => {
                 self.waiting.insert(place, request);
             }
-            Err(room_in) => {
-                self.refuse(&request, room_in);
+            Err(capacity_in) => {
+                self.refuse(&request, capacity_in);
             }
         }
         self.longest_queue = self.longest_queue.max(self.waiting.len());
     }
 
-    fn ask(&mut self, request: &Request) -> Result<Place, Option<Duration>> {
+    fn enqueue(&mut self, request: &Request) -> Result<EntryId, Option<Duration>> {
         let arrived = self.now();
         let tenant = request.tenant.map(|number| number.to_string());
-        let want = Want {
+        let queue_request = QueueRequest {
             tenant: tenant.as_deref(),
             weight: 1,
             rank: Rank::new(None, request.rank),
             size: (self.policy == Policy::QueueBySize).then_some(request.size),
-            begins_by: arrived + Duration::from_millis(BEGINS_WITHIN_MS),
-            leaves_at: arrived + Duration::from_millis(WAITS_MS),
-            again: false,
+            start_by: arrived + Duration::from_millis(BEGINS_WITHIN_MS),
+            useful_until: arrived + Duration::from_millis(WAITS_MS),
+            returned: false,
         };
         let now = self.now();
-        let asked = self.queue.ask(&want, now);
-        asked.map_err(|refused| refused.room_in)
+        let enqueued = self.queue.enqueue(&queue_request, now);
+        enqueued.map_err(|refused| refused.capacity_in)
     }
 
-    fn refuse(&mut self, request: &Request, room_in: Option<Duration>) {
+    fn refuse(&mut self, request: &Request, capacity_in: Option<Duration>) {
         let waited = self.now_ms() - request.arrived_ms;
         let left = Duration::from_secs_f64((PATIENCE_MS as f64 - waited) / 1_000.0);
-        let delay = retry_after(room_in, left, self.random.random());
+        let delay = retry_after(capacity_in, left, self.random.random());
         self.tally(request, |tally| {
             tally.refused += 1;
             tally.at_once += u32::from(waited == 0.0);
@@ -276,14 +276,14 @@
         if self.is_queue() {
             for (place, refused) in self.queue.sweep(now) {
                 let request = self.waiting.remove(&place).expect("the request waits");
-                self.refuse(&request, refused.room_in);
+                self.refuse(&request, refused.capacity_in);
             }
             return;
         }
         let now_ms = self.now_ms();
         let expired = |request: &Request| now_ms - request.arrived_ms >= WAITS_MS as f64;
         let waiting = self.waiting.iter();
-        let expired: Vec<Place> = waiting
+        let expired: Vec<EntryId> = waiting
             .filter(|(_, request)| expired(request))
             .map(|(&place, _)| place)
             .collect();
@@ -294,16 +294,16 @@
     }
 
     /// Returns the request to dispatch next.
-    fn next(&mut self) -> Option<Place> {
+    fn next(&mut self) -> Option<EntryId> {
         let now_ms = self.now_ms();
         if self.is_queue() {
-            let lookers = self.queue.lookers(Timestamp(self.now_us));
-            return lookers.first().map(|&(place, _)| place);
+            let searching = self.queue.searching(Timestamp(self.now_us));
+            return searching.first().map(|&(place, _)| place);
         }
         let in_time = |request: &Request| now_ms - request.arrived_ms < BEGINS_WITHIN_MS as f64;
         let oldest = self.waiting.keys().next().copied();
         let in_time_places = self.waiting.iter().filter(|(_, one)| in_time(one));
-        let in_time_places: Vec<Place> = in_time_places.map(|(&place, _)| place).collect();
+        let in_time_places: Vec<EntryId> = in_time_places.map(|(&place, _)| place).collect();
         match self.policy {
             Policy::OldestFirst => oldest,
             Policy::NewestFirst => in_time_places.last().copied().or(oldest),
@@ -324,12 +324,14 @@
         }
     }
 
-    fn begin(&mut self, place: Place) {
+    fn begin(&mut self, place: EntryId) {
         let now = self.now();
         let now_ms = self.now_ms();
         let request = self.waiting.remove(&place).expect("the request waits");
         if self.is_queue() {
-            self.queue.begun(place, now).expect("the request waits");
+            self.queue
+                .dispatched(place, now)
+                .expect("the request waits");
             self.queue.started();
         }
         let (from, to) = ANSWERS_WITHIN_MS;
