--- a/crates/daemon/src/gateway/batch_driver.rs
+++ b/crates/daemon/src/gateway/batch_driver.rs
@@ -101,7 +101,7 @@
             BatchInput::OnlineStarted { .. }
                 | BatchInput::OnlineFirstToken { .. }
                 | BatchInput::OnlineFinished { .. }
-                | BatchInput::Foreign(_)
+                | BatchInput::OnlineNotice(_)
         );
         online && self.preemption != PreemptionPolicy::OnArrival
     }
--- a/crates/daemon/src/gateway/batch_events.rs
+++ b/crates/daemon/src/gateway/batch_events.rs
@@ -58,7 +58,7 @@
                     ("target_us", (target.as_micros() as u64).into()),
                 ],
             ),
-            BatchDecision::LeaseRanOut {
+            BatchDecision::LeaseExpired {
                 group,
                 lease,
                 stopped,
--- a/crates/daemon/src/gateway/batch_groups.rs
+++ b/crates/daemon/src/gateway/batch_groups.rs
@@ -99,7 +99,7 @@
 }
 
 fn taken(taken: crate::cluster::ItemsTaken) -> GroupReply {
-    GroupReply::Taken {
+    GroupReply::Accepted {
         taken: taken.taken,
         dropped: taken.dropped,
     }
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -50,7 +50,7 @@
 use async_executor::Executor;
 use async_io::Timer;
 use molespan_http::{LargeBody, Server, ServerError, ServerLimits};
-use molespan_routing::batch::{BatchInput, Foreign};
+use molespan_routing::batch::{BatchInput, OnlineNotice};
 use molespan_routing::readiness::Readiness;
 use molespan_telemetry::{EventBuffer, Metrics, part_logger};
 use molespan_types::RunOutcome;
@@ -125,7 +125,7 @@
         let state = &self.state;
         match request {
             Request::OnlineArrival(arrival) => {
-                state.batch_input(BatchInput::Foreign(Foreign {
+                state.batch_input(BatchInput::OnlineNotice(OnlineNotice {
                     from: arrival.from,
                     backend: arrival.backend,
                     in_flight: arrival.in_flight,
--- a/crates/fleet/src/control/hub/answer.rs
+++ b/crates/fleet/src/control/hub/answer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use molespan_routing::subset::{Breadth, FIRST_USERS};
+use molespan_routing::subset::{Breadth, INITIAL_USERS};
 use molespan_types::{NodeId, Timestamp};
 use molespan_wire::{WatchView, WatcherKind};
 
@@ -41,7 +41,7 @@
             self.bars_changed,
         ];
         due || global_changes.iter().any(|changed| *changed > since)
-            || self.subsets.is_news(watch.node, since)
+            || self.subsets.has_changes(watch.node, since)
             || self
                 .unpartitioned_services()
                 .any(|service| self.registry.changed_since(service, since))
@@ -71,7 +71,7 @@
     /// Returns the services of which every gateway uses every engine.
     fn unpartitioned_services(&self) -> impl Iterator<Item = &str> {
         let services = self.subsets.services();
-        services.filter(|service| self.subsets.breadth(service).0 == Breadth::Whole)
+        services.filter(|service| self.subsets.breadth(service).0 == Breadth::All)
     }
 
     /// Builds the update with all changes after `since` that concern a watcher.
@@ -100,8 +100,8 @@
             .iter()
             .filter(|(_, (_, changed))| *changed > since);
         update.bars = bars.map(|(request, (bar, _))| (*request, *bar)).collect();
-        let is_whole = |service: &str| self.subsets.breadth(service).0 == Breadth::Whole;
-        update.lost = self.registry.lost_in(since, is_whole);
+        let used_by_all = |service: &str| self.subsets.breadth(service).0 == Breadth::All;
+        update.lost = self.registry.lost_in(since, used_by_all);
         for service in self.subsets.services() {
             self.add_service_changes(service, watch.node, since, &mut update);
         }
@@ -115,8 +115,7 @@
     pub fn first_engines_due(&self, watch: &WatchView, now: Timestamp) -> Option<Timestamp> {
         let started_empty = self.sends_full_view(watch) && self.started_empty(watch.node);
         let mut services = self.subsets.services();
-        let unsettled =
-            services.any(|service| self.subsets.breadth(service).0 == Breadth::Unsettled);
+        let unsettled = services.any(|service| self.subsets.breadth(service).0 == Breadth::Unknown);
         (started_empty && unsettled).then(|| now + FIRST_ENGINES_INTERVAL)
     }
 
@@ -138,13 +137,14 @@
             return;
         }
         let engines = self.registry.changed_in(service, since);
-        let first = engines.filter(|engine| self.subsets.is_first(gateway, service, &engine.id));
+        let first =
+            engines.filter(|engine| self.subsets.is_initial_engine(gateway, service, &engine.id));
         let count_before = update.engines.len();
         update.engines.extend(first.cloned());
         if update.engines.len() > count_before {
             update.parts.push(ServicePart {
                 service: service.to_owned(),
-                users: Some(FIRST_USERS),
+                users: Some(INITIAL_USERS),
                 engines: None,
             });
         }
@@ -165,7 +165,7 @@
             users: None,
             engines: None,
         };
-        if let Breadth::Whole = breadth {
+        if let Breadth::All = breadth {
             let since = if rebuilt { 0 } else { since };
             let engines = self.registry.changed_in(service, since);
             update.engines.extend(engines.cloned());
@@ -174,20 +174,20 @@
             }
             return;
         }
-        if breadth == Breadth::Unsettled {
+        if breadth == Breadth::Unknown {
             return self.add_first_engines(service, gateway, since, update);
         }
-        let changes = self.subsets.part_after(gateway, service, since);
+        let changes = self.subsets.changes_after(gateway, service, since);
         let records = changes.engines.iter();
         let records = records.filter_map(|engine| self.registry.record(engine));
         update.engines.extend(records.cloned());
-        let gone = changes.gone.iter();
+        let gone = changes.removed.iter();
         let gone = gone.filter(|engine| self.registry.record(engine).is_none());
         update.lost.extend(gone.map(|engine| engine.to_string()));
-        if rebuilt || changes.whole.is_some() {
+        if rebuilt || changes.complete.is_some() {
             part.users = Some(breadth.users() as u32);
             part.engines = changes
-                .whole
+                .complete
                 .map(|ids| ids.iter().map(ToString::to_string).collect());
             update.parts.push(part);
         }
--- a/crates/routing/examples/policy/jobs.rs
+++ b/crates/routing/examples/policy/jobs.rs
@@ -54,7 +54,7 @@
     pub fn record(&mut self, lease: LeaseId, items: &[ItemIndex]) -> GroupReply {
         let taken = self.take(lease, items).len() as u32;
         self.recorded += u64::from(taken);
-        GroupReply::Taken { taken, dropped: 0 }
+        GroupReply::Accepted { taken, dropped: 0 }
     }
 
     pub fn return_items(&mut self, lease: LeaseId, items: &[ItemIndex]) -> GroupReply {
@@ -65,7 +65,7 @@
             let free = self.free.entry(job).or_default();
             taken.into_iter().for_each(|item| free.push_front(item));
         }
-        GroupReply::Taken {
+        GroupReply::Accepted {
             taken: count,
             dropped: 0,
         }
--- a/crates/routing/examples/policy/world.rs
+++ b/crates/routing/examples/policy/world.rs
@@ -8,7 +8,8 @@
 use minicbor::bytes::ByteVec;
 use molespan_emulator::engine::{EngineCore, EngineSettings, Output, Submission};
 use molespan_routing::batch::{
-    BatchInput, BatchOutput, Foreign, GroupReply, ItemEnd, OwnedEngine, RequestNumber, StreamId,
+    BatchInput, BatchOutput, GroupReply, ItemEnd, OnlineNotice, OwnedEngine, RequestNumber,
+    StreamId,
 };
 use molespan_routing::pick::{Finish, LoadSample};
 use molespan_types::{
@@ -69,7 +70,7 @@
     },
     Notice {
         gateway: u32,
-        foreign: Foreign,
+        notice: OnlineNotice,
     },
     PollLoad(BackendId),
     Load {
@@ -236,8 +237,8 @@
                 }
                 self.online_done(gateway, number);
             }
-            Event::Notice { gateway, foreign } => {
-                self.feed(gateway, BatchInput::Foreign(foreign));
+            Event::Notice { gateway, notice } => {
+                self.feed(gateway, BatchInput::OnlineNotice(notice));
             }
             Event::PollLoad(backend) => self.poll_load(backend),
             Event::Load { gateway, sample } => {
@@ -334,7 +335,7 @@
             self.feed(gateway, input);
             return;
         }
-        let foreign = Foreign {
+        let notice = OnlineNotice {
             from: NodeId(gateway),
             backend,
             in_flight: self.gateways[gateway as usize]
@@ -347,7 +348,7 @@
             wait,
             Event::Notice {
                 gateway: owner,
-                foreign,
+                notice,
             },
         );
     }
--- a/crates/routing/src/batch/message.rs
+++ b/crates/routing/src/batch/message.rs
@@ -34,7 +34,7 @@
 /// Notice from another gateway about its online requests at an engine, sent when
 /// one starts or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Foreign {
+pub struct OnlineNotice {
     /// Gateway that sent the notice.
     pub from: NodeId,
     /// Engine.
@@ -72,7 +72,7 @@
         cancelled: Vec<LeaseId>,
     },
     /// Reply to [`BatchOutput::Record`] and [`BatchOutput::Return`].
-    Taken {
+    Accepted {
         /// Items accepted.
         taken: u32,
         /// Items dropped because the lease no longer held them.
@@ -114,7 +114,7 @@
         backend: BackendId,
     },
     /// A notice from another gateway.
-    Foreign(Foreign),
+    OnlineNotice(OnlineNotice),
     /// A job group replied.
     Reply {
         /// Number of the request.
@@ -277,7 +277,7 @@
         target: Duration,
     },
     /// A lease expired on the owner's clock and its streams were stopped.
-    LeaseRanOut {
+    LeaseExpired {
         /// Group.
         group: GroupId,
         /// Lease.
--- a/crates/routing/src/batch/mod.rs
+++ b/crates/routing/src/batch/mod.rs
@@ -23,8 +23,8 @@
 
 pub use journal::JournalSettings;
 pub use message::{
-    BatchDecision, BatchInput, BatchOutput, Foreign, GroupReply, ItemEnd, OwnedEngine, Preemption,
-    RequestNumber, StreamId,
+    BatchDecision, BatchInput, BatchOutput, GroupReply, ItemEnd, OnlineNotice, OwnedEngine,
+    Preemption, RequestNumber, StreamId,
 };
 pub use owner::{BatchOwner, BatchSettings};
 pub use policy::BatchPolicy;
--- a/crates/routing/src/batch/online.rs
+++ b/crates/routing/src/batch/online.rs
@@ -11,7 +11,7 @@
 
 use molespan_types::{NodeId, Timestamp};
 
-use super::message::Foreign;
+use super::message::OnlineNotice;
 use super::quiet::QuietPeriod;
 
 /// Time after which a gateway's last notice expires; the engine's load reports
@@ -106,15 +106,15 @@
         self.record_if_idle(now, before);
     }
 
-    pub(super) fn apply_notice(&mut self, now: Timestamp, foreign: Foreign) {
+    pub(super) fn apply_notice(&mut self, now: Timestamp, received: OnlineNotice) {
         let before = self.total();
         let notice = Notice {
-            in_flight: foreign.in_flight,
+            in_flight: received.in_flight,
             at: now,
         };
-        self.notices.insert(foreign.from, notice);
+        self.notices.insert(received.from, notice);
         self.record_activity(now);
-        if foreign.prompt_tokens > 0 {
+        if received.prompt_tokens > 0 {
             self.quiet.record_arrival(now);
             self.last_foreign_arrival = Some(now);
             return;
--- a/crates/routing/src/batch/owner.rs
+++ b/crates/routing/src/batch/owner.rs
@@ -154,10 +154,10 @@
                 self.update_engine(backend, |engine| engine.online.request_finished(now));
                 self.balance(now, backend, outputs);
             }
-            BatchInput::Foreign(foreign) => {
-                let backend = foreign.backend;
-                self.update_engine(backend, |engine| engine.online.apply_notice(now, foreign));
-                if foreign.prompt_tokens > 0 {
+            BatchInput::OnlineNotice(notice) => {
+                let backend = notice.backend;
+                self.update_engine(backend, |engine| engine.online.apply_notice(now, notice));
+                if notice.prompt_tokens > 0 {
                     self.preempt_on_arrival(now, backend, outputs);
                 } else {
                     self.balance(now, backend, outputs);
--- a/crates/routing/src/batch/replies.rs
+++ b/crates/routing/src/batch/replies.rs
@@ -214,7 +214,7 @@
             let Some(stopped) = self.revoke(now, key, outputs) else {
                 continue;
             };
-            outputs.push(BatchOutput::Decision(BatchDecision::LeaseRanOut {
+            outputs.push(BatchOutput::Decision(BatchDecision::LeaseExpired {
                 group: key.group,
                 lease: key.lease,
                 stopped,
--- a/crates/routing/src/subset/mod.rs
+++ b/crates/routing/src/subset/mod.rs
@@ -31,8 +31,8 @@
 /// as many users.
 const FIRST_ENGINES_DIVISOR: u64 = 32;
 
-/// Approximate maximum number of gateways that use each of these first engines.
-pub const FIRST_USERS: u32 = 32;
+/// Approximate maximum number of gateways that use each of these initial engines.
+pub const INITIAL_USERS: u32 = 32;
 
 /// An engine of a service.
 #[derive(Clone, Debug)]
@@ -57,9 +57,9 @@
     /// Engines that were added to the subset or changed.
     pub engines: Vec<Arc<str>>,
     /// Engines that no longer exist.
-    pub gone: Vec<Arc<str>>,
+    pub removed: Vec<Arc<str>>,
     /// The complete subset, if engines were reassigned to other gateways.
-    pub whole: Option<Vec<Arc<str>>>,
+    pub complete: Option<Vec<Arc<str>>>,
 }
 
 /// The assignment of engines to gateways.
@@ -82,11 +82,11 @@
             .entry(service.to_owned())
             .or_insert_with(|| Service {
                 engines: BTreeMap::new(),
-                breadth: Breadth::Whole,
+                breadth: Breadth::All,
                 changed: change,
             });
         if !self.settled && state.breadth.is_too_broad(state.engines.len()) {
-            state.breadth = Breadth::Unsettled;
+            state.breadth = Breadth::Unknown;
             state.changed = change;
         }
         let id: Arc<str> = engine.into();
@@ -201,7 +201,7 @@
     #[must_use]
     pub fn breadth(&self, service: &str) -> (Breadth, Change) {
         let state = self.services.get(service);
-        state.map_or((Breadth::Whole, 0), |state| (state.breadth, state.changed))
+        state.map_or((Breadth::All, 0), |state| (state.breadth, state.changed))
     }
 
     /// Returns the names of the known services.
@@ -215,14 +215,14 @@
     pub fn users(&self, service: &str, engine: &str) -> Option<&[NodeId]> {
         let state = self.services.get(service)?;
         match state.breadth {
-            Breadth::Whole => None,
+            Breadth::All => None,
             _ => state.engines.get(engine).map(|member| &member.users[..]),
         }
     }
 
     /// Whether any subset of a gateway, or the breadth of any service, changed after `since`.
     #[must_use]
-    pub fn is_news(&self, gateway: NodeId, since: Change) -> bool {
+    pub fn has_changes(&self, gateway: NodeId, since: Change) -> bool {
         let subsets = self.subsets.get(&gateway);
         subsets.is_some_and(|subsets| subsets.values().any(|subset| subset.changed() > since))
             || self.services.values().any(|state| state.changed > since)
@@ -230,20 +230,20 @@
 
     /// Returns the changes to a gateway's subset of a service after `since`.
     #[must_use]
-    pub fn part_after(&self, gateway: NodeId, service: &str, since: Change) -> SubsetUpdate {
+    pub fn changes_after(&self, gateway: NodeId, service: &str, since: Change) -> SubsetUpdate {
         let subsets = self.subsets.get(&gateway);
         let subset = subsets.and_then(|subsets| subsets.get(service));
         let (breadth, changed) = self.breadth(service);
-        if breadth == Breadth::Unsettled {
+        if breadth == Breadth::Unknown {
             // Gateways keep the engines that they already know, since this view and all
             // others may have been rebuilt after a restart.
             return SubsetUpdate::default();
         }
-        let narrowed = breadth != Breadth::Whole && changed > since;
+        let narrowed = breadth != Breadth::All && changed > since;
         match subset {
             Some(subset) => subset.changes_after(since, narrowed),
             None => SubsetUpdate {
-                whole: narrowed.then(Vec::new),
+                complete: narrowed.then(Vec::new),
                 ..SubsetUpdate::default()
             },
         }
@@ -253,10 +253,10 @@
     /// are not known yet. The choice depends only on the two ids, so all control nodes
     /// announce the same engines to it.
     #[must_use]
-    pub fn is_first(&self, gateway: NodeId, service: &str, engine: &str) -> bool {
+    pub fn is_initial_engine(&self, gateway: NodeId, service: &str, engine: &str) -> bool {
         let (breadth, _) = self.breadth(service);
         let draw = xxh3_64_with_seed(engine.as_bytes(), u64::from(gateway.0));
-        breadth == Breadth::Unsettled && draw.is_multiple_of(FIRST_ENGINES_DIVISOR)
+        breadth == Breadth::Unknown && draw.is_multiple_of(FIRST_ENGINES_DIVISOR)
     }
 
     /// Returns the size of a gateway's subset of a service.
--- a/crates/routing/src/subset/part.rs
+++ b/crates/routing/src/subset/part.rs
@@ -87,11 +87,11 @@
             let log = log.range(start.clone()..);
             log.map(|(_, engine)| engine.clone()).collect()
         };
-        let whole = narrowed || self.last_reassigned > since;
+        let complete = narrowed || self.last_reassigned > since;
         SubsetUpdate {
             engines: ids(&self.log),
-            gone: ids(&self.gone),
-            whole: whole.then(|| self.engines.keys().cloned().collect()),
+            removed: ids(&self.gone),
+            complete: complete.then(|| self.engines.keys().cloned().collect()),
         }
     }
 }
--- a/crates/routing/src/subset/users.rs
+++ b/crates/routing/src/subset/users.rs
@@ -31,11 +31,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Breadth {
     /// All gateways.
-    Whole,
+    All,
     /// This number of gateways.
     Few(usize),
     /// None, until the number of gateways is known.
-    Unsettled,
+    Unknown,
 }
 
 impl Breadth {
@@ -44,17 +44,17 @@
         let share = MIN_ENGINES as f64 / engines.max(1) as f64;
         let wanted = (share * gateways as f64).max(MIN_USERS as f64);
         let threshold = match self {
-            Self::Whole => WHOLE_LEAVE_SHARE,
+            Self::All => WHOLE_LEAVE_SHARE,
             _ => WHOLE_ENTER_SHARE,
         };
         if !settled {
             return match self.is_too_broad(engines) {
-                true => Self::Unsettled,
+                true => Self::Unknown,
                 false => self,
             };
         }
         if wanted >= threshold * gateways as f64 {
-            return Self::Whole;
+            return Self::All;
         }
         match self {
             Self::Few(users) if is_within_hysteresis(users as f64, wanted) => self,
@@ -65,14 +65,14 @@
     /// Whether use by all gateways may turn out too broad once their number is known. The
     /// first engines of a large service still go to every gateway while it registers.
     pub(super) fn is_too_broad(self, engines: usize) -> bool {
-        self == Self::Whole && engines > MIN_ENGINES
+        self == Self::All && engines > MIN_ENGINES
     }
 
     /// Number of users in the engine's own zone.
     fn same_zone_users(self) -> usize {
         match self {
             Self::Few(users) => (users as f64 * SAME_ZONE_SHARE).ceil() as usize,
-            Self::Whole | Self::Unsettled => 0,
+            Self::All | Self::Unknown => 0,
         }
     }
 
@@ -81,7 +81,7 @@
     pub fn users(self) -> usize {
         match self {
             Self::Few(users) => users,
-            Self::Whole | Self::Unsettled => 0,
+            Self::All | Self::Unknown => 0,
         }
     }
 }
@@ -130,7 +130,7 @@
     pub fn ranks_computed(&self, breadth: Breadth) -> u64 {
         match breadth {
             Breadth::Few(_) => self.len() as u64,
-            Breadth::Whole | Breadth::Unsettled => 0,
+            Breadth::All | Breadth::Unknown => 0,
         }
     }
 
--- a/crates/routing/tests/batch/harness.rs
+++ b/crates/routing/tests/batch/harness.rs
@@ -6,8 +6,8 @@
 
 use minicbor::bytes::ByteVec;
 use molespan_routing::batch::{
-    BatchDecision, BatchInput, BatchOutput, BatchOwner, BatchSettings, Foreign, GroupReply,
-    ItemEnd, OwnedEngine, RequestNumber, StreamId,
+    BatchDecision, BatchInput, BatchOutput, BatchOwner, BatchSettings, GroupReply, ItemEnd,
+    OnlineNotice, OwnedEngine, RequestNumber, StreamId,
 };
 use molespan_routing::pick::LoadSample;
 use molespan_state::job::{GrantedLease, ItemOutcome, ItemResult, LeasedItem};
@@ -74,7 +74,7 @@
 }
 
 pub fn notice(from: u32, in_flight: u32, prompt_tokens: u32) -> BatchInput {
-    BatchInput::Foreign(Foreign {
+    BatchInput::OnlineNotice(OnlineNotice {
         from: NodeId(from),
         backend: ENGINE,
         in_flight,
@@ -182,7 +182,7 @@
 
     pub fn acknowledge(&mut self, request: RequestNumber) {
         let (taken, dropped) = (1, 0);
-        self.reply(request, GroupReply::Taken { taken, dropped });
+        self.reply(request, GroupReply::Accepted { taken, dropped });
     }
 
     /// Reports `tokens` generated tokens for every running stream, including streams
--- a/crates/routing/tests/batch/leases.rs
+++ b/crates/routing/tests/batch/leases.rs
@@ -31,8 +31,9 @@
     assert_eq!(owner.count(&StreamStatus::Running), 0);
     assert_eq!(owner.count(&StreamStatus::Cancelled), running);
     assert_eq!(owner.returned().len(), 12);
-    let ran_out = |decision: &&BatchDecision| matches!(decision, BatchDecision::LeaseRanOut { .. });
-    assert_eq!(owner.decisions.iter().filter(ran_out).count(), 1);
+    let expired =
+        |decision: &&BatchDecision| matches!(decision, BatchDecision::LeaseExpired { .. });
+    assert_eq!(owner.decisions.iter().filter(expired).count(), 1);
 }
 
 #[test]
--- a/crates/routing/tests/batch/model.rs
+++ b/crates/routing/tests/batch/model.rs
@@ -395,7 +395,7 @@
     match reply {
         JobReply::Leased(lease) => GroupReply::Leased(lease),
         JobReply::Renewed { lost, cancelled } => GroupReply::Renewed { lost, cancelled },
-        JobReply::Recorded { taken, dropped } => GroupReply::Taken { taken, dropped },
+        JobReply::Recorded { taken, dropped } => GroupReply::Accepted { taken, dropped },
         other => panic!("{other:?}"),
     }
 }
--- a/crates/routing/tests/subset.rs
+++ b/crates/routing/tests/subset.rs
@@ -74,7 +74,7 @@
         let mut subsets = subsets(gateways, engines);
         subsets.insert(SERVICE, "new", &zone(0), 3);
         let news = (1..=gateways as u32).filter(|node| {
-            let update = subsets.part_after(NodeId(*node), SERVICE, 2);
+            let update = subsets.changes_after(NodeId(*node), SERVICE, 2);
             !update.engines.is_empty()
         });
         news.count()
@@ -224,7 +224,7 @@
         let subsets = subsets(gateways, engines);
         assert_eq!(
             subsets.breadth(SERVICE).0,
-            Breadth::Whole,
+            Breadth::All,
             "{gateways} {engines}"
         );
         assert_eq!(subsets.users(SERVICE, &engine(1)), None);
@@ -237,27 +237,27 @@
     let some = gateways(3);
     for place in 0..2_000 {
         subsets.insert(SERVICE, &engine(place), &zone(place), place as u64 + 1);
-        let informed = subsets.part_after(NodeId(1), SERVICE, 0).engines.len();
-        let is_whole = subsets.breadth(SERVICE).0 == Breadth::Whole;
-        assert!(informed == 0 && (!is_whole || place < 257), "{place}");
+        let informed = subsets.changes_after(NodeId(1), SERVICE, 0).engines.len();
+        let used_by_all = subsets.breadth(SERVICE).0 == Breadth::All;
+        assert!(informed == 0 && (!used_by_all || place < 257), "{place}");
         if place % 500 == 0 {
             subsets.plan(&some, false, place as u64 + 1);
         }
     }
-    assert_eq!(subsets.breadth(SERVICE).0, Breadth::Unsettled);
+    assert_eq!(subsets.breadth(SERVICE).0, Breadth::Unknown);
     // Gateways that know engines from before keep them.
     assert_eq!(
-        subsets.part_after(NodeId(1), SERVICE, 0),
+        subsets.changes_after(NodeId(1), SERVICE, 0),
         SubsetUpdate::default()
     );
     subsets.plan(&gateways(200), true, 3_000);
     assert!(matches!(subsets.breadth(SERVICE).0, Breadth::Few(_)));
-    let update = subsets.part_after(NodeId(1), SERVICE, 2_999);
+    let update = subsets.changes_after(NodeId(1), SERVICE, 2_999);
     assert!(!update.engines.is_empty());
     // The update contains the complete subset, which replaces all engines known before.
-    let whole = update.whole.map(|whole| whole.len());
+    let complete = update.complete.map(|complete| complete.len());
     assert_eq!(
-        whole,
+        complete,
         Some(update.engines.len()),
         "what else was told is taken back"
     );
@@ -267,7 +267,7 @@
 fn a_gateway_receives_only_changes_to_its_subset() {
     let mut subsets = subsets(400, 5_000);
     let gateway = NodeId(5);
-    assert!(!subsets.is_news(gateway, 2));
+    assert!(!subsets.has_changes(gateway, 2));
     let user_of = |subsets: &Subsets, place: usize| {
         let users = subsets.users(SERVICE, &engine(place)).expect("few");
         users.contains(&gateway)
@@ -279,20 +279,20 @@
         .find(|&place| !user_of(&subsets, place))
         .expect("one");
     subsets.remove(SERVICE, &engine(other), 3);
-    assert!(!subsets.is_news(gateway, 2));
+    assert!(!subsets.has_changes(gateway, 2));
     subsets.remove(SERVICE, &engine(used), 4);
-    let update = subsets.part_after(gateway, SERVICE, 2);
-    assert_eq!(update.gone, [engine(used).as_str().into()]);
-    assert_eq!((update.engines.len(), update.whole), (0, None));
+    let update = subsets.changes_after(gateway, SERVICE, 2);
+    assert_eq!(update.removed, [engine(used).as_str().into()]);
+    assert_eq!((update.engines.len(), update.complete), (0, None));
     // New gateways take over some of its engines, so it receives its complete subset.
     let mut more = gateways(400);
     for node in 401..440 {
         more.insert(NodeId(node), Some(zone(4)));
     }
     subsets.plan(&more, true, 5);
-    let update = subsets.part_after(gateway, SERVICE, 4);
+    let update = subsets.changes_after(gateway, SERVICE, 4);
     assert_eq!(
-        update.whole.map(|whole| whole.len()),
+        update.complete.map(|complete| complete.len()),
         Some(used_by(&subsets, gateway))
     );
 }
@@ -307,7 +307,7 @@
     before.insert(NodeId(9), None);
     subsets.plan(&before, true, 2);
     subsets.plan(&gateways(300), true, 3);
-    let part = subsets.part_after(NodeId(9), SERVICE, 0);
+    let part = subsets.changes_after(NodeId(9), SERVICE, 0);
     assert_eq!(part.engines.len(), used_by(&subsets, NodeId(9)));
     let near = (0..4_000)
         .filter(|&place| zone(place) == zone(8))
--- a/crates/sim/src/gateway/batch.rs
+++ b/crates/sim/src/gateway/batch.rs
@@ -6,7 +6,7 @@
 use molespan_emulator::engine::Submission;
 use molespan_membership::WorkResult;
 use molespan_routing::batch::{
-    BatchInput, BatchOutput, Foreign, GroupReply, ItemEnd, RequestNumber, StreamId,
+    BatchInput, BatchOutput, GroupReply, ItemEnd, OnlineNotice, RequestNumber, StreamId,
 };
 use molespan_routing::retry::{AttemptRef, check_attempt, check_length};
 use molespan_state::job::{JobCommand, JobReply, LeaseRequest};
@@ -222,7 +222,9 @@
             Some(Ok(JobReply::Renewed { lost, cancelled })) => {
                 GroupReply::Renewed { lost, cancelled }
             }
-            Some(Ok(JobReply::Recorded { taken, dropped })) => GroupReply::Taken { taken, dropped },
+            Some(Ok(JobReply::Recorded { taken, dropped })) => {
+                GroupReply::Accepted { taken, dropped }
+            }
             _ => GroupReply::Failed,
         };
         self.batch_input(context, BatchInput::Reply { request, reply });
@@ -338,8 +340,8 @@
         }
     }
 
-    pub(super) fn take_notice(&mut self, context: &mut Context, foreign: Foreign) {
-        self.batch_input(context, BatchInput::Foreign(foreign));
+    pub(super) fn take_notice(&mut self, context: &mut Context, notice: OnlineNotice) {
+        self.batch_input(context, BatchInput::OnlineNotice(notice));
     }
 
     pub(super) fn work_available(&mut self, context: &mut Context, service: ServiceName) {
--- a/crates/sim/src/gateway/online.rs
+++ b/crates/sim/src/gateway/online.rs
@@ -5,7 +5,7 @@
 
 use molespan_emulator::engine::Submission;
 use molespan_routing::admission::{AdmissionOutput, Decision, Ticket};
-use molespan_routing::batch::{BatchInput, Foreign};
+use molespan_routing::batch::{BatchInput, OnlineNotice};
 use molespan_routing::pick::PickRequest;
 use molespan_routing::retry::{
     AttemptRef, ClaimAnswer, NextStep, RequestKind, RequestState, StreamCheck,
@@ -268,7 +268,7 @@
             return;
         };
         let picker = self.pickers.get(&plan.service);
-        let notice = Foreign {
+        let notice = OnlineNotice {
             from: self.identity.node(),
             backend,
             in_flight: picker.map_or(0, |picker| picker.own_in_flight(backend)),
--- a/crates/sim/src/gateway/process.rs
+++ b/crates/sim/src/gateway/process.rs
@@ -216,7 +216,7 @@
             Message::Gateways { sent, records } => self.heartbeat_answered(context, sent, records),
             Message::List(list) => self.take_list(context, list),
             Message::Load { sent, report } => self.take_load(context, sent, &report),
-            Message::Notice(foreign) => self.take_notice(context, foreign),
+            Message::Notice(notice) => self.take_notice(context, notice),
             Message::Released(backend) => self.ownership.released_elsewhere(now, backend),
             Message::WorkAvailable(service) => self.work_available(context, service),
             Message::EngineAnswer { connection, answer } => {
--- a/crates/sim/src/message.rs
+++ b/crates/sim/src/message.rs
@@ -8,7 +8,7 @@
 };
 use molespan_membership::GatewayRecord;
 use molespan_replica::{Consistency, Refusal};
-use molespan_routing::batch::Foreign;
+use molespan_routing::batch::OnlineNotice;
 use molespan_state::job::{ItemRecord, JobStatus};
 use molespan_types::{
     AttemptId, BackendId, GroupId, Incarnation, ItemIndex, JobId, RunOutcome, ServiceName,
@@ -221,7 +221,7 @@
         records: Vec<GatewayRecord>,
     },
     /// Between gateways: online work at an engine.
-    Notice(Foreign),
+    Notice(OnlineNotice),
     /// Between gateways: the sender no longer owns an engine.
     Released(BackendId),
     /// Between gateways: items of a service were accepted.
