--- a/crates/fleet/src/control/api.rs
+++ b/crates/fleet/src/control/api.rs
@@ -14,7 +14,7 @@
 
 use super::dialect::{CallProblem, ControlCall, ControlDialect, ControlOutcome, EngineHeartbeat};
 use super::hub::Hub;
-use crate::refusals::Refusals;
+use crate::refusals::RefusalLog;
 
 /// Deadline of a call by an engine, which tries another node after 1 s.
 const ENGINE_DEADLINE: Duration = Duration::from_millis(900);
@@ -38,7 +38,7 @@
     pub store_replicas: u32,
     /// Rejected registrations, and engines of services that the configuration does not
     /// name.
-    pub refusals: Mutex<Refusals>,
+    pub refusals: Mutex<RefusalLog>,
     pub logger: Logger,
 }
 
@@ -87,7 +87,7 @@
 
     fn record_refusal(&self, who: &str, what: &str) -> Option<u64> {
         let mut refusals = self.refusals.lock().unwrap_or_else(PoisonError::into_inner);
-        refusals.note(who, what)
+        refusals.record(who, what)
     }
 
     /// Logs an engine whose service the configuration does not name. The engine is kept,
--- a/crates/fleet/src/control/hub/answer.rs
+++ b/crates/fleet/src/control/hub/answer.rs
@@ -7,7 +7,7 @@
 use molespan_wire::{WatchView, WatcherKind};
 
 use super::state::State;
-use crate::view::{ServicePart, ViewUpdate};
+use crate::view::{ServiceSubset, ViewUpdate};
 
 /// Delay after which this node sends a configuration to a watcher that should receive it
 /// from another control node. The delay lets the configuration reach the watcher once
@@ -142,7 +142,7 @@
         let count_before = update.engines.len();
         update.engines.extend(first.cloned());
         if update.engines.len() > count_before {
-            update.parts.push(ServicePart {
+            update.subsets.push(ServiceSubset {
                 service: service.to_owned(),
                 users: Some(INITIAL_USERS),
                 engines: None,
@@ -160,7 +160,7 @@
     ) {
         let (breadth, changed) = self.subsets.breadth(service);
         let rebuilt = changed > since;
-        let mut part = ServicePart {
+        let mut subset = ServiceSubset {
             service: service.to_owned(),
             users: None,
             engines: None,
@@ -170,7 +170,7 @@
             let engines = self.registry.changed_in(service, since);
             update.engines.extend(engines.cloned());
             if rebuilt {
-                update.parts.push(part);
+                update.subsets.push(subset);
             }
             return;
         }
@@ -185,11 +185,11 @@
         let gone = gone.filter(|engine| self.registry.record(engine).is_none());
         update.lost.extend(gone.map(|engine| engine.to_string()));
         if rebuilt || changes.complete.is_some() {
-            part.users = Some(breadth.users() as u32);
-            part.engines = changes
+            subset.users = Some(breadth.users() as u32);
+            subset.engines = changes
                 .complete
                 .map(|ids| ids.iter().map(ToString::to_string).collect());
-            update.parts.push(part);
+            update.subsets.push(subset);
         }
     }
 }
--- a/crates/fleet/src/control/hub/state.rs
+++ b/crates/fleet/src/control/hub/state.rs
@@ -12,7 +12,7 @@
 use super::{LIVE_TTL, MAX_WATCH_GAP};
 use crate::control::change_log::ChangeLog;
 use crate::control::registry::{Registry, RegistryEvent};
-use crate::view::{ConfigurationInForce, MOST_NAMED, Topology};
+use crate::view::{ConfigurationInForce, MAX_LISTED_GATEWAYS, Topology};
 use crate::wakeup::Wakeup;
 
 /// Time for which a gateway that is gone keeps its assigned engines. Longer than a
@@ -154,7 +154,7 @@
     pub fn update_gateways(&mut self, change: u64) -> bool {
         let mut gateways = self.watchers_of(WatcherKind::Gateway);
         let count = gateways.len() as u32;
-        if gateways.len() > MOST_NAMED {
+        if gateways.len() > MAX_LISTED_GATEWAYS {
             gateways.clear();
         }
         if count == self.topology.gateway_count && gateways == self.topology.gateways {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -16,4 +16,4 @@
 mod watch;
 
 pub use membership::ClusterAddresses;
-pub use watch::{Asker, ViewSink, ViewWatcher};
+pub use watch::{ViewSink, ViewWatcher, WatcherIdentity};
--- a/crates/fleet/src/refusals.rs
+++ b/crates/fleet/src/refusals.rs
@@ -8,15 +8,15 @@
 
 /// Counts refusals and selects those to log.
 #[derive(Clone, Debug, Default)]
-pub struct Refusals {
+pub struct RefusalLog {
     count: u64,
     logged: BTreeSet<(String, String)>,
 }
 
-impl Refusals {
+impl RefusalLog {
     /// Records that `who` was refused because of `what`. Returns the number of refusals
     /// so far if this one should be logged.
-    pub fn note(&mut self, who: &str, what: &str) -> Option<u64> {
+    pub fn record(&mut self, who: &str, what: &str) -> Option<u64> {
         self.count += 1;
         let should_log = match self.logged.len() < MAX_LOGGED_INDIVIDUALLY {
             true => self.logged.insert((who.to_owned(), what.to_owned())),
--- a/crates/fleet/src/store/node.rs
+++ b/crates/fleet/src/store/node.rs
@@ -29,7 +29,7 @@
 use super::peer::PeerHandler;
 use crate::membership::{ClusterAddresses, SEGMENT_BYTES, cluster, replica_options, start_replica};
 use crate::view::{Topology, TopologyView, ViewUpdate};
-use crate::watch::{Asker, ViewSink, ViewWatcher};
+use crate::watch::{ViewSink, ViewWatcher, WatcherIdentity};
 
 /// Interval between rounds of upkeep.
 const UPKEEP_INTERVAL: Duration = Duration::from_millis(500);
@@ -118,7 +118,7 @@
         let changed = update.topology.is_some();
         let now = self.clock.now();
         let mut view = self.topology_view.borrow_mut();
-        view.note(from, update.topology, now);
+        view.record(from, update.topology, now);
         if !changed {
             return;
         }
@@ -174,12 +174,12 @@
         });
         let addresses = &node.options.addresses;
         let seeds = &addresses.seeds;
-        let asker = Asker {
+        let identity = WatcherIdentity {
             node: own,
             zone: node.options.zone.clone(),
             kind: WatcherKind::Store,
         };
-        let _watcher = ViewWatcher::start(asker, seeds, wire, local, logger, node.clone());
+        let _watcher = ViewWatcher::start(identity, seeds, wire, local, logger, node.clone());
         let waking = node.clone();
         local.spawn(async move { waking.wake().await }).detach();
         let upkeep = node.clone();
--- a/crates/fleet/src/view.rs
+++ b/crates/fleet/src/view.rs
@@ -72,8 +72,8 @@
     /// Stores that are being retired.
     #[n(3)]
     pub retiring: BTreeSet<NodeId>,
-    /// Gateways that contacted the control node recently. Empty beyond [`MOST_NAMED`]
-    /// gateways.
+    /// Gateways that contacted the control node recently. Empty beyond
+    /// [`MAX_LISTED_GATEWAYS`] gateways.
     #[n(4)]
     pub gateways: BTreeSet<NodeId>,
     /// Lower bound of the applied entries of the control group that this report is based
@@ -83,9 +83,10 @@
     /// Zone of the reporting control node; `None` from older versions.
     #[n(6)]
     pub zone: Option<ZoneName>,
-    /// Number of gateways that contacted the control node recently. Beyond [`MOST_NAMED`]
-    /// they are counted but not listed: no node sends messages to all of them, and
-    /// listing them on each change would cost traffic quadratic in their number.
+    /// Number of gateways that contacted the control node recently. Beyond
+    /// [`MAX_LISTED_GATEWAYS`] they are counted but not listed: no node sends messages to
+    /// all of them, and listing them on each change would cost traffic quadratic in their
+    /// number.
     #[n(7)]
     #[cbor(default)]
     pub gateway_count: u32,
@@ -101,7 +102,7 @@
 
 /// Largest number of gateways that a topology lists by name; up to this many, gateways
 /// send to each other directly.
-pub const MOST_NAMED: usize = 12;
+pub const MAX_LISTED_GATEWAYS: usize = 12;
 
 /// The cluster topology, merged from the reports of several control nodes.
 #[derive(Clone, Debug, Default)]
@@ -122,7 +123,7 @@
 impl TopologyView {
     /// Records a message of a control node; `topology` is `None` if the topology did not
     /// change.
-    pub fn note(&mut self, from: NodeId, topology: Option<Topology>, now: Timestamp) {
+    pub fn record(&mut self, from: NodeId, topology: Option<Topology>, now: Timestamp) {
         match (topology, self.reports.get_mut(&from)) {
             (Some(topology), _) => {
                 let report = ReportedTopology {
@@ -173,7 +174,7 @@
     }
 
     /// Returns the control nodes that report `zone` as theirs.
-    pub fn control_in(&self, zone: &ZoneName) -> BTreeSet<NodeId> {
+    pub fn control_nodes_in_zone(&self, zone: &ZoneName) -> BTreeSet<NodeId> {
         let reports = self.reports.iter();
         let in_zone = reports.filter(|(_, report)| report.topology.zone.as_ref() == Some(zone));
         in_zone.map(|(&node, _)| node).collect()
@@ -208,12 +209,12 @@
     /// from older control nodes.
     #[n(6)]
     #[cbor(default)]
-    pub parts: Vec<ServicePart>,
+    pub subsets: Vec<ServiceSubset>,
 }
 
-/// The part of a service's engines that a gateway uses.
+/// The subset of a service's engines that a gateway uses.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct ServicePart {
+pub struct ServiceSubset {
     /// Name of the service.
     #[n(0)]
     pub service: String,
--- a/crates/fleet/src/watch.rs
+++ b/crates/fleet/src/watch.rs
@@ -33,7 +33,7 @@
     fn update(&self, from: NodeId, update: ViewUpdate);
 
     /// Called when a control node is no longer watched because it left the control group.
-    fn unwatched(&self, _node: NodeId) {}
+    fn on_unwatched(&self, _node: NodeId) {}
 
     /// Returns the version of the newest configuration that this node has; `None` if it
     /// needs no configuration.
@@ -42,14 +42,14 @@
     }
 
     /// Returns the known control nodes in the zone of this node.
-    fn near(&self) -> BTreeSet<NodeId> {
+    fn same_zone_control_nodes(&self) -> BTreeSet<NodeId> {
         BTreeSet::new()
     }
 }
 
 /// Identity of a watching node.
 #[derive(Clone, Debug)]
-pub struct Asker {
+pub struct WatcherIdentity {
     /// Identifier of the node.
     pub node: NodeId,
     /// Zone of the node.
@@ -60,7 +60,7 @@
 
 /// Watches the control nodes and passes their updates to a sink.
 pub struct ViewWatcher<S> {
-    asker: Asker,
+    identity: WatcherIdentity,
     seeds: Vec<NodeId>,
     transport: Arc<dyn PeerTransport>,
     executor: Rc<LocalExecutor<'static>>,
@@ -72,7 +72,7 @@
 impl<S: ViewSink> ViewWatcher<S> {
     /// Starts to watch the `seeds`.
     pub fn start(
-        asker: Asker,
+        identity: WatcherIdentity,
         seeds: &[NodeId],
         transport: Arc<dyn PeerTransport>,
         executor: &Rc<LocalExecutor<'static>>,
@@ -80,7 +80,7 @@
         sink: Rc<S>,
     ) -> Rc<Self> {
         let watcher = Rc::new(Self {
-            asker,
+            identity,
             seeds: seeds.to_vec(),
             transport,
             executor: executor.clone(),
@@ -99,7 +99,7 @@
         watches.retain(|node, _| {
             let keep = control.contains(node) || self.seeds.contains(node);
             if !keep {
-                self.sink.unwatched(*node);
+                self.sink.on_unwatched(*node);
             }
             keep
         });
@@ -119,11 +119,11 @@
         let mut mark = ViewMark::default();
         loop {
             let request = Request::WatchView(WatchView {
-                node: self.asker.node,
-                kind: self.asker.kind,
+                node: self.identity.node,
+                kind: self.identity.kind,
                 mark,
                 wait_ms: WATCH_WAIT.as_millis() as u32,
-                zone: Some(self.asker.zone.clone()),
+                zone: Some(self.identity.zone.clone()),
                 version: self.sink.version(),
                 told_elsewhere: self.preferred_source() != Some(node),
             });
@@ -146,12 +146,12 @@
     /// Returns the control node that should send a new configuration first: one in the
     /// same zone if possible. Watchers are distributed over the candidates by hash.
     fn preferred_source(&self) -> Option<NodeId> {
-        let near = self.sink.near();
+        let same_zone = self.sink.same_zone_control_nodes();
         let watches = self.watches.borrow();
         let watched = watches.keys().copied();
         watched.min_by_key(|node| {
-            let hash = xxh3_64_with_seed(&node.0.to_be_bytes(), u64::from(self.asker.node.0));
-            (!near.contains(node), hash)
+            let hash = xxh3_64_with_seed(&node.0.to_be_bytes(), u64::from(self.identity.node.0));
+            (!same_zone.contains(node), hash)
         })
     }
 
--- a/crates/fleet/tests/control.rs
+++ b/crates/fleet/tests/control.rs
@@ -227,14 +227,14 @@
 fn a_restarted_control_node_removes_no_gateways() {
     let mut view = TopologyView::default();
     let start = Timestamp::ZERO;
-    view.note(NodeId(1), Some(topology(7, &[4, 5], &[8, 9])), start);
+    view.record(NodeId(1), Some(topology(7, &[4, 5], &[8, 9])), start);
     // It has counted no gateway yet and has applied less.
-    view.note(NodeId(2), Some(topology(3, &[4], &[])), start);
+    view.record(NodeId(2), Some(topology(3, &[4], &[])), start);
     assert_eq!(view.current(start), topology(7, &[4, 5], &[8, 9]));
     // A node that has not applied any entries contributes gateways only.
-    view.note(NodeId(3), Some(topology(0, &[], &[9, 10])), start);
+    view.record(NodeId(3), Some(topology(0, &[], &[9, 10])), start);
     assert_eq!(view.current(start), topology(7, &[4, 5], &[8, 9, 10]));
-    view.note(NodeId(2), Some(topology(8, &[4, 5, 6], &[8])), start);
+    view.record(NodeId(2), Some(topology(8, &[4, 5, 6], &[8])), start);
     assert_eq!(view.current(start), topology(8, &[4, 5, 6], &[8, 9, 10]));
 }
 
@@ -247,12 +247,15 @@
         watch(&hub, WatcherKind::Gateway, ViewMark::default());
         hub.expire();
         let (_, update) = watch(&hub, WatcherKind::Gateway, ViewMark::default());
-        view.note(NodeId(node), update.topology, start);
+        view.record(NodeId(node), update.topology, start);
     }
     // An older version does not report its zone.
-    view.note(NodeId(4), Some(topology(1, &[], &[])), start);
-    assert_eq!(view.control_in(&"a".into()), [1, 3].map(NodeId).into());
-    assert_eq!(view.control_in(&"c".into()), BTreeSet::new());
+    view.record(NodeId(4), Some(topology(1, &[], &[])), start);
+    assert_eq!(
+        view.control_nodes_in_zone(&"a".into()),
+        [1, 3].map(NodeId).into()
+    );
+    assert_eq!(view.control_nodes_in_zone(&"c".into()), BTreeSet::new());
     assert_eq!(view.current(start).zone, None);
 }
 
@@ -261,9 +264,9 @@
     let mut view = TopologyView::default();
     let start = Timestamp::ZERO;
     let later = start + Duration::from_secs(6);
-    view.note(NodeId(1), Some(topology(7, &[4], &[8, 9])), start);
-    view.note(NodeId(2), Some(topology(6, &[], &[8])), start);
-    view.note(NodeId(2), None, later);
+    view.record(NodeId(1), Some(topology(7, &[4], &[8, 9])), start);
+    view.record(NodeId(2), Some(topology(6, &[], &[8])), start);
+    view.record(NodeId(2), None, later);
     assert_eq!(view.current(later), topology(7, &[4], &[8]));
 }
 
@@ -308,7 +311,7 @@
         control: BTreeSet::from([NodeId(1)]),
         ..Topology::default()
     };
-    view.note(NodeId(1), Some(reported), clock.now());
+    view.record(NodeId(1), Some(reported), clock.now());
     let limit = Duration::from_secs(5);
     assert!(view.is_current(limit, clock.now()));
     skipped.fetch_add(8_000_000, Ordering::Relaxed);
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/lives.rs
@@ -5,7 +5,7 @@
 
 use molespan_daemon::boot_clock::BootClock;
 use molespan_fleet::control::{Hub, Registry};
-use molespan_fleet::refusals::Refusals;
+use molespan_fleet::refusals::RefusalLog;
 use molespan_fleet::view::EngineRecord;
 use molespan_state::control::{ControlCommand, ControlMachine};
 use molespan_state::declared::{DeclaredCommand, Departure};
@@ -147,11 +147,11 @@
 
 #[test]
 fn recurring_refusals_are_counted_but_rarely_logged() {
-    let mut refusals = Refusals::default();
-    assert_eq!(refusals.note("a", "no address"), Some(1));
-    assert_eq!(refusals.note("a", "no address"), None);
-    assert_eq!(refusals.note("a", "no slots"), Some(3));
-    let many = (0..1_000_000_u64).map(|number| refusals.note(&number.to_string(), "no address"));
+    let mut refusals = RefusalLog::default();
+    assert_eq!(refusals.record("a", "no address"), Some(1));
+    assert_eq!(refusals.record("a", "no address"), None);
+    assert_eq!(refusals.record("a", "no slots"), Some(3));
+    let many = (0..1_000_000_u64).map(|number| refusals.record(&number.to_string(), "no address"));
     let logged: Vec<u64> = many.flatten().collect();
     assert!(logged.len() < 300, "{}", logged.len());
     assert_eq!(logged.last(), Some(&(1 << 19)));
--- a/crates/fleet/tests/subsets.rs
+++ b/crates/fleet/tests/subsets.rs
@@ -307,8 +307,11 @@
         fleet.send_heartbeats(count);
         fleet.hub.expire();
         for (update, _) in fleet.watch_all(gateways) {
-            let lists = update.parts.iter().filter(|part| part.engines.is_some());
-            assert_eq!(lists.count(), 0, "{count}: {:?}", update.parts);
+            let lists = update
+                .subsets
+                .iter()
+                .filter(|subset| subset.engines.is_some());
+            assert_eq!(lists.count(), 0, "{count}: {:?}", update.subsets);
             assert_eq!(update.lost, Vec::<String>::new());
         }
         fleet.wait(Duration::from_secs(1));
@@ -321,7 +324,7 @@
     fleet.advance(6, gateways, 3_000);
     fleet.marks.clear();
     for (update, _) in fleet.watch_all(gateways) {
-        let listed = update.parts[0].engines.as_ref().map(Vec::len);
+        let listed = update.subsets[0].engines.as_ref().map(Vec::len);
         assert_eq!(listed, Some(update.engines.len()));
     }
 }
@@ -507,8 +510,8 @@
         for (update, _) in fleet.watch_all(gateways) {
             let count = update.engines.len();
             assert!((1..=engines / 10).contains(&count), "{count} engines told");
-            assert_eq!(update.parts.len(), 1);
-            assert_eq!(update.parts[0].engines, None, "no engines are taken back");
+            assert_eq!(update.subsets.len(), 1);
+            assert_eq!(update.subsets[0].engines, None, "no engines are taken back");
             for engine in update.engines {
                 *known.entry(engine.id).or_default() += 1;
             }
@@ -521,7 +524,10 @@
     assert!(known.values().all(|users| *users <= 32), "{known:?}");
     fleet.advance(6, gateways, engines);
     for (update, _) in fleet.watch_all(gateways) {
-        let part = update.parts.iter().find(|part| part.engines.is_some());
-        assert_eq!(part.and_then(|part| part.users), Some(32));
+        let subset = update
+            .subsets
+            .iter()
+            .find(|subset| subset.engines.is_some());
+        assert_eq!(subset.and_then(|subset| subset.users), Some(32));
     }
 }
--- a/crates/proxy/src/gateway.rs
+++ b/crates/proxy/src/gateway.rs
@@ -12,7 +12,7 @@
 use molespan_daemon::DaemonError;
 use molespan_daemon::boot_clock::BootClock;
 use molespan_fleet::membership::cluster;
-use molespan_fleet::{Asker, ClusterAddresses, ViewWatcher};
+use molespan_fleet::{ClusterAddresses, ViewWatcher, WatcherIdentity};
 use molespan_http::h1::{self, Answer, Connection, RequestHead, Service, SocketOptions};
 use molespan_telemetry::{METRICS_CONTENT_TYPE, part_logger};
 use molespan_types::ZoneName;
@@ -117,14 +117,14 @@
         let control = cluster(wire.clone(), seeds.clone());
         let zone = options.zone.clone();
         let state = Rc::new(GatewayState::new(&options, control, jobs, logger.clone()));
-        let asker = Asker {
+        let identity = WatcherIdentity {
             node: own,
             zone,
             kind: WatcherKind::Gateway,
         };
         let watching = wire.clone();
         let sink = state.clone();
-        let _watcher = ViewWatcher::start(asker, seeds, watching, local, logger.clone(), sink);
+        let _watcher = ViewWatcher::start(identity, seeds, watching, local, logger.clone(), sink);
         exchange_work(&options.addresses, &state, wire, executor, local)?;
         local
             .spawn(watch_engine_ends(state.clone(), local.clone()))
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -10,8 +10,8 @@
 use molespan_daemon::boot_clock::BootClock;
 use molespan_daemon::cluster::Cluster;
 use molespan_fleet::ViewSink;
-use molespan_fleet::refusals::Refusals;
-use molespan_fleet::view::{EngineRecord, ServicePart, Topology, TopologyView, ViewUpdate};
+use molespan_fleet::refusals::RefusalLog;
+use molespan_fleet::view::{EngineRecord, ServiceSubset, Topology, TopologyView, ViewUpdate};
 use molespan_routing::dispatch::{
     EngineFacts, EngineTable, Picked, RelayChoice, WeightedSplit, WorkClass,
 };
@@ -121,7 +121,7 @@
     pub clock: BootClock,
     in_force: RefCell<Option<Rc<InForce>>>,
     /// Reported engines that cannot be used.
-    unusable: RefCell<Refusals>,
+    unusable: RefCell<RefusalLog>,
     topology: RefCell<Topology>,
     topology_view: RefCell<TopologyView>,
     /// Detects when this gateway is cut off from all other nodes.
@@ -297,9 +297,12 @@
     /// Returns the relay in use, if any is known.
     pub fn relay_in_use(&self) -> Option<NodeId> {
         let control = &self.topology.borrow().control;
-        let near = self.topology_view.borrow().control_in(&self.zone);
+        let same_zone = self
+            .topology_view
+            .borrow()
+            .control_nodes_in_zone(&self.zone);
         let mut choice = self.relay.borrow_mut();
-        choice.relay(self.own, control, &near, self.now())
+        choice.relay(self.own, control, &same_zone, self.now())
     }
 
     pub fn is_stopping(&self) -> bool {
@@ -435,7 +438,7 @@
     fn apply_topology(&self, from: NodeId, reported: Option<Topology>) {
         let now = self.now();
         let mut view = self.topology_view.borrow_mut();
-        view.note(from, reported, now);
+        view.record(from, reported, now);
         let topology = view.current(now);
         if *self.topology.borrow() == topology {
             return;
@@ -474,18 +477,18 @@
     fn note_unusable(&self, record: &EngineRecord) {
         self.metrics.unusable_engine();
         let mut refusals = self.unusable.borrow_mut();
-        if let Some(count) = refusals.note(&record.id, &record.address) {
+        if let Some(count) = refusals.record(&record.id, &record.address) {
             warn!(self.logger, "engine without a usable address"; "engine" => &record.id,
                 "address" => &record.address, "refused_so_far" => count);
         }
     }
 
-    fn set_subset(&self, from: NodeId, part: ServicePart) {
-        let engines: Option<BTreeSet<String>> = part.engines.map(|ids| ids.into_iter().collect());
+    fn set_subset(&self, from: NodeId, subset: ServiceSubset) {
+        let engines: Option<BTreeSet<String>> = subset.engines.map(|ids| ids.into_iter().collect());
         let mut table = self.engines.borrow_mut();
-        table.set_subset(from, &part.service, part.users, engines.as_ref());
-        info!(self.logger, "assigned part of a service"; "service" => part.service,
-            "users" => part.users, "told" => engines.map(|ids| ids.len()), "from" => from.0,
+        table.set_subset(from, &subset.service, subset.users, engines.as_ref());
+        info!(self.logger, "assigned part of a service"; "service" => subset.service,
+            "users" => subset.users, "told" => engines.map(|ids| ids.len()), "from" => from.0,
             "engines_known" => table.len());
     }
 
@@ -512,8 +515,8 @@
         for engine in update.lost {
             self.engines.borrow_mut().remove_report(from, &engine);
         }
-        for part in update.parts {
-            self.set_subset(from, part);
+        for subset in update.subsets {
+            self.set_subset(from, subset);
         }
         for (request, bar) in update.bars {
             self.apply_bar(request, bar);
@@ -521,7 +524,7 @@
         self.apply_topology(from, update.topology);
     }
 
-    fn unwatched(&self, node: NodeId) {
+    fn on_unwatched(&self, node: NodeId) {
         self.engines.borrow_mut().remove_control_node(node);
     }
 
@@ -530,8 +533,10 @@
         Some(in_force.as_ref().map_or(0, |held| held.version))
     }
 
-    fn near(&self) -> BTreeSet<NodeId> {
-        self.topology_view.borrow().control_in(&self.zone)
+    fn same_zone_control_nodes(&self) -> BTreeSet<NodeId> {
+        self.topology_view
+            .borrow()
+            .control_nodes_in_zone(&self.zone)
     }
 }
 
--- a/crates/proxy/src/work_shares.rs
+++ b/crates/proxy/src/work_shares.rs
@@ -13,7 +13,7 @@
 use futures_lite::future;
 use molespan_daemon::DaemonError;
 use molespan_daemon::cluster::{PeerTransport, WireTransport};
-use molespan_fleet::view::MOST_NAMED;
+use molespan_fleet::view::MAX_LISTED_GATEWAYS;
 use molespan_fleet::{ClusterAddresses, notification};
 use molespan_routing::dispatch::{ServiceDemand, WorkShare};
 use molespan_routing::quota::Usage;
@@ -38,7 +38,7 @@
 const BUSY_OCCUPANCY: f64 = 0.4;
 /// Maximum number of gateways that report to each other directly. The number of messages
 /// grows with the square of the number of gateways; through relays it does not.
-pub(crate) const MAX_DIRECT_GATEWAYS: u32 = MOST_NAMED as u32;
+pub(crate) const MAX_DIRECT_GATEWAYS: u32 = MAX_LISTED_GATEWAYS as u32;
 /// Unchanged work is reported again after this many intervals.
 const REPEAT_INTERVALS: u32 = 6;
 /// Minimum interval between reports of tenant usage while no tenant is close to its limit.
