--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -8,12 +8,12 @@
 
 pub mod control;
 pub mod membership;
+pub mod notification;
 pub mod refusals;
 pub mod store;
-pub mod telling;
 pub mod view;
 mod wakeup;
 mod watch;
 
 pub use membership::ClusterAddresses;
-pub use watch::{Asker, ViewSink, ViewWatcher};
+pub use watch::{ViewSink, ViewWatcher, WatcherIdentity};
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -9,8 +9,8 @@
 use molespan_http::h1::{
     self, BodyError, BodyReader, Connection, Framing, HeadError, Headers, ResponseHead,
 };
-use molespan_routing::dispatch::{Doubt, EngineFacts, Failure, Picked, WorkClass};
-use molespan_routing::reach::Sign;
+use molespan_routing::dispatch::{EngineFacts, Failure, Picked, SuspectReason, WorkClass};
+use molespan_routing::reach::ReturnEvidence;
 use molespan_state::declared::{RequestDigest, RequestParts};
 use molespan_types::{EngineLife, Timestamp};
 
@@ -198,7 +198,7 @@
                 engines.answered(&engine.id, failed, state.now());
             }
             drop(engines);
-            state.note_reached(&engine.id, began, Sign::Answer);
+            state.note_reached(&engine.id, began, ReturnEvidence::Answer);
         }
         Err(failure) => note_failure(state, &engine.id, *failure, outbound.class, began),
     }
@@ -222,7 +222,7 @@
     drop(engines);
     match failure {
         AttemptFailure::Silent => state.note_unreached(engine, began),
-        AttemptFailure::Broken => state.check_reach(engine, Doubt::Failed),
+        AttemptFailure::Broken => state.check_reach(engine, SuspectReason::Failed),
         AttemptFailure::Unreachable | AttemptFailure::Withheld => {}
     }
 }
--- a/crates/proxy/src/reach.rs
+++ b/crates/proxy/src/reach.rs
@@ -12,8 +12,8 @@
 use async_io::Timer;
 use futures_lite::future;
 use molespan_http::h1::{self, SocketOptions};
-use molespan_routing::dispatch::{Doubt, Failure, Probe, Teller};
-use molespan_routing::reach::{Change, Evidence, ReachRelay, ReachTelling, Sign};
+use molespan_routing::dispatch::{Failure, Probe, ReportSource, SuspectReason};
+use molespan_routing::reach::{Change, Evidence, ReachRelay, ReachReport, ReturnEvidence};
 use molespan_types::{NodeId, Timestamp};
 use slog::{info, warn};
 
@@ -48,9 +48,12 @@
 
 impl GatewayState {
     /// Checks whether the zone of an engine that may be unreachable is unreachable.
-    pub fn check_reach(&self, engine: &str, doubt: Doubt) {
+    pub fn check_reach(&self, engine: &str, reason: SuspectReason) {
         let now = self.now();
-        let probes = self.engines.borrow_mut().doubt(engine, doubt, now);
+        let probes = self
+            .engines
+            .borrow_mut()
+            .probes_for_suspect(engine, reason, now);
         if !probes.is_empty() {
             self.queue_probes(probes);
         }
@@ -68,35 +71,39 @@
     /// Records that an attempt that started at `began` did not reach an engine.
     pub fn note_unreached(&self, engine: &str, began: Timestamp) {
         let now = self.now();
-        self.engines.borrow_mut().unreached(engine, began, now);
+        self.engines
+            .borrow_mut()
+            .record_unreachable(engine, began, now);
         self.note_reach_changes();
-        self.check_reach(engine, Doubt::Failed);
+        self.check_reach(engine, SuspectReason::Failed);
     }
 
     /// Records that an attempt that started at `began` reached an engine.
-    pub fn note_reached(&self, engine: &str, began: Timestamp, by: Sign) {
+    pub fn note_reached(&self, engine: &str, began: Timestamp, by: ReturnEvidence) {
         let now = self.now();
-        self.engines.borrow_mut().reached(engine, began, by, now);
+        self.engines
+            .borrow_mut()
+            .record_reachable(engine, began, by, now);
         self.note_reach_changes();
     }
 
     /// Records a report of unreachable zones from another gateway, or from a relay for all
     /// others.
-    pub fn apply_reach_report(&self, from: NodeId, relayed: bool, report: Vec<ReachTelling>) {
+    pub fn apply_reach_report(&self, from: NodeId, relayed: bool, report: Vec<ReachReport>) {
         let now = self.now();
         let report = match relayed {
             true => report.into_iter().next(),
             false => {
                 let mut all = self.reach.reports.borrow_mut();
                 all.expire(now);
-                all.note(from, Teller::Gateway, report, now);
+                all.note(from, ReportSource::Gateway, report, now);
                 all.for_gateway(self.own, self.zone())
             }
         };
         let Some(report) = report else {
             return;
         };
-        let probes = self.engines.borrow_mut().note_reach_told(&report, now);
+        let probes = self.engines.borrow_mut().record_reach_report(&report, now);
         self.note_reach_changes();
         if !probes.is_empty() {
             self.queue_probes(probes);
@@ -105,7 +112,7 @@
 
     /// Waits until this gateway finds the zone of an engine unreachable.
     pub async fn wait_until_unreachable(&self, engine: &str) {
-        while !self.engines.borrow().was_found_out_of_reach(engine) {
+        while !self.engines.borrow().is_zone_found_unreachable(engine) {
             let zone_lost = self.reach.zone_lost.borrow().1.clone();
             let _closed = zone_lost.recv().await;
         }
@@ -120,7 +127,7 @@
         for change in changes {
             self.note_reach_change(change);
         }
-        let out = self.engines.borrow().zones_out_of_reach();
+        let out = self.engines.borrow().unreachable_zones();
         self.metrics.reach.set_unreachable_zones(out.len());
     }
 
@@ -164,7 +171,7 @@
                 warn!(self.logger, "zone out of reach"; "zone" => zone, "evidence" => "own",
                     "failed_hosts" => failed, "of" => of, "age_ms" => age.as_millis() as u64);
             }
-            Evidence::Told { by } => {
+            Evidence::Reported { by } => {
                 warn!(self.logger, "zone out of reach"; "zone" => zone, "evidence" => "told",
                     "gateways" => by);
             }
@@ -176,7 +183,7 @@
 pub(crate) async fn watch_reach(state: Rc<GatewayState>, local: Rc<LocalExecutor<'static>>) {
     loop {
         let asked = async { state.reach.probes.1.recv().await.unwrap_or_default() };
-        let out = !state.engines.borrow().zones_out_of_reach().is_empty();
+        let out = !state.engines.borrow().unreachable_zones().is_empty();
         let probes = match out {
             true => future::or(asked, due_probes(&state)).await,
             false => asked.await,
@@ -210,11 +217,11 @@
         Ok(_closed_again) => {
             let took = now.since(began);
             state.engines.borrow_mut().connected(&engine, took);
-            state.note_reached(&engine, began, Sign::Connect);
+            state.note_reached(&engine, began, ReturnEvidence::Connect);
         }
         Err(_) => {
             let mut engines = state.engines.borrow_mut();
-            if !engines.is_out_of_reach(&engine) {
+            if !engines.is_zone_avoided(&engine) {
                 engines.failed(&engine, Failure::Unreachable, now);
             }
             drop(engines);
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -10,15 +10,15 @@
 use molespan_daemon::boot_clock::BootClock;
 use molespan_daemon::cluster::Cluster;
 use molespan_fleet::ViewSink;
-use molespan_fleet::refusals::Refusals;
-use molespan_fleet::view::{EngineRecord, ServicePart, Topology, TopologyView, ViewUpdate};
+use molespan_fleet::refusals::RefusalLog;
+use molespan_fleet::view::{EngineRecord, ServiceSubset, Topology, TopologyView, ViewUpdate};
 use molespan_routing::dispatch::{
     EngineFacts, EngineTable, Picked, RelayChoice, WeightedSplit, WorkClass,
 };
-use molespan_routing::hearing::Hearing;
+use molespan_routing::isolation::IsolationDetector;
 use molespan_routing::queue::Limits;
 use molespan_routing::quota::TenantTable;
-use molespan_routing::renewal::{Change, Renewal};
+use molespan_routing::renewal::{Renewal, SendingChange};
 use molespan_routing::suspects::SuspectTable;
 use molespan_state::declared::{Route, RouteKind, ServingModel};
 use molespan_types::{NodeId, Timestamp, ZoneName};
@@ -121,11 +121,11 @@
     pub clock: BootClock,
     in_force: RefCell<Option<Rc<InForce>>>,
     /// Reported engines that cannot be used.
-    unusable: RefCell<Refusals>,
+    unusable: RefCell<RefusalLog>,
     topology: RefCell<Topology>,
     topology_view: RefCell<TopologyView>,
-    /// When other nodes were last heard from.
-    pub hearing: Cell<Hearing>,
+    /// Detects when this gateway is cut off from all other nodes.
+    pub isolation: Cell<IsolationDetector>,
     /// Signalled to send a report to the other gateways early.
     report_requests: (Sender<()>, Receiver<()>),
     /// Whether a planned stop has begun.
@@ -171,7 +171,7 @@
             unusable: RefCell::default(),
             topology: RefCell::default(),
             topology_view: RefCell::default(),
-            hearing: Cell::default(),
+            isolation: Cell::default(),
             report_requests: async_channel::bounded(1),
             stopping: Cell::new(false),
             closing_idle: async_channel::bounded(1),
@@ -244,13 +244,13 @@
             return true;
         }
         self.log_renewal_change();
-        self.renewal.get().may_start(self.now())
+        self.renewal.get().may_send(self.now())
     }
 
-    /// Records that the batch group answered a call that began at `asked`.
-    pub fn renewed(&self, asked: Timestamp) {
+    /// Records that the batch group answered a call that began at `called`.
+    pub fn renewed(&self, called: Timestamp) {
         let mut renewal = self.renewal.get();
-        renewal.note(asked);
+        renewal.record_answer(called);
         self.renewal.set(renewal);
         self.log_renewal_change();
     }
@@ -261,12 +261,12 @@
         let change = renewal.change(self.now());
         self.renewal.set(renewal);
         match change {
-            Some(Change::HeldBack(silence)) => {
+            Some(SendingChange::HeldBack(silence)) => {
                 warn!(self.logger, "batch items held back, the stores are silent";
                     "silence_ms" => silence.as_millis() as u64);
                 self.metrics.batch_held_back();
             }
-            Some(Change::Resumed) => info!(self.logger, "batch items go on"),
+            Some(SendingChange::Resumed) => info!(self.logger, "batch items go on"),
             None => {}
         }
     }
@@ -297,9 +297,12 @@
     /// Returns the relay in use, if any is known.
     pub fn relay_in_use(&self) -> Option<NodeId> {
         let control = &self.topology.borrow().control;
-        let near = self.topology_view.borrow().control_in(&self.zone);
+        let same_zone = self
+            .topology_view
+            .borrow()
+            .control_nodes_in_zone(&self.zone);
         let mut choice = self.relay.borrow_mut();
-        choice.relay(self.own, control, &near, self.now())
+        choice.relay(self.own, control, &same_zone, self.now())
     }
 
     pub fn is_stopping(&self) -> bool {
@@ -350,7 +353,7 @@
 
     /// Counts a request as waiting for an engine of a service until the guard is dropped.
     pub fn count_waiting_request(self: &Rc<Self>, service: &str) -> WaitingGuard {
-        self.engines.borrow_mut().begins_to_wait(service);
+        self.engines.borrow_mut().start_waiting(service);
         WaitingGuard {
             state: self.clone(),
             service: service.to_owned(),
@@ -393,11 +396,11 @@
         self.engines.borrow_mut().answered(engine, true, now);
     }
 
-    /// Records that another node was heard from.
-    pub fn note_heard(&self) {
-        let mut hearing = self.hearing.get();
-        hearing.note(self.now());
-        self.hearing.set(hearing);
+    /// Records a message from another node.
+    pub fn record_node_message(&self) {
+        let mut isolation = self.isolation.get();
+        isolation.record_message(self.now());
+        self.isolation.set(isolation);
     }
 
     /// Requests that changes here are reported to other gateways at once.
@@ -435,7 +438,7 @@
     fn apply_topology(&self, from: NodeId, reported: Option<Topology>) {
         let now = self.now();
         let mut view = self.topology_view.borrow_mut();
-        view.note(from, reported, now);
+        view.record(from, reported, now);
         let topology = view.current(now);
         if *self.topology.borrow() == topology {
             return;
@@ -453,7 +456,7 @@
         *self.topology.borrow_mut() = topology;
     }
 
-    fn learn(&self, from: NodeId, record: EngineRecord) {
+    fn add_engine(&self, from: NodeId, record: EngineRecord) {
         let Ok(address) = record.address.parse() else {
             self.note_unusable(&record);
             return;
@@ -466,7 +469,7 @@
             slots: record.slots.max(1),
         };
         let now = self.now();
-        self.engines.borrow_mut().learn(from, facts, now);
+        self.engines.borrow_mut().add_engine(from, facts, now);
     }
 
     /// Counts an engine record without a usable address; control nodes of an older release
@@ -474,18 +477,18 @@
     fn note_unusable(&self, record: &EngineRecord) {
         self.metrics.unusable_engine();
         let mut refusals = self.unusable.borrow_mut();
-        if let Some(count) = refusals.note(&record.id, &record.address) {
+        if let Some(count) = refusals.record(&record.id, &record.address) {
             warn!(self.logger, "engine without a usable address"; "engine" => &record.id,
                 "address" => &record.address, "refused_so_far" => count);
         }
     }
 
-    fn use_part(&self, from: NodeId, part: ServicePart) {
-        let engines: Option<BTreeSet<String>> = part.engines.map(|ids| ids.into_iter().collect());
+    fn set_subset(&self, from: NodeId, subset: ServiceSubset) {
+        let engines: Option<BTreeSet<String>> = subset.engines.map(|ids| ids.into_iter().collect());
         let mut table = self.engines.borrow_mut();
-        table.use_part(from, &part.service, part.users, engines.as_ref());
-        info!(self.logger, "assigned part of a service"; "service" => part.service,
-            "users" => part.users, "told" => engines.map(|ids| ids.len()), "from" => from.0,
+        table.set_subset(from, &subset.service, subset.users, engines.as_ref());
+        info!(self.logger, "assigned part of a service"; "service" => subset.service,
+            "users" => subset.users, "told" => engines.map(|ids| ids.len()), "from" => from.0,
             "engines_known" => table.len());
     }
 
@@ -499,7 +502,7 @@
 
 impl ViewSink for GatewayState {
     fn update(&self, from: NodeId, update: ViewUpdate) {
-        self.note_heard();
+        self.record_node_message();
         if let Some(configuration) = update.configuration {
             self.apply_configuration(configuration.version, configuration.model);
         }
@@ -507,13 +510,13 @@
             self.depart(&engine);
         }
         for record in update.engines {
-            self.learn(from, record);
+            self.add_engine(from, record);
         }
         for engine in update.lost {
-            self.engines.borrow_mut().lose(from, &engine);
+            self.engines.borrow_mut().remove_report(from, &engine);
         }
-        for part in update.parts {
-            self.use_part(from, part);
+        for subset in update.subsets {
+            self.set_subset(from, subset);
         }
         for (request, bar) in update.bars {
             self.apply_bar(request, bar);
@@ -521,8 +524,8 @@
         self.apply_topology(from, update.topology);
     }
 
-    fn unwatched(&self, node: NodeId) {
-        self.engines.borrow_mut().forget_teller(node);
+    fn on_unwatched(&self, node: NodeId) {
+        self.engines.borrow_mut().remove_control_node(node);
     }
 
     fn version(&self) -> Option<u64> {
@@ -530,8 +533,10 @@
         Some(in_force.as_ref().map_or(0, |held| held.version))
     }
 
-    fn near(&self) -> BTreeSet<NodeId> {
-        self.topology_view.borrow().control_in(&self.zone)
+    fn same_zone_control_nodes(&self) -> BTreeSet<NodeId> {
+        self.topology_view
+            .borrow()
+            .control_nodes_in_zone(&self.zone)
     }
 }
 
@@ -573,7 +578,7 @@
 impl Drop for WaitingGuard {
     fn drop(&mut self) {
         let mut engines = self.state.engines.borrow_mut();
-        engines.ends_to_wait(&self.service);
+        engines.stop_waiting(&self.service);
     }
 }
 
@@ -611,7 +616,7 @@
     pub fn note_events(&self, events: u32, took: Duration) {
         let now = self.state.now();
         let mut engines = self.state.engines.borrow_mut();
-        engines.heard(&self.engine, events, took, now);
+        engines.record_answer_events(&self.engine, events, took, now);
     }
 
     /// Returns the current time, on the clock of the engine table.
@@ -639,7 +644,7 @@
             engines.note_slot_time(&self.service, held);
         }
         if self.class == WorkClass::Online && self.is_serving.get() {
-            engines.note_time_at(&self.engine, now.since(self.started), now);
+            engines.record_time_at_engine(&self.engine, now.since(self.started), now);
         }
         drop(engines);
         match (&self.queue, held) {
--- a/crates/proxy/src/work_shares.rs
+++ b/crates/proxy/src/work_shares.rs
@@ -13,11 +13,11 @@
 use futures_lite::future;
 use molespan_daemon::DaemonError;
 use molespan_daemon::cluster::{PeerTransport, WireTransport};
-use molespan_fleet::view::MOST_NAMED;
-use molespan_fleet::{ClusterAddresses, telling};
+use molespan_fleet::view::MAX_LISTED_GATEWAYS;
+use molespan_fleet::{ClusterAddresses, notification};
 use molespan_routing::dispatch::{ServiceDemand, WorkShare};
 use molespan_routing::quota::Usage;
-use molespan_routing::reach::ReachTelling;
+use molespan_routing::reach::ReachReport;
 use molespan_routing::suspects::Blame;
 use molespan_types::{NodeId, RunOutcome, Timestamp};
 use molespan_wire::{Handler, Request, Response, Server, ServerLimits};
@@ -38,7 +38,7 @@
 const BUSY_OCCUPANCY: f64 = 0.4;
 /// Maximum number of gateways that report to each other directly. The number of messages
 /// grows with the square of the number of gateways; through relays it does not.
-pub(crate) const MAX_DIRECT_GATEWAYS: u32 = MOST_NAMED as u32;
+pub(crate) const MAX_DIRECT_GATEWAYS: u32 = MAX_LISTED_GATEWAYS as u32;
 /// Unchanged work is reported again after this many intervals.
 const REPEAT_INTERVALS: u32 = 6;
 /// Minimum interval between reports of tenant usage while no tenant is close to its limit.
@@ -52,7 +52,7 @@
     shares: Vec<WorkShare>,
     usage: Option<Usage>,
     blames: Vec<Blame>,
-    reach: Vec<ReachTelling>,
+    reach: Vec<ReachReport>,
     demand: Option<Vec<ServiceDemand>>,
     relayed: bool,
 }
@@ -83,16 +83,20 @@
             demand,
             ..
         } = request
-            && let Some(shares) = telling::read(&self.logger, from, "work", &shares)
+            && let Some(shares) = notification::decode_or_log(&self.logger, from, "work", &shares)
         {
-            let usage =
-                usage.and_then(|usage| telling::read(&self.logger, from, "use of limits", &usage));
-            let blames =
-                blames.and_then(|blames| telling::read(&self.logger, from, "blames", &blames));
-            let reach = reach
-                .and_then(|reach| telling::read(&self.logger, from, "zones out of reach", &reach));
-            let demand =
-                demand.and_then(|demand| telling::read(&self.logger, from, "demand", &demand));
+            let usage = usage.and_then(|usage| {
+                notification::decode_or_log(&self.logger, from, "use of limits", &usage)
+            });
+            let blames = blames.and_then(|blames| {
+                notification::decode_or_log(&self.logger, from, "blames", &blames)
+            });
+            let reach = reach.and_then(|reach| {
+                notification::decode_or_log(&self.logger, from, "zones out of reach", &reach)
+            });
+            let demand = demand.and_then(|demand| {
+                notification::decode_or_log(&self.logger, from, "demand", &demand)
+            });
             let report = PeerReport {
                 from,
                 shares,
@@ -136,9 +140,9 @@
     let mut by_demand = false;
     while let Ok(report) = reports.recv().await {
         let now = state.now();
-        state.note_heard();
+        state.record_node_message();
         if report.relayed {
-            state.relay.borrow_mut().heard(report.from, now);
+            state.relay.borrow_mut().record_message(report.from, now);
         }
         if let Some(usage) = report.usage {
             let mut tenants = state.tenants.borrow_mut();
@@ -170,7 +174,7 @@
 
 /// Logs a change of whether capacity is shared by demand, and returns the new value.
 fn log_sharing_change(state: &GatewayState, before: bool) -> bool {
-    let by_demand = state.engines.borrow().hears_demand(state.now());
+    let by_demand = state.engines.borrow().has_demand_reports(state.now());
     if by_demand != before {
         info!(state.logger, "sharing of engine capacity changed"; "by_demand" => by_demand);
     }
@@ -210,7 +214,7 @@
         unchanged = if shares == before { unchanged + 1 } else { 0 };
         let now = state.now();
         let usage = state.has_tenants() && (short || now.since(usage_reported) >= USAGE_INTERVAL);
-        let reach = state.engines.borrow().reach_telling();
+        let reach = state.engines.borrow().reach_report();
         let reach_changed = reach != reported_reach;
         let has_news = usage || reach_changed || state.suspects.borrow().has_news();
         if unchanged % REPEAT_INTERVALS != 0 && !has_news {
@@ -251,7 +255,7 @@
     let now = state.now();
     let mut suspects = state.suspects.borrow_mut();
     suspects.expire(now);
-    let blames = suspects.tell(now);
+    let blames = suspects.blames_to_send(now);
     (!blames.is_empty()).then(|| molespan_state::encode(&blames))
 }
 
@@ -259,7 +263,7 @@
 fn export_demand(state: &GatewayState, demands: &[ServiceDemand], now: Timestamp) {
     let engines = state.engines.borrow();
     for demand in demands {
-        let part = engines.part_by_demand(&demand.service, now);
+        let part = engines.share_by_demand(&demand.service, now);
         state.metrics.capacity.set_demand(demand, part);
     }
 }
--- a/crates/routing/src/dispatch/pace.rs
+++ b/crates/routing/src/dispatch/pace.rs
@@ -10,9 +10,9 @@
 
 use molespan_types::Timestamp;
 
-use super::engine::{Engine, SHARE_HOLDS};
+use super::engine::{Engine, SHARE_TTL};
 use super::table::EngineTable;
-use crate::decay::FadingSum;
+use crate::decay::DecayingSum;
 
 /// Time for which a computed pace is cached if there is no new observation: waiting
 /// requests check many times a second.
@@ -47,15 +47,15 @@
 /// Times between events at the engines of one service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EventIntervals {
-    events: FadingSum,
-    seconds: FadingSum,
+    events: DecayingSum,
+    seconds: DecayingSum,
 }
 
 impl Default for EventIntervals {
     fn default() -> Self {
         Self {
-            events: FadingSum::new(BASELINE_DECAY),
-            seconds: FadingSum::new(BASELINE_DECAY),
+            events: DecayingSum::new(BASELINE_DECAY),
+            seconds: DecayingSum::new(BASELINE_DECAY),
         }
     }
 }
@@ -126,9 +126,9 @@
 /// Pace estimate of one engine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Pace {
-    events: FadingSum,
+    events: DecayingSum,
     /// Sum of the paces of those events.
-    paces: FadingSum,
+    paces: DecayingSum,
     reported: Option<ReportedPace>,
     /// Mean pace that the engine reports. A pace that it always reports is its baseline.
     mean_reported: f64,
@@ -140,8 +140,8 @@
 impl Default for Pace {
     fn default() -> Self {
         Self {
-            events: FadingSum::new(EVENT_DECAY),
-            paces: FadingSum::new(EVENT_DECAY),
+            events: DecayingSum::new(EVENT_DECAY),
+            paces: DecayingSum::new(EVENT_DECAY),
             reported: None,
             mean_reported: 1.0,
             baseline: 1.0,
@@ -217,7 +217,7 @@
     pub fn update_baseline(&mut self, others: WeightedPace, now: Timestamp) {
         let observed = self.own(now).weight + others.weight;
         // Time without observations does not count: the pace may have differed then.
-        let age = now.since(self.baseline_at).min(SHARE_HOLDS).as_secs_f64();
+        let age = now.since(self.baseline_at).min(SHARE_TTL).as_secs_f64();
         self.baseline_at = now;
         if observed < BASELINE_WEIGHT {
             return;
@@ -229,7 +229,7 @@
 
 /// Returns the remaining weight of a report of this age, from 1 down to 0.
 fn remaining_weight(age: Duration) -> f64 {
-    match age < SHARE_HOLDS {
+    match age < SHARE_TTL {
         true => (-age.as_secs_f64() / REPORT_DECAY.as_secs_f64()).exp(),
         false => 0.0,
     }
@@ -258,7 +258,7 @@
     }
 
     /// Records a number of events of an answer that came from an engine within a time.
-    pub fn heard(&mut self, id: &str, events: u32, took: Duration, now: Timestamp) {
+    pub fn record_answer_events(&mut self, id: &str, events: u32, took: Duration, now: Timestamp) {
         let Some(engine) = self.engines.get_mut(id) else {
             return;
         };
--- a/crates/routing/src/dispatch/short.rs
+++ b/crates/routing/src/dispatch/short.rs
@@ -15,7 +15,7 @@
 use super::engine::{Engine, Failure};
 use super::room::START_VISIBILITY_DELAY;
 use super::table::{EngineTable, Pick, Standing};
-use crate::decay::FadingSum;
+use crate::decay::DecayingSum;
 
 /// Weight of the latest request in the mean.
 const LATEST_WEIGHT: f64 = 1.0 / 32.0;
@@ -48,14 +48,14 @@
 /// Detects whether requests of a service recently found engines without capacity.
 #[derive(Clone, Copy, Debug)]
 pub struct Shortage {
-    rejections: FadingSum,
+    rejections: DecayingSum,
     short: bool,
 }
 
 impl Default for Shortage {
     fn default() -> Self {
         Self {
-            rejections: FadingSum::new(SHORTAGE_DECAY),
+            rejections: DecayingSum::new(SHORTAGE_DECAY),
             short: false,
         }
     }
@@ -121,7 +121,7 @@
 impl EngineTable {
     /// Records the time from sending an online request to an engine until its complete
     /// answer, including the wait there.
-    pub fn note_time_at(&mut self, id: &str, took: Duration, now: Timestamp) {
+    pub fn record_time_at_engine(&mut self, id: &str, took: Duration, now: Timestamp) {
         let others_report = self.others_report(now);
         let Some(engine) = self.engines.get(id) else {
             return;
