--- a/crates/consensus/src/config.rs
+++ b/crates/consensus/src/config.rs
@@ -6,38 +6,41 @@
 /// [`Replica::tick`](crate::Replica::tick).
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// Identity of this life of the replica.
+    /// Identifier of this incarnation of the replica.
     pub id: ReplicaId,
-    /// Shortest time without a leader before an election. The actual timeout
-    /// is drawn from `election_ticks..2 * election_ticks`.
+    /// Minimum election timeout. The actual timeout is drawn at random from
+    /// `election_ticks..2 * election_ticks`.
     pub election_ticks: u32,
-    /// Time between two heartbeats of a leader.
+    /// Interval between heartbeats of a leader.
     pub heartbeat_ticks: u32,
-    /// Most bytes of entries in one append request; a larger entry goes alone.
+    /// Maximum bytes of entries in one append request. An entry larger than this
+    /// is sent alone.
     pub max_append_bytes: usize,
-    /// Most append requests sent to a follower ahead of its answers.
+    /// Maximum unacknowledged append requests per follower.
     pub max_in_flight_appends: usize,
-    /// Most bytes of uncommitted entries before a leader refuses proposals.
+    /// Maximum bytes of uncommitted entries; beyond it a leader rejects proposals.
     pub max_uncommitted_bytes: usize,
-    /// Most bytes of committed entries in one `Ready`; a larger entry goes alone.
+    /// Maximum bytes of committed entries in one `Ready`. An entry larger than
+    /// this is returned alone.
     pub max_committed_bytes: usize,
-    /// Most reads that wait for confirmation.
+    /// Maximum reads waiting for confirmation.
     pub max_pending_reads: usize,
-    /// Entries kept behind a snapshot for followers that are a little behind.
+    /// Maximum entries kept in memory after a snapshot contains them, so that
+    /// slightly lagging followers need no snapshot.
     pub trailing_entries: usize,
-    /// Bound in bytes on the entries kept behind a snapshot.
+    /// Maximum total bytes of the entries kept for lagging followers.
     pub trailing_bytes: usize,
-    /// Heartbeats that a follower answers before a snapshot is offered again.
+    /// Heartbeat responses of a follower after which a snapshot is offered again.
     pub snapshot_retry_heartbeats: u32,
-    /// Whether an election starts with a pre-vote. Only an exploration that
-    /// wants short traces turns it off.
+    /// Whether an election starts with a pre-vote. Only state-space explorations
+    /// disable it, to keep their traces short.
     pub pre_vote: bool,
-    /// Seed of the random election timeouts.
+    /// Seed for the random election timeouts.
     pub seed: u64,
 }
 
 impl Config {
-    /// Default settings for the replica `id`, with the identity as seed.
+    /// Returns the default settings for the replica `id`, with `id` as the seed.
     #[must_use]
     pub fn new(id: ReplicaId) -> Self {
         Self {
@@ -57,10 +60,10 @@
         }
     }
 
-    /// Checks that the settings can work together.
+    /// Checks that the settings are valid and consistent with each other.
     ///
     /// # Errors
-    /// [`ConsensusError::InvalidConfig`] with the names of all faulty settings.
+    /// [`ConsensusError::InvalidConfig`] with the names of all invalid settings.
     pub fn validate(&self) -> Result<(), ConsensusError> {
         let checks = [
             ("heartbeat_ticks", self.heartbeat_ticks > 0),
--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -4,26 +4,26 @@
 
 use crate::{Index, Membership, Term};
 
-/// Bytes that an entry takes beside its command, in memory and in a message.
+/// Approximate overhead of an entry beyond its content, in memory and in a message.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// Bytes that each member of a membership entry takes.
+/// Approximate size of one member in a membership entry.
 const MEMBER_BYTES: usize = 10;
 
-/// What an entry carries.
+/// The content of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum EntryKind {
-    /// Nothing: a leader starts its term with such an entry.
+    /// No content. A leader appends such an entry at the start of its term.
     #[n(0)]
     Empty,
-    /// A command of the replicated state machine.
+    /// A command for the replicated state machine.
     #[n(1)]
     Command(
         #[n(0)]
         #[cbor(with = "minicbor::bytes")]
         Vec<u8>,
     ),
-    /// The members of the group, in force from the moment of appending.
+    /// The members of the group, which take effect as soon as the entry is appended.
     #[n(2)]
     Membership(#[n(0)] Membership),
 }
@@ -43,7 +43,7 @@
 }
 
 impl Entry {
-    /// Approximate size in bytes, in memory and in a message.
+    /// Returns the approximate size in bytes, in memory and in a message.
     #[must_use]
     pub fn size(&self) -> usize {
         let content = match &self.kind {
--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -4,24 +4,24 @@
 
 use crate::{Index, ReplicaId, Term};
 
-/// Why a replica cannot start, or a message cannot be decoded.
+/// An error while starting a replica or decoding a message.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum ConsensusError {
-    /// Settings that cannot work.
+    /// The settings are invalid.
     #[display("settings out of range: {}", settings.join(", "))]
     InvalidConfig {
-        /// Names of the faulty settings.
+        /// Names of the invalid settings.
         settings: Vec<&'static str>,
     },
-    /// The stored entries do not follow each other or the snapshot.
+    /// The stored entries are not contiguous with each other or with the snapshot.
     #[display("the stored log has a gap: expected entry {expected}, found {found}")]
     LogGap {
-        /// Index that should come next.
+        /// Expected index.
         expected: Index,
-        /// Index that was found.
+        /// Index found instead.
         found: Index,
     },
-    /// The stored terms fall along the log, or exceed the stored term.
+    /// The terms of the stored entries decrease, or exceed the stored current term.
     #[display("the stored entry {index} has term {term} out of order")]
     TermOutOfOrder {
         /// Index of the entry.
@@ -29,107 +29,108 @@
         /// Its term.
         term: Term,
     },
-    /// The stored commit index lies behind the end of the stored log.
-    #[display("the stored commit index {commit} is behind the last stored entry {last}")]
+    /// The stored commit index is beyond the end of the stored log.
+    #[display("the stored commit index {commit} is beyond the last stored entry {last}")]
     CommitBeyondLog {
         /// Stored commit index.
         commit: Index,
         /// Index of the last stored entry.
         last: Index,
     },
-    /// Bytes that are no message.
+    /// The bytes are not a valid message.
     #[display("cannot decode a consensus message: {reason}")]
     Decode {
-        /// What the decoder said.
+        /// The decoder's error message.
         reason: String,
     },
 }
 
-/// Why a proposal, a membership change or a transfer was refused. Nothing was
-/// appended to the log.
+/// Why a proposal, a membership change or a leadership transfer was rejected.
+/// Nothing was appended to the log.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum ProposeError {
-    /// Another replica may be the leader.
+    /// This replica is not the leader.
     #[display("this replica is not the leader")]
     NotLeader {
-        /// The leader, when known.
+        /// The leader, if known.
         leader: Option<ReplicaId>,
     },
-    /// Too many bytes wait to be committed; try again later.
+    /// Too many bytes are uncommitted; retry later.
     #[display("too many uncommitted bytes")]
     Busy,
-    /// Leadership is on its way to another replica; try again later.
+    /// A leadership transfer is in progress; retry later.
     #[display("leadership is being transferred")]
     TransferInProgress,
-    /// An earlier membership change is not finished.
+    /// An earlier membership change is still in progress.
     #[display("another membership change is open")]
     ChangeInProgress,
-    /// The leader has not committed an entry of its term yet; try again later.
+    /// The leader has not yet committed an entry of its term; retry later.
     #[display("the leader has not committed an entry of its term yet")]
     TermNotCommitted,
-    /// The replacement has not durably caught up; try again later.
+    /// The replacement has not durably stored all committed entries; retry later.
     #[display("replica {replica} has not caught up")]
     NotCaughtUp {
-        /// The replica that lags.
+        /// The lagging replica.
         replica: ReplicaId,
     },
-    /// The change names a replica that is not a voter.
+    /// The replica to remove or to transfer leadership to is not a voter.
     #[display("replica {replica} is not a voter")]
     NotAVoter {
         /// The replica.
         replica: ReplicaId,
     },
-    /// The change names a replica that is not a learner.
+    /// The replica to remove or promote is not a learner.
     #[display("replica {replica} is not a learner")]
     NotALearner {
         /// The replica.
         replica: ReplicaId,
     },
-    /// The change adds a replica that is a member already.
-    #[display("replica {replica} is a member already")]
+    /// The replica to add is already a member.
+    #[display("replica {replica} is already a member")]
     AlreadyMember {
         /// The replica.
         replica: ReplicaId,
     },
-    /// The change would leave the group without voters, or list a replica both
-    /// as voter and learner.
+    /// The change would leave the group without voters, or make a replica both
+    /// voter and learner.
     #[display("the membership is not valid")]
     InvalidMembership,
 }
 
-/// Why a read was refused.
+/// Why a read was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum ReadError {
-    /// Another replica may be the leader.
+    /// This replica is not the leader.
     #[display("this replica is not the leader")]
     NotLeader {
-        /// The leader, when known.
+        /// The leader, if known.
         leader: Option<ReplicaId>,
     },
-    /// Too many reads wait for confirmation; try again later.
+    /// Too many reads are waiting for confirmation; retry later.
     #[display("too many pending reads")]
     Busy,
 }
 
-/// A contradiction that must not be papered over. The replica stops taking
-/// part; an operator has to look at it, and its disk should be replaced.
+/// An inconsistency with the leader's log that the replica cannot recover from.
+/// The replica stops participating; an operator has to investigate, and its disk
+/// should be replaced.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Display, Error)]
 pub enum Fault {
-    /// The leader's log differs from an entry that is committed here.
+    /// The leader's log conflicts with an entry that is committed on this replica.
     #[display("entry {index} is committed with term {committed}, but the leader has term {told}")]
     CommittedEntryConflict {
         /// Index of the entry.
         index: Index,
-        /// Term of the entry committed here.
+        /// Term of the committed entry.
         committed: Term,
         /// Term of the leader's entry.
         told: Term,
     },
-    /// The leader holds acknowledgements of this replica for entries that it
-    /// does not have: its disk was rolled back.
+    /// The leader has received acknowledgements from this replica for entries that
+    /// the replica no longer has, so its disk was rolled back.
     #[display("entry {acknowledged} was acknowledged, but the log ends at {last}")]
     AcknowledgedEntriesLost {
-        /// An index that the leader has on record as acknowledged.
+        /// An index that the leader recorded as acknowledged.
         acknowledged: Index,
         /// Index of the last entry.
         last: Index,
--- a/crates/consensus/src/explore/check.rs
+++ b/crates/consensus/src/explore/check.rs
@@ -1,4 +1,4 @@
-//! Invariants of a group, and the record of what they rest on.
+//! Invariants of a group, and the history needed to check them.
 
 use std::collections::BTreeMap;
 
@@ -7,44 +7,44 @@
 use super::node::Node;
 use crate::{Entry, EntryKind, Index, Membership, ReplicaId, Role, Term};
 
-/// What must hold in every state.
+/// A property that must hold in every state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
 pub enum Invariant {
-    /// A term has at most one leader.
+    /// At most one leader per term.
     #[display("election safety")]
     ElectionSafety,
-    /// Logs that agree in an entry agree in all before it.
+    /// If two logs agree on an entry, they agree on all preceding entries.
     #[display("log matching")]
     LogMatching,
-    /// A leader holds every entry committed before its term.
+    /// A leader's log contains every entry committed in its term or an earlier one.
     #[display("leader completeness")]
     LeaderCompleteness,
-    /// Replicas apply the same entry at the same position.
+    /// All replicas apply the same entry at each position.
     #[display("state machine safety")]
     StateMachineSafety,
-    /// A committed entry is synced on a quorum.
+    /// Every committed entry remains synced on a quorum.
     #[display("committed entries stay")]
     CommittedStay,
-    /// What was synced is a whole log.
+    /// The synced state forms a valid log without gaps.
     #[display("whole log")]
     WholeLog,
-    /// No replica finds a contradiction in what it is told.
+    /// No replica stops with a [`Fault`](crate::Fault).
     #[display("no contradiction")]
     NoContradiction,
 }
 
-/// What was seen on the way to a state.
+/// Leaders, applied entries and disk losses observed on the path to a state.
 #[derive(Clone, Debug, Default, Hash)]
 pub(super) struct Record {
     leaders: BTreeMap<Term, ReplicaId>,
-    /// Entries that some replica applied, by index.
+    /// Entries applied by any replica, by index.
     applied: BTreeMap<Index, Entry>,
-    /// Whether a disk was lost since the start of the search.
+    /// Whether a disk was lost on the path.
     pub(super) disk_lost: bool,
 }
 
 impl Record {
-    /// Notes an entry that a replica applies.
+    /// Records an entry that a replica applied.
     pub(super) fn apply(&mut self, entry: Entry) -> Result<(), Invariant> {
         let first = self
             .applied
@@ -53,7 +53,7 @@
         check(*first == entry, Invariant::StateMachineSafety)
     }
 
-    /// Judges a state.
+    /// Checks all invariants on a state.
     pub(super) fn check(&mut self, nodes: &BTreeMap<ReplicaId, Node>) -> Result<(), Invariant> {
         for (id, node) in nodes {
             let status = node.replica.status();
@@ -88,8 +88,9 @@
         Ok(())
     }
 
-    /// With a further disk lost, fewer than a quorum may hold an entry; then
-    /// leader completeness tells whether it is lost.
+    /// Checks that a quorum stores every applied entry. Skipped after a disk loss,
+    /// when fewer than a quorum may store an entry; leader completeness then
+    /// detects whether the entry is lost.
     fn check_committed(&self, nodes: &BTreeMap<ReplicaId, Node>) -> Result<(), Invariant> {
         let Some(membership) = self.membership().filter(|_| !self.disk_lost) else {
             return Ok(());
@@ -104,7 +105,7 @@
         Ok(())
     }
 
-    /// The latest membership that some replica applied.
+    /// Returns the latest membership applied by any replica.
     fn membership(&self) -> Option<&Membership> {
         let mut entries = self.applied.values().rev();
         entries.find_map(|entry| match &entry.kind {
@@ -114,7 +115,8 @@
     }
 }
 
-/// Whether the logs are the same up to the last entry that they share.
+/// Whether the logs are identical up to the last position at which their terms
+/// agree.
 fn match_each_other(left: &[Entry], right: &[Entry]) -> bool {
     let mut pairs = left.iter().zip(right).rev();
     let agreement = pairs.find(|(one, other)| one.term == other.term);
--- a/crates/consensus/src/explore/mod.rs
+++ b/crates/consensus/src/explore/mod.rs
@@ -1,10 +1,10 @@
-//! Bounded exhaustive exploration of a small group.
+//! Bounded exhaustive state-space exploration of a small group.
 //!
-//! From one start, every order of deliveries, losses, repetitions, timeouts,
-//! proposals, slow disks and restarts within the [`Bounds`] is tried, breadth
-//! first, on the same [`Replica`](crate::Replica) that daemons run. A message
-//! is lost when it is never delivered. A broken invariant ends the search with
-//! the shortest way there.
+//! From a given start state, the search tries every order of message deliveries,
+//! losses, duplicates, timeouts, proposals, syncs and restarts within the
+//! [`Bounds`], breadth first, on the same [`Replica`](crate::Replica) that the
+//! daemons run. A message that is never delivered counts as lost. The search
+//! stops at the first violated invariant and returns the shortest trace to it.
 
 mod action;
 mod check;
@@ -18,50 +18,50 @@
 pub use check::Invariant;
 use world::World;
 
-/// Where a search starts.
+/// The start state of a search.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Start {
-    /// Nobody leads.
+    /// No replica leads.
     Fresh,
-    /// Replica 1 leads, and every replica has stored its first entry.
+    /// Replica 1 leads, and every replica has stored the first entry of its term.
     Led,
-    /// As before, and a new replica has caught up as a learner. The leader may
-    /// put it in the place of the last voter, which is still there.
+    /// As [`Start::Led`], and a new replica has caught up as a learner. The leader
+    /// may replace the last voter, which is still running, by the learner.
     Repairing,
 }
 
-/// How far a search goes. Each number counts over one whole path.
+/// Limits of a search. Each count applies to one whole path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Bounds {
-    /// Where the search starts.
+    /// The start state.
     pub start: Start,
-    /// Replicas of the group, all of them voters at first.
+    /// Number of replicas in the group, all of them voters initially.
     pub replicas: u64,
-    /// Ticks, each of which is an election timeout or a heartbeat.
+    /// Maximum ticks. Each tick triggers an election timeout or a heartbeat.
     pub ticks: u32,
-    /// Commands proposed.
+    /// Maximum proposed commands.
     pub proposals: u32,
-    /// Restarts; a replica that restarts loses what is not synced.
+    /// Maximum restarts. A restarting replica loses all data that was not synced.
     pub restarts: u32,
-    /// Messages delivered twice.
+    /// Maximum duplicate deliveries of messages.
     pub repetitions: u32,
-    /// Replicas that are lost with their disks.
+    /// Maximum replicas lost together with their disks.
     pub losses: u32,
-    /// Whether a sync is a step of its own, so that others come between a write
-    /// and its sync.
+    /// Whether a sync is a separate step, so that other steps can happen between
+    /// a write and its sync.
     pub slow_disk: bool,
-    /// Whether elections begin with a pre-vote.
+    /// Whether elections start with a pre-vote.
     pub pre_vote: bool,
-    /// Most messages on their way; further ones are lost.
+    /// Maximum messages in flight; further messages are dropped.
     pub max_in_flight: usize,
-    /// Steps of the longest path.
+    /// Maximum steps of a path.
     pub max_depth: u32,
-    /// States after which the search gives up.
+    /// Maximum distinct states; the search stops when it reaches this number.
     pub max_states: usize,
 }
 
 impl Default for Bounds {
-    /// Three replicas, two timeouts and one restart with slow disks.
+    /// Returns bounds with three replicas, two ticks, one restart and slow disks.
     fn default() -> Self {
         Self {
             start: Start::Fresh,
@@ -80,43 +80,45 @@
     }
 }
 
-/// A broken invariant and how to get there.
+/// A violated invariant and the steps that lead to it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// What was broken.
+    /// The violated invariant.
     pub invariant: Invariant,
-    /// The shortest sequence of steps that breaks it.
+    /// The shortest sequence of steps that violates it.
     pub trace: Vec<Action>,
 }
 
-/// What a search found.
+/// The result of a search.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Exploration {
-    /// Distinct states that were reached.
+    /// Number of distinct states reached.
     pub states: usize,
-    /// Steps that were tried.
+    /// Number of steps tried.
     pub transitions: usize,
-    /// Steps of the longest path.
+    /// Length of the longest path, in steps.
     pub depth: u32,
-    /// Whether every state within the bounds was visited.
+    /// Whether every state within the bounds was visited. Reaching the depth limit
+    /// counts as exhausted.
     pub exhausted: bool,
-    /// The first violation.
+    /// The first violation found, if any.
     pub violation: Option<Violation>,
 }
 
-/// A way to a state, as a link to the step before.
+/// The last step of a path, linked to the step before it by its position in
+/// [`Search::steps`].
 struct Step {
     previous: Option<usize>,
     action: Action,
 }
 
-/// A state, and the last step on the way there.
+/// A reached state and the position of the last step on the path to it.
 struct Reached {
     world: World,
     by: Option<usize>,
 }
 
-/// Visits every state of the group within `bounds`.
+/// Visits every state of the group within `bounds`, breadth first.
 #[must_use]
 pub fn explore(bounds: &Bounds) -> Exploration {
     let mut search = Search::new();
@@ -135,7 +137,7 @@
     search.result
 }
 
-/// A search under way.
+/// A search in progress.
 struct Search {
     seen: HashSet<u64>,
     steps: Vec<Step>,
@@ -171,13 +173,13 @@
         }
     }
 
-    /// Ends the search; there is no further level.
+    /// Ends the search with a violation. The returned next level is empty.
     fn fail(&mut self, invariant: Invariant, trace: Vec<Action>) -> Vec<Reached> {
         self.result.violation = Some(Violation { invariant, trace });
         Vec::new()
     }
 
-    /// The new states one step behind those of `level`.
+    /// Returns the new states that are one step away from those in `level`.
     fn next_level(&mut self, level: &[Reached]) -> Vec<Reached> {
         let mut next = Vec::new();
         self.result.depth += 1;
@@ -198,13 +200,13 @@
         next
     }
 
-    /// Notes a step to a new state; returns its place.
+    /// Records a step to a new state and returns its position in `steps`.
     fn note(&mut self, previous: Option<usize>, action: Action) -> usize {
         self.steps.push(Step { previous, action });
         self.steps.len() - 1
     }
 
-    /// The steps up to `last`, and `action` after them.
+    /// Returns the steps up to `last`, followed by `action`.
     fn trace(&self, last: Option<usize>, action: Action) -> Vec<Action> {
         let mut trace = vec![action];
         let mut position = last;
--- a/crates/consensus/src/explore/node.rs
+++ b/crates/consensus/src/explore/node.rs
@@ -1,23 +1,24 @@
-//! A replica of an exploration and its disk.
+//! A replica and its disk in an exploration.
 
 use super::check::Invariant;
 use crate::{Config, Entry, HardState, Persisted, Ready, Replica, ReplicaId};
 
-/// A tick is an election timeout, so that paths stay short.
+/// Election timeout and heartbeat interval, in ticks. A single tick triggers them,
+/// which keeps paths short.
 const TICKS: u32 = 1;
 
 /// One replica and its disk.
 #[derive(Clone, Debug, Hash)]
 pub(super) struct Node {
     pub(super) replica: Replica,
-    /// What is synced.
+    /// The synced state.
     pub(super) disk: Persisted,
-    /// What is written but not synced.
+    /// Work that is written but not synced.
     pub(super) writing: Option<Ready>,
 }
 
 impl Node {
-    /// Starts from what is synced.
+    /// Starts a replica from the synced state in `disk`.
     pub(super) fn start(id: ReplicaId, disk: Persisted, pre_vote: bool) -> Result<Self, Invariant> {
         let config = Config {
             election_ticks: TICKS,
@@ -33,12 +34,12 @@
         })
     }
 
-    /// Entries on disk.
+    /// Returns the synced entries.
     pub(super) fn synced_entries(&self) -> &[Entry] {
         &self.disk.entries
     }
 
-    /// Notes that a write is synced.
+    /// Stores the data of a completed sync on the disk.
     pub(super) fn store(&mut self, hard_state: Option<HardState>, entries: &[Entry]) {
         if let Some(hard_state) = hard_state {
             self.disk.hard_state = hard_state;
--- a/crates/consensus/src/explore/start.rs
+++ b/crates/consensus/src/explore/start.rs
@@ -1,4 +1,4 @@
-//! The ways to the states where a search may start.
+//! Construction of the start states of a search.
 
 use super::check::Invariant;
 use super::node::Node;
@@ -7,7 +7,7 @@
 use crate::{MembershipChange, Persisted, ReplicaId};
 
 impl World {
-    /// Goes to the start that the bounds ask for.
+    /// Brings the group into the start state given by the bounds.
     pub(super) fn prepare(&mut self) -> Result<(), Invariant> {
         match self.bounds.start {
             Start::Fresh => Ok(()),
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Prepares the start with quick disks and a network that loses nothing.
+    /// Runs `prepare` with immediate syncs and a network without message loss.
     fn without_faults(
         &mut self,
         prepare: impl FnOnce(&mut Self) -> Result<(), Invariant>,
@@ -33,13 +33,13 @@
         Ok(())
     }
 
-    /// Lets replica 1 win an election.
+    /// Makes replica 1 win an election.
     fn elect_first(&mut self) -> Result<(), Invariant> {
         self.act(&Action::Tick(ReplicaId(1)))?;
         self.deliver_all()
     }
 
-    /// Adds a learner that catches up.
+    /// Adds a learner and lets it catch up.
     fn begin_repair(&mut self) -> Result<(), Invariant> {
         let (_, learner) = self.repaired();
         let blank = Node::start(learner, Persisted::default(), self.bounds.pre_vote)?;
@@ -51,7 +51,7 @@
         self.deliver_all()
     }
 
-    /// The voter that goes, and the learner that shall take its place.
+    /// Returns the voter to replace and the learner that replaces it.
     pub(super) fn repaired(&self) -> (ReplicaId, ReplicaId) {
         let voters = self.bounds.replicas;
         (ReplicaId(voters), ReplicaId(voters + 1))
--- a/crates/consensus/src/explore/world.rs
+++ b/crates/consensus/src/explore/world.rs
@@ -1,4 +1,4 @@
-//! A group, its disks and its network in one state.
+//! The state of a group with its disks and its network.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -8,7 +8,7 @@
 use super::{Action, Bounds, Start};
 use crate::{Membership, MembershipChange, Message, Outgoing, Persisted, ReplicaId};
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Envelope {
     from: ReplicaId,
@@ -16,7 +16,7 @@
     message: Message,
 }
 
-/// What is left of the bounds.
+/// Remaining number of steps of each kind within the bounds.
 #[derive(Clone, Copy, Debug, Hash)]
 pub(super) struct Budget {
     pub(super) ticks: u32,
@@ -27,7 +27,7 @@
     replacements: u32,
 }
 
-/// A state of the group.
+/// The state of a group with its disks and its network.
 #[derive(Clone, Debug)]
 pub(super) struct World {
     pub(super) nodes: BTreeMap<ReplicaId, Node>,
@@ -38,10 +38,10 @@
 }
 
 impl World {
-    /// The state where the search starts.
+    /// Returns the start state of the search.
     ///
     /// # Errors
-    /// When the way there breaks an invariant.
+    /// The violated invariant if preparing the start state violates one.
     pub(super) fn new(bounds: &Bounds) -> Result<Self, Invariant> {
         let ids = (1..=bounds.replicas).map(ReplicaId);
         let disk = Persisted::bootstrap(Membership::of_voters(ids.clone()));
@@ -67,7 +67,7 @@
         Ok(world)
     }
 
-    /// A hash over all that decides what can follow.
+    /// Returns a hash of everything that determines the possible next steps.
     pub(super) fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.nodes.hash(&mut hasher);
@@ -80,7 +80,7 @@
         hasher.finish()
     }
 
-    /// Steps that can come next.
+    /// Returns the possible next steps.
     pub(super) fn actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
         for (id, node) in &self.nodes {
@@ -112,7 +112,7 @@
         actions
     }
 
-    /// Takes one step, and checks the state after it.
+    /// Executes one step and checks the invariants on the resulting state.
     pub(super) fn act(&mut self, action: &Action) -> Result<(), Invariant> {
         let id = self.input(action)?;
         if self.nodes.contains_key(&id) {
@@ -121,7 +121,7 @@
         self.record.check(&self.nodes)
     }
 
-    /// Gives a replica its input; returns the replica.
+    /// Passes the input of a step to its replica, and returns that replica.
     fn input(&mut self, action: &Action) -> Result<ReplicaId, Invariant> {
         let id = match action {
             Action::Tick(id) => {
@@ -132,7 +132,7 @@
             Action::Propose(id) => {
                 self.budget.proposals -= 1;
                 let command = self.budget.proposals.to_be_bytes().to_vec();
-                // A refusal is a step that changes nothing.
+                // A rejected request does not change the state.
                 let _ = self.node(*id).replica.propose(command);
                 *id
             }
@@ -158,7 +158,7 @@
                 self.budget.replacements -= 1;
                 let (lost, replacement) = self.repaired();
                 let change = MembershipChange::Replace { lost, replacement };
-                // A refusal is a step that changes nothing.
+                // A rejected request does not change the state.
                 let _ = self.node(*id).replica.change_membership(change);
                 *id
             }
@@ -178,12 +178,13 @@
 
     pub(super) fn node(&mut self, id: ReplicaId) -> &mut Node {
         let Some(node) = self.nodes.get_mut(&id) else {
-            unreachable!("messages go to replicas that are there")
+            unreachable!("messages only go to existing replicas")
         };
         node
     }
 
-    /// Takes a message off the network, unless it will come once more.
+    /// Removes a delivered message from the network, unless it is a duplicate
+    /// delivery.
     fn take(&mut self, from: ReplicaId, to: ReplicaId, message: &Message, repeated: bool) {
         if repeated {
             self.budget.repetitions -= 1;
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Does the work that a replica hands out.
+    /// Processes all pending work of a replica.
     pub(super) fn work(&mut self, id: ReplicaId) -> Result<(), Invariant> {
         while let Some(mut ready) = self.node(id).replica.ready() {
             self.send(id, std::mem::take(&mut ready.messages));
@@ -216,7 +217,8 @@
         Ok(())
     }
 
-    /// Syncs what a replica has written, and sends what waited for it.
+    /// Syncs the data a replica has written, and sends the messages that depend on
+    /// the sync.
     fn sync(&mut self, id: ReplicaId) {
         let node = self.node(id);
         let Some(ready) = node.writing.take() else {
--- a/crates/consensus/src/identifier.rs
+++ b/crates/consensus/src/identifier.rs
@@ -17,8 +17,8 @@
 }
 
 numeric_identifier! {
-    /// One life of a replica. A replica whose disk was lost comes back under
-    /// another identifier.
+    /// An incarnation of a replica. A replica that lost its disk rejoins under a
+    /// new identifier.
     ReplicaId
 }
 numeric_identifier! {
@@ -31,7 +31,7 @@
 }
 
 impl Term {
-    /// The term that follows this one.
+    /// Returns the next term.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0.saturating_add(1))
@@ -42,13 +42,13 @@
     /// The position before the first entry.
     pub const ZERO: Index = Index(0);
 
-    /// The position that follows this one.
+    /// Returns the next position.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0.saturating_add(1))
     }
 
-    /// The position before this one; that of zero is zero.
+    /// Returns the previous position, saturating at zero.
     #[must_use]
     pub fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,17 +1,17 @@
 //! A replicated log as a pure state machine.
 //!
-//! [`Replica`] is one member of one group. It follows Raft and uses the names
-//! of its paper. It holds no socket, clock, thread or disk: the driver feeds it
-//! ticks, messages and proposals, and takes the work to be done from
-//! [`Replica::ready`]. The simulator and the daemons drive the same code.
+//! [`Replica`] is one member of one group. It implements Raft and uses the
+//! terms of the Raft paper. It owns no socket, clock, thread or disk: the
+//! driver passes in ticks, messages and proposals, and takes the resulting work
+//! from [`Replica::ready`]. The simulator and the daemons drive the same code.
 //!
-//! One turn of a driver:
+//! One iteration of the driver loop:
 //!
-//! 1. feed input: [`Replica::tick`], [`Replica::step`], [`Replica::propose`], …;
+//! 1. pass in input: [`Replica::tick`], [`Replica::step`], [`Replica::propose`], …;
 //! 2. take a [`Ready`] and send its `messages`;
 //! 3. write `hard_state` and `entries`, sync once, call [`Replica::persisted`];
 //! 4. send `messages_after_sync`, apply `committed`, answer `reads`;
-//! 5. repeat from 2 until [`Replica::ready`] gives nothing.
+//! 5. repeat from 2 until [`Replica::ready`] returns `None`.
 
 mod config;
 mod entry;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -10,37 +10,36 @@
 /// The members of a group.
 ///
 /// While `outgoing` is not empty the membership is joint: every decision needs
-/// a majority of `voters` and a majority of `outgoing`.
+/// a majority of both `voters` and `outgoing`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct Membership {
-    /// Replicas that vote.
+    /// Voting replicas.
     #[n(0)]
     pub voters: BTreeSet<ReplicaId>,
-    /// The voters of the membership that is being left; empty unless joint.
+    /// Voters of the previous membership; empty unless the membership is joint.
     #[n(1)]
     pub outgoing: BTreeSet<ReplicaId>,
-    /// Replicas that receive the log but do not vote.
+    /// Replicas that receive the log without voting.
     #[n(2)]
     pub learners: BTreeSet<ReplicaId>,
 }
 
-/// A change of the membership.
+/// A membership change.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum MembershipChange {
-    /// Adds a replica that receives the log without a vote.
+    /// Adds a replica that receives the log without voting.
     AddLearner(ReplicaId),
     /// Removes a learner.
     RemoveLearner(ReplicaId),
-    /// Puts a learner that has caught up in the place of a voter, in one joint
-    /// step.
+    /// Replaces a voter by a learner that has caught up, in one joint step.
     Replace {
-        /// The voter that goes.
+        /// The voter to remove.
         lost: ReplicaId,
-        /// The learner that takes its place.
+        /// The learner to promote.
         replacement: ReplicaId,
     },
-    /// Any other change, in one joint step. New voters need not have caught
-    /// up; commits wait for them.
+    /// Any other change, in one joint step. New voters need not have caught up,
+    /// but commits wait for them.
     Set {
         /// Voters after the change.
         voters: BTreeSet<ReplicaId>,
@@ -50,7 +49,7 @@
 }
 
 impl Membership {
-    /// A membership of voters only.
+    /// Returns a membership of voters without learners.
     #[must_use]
     pub fn of_voters(voters: impl IntoIterator<Item = ReplicaId>) -> Self {
         Self {
@@ -59,13 +58,13 @@
         }
     }
 
-    /// Whether two sets of voters have to agree.
+    /// Whether the membership is joint, so that two sets of voters have to agree.
     #[must_use]
     pub fn is_joint(&self) -> bool {
         !self.outgoing.is_empty()
     }
 
-    /// Whether `id` votes, in either set.
+    /// Whether `id` is a voter in either set.
     #[must_use]
     pub fn is_voter(&self, id: ReplicaId) -> bool {
         self.voters.contains(&id) || self.outgoing.contains(&id)
@@ -77,13 +76,13 @@
         self.is_voter(id) || self.learners.contains(&id)
     }
 
-    /// The voters of both sets.
+    /// Returns the voters of both sets.
     #[must_use]
     pub fn all_voters(&self) -> BTreeSet<ReplicaId> {
         self.voters.union(&self.outgoing).copied().collect()
     }
 
-    /// Voters and learners.
+    /// Returns all voters and learners.
     #[must_use]
     pub fn members(&self) -> BTreeSet<ReplicaId> {
         let mut members = self.all_voters();
@@ -91,8 +90,8 @@
         members
     }
 
-    /// Whether the replicas for which `agrees` holds are a quorum: a majority
-    /// of the voters and, while joint, of the outgoing voters too.
+    /// Whether the replicas for which `agrees` returns true form a quorum: a
+    /// majority of the voters and, while joint, of the outgoing voters as well.
     pub fn is_quorum(&self, agrees: impl Fn(ReplicaId) -> bool) -> bool {
         let majority_of = |voters: &BTreeSet<ReplicaId>| {
             let count = voters.iter().filter(|id| agrees(**id)).count();
@@ -102,7 +101,7 @@
         incoming_agree && (self.outgoing.is_empty() || majority_of(&self.outgoing))
     }
 
-    /// The highest index that a quorum has stored, where `stored` gives the
+    /// Returns the highest index stored by a quorum, where `stored` returns the
     /// last index stored on a replica.
     pub fn stored_by_quorum(&self, stored: impl Fn(ReplicaId) -> Index) -> Index {
         let incoming = stored_by_majority(&self.voters, &stored);
@@ -113,12 +112,14 @@
     }
 }
 
-/// The smallest number of replicas that is more than half of `count`.
+/// Returns the smallest number that is more than half of `count`.
 fn majority(count: usize) -> usize {
     count / 2 + 1
 }
 
-/// The number of replicas of `count` that must store an entry to commit it.
+/// Returns how many of `count` replicas must store an entry to commit it. One
+/// fewer than a majority, but at least one, if [`Mechanism::QuorumCommit`] is
+/// disabled.
 fn commit_majority(count: usize) -> usize {
     if enabled(Mechanism::QuorumCommit) {
         majority(count)
@@ -127,7 +128,7 @@
     }
 }
 
-/// The highest index that a majority of `voters` has stored.
+/// Returns the highest index stored by a majority of `voters`.
 fn stored_by_majority(voters: &BTreeSet<ReplicaId>, stored: &impl Fn(ReplicaId) -> Index) -> Index {
     let mut indexes: Vec<Index> = voters.iter().map(|id| stored(*id)).collect();
     indexes.sort_unstable_by(|left, right| right.cmp(left));
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -7,28 +7,29 @@
 /// A request for a vote or a pre-vote.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct VoteRequest {
-    /// The candidate's term; for a pre-vote, the term it would stand in.
+    /// The candidate's term; for a pre-vote, the term of the election it would
+    /// start.
     #[n(0)]
     pub term: Term,
-    /// The candidate's last entry.
+    /// Index of the candidate's last entry.
     #[n(1)]
     pub last_index: Index,
     /// Term of that entry.
     #[n(2)]
     pub last_term: Term,
-    /// Whether the leader asked for the election, so that voters need not wait
-    /// for it to fall silent.
+    /// Whether the leader requested the election, so that voters grant it without
+    /// waiting for the leader to time out.
     #[n(3)]
     pub transfer: bool,
 }
 
-/// The answer to a vote or pre-vote request.
+/// The response to a vote or pre-vote request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct VoteResponse {
-    /// The term of the request if granted, else the voter's term.
+    /// The term of the request if granted, otherwise the voter's term.
     #[n(0)]
     pub term: Term,
-    /// Whether the vote is given.
+    /// Whether the vote is granted.
     #[n(1)]
     pub granted: bool,
 }
@@ -39,13 +40,13 @@
     /// The leader's term.
     #[n(0)]
     pub term: Term,
-    /// The entry before the first one sent.
+    /// Index of the entry that precedes `entries`.
     #[n(1)]
     pub previous_index: Index,
     /// Term of that entry.
     #[n(2)]
     pub previous_term: Term,
-    /// The entries; none for a mere probe.
+    /// The entries; empty for a probe.
     #[n(3)]
     pub entries: Vec<Entry>,
     /// The leader's commit index.
@@ -53,23 +54,23 @@
     pub commit: Index,
 }
 
-/// What became of an append request.
+/// The result of an append request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum AppendOutcome {
-    /// The follower's log agrees with the leader's up to here, durably.
+    /// The follower has durably stored the leader's log up to `match_index`.
     #[n(0)]
     Accepted {
-        /// The last entry that agrees.
+        /// Index of the last matching entry.
         #[n(0)]
         match_index: Index,
     },
-    /// The entry before those sent is missing or differs.
+    /// The entry that precedes the sent entries is missing or differs.
     #[n(1)]
     Rejected {
         /// `previous_index` of the request.
         #[n(0)]
         previous_index: Index,
-        /// The last entry of the follower that may agree.
+        /// Index of the follower's last entry that may match.
         #[n(1)]
         hint_index: Index,
         /// Term of that entry.
@@ -78,43 +79,43 @@
     },
 }
 
-/// The answer to an append request.
+/// The response to an append request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct AppendResponse {
     /// The follower's term.
     #[n(0)]
     pub term: Term,
-    /// What became of the request.
+    /// The result of the request.
     #[n(1)]
     pub outcome: AppendOutcome,
 }
 
-/// A sign of life of the leader.
+/// A heartbeat of the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct Heartbeat {
     /// The leader's term.
     #[n(0)]
     pub term: Term,
-    /// The commit index, as far as the follower has acknowledged the log.
+    /// The commit index, capped at the last entry that the follower acknowledged.
     #[n(1)]
     pub commit: Index,
-    /// The latest round of read confirmation.
+    /// The latest read-confirmation round.
     #[n(2)]
     pub round: u64,
 }
 
-/// The answer to a heartbeat, and to any request of a deposed leader.
+/// The response to a heartbeat, and to any request of a deposed leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct HeartbeatResponse {
     /// The follower's term.
     #[n(0)]
     pub term: Term,
-    /// The round of the heartbeat.
+    /// The read-confirmation round of the heartbeat; 0 for a deposed leader.
     #[n(1)]
     pub round: u64,
 }
 
-/// Tells a follower that it has to fetch a snapshot.
+/// Notifies a follower that it has to fetch a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct SnapshotNotice {
     /// The leader's term.
@@ -125,7 +126,7 @@
     pub meta: SnapshotMeta,
 }
 
-/// Asks a follower to stand for election at once.
+/// Asks a follower to start an election immediately.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct TimeoutNow {
     /// The leader's term.
@@ -136,40 +137,40 @@
 /// A message from one replica of a group to another.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum Message {
-    /// Would you vote for me?
+    /// Asks whether the receiver would grant a vote.
     #[n(0)]
     PreVoteRequest(#[n(0)] VoteRequest),
-    /// Answer to a pre-vote request.
+    /// Response to a pre-vote request.
     #[n(1)]
     PreVoteResponse(#[n(0)] VoteResponse),
-    /// Vote for me.
+    /// Requests a vote.
     #[n(2)]
     VoteRequest(#[n(0)] VoteRequest),
-    /// Answer to a vote request.
+    /// Response to a vote request.
     #[n(3)]
     VoteResponse(#[n(0)] VoteResponse),
     /// Entries from the leader.
     #[n(4)]
     AppendRequest(#[n(0)] AppendRequest),
-    /// Answer to an append request, or news of an installed snapshot.
+    /// Response to an append request, or a report that a snapshot was installed.
     #[n(5)]
     AppendResponse(#[n(0)] AppendResponse),
-    /// Sign of life of the leader.
+    /// Heartbeat of the leader.
     #[n(6)]
     Heartbeat(#[n(0)] Heartbeat),
-    /// Answer to a heartbeat.
+    /// Response to a heartbeat.
     #[n(7)]
     HeartbeatResponse(#[n(0)] HeartbeatResponse),
-    /// Fetch a snapshot.
+    /// Notification that the receiver has to fetch a snapshot.
     #[n(8)]
     SnapshotNotice(#[n(0)] SnapshotNotice),
-    /// Stand for election at once.
+    /// Request to start an election immediately.
     #[n(9)]
     TimeoutNow(#[n(0)] TimeoutNow),
 }
 
 impl Message {
-    /// The term that the message bears.
+    /// Returns the term of the message.
     #[must_use]
     pub fn term(&self) -> Term {
         match self {
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Whether only the leader of the term sends such a message.
+    /// Whether only the leader of a term sends this kind of message.
     #[must_use]
     pub fn is_from_leader(&self) -> bool {
         matches!(
@@ -196,7 +197,7 @@
         )
     }
 
-    /// The message as bytes.
+    /// Encodes the message.
     #[must_use]
     pub fn encode(&self) -> Vec<u8> {
         let mut bytes = Vec::new();
@@ -206,10 +207,10 @@
         bytes
     }
 
-    /// Reads a message back.
+    /// Decodes a message.
     ///
     /// # Errors
-    /// [`ConsensusError::Decode`] if the bytes are no message.
+    /// [`ConsensusError::Decode`] if the bytes are not a valid message.
     pub fn decode(bytes: &[u8]) -> Result<Self, ConsensusError> {
         minicbor::decode(bytes).map_err(|error| ConsensusError::Decode {
             reason: error.to_string(),
--- a/crates/consensus/src/persisted.rs
+++ b/crates/consensus/src/persisted.rs
@@ -1,4 +1,4 @@
-//! What a replica keeps on disk.
+//! The persistent state of a replica.
 
 use minicbor::{Decode, Encode};
 
@@ -7,22 +7,22 @@
 /// Term, vote and commit index.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct HardState {
-    /// The latest term that the replica has seen.
+    /// The latest term the replica has observed.
     #[n(0)]
     pub term: Term,
-    /// The candidate that it voted for in that term.
+    /// The candidate the replica voted for in that term.
     #[n(1)]
     pub vote: Option<ReplicaId>,
-    /// The last entry known to be committed. It may lag: it is written along
-    /// with other data and never needs a sync of its own.
+    /// The last entry known to be committed. It may lag, because it is only
+    /// written along with other data and never causes a sync of its own.
     #[n(2)]
     pub commit: Index,
 }
 
-/// Position and members that a snapshot of the state machine stands for.
+/// The log position and membership covered by a state machine snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct SnapshotMeta {
-    /// The last entry that the snapshot contains.
+    /// Index of the last entry the snapshot contains.
     #[n(0)]
     pub index: Index,
     /// Term of that entry.
@@ -33,23 +33,24 @@
     pub membership: Membership,
 }
 
-/// What storage gives back when a replica starts.
+/// The state loaded from storage when a replica starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Persisted {
     /// Term, vote and commit index.
     pub hard_state: HardState,
-    /// The latest snapshot, which the driver has loaded into its machine.
+    /// The latest snapshot, which the driver has loaded into its state machine.
     pub snapshot: Option<SnapshotMeta>,
-    /// The stored entries, in order. Those up to the snapshot are ignored.
+    /// The stored entries, in order. Entries that the snapshot contains are ignored.
     pub entries: Vec<Entry>,
 }
 
 impl Persisted {
-    /// The start of a fresh group: the membership as a committed first entry.
+    /// Returns the initial state of a new group: a log whose first entry is the
+    /// committed membership.
     ///
-    /// It must be the same on each first voter, and must be stored and synced
-    /// before the replica is started with it. Replicas that join later start
-    /// blank, with [`Persisted::default`].
+    /// It must be identical on all initial voters, and must be stored and synced
+    /// before a replica starts with it. Replicas that join later start with an
+    /// empty state, [`Persisted::default`].
     #[must_use]
     pub fn bootstrap(membership: Membership) -> Self {
         let term = Term(1);
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -1,4 +1,4 @@
-//! Work that a replica hands to its driver.
+//! Work that a replica returns to its driver.
 
 use crate::{Entry, Fault, HardState, Index, Message, ReplicaId, SnapshotMeta};
 
@@ -14,17 +14,17 @@
 /// A read that may be answered once the entry at `index` is applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ReadReady {
-    /// What the driver gave to [`Replica::read_index`](crate::Replica::read_index).
+    /// The context passed to [`Replica::read_index`](crate::Replica::read_index).
     pub context: u64,
-    /// The entry that must be applied before the answer.
+    /// The entry that must be applied before the read is answered.
     pub index: Index,
 }
 
-/// An invitation to fetch a snapshot, since the leader no longer has the
-/// entries that this replica lacks.
+/// An offer to fetch a snapshot, because the leader no longer has the entries
+/// that this replica lacks.
 ///
-/// The leader repeats it until the replica has caught up; a driver that is
-/// already fetching ignores repetitions.
+/// The leader repeats the offer until the replica has caught up; a driver that
+/// is already fetching ignores repeated offers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SnapshotOffer {
     /// The replica to fetch from.
@@ -33,40 +33,41 @@
     pub meta: SnapshotMeta,
 }
 
-/// Work for the driver. Fields that need no work are empty.
+/// Work for the driver. Fields without work are empty.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Ready {
-    /// To be written and synced before `messages_after_sync` go out.
+    /// Hard state to write and sync before `messages_after_sync` are sent.
     pub hard_state: Option<HardState>,
-    /// To be appended and synced before `messages_after_sync` go out. The index
-    /// of the first tells where an old suffix of the log is cut off.
+    /// Entries to append and sync before `messages_after_sync` are sent. The
+    /// stored log must first be truncated from the index of the first entry.
     pub entries: Vec<Entry>,
-    /// May go at once, also before the sync.
+    /// Messages that may be sent immediately, without waiting for the sync.
     pub messages: Vec<Outgoing>,
-    /// Go out after the sync, or at once if there is nothing to sync.
+    /// Messages to send after the sync, or immediately if there is nothing to
+    /// sync.
     pub messages_after_sync: Vec<Outgoing>,
-    /// To be applied, in order. Each is handed out once per life of the
-    /// replica, and only after it was synced here.
+    /// Committed entries to apply, in order. Each entry is returned once per run
+    /// of the replica, and only after it is synced locally.
     pub committed: Vec<Entry>,
-    /// Reads whose position is confirmed.
+    /// Reads whose log position is confirmed.
     pub reads: Vec<ReadReady>,
     /// Contexts of reads that were dropped because leadership was lost.
     pub failed_reads: Vec<u64>,
     /// A snapshot to fetch.
     pub snapshot_offer: Option<SnapshotOffer>,
-    /// The replica has stopped for good.
+    /// The fault because of which the replica has stopped permanently.
     pub fault: Option<Fault>,
 }
 
 impl Ready {
-    /// Whether the driver has to write and sync, and then call
-    /// [`Replica::persisted`](crate::Replica::persisted).
+    /// Whether the driver has to write and sync, and call
+    /// [`Replica::persisted`](crate::Replica::persisted) afterwards.
     #[must_use]
     pub fn needs_sync(&self) -> bool {
         self.hard_state.is_some() || !self.entries.is_empty()
     }
 
-    /// Whether there is nothing to do.
+    /// Whether there is no work.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         !self.needs_sync()
--- a/crates/consensus/src/replica/election.rs
+++ b/crates/consensus/src/replica/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, vote, and the way into and out of leadership.
+//! Elections: pre-vote, vote, becoming a leader and stepping down.
 
 use std::collections::BTreeSet;
 
@@ -7,9 +7,9 @@
 use crate::{EntryKind, Index, Message, ReplicaId, Term, VoteRequest, VoteResponse};
 
 impl Replica {
-    /// Stands for election now, as when the election timeout has passed.
-    /// Does nothing on a leader, on a replica without a vote, or on one that has
-    /// stopped because of a contradiction.
+    /// Starts an election now, as if the election timeout had elapsed. Has no
+    /// effect on a leader, on a replica that is not a voter, or on one that has
+    /// stopped because of a fault.
     pub fn campaign(&mut self) {
         self.timer.restart();
         let leads = matches!(self.role, RoleState::Leader(_));
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Asks whether an election could succeed, without touching the term.
+    /// Checks whether an election could succeed, without increasing the term.
     fn start_pre_vote(&mut self) {
         self.leader = None;
         self.role = RoleState::PreCandidate {
@@ -36,13 +36,13 @@
         self.count_pre_vote(self.config.id);
     }
 
-    /// Enters a new term and asks for votes.
+    /// Starts a new term and requests votes.
     pub(super) fn start_election(&mut self, transfer: bool) {
         self.timer.restart();
         self.term = self.term.next();
         self.vote = Some(self.config.id);
         self.leader = None;
-        // The own vote is counted once it is synced; see `persisted`.
+        // The candidate's own vote counts only once it is synced; see `persisted`.
         self.role = RoleState::Candidate {
             granted: BTreeSet::new(),
         };
@@ -76,7 +76,7 @@
             term: if granted { request.term } else { self.term },
             granted,
         };
-        // The answer promises nothing, but names a term: it waits for the sync.
+        // The response is no commitment, but it reveals a term, which must be synced first.
         self.send_after_sync(from, Message::PreVoteResponse(response));
     }
 
@@ -129,8 +129,8 @@
             return;
         };
         granted.insert(from);
-        // The own vote must be among them even if others suffice, since the
-        // leader's messages rest on its synced term.
+        // The candidate's own vote is required even if the others form a quorum,
+        // because a leader's messages require that its term is synced.
         let own_synced = granted.contains(&self.config.id);
         if own_synced && membership.is_quorum(|id| granted.contains(&id)) {
             self.become_leader();
@@ -145,12 +145,12 @@
         self.leader = Some(self.config.id);
         self.role = RoleState::Leader(Box::new(Leadership::new(term_start, uncommitted_bytes)));
         self.follow_members(term_start);
-        // Entries of earlier terms are committed along with one of this term.
+        // Entries of earlier terms can only be committed together with one of this term.
         self.append(EntryKind::Empty);
         self.send_heartbeats();
     }
 
-    /// Brings the followers in line with the membership in force.
+    /// Updates the tracked followers to the membership in force.
     pub(super) fn follow_members(&mut self, next_index: Index) {
         let membership = self.log.membership();
         if let RoleState::Leader(leadership) = &mut self.role {
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Follows `leader`, or nobody yet, in `term`.
+    /// Becomes a follower of `leader` in `term`; `None` if the leader is unknown.
     pub(super) fn become_follower(&mut self, term: Term, leader: Option<ReplicaId>) {
         if term > self.term {
             self.term = term;
--- a/crates/consensus/src/replica/leadership.rs
+++ b/crates/consensus/src/replica/leadership.rs
@@ -1,16 +1,16 @@
-//! What only a leader keeps.
+//! State that only a leader keeps.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use super::progress::Progress;
 use crate::{Index, Membership, ReplicaId};
 
-/// State of a leader, gone when it steps down.
+/// State of a leader, dropped when it steps down.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct Leadership {
     /// Followers and learners; never this replica itself.
     pub(crate) followers: BTreeMap<ReplicaId, Progress>,
-    /// The entry that opened the term.
+    /// The first entry of the leader's term.
     pub(crate) term_start: Index,
     pub(crate) ticks_since_heartbeat: u32,
     pub(crate) ticks_since_quorum_check: u32,
@@ -22,24 +22,24 @@
 /// Reads that wait for confirmation.
 #[derive(Clone, Debug, Default, Hash)]
 pub(crate) struct ReadQueue {
-    /// Reads that joined no round yet.
+    /// Reads not yet assigned to a round.
     pub(crate) waiting: Vec<u64>,
-    /// Rounds that wait for a quorum, oldest first.
+    /// Rounds not yet confirmed by a quorum, oldest first.
     pub(crate) rounds: VecDeque<ReadRound>,
     /// Number of the latest round.
     pub(crate) latest_round: u64,
 }
 
-/// Reads that one round of heartbeats confirms.
+/// Reads confirmed together by one round of heartbeats.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct ReadRound {
     pub(crate) number: u64,
-    /// The commit index when the round began.
+    /// The commit index when the round started.
     pub(crate) index: Index,
     pub(crate) contexts: Vec<u64>,
 }
 
-/// A transfer of leadership under way.
+/// A leadership transfer in progress.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct Transfer {
     pub(crate) to: ReplicaId,
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Starts to follow new members and forgets those that left.
+    /// Starts tracking new members and removes those that left.
     pub(crate) fn follow_members(
         &mut self,
         own_id: ReplicaId,
@@ -83,7 +83,7 @@
         self.waiting.len() + in_rounds
     }
 
-    /// Every context, for a leader that steps down.
+    /// Returns the contexts of all reads, in the order of their arrival.
     pub(crate) fn into_contexts(self) -> impl Iterator<Item = u64> {
         self.rounds
             .into_iter()
--- a/crates/consensus/src/replica/log/append.rs
+++ b/crates/consensus/src/replica/log/append.rs
@@ -1,22 +1,22 @@
-//! Entries from a leader.
+//! Appending of entries received from a leader.
 
 use super::Log;
 use crate::{Entry, Fault, Index, Term};
 
-/// What became of entries from a leader.
+/// The result of appending entries from a leader.
 pub(crate) enum Appended {
-    /// The log agrees with the leader's up to this entry.
+    /// The log matches the leader's up to this entry.
     UpTo(Index),
-    /// The entry before those sent is missing or differs.
+    /// The entry that precedes the sent entries is missing or differs.
     Mismatch,
 }
 
 impl Log {
-    /// Takes entries from the leader that follow `previous_index`.
+    /// Appends entries from the leader that follow `previous_index`.
     ///
     /// # Errors
-    /// [`Fault::CommittedEntryConflict`] if the leader's log differs from an
-    /// entry that is committed here.
+    /// [`Fault::CommittedEntryConflict`] if the leader's log conflicts with an
+    /// entry that is committed on this replica.
     pub(crate) fn append_from_leader(
         &mut self,
         previous_index: Index,
@@ -29,7 +29,7 @@
         }
         let reached = entries.last().map_or(previous_index, |entry| entry.index);
         if previous_index < self.anchor_index {
-            // All up to the anchor is committed, so the two logs agree there.
+            // All entries up to the anchor are committed, so both logs agree on them.
             let (_, rest) = entries
                 .into_iter()
                 .partition::<Vec<_>, _>(|entry| entry.index <= self.anchor_index);
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Appends what is missing and cuts off what differs.
+    /// Appends missing entries and truncates the log where it differs.
     fn take_entries(&mut self, entries: Vec<Entry>) {
         for entry in entries {
             if self.holds(entry.index, entry.term) {
--- a/crates/consensus/src/replica/log/compaction.rs
+++ b/crates/consensus/src/replica/log/compaction.rs
@@ -1,12 +1,12 @@
-//! Snapshots in the place of entries.
+//! Replacement of log entries by snapshots.
 
 use super::super::memberships::Memberships;
 use super::Log;
 use crate::{Index, SnapshotMeta};
 
 impl Log {
-    /// Drops entries that a snapshot contains, but keeps the last ones within
-    /// the given bounds.
+    /// Removes the entries that a snapshot contains, except for the last ones within
+    /// the given limits.
     pub(crate) fn compact(
         &mut self,
         meta: SnapshotMeta,
@@ -43,8 +43,8 @@
         first
     }
 
-    /// Continues from an installed snapshot. Entries behind it stay if the log
-    /// holds the snapshot's last entry: they may be acknowledged.
+    /// Continues from an installed snapshot. Entries after it are kept if the log
+    /// contains the snapshot's last entry, because they may be acknowledged.
     pub(crate) fn install_snapshot(&mut self, meta: SnapshotMeta) {
         if !self.holds(meta.index, meta.term) {
             self.entries.clear();
--- a/crates/consensus/src/replica/log/mod.rs
+++ b/crates/consensus/src/replica/log/mod.rs
@@ -1,4 +1,4 @@
-//! The entries in memory: those since the last compaction.
+//! The log in memory: the entries since the last compaction.
 
 mod append;
 mod compaction;
@@ -9,20 +9,20 @@
 use crate::{ConsensusError, Entry, EntryKind, Index, Membership, Persisted, SnapshotMeta, Term};
 pub(crate) use append::Appended;
 
-/// The log in memory, with how far it is synced, committed and handed out.
+/// The log in memory, and up to where it is synced, committed and applied.
 ///
 /// Invariant: `anchor <= applied <= commit`, `applied <= persisted`, and
 /// `persisted <= taken <= last`.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct Log {
-    /// Position before the first entry in memory.
+    /// Position before the first entry in memory, that is the last compacted entry.
     anchor_index: Index,
     /// Term at that position.
     anchor_term: Term,
     entries: VecDeque<Entry>,
     memberships: Memberships,
     snapshot: SnapshotMeta,
-    /// Last entry handed to the disk.
+    /// Last entry passed to the driver for writing.
     taken: Index,
     /// Last entry known to be synced.
     persisted: Index,
@@ -109,17 +109,17 @@
         &self.snapshot
     }
 
-    /// The membership in force: the latest one in the log, committed or not.
+    /// Returns the membership in force: the latest one in the log, committed or not.
     pub(crate) fn membership(&self) -> &Membership {
         self.memberships.latest()
     }
 
-    /// The entry that set the membership in force.
+    /// Returns the index of the entry that set the membership in force.
     pub(crate) fn membership_index(&self) -> Index {
         self.memberships.latest_index()
     }
 
-    /// Position, term and membership as of an entry in memory.
+    /// Returns the metadata of a snapshot at an entry in memory.
     pub(crate) fn meta_at(&self, index: Index) -> Option<SnapshotMeta> {
         let term = self.term(index)?;
         let membership = self.memberships.at(index)?.clone();
@@ -139,7 +139,7 @@
         self.entries.get(self.position(index)?)
     }
 
-    /// The term of an entry in memory, or of the one before the first.
+    /// Returns the term of an entry in memory, or of the one before the first.
     pub(crate) fn term(&self, index: Index) -> Option<Term> {
         if index == self.anchor_index {
             return Some(self.anchor_term);
@@ -147,17 +147,17 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// Whether the log holds that very entry.
+    /// Whether the log contains the entry with this index and term.
     pub(crate) fn holds(&self, index: Index, term: Term) -> bool {
         self.term(index) == Some(term)
     }
 
-    /// Whether a log that ends as given is at least as complete as this one.
+    /// Whether a log with the given last entry is at least as up to date as this one.
     pub(crate) fn is_up_to_date(&self, last_index: Index, last_term: Term) -> bool {
         (last_term, last_index) >= (self.last_term(), self.last_index())
     }
 
-    /// The last entry, not after `index`, whose term is at most `term`.
+    /// Returns the last entry at or before `index` whose term is at most `term`.
     pub(crate) fn last_with_term_at_most(&self, index: Index, term: Term) -> (Index, Term) {
         let mut index = index.min(self.last_index());
         while index > self.anchor_index {
@@ -170,7 +170,8 @@
         (self.anchor_index, self.anchor_term)
     }
 
-    /// Entries from `from` to `to`, at most `max_bytes` but at least one.
+    /// Returns the entries from `from` to `to`, inclusive, limited to `max_bytes`. The
+    /// first entry is returned even if it exceeds the limit.
     pub(crate) fn slice(&self, from: Index, to: Index, max_bytes: usize) -> Vec<Entry> {
         let mut slice = Vec::new();
         let mut bytes = 0;
@@ -187,7 +188,7 @@
         slice
     }
 
-    /// Bytes of the entries from `from` to `to`.
+    /// Returns the total bytes of the entries from `from` to `to`, inclusive.
     pub(crate) fn bytes_between(&self, from: Index, to: Index) -> usize {
         let Some(start) = self.position(from) else {
             return 0;
@@ -199,7 +200,7 @@
             .sum()
     }
 
-    /// Appends an entry of the leader itself.
+    /// Appends a new entry on the leader and returns its index.
     pub(crate) fn append_new(&mut self, term: Term, kind: EntryKind) -> Index {
         let index = self.last_index().next();
         self.push(Entry { term, index, kind });
@@ -213,27 +214,27 @@
         self.entries.push_back(entry);
     }
 
-    /// Raises the commit index.
+    /// Advances the commit index to `index`, at most to the last entry. Never lowers it.
     pub(crate) fn commit_to(&mut self, index: Index) {
         self.commit = self.commit.max(index.min(self.last_index()));
     }
 
-    /// Entries that the disk has not been given yet, which count as given.
+    /// Returns the entries not yet passed to the driver, and marks them as passed.
     pub(crate) fn take_unsynced(&mut self) -> Vec<Entry> {
         let entries = self.slice(self.taken.next(), self.last_index(), usize::MAX);
         self.taken = self.last_index();
         entries
     }
 
-    /// Notes that the disk holds the log up to that entry, unless the entry was
-    /// cut off in the meantime.
+    /// Marks the log as synced up to an entry, unless the entry was truncated in the
+    /// meantime.
     pub(crate) fn mark_persisted(&mut self, index: Index, term: Term) {
         if self.holds(index, term) {
             self.persisted = self.persisted.max(index);
         }
     }
 
-    /// The next committed entries to apply, which count as applied.
+    /// Returns the next committed entries to apply, and marks them as applied.
     pub(crate) fn take_committed(&mut self, max_bytes: usize) -> Vec<Entry> {
         let to = self.commit.min(self.persisted);
         if self.applied >= to {
--- a/crates/consensus/src/replica/membership_change.rs
+++ b/crates/consensus/src/replica/membership_change.rs
@@ -1,15 +1,15 @@
-//! Changes of the membership: checks, the joint step, and leaving it.
+//! Membership changes: validation, the joint membership and its completion.
 
 use super::{Replica, RoleState};
 use crate::{EntryKind, Index, Membership, MembershipChange, ProposeError, ReplicaId};
 
 impl Replica {
-    /// Changes the membership, on the leader. A change of voters goes through a
-    /// joint membership, which the leader leaves by itself.
+    /// Starts a membership change on the leader. A change of voters goes through a
+    /// joint membership, which the leader completes on its own.
     ///
-    /// Returns the index of the first entry; the change is done when
-    /// [`Status::membership_index`](crate::Status::membership_index) is
-    /// committed and the membership is not joint.
+    /// Returns the index of the first membership entry. The change is complete when
+    /// [`Status::membership_index`](crate::Status::membership_index) is committed
+    /// and the membership is not joint.
     ///
     /// # Errors
     /// [`ProposeError`] if nothing was appended.
@@ -29,7 +29,8 @@
         self.log.membership().is_joint() || self.log.membership_index() > self.log.commit()
     }
 
-    /// The membership that the change leads to, joint if the voters differ.
+    /// Returns the membership that results from the change; joint if the voters
+    /// differ.
     fn next_membership(&self, change: MembershipChange) -> Result<Membership, ProposeError> {
         let current = self.log.membership();
         let mut next = current.clone();
@@ -67,8 +68,8 @@
         Ok(next)
     }
 
-    /// A replacement must durably hold all that is committed, so that the loss
-    /// of another voter right afterwards loses nothing.
+    /// Checks that a replacement has durably stored all committed entries, so that
+    /// losing another voter right afterwards loses no data.
     fn check_replacement(&self, replica: ReplicaId) -> Result<(), ProposeError> {
         if !self.log.membership().learners.contains(&replica) {
             return Err(ProposeError::NotALearner { replica });
@@ -88,7 +89,8 @@
         }
     }
 
-    /// Goes on with a membership change whose entry is committed.
+    /// Continues a membership change once its entry is committed: leaves the joint
+    /// membership, or steps down if this replica is no longer a voter.
     pub(super) fn finish_membership_change(&mut self) {
         if self.log.membership_index() > self.log.commit() {
             return;
@@ -106,7 +108,7 @@
     }
 
     /// Steps down because this replica is no longer a voter, and asks the most
-    /// advanced voter to take over.
+    /// up-to-date voter to take over.
     fn leave_leadership(&mut self) {
         self.send_heartbeats();
         let RoleState::Leader(leadership) = &self.role else {
--- a/crates/consensus/src/replica/memberships.rs
+++ b/crates/consensus/src/replica/memberships.rs
@@ -1,9 +1,9 @@
-//! The memberships that the log in memory knows of.
+//! History of the memberships set by the log in memory.
 
 use crate::{Index, Membership};
 
-/// Memberships by the entry that set them, oldest first. The first one is that
-/// at the start of the log in memory; there is always one.
+/// Memberships with the index of the entry that set each, oldest first. `base` is
+/// the membership at the start of the log in memory, so there is always one.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct Memberships {
     base: (Index, Membership),
@@ -30,7 +30,7 @@
         self.later.last().unwrap_or(&self.base).0
     }
 
-    /// The membership as of an entry.
+    /// Returns the membership as of the entry at `index`.
     pub(crate) fn at(&self, index: Index) -> Option<&Membership> {
         let set_before = |(set, _): &&(Index, Membership)| *set <= index;
         self.later
@@ -41,12 +41,12 @@
             .map(|(_, membership)| membership)
     }
 
-    /// Forgets memberships of entries that were cut off.
+    /// Removes the memberships set by truncated entries, from `index` on.
     pub(crate) fn truncate_from(&mut self, index: Index) {
         self.later.retain(|(set, _)| *set < index);
     }
 
-    /// Forgets memberships that were replaced at or before `index`.
+    /// Removes memberships that were superseded at or before `index`.
     pub(crate) fn compact(&mut self, index: Index) {
         while self.later.first().is_some_and(|(set, _)| *set <= index) {
             self.base = self.later.remove(0);
--- a/crates/consensus/src/replica/mod.rs
+++ b/crates/consensus/src/replica/mod.rs
@@ -1,4 +1,4 @@
-//! One member of a group: the state, and the calls of the driver.
+//! One member of a group: its state and the interface for the driver.
 
 mod election;
 mod leadership;
@@ -33,7 +33,7 @@
     term: Term,
     vote: Option<ReplicaId>,
     role: RoleState,
-    /// The leader of the term, when known.
+    /// The leader of the term, if known.
     leader: Option<ReplicaId>,
     log: Log,
     timer: ElectionTimer,
@@ -41,7 +41,7 @@
     fault: Option<Fault>,
 }
 
-/// Role and what only this role keeps.
+/// The role, with the state specific to it.
 #[derive(Clone, Debug, Hash)]
 enum RoleState {
     Follower,
@@ -51,11 +51,11 @@
 }
 
 impl Replica {
-    /// Starts a replica from what its storage gave back.
+    /// Starts a replica from its stored state.
     ///
     /// # Errors
-    /// [`ConsensusError`] if the settings cannot work or the stored log is not
-    /// whole.
+    /// [`ConsensusError`] if the settings are invalid or the stored log is
+    /// inconsistent.
     pub fn new(config: Config, persisted: Persisted) -> Result<Self, ConsensusError> {
         config.validate()?;
         let hard_state = persisted.hard_state;
@@ -85,8 +85,8 @@
         }
     }
 
-    /// Appends a command to the log, on the leader. Returns its index; it is
-    /// committed once it comes out of a `Ready` with the same term.
+    /// Appends a command to the leader's log and returns its index. The command is
+    /// committed once a `Ready` returns the entry at that index with the same term.
     ///
     /// # Errors
     /// [`ProposeError`] if nothing was appended.
@@ -94,14 +94,14 @@
         let max_uncommitted_bytes = self.config.max_uncommitted_bytes;
         let leadership = self.proposing_leader()?;
         let bytes = leadership.uncommitted_bytes;
-        // A command above the limit passes when it is the only one.
+        // A command larger than the limit is accepted if nothing else is uncommitted.
         if bytes > 0 && bytes + command.len() > max_uncommitted_bytes {
             return Err(ProposeError::Busy);
         }
         Ok(self.append(EntryKind::Command(command)))
     }
 
-    /// The leader's state, if it takes proposals.
+    /// Returns the leader state if this replica can currently accept proposals.
     fn proposing_leader(&mut self) -> Result<&mut Leadership, ProposeError> {
         let leader = self.leader;
         if self.fault.is_some() {
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The replica's view of itself and its group.
+    /// Returns the status of this replica and its group.
     #[must_use]
     pub fn status(&self) -> Status {
         let leadership = match &self.role {
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The role in the current term.
+    /// Returns the role in the current term.
     #[must_use]
     pub fn role(&self) -> Role {
         match self.role {
@@ -159,38 +159,39 @@
         }
     }
 
-    /// This replica.
+    /// Returns the identifier of this replica.
     #[must_use]
     pub fn id(&self) -> ReplicaId {
         self.config.id
     }
 
-    /// The current term.
+    /// Returns the current term.
     #[must_use]
     pub fn term(&self) -> Term {
         self.term
     }
 
-    /// The leader of the term, when known.
+    /// Returns the leader of the term, if known.
     #[must_use]
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
 
-    /// The membership in force.
+    /// Returns the membership in force.
     #[must_use]
     pub fn membership(&self) -> &Membership {
         self.log.membership()
     }
 
-    /// The term of the entry at `index`, if it is in memory.
+    /// Returns the term of the entry at `index`, if the entry is in memory or is the
+    /// last one before those in memory.
     #[must_use]
     pub fn term_at(&self, index: Index) -> Option<Term> {
         self.log.term(index)
     }
 
-    /// A hash over the whole state but for the random timeouts to come, by
-    /// which an exploration knows states that it has seen.
+    /// Returns a hash of the whole state except for future random timeouts. An
+    /// exploration uses it to recognize states it has already visited.
     #[must_use]
     pub fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
@@ -202,7 +203,7 @@
         self.log.membership().is_voter(self.config.id)
     }
 
-    /// Stops taking part because of a contradiction.
+    /// Stops this replica permanently because of a fault.
     fn fail(&mut self, fault: Fault) {
         self.become_follower(self.term, None);
         self.output.discard_messages();
--- a/crates/consensus/src/replica/output.rs
+++ b/crates/consensus/src/replica/output.rs
@@ -1,4 +1,4 @@
-//! What waits to be handed to the driver, and the order of disk and network.
+//! Output for the driver, and the ordering between syncs and messages.
 
 use molespan_types::mechanism::{Mechanism, enabled};
 
@@ -7,26 +7,26 @@
     Fault, HardState, Index, Message, Outgoing, ReadReady, Ready, ReplicaId, SnapshotOffer, Term,
 };
 
-/// What waits for the next [`Ready`].
+/// Output collected for the next [`Ready`].
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct Output {
-    /// May go before a sync.
+    /// Messages that may be sent before the sync.
     messages: Vec<Outgoing>,
-    /// Must wait until the disk holds the state at the time of the message.
+    /// Messages that must wait until the state they were created in is synced.
     messages_after_sync: Vec<Outgoing>,
     pub(crate) reads: Vec<ReadReady>,
     pub(crate) failed_reads: Vec<u64>,
     pub(crate) snapshot_offer: Option<SnapshotOffer>,
     pub(crate) fault: Option<Fault>,
-    /// Term, vote and commit index last handed to the disk.
+    /// Term, vote and commit index last passed to the driver for writing.
     term: Term,
     vote: Option<ReplicaId>,
     commit: Index,
-    /// What the disk is writing.
+    /// State passed to the driver whose sync is not yet confirmed.
     writing: Option<Writing>,
 }
 
-/// State that a `Ready` has handed to the disk.
+/// State passed to the driver for writing in a `Ready`.
 #[derive(Clone, Debug, Hash)]
 struct Writing {
     term: Term,
@@ -58,11 +58,11 @@
 }
 
 impl Replica {
-    /// Work for the driver, or nothing.
+    /// Returns the pending work for the driver, or `None` if there is none.
     ///
-    /// While the disk writes an earlier `Ready`, that is until
-    /// [`Replica::persisted`] is called, a further one holds nothing that has
-    /// to be synced.
+    /// While an earlier `Ready` is being written, that is until
+    /// [`Replica::persisted`] is called, further ones contain nothing that has to
+    /// be synced.
     pub fn ready(&mut self) -> Option<Ready> {
         self.start_read_round();
         self.send_appends();
@@ -83,7 +83,7 @@
         Some(ready).filter(|ready| !ready.is_empty())
     }
 
-    /// Notes that the last `Ready` that needed a sync is synced.
+    /// Reports that the last `Ready` that needed a sync is synced.
     pub fn persisted(&mut self) {
         let Some(writing) = self.output.writing.take() else {
             return;
@@ -94,11 +94,11 @@
             return;
         }
         match &self.role {
-            // A candidate's vote for itself counts once it is synced.
+            // A candidate's vote for itself counts only once it is synced.
             RoleState::Candidate { .. } if writing.vote == Some(self.config.id) => {
                 self.count_vote(self.config.id);
             }
-            // So do a leader's own entries.
+            // A leader's own copy of an entry also counts only once it is synced.
             RoleState::Leader(_) => self.advance_commit(),
             _ => {}
         }
@@ -120,8 +120,9 @@
         }
     }
 
-    /// The hard state, if term or vote changed. The commit index alone is not
-    /// worth a sync; it goes along with other data.
+    /// Returns the hard state if the term or vote changed, or if the commit index
+    /// changed and `entries` says that entries are written as well. The commit index
+    /// alone does not cause a sync.
     fn take_hard_state(&mut self, entries: bool) -> Option<HardState> {
         let commit = self.log.commit();
         let changed = (self.term, self.vote) != (self.output.term, self.output.vote);
@@ -140,12 +141,12 @@
         })
     }
 
-    /// Sends a message that rests on nothing unsynced.
+    /// Sends a message that does not depend on unsynced state.
     pub(super) fn send(&mut self, to: ReplicaId, message: Message) {
         self.output.messages.push(Outgoing { to, message });
     }
 
-    /// Sends a message once all that came before it is synced.
+    /// Sends a message once all state up to this call is synced.
     pub(super) fn send_after_sync(&mut self, to: ReplicaId, message: Message) {
         self.output
             .messages_after_sync
--- a/crates/consensus/src/replica/progress.rs
+++ b/crates/consensus/src/replica/progress.rs
@@ -7,13 +7,13 @@
 /// How entries are sent to a follower.
 #[derive(Clone, Debug, Hash)]
 enum State {
-    /// One request at a time; `waiting` while one is out.
+    /// One request at a time; `waiting` while a request is in flight.
     Probe { waiting: bool },
-    /// Requests ahead of the answers. Holds the last entry of each request that
-    /// is out.
+    /// Pipelined requests. `in_flight` holds the last entry of each unacknowledged
+    /// request.
     Replicate { in_flight: VecDeque<Index> },
-    /// The follower has to fetch a snapshot. Counts the heartbeats it answered
-    /// since the offer.
+    /// The follower has to fetch a snapshot. `heartbeats` counts its heartbeat
+    /// responses since the offer.
     Snapshot { heartbeats: u32 },
 }
 
@@ -23,10 +23,10 @@
     match_index: Index,
     next_index: Index,
     state: State,
-    /// Whether a request is due even without entries, to find out about a loss.
+    /// Whether to send a request even without new entries, to detect a lost one.
     poke: bool,
     recently_active: bool,
-    /// The last round of read confirmation that it answered.
+    /// The last read-confirmation round the follower has confirmed.
     confirmed_round: u64,
 }
 
@@ -62,7 +62,7 @@
         self.recently_active = true;
     }
 
-    /// Whether the follower was heard of since the last call.
+    /// Whether the follower has responded since the last call.
     pub(crate) fn take_activity(&mut self) -> bool {
         std::mem::take(&mut self.recently_active)
     }
@@ -71,7 +71,7 @@
         matches!(self.state, State::Replicate { .. })
     }
 
-    /// Whether a request may and should go out.
+    /// Whether a request is due and may be sent.
     pub(crate) fn wants_append(&self, last_index: Index, max_in_flight: usize) -> bool {
         let due = self.poke || self.next_index <= last_index;
         let free = match &self.state {
@@ -82,7 +82,7 @@
         due && free
     }
 
-    /// Notes a request whose last entry is `last`, or one without entries.
+    /// Records a sent request whose last entry is `last`; `None` if it has no entries.
     pub(crate) fn sent(&mut self, last: Option<Index>) {
         self.poke = false;
         match (&mut self.state, last) {
@@ -95,14 +95,14 @@
         }
     }
 
-    /// Notes that a snapshot was offered.
+    /// Records that a snapshot was offered.
     pub(crate) fn snapshot_offered(&mut self) {
         self.poke = false;
         self.state = State::Snapshot { heartbeats: 0 };
     }
 
-    /// Notes an accepted request. `reachable` says whether the log still holds
-    /// the entries behind `match_index`.
+    /// Records an accepted request. `reachable` states whether the leader's log still
+    /// contains the entries after `match_index`.
     pub(crate) fn accepted(&mut self, match_index: Index, reachable: bool) {
         self.match_index = self.match_index.max(match_index);
         self.next_index = self.next_index.max(self.match_index.next());
@@ -128,7 +128,8 @@
         };
     }
 
-    /// Notes a rejected request; the logs may agree at `agreement`.
+    /// Records a rejected request; `agreement` is the last position at which the
+    /// logs may agree.
     pub(crate) fn rejected(&mut self, previous_index: Index, agreement: Index) {
         let stale = match self.state {
             State::Probe { .. } => previous_index != self.next_index.previous(),
@@ -144,8 +145,8 @@
         self.poke = true;
     }
 
-    /// Notes a heartbeat response. A follower that lacks entries may have
-    /// missed a request, so that one is sent again.
+    /// Records a heartbeat response. A follower that lacks entries may have missed a
+    /// request, so another one becomes due.
     pub(crate) fn heartbeat_answered(
         &mut self,
         last_index: Index,
@@ -170,13 +171,13 @@
         self.poke = self.match_index < last_index;
     }
 
-    /// Goes back to one request at a time.
+    /// Returns to sending one request at a time.
     pub(crate) fn probe(&mut self) {
         self.next_index = self.match_index.next();
         self.state = State::Probe { waiting: false };
     }
 
-    /// Notes that the follower cannot be reached.
+    /// Records that the follower is unreachable.
     pub(crate) fn unreachable(&mut self) {
         if self.is_replicating() {
             self.probe();
--- a/crates/consensus/src/replica/read.rs
+++ b/crates/consensus/src/replica/read.rs
@@ -1,5 +1,5 @@
-//! Linearizable reads: a round of heartbeats proves that no later leader had
-//! committed anything when the read began.
+//! Linearizable reads: a round of heartbeats confirms that no later leader had
+//! committed anything when the read started.
 
 use molespan_types::mechanism::{Mechanism, enabled};
 
@@ -8,9 +8,9 @@
 use crate::{ReadError, ReadReady};
 
 impl Replica {
-    /// Asks for a log position at which a read is linearizable. The answer
-    /// comes in `Ready::reads`, or in `Ready::failed_reads` if leadership is
-    /// lost first. Reads asked for before one `Ready` share a round.
+    /// Requests a log position at which a read is linearizable. The result is
+    /// returned in `Ready::reads`, or in `Ready::failed_reads` if leadership is lost
+    /// first. Reads requested before the same `Ready` share a round.
     ///
     /// # Errors
     /// [`ReadError`] if this replica is not the leader or too many reads wait.
@@ -31,8 +31,9 @@
         Ok(())
     }
 
-    /// Opens a round for the reads that wait. Before the leader has committed
-    /// an entry of its term it may not know the latest commit index.
+    /// Starts a round for the waiting reads. Waits until the leader has committed an
+    /// entry of its term, because before that it may not know the latest commit
+    /// index.
     pub(super) fn start_read_round(&mut self) {
         let commit = self.log.commit();
         let RoleState::Leader(leadership) = &mut self.role else {
@@ -52,7 +53,7 @@
         self.confirm_reads();
     }
 
-    /// Answers the rounds that a quorum has confirmed.
+    /// Completes the rounds that a quorum has confirmed.
     pub(super) fn confirm_reads(&mut self) {
         let membership = self.log.membership();
         let own_id = self.config.id;
--- a/crates/consensus/src/replica/replication.rs
+++ b/crates/consensus/src/replica/replication.rs
@@ -1,4 +1,5 @@
-//! Replication: appends and heartbeats on both sides, and the commit index.
+//! Replication: appends and heartbeats on leader and follower, and the commit
+//! index.
 
 use super::log::Appended;
 use super::{Replica, RoleState};
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Whether a quorum was heard of since the last check.
+    /// Whether a quorum has responded since the last check.
     fn check_quorum(&mut self) -> bool {
         let RoleState::Leader(leadership) = &mut self.role else {
             return false;
@@ -52,7 +53,7 @@
             .map(|(id, progress)| {
                 let heartbeat = Heartbeat {
                     term: self.term,
-                    // Never more than the follower is known to hold.
+                    // Never beyond the last entry the follower is known to store.
                     commit: self.log.commit().min(progress.match_index()),
                     round: leadership.reads.latest_round,
                 };
@@ -78,7 +79,7 @@
         index
     }
 
-    /// Sends every follower what it lacks, within its window.
+    /// Sends missing entries to every follower, within its in-flight limit.
     pub(super) fn send_appends(&mut self) {
         let RoleState::Leader(leadership) = &self.role else {
             return;
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Sends one request, if the follower lacks something and has room.
+    /// Sends one request if the follower needs one and has a free in-flight slot.
+    /// Returns whether a request was sent.
     fn send_append(&mut self, to: ReplicaId) -> bool {
         let RoleState::Leader(leadership) = &mut self.role else {
             return false;
@@ -208,8 +210,8 @@
             return;
         }
         self.log.commit_to(heartbeat.commit);
-        // Does not wait for the sync: it rests on no entry, and a replica that
-        // lost the term in a crash has not voted in a later one before now.
+        // Needs no sync: the response depends on no entry, and a replica that loses
+        // the term in a crash has not yet voted in a later one.
         let response = HeartbeatResponse {
             term: self.term,
             round: heartbeat.round,
@@ -239,7 +241,8 @@
         self.confirm_reads();
     }
 
-    /// Commits what a quorum has stored, if it is of the leader's own term.
+    /// Commits the entries that a quorum has stored, if the last of them is of the
+    /// leader's own term.
     pub(super) fn advance_commit(&mut self) {
         let RoleState::Leader(leadership) = &mut self.role else {
             return;
@@ -265,7 +268,7 @@
         self.finish_membership_change();
     }
 
-    /// Notes that messages to `peer` do not arrive.
+    /// Reports that messages to `peer` cannot be delivered.
     pub fn report_unreachable(&mut self, peer: ReplicaId) {
         if let RoleState::Leader(leadership) = &mut self.role
             && let Some(progress) = leadership.followers.get_mut(&peer)
@@ -275,7 +278,7 @@
     }
 }
 
-/// Whether the entries follow `previous_index` without a gap.
+/// Whether the entries are contiguous and start right after `previous_index`.
 fn is_contiguous(previous_index: Index, entries: &[Entry]) -> bool {
     let mut expected = previous_index;
     entries.iter().all(|entry| {
--- a/crates/consensus/src/replica/snapshot.rs
+++ b/crates/consensus/src/replica/snapshot.rs
@@ -1,11 +1,11 @@
-//! Snapshots: compaction on one side, installation on the other.
+//! Snapshots: compaction of the log, and installation of the leader's snapshot.
 
 use super::Replica;
 use crate::{AppendOutcome, Index, ReplicaId, SnapshotMeta, SnapshotOffer};
 
 impl Replica {
-    /// Position, term and membership that a snapshot taken at `index` stands
-    /// for; nothing if the entry is not applied or no longer in memory.
+    /// Returns the metadata for a snapshot taken at `index`, or `None` if the entry
+    /// is not applied or no longer in memory.
     #[must_use]
     pub fn snapshot_meta(&self, index: Index) -> Option<SnapshotMeta> {
         if index > self.log.applied() {
@@ -14,8 +14,9 @@
         self.log.meta_at(index)
     }
 
-    /// Notes that the driver has durably stored a snapshot of its own. Entries
-    /// up to it leave the memory, but for a few that slow followers may need.
+    /// Reports that the driver has durably stored a local snapshot. Entries that the
+    /// snapshot contains are removed from memory, except for the last few, which
+    /// slow followers may need.
     pub fn compact(&mut self, meta: SnapshotMeta) {
         self.log.compact(
             meta,
@@ -24,18 +25,19 @@
         );
     }
 
-    /// Whether an offered snapshot would still bring this replica forward. The
-    /// driver asks before it replaces the state of its machine.
+    /// Whether an offered snapshot is still ahead of this replica. The driver
+    /// checks this before it replaces the state of its state machine.
     #[must_use]
     pub fn wants_snapshot(&self, meta: &SnapshotMeta) -> bool {
         self.fault.is_none() && meta.index > self.log.applied()
     }
 
-    /// Notes that the driver has durably stored the offered snapshot and
-    /// replaced the state of its machine by it.
+    /// Reports that the driver has durably stored the offered snapshot and loaded
+    /// it into its state machine.
     ///
-    /// Stored entries behind the snapshot stay if the stored log holds the
-    /// entry at `meta.index` with `meta.term`; else the whole stored log goes.
+    /// Stored entries after the snapshot are kept if the stored log contains the
+    /// entry at `meta.index` with `meta.term`; otherwise the whole stored log is
+    /// dropped.
     pub fn snapshot_installed(&mut self, meta: SnapshotMeta) {
         if !self.wants_snapshot(&meta) {
             return;
@@ -49,7 +51,7 @@
 
     pub(super) fn handle_snapshot_notice(&mut self, from: ReplicaId, meta: SnapshotMeta) {
         if meta.index <= self.log.commit() || self.log.holds(meta.index, meta.term) {
-            // What a snapshot contains is committed.
+            // All entries in a snapshot are committed.
             self.log.commit_to(meta.index);
             let match_index = self.log.commit();
             self.send_append_response(from, AppendOutcome::Accepted { match_index });
--- a/crates/consensus/src/replica/step.rs
+++ b/crates/consensus/src/replica/step.rs
@@ -1,13 +1,13 @@
-//! Taking in a message: whom to listen to, and which term counts.
+//! Handling of received messages: which senders and terms are accepted.
 
 use super::{Replica, RoleState};
 use crate::{HeartbeatResponse, Message, ReplicaId, VoteResponse};
 
 impl Replica {
-    /// Takes in a message of another replica of the group.
+    /// Handles a message from another replica of the group.
     ///
-    /// Messages may be lost, doubled, late or out of order. Those of replicas
-    /// that are not members never disturb a group that has a leader.
+    /// Messages may be lost, duplicated, delayed or reordered. Messages from
+    /// replicas that are not members never disrupt a group that has a leader.
     pub fn step(&mut self, from: ReplicaId, message: Message) {
         if self.fault.is_some() || from == self.config.id || self.ignores(from, &message) {
             return;
@@ -23,11 +23,11 @@
         self.handle(from, message);
     }
 
-    /// Whether the message must not have any effect.
+    /// Whether the message must be ignored.
     fn ignores(&self, from: ReplicaId, message: &Message) -> bool {
         let member = self.log.membership().contains(from);
-        // The sender may belong to a membership that has not arrived here yet,
-        // so it is heard once the known leader has fallen silent.
+        // The sender may belong to a membership that this replica has not received
+        // yet, so its messages are accepted once the known leader has timed out.
         if !member && self.has_live_leader() && self.leader != Some(from) {
             return true;
         }
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Whether a leader was heard within the shortest election timeout. A
-    /// leader itself steps down when it has lost its quorum for as long.
+    /// Whether a leader has sent a message within the minimum election timeout. A
+    /// leader that loses contact with a quorum for as long steps down on its own.
     fn has_live_leader(&self) -> bool {
         match self.role {
             RoleState::Leader(_) => true,
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Tells the sender of an outdated request about the current term.
+    /// Rejects a request from an earlier term and reports the current term to its
+    /// sender.
     fn answer_outdated(&mut self, from: ReplicaId, message: &Message) {
         let refusal = VoteResponse {
             term: self.term,
@@ -102,7 +103,7 @@
         }
     }
 
-    /// Takes the sender for the leader of the term, which it is unless this
+    /// Accepts the sender as the leader of the current term. Returns false if this
     /// replica leads the term itself.
     fn follow(&mut self, from: ReplicaId) -> bool {
         if matches!(self.role, RoleState::Leader(_)) {
@@ -115,7 +116,8 @@
     }
 }
 
-/// Whether the term of the message is one that nobody is in yet.
+/// Whether the message carries the term of a possible future election, which the
+/// receiver must not adopt.
 fn is_prospective(message: &Message) -> bool {
     match message {
         Message::PreVoteRequest(_) => true,
--- a/crates/consensus/src/replica/timer.rs
+++ b/crates/consensus/src/replica/timer.rs
@@ -7,7 +7,7 @@
 
 use crate::Config;
 
-/// Counts ticks since the last sign of a leader, against a random timeout.
+/// Counts ticks since the last message from a leader, against a random timeout.
 #[derive(Clone, Debug)]
 pub(crate) struct ElectionTimer {
     seed: u64,
@@ -15,13 +15,13 @@
     election_ticks: u32,
     timeout: u32,
     elapsed: u32,
-    /// Whether a leader was ever heard since the start.
+    /// Whether a leader has sent a message since the start.
     led: bool,
 }
 
-/// Shortest timeout, in ticks, of a replica that never heard a leader. The
-/// first tick may come at once, so that one whole tick passes at least: a vote
-/// just granted has to reach its candidate.
+/// Minimum timeout, in ticks, of a replica that has not heard from a leader since
+/// its start. The first tick may come immediately, so 2 ticks leave at least one
+/// whole tick for a granted vote to reach its candidate.
 const FIRST_ELECTION_TICKS: u32 = 2;
 
 impl ElectionTimer {
@@ -38,11 +38,12 @@
         timer
     }
 
-    /// Starts to count anew, against another random timeout.
+    /// Restarts the timer with a new random timeout.
     ///
-    /// A replica that never heard a leader has none to wait for, so its
-    /// timeouts are short: after an outage of the whole group every tick is one
-    /// without service. If there is a leader after all, the pre-vote fails.
+    /// Timeouts are shorter until the first message from a leader: after an outage
+    /// of the whole group there is no leader to wait for, and the group is
+    /// unavailable until one is elected. If a leader exists after all, the
+    /// pre-vote fails.
     pub(crate) fn restart(&mut self) {
         let mut random = ChaCha8Rng::seed_from_u64(self.seed);
         random.set_stream(self.draws);
@@ -57,7 +58,7 @@
         self.elapsed = 0;
     }
 
-    /// Notes a sign of the leader.
+    /// Records a message from the leader.
     pub(crate) fn leader_heard(&mut self) {
         if !self.led {
             self.led = true;
@@ -66,20 +67,21 @@
         self.elapsed = 0;
     }
 
-    /// Counts one tick; says whether the timeout has passed.
+    /// Counts one tick and returns whether the timeout has elapsed.
     pub(crate) fn tick(&mut self) -> bool {
         self.elapsed = self.elapsed.saturating_add(1);
         self.elapsed >= self.timeout
     }
 
-    /// Whether a leader that was heard when the count began may still lead.
+    /// Whether less than the minimum election timeout has elapsed since the timer
+    /// was last reset, so that the leader of that time may still lead.
     pub(crate) fn within_minimum(&self) -> bool {
         self.elapsed < self.election_ticks
     }
 }
 
-/// Leaves out the number of draws, so that an exploration takes states for the
-/// same that differ only in the timeouts to come.
+/// Excludes the seed and the number of draws, so that an exploration treats states
+/// that differ only in future timeouts as equal.
 impl Hash for ElectionTimer {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.timeout.hash(state);
--- a/crates/consensus/src/replica/transfer.rs
+++ b/crates/consensus/src/replica/transfer.rs
@@ -1,16 +1,16 @@
-//! Handing leadership to a chosen voter.
+//! Leadership transfer to a chosen voter.
 
 use super::leadership::Transfer;
 use super::{Replica, RoleState};
 use crate::{Message, ProposeError, ReplicaId, TimeoutNow};
 
 impl Replica {
-    /// Hands leadership to `to`, as soon as it has the whole log. Until then,
-    /// and for at most an election timeout, proposals are refused.
+    /// Transfers leadership to `to` as soon as it has the whole log. Proposals are
+    /// rejected meanwhile, for at most `election_ticks` ticks.
     ///
     /// # Errors
-    /// [`ProposeError`] if this replica is not the leader, another transfer is
-    /// under way, or `to` is no other voter.
+    /// [`ProposeError`] if this replica is not the leader, another transfer is in
+    /// progress, or `to` is not another voter.
     pub fn transfer_leadership(&mut self, to: ReplicaId) -> Result<(), ProposeError> {
         let target_votes = self.log.membership().voters.contains(&to);
         let own_id = self.config.id;
@@ -23,7 +23,7 @@
         Ok(())
     }
 
-    /// Tells the target to stand for election once it has the whole log.
+    /// Asks the target to start an election once it has the whole log.
     pub(super) fn continue_transfer(&mut self, follower: ReplicaId) {
         let RoleState::Leader(leadership) = &self.role else {
             return;
@@ -46,7 +46,7 @@
         self.send(to, Message::TimeoutNow(request));
     }
 
-    /// Gives a transfer up after an election timeout.
+    /// Aborts a transfer after `election_ticks` ticks.
     pub(super) fn tick_transfer(&mut self) {
         let RoleState::Leader(leadership) = &mut self.role else {
             return;
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -1,4 +1,4 @@
-//! A replica's view of itself and its group, for operators and metrics.
+//! Status of a replica and its group, for operators and metrics.
 
 use std::collections::BTreeMap;
 
@@ -6,16 +6,16 @@
 
 use crate::{Fault, Index, Membership, ReplicaId, Term};
 
-/// Part that a replica plays in its term.
+/// The role of a replica in its current term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
 pub enum Role {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader, or waits for one to be elected.
     #[display("follower")]
     Follower,
-    /// Asks whether an election could succeed.
+    /// Checks by a pre-vote whether an election could succeed.
     #[display("pre-candidate")]
     PreCandidate,
-    /// Stands for election.
+    /// Requests votes in an election.
     #[display("candidate")]
     Candidate,
     /// Leads its term.
@@ -26,10 +26,10 @@
 /// How a leader sends entries to a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Display)]
 pub enum FollowerState {
-    /// One request at a time, to find where the logs agree.
+    /// One request at a time, to find the last matching entry.
     #[display("probe")]
     Probe,
-    /// Requests ahead of the answers.
+    /// Pipelined requests, without waiting for each response.
     #[display("replicate")]
     Replicate,
     /// The follower has to fetch a snapshot.
@@ -46,24 +46,24 @@
     pub next_index: Index,
     /// How entries are sent.
     pub state: FollowerState,
-    /// Whether it was heard of since the last quorum check.
+    /// Whether the follower has responded since the last quorum check.
     pub recently_active: bool,
 }
 
-/// A replica's view of itself and its group.
+/// Status of a replica and its group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// This replica.
+    /// Identifier of this replica.
     pub id: ReplicaId,
-    /// Its role.
+    /// Its role in the current term.
     pub role: Role,
-    /// Its term.
+    /// The current term.
     pub term: Term,
-    /// The leader of the term, when known.
+    /// The leader of the term, if known.
     pub leader: Option<ReplicaId>,
     /// The last entry known to be committed.
     pub commit: Index,
-    /// The last entry handed out to be applied.
+    /// The last entry returned to the driver to be applied.
     pub applied: Index,
     /// The first entry in memory.
     pub first_index: Index,
@@ -71,16 +71,16 @@
     pub last_index: Index,
     /// The last entry that is synced.
     pub persisted: Index,
-    /// The last snapshot.
+    /// The last entry contained in the latest snapshot.
     pub snapshot_index: Index,
     /// The membership in force.
     pub membership: Membership,
-    /// The entry that set the membership in force.
+    /// Index of the entry that set the membership in force.
     pub membership_index: Index,
-    /// Followers and learners, on a leader.
+    /// Status of followers and learners; empty unless this replica leads.
     pub followers: BTreeMap<ReplicaId, FollowerStatus>,
-    /// Bytes that wait to be committed, on a leader.
+    /// Bytes of uncommitted entries; 0 unless this replica leads.
     pub uncommitted_bytes: usize,
-    /// Why the replica has stopped.
+    /// The fault because of which the replica has stopped, if any.
     pub fault: Option<Fault>,
 }
--- a/crates/consensus/tests/election.rs
+++ b/crates/consensus/tests/election.rs
@@ -1,4 +1,4 @@
-//! A group elects one leader, and commits.
+//! Elections, and commits of a new leader.
 
 use std::collections::BTreeMap;
 
@@ -57,8 +57,8 @@
     }
 }
 
-/// Has a replica elected by replica 2, with an entry of an earlier term that
-/// was never committed.
+/// Returns a leader elected by the vote of replica 2, with an uncommitted entry
+/// of an earlier term.
 fn leader_with_an_old_entry() -> Replica {
     let mut persisted = Persisted::bootstrap(Membership::of_voters([1, 2, 3].map(ReplicaId)));
     persisted.hard_state.term = Term(2);
@@ -107,8 +107,8 @@
     assert_eq!(replica.status().commit, Index(3));
 }
 
-/// Ticks until a group whose members just started has a leader, when all of
-/// them tick at the same moments and messages arrive at once.
+/// Returns the number of ticks until a newly started group has a leader, if all
+/// members tick simultaneously and messages are delivered immediately.
 fn ticks_to_the_first_leader(seed: u64) -> u32 {
     let ids = [1, 2, 3].map(ReplicaId);
     let start = Persisted::bootstrap(Membership::of_voters(ids));
@@ -131,7 +131,7 @@
     panic!("no leader with seed {seed}");
 }
 
-/// Delivers messages until none is under way.
+/// Delivers messages until none is in flight.
 fn deliver_all(replicas: &mut BTreeMap<ReplicaId, Replica>) {
     loop {
         let mut sent: Vec<(ReplicaId, Outgoing)> = Vec::new();
@@ -157,7 +157,7 @@
     let election_ticks = Config::new(ReplicaId(1)).election_ticks;
     let waits: Vec<u32> = (0..200).map(ticks_to_the_first_leader).collect();
     let soon = waits.iter().filter(|&&ticks| ticks <= election_ticks);
-    // Two that stand on the very same tick may split the votes once.
+    // Two candidates that start on the same tick may split the vote once.
     assert!(soon.count() >= 180, "{waits:?}");
     assert!(waits.iter().all(|&ticks| ticks <= 3 * election_ticks));
 }
@@ -173,7 +173,8 @@
     deliver_all(&mut replicas);
     let term = replicas[&ReplicaId(1)].term();
     assert_eq!(replicas[&ReplicaId(1)].role(), Role::Leader);
-    // It is new, has lost nothing that matters, and hears nothing at first.
+    // Replica 3 restarts from its initial state, which loses no committed data, and
+    // at first receives no message from the leader.
     replicas.insert(ReplicaId(3), replica(ReplicaId(3)));
     for _ in 0..20 {
         replicas.get_mut(&ReplicaId(3)).unwrap().tick();
--- a/crates/consensus/tests/explore.rs
+++ b/crates/consensus/tests/explore.rs
@@ -1,4 +1,4 @@
-//! Exhaustive exploration of a small group at fixed bounds.
+//! Exhaustive exploration of a small group within fixed bounds.
 
 use molespan_consensus::explore::{Bounds, Start, explore};
 
--- a/crates/consensus/tests/faults/agreement.rs
+++ b/crates/consensus/tests/faults/agreement.rs
@@ -1,4 +1,4 @@
-//! Random faults, by seed.
+//! Agreement under random faults, by seed.
 
 use std::collections::BTreeSet;
 
@@ -12,10 +12,11 @@
 use crate::network::Weather;
 use crate::node::Disk;
 
-/// Ticks under faults.
+/// Duration of the faults, in ticks.
 const TICKS: u64 = 600;
 
-/// Rates in a thousand for each tick.
+/// Faults to inject. `restart`, `cut`, `change_members` and `transfer` are rates
+/// per thousand per tick.
 #[derive(Clone, Copy, Debug, Default)]
 struct Plan {
     weather: Weather,
@@ -46,7 +47,7 @@
     }
 }
 
-/// Runs a group through `plan` and expects it to recover.
+/// Runs a group under the faults of `plan` and expects it to recover.
 fn survive(voters: u64, seed: u64, plan: Plan) {
     let mut cluster = Cluster::with_config(voters, seed, |config| {
         config.trailing_entries = 4;
@@ -107,8 +108,8 @@
     }
 }
 
-/// Tries one change on the leader: a new learner, a replacement by a learner,
-/// one learner less, or another set of voters.
+/// Attempts one membership change on the leader: adds or removes a learner,
+/// replaces a voter by a learner, or sets other voters.
 fn change_members(cluster: &mut Cluster, next_id: &mut u64) {
     let Some(leader) = cluster.leader() else {
         return;
@@ -142,7 +143,8 @@
     let _ = cluster.node(leader).replica().change_membership(change);
 }
 
-/// A command and a read on whoever takes itself for a leader.
+/// Randomly proposes a command and requests a read on each replica that believes
+/// to be the leader.
 fn use_group(cluster: &mut Cluster) {
     for id in cluster.running() {
         if cluster.node(id).replica().leader() != Some(id) {
--- a/crates/consensus/tests/faults/checker.rs
+++ b/crates/consensus/tests/faults/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever happens.
+//! Invariants that must hold under all faults.
 
 use std::collections::BTreeMap;
 
@@ -21,7 +21,7 @@
             .committed
             .entry(entry.index)
             .or_insert_with(|| entry.clone());
-        assert_eq!(first, entry, "replica {id} applies another entry");
+        assert_eq!(first, entry, "replica {id} applied a different entry");
     }
 
     pub fn last(&self) -> Index {
@@ -30,7 +30,7 @@
             .map_or(Index::ZERO, |(index, _)| *index)
     }
 
-    /// Commands up to `index`.
+    /// Returns the committed commands up to `index`.
     pub fn commands(&self, index: Index) -> Vec<Vec<u8>> {
         let entries = self.committed.range(..=index);
         let commands = entries.filter_map(|(_, entry)| match &entry.kind {
--- a/crates/consensus/tests/faults/cluster.rs
+++ b/crates/consensus/tests/faults/cluster.rs
@@ -12,10 +12,10 @@
 use crate::network::{Network, Packet};
 use crate::node::{Disk, Node, Writing};
 
-/// Ticks after which a part of a snapshot is asked for again.
+/// Ticks after which the next part of a snapshot is requested again.
 const PULL_AGAIN: u64 = 4;
 
-/// Bound on waiting for a condition, in ticks.
+/// Maximum time to wait for a condition, in ticks.
 const PATIENCE: u64 = 3_000;
 
 pub struct Cluster {
@@ -24,9 +24,9 @@
     pub checker: Checker,
     pub random: ChaCha8Rng,
     pub now: u64,
-    /// Longest time of a sync in ticks.
+    /// Maximum duration of a sync, in ticks.
     pub sync_ticks: u64,
-    /// Applied entries between two snapshots; none are taken at zero.
+    /// Applied entries between two snapshots; 0 disables snapshots.
     pub compact_every: u64,
     configure: fn(&mut Config),
     proposals: u64,
@@ -81,7 +81,7 @@
         self.node(id).restart();
     }
 
-    /// The leader of the latest term that runs.
+    /// Returns the running leader of the latest term.
     pub fn leader(&self) -> Option<ReplicaId> {
         let replicas = self.nodes.values().filter_map(|node| node.running.as_ref());
         replicas
@@ -96,7 +96,7 @@
         self.leader().unwrap()
     }
 
-    /// Proposes a new command on `id`; says whether it was taken.
+    /// Proposes a new command on `id`; returns whether it was accepted.
     pub fn propose(&mut self, id: ReplicaId) -> bool {
         self.proposals += 1;
         let command = self.proposals.to_be_bytes().to_vec();
@@ -105,7 +105,7 @@
         taken
     }
 
-    /// Asks `id` for a read; says whether it was taken.
+    /// Requests a read from `id`; returns whether it was accepted.
     pub fn read(&mut self, id: ReplicaId) -> bool {
         self.reads += 1;
         let (context, committed) = (self.reads, self.checker.last());
@@ -189,7 +189,7 @@
         self.work(to);
     }
 
-    /// Sends a command of the stored snapshot.
+    /// Sends one command of the stored snapshot.
     fn serve(&mut self, id: ReplicaId, to: ReplicaId, snapshot: Index, position: usize) {
         let disk = &self.nodes[&id].disk;
         let Some(meta) = disk.persisted.snapshot.clone() else {
@@ -207,7 +207,7 @@
         self.send(id, to, chunk);
     }
 
-    /// Asks for the next command of a snapshot, if that is due.
+    /// Requests the next command of a snapshot, if a request is due.
     fn pull(&mut self, id: ReplicaId) {
         let now = self.now;
         let Some(running) = self.node(id).running.as_mut() else {
@@ -235,7 +235,7 @@
         }
     }
 
-    /// Does the work that a replica hands out.
+    /// Processes all pending work of a replica.
     pub fn work(&mut self, id: ReplicaId) {
         while let Some(running) = self.node(id).running.as_mut() {
             let Some(mut ready) = running.replica.ready() else {
@@ -306,7 +306,7 @@
         }
     }
 
-    /// Ends all faults, and expects the members to agree and to go on.
+    /// Ends all faults, and expects the members to agree and commit further entries.
     pub fn settle(&mut self) {
         self.network.heal();
         self.network.weather = crate::network::Weather::default();
@@ -316,10 +316,10 @@
             }
         }
         let before = self.checker.last();
-        // Transfers that are under way end, one way or the other.
+        // Lets transfers in progress complete or be aborted.
         self.run(100);
         let leader = self.elect();
-        assert!(self.propose(leader), "the leader refuses a command");
+        assert!(self.propose(leader), "the leader rejected a command");
         self.wait("agreement", |cluster| {
             let last = cluster.checker.last();
             let members = cluster.members();
@@ -333,7 +333,7 @@
         }
     }
 
-    /// Members by the view of the leader; nobody without one.
+    /// Returns the members according to the leader; empty if there is no leader.
     pub fn members(&self) -> Vec<ReplicaId> {
         let Some(leader) = self.leader() else {
             return Vec::new();
--- a/crates/consensus/tests/faults/contradiction.rs
+++ b/crates/consensus/tests/faults/contradiction.rs
@@ -1,4 +1,4 @@
-//! A replica that finds a contradiction stops.
+//! A replica that detects an inconsistency stops.
 
 use molespan_consensus::{
     AppendRequest, Config, Entry, EntryKind, Fault, Heartbeat, Index, Membership, Message,
@@ -7,7 +7,7 @@
 
 const LEADER: ReplicaId = ReplicaId(1);
 
-/// A follower whose log ends at the first entry.
+/// Returns a follower whose log ends at the first entry.
 fn follower() -> Replica {
     let voters = [1, 2, 3].map(ReplicaId);
     let persisted = Persisted::bootstrap(Membership::of_voters(voters));
@@ -18,7 +18,8 @@
     std::iter::from_fn(|| replica.ready()).find_map(|ready| ready.fault)
 }
 
-/// A follower that was told of an acknowledgement that it does not hold.
+/// Returns a follower that received a heartbeat committing an entry beyond its
+/// log, as after its disk was rolled back.
 fn rolled_back() -> Replica {
     let mut replica = follower();
     let heartbeat = Heartbeat {
--- a/crates/consensus/tests/faults/elections.rs
+++ b/crates/consensus/tests/faults/elections.rs
@@ -1,4 +1,4 @@
-//! Pre-vote, the quorum check, and transfers.
+//! Pre-votes, the quorum check, and leadership transfers.
 
 use molespan_consensus::{ProposeError, ReplicaId, Role};
 
@@ -6,7 +6,7 @@
 
 const OTHERS: u64 = 3;
 
-/// The two replicas that do not lead.
+/// Returns the two replicas other than `leader`.
 fn followers(leader: ReplicaId) -> [ReplicaId; 2] {
     let ids: Vec<ReplicaId> = (1..=OTHERS)
         .map(ReplicaId)
@@ -50,7 +50,7 @@
     for follower in followers(leader) {
         cluster.network.cut_one_way(follower, leader);
     }
-    // Two rounds of the quorum check.
+    // Two quorum checks.
     cluster.run(20);
     assert_eq!(cluster.node(leader).replica().role(), Role::Follower);
     cluster.wait("another leader", |cluster| {
@@ -63,7 +63,7 @@
     let mut cluster = Cluster::new(3, 4);
     let leader = cluster.elect();
     let [target, other] = followers(leader);
-    // The target stands for election in a later term, and nobody hears it.
+    // The target starts an election in a later term, but its messages are lost.
     let transfer = cluster.node(leader).replica().transfer_leadership(target);
     assert_eq!(transfer, Ok(()));
     cluster.work(leader);
@@ -84,7 +84,7 @@
     let leader = cluster.elect();
     let [target, _] = followers(leader);
     cluster.crash(target);
-    // The target lacks this entry, so that it cannot take over at once.
+    // The target lacks this entry, so it cannot take over immediately.
     assert!(cluster.propose(leader));
     let replica = cluster.node(leader).replica();
     assert_eq!(replica.transfer_leadership(target), Ok(()));
--- a/crates/consensus/tests/faults/flow.rs
+++ b/crates/consensus/tests/faults/flow.rs
@@ -1,4 +1,4 @@
-//! Bounds on what is under way.
+//! Limits on in-flight appends, uncommitted bytes and pending reads.
 
 use molespan_consensus::{FollowerState, Message, ProposeError, ReplicaId};
 
@@ -52,7 +52,7 @@
     cluster.network.heal();
     cluster.run(100);
     let leader = cluster.elect();
-    assert!(cluster.propose(leader), "room is free again");
+    assert!(cluster.propose(leader), "proposals are accepted again");
 }
 
 #[test]
--- a/crates/consensus/tests/faults/main.rs
+++ b/crates/consensus/tests/faults/main.rs
@@ -1,4 +1,4 @@
-//! A group under faults: messages, disks, restarts, members, reads, elections.
+//! Tests of a group under faults of network, disks and processes.
 
 mod agreement;
 mod checker;
--- a/crates/consensus/tests/faults/members.rs
+++ b/crates/consensus/tests/faults/members.rs
@@ -1,4 +1,4 @@
-//! Learners, replacements and departures.
+//! Learners, replacements and removals of members.
 
 use std::collections::BTreeSet;
 
@@ -146,7 +146,7 @@
     cluster.crash(second);
     let before = cluster.checker.last();
     cluster.run(100);
-    // The leader and the new replica are no majority of the old voters.
+    // The leader and the new replica are not a majority of the old voters.
     assert_eq!(cluster.checker.last(), before);
     cluster.restart(second);
     cluster.settle();
@@ -168,7 +168,7 @@
     });
     let new = cluster.leader().unwrap();
     assert!(cluster.propose(new));
-    // The one that left asks for votes in vain.
+    // The removed replica cannot win an election.
     cluster.run(300);
     assert_eq!(cluster.leader(), Some(new));
 }
--- a/crates/consensus/tests/faults/network.rs
+++ b/crates/consensus/tests/faults/network.rs
@@ -1,4 +1,5 @@
-//! A network that loses, doubles, delays and reorders, and can be cut.
+//! A network that loses, duplicates, delays and reorders packets, and whose links
+//! can be cut.
 
 use std::collections::BTreeSet;
 
@@ -6,11 +7,11 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// What goes from one replica to another.
+/// A packet from one replica to another.
 #[derive(Clone, Debug)]
 pub enum Packet {
     Consensus(Message),
-    /// Asks for a command of a snapshot.
+    /// Requests one command of a snapshot.
     Pull {
         snapshot: Index,
         position: usize,
@@ -24,7 +25,7 @@
     },
 }
 
-/// Rates in a hundred, and the longest delay in ticks.
+/// Fault rates in percent, and the maximum delay in ticks.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Weather {
     pub loss: u32,
@@ -44,7 +45,7 @@
 pub struct Network {
     pub weather: Weather,
     flying: Vec<Flying>,
-    /// Directions that nothing gets through.
+    /// Directed links, from sender to receiver, that drop all packets.
     cuts: BTreeSet<(ReplicaId, ReplicaId)>,
 }
 
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The next packet that arrives by `now`.
+    /// Removes and returns the next packet that is due by `now`.
     pub fn arrival(&mut self, now: u64) -> Option<(ReplicaId, ReplicaId, Packet)> {
         loop {
             let position = self.flying.iter().position(|one| one.due <= now)?;
--- a/crates/consensus/tests/faults/node.rs
+++ b/crates/consensus/tests/faults/node.rs
@@ -1,4 +1,4 @@
-//! One replica with its disk and its state machine, a list of commands.
+//! A replica with its disk and its state machine, which is a list of commands.
 
 use std::collections::BTreeMap;
 
@@ -7,21 +7,21 @@
     SnapshotOffer,
 };
 
-/// What outlives a crash.
+/// The state that survives a crash.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     pub persisted: Persisted,
     pub snapshot_commands: Vec<Vec<u8>>,
 }
 
-/// A write whose sync is under way.
+/// A write whose sync is in progress.
 #[derive(Debug)]
 pub struct Writing {
     pub ready: Ready,
     pub done_at: u64,
 }
 
-/// A snapshot that is being fetched.
+/// A snapshot fetch in progress.
 #[derive(Debug)]
 pub struct Fetch {
     pub from: ReplicaId,
@@ -30,7 +30,7 @@
     pub asked_at: u64,
 }
 
-/// What is gone after a crash.
+/// The state that is lost in a crash.
 #[derive(Debug)]
 pub struct Running {
     pub replica: Replica,
@@ -38,7 +38,8 @@
     pub applied: Index,
     pub writing: Option<Writing>,
     pub fetch: Option<Fetch>,
-    /// Reads that were asked for, with the last index committed by then.
+    /// Pending reads by context, each with the last committed index at the time of
+    /// the request.
     pub reads: BTreeMap<u64, Index>,
     pub failed_reads: usize,
     pub answered_reads: usize,
@@ -83,7 +84,7 @@
         node
     }
 
-    /// Starts from what is on disk.
+    /// Restarts from the state on disk.
     pub fn restart(&mut self) {
         let persisted = self.disk.persisted.clone();
         let applied = persisted
@@ -107,7 +108,7 @@
         &mut self.running.as_mut().unwrap().replica
     }
 
-    /// Stores a snapshot of the machine and drops what it covers.
+    /// Stores a snapshot of the state machine and compacts the log.
     pub fn compact(&mut self) {
         let running = self.running.as_mut().unwrap();
         let Some(meta) = running.replica.snapshot_meta(running.applied) else {
@@ -118,13 +119,13 @@
         running.replica.compact(meta);
     }
 
-    /// Puts a fetched snapshot in the place of the machine.
+    /// Replaces the state machine by a fetched snapshot.
     pub fn install(&mut self, meta: &SnapshotMeta, commands: Vec<Vec<u8>>) {
         let running = self.running.as_mut().unwrap();
         if !running.replica.wants_snapshot(meta) {
             return;
         }
-        // A write under way ends before the log is replaced.
+        // A write in progress completes before the log is replaced.
         if let Some(Writing { ready, .. }) = &running.writing {
             self.disk.store(ready.hard_state, &ready.entries);
         }
--- a/crates/consensus/tests/faults/reads.rs
+++ b/crates/consensus/tests/faults/reads.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads when leadership is in doubt.
+//! Linearizable reads while leadership is uncertain.
 
 use molespan_consensus::ReplicaId;
 
@@ -29,7 +29,7 @@
     assert_eq!((running.answered_reads, running.failed_reads), (0, 1));
     assert!(
         !cluster.read(old),
-        "a replica that stepped down takes a read"
+        "a replica that stepped down accepted a read"
     );
 }
 
@@ -38,7 +38,7 @@
     let mut cluster = Cluster::new(3, 2);
     let leader = cluster.elect();
     cluster.run(10);
-    // Answers to this round are under way when the leader is cut off.
+    // Responses to this round are in flight when the leader is cut off.
     cluster.network.weather.max_delay = 6;
     assert!(cluster.read(leader));
     cluster.run(2);
@@ -53,7 +53,7 @@
     };
     assert!(cluster.read(leader));
     cluster.run(60);
-    assert!(answered(&mut cluster) <= 1, "a read rests on an old round");
+    assert!(answered(&mut cluster) <= 1, "a read relied on an old round");
 }
 
 #[test]
@@ -78,7 +78,7 @@
     for _ in 0..4 {
         let leader = cluster.elect();
         assert!(cluster.propose(leader));
-        // The checker compares each answer with what was committed.
+        // The cluster checks each answered index against the last committed one.
         assert!(cluster.read(leader));
         cluster.run(5);
         cluster.crash(leader);
--- a/crates/consensus/tests/faults/snapshots.rs
+++ b/crates/consensus/tests/faults/snapshots.rs
@@ -1,11 +1,12 @@
-//! Followers behind the leader's log.
+//! Followers that lag so far that they need a snapshot.
 
 use molespan_consensus::{FollowerState, ReplicaId};
 
 use crate::cluster::Cluster;
 use crate::network::Weather;
 
-/// A group whose last follower is down and behind the leader's log.
+/// Returns a group with one stopped follower that lags behind the leader's log,
+/// with the leader and that follower.
 fn with_a_follower_behind(seed: u64) -> (Cluster, ReplicaId, ReplicaId) {
     let mut cluster = Cluster::with_config(3, seed, |config| {
         config.trailing_entries = 2;
--- a/crates/consensus/tests/message.rs
+++ b/crates/consensus/tests/message.rs
@@ -1,4 +1,4 @@
-//! Messages survive encoding, and bytes that are none are refused.
+//! Encoding round trips of messages, and rejection of malformed bytes.
 
 use std::collections::BTreeSet;
 
--- a/crates/consensus/tests/mutants.rs
+++ b/crates/consensus/tests/mutants.rs
@@ -1,9 +1,9 @@
-//! Each mechanism switched off breaks an invariant that the exploration finds.
+//! Disabling a safety mechanism violates an invariant, and the exploration detects it.
 
 use molespan_consensus::explore::{Bounds, Invariant, Start, explore};
 use molespan_types::mechanism::{Mechanism, disable};
 
-/// The invariant that breaks without `mechanism`.
+/// Returns the invariant violated when `mechanism` is disabled.
 fn broken(bounds: &Bounds, mechanism: Mechanism) -> Option<Invariant> {
     disable(Some(mechanism));
     let exploration = explore(bounds);
