--- a/crates/consensus/src/explore/check.rs
+++ b/crates/consensus/src/explore/check.rs
@@ -35,7 +35,7 @@
 
 /// Leaders, applied entries and disk losses observed on the path to a state.
 #[derive(Clone, Debug, Default, Hash)]
-pub(super) struct Record {
+pub(super) struct History {
     leaders: BTreeMap<Term, ReplicaId>,
     /// Entries applied by any replica, by index.
     applied: BTreeMap<Index, Entry>,
@@ -43,9 +43,9 @@
     pub(super) disk_lost: bool,
 }
 
-impl Record {
+impl History {
     /// Records an entry that a replica applied.
-    pub(super) fn apply(&mut self, entry: Entry) -> Result<(), Invariant> {
+    pub(super) fn record_applied(&mut self, entry: Entry) -> Result<(), Invariant> {
         let first = self
             .applied
             .entry(entry.index)
@@ -82,7 +82,7 @@
         let logs: Vec<&[Entry]> = nodes.values().map(Node::synced_entries).collect();
         for (position, left) in logs.iter().enumerate() {
             for right in &logs[position + 1..] {
-                check(match_each_other(left, right), Invariant::LogMatching)?;
+                check(logs_match(left, right), Invariant::LogMatching)?;
             }
         }
         Ok(())
@@ -117,7 +117,7 @@
 
 /// Whether the logs are identical up to the last position at which their terms
 /// agree.
-fn match_each_other(left: &[Entry], right: &[Entry]) -> bool {
+fn logs_match(left: &[Entry], right: &[Entry]) -> bool {
     let mut pairs = left.iter().zip(right).rev();
     let agreement = pairs.find(|(one, other)| one.term == other.term);
     let Some((last, _)) = agreement else {
--- a/crates/consensus/src/explore/mod.rs
+++ b/crates/consensus/src/explore/mod.rs
@@ -115,7 +115,7 @@
 /// A reached state and the position of the last step on the path to it.
 struct Reached {
     world: World,
-    by: Option<usize>,
+    last_step: Option<usize>,
 }
 
 /// Visits every state of the group within `bounds`, breadth first.
@@ -123,10 +123,10 @@
 pub fn explore(bounds: &Bounds) -> Exploration {
     let mut search = Search::new();
     let mut level = match World::new(bounds) {
-        Ok(initial) => vec![search.start_at(initial)],
+        Ok(initial) => vec![search.add_initial(initial)],
         Err(invariant) => search.fail(invariant, Vec::new()),
     };
-    while !level.is_empty() && search.may_go_on(bounds) {
+    while !level.is_empty() && search.should_continue(bounds) {
         level = search.next_level(&level);
     }
     let bounded_by_depth = search.result.depth == bounds.max_depth;
@@ -159,17 +159,17 @@
         }
     }
 
-    fn may_go_on(&self, bounds: &Bounds) -> bool {
+    fn should_continue(&self, bounds: &Bounds) -> bool {
         self.result.violation.is_none()
             && self.result.depth < bounds.max_depth
             && self.seen.len() < bounds.max_states
     }
 
-    fn start_at(&mut self, initial: World) -> Reached {
+    fn add_initial(&mut self, initial: World) -> Reached {
         self.seen.insert(initial.fingerprint());
         Reached {
             world: initial,
-            by: None,
+            last_step: None,
         }
     }
 
@@ -187,13 +187,13 @@
             for action in reached.world.actions() {
                 self.result.transitions += 1;
                 let mut world = reached.world.clone();
-                if let Err(invariant) = world.act(&action) {
-                    let trace = self.trace(reached.by, action);
+                if let Err(invariant) = world.execute(&action) {
+                    let trace = self.trace(reached.last_step, action);
                     return self.fail(invariant, trace);
                 }
                 if self.seen.insert(world.fingerprint()) {
-                    let by = Some(self.note(reached.by, action));
-                    next.push(Reached { world, by });
+                    let last_step = Some(self.record_step(reached.last_step, action));
+                    next.push(Reached { world, last_step });
                 }
             }
         }
@@ -201,7 +201,7 @@
     }
 
     /// Records a step to a new state and returns its position in `steps`.
-    fn note(&mut self, previous: Option<usize>, action: Action) -> usize {
+    fn record_step(&mut self, previous: Option<usize>, action: Action) -> usize {
         self.steps.push(Step { previous, action });
         self.steps.len() - 1
     }
--- a/crates/consensus/src/explore/node.rs
+++ b/crates/consensus/src/explore/node.rs
@@ -14,7 +14,7 @@
     /// The synced state.
     pub(super) disk: Persisted,
     /// Work that is written but not synced.
-    pub(super) writing: Option<Ready>,
+    pub(super) unsynced: Option<Ready>,
 }
 
 impl Node {
@@ -30,7 +30,7 @@
         Ok(Self {
             replica,
             disk,
-            writing: None,
+            unsynced: None,
         })
     }
 
--- a/crates/consensus/src/explore/start.rs
+++ b/crates/consensus/src/explore/start.rs
@@ -14,7 +14,7 @@
             Start::Led => self.without_faults(Self::elect_first),
             Start::Repairing => self.without_faults(|world| {
                 world.elect_first()?;
-                world.begin_repair()
+                world.add_caught_up_learner()
             }),
         }
     }
@@ -35,32 +35,32 @@
 
     /// Makes replica 1 win an election.
     fn elect_first(&mut self) -> Result<(), Invariant> {
-        self.act(&Action::Tick(ReplicaId(1)))?;
+        self.execute(&Action::Tick(ReplicaId(1)))?;
         self.deliver_all()
     }
 
     /// Adds a learner and lets it catch up.
-    fn begin_repair(&mut self) -> Result<(), Invariant> {
-        let (_, learner) = self.repaired();
+    fn add_caught_up_learner(&mut self) -> Result<(), Invariant> {
+        let (_, learner) = self.replacement_pair();
         let blank = Node::start(learner, Persisted::default(), self.bounds.pre_vote)?;
         self.nodes.insert(learner, blank);
         let add = MembershipChange::AddLearner(learner);
         let added = self.node(ReplicaId(1)).replica.change_membership(add);
         debug_assert!(added.is_ok(), "the first leader is undisturbed");
-        self.work(ReplicaId(1))?;
+        self.process_ready(ReplicaId(1))?;
         self.deliver_all()
     }
 
     /// Returns the voter to replace and the learner that replaces it.
-    pub(super) fn repaired(&self) -> (ReplicaId, ReplicaId) {
+    pub(super) fn replacement_pair(&self) -> (ReplicaId, ReplicaId) {
         let voters = self.bounds.replicas;
         (ReplicaId(voters), ReplicaId(voters + 1))
     }
 
     fn deliver_all(&mut self) -> Result<(), Invariant> {
         while let Some(envelope) = self.network.first() {
-            let arrival = envelope.arrival(false);
-            self.act(&arrival)?;
+            let delivery = envelope.delivery(false);
+            self.execute(&delivery)?;
         }
         Ok(())
     }
--- a/crates/consensus/src/explore/world.rs
+++ b/crates/consensus/src/explore/world.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use super::check::{Invariant, Record};
+use super::check::{History, Invariant};
 use super::node::Node;
 use super::{Action, Bounds, Start};
 use crate::{Membership, MembershipChange, Message, Outgoing, Persisted, ReplicaId};
@@ -32,7 +32,7 @@
 pub(super) struct World {
     pub(super) nodes: BTreeMap<ReplicaId, Node>,
     pub(super) network: Vec<Envelope>,
-    record: Record,
+    history: History,
     pub(super) budget: Budget,
     pub(super) bounds: Bounds,
 }
@@ -52,7 +52,7 @@
         let mut world = Self {
             nodes,
             network: Vec::new(),
-            record: Record::default(),
+            history: History::default(),
             budget: Budget {
                 ticks: bounds.ticks,
                 proposals: bounds.proposals,
@@ -71,7 +71,7 @@
     pub(super) fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.nodes.hash(&mut hasher);
-        self.record.hash(&mut hasher);
+        self.history.hash(&mut hasher);
         self.budget.hash(&mut hasher);
         // The order in which messages were sent does not matter.
         let mut messages: Vec<u64> = self.network.iter().map(hash_of).collect();
@@ -99,30 +99,30 @@
             if self.budget.replacements > 0 && node.replica.leader() == Some(*id) {
                 actions.push(Action::Replace(*id));
             }
-            if node.writing.is_some() {
+            if node.unsynced.is_some() {
                 actions.push(Action::Sync(*id));
             }
         }
         for envelope in &self.network {
-            actions.push(envelope.arrival(false));
+            actions.push(envelope.delivery(false));
             if self.budget.repetitions > 0 {
-                actions.push(envelope.arrival(true));
+                actions.push(envelope.delivery(true));
             }
         }
         actions
     }
 
     /// Executes one step and checks the invariants on the resulting state.
-    pub(super) fn act(&mut self, action: &Action) -> Result<(), Invariant> {
-        let id = self.input(action)?;
+    pub(super) fn execute(&mut self, action: &Action) -> Result<(), Invariant> {
+        let id = self.apply_action(action)?;
         if self.nodes.contains_key(&id) {
-            self.work(id)?;
+            self.process_ready(id)?;
         }
-        self.record.check(&self.nodes)
+        self.history.check(&self.nodes)
     }
 
     /// Passes the input of a step to its replica, and returns that replica.
-    fn input(&mut self, action: &Action) -> Result<ReplicaId, Invariant> {
+    fn apply_action(&mut self, action: &Action) -> Result<ReplicaId, Invariant> {
         let id = match action {
             Action::Tick(id) => {
                 self.budget.ticks -= 1;
@@ -149,14 +149,14 @@
             }
             Action::Lose(id) => {
                 self.budget.losses -= 1;
-                self.record.disk_lost = true;
+                self.history.disk_lost = true;
                 self.nodes.remove(id);
                 self.network.retain(|envelope| envelope.to != *id);
                 *id
             }
             Action::Replace(id) => {
                 self.budget.replacements -= 1;
-                let (lost, replacement) = self.repaired();
+                let (lost, replacement) = self.replacement_pair();
                 let change = MembershipChange::Replace { lost, replacement };
                 // A rejected request does not change the state.
                 let _ = self.node(*id).replica.change_membership(change);
@@ -168,7 +168,7 @@
                 message,
                 repeated,
             } => {
-                self.take(*from, *to, message, *repeated);
+                self.remove_delivered(*from, *to, message, *repeated);
                 self.node(*to).replica.step(*from, message.clone());
                 *to
             }
@@ -185,28 +185,34 @@
 
     /// Removes a delivered message from the network, unless it is a duplicate
     /// delivery.
-    fn take(&mut self, from: ReplicaId, to: ReplicaId, message: &Message, repeated: bool) {
+    fn remove_delivered(
+        &mut self,
+        from: ReplicaId,
+        to: ReplicaId,
+        message: &Message,
+        repeated: bool,
+    ) {
         if repeated {
             self.budget.repetitions -= 1;
             return;
         }
-        let arrived = |envelope: &Envelope| {
+        let delivered = |envelope: &Envelope| {
             envelope.from == from && envelope.to == to && envelope.message == *message
         };
-        if let Some(position) = self.network.iter().position(arrived) {
+        if let Some(position) = self.network.iter().position(delivered) {
             self.network.remove(position);
         }
     }
 
     /// Processes all pending work of a replica.
-    pub(super) fn work(&mut self, id: ReplicaId) -> Result<(), Invariant> {
+    pub(super) fn process_ready(&mut self, id: ReplicaId) -> Result<(), Invariant> {
         while let Some(mut ready) = self.node(id).replica.ready() {
             self.send(id, std::mem::take(&mut ready.messages));
             for entry in std::mem::take(&mut ready.committed) {
-                self.record.apply(entry)?;
+                self.history.record_applied(entry)?;
             }
             if ready.needs_sync() {
-                self.node(id).writing = Some(ready);
+                self.node(id).unsynced = Some(ready);
                 if !self.bounds.slow_disk {
                     self.sync(id);
                 }
@@ -221,7 +227,7 @@
     /// the sync.
     fn sync(&mut self, id: ReplicaId) {
         let node = self.node(id);
-        let Some(ready) = node.writing.take() else {
+        let Some(ready) = node.unsynced.take() else {
             return;
         };
         node.store(ready.hard_state, &ready.entries);
@@ -231,8 +237,8 @@
 
     fn send(&mut self, from: ReplicaId, messages: Vec<Outgoing>) {
         for Outgoing { to, message } in messages {
-            let arrives = self.nodes.contains_key(&to);
-            if arrives && self.network.len() < self.bounds.max_in_flight {
+            let receiver_exists = self.nodes.contains_key(&to);
+            if receiver_exists && self.network.len() < self.bounds.max_in_flight {
                 self.network.push(Envelope { from, to, message });
             }
         }
@@ -240,7 +246,7 @@
 }
 
 impl Envelope {
-    pub(super) fn arrival(&self, repeated: bool) -> Action {
+    pub(super) fn delivery(&self, repeated: bool) -> Action {
         Action::Deliver {
             from: self.from,
             to: self.to,
--- a/crates/consensus/src/replica/election.rs
+++ b/crates/consensus/src/replica/election.rs
@@ -98,11 +98,11 @@
     }
 
     pub(super) fn handle_vote_request(&mut self, from: ReplicaId, request: &VoteRequest) {
-        let free = match self.vote {
+        let may_vote = match self.vote {
             Some(candidate) => candidate == from,
             None => self.leader.is_none(),
         };
-        let granted = free
+        let granted = may_vote
             && self
                 .log
                 .is_up_to_date(request.last_index, request.last_term);
@@ -144,17 +144,17 @@
         let term_start = last_index.next();
         self.leader = Some(self.config.id);
         self.role = RoleState::Leader(Box::new(Leadership::new(term_start, uncommitted_bytes)));
-        self.follow_members(term_start);
+        self.track_members(term_start);
         // Entries of earlier terms can only be committed together with one of this term.
         self.append(EntryKind::Empty);
         self.send_heartbeats();
     }
 
     /// Updates the tracked followers to the membership in force.
-    pub(super) fn follow_members(&mut self, next_index: Index) {
+    pub(super) fn track_members(&mut self, next_index: Index) {
         let membership = self.log.membership();
         if let RoleState::Leader(leadership) = &mut self.role {
-            leadership.follow_members(self.config.id, membership, next_index);
+            leadership.track_members(self.config.id, membership, next_index);
         }
     }
 
--- a/crates/consensus/src/replica/leadership.rs
+++ b/crates/consensus/src/replica/leadership.rs
@@ -60,7 +60,7 @@
     }
 
     /// Starts tracking new members and removes those that left.
-    pub(crate) fn follow_members(
+    pub(crate) fn track_members(
         &mut self,
         own_id: ReplicaId,
         membership: &Membership,
--- a/crates/consensus/src/replica/log/append.rs
+++ b/crates/consensus/src/replica/log/append.rs
@@ -6,7 +6,7 @@
 /// The result of appending entries from a leader.
 pub(crate) enum Appended {
     /// The log matches the leader's up to this entry.
-    UpTo(Index),
+    MatchedUpTo(Index),
     /// The entry that precedes the sent entries is missing or differs.
     Mismatch,
 }
@@ -28,19 +28,19 @@
             self.check_committed(entry.index, entry.term)?;
         }
         let reached = entries.last().map_or(previous_index, |entry| entry.index);
-        if previous_index < self.anchor_index {
-            // All entries up to the anchor are committed, so both logs agree on them.
+        if previous_index < self.base_index {
+            // All entries up to the base are committed, so both logs agree on them.
             let (_, rest) = entries
                 .into_iter()
-                .partition::<Vec<_>, _>(|entry| entry.index <= self.anchor_index);
-            self.take_entries(rest);
-            return Ok(Appended::UpTo(reached.max(self.anchor_index)));
+                .partition::<Vec<_>, _>(|entry| entry.index <= self.base_index);
+            self.merge_entries(rest);
+            return Ok(Appended::MatchedUpTo(reached.max(self.base_index)));
         }
-        if !self.holds(previous_index, previous_term) {
+        if !self.contains(previous_index, previous_term) {
             return Ok(Appended::Mismatch);
         }
-        self.take_entries(entries);
-        Ok(Appended::UpTo(reached))
+        self.merge_entries(entries);
+        Ok(Appended::MatchedUpTo(reached))
     }
 
     fn check_committed(&self, index: Index, told: Term) -> Result<(), Fault> {
@@ -58,9 +58,9 @@
     }
 
     /// Appends missing entries and truncates the log where it differs.
-    fn take_entries(&mut self, entries: Vec<Entry>) {
+    fn merge_entries(&mut self, entries: Vec<Entry>) {
         for entry in entries {
-            if self.holds(entry.index, entry.term) {
+            if self.contains(entry.index, entry.term) {
                 continue;
             }
             if entry.index <= self.last_index() {
@@ -76,7 +76,7 @@
         };
         self.entries.truncate(position);
         self.memberships.truncate_from(index);
-        self.taken = self.taken.min(index.previous());
+        self.submitted = self.submitted.min(index.previous());
         self.persisted = self.persisted.min(index.previous());
     }
 }
--- a/crates/consensus/src/replica/log/compaction.rs
+++ b/crates/consensus/src/replica/log/compaction.rs
@@ -22,10 +22,10 @@
             let Some(entry) = self.entries.pop_front() else {
                 break;
             };
-            self.anchor_index = entry.index;
-            self.anchor_term = entry.term;
+            self.base_index = entry.index;
+            self.base_term = entry.term;
         }
-        self.memberships.compact(self.anchor_index);
+        self.memberships.compact(self.base_index);
     }
 
     fn first_trailing(&self, snapshot: Index, max_entries: usize, max_bytes: usize) -> Index {
@@ -46,15 +46,15 @@
     /// Continues from an installed snapshot. Entries after it are kept if the log
     /// contains the snapshot's last entry, because they may be acknowledged.
     pub(crate) fn install_snapshot(&mut self, meta: SnapshotMeta) {
-        if !self.holds(meta.index, meta.term) {
+        if !self.contains(meta.index, meta.term) {
             self.entries.clear();
-            self.anchor_index = meta.index;
-            self.anchor_term = meta.term;
+            self.base_index = meta.index;
+            self.base_term = meta.term;
             self.memberships = Memberships::new(meta.index, meta.membership.clone());
-            self.taken = meta.index;
+            self.submitted = meta.index;
             self.persisted = meta.index;
         }
-        self.taken = self.taken.max(meta.index);
+        self.submitted = self.submitted.max(meta.index);
         self.persisted = self.persisted.max(meta.index);
         self.commit = self.commit.max(meta.index);
         self.applied = meta.index;
--- a/crates/consensus/src/replica/log/mod.rs
+++ b/crates/consensus/src/replica/log/mod.rs
@@ -11,19 +11,19 @@
 
 /// The log in memory, and up to where it is synced, committed and applied.
 ///
-/// Invariant: `anchor <= applied <= commit`, `applied <= persisted`, and
-/// `persisted <= taken <= last`.
+/// Invariant: `base <= applied <= commit`, `applied <= persisted`, and
+/// `persisted <= submitted <= last`.
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct Log {
     /// Position before the first entry in memory, that is the last compacted entry.
-    anchor_index: Index,
+    base_index: Index,
     /// Term at that position.
-    anchor_term: Term,
+    base_term: Term,
     entries: VecDeque<Entry>,
     memberships: Memberships,
     snapshot: SnapshotMeta,
     /// Last entry passed to the driver for writing.
-    taken: Index,
+    submitted: Index,
     /// Last entry known to be synced.
     persisted: Index,
     commit: Index,
@@ -34,24 +34,24 @@
     pub(crate) fn new(persisted: Persisted) -> Result<Self, ConsensusError> {
         let snapshot = persisted.snapshot.unwrap_or_default();
         let mut log = Self {
-            anchor_index: snapshot.index,
-            anchor_term: snapshot.term,
+            base_index: snapshot.index,
+            base_term: snapshot.term,
             entries: VecDeque::new(),
             memberships: Memberships::new(snapshot.index, snapshot.membership.clone()),
-            taken: snapshot.index,
+            submitted: snapshot.index,
             persisted: snapshot.index,
             commit: persisted.hard_state.commit.max(snapshot.index),
             applied: snapshot.index,
             snapshot,
         };
         for entry in persisted.entries {
-            if entry.index <= log.anchor_index {
+            if entry.index <= log.base_index {
                 continue;
             }
             log.check_next(&entry, persisted.hard_state.term)?;
             log.push(entry);
         }
-        log.taken = log.last_index();
+        log.submitted = log.last_index();
         log.persisted = log.last_index();
         if log.commit > log.last_index() {
             return Err(ConsensusError::CommitBeyondLog {
@@ -80,17 +80,17 @@
     }
 
     pub(crate) fn first_index(&self) -> Index {
-        self.anchor_index.next()
+        self.base_index.next()
     }
 
     pub(crate) fn last_index(&self) -> Index {
-        Index(self.anchor_index.0 + self.entries.len() as u64)
+        Index(self.base_index.0 + self.entries.len() as u64)
     }
 
     pub(crate) fn last_term(&self) -> Term {
         self.entries
             .back()
-            .map_or(self.anchor_term, |entry| entry.term)
+            .map_or(self.base_term, |entry| entry.term)
     }
 
     pub(crate) fn commit(&self) -> Index {
@@ -131,7 +131,7 @@
     }
 
     fn position(&self, index: Index) -> Option<usize> {
-        let offset = index.0.checked_sub(self.anchor_index.0 + 1)?;
+        let offset = index.0.checked_sub(self.base_index.0 + 1)?;
         usize::try_from(offset).ok()
     }
 
@@ -141,14 +141,14 @@
 
     /// Returns the term of an entry in memory, or of the one before the first.
     pub(crate) fn term(&self, index: Index) -> Option<Term> {
-        if index == self.anchor_index {
-            return Some(self.anchor_term);
+        if index == self.base_index {
+            return Some(self.base_term);
         }
         self.entry(index).map(|entry| entry.term)
     }
 
     /// Whether the log contains the entry with this index and term.
-    pub(crate) fn holds(&self, index: Index, term: Term) -> bool {
+    pub(crate) fn contains(&self, index: Index, term: Term) -> bool {
         self.term(index) == Some(term)
     }
 
@@ -160,14 +160,14 @@
     /// Returns the last entry at or before `index` whose term is at most `term`.
     pub(crate) fn last_with_term_at_most(&self, index: Index, term: Term) -> (Index, Term) {
         let mut index = index.min(self.last_index());
-        while index > self.anchor_index {
+        while index > self.base_index {
             match self.term(index) {
                 Some(found) if found > term => index = index.previous(),
                 Some(found) => return (index, found),
                 None => break,
             }
         }
-        (self.anchor_index, self.anchor_term)
+        (self.base_index, self.base_term)
     }
 
     /// Returns the entries from `from` to `to`, inclusive, limited to `max_bytes`. The
@@ -221,15 +221,15 @@
 
     /// Returns the entries not yet passed to the driver, and marks them as passed.
     pub(crate) fn take_unsynced(&mut self) -> Vec<Entry> {
-        let entries = self.slice(self.taken.next(), self.last_index(), usize::MAX);
-        self.taken = self.last_index();
+        let entries = self.slice(self.submitted.next(), self.last_index(), usize::MAX);
+        self.submitted = self.last_index();
         entries
     }
 
     /// Marks the log as synced up to an entry, unless the entry was truncated in the
     /// meantime.
     pub(crate) fn mark_persisted(&mut self, index: Index, term: Term) {
-        if self.holds(index, term) {
+        if self.contains(index, term) {
             self.persisted = self.persisted.max(index);
         }
     }
--- a/crates/consensus/src/replica/output.rs
+++ b/crates/consensus/src/replica/output.rs
@@ -23,12 +23,12 @@
     vote: Option<ReplicaId>,
     commit: Index,
     /// State passed to the driver whose sync is not yet confirmed.
-    writing: Option<Writing>,
+    pending_sync: Option<PendingSync>,
 }
 
 /// State passed to the driver for writing in a `Ready`.
 #[derive(Clone, Debug, Hash)]
-struct Writing {
+struct PendingSync {
     term: Term,
     vote: Option<ReplicaId>,
     last_index: Index,
@@ -47,7 +47,7 @@
             term,
             vote,
             commit: Index::ZERO,
-            writing: None,
+            pending_sync: None,
         }
     }
 
@@ -67,8 +67,8 @@
         self.start_read_round();
         self.send_appends();
         let mut ready = Ready::default();
-        if self.output.writing.is_none() && self.fault.is_none() {
-            self.hand_to_disk(&mut ready);
+        if self.output.pending_sync.is_none() && self.fault.is_none() {
+            self.take_unsynced_state(&mut ready);
         }
         ready.messages.append(&mut self.output.messages);
         ready.committed = self.log.take_committed(self.config.max_committed_bytes);
@@ -85,17 +85,17 @@
 
     /// Reports that the last `Ready` that needed a sync is synced.
     pub fn persisted(&mut self) {
-        let Some(writing) = self.output.writing.take() else {
+        let Some(pending_sync) = self.output.pending_sync.take() else {
             return;
         };
         self.log
-            .mark_persisted(writing.last_index, writing.last_term);
-        if writing.term != self.term || self.fault.is_some() {
+            .mark_persisted(pending_sync.last_index, pending_sync.last_term);
+        if pending_sync.term != self.term || self.fault.is_some() {
             return;
         }
         match &self.role {
             // A candidate's vote for itself counts only once it is synced.
-            RoleState::Candidate { .. } if writing.vote == Some(self.config.id) => {
+            RoleState::Candidate { .. } if pending_sync.vote == Some(self.config.id) => {
                 self.count_vote(self.config.id);
             }
             // A leader's own copy of an entry also counts only once it is synced.
@@ -104,14 +104,14 @@
         }
     }
 
-    fn hand_to_disk(&mut self, ready: &mut Ready) {
+    fn take_unsynced_state(&mut self, ready: &mut Ready) {
         ready.entries = self.log.take_unsynced();
         ready.hard_state = self.take_hard_state(!ready.entries.is_empty());
         ready
             .messages_after_sync
             .append(&mut self.output.messages_after_sync);
         if ready.needs_sync() {
-            self.output.writing = Some(Writing {
+            self.output.pending_sync = Some(PendingSync {
                 term: self.term,
                 vote: self.vote,
                 last_index: self.log.last_index(),
@@ -126,8 +126,8 @@
     fn take_hard_state(&mut self, entries: bool) -> Option<HardState> {
         let commit = self.log.commit();
         let changed = (self.term, self.vote) != (self.output.term, self.output.vote);
-        let commit_goes_along = entries && commit != self.output.commit;
-        if !changed && !commit_goes_along {
+        let include_commit = entries && commit != self.output.commit;
+        if !changed && !include_commit {
             return None;
         }
         self.output.term = self.term;
--- a/crates/consensus/src/replica/progress.rs
+++ b/crates/consensus/src/replica/progress.rs
@@ -24,7 +24,7 @@
     next_index: Index,
     state: State,
     /// Whether to send a request even without new entries, to detect a lost one.
-    poke: bool,
+    probe_due: bool,
     recently_active: bool,
     /// The last read-confirmation round the follower has confirmed.
     confirmed_round: u64,
@@ -36,7 +36,7 @@
             match_index: Index::ZERO,
             next_index,
             state: State::Probe { waiting: false },
-            poke: false,
+            probe_due: false,
             recently_active: false,
             confirmed_round: 0,
         }
@@ -58,7 +58,7 @@
         self.confirmed_round = self.confirmed_round.max(round);
     }
 
-    pub(crate) fn note_activity(&mut self) {
+    pub(crate) fn record_activity(&mut self) {
         self.recently_active = true;
     }
 
@@ -72,8 +72,8 @@
     }
 
     /// Whether a request is due and may be sent.
-    pub(crate) fn wants_append(&self, last_index: Index, max_in_flight: usize) -> bool {
-        let due = self.poke || self.next_index <= last_index;
+    pub(crate) fn should_send_append(&self, last_index: Index, max_in_flight: usize) -> bool {
+        let due = self.probe_due || self.next_index <= last_index;
         let free = match &self.state {
             State::Probe { waiting } => !waiting,
             State::Replicate { in_flight } => in_flight.len() < max_in_flight,
@@ -83,8 +83,8 @@
     }
 
     /// Records a sent request whose last entry is `last`; `None` if it has no entries.
-    pub(crate) fn sent(&mut self, last: Option<Index>) {
-        self.poke = false;
+    pub(crate) fn record_sent(&mut self, last: Option<Index>) {
+        self.probe_due = false;
         match (&mut self.state, last) {
             (State::Probe { waiting }, _) => *waiting = true,
             (State::Replicate { in_flight }, Some(last)) => {
@@ -96,14 +96,14 @@
     }
 
     /// Records that a snapshot was offered.
-    pub(crate) fn snapshot_offered(&mut self) {
-        self.poke = false;
+    pub(crate) fn record_snapshot_offer(&mut self) {
+        self.probe_due = false;
         self.state = State::Snapshot { heartbeats: 0 };
     }
 
     /// Records an accepted request. `reachable` states whether the leader's log still
     /// contains the entries after `match_index`.
-    pub(crate) fn accepted(&mut self, match_index: Index, reachable: bool) {
+    pub(crate) fn record_accepted(&mut self, match_index: Index, reachable: bool) {
         self.match_index = self.match_index.max(match_index);
         self.next_index = self.next_index.max(self.match_index.next());
         match &mut self.state {
@@ -130,7 +130,7 @@
 
     /// Records a rejected request; `agreement` is the last position at which the
     /// logs may agree.
-    pub(crate) fn rejected(&mut self, previous_index: Index, agreement: Index) {
+    pub(crate) fn record_rejected(&mut self, previous_index: Index, agreement: Index) {
         let stale = match self.state {
             State::Probe { .. } => previous_index != self.next_index.previous(),
             State::Replicate { .. } => previous_index <= self.match_index,
@@ -142,12 +142,12 @@
         let next = agreement.next().min(previous_index);
         self.next_index = next.max(self.match_index.next());
         self.state = State::Probe { waiting: false };
-        self.poke = true;
+        self.probe_due = true;
     }
 
     /// Records a heartbeat response. A follower that lacks entries may have missed a
     /// request, so another one becomes due.
-    pub(crate) fn heartbeat_answered(
+    pub(crate) fn record_heartbeat_response(
         &mut self,
         last_index: Index,
         max_in_flight: usize,
@@ -168,7 +168,7 @@
                 return;
             }
         }
-        self.poke = self.match_index < last_index;
+        self.probe_due = self.match_index < last_index;
     }
 
     /// Returns to sending one request at a time.
@@ -178,7 +178,7 @@
     }
 
     /// Records that the follower is unreachable.
-    pub(crate) fn unreachable(&mut self) {
+    pub(crate) fn record_unreachable(&mut self) {
         if self.is_replicating() {
             self.probe();
         }
--- a/crates/consensus/src/replica/replication.rs
+++ b/crates/consensus/src/replica/replication.rs
@@ -74,7 +74,7 @@
             leadership.uncommitted_bytes += bytes;
         }
         if new_membership {
-            self.follow_members(index);
+            self.track_members(index);
         }
         index
     }
@@ -100,7 +100,7 @@
             return false;
         };
         let last_index = self.log.last_index();
-        if !progress.wants_append(last_index, self.config.max_in_flight_appends) {
+        if !progress.should_send_append(last_index, self.config.max_in_flight_appends) {
             return false;
         }
         let next_index = progress.next_index();
@@ -108,7 +108,7 @@
         let message = if let Some(previous_term) = self.log.term(previous_index) {
             let max_bytes = self.config.max_append_bytes;
             let entries = self.log.slice(next_index, last_index, max_bytes);
-            progress.sent(entries.last().map(|entry| entry.index));
+            progress.record_sent(entries.last().map(|entry| entry.index));
             Message::AppendRequest(AppendRequest {
                 term: self.term,
                 previous_index,
@@ -117,7 +117,7 @@
                 commit: self.log.commit(),
             })
         } else {
-            progress.snapshot_offered();
+            progress.record_snapshot_offer();
             Message::SnapshotNotice(SnapshotNotice {
                 term: self.term,
                 meta: self.log.snapshot().clone(),
@@ -142,7 +142,7 @@
             .log
             .append_from_leader(previous_index, previous_term, entries);
         let outcome = match appended {
-            Ok(Appended::UpTo(match_index)) => {
+            Ok(Appended::MatchedUpTo(match_index)) => {
                 self.log.commit_to(commit.min(match_index));
                 AppendOutcome::Accepted { match_index }
             }
@@ -180,11 +180,11 @@
         let Some(progress) = leadership.followers.get_mut(&from) else {
             return;
         };
-        progress.note_activity();
+        progress.record_activity();
         match outcome {
             AppendOutcome::Accepted { match_index } if match_index <= last_index => {
                 let reachable = self.log.term(match_index).is_some();
-                progress.accepted(match_index, reachable);
+                progress.record_accepted(match_index, reachable);
                 self.advance_commit();
                 self.continue_transfer(from);
             }
@@ -195,7 +195,7 @@
                 hint_term,
             } => {
                 let (agreement, _) = self.log.last_with_term_at_most(hint_index, hint_term);
-                progress.rejected(previous_index, agreement);
+                progress.record_rejected(previous_index, agreement);
             }
         }
     }
@@ -231,9 +231,9 @@
         let Some(progress) = leadership.followers.get_mut(&from) else {
             return;
         };
-        progress.note_activity();
+        progress.record_activity();
         progress.confirm_round(response.round);
-        progress.heartbeat_answered(
+        progress.record_heartbeat_response(
             last_index,
             self.config.max_in_flight_appends,
             self.config.snapshot_retry_heartbeats,
@@ -273,7 +273,7 @@
         if let RoleState::Leader(leadership) = &mut self.role
             && let Some(progress) = leadership.followers.get_mut(&peer)
         {
-            progress.unreachable();
+            progress.record_unreachable();
         }
     }
 }
--- a/crates/consensus/src/replica/snapshot.rs
+++ b/crates/consensus/src/replica/snapshot.rs
@@ -50,7 +50,7 @@
     }
 
     pub(super) fn handle_snapshot_notice(&mut self, from: ReplicaId, meta: SnapshotMeta) {
-        if meta.index <= self.log.commit() || self.log.holds(meta.index, meta.term) {
+        if meta.index <= self.log.commit() || self.log.contains(meta.index, meta.term) {
             // All entries in a snapshot are committed.
             self.log.commit_to(meta.index);
             let match_index = self.log.commit();
--- a/crates/consensus/src/replica/step.rs
+++ b/crates/consensus/src/replica/step.rs
@@ -9,14 +9,14 @@
     /// Messages may be lost, duplicated, delayed or reordered. Messages from
     /// replicas that are not members never disrupt a group that has a leader.
     pub fn step(&mut self, from: ReplicaId, message: Message) {
-        if self.fault.is_some() || from == self.config.id || self.ignores(from, &message) {
+        if self.fault.is_some() || from == self.config.id || self.should_ignore(from, &message) {
             return;
         }
         if message.term() < self.term {
-            self.answer_outdated(from, &message);
+            self.reject_outdated(from, &message);
             return;
         }
-        if message.term() > self.term && !is_prospective(&message) {
+        if message.term() > self.term && !has_prospective_term(&message) {
             let leader = Some(from).filter(|_| message.is_from_leader());
             self.become_follower(message.term(), leader);
         }
@@ -24,7 +24,7 @@
     }
 
     /// Whether the message must be ignored.
-    fn ignores(&self, from: ReplicaId, message: &Message) -> bool {
+    fn should_ignore(&self, from: ReplicaId, message: &Message) -> bool {
         let member = self.log.membership().contains(from);
         // The sender may belong to a membership that this replica has not received
         // yet, so its messages are accepted once the known leader has timed out.
@@ -43,13 +43,13 @@
     fn has_live_leader(&self) -> bool {
         match self.role {
             RoleState::Leader(_) => true,
-            _ => self.leader.is_some() && self.timer.within_minimum(),
+            _ => self.leader.is_some() && self.timer.within_minimum_timeout(),
         }
     }
 
     /// Rejects a request from an earlier term and reports the current term to its
     /// sender.
-    fn answer_outdated(&mut self, from: ReplicaId, message: &Message) {
+    fn reject_outdated(&mut self, from: ReplicaId, message: &Message) {
         let refusal = VoteResponse {
             term: self.term,
             granted: false,
@@ -79,7 +79,7 @@
             Message::VoteRequest(request) => self.handle_vote_request(from, &request),
             Message::VoteResponse(response) => self.handle_vote_response(from, &response),
             Message::AppendRequest(request) => {
-                if self.follow(from) {
+                if self.accept_leader(from) {
                     self.handle_append_request(from, request);
                 }
             }
@@ -87,7 +87,7 @@
                 self.handle_append_response(from, response.outcome);
             }
             Message::Heartbeat(heartbeat) => {
-                if self.follow(from) {
+                if self.accept_leader(from) {
                     self.handle_heartbeat(from, &heartbeat);
                 }
             }
@@ -95,7 +95,7 @@
                 self.handle_heartbeat_response(from, &response);
             }
             Message::SnapshotNotice(notice) => {
-                if self.follow(from) {
+                if self.accept_leader(from) {
                     self.handle_snapshot_notice(from, notice.meta);
                 }
             }
@@ -105,20 +105,20 @@
 
     /// Accepts the sender as the leader of the current term. Returns false if this
     /// replica leads the term itself.
-    fn follow(&mut self, from: ReplicaId) -> bool {
+    fn accept_leader(&mut self, from: ReplicaId) -> bool {
         if matches!(self.role, RoleState::Leader(_)) {
             return false;
         }
         self.role = RoleState::Follower;
         self.leader = Some(from);
-        self.timer.leader_heard();
+        self.timer.record_leader_contact();
         true
     }
 }
 
 /// Whether the message carries the term of a possible future election, which the
 /// receiver must not adopt.
-fn is_prospective(message: &Message) -> bool {
+fn has_prospective_term(message: &Message) -> bool {
     match message {
         Message::PreVoteRequest(_) => true,
         Message::PreVoteResponse(response) => response.granted,
--- a/crates/consensus/src/replica/timer.rs
+++ b/crates/consensus/src/replica/timer.rs
@@ -16,7 +16,7 @@
     timeout: u32,
     elapsed: u32,
     /// Whether a leader has sent a message since the start.
-    led: bool,
+    leader_seen: bool,
 }
 
 /// Minimum timeout, in ticks, of a replica that has not heard from a leader since
@@ -32,7 +32,7 @@
             election_ticks: config.election_ticks,
             timeout: 0,
             elapsed: 0,
-            led: false,
+            leader_seen: false,
         };
         timer.restart();
         timer
@@ -48,7 +48,7 @@
         let mut random = ChaCha8Rng::seed_from_u64(self.seed);
         random.set_stream(self.draws);
         self.draws = self.draws.wrapping_add(1);
-        self.timeout = match self.led {
+        self.timeout = match self.leader_seen {
             true => self.election_ticks + random.random_range(0..self.election_ticks),
             false => {
                 let shortest = FIRST_ELECTION_TICKS.min(self.election_ticks);
@@ -59,9 +59,9 @@
     }
 
     /// Records a message from the leader.
-    pub(crate) fn leader_heard(&mut self) {
-        if !self.led {
-            self.led = true;
+    pub(crate) fn record_leader_contact(&mut self) {
+        if !self.leader_seen {
+            self.leader_seen = true;
             self.restart();
         }
         self.elapsed = 0;
@@ -75,7 +75,7 @@
 
     /// Whether less than the minimum election timeout has elapsed since the timer
     /// was last reset, so that the leader of that time may still lead.
-    pub(crate) fn within_minimum(&self) -> bool {
+    pub(crate) fn within_minimum_timeout(&self) -> bool {
         self.elapsed < self.election_ticks
     }
 }
@@ -86,6 +86,6 @@
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.timeout.hash(state);
         self.elapsed.hash(state);
-        self.led.hash(state);
+        self.leader_seen.hash(state);
     }
 }
