--- a/crates/consensus/tests/election.rs
+++ b/crates/consensus/tests/election.rs
@@ -59,7 +59,7 @@
 
 /// Returns a leader elected by the vote of replica 2, with an uncommitted entry
 /// of an earlier term.
-fn leader_with_an_old_entry() -> Replica {
+fn leader_with_uncommitted_entry_of_earlier_term() -> Replica {
     let mut persisted = Persisted::bootstrap(Membership::of_voters([1, 2, 3].map(ReplicaId)));
     persisted.hard_state.term = Term(2);
     persisted.entries.push(Entry {
@@ -73,17 +73,17 @@
     };
     let mut replica = Replica::new(config, persisted).unwrap();
     replica.campaign();
-    work(&mut replica);
+    process_ready(&mut replica);
     let vote = VoteResponse {
         term: Term(3),
         granted: true,
     };
     replica.step(ReplicaId(2), Message::VoteResponse(vote));
-    work(&mut replica);
+    process_ready(&mut replica);
     replica
 }
 
-fn work(replica: &mut Replica) {
+fn process_ready(replica: &mut Replica) {
     while replica.ready().is_some() {
         replica.persisted();
     }
@@ -99,7 +99,7 @@
 
 #[test]
 fn entry_of_an_earlier_term_is_committed_only_along_with_one_of_the_leaders_own() {
-    let mut replica = leader_with_an_old_entry();
+    let mut replica = leader_with_uncommitted_entry_of_earlier_term();
     assert_eq!(replica.role(), Role::Leader);
     accept(&mut replica, Index(2));
     assert_eq!(replica.status().commit, Index(1));
@@ -155,15 +155,21 @@
 #[test]
 fn replicas_that_never_heard_a_leader_do_not_wait_for_one() {
     let election_ticks = Config::new(ReplicaId(1)).election_ticks;
-    let waits: Vec<u32> = (0..200).map(ticks_to_the_first_leader).collect();
-    let soon = waits.iter().filter(|&&ticks| ticks <= election_ticks);
+    let ticks_to_leader: Vec<u32> = (0..200).map(ticks_to_the_first_leader).collect();
+    let soon = ticks_to_leader
+        .iter()
+        .filter(|&&ticks| ticks <= election_ticks);
     // Two candidates that start on the same tick may split the vote once.
-    assert!(soon.count() >= 180, "{waits:?}");
-    assert!(waits.iter().all(|&ticks| ticks <= 3 * election_ticks));
+    assert!(soon.count() >= 180, "{ticks_to_leader:?}");
+    assert!(
+        ticks_to_leader
+            .iter()
+            .all(|&ticks| ticks <= 3 * election_ticks)
+    );
 }
 
 #[test]
-fn started_replica_does_not_disturb_a_leader() {
+fn restarted_replica_does_not_disrupt_a_leader() {
     let ids = [1, 2, 3].map(ReplicaId);
     let start = Persisted::bootstrap(Membership::of_voters(ids));
     let replica = |id| Replica::new(Config::new(id), start.clone()).unwrap();
--- a/crates/consensus/tests/faults/agreement.rs
+++ b/crates/consensus/tests/faults/agreement.rs
@@ -9,7 +9,7 @@
 use rand::seq::IndexedRandom;
 
 use crate::cluster::Cluster;
-use crate::network::Weather;
+use crate::network::FaultRates;
 use crate::node::Disk;
 
 /// Duration of the faults, in ticks.
@@ -18,8 +18,8 @@
 /// Faults to inject. `restart`, `cut`, `change_members` and `transfer` are rates
 /// per thousand per tick.
 #[derive(Clone, Copy, Debug, Default)]
-struct Plan {
-    weather: Weather,
+struct FaultPlan {
+    fault_rates: FaultRates,
     restart: u32,
     cut: u32,
     one_way: bool,
@@ -29,7 +29,7 @@
     compact_every: u64,
 }
 
-fn fixed(cases: u32) -> ProptestConfig {
+fn deterministic_config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
         rng_algorithm: RngAlgorithm::ChaCha,
@@ -39,8 +39,8 @@
     }
 }
 
-fn storm() -> Weather {
-    Weather {
+fn high_fault_rates() -> FaultRates {
+    FaultRates {
         loss: 15,
         repetition: 10,
         max_delay: 6,
@@ -48,23 +48,23 @@
 }
 
 /// Runs a group under the faults of `plan` and expects it to recover.
-fn survive(voters: u64, seed: u64, plan: Plan) {
+fn run_under_faults(voters: u64, seed: u64, plan: FaultPlan) {
     let mut cluster = Cluster::with_config(voters, seed, |config| {
         config.trailing_entries = 4;
         config.max_in_flight_appends = 4;
         config.max_append_bytes = 200;
         config.max_committed_bytes = 300;
     });
-    cluster.network.weather = plan.weather;
+    cluster.network.fault_rates = plan.fault_rates;
     cluster.sync_ticks = plan.sync_ticks;
     cluster.compact_every = plan.compact_every;
     let mut next_id = voters + 1;
     for _ in 0..TICKS {
-        disturb(&mut cluster, plan, &mut next_id);
-        use_group(&mut cluster);
+        inject_faults(&mut cluster, plan, &mut next_id);
+        generate_load(&mut cluster);
         cluster.tick();
     }
-    cluster.settle();
+    cluster.expect_recovery();
 }
 
 fn happens(cluster: &mut Cluster, rate: u32) -> bool {
@@ -76,7 +76,7 @@
     *ids.choose(&mut cluster.random).unwrap()
 }
 
-fn disturb(cluster: &mut Cluster, plan: Plan, next_id: &mut u64) {
+fn inject_faults(cluster: &mut Cluster, plan: FaultPlan, next_id: &mut u64) {
     if happens(cluster, plan.restart) {
         let id = any_node(cluster);
         cluster.crash(id);
@@ -145,7 +145,7 @@
 
 /// Randomly proposes a command and requests a read on each replica that believes
 /// to be the leader.
-fn use_group(cluster: &mut Cluster) {
+fn generate_load(cluster: &mut Cluster) {
     for id in cluster.running() {
         if cluster.node(id).replica().leader() != Some(id) {
             continue;
@@ -160,15 +160,15 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(24))]
+    #![proptest_config(deterministic_config(24))]
 
     #[test]
-    fn group_agrees_when_messages_are_lost_doubled_and_reordered(
+    fn group_agrees_when_messages_are_lost_duplicated_and_reordered(
         seed in any::<u64>(),
         voters in 3..=5_u64,
     ) {
-        let plan = Plan { weather: storm(), ..Plan::default() };
-        survive(voters, seed, plan);
+        let plan = FaultPlan { fault_rates: high_fault_rates(), ..FaultPlan::default() };
+        run_under_faults(voters, seed, plan);
     }
 
     #[test]
@@ -176,14 +176,14 @@
         seed in any::<u64>(),
         voters in 3..=5_u64,
     ) {
-        let plan = Plan { restart: 40, sync_ticks: 4, ..Plan::default() };
-        survive(voters, seed, plan);
+        let plan = FaultPlan { restart: 40, sync_ticks: 4, ..FaultPlan::default() };
+        run_under_faults(voters, seed, plan);
     }
 
     #[test]
     fn group_agrees_when_links_are_cut_one_way(seed in any::<u64>(), voters in 3..=5_u64) {
-        let plan = Plan { cut: 60, one_way: true, transfer: 10, ..Plan::default() };
-        survive(voters, seed, plan);
+        let plan = FaultPlan { cut: 60, one_way: true, transfer: 10, ..FaultPlan::default() };
+        run_under_faults(voters, seed, plan);
     }
 
     #[test]
@@ -191,32 +191,32 @@
         seed in any::<u64>(),
         voters in 3..=5_u64,
     ) {
-        let plan = Plan {
-            weather: storm(),
+        let plan = FaultPlan {
+            fault_rates: high_fault_rates(),
             restart: 10,
             sync_ticks: 2,
             change_members: 60,
             transfer: 10,
-            ..Plan::default()
+            ..FaultPlan::default()
         };
-        survive(voters, seed, plan);
+        run_under_faults(voters, seed, plan);
     }
 
     #[test]
     fn group_agrees_when_parts_of_snapshots_are_lost(seed in any::<u64>(), voters in 3..=5_u64) {
-        let plan = Plan {
-            weather: storm(),
+        let plan = FaultPlan {
+            fault_rates: high_fault_rates(),
             cut: 30,
             compact_every: 6,
-            ..Plan::default()
+            ..FaultPlan::default()
         };
-        survive(voters, seed, plan);
+        run_under_faults(voters, seed, plan);
     }
 
     #[test]
     fn group_agrees_when_everything_fails_at_once(seed in any::<u64>(), voters in 3..=5_u64) {
-        let plan = Plan {
-            weather: storm(),
+        let plan = FaultPlan {
+            fault_rates: high_fault_rates(),
             restart: 20,
             cut: 20,
             one_way: true,
@@ -225,6 +225,6 @@
             sync_ticks: 3,
             compact_every: 8,
         };
-        survive(voters, seed, plan);
+        run_under_faults(voters, seed, plan);
     }
 }
--- a/crates/consensus/tests/faults/checker.rs
+++ b/crates/consensus/tests/faults/checker.rs
@@ -11,12 +11,12 @@
 }
 
 impl Checker {
-    pub fn leads(&mut self, id: ReplicaId, term: Term) {
+    pub fn record_leader(&mut self, id: ReplicaId, term: Term) {
         let first = *self.leaders.entry(term).or_insert(id);
         assert_eq!(first, id, "two leaders in term {term}");
     }
 
-    pub fn applies(&mut self, id: ReplicaId, entry: &Entry) {
+    pub fn record_applied(&mut self, id: ReplicaId, entry: &Entry) {
         let first = self
             .committed
             .entry(entry.index)
--- a/crates/consensus/tests/faults/cluster.rs
+++ b/crates/consensus/tests/faults/cluster.rs
@@ -10,13 +10,13 @@
 
 use crate::checker::Checker;
 use crate::network::{Network, Packet};
-use crate::node::{Disk, Node, Writing};
+use crate::node::{Disk, Node, PendingSync};
 
 /// Ticks after which the next part of a snapshot is requested again.
-const PULL_AGAIN: u64 = 4;
+const CHUNK_RETRY_TICKS: u64 = 4;
 
 /// Maximum time to wait for a condition, in ticks.
-const PATIENCE: u64 = 3_000;
+const MAX_WAIT_TICKS: u64 = 3_000;
 
 pub struct Cluster {
     pub nodes: BTreeMap<ReplicaId, Node>,
@@ -100,9 +100,9 @@
     pub fn propose(&mut self, id: ReplicaId) -> bool {
         self.proposals += 1;
         let command = self.proposals.to_be_bytes().to_vec();
-        let taken = self.node(id).replica().propose(command).is_ok();
-        self.work(id);
-        taken
+        let accepted = self.node(id).replica().propose(command).is_ok();
+        self.process_ready(id);
+        accepted
     }
 
     /// Requests a read from `id`; returns whether it was accepted.
@@ -110,12 +110,12 @@
         self.reads += 1;
         let (context, committed) = (self.reads, self.checker.last());
         let running = self.node(id).running.as_mut().unwrap();
-        let taken = running.replica.read_index(context).is_ok();
-        if taken {
+        let accepted = running.replica.read_index(context).is_ok();
+        if accepted {
             running.reads.insert(context, committed);
         }
-        self.work(id);
-        taken
+        self.process_ready(id);
+        accepted
     }
 
     pub fn run(&mut self, ticks: u64) {
@@ -125,9 +125,9 @@
     }
 
     pub fn wait(&mut self, what: &str, holds: impl Fn(&Self) -> bool) {
-        let end = self.now + PATIENCE;
+        let end = self.now + MAX_WAIT_TICKS;
         while !holds(self) {
-            assert!(self.now < end, "no {what} within {PATIENCE} ticks");
+            assert!(self.now < end, "no {what} within {MAX_WAIT_TICKS} ticks");
             self.tick();
         }
     }
@@ -138,10 +138,10 @@
         for id in running {
             self.node(id).replica().tick();
             self.finish_sync(id);
-            self.pull(id);
-            self.work(id);
+            self.request_chunk(id);
+            self.process_ready(id);
         }
-        while let Some((from, to, packet)) = self.network.arrival(self.now) {
+        while let Some((from, to, packet)) = self.network.take_due(self.now) {
             self.receive(from, to, packet);
         }
     }
@@ -163,7 +163,7 @@
         }
         match packet {
             Packet::Consensus(message) => node.replica().step(from, message),
-            Packet::Pull { snapshot, position } => self.serve(to, from, snapshot, position),
+            Packet::Pull { snapshot, position } => self.send_chunk(to, from, snapshot, position),
             Packet::Chunk {
                 meta,
                 position,
@@ -176,21 +176,21 @@
                 };
                 if fetch.commands.len() == position {
                     fetch.commands.extend(command);
-                    fetch.asked_at = 0;
+                    fetch.requested_at = 0;
                 }
                 if fetch.commands.len() == total {
                     let fetch = node.running.as_mut().unwrap().fetch.take().unwrap();
                     assert_eq!(fetch.commands, self.checker.commands(meta.index));
                     node.install(&meta, fetch.commands);
                 }
-                self.pull(to);
+                self.request_chunk(to);
             }
         }
-        self.work(to);
+        self.process_ready(to);
     }
 
     /// Sends one command of the stored snapshot.
-    fn serve(&mut self, id: ReplicaId, to: ReplicaId, snapshot: Index, position: usize) {
+    fn send_chunk(&mut self, id: ReplicaId, to: ReplicaId, snapshot: Index, position: usize) {
         let disk = &self.nodes[&id].disk;
         let Some(meta) = disk.persisted.snapshot.clone() else {
             return;
@@ -208,7 +208,7 @@
     }
 
     /// Requests the next command of a snapshot, if a request is due.
-    fn pull(&mut self, id: ReplicaId) {
+    fn request_chunk(&mut self, id: ReplicaId) {
         let now = self.now;
         let Some(running) = self.node(id).running.as_mut() else {
             return;
@@ -216,10 +216,10 @@
         let Some(fetch) = running.fetch.as_mut() else {
             return;
         };
-        if fetch.asked_at + PULL_AGAIN > now && fetch.asked_at > 0 {
+        if fetch.requested_at + CHUNK_RETRY_TICKS > now && fetch.requested_at > 0 {
             return;
         }
-        fetch.asked_at = now;
+        fetch.requested_at = now;
         let (to, snapshot, position) = (fetch.from, fetch.meta.index, fetch.commands.len());
         self.send(id, to, Packet::Pull { snapshot, position });
     }
@@ -236,24 +236,25 @@
     }
 
     /// Processes all pending work of a replica.
-    pub fn work(&mut self, id: ReplicaId) {
+    pub fn process_ready(&mut self, id: ReplicaId) {
         while let Some(running) = self.node(id).running.as_mut() {
             let Some(mut ready) = running.replica.ready() else {
                 break;
             };
             assert_eq!(ready.fault, None, "replica {id} stopped");
             if let Some(offer) = ready.snapshot_offer.take() {
-                running.consider(offer);
+                running.start_fetch(offer);
             }
             for entry in std::mem::take(&mut ready.committed) {
-                self.checker.applies(id, &entry);
+                self.checker.record_applied(id, &entry);
                 self.node(id).running.as_mut().unwrap().apply(entry);
             }
             self.answer(id, &ready.reads, &ready.failed_reads);
             self.send_all(id, std::mem::take(&mut ready.messages));
             if ready.needs_sync() {
                 let done_at = self.now + self.random.random_range(0..=self.sync_ticks);
-                self.node(id).running.as_mut().unwrap().writing = Some(Writing { ready, done_at });
+                self.node(id).running.as_mut().unwrap().pending_sync =
+                    Some(PendingSync { ready, done_at });
                 self.finish_sync(id);
             } else {
                 self.send_all(id, ready.messages_after_sync);
@@ -279,13 +280,13 @@
             return;
         };
         if running
-            .writing
+            .pending_sync
             .as_ref()
-            .is_none_or(|writing| writing.done_at > now)
+            .is_none_or(|pending_sync| pending_sync.done_at > now)
         {
             return;
         }
-        let Writing { ready, .. } = running.writing.take().unwrap();
+        let PendingSync { ready, .. } = running.pending_sync.take().unwrap();
         node.disk.store(ready.hard_state, &ready.entries);
         node.replica().persisted();
         self.send_all(id, ready.messages_after_sync);
@@ -302,14 +303,14 @@
             self.node(id).compact();
         }
         if status.role == Role::Leader {
-            self.checker.leads(id, status.term);
+            self.checker.record_leader(id, status.term);
         }
     }
 
     /// Ends all faults, and expects the members to agree and commit further entries.
-    pub fn settle(&mut self) {
+    pub fn expect_recovery(&mut self) {
         self.network.heal();
-        self.network.weather = crate::network::Weather::default();
+        self.network.fault_rates = crate::network::FaultRates::default();
         for id in self.nodes.keys().copied().collect::<Vec<_>>() {
             if self.node(id).running.is_none() {
                 self.restart(id);
--- a/crates/consensus/tests/faults/contradiction.rs
+++ b/crates/consensus/tests/faults/contradiction.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn rolled_back_disk_is_noticed() {
+fn rolled_back_disk_is_detected() {
     let expected = Fault::AcknowledgedEntriesLost {
         acknowledged: Index(7),
         last: Index(1),
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn other_entry_in_a_committed_place_is_noticed() {
+fn conflicting_committed_entry_is_detected() {
     let mut replica = follower();
     let request = AppendRequest {
         term: Term(2),
--- a/crates/consensus/tests/faults/elections.rs
+++ b/crates/consensus/tests/faults/elections.rs
@@ -4,11 +4,11 @@
 
 use crate::cluster::Cluster;
 
-const OTHERS: u64 = 3;
+const REPLICAS: u64 = 3;
 
 /// Returns the two replicas other than `leader`.
 fn followers(leader: ReplicaId) -> [ReplicaId; 2] {
-    let ids: Vec<ReplicaId> = (1..=OTHERS)
+    let ids: Vec<ReplicaId> = (1..=REPLICAS)
         .map(ReplicaId)
         .filter(|id| *id != leader)
         .collect();
@@ -20,15 +20,15 @@
     let mut cluster = Cluster::new(3, 1);
     let leader = cluster.elect();
     let term = cluster.node(leader).replica().term();
-    let [lonely, other] = followers(leader);
-    cluster.network.cut(lonely, leader);
-    cluster.network.cut(lonely, other);
+    let [isolated, other] = followers(leader);
+    cluster.network.cut(isolated, leader);
+    cluster.network.cut(isolated, other);
     cluster.run(200);
-    assert_eq!(cluster.node(lonely).replica().role(), Role::PreCandidate);
+    assert_eq!(cluster.node(isolated).replica().role(), Role::PreCandidate);
     cluster.network.heal();
     cluster.run(100);
     assert_eq!(cluster.leader(), Some(leader));
-    assert_eq!(cluster.node(lonely).replica().term(), term);
+    assert_eq!(cluster.node(isolated).replica().term(), term);
 }
 
 #[test]
@@ -36,8 +36,8 @@
     let mut cluster = Cluster::new(3, 2);
     let leader = cluster.elect();
     let term = cluster.node(leader).replica().term();
-    let [lonely, _] = followers(leader);
-    cluster.network.cut(lonely, leader);
+    let [isolated, _] = followers(leader);
+    cluster.network.cut(isolated, leader);
     cluster.run(300);
     assert_eq!(cluster.leader(), Some(leader));
     assert_eq!(cluster.node(leader).replica().term(), term);
@@ -66,7 +66,7 @@
     // The target starts an election in a later term, but its messages are lost.
     let transfer = cluster.node(leader).replica().transfer_leadership(target);
     assert_eq!(transfer, Ok(()));
-    cluster.work(leader);
+    cluster.process_ready(leader);
     cluster.network.cut_one_way(target, leader);
     cluster.network.cut_one_way(target, other);
     cluster.run(5);
@@ -74,12 +74,12 @@
     assert!(later > cluster.node(leader).replica().term());
     cluster.run(100);
     cluster.network.heal();
-    cluster.settle();
+    cluster.expect_recovery();
     assert!(cluster.node(target).replica().term() >= later);
 }
 
 #[test]
-fn transfer_is_given_up_when_its_target_is_silent() {
+fn transfer_is_aborted_when_its_target_does_not_respond() {
     let mut cluster = Cluster::new(3, 5);
     let leader = cluster.elect();
     let [target, _] = followers(leader);
@@ -102,7 +102,7 @@
     let [target, _] = followers(leader);
     let transfer = cluster.node(leader).replica().transfer_leadership(target);
     assert_eq!(transfer, Ok(()));
-    cluster.work(leader);
+    cluster.process_ready(leader);
     cluster.run(3);
     assert_eq!(cluster.leader(), Some(target));
 }
--- a/crates/consensus/tests/faults/members.rs
+++ b/crates/consensus/tests/faults/members.rs
@@ -12,7 +12,7 @@
 fn change(cluster: &mut Cluster, change: MembershipChange) -> Result<Index, ProposeError> {
     let leader = cluster.elect();
     let result = cluster.node(leader).replica().change_membership(change);
-    cluster.work(leader);
+    cluster.process_ready(leader);
     result
 }
 
@@ -21,7 +21,7 @@
     others.rev().find(|id| *id != leader && *id != NEW).unwrap()
 }
 
-fn is_settled(cluster: &Cluster, expected: &Membership) -> bool {
+fn is_in_force(cluster: &Cluster, expected: &Membership) -> bool {
     cluster.leader().is_some_and(|leader| {
         let running = cluster.nodes[&leader].running.as_ref().unwrap();
         let status = running.replica.status();
@@ -66,8 +66,8 @@
         lost,
         replacement: NEW,
     };
-    let stranger = change(&mut cluster, replace.clone());
-    assert_eq!(stranger, Err(ProposeError::NotALearner { replica: NEW }));
+    let unknown = change(&mut cluster, replace.clone());
+    assert_eq!(unknown, Err(ProposeError::NotALearner { replica: NEW }));
     // The learner is not even running.
     change(&mut cluster, MembershipChange::AddLearner(NEW)).unwrap();
     cluster.run(20);
@@ -109,7 +109,7 @@
         voters.insert(NEW);
         let expected = Membership::of_voters(voters);
         cluster.wait("the end of the change", |cluster| {
-            is_settled(cluster, &expected)
+            is_in_force(cluster, &expected)
         });
         let acknowledged = cluster.checker.commands(cluster.checker.last());
         let leader = cluster.leader().unwrap();
@@ -124,8 +124,8 @@
         cluster.wait("a commit of the two that are left", |cluster| {
             cluster.applied(leader) >= cluster.checker.last()
         });
-        let held = &cluster.node(leader).running.as_ref().unwrap().commands;
-        assert!(held.starts_with(&acknowledged), "seed {seed}");
+        let stored = &cluster.node(leader).running.as_ref().unwrap().commands;
+        assert!(stored.starts_with(&acknowledged), "seed {seed}");
     }
 }
 
@@ -149,7 +149,7 @@
     // The leader and the new replica are not a majority of the old voters.
     assert_eq!(cluster.checker.last(), before);
     cluster.restart(second);
-    cluster.settle();
+    cluster.expect_recovery();
 }
 
 #[test]
--- a/crates/consensus/tests/faults/network.rs
+++ b/crates/consensus/tests/faults/network.rs
@@ -27,14 +27,14 @@
 
 /// Fault rates in percent, and the maximum delay in ticks.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Weather {
+pub struct FaultRates {
     pub loss: u32,
     pub repetition: u32,
     pub max_delay: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Flying {
+struct InFlightPacket {
     due: u64,
     from: ReplicaId,
     to: ReplicaId,
@@ -43,10 +43,10 @@
 
 #[derive(Debug, Default)]
 pub struct Network {
-    pub weather: Weather,
-    flying: Vec<Flying>,
+    pub fault_rates: FaultRates,
+    in_flight: Vec<InFlightPacket>,
     /// Directed links, from sender to receiver, that drop all packets.
-    cuts: BTreeSet<(ReplicaId, ReplicaId)>,
+    cut_links: BTreeSet<(ReplicaId, ReplicaId)>,
 }
 
 impl Network {
@@ -58,16 +58,16 @@
         packet: Packet,
     ) {
         let mut copies = 1;
-        if random.random_range(0..100) < self.weather.repetition {
+        if random.random_range(0..100) < self.fault_rates.repetition {
             copies += 1;
         }
         for _ in 0..copies {
-            if random.random_range(0..100) < self.weather.loss {
+            if random.random_range(0..100) < self.fault_rates.loss {
                 continue;
             }
-            let due = now + random.random_range(0..=self.weather.max_delay);
+            let due = now + random.random_range(0..=self.fault_rates.max_delay);
             let packet = packet.clone();
-            self.flying.push(Flying {
+            self.in_flight.push(InFlightPacket {
                 due,
                 from,
                 to,
@@ -77,18 +77,18 @@
     }
 
     /// Removes and returns the next packet that is due by `now`.
-    pub fn arrival(&mut self, now: u64) -> Option<(ReplicaId, ReplicaId, Packet)> {
+    pub fn take_due(&mut self, now: u64) -> Option<(ReplicaId, ReplicaId, Packet)> {
         loop {
-            let position = self.flying.iter().position(|one| one.due <= now)?;
-            let one = self.flying.remove(position);
-            if !self.cuts.contains(&(one.from, one.to)) {
+            let position = self.in_flight.iter().position(|one| one.due <= now)?;
+            let one = self.in_flight.remove(position);
+            if !self.cut_links.contains(&(one.from, one.to)) {
                 return Some((one.from, one.to, one.packet));
             }
         }
     }
 
     pub fn cut_one_way(&mut self, from: ReplicaId, to: ReplicaId) {
-        self.cuts.insert((from, to));
+        self.cut_links.insert((from, to));
     }
 
     pub fn cut(&mut self, one: ReplicaId, other: ReplicaId) {
@@ -97,6 +97,6 @@
     }
 
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.cut_links.clear();
     }
 }
--- a/crates/consensus/tests/faults/node.rs
+++ b/crates/consensus/tests/faults/node.rs
@@ -16,7 +16,7 @@
 
 /// A write whose sync is in progress.
 #[derive(Debug)]
-pub struct Writing {
+pub struct PendingSync {
     pub ready: Ready,
     pub done_at: u64,
 }
@@ -27,7 +27,7 @@
     pub from: ReplicaId,
     pub meta: SnapshotMeta,
     pub commands: Vec<Vec<u8>>,
-    pub asked_at: u64,
+    pub requested_at: u64,
 }
 
 /// The state that is lost in a crash.
@@ -36,7 +36,7 @@
     pub replica: Replica,
     pub commands: Vec<Vec<u8>>,
     pub applied: Index,
-    pub writing: Option<Writing>,
+    pub pending_sync: Option<PendingSync>,
     pub fetch: Option<Fetch>,
     /// Pending reads by context, each with the last committed index at the time of
     /// the request.
@@ -96,7 +96,7 @@
             replica: Replica::new(self.config.clone(), persisted).unwrap(),
             commands: self.disk.snapshot_commands.clone(),
             applied,
-            writing: None,
+            pending_sync: None,
             fetch: None,
             reads: BTreeMap::new(),
             failed_reads: 0,
@@ -126,7 +126,7 @@
             return;
         }
         // A write in progress completes before the log is replaced.
-        if let Some(Writing { ready, .. }) = &running.writing {
+        if let Some(PendingSync { ready, .. }) = &running.pending_sync {
             self.disk.store(ready.hard_state, &ready.entries);
         }
         let differs = running.replica.term_at(meta.index) != Some(meta.term);
@@ -147,7 +147,7 @@
         }
     }
 
-    pub fn consider(&mut self, offer: SnapshotOffer) {
+    pub fn start_fetch(&mut self, offer: SnapshotOffer) {
         let same = self
             .fetch
             .as_ref()
@@ -157,7 +157,7 @@
                 from: offer.from,
                 meta: offer.meta,
                 commands: Vec::new(),
-                asked_at: 0,
+                requested_at: 0,
             });
         }
     }
--- a/crates/consensus/tests/faults/reads.rs
+++ b/crates/consensus/tests/faults/reads.rs
@@ -4,7 +4,7 @@
 
 use crate::cluster::Cluster;
 
-fn cut_off(cluster: &mut Cluster, id: ReplicaId) {
+fn isolate(cluster: &mut Cluster, id: ReplicaId) {
     for other in cluster.running() {
         if other != id {
             cluster.network.cut(id, other);
@@ -17,7 +17,7 @@
     let mut cluster = Cluster::new(3, 1);
     let old = cluster.elect();
     cluster.run(10);
-    cut_off(&mut cluster, old);
+    isolate(&mut cluster, old);
     assert!(cluster.read(old));
     cluster.wait("another leader", |cluster| {
         cluster.leader().is_some_and(|id| id != old)
@@ -39,7 +39,7 @@
     let leader = cluster.elect();
     cluster.run(10);
     // Responses to this round are in flight when the leader is cut off.
-    cluster.network.weather.max_delay = 6;
+    cluster.network.fault_rates.max_delay = 6;
     assert!(cluster.read(leader));
     cluster.run(2);
     for other in cluster.running() {
@@ -61,7 +61,7 @@
     let mut cluster = Cluster::new(3, 3);
     let leader = cluster.elect();
     cluster.run(10);
-    cut_off(&mut cluster, leader);
+    isolate(&mut cluster, leader);
     assert!(cluster.read(leader));
     cluster.run(2);
     cluster.network.heal();
@@ -85,5 +85,5 @@
         cluster.run(60);
         cluster.restart(leader);
     }
-    cluster.settle();
+    cluster.expect_recovery();
 }
--- a/crates/consensus/tests/message.rs
+++ b/crates/consensus/tests/message.rs
@@ -10,7 +10,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::{RngAlgorithm, RngSeed};
 
-fn fixed(cases: u32) -> ProptestConfig {
+fn deterministic_config(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
         rng_algorithm: RngAlgorithm::ChaCha,
@@ -108,7 +108,7 @@
 }
 
 proptest! {
-    #![proptest_config(fixed(256))]
+    #![proptest_config(deterministic_config(256))]
 
     #[test]
     fn message_survives_encoding(message in message()) {
--- a/crates/consensus/tests/mutants.rs
+++ b/crates/consensus/tests/mutants.rs
@@ -4,7 +4,7 @@
 use molespan_types::mechanism::{Mechanism, disable};
 
 /// Returns the invariant violated when `mechanism` is disabled.
-fn broken(bounds: &Bounds, mechanism: Mechanism) -> Option<Invariant> {
+fn violated_without(bounds: &Bounds, mechanism: Mechanism) -> Option<Invariant> {
     disable(Some(mechanism));
     let exploration = explore(bounds);
     disable(None);
@@ -18,13 +18,13 @@
 
 #[test]
 fn second_leader_is_elected_when_votes_are_forgotten() {
-    let invariant = broken(&Bounds::default(), Mechanism::DurableVote);
+    let invariant = violated_without(&Bounds::default(), Mechanism::DurableVote);
     assert_eq!(invariant, Some(Invariant::ElectionSafety));
 }
 
 #[test]
 fn log_is_not_whole_when_replies_go_before_the_sync() {
-    let invariant = broken(&Bounds::default(), Mechanism::SyncBeforeReply);
+    let invariant = violated_without(&Bounds::default(), Mechanism::SyncBeforeReply);
     assert_eq!(invariant, Some(Invariant::WholeLog));
 }
 
@@ -35,6 +35,6 @@
         proposals: 1,
         ..Bounds::default()
     };
-    let invariant = broken(&bounds, Mechanism::QuorumCommit);
+    let invariant = violated_without(&bounds, Mechanism::QuorumCommit);
     assert_eq!(invariant, Some(Invariant::CommittedStay));
 }
