--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -86,7 +86,7 @@
         replica: ReplicaId,
     },
     /// The replica to add is already a member.
-    #[display("replica {replica} is already a member")]
+    #[display("replica {replica} is a member already")]
     AlreadyMember {
         /// The replica.
         replica: ReplicaId,
