--- a/crates/replica/src/api.rs
+++ b/crates/replica/src/api.rs
@@ -1,91 +1,93 @@
-//! What goes into a replica process and what comes out of it.
+//! Inputs and outputs of a replica process.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use molespan_types::{ConfigVersion, GroupId, NodeId, RunOutcome};
 
-/// How fresh a read must be.
+/// Consistency level of a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
-    /// It sees every write that was acknowledged before it began.
+    /// The read observes every write that was acknowledged before it started.
     Linearizable,
-    /// It sees what this replica has applied.
+    /// The read observes the entries that this replica has applied.
     Local,
 }
 
-/// Names a request of the driver, which chooses it.
+/// Identifier of a request, chosen by the driver.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// Something that happened outside.
+/// An input for the replica process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Input {
-    /// A message of another replica process.
+    /// A message from another replica process.
     Message {
         /// Sender.
         from: NodeId,
         /// Group it is for.
         group: GroupId,
-        /// What an [`Output::Send`] of the sender held.
+        /// The bytes of the sender's [`Output::Send`].
         bytes: Vec<u8>,
     },
-    /// A command to be committed and applied.
+    /// A command to commit and apply.
     Propose {
-        /// Named by the reply.
+        /// Identifier for the reply.
         ticket: Ticket,
         /// Group.
         group: GroupId,
-        /// Encoded command of its machine.
+        /// Encoded command for the group's state machine.
         command: Vec<u8>,
     },
     /// A read.
     Query {
-        /// Named by the reply.
+        /// Identifier for the reply.
         ticket: Ticket,
         /// Group.
         group: GroupId,
-        /// How fresh.
+        /// Consistency level.
         consistency: Consistency,
-        /// Encoded query of its machine.
+        /// Encoded query for the group's state machine.
         query: Vec<u8>,
     },
-    /// An operator asks to replace a node's lost replica by its new life. This
-    /// happens by itself; the request tells what it waits for.
+    /// An operator's request to replace a node's lost replica by its new
+    /// incarnation. Replacement happens automatically; the reply reports what it
+    /// waits for.
     ReplaceReplica {
-        /// Named by the reply, which is empty on success.
+        /// Identifier for the reply, which is empty on success.
         ticket: Ticket,
         /// Group.
         group: GroupId,
-        /// Node whose disk was lost.
+        /// The node that lost its disk.
         lost: NodeId,
     },
-    /// The first voters of the only group are known now, where members are
-    /// discovered. Nothing happens when they were known before.
+    /// Provides the founders of the single group, if members are discovered.
+    /// Ignored if the founders are already known.
     Found {
-        /// Nodes and the lives of their disks.
+        /// The founding nodes with the incarnations of their disks.
         founders: BTreeMap<NodeId, u32>,
     },
-    /// Nodes to greet, where members are discovered, and nodes that must not
-    /// stay members.
+    /// Nodes to send hellos to, if members are discovered, and nodes to remove
+    /// from the membership.
     Members {
-        /// Nodes that may be members.
+        /// Nodes that may become members.
         contacts: BTreeSet<NodeId>,
-        /// Nodes that are to lose their place.
+        /// Nodes that must be replaced as voters.
         retiring: BTreeSet<NodeId>,
     },
-    /// Hands a group's leadership over, as before a planned stop.
+    /// Transfers a group's leadership, for example before a planned stop.
     TransferLeadership {
-        /// Named by the reply, which is empty and says that it was begun.
+        /// Identifier for the reply, which is empty and confirms that the transfer
+        /// has started.
         ticket: Ticket,
         /// Group.
         group: GroupId,
-        /// Next leader.
+        /// The node to become leader.
         to: NodeId,
     },
 }
 
 impl Input {
-    /// Whether only the leader of its group can carry it out.
+    /// Whether only the group's leader can process this input.
     pub(crate) fn needs_leader(&self) -> bool {
         match self {
             Self::Propose { .. } | Self::TransferLeadership { .. } => true,
@@ -98,10 +100,10 @@
     }
 }
 
-/// Something to be done outside.
+/// An output of the replica process, for the driver to process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a message to another replica process. It may get lost.
+    /// A message to send to another replica process. It may be lost.
     Send {
         /// Receiver.
         to: NodeId,
@@ -110,112 +112,113 @@
         /// The message.
         bytes: Vec<u8>,
     },
-    /// A request has its answer.
+    /// The reply to a request.
     Reply {
         /// Request.
         ticket: Ticket,
-        /// Encoded reply or answer of the machine.
+        /// Encoded reply or query answer of the state machine.
         result: Result<Vec<u8>, Refusal>,
     },
-    /// Another node leads a group, or none that is known.
+    /// The leader of a group changed.
     LeaderChanged {
         /// Group.
         group: GroupId,
-        /// Leader.
+        /// Leader, if known.
         leader: Option<NodeId>,
     },
-    /// This replica applied a newer configuration.
+    /// This replica applied a new configuration.
     ConfigurationChanged {
         /// Its version.
         version: ConfigVersion,
     },
-    /// This replica applied something that watchers of the group wait for.
+    /// This replica applied a change that watchers of the group wait for.
     StateChanged {
         /// Group.
         group: GroupId,
     },
-    /// Something that operators should see.
+    /// An event to report to operators.
     Event(ReplicaEvent),
 }
 
-/// Why a request was not carried out.
+/// Why a request was refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// Another node leads the group, or none that is known. Nothing was done.
+    /// This replica does not lead the group. The request has no effect.
     NotLeader {
-        /// Leader.
+        /// Leader, if known.
         leader: Option<NodeId>,
     },
-    /// It was refused, or its fate is not known.
+    /// The request was rejected, or its outcome is unknown.
     Refused {
-        /// `NotRun`: it will never take effect. `Unknown`: it may yet.
+        /// `NotRun`: the request will never take effect. `Unknown`: it may have
+        /// taken effect or may still do so.
         outcome: RunOutcome,
-        /// One sentence for people.
+        /// Human-readable reason.
         message: String,
-        /// When to come back, in milliseconds.
+        /// Delay before a retry, in milliseconds; 0 if none is suggested.
         retry_after_ms: u32,
     },
 }
 
-/// Something that operators should see.
+/// An event to report to operators.
 #[derive(Clone, Debug, PartialEq, Eq, derive_more::Display)]
 pub enum ReplicaEvent {
-    /// The first voters are fixed.
+    /// The founders of the groups are determined.
     #[display("the replicas of nodes {nodes:?} founded the groups")]
     Founded {
-        /// Their nodes.
+        /// Nodes of the founders.
         nodes: Vec<NodeId>,
     },
     /// Other replicas confirmed that this disk was not rolled back.
     #[display("takes part with incarnation {incarnation:08x}")]
     TakesPart {
-        /// Life of the disk.
+        /// Incarnation of the disk.
         incarnation: u32,
     },
-    /// The disk was blank or rolled back, so this is a new replica.
+    /// The disk was blank or rolled back, so this process is a new replica.
     #[display("starts anew with incarnation {incarnation:08x}: {reason}")]
     NewIncarnation {
-        /// Life of the disk.
+        /// Incarnation of the disk.
         incarnation: u32,
-        /// What was found.
+        /// Reason.
         reason: String,
     },
-    /// A new life of a node took its old one's place in a group.
+    /// A replica lost its vote in a group to a replacement.
     #[display("group {group}: node {node} was replaced by its new incarnation")]
     ReplicaReplaced {
         /// Group.
         group: GroupId,
-        /// Node.
+        /// Node of the replaced replica.
         node: NodeId,
     },
-    /// The disk is full or has room again.
+    /// The disk became full or has space again.
     #[display("disk is {}", if *full { "full" } else { "no longer full" })]
     DiskFull {
-        /// Whether it is full.
+        /// Whether the disk is full.
         full: bool,
     },
-    /// A group's snapshot was taken.
+    /// A snapshot of a group was taken.
     #[display("group {group}: snapshot at {index} of {bytes} bytes")]
     SnapshotTaken {
         /// Group.
         group: GroupId,
-        /// Last entry in it.
+        /// Last entry in the snapshot.
         index: u64,
-        /// Size of the machine's part.
+        /// Size of the state machine in the snapshot.
         bytes: usize,
     },
-    /// A snapshot of another replica was installed.
+    /// A snapshot fetched from another replica was installed.
     #[display("group {group}: snapshot at {index} installed")]
     SnapshotInstalled {
         /// Group.
         group: GroupId,
-        /// Last entry in it.
+        /// Last entry in the snapshot.
         index: u64,
     },
-    /// Something contradicts the settings or the state of the group.
+    /// An inconsistency with the settings or the state of a group was detected.
     #[display("{message}")]
     Fault {
-        /// What was found.
+        /// Description of the inconsistency.
         message: String,
     },
 }
--- a/crates/replica/src/bootstrap.rs
+++ b/crates/replica/src/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Opening the groups of a process.
+//! Opening of the groups of a process.
 
 use std::collections::BTreeMap;
 
@@ -13,7 +13,8 @@
 use crate::message::Standing;
 use crate::shared::Shared;
 
-/// Every group of a process: the control group and the job groups.
+/// Returns the groups of a process: the control group and the job groups, or the
+/// single group if members are discovered.
 pub(crate) fn group_ids(settings: &ReplicaSettings) -> impl Iterator<Item = GroupId> + use<> {
     let only = settings
         .discovery
@@ -24,8 +25,8 @@
     (first..=last).map(GroupId)
 }
 
-/// Opens every group. On a first voter whose log has no entry yet, the common
-/// first entry is written before.
+/// Opens every group. On a founder that has not been bootstrapped yet, this first
+/// writes the common first entry of each group to the log.
 pub(crate) fn open_groups<D: Disk>(
     disk: &D,
     fleet: &mut Fleet<D>,
@@ -65,7 +66,8 @@
     Ok(())
 }
 
-/// Writes the common first entry; gives what a restart would read back.
+/// Writes the common first entry to the log; returns the state that a restart would
+/// recover from it.
 fn write_first<D: Disk>(
     shared: &mut Shared<D>,
     group: GroupId,
--- a/crates/replica/src/core.rs
+++ b/crates/replica/src/core.rs
@@ -1,4 +1,4 @@
-//! The replica process as its driver sees it.
+//! The interface of a replica process for its driver.
 
 use std::collections::BTreeMap;
 
@@ -20,17 +20,17 @@
     ReplicaStatus, Ticket, records,
 };
 
-/// When to come back to a replica that does not take part yet, in milliseconds.
+/// Retry delay suggested by a replica that does not participate yet, in milliseconds.
 const NOT_READY_RETRY_MS: u32 = 500;
 
-/// The incarnation that a blank disk gets: a common one where the first voters
-/// are known beforehand and this is one of them, otherwise one that nobody had.
+/// Returns the incarnation for a blank disk: [`FIRST_INCARNATION`] if this node is
+/// one of the founders known in advance, otherwise a new random one.
 fn fresh_incarnation<D: Disk>(
     disk: &D,
     settings: &ReplicaSettings,
     random: &mut ChaCha8Rng,
 ) -> Result<u32, ReplicaError> {
-    // A disk that was emptied in an earlier life still knows of the founding.
+    // A disk that was wiped by an earlier incarnation still records the founders.
     let first_life = records::FleetRecord::load(disk)?.founders.is_empty();
     let founds = settings
         .discovery
@@ -49,19 +49,20 @@
     random: ChaCha8Rng,
     fleet: Fleet<D>,
     shared: Shared<D>,
-    /// What the log held, until the groups are opened with it.
+    /// State recovered from the log, until the groups are opened with it.
     recovery: Option<Recovery>,
     groups: BTreeMap<GroupId, Group<D>>,
     next_tick: Timestamp,
-    /// An error that came up while an input was taken in.
+    /// An error that occurred while handling an input; the next poll returns it.
     failure: Option<ReplicaError>,
 }
 
 impl<D: Disk> ReplicaCore<D> {
-    /// Starts from what is on `disk`.
+    /// Starts a replica process from the state on `disk`.
     ///
     /// # Errors
-    /// When the settings cannot work, or the disk refuses or is damaged.
+    /// [`ReplicaError`] if the settings are invalid, the disk returns an error, or the
+    /// stored state is corrupt.
     pub fn open(disk: D, settings: ReplicaSettings, now: Timestamp) -> Result<Self, ReplicaError> {
         settings.check()?;
         let random = ChaCha8Rng::seed_from_u64(settings.seed);
@@ -107,7 +108,7 @@
         Ok(())
     }
 
-    /// Takes an input in. Its outputs come from the next [`ReplicaCore::poll`].
+    /// Handles an input. The next [`ReplicaCore::poll`] returns its outputs.
     pub fn handle(&mut self, now: Timestamp, input: Input) {
         let result = match input {
             Input::Message { from, group, bytes } => self.receive(now, from, group, &bytes),
@@ -142,7 +143,8 @@
             return self.refuse(ticket, "there is no such group");
         };
         if self.fleet.waits() && request.needs_leader() {
-            // Who only waits for a vote hears of no leader, but knows who votes.
+            // A replica that waits to become a voter receives nothing from a leader, but
+            // knows the voters.
             let leader = group.leader();
             let leader = leader.or_else(|| self.fleet.draw_voter(&mut self.random));
             let result = Err(Refusal::NotLeader { leader });
@@ -162,7 +164,7 @@
         }
     }
 
-    /// Takes the first voters in, and founds where this is one of them.
+    /// Handles the announced founders, and founds the group if this node is one of them.
     fn found(
         &mut self,
         now: Timestamp,
@@ -178,7 +180,7 @@
         self.shared.outputs.push(Output::Reply { ticket, result });
     }
 
-    /// Takes a message in. What cannot be read is as good as lost.
+    /// Handles a message. An undecodable message is treated as lost.
     fn receive(
         &mut self,
         now: Timestamp,
@@ -208,7 +210,7 @@
         let to = node_of(hello.replica);
         let sequence = self.shared.log.sequence();
         let (changes, reply) = match self.fleet.receive(now, hello, sequence) {
-            // As good as lost: the sender says hello again until it is answered.
+            // Treated as lost: the sender repeats its hello until it gets an answer.
             Err(error) if error.is_full() => return Ok(()),
             received => received?,
         };
@@ -240,7 +242,7 @@
         Ok(())
     }
 
-    /// Carries out what the fleet's bookkeeping led to.
+    /// Applies changes reported by the fleet state.
     fn follow(&mut self, now: Timestamp, changes: Vec<FleetChange>) -> Result<(), ReplicaError> {
         for change in changes {
             match change {
@@ -249,9 +251,9 @@
                     self.report_founding();
                 }
                 FleetChange::TakesPart => {
-                    // Members that start together confirm each other at the same
-                    // moment; they must not all tick, and stand for election,
-                    // at the same moments from then on.
+                    // Members that start together confirm each other
+                    // simultaneously; a random offset prevents that all of them
+                    // tick, and start elections, at the same times afterwards.
                     let tick = self.shared.settings.tick;
                     self.next_tick = now + tick.mul_f64(self.random.random());
                     let incarnation = self.fleet.identity().incarnation;
@@ -286,7 +288,8 @@
         self.shared.event(event);
     }
 
-    /// Ends this life of the disk and begins another one without a past.
+    /// Ends the current incarnation: wipes the disk and reloads the process as a new
+    /// incarnation.
     fn renew(&mut self, now: Timestamp, reason: String) -> Result<(), ReplicaError> {
         for group in self.groups.values_mut() {
             group.abandon_all(&mut self.shared.turn(now));
@@ -306,11 +309,11 @@
         Ok(())
     }
 
-    /// Does all work that is due: call it after a batch of inputs and at
+    /// Performs all due work. Call it after a batch of inputs and at
     /// [`ReplicaCore::next_deadline`].
     ///
     /// # Errors
-    /// Every error is final; the core must be dropped.
+    /// No error is recoverable; the core must be dropped.
     pub fn poll(&mut self, now: Timestamp) -> Result<Vec<Output>, ReplicaError> {
         if let Some(failure) = self.failure.take() {
             return Err(failure);
@@ -343,8 +346,9 @@
         });
     }
 
-    /// Ticks every group as often as is due; says whether any was. After a
-    /// long pause more ticks than an election takes would tell nothing new.
+    /// Runs the due ticks of every group; returns whether there was one. After a long
+    /// pause the ticks are capped at the longest election timeout, since further ones
+    /// have no additional effect.
     fn tick(&mut self, now: Timestamp) -> bool {
         let most = 2 * self.shared.settings.election_ticks;
         let mut ticks = 0;
@@ -364,8 +368,8 @@
         ticks > 0
     }
 
-    /// Lets every group work until nothing is left, with one sync for all of
-    /// them in each round.
+    /// Processes all groups until no work is left, with one sync for all of them in
+    /// each round.
     fn run(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
         loop {
             let mut worked = false;
@@ -391,7 +395,7 @@
         }
     }
 
-    /// What is due once a tick.
+    /// Performs the periodic work that is due at each tick.
     fn maintain(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
         self.shared.watch_space(now)?;
         let joining = self.fleet.joining(now);
@@ -414,8 +418,8 @@
         Ok(())
     }
 
-    /// Takes at most one snapshot, and only when the mark of the one before is
-    /// durable: the log must never refer to a snapshot that was removed.
+    /// Takes at most one snapshot, and only once the log record of the previous one is
+    /// durable: the log must never refer to a removed snapshot.
     fn take_a_snapshot(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
         if self.shared.log.has_unsynced() {
             return Ok(());
@@ -431,19 +435,20 @@
         Ok(())
     }
 
-    /// Tells what changed, and notes what must outlive a restart.
+    /// Reports leader changes, and records membership changes durably.
     fn conclude(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
         for group in self.groups.values_mut() {
             group.report_leader(&mut self.shared.turn(now));
         }
         match self.note_members() {
-            // It is tried again at the next poll.
+            // Retried at the next poll.
             Err(error) if error.is_full() => Ok(()),
             result => Ok(result?),
         }
     }
 
-    /// Notes which lives were replaced, and that this one votes everywhere.
+    /// Records which replicas were replaced, who votes, and whether this replica votes
+    /// in every group.
     fn note_members(&mut self) -> Result<(), StorageError> {
         self.fleet.note_replaced(&self.shared.replaced)?;
         self.shared.replaced.clear();
@@ -458,7 +463,7 @@
         Ok(())
     }
 
-    /// When to poll again if no input comes before.
+    /// Returns when to poll again if no input arrives earlier.
     #[must_use]
     pub fn next_deadline(&self) -> Timestamp {
         let hello = self.fleet.next_hello();
@@ -469,7 +474,7 @@
         }
     }
 
-    /// What operators and metrics show.
+    /// Returns the status for operators and metrics.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         let identity = self.fleet.identity();
--- a/crates/replica/src/fleet.rs
+++ b/crates/replica/src/fleet.rs
@@ -1,7 +1,7 @@
-//! Which lives of which disks exist: founding, joining, and telling a rolled
-//! back disk from one that merely restarted.
+//! Identity of the replicas: founding of the groups, joining them, and
+//! distinguishing a rolled back disk from an ordinary restart.
 //!
-//! The rules and their argument stand in
+//! The rules and their rationale are documented in
 //! `docs/decisions/0003-replica-identity.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -19,48 +19,49 @@
 use crate::records::{BootRecord, FleetRecord};
 use crate::{FIRST_INCARNATION, ReplicaSettings};
 
-/// Time between two hellos while something is still open.
+/// Hello interval of a process that is neither a voter nor waiting to become one.
 const EAGER_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two hellos to everybody otherwise.
+/// Interval between hellos to all nodes otherwise.
 const CALM_INTERVAL: Duration = Duration::from_secs(5);
-/// Time between two hellos, to the voters, of a process that waits to become one:
-/// two of them may be lost within [`PRESENCE`].
+/// Interval between hellos to the voters from a process that waits to become one.
+/// Two of them may be lost within [`PRESENCE`].
 const WAITING_INTERVAL: Duration = Duration::from_secs(1);
-/// A process that said nothing for longer is not counted on.
+/// TTL of a hello; a process without a newer one counts as absent.
 const PRESENCE: Duration = Duration::from_secs(3);
 
-/// Something that follows from a hello.
+/// A change that results from a hello.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum FleetChange {
-    /// This replica knows its standing now, and its groups can be opened.
+    /// The founders are known, so this replica's groups can be opened.
     Formed,
-    /// This replica may take part.
+    /// This replica may participate in the groups.
     TakesPart,
-    /// This disk is outdated, and this must become a new replica.
+    /// This disk is outdated, so this process must become a new replica.
     Outdated {
-        /// Who said so.
+        /// The node that reported it.
         by: NodeId,
     },
-    /// Two processes disagree on who the first voters are.
+    /// Another process knows different founders.
     Contradiction {
-        /// The other one.
+        /// The node of the other process.
         with: NodeId,
     },
 }
 
-/// The latest hello of another process.
+/// The latest hello from another process.
 #[derive(Clone, Debug)]
 struct Presence {
     at: Timestamp,
     hello: Hello,
     outdated: bool,
-    /// It answered this very start of ours, so it was sent after it.
+    /// Whether the hello carries a verdict on this session, so it was sent after
+    /// this process started.
     answered: bool,
 }
 
-/// Highest synced write seen of one life, by its latest starts. A hello may be
-/// overtaken by messages of the very start that it announces, so that only what
-/// was seen of other starts tells that a disk was rolled back.
+/// Highest observed sequence number of synced writes of one incarnation, by session.
+/// Later messages of a session may overtake the hello that announces it, so only
+/// the writes observed in other sessions indicate that a disk was rolled back.
 #[derive(Debug, Default)]
 struct SeenWrites {
     sessions: BTreeMap<u64, u64>,
@@ -72,20 +73,21 @@
         *highest = sequence.max(*highest);
     }
 
-    /// Highest write seen of other starts than `session`.
+    /// Returns the highest write observed in sessions other than `session`.
     fn before(&self, session: u64) -> u64 {
         let others = self.sessions.iter().filter(|(one, _)| **one != session);
         others.map(|(_, sequence)| *sequence).max().unwrap_or(0)
     }
 
-    /// The log of `session` goes on from all that was seen of other starts.
+    /// Accepts that the log of `session` continues from all writes observed in other
+    /// sessions.
     fn accept(&mut self, session: u64) {
         let highest = self.sessions.values().copied().max().unwrap_or(0);
         self.sessions = BTreeMap::from([(session, highest)]);
     }
 }
 
-/// What this process knows of the others.
+/// The knowledge of this process about itself and the other processes.
 #[derive(Debug)]
 pub(crate) struct Fleet<D> {
     disk: D,
@@ -93,33 +95,34 @@
     session: u64,
     record: FleetRecord,
     others: BTreeSet<NodeId>,
-    /// Whether the others are learnt rather than listed.
+    /// Whether other nodes are discovered rather than listed.
     discovers: bool,
-    /// Nodes that must not take a place.
+    /// Nodes that must not be voters.
     retiring: BTreeSet<NodeId>,
     present: BTreeMap<NodeId, Presence>,
-    /// Highest synced write seen of each life, by its starts.
+    /// Highest observed writes of each incarnation.
     sequences: BTreeMap<ReplicaId, SeenWrites>,
     confirmed: BTreeSet<NodeId>,
     takes_part: bool,
     next_hello: Timestamp,
-    /// When the others that do not vote are told too.
+    /// When the next hello goes to all nodes, not only to voters.
     next_hello_to_all: Timestamp,
 }
 
-/// What is to happen before a process has its place in the cluster.
+/// Progress of a process towards becoming a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Place {
-    /// It does not take part yet, or does not know its standing.
+    /// It does not participate yet, or still joins a group with listed members.
     Open,
-    /// It takes part and waits to become a voter, perhaps for ever.
+    /// It participates and waits to become a voter, possibly forever.
     Waits,
     /// It is a voter.
     Voter,
 }
 
 impl<D: Disk> Fleet<D> {
-    /// Reads the records back. A process without others founds at once.
+    /// Loads the record from disk. A process without peers founds its groups
+    /// immediately.
     pub fn open(
         disk: D,
         identity: DiskIdentity,
@@ -158,7 +161,8 @@
         Ok((fleet, changes))
     }
 
-    /// Changes the record, on disk first: what the disk refuses does not count.
+    /// Changes the record, on disk first: if the write fails, the record in memory
+    /// stays unchanged.
     fn store(&mut self, change: impl FnOnce(&mut FleetRecord)) -> Result<(), StorageError> {
         let mut changed = self.record.clone();
         change(&mut changed);
@@ -167,7 +171,7 @@
         Ok(())
     }
 
-    /// This life of this disk.
+    /// Returns the identifier of this replica.
     pub fn own_id(&self) -> ReplicaId {
         replica_id(self.identity.node, self.identity.incarnation)
     }
@@ -180,7 +184,7 @@
         &self.record
     }
 
-    /// Whether enough others confirmed that this disk was not rolled back.
+    /// Whether enough other replicas confirmed that this disk was not rolled back.
     pub fn takes_part(&self) -> bool {
         self.takes_part
     }
@@ -189,13 +193,14 @@
         self.next_hello
     }
 
-    /// Notes how far the log of another life was synced in one start of it.
+    /// Records up to which sequence number another replica has synced its log in one
+    /// session.
     pub fn saw_sequence(&mut self, replica: ReplicaId, session: u64, sequence: u64) {
         let seen = self.sequences.entry(replica).or_default();
         seen.note(session, sequence);
     }
 
-    /// Hellos to send now, if any are due.
+    /// Returns the hellos to send now, if any are due.
     pub fn hellos_due(&mut self, now: Timestamp, sequence: u64) -> Vec<(NodeId, Hello)> {
         if now < self.next_hello {
             return Vec::new();
@@ -219,12 +224,12 @@
             .collect()
     }
 
-    /// Whether this takes part and waits to become a voter.
+    /// Whether this process participates and waits to become a voter.
     pub fn waits(&self) -> bool {
         self.place() == Place::Waits
     }
 
-    /// Some node that votes as far as is known.
+    /// Returns a random one of the known voters.
     pub fn draw_voter(&self, random: &mut impl Rng) -> Option<NodeId> {
         self.known_voters().into_iter().choose(random)
     }
@@ -255,7 +260,7 @@
         }
     }
 
-    /// Takes a hello in. Returns what follows and the hello to answer with.
+    /// Handles a hello. Returns the resulting changes and the hello to reply with.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -271,7 +276,7 @@
             return Ok((changes, None));
         }
         let outdated = self.judge(&hello)?;
-        // A process that only follows sends others nothing but hellos.
+        // A process that leads no group sends other followers only hellos.
         self.saw_sequence(hello.replica, hello.session, hello.sequence);
         let verdict = hello.verdict;
         let answered = verdict.is_some_and(|verdict| verdict.session == self.session);
@@ -288,7 +293,8 @@
         };
         self.present.insert(from, presence);
         if !outdated {
-            // A replica that leads no group hears of others' logs only so.
+            // For a replica that leads no group, hellos are the only source of other
+            // replicas' sequence numbers.
             self.saw_sequence(replica, session, synced);
             self.compare_founders(from, founders, &mut changes)?;
             if self.discovers && standing.is_voter() {
@@ -305,9 +311,9 @@
         Ok((changes, reply))
     }
 
-    /// Whether the sender's disk is behind what is known of it. A delayed
-    /// hello of an earlier start is judged so too, which harms nobody: the
-    /// verdict names that start.
+    /// Whether the sender's disk is older than a known state of it. A delayed hello of
+    /// an earlier session is judged outdated too, which is harmless because the verdict
+    /// names that session.
     fn judge(&mut self, hello: &Hello) -> Result<bool, StorageError> {
         if !enabled(Mechanism::NewIncarnation) {
             return Ok(false);
@@ -342,7 +348,7 @@
         Ok(false)
     }
 
-    /// Learns who the first voters are, or finds a contradiction.
+    /// Adopts the founders from another process, or reports a contradiction.
     fn compare_founders(
         &mut self,
         from: NodeId,
@@ -360,7 +366,7 @@
         self.take_founders(founders, changes)
     }
 
-    /// Knows the first voters from now on, and so its own standing.
+    /// Records the founders, and with them the standing of this process.
     fn take_founders(
         &mut self,
         founders: BTreeSet<ReplicaId>,
@@ -384,7 +390,8 @@
         Ok(())
     }
 
-    /// What a blank disk must never do; only mutation runs come here.
+    /// Reuses the identity of an earlier incarnation, which a blank disk must never
+    /// do. Only mutation runs call this.
     fn take_old_identity(&mut self, founders: &BTreeSet<ReplicaId>) -> Result<(), StorageError> {
         let node = self.identity.node;
         if let Some(&old) = founders.iter().find(|&&founder| node_of(founder) == node) {
@@ -394,7 +401,7 @@
         Ok(())
     }
 
-    /// Whether the founders are one life of each node in the settings.
+    /// Whether the founders are exactly one incarnation of each node in the settings.
     fn is_of_all_nodes(&self, founders: &BTreeSet<ReplicaId>) -> bool {
         let nodes: BTreeSet<NodeId> = founders.iter().map(|&founder| node_of(founder)).collect();
         let mut expected = self.others.clone();
@@ -402,8 +409,8 @@
         nodes == expected && founders.len() == expected.len()
     }
 
-    /// Founds the groups, on the lowest node and only when every other one has
-    /// answered this very start with a blank disk of its own.
+    /// Founds the groups, only on the lowest node, and only once every other node
+    /// has answered this session with a blank disk of its own.
     fn found_if_all_are_blank(
         &mut self,
         now: Timestamp,
@@ -450,8 +457,8 @@
         self.check_confirmations(changes);
     }
 
-    /// A replica takes part once it makes up a majority of the nodes together
-    /// with those that confirmed it.
+    /// Checks whether this replica may participate: once it and the nodes that
+    /// confirmed it form a majority.
     fn check_confirmations(&mut self, changes: &mut Vec<FleetChange>) {
         let formed = self.record.standing != Standing::Blank;
         if !self.takes_part && formed && self.is_confirmed() {
@@ -464,7 +471,8 @@
         if !self.discovers {
             return self.confirmed.len() >= self.others.len().div_ceil(2);
         }
-        // A new life has promised nothing yet: one voter that knows it will do.
+        // A new incarnation has made no promises yet, so one confirming voter is
+        // enough.
         if self.record.standing == Standing::Joining {
             return !self.confirmed.is_empty();
         }
@@ -475,7 +483,7 @@
         confirmed.count() > voters.len() / 2
     }
 
-    /// The voters as far as is known: the founders at first.
+    /// Returns the known voters; initially the founders.
     fn voters(&self) -> &BTreeSet<ReplicaId> {
         match self.record.voters.voters.is_empty() {
             true => &self.record.founders,
@@ -483,12 +491,12 @@
         }
     }
 
-    /// Nodes that vote as far as is known.
+    /// Returns the nodes of the known voters.
     pub fn known_voters(&self) -> BTreeSet<NodeId> {
         self.voters().iter().map(|&voter| node_of(voter)).collect()
     }
 
-    /// Notes who votes, unless something later is known.
+    /// Records the voters, unless a later membership is known.
     pub fn note_voters(&mut self, voters: KnownVoters) -> Result<(), StorageError> {
         if !self.discovers || voters.voters.is_empty() || voters.index <= self.record.voters.index {
             return Ok(());
@@ -499,7 +507,7 @@
         self.store(|record| record.voters = voters)
     }
 
-    /// Nodes that may be members, and those that must not stay so.
+    /// Records the nodes that may become members, and those that must not stay members.
     pub fn note_members(&mut self, contacts: &BTreeSet<NodeId>, retiring: BTreeSet<NodeId>) {
         let own = self.identity.node;
         self.others
@@ -507,13 +515,13 @@
         self.retiring = retiring;
     }
 
-    /// Nodes that must not stay members.
+    /// Returns the nodes that must not stay members.
     pub fn retiring(&self) -> &BTreeSet<NodeId> {
         &self.retiring
     }
 
-    /// Founds with nodes that are known beforehand and whose disks live their
-    /// first life.
+    /// Founds the group with nodes that are known in advance and whose disks have
+    /// their first incarnation.
     fn found_with(
         &mut self,
         founders: &BTreeSet<NodeId>,
@@ -523,7 +531,7 @@
         self.found(&founders.collect(), changes)
     }
 
-    /// Takes the first voters in, unless they are known.
+    /// Adopts the given founders, unless founders are already known.
     pub fn found(
         &mut self,
         founders: &BTreeMap<NodeId, u32>,
@@ -543,7 +551,7 @@
         Ok(())
     }
 
-    /// Lives that wait to become voters and were heard lately.
+    /// Returns the replicas that wait to become voters and sent a hello recently.
     pub fn joining(&self, now: Timestamp) -> Vec<ReplicaId> {
         let waiting = self.present.values().filter(|presence| {
             let joining = presence.hello.standing == Standing::Joining;
@@ -552,7 +560,7 @@
         waiting.map(|presence| presence.hello.replica).collect()
     }
 
-    /// Notes that lives lost their vote to their successors, for good.
+    /// Records that replicas were permanently replaced.
     pub fn note_replaced(&mut self, replaced: &BTreeSet<ReplicaId>) -> Result<(), StorageError> {
         if replaced.is_subset(&self.record.replaced) {
             return Ok(());
@@ -565,12 +573,12 @@
         })
     }
 
-    /// Notes that the first voters' common first entry is in the log.
+    /// Records that the founders' common first entries are in the log.
     pub fn note_bootstrapped(&mut self) -> Result<(), StorageError> {
         self.store(|record| record.bootstrapped = true)
     }
 
-    /// Notes that this life votes in every group.
+    /// Records that this incarnation votes in every group.
     pub fn note_member(&mut self) -> Result<(), StorageError> {
         self.store(|record| record.standing = Standing::Member)?;
         self.next_hello = Timestamp::ZERO;
--- a/crates/replica/src/group/apply.rs
+++ b/crates/replica/src/group/apply.rs
@@ -1,4 +1,4 @@
-//! Applying committed entries to the machine.
+//! Application of committed entries to the state machine.
 
 use std::collections::BTreeSet;
 
@@ -13,12 +13,12 @@
 use crate::turn::Turn;
 use crate::{Output, ReplicaError, ReplicaEvent};
 
-/// Payload bytes that may wait in memory before they go to the disk.
+/// Payload bytes buffered in memory before they are flushed to disk.
 const MAX_WAITING_BYTES: usize = 1 << 20;
 
 impl<D: Disk> Group<D> {
-    /// Applies what is committed, as far as the payload log has room, and
-    /// answers the proposals and reads that this settles.
+    /// Applies committed entries as long as the payload log has disk space, and replies
+    /// to the proposals and reads that this completes.
     pub fn apply(&mut self, turn: &mut Turn<'_, D>) -> Result<(), ReplicaError> {
         let version = self.configuration_version();
         let revision = self.machine.revision();
@@ -44,7 +44,7 @@
         Ok(())
     }
 
-    /// Hands payloads to the disk; says whether there was room.
+    /// Flushes payloads to disk; returns false if the disk is full.
     fn flush_payloads(&mut self) -> Result<bool, StorageError> {
         match self.payloads.flush() {
             Ok(()) => Ok(true),
@@ -76,7 +76,7 @@
         Ok(())
     }
 
-    /// Notes which lives lost their vote by a committed change.
+    /// Records an applied membership, and reports the voters that it removed.
     pub(super) fn note_membership(&mut self, turn: &mut Turn<'_, D>, membership: &Membership) {
         let present = membership.members();
         let before = self.membership.all_voters();
@@ -92,7 +92,7 @@
         self.membership_index = self.applied;
     }
 
-    /// The voters as of the last applied change.
+    /// Returns the voters as of the last applied change.
     pub fn known_voters(&self) -> KnownVoters {
         KnownVoters {
             index: self.membership_index.0,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The version of the configuration; zero in a job group.
+    /// Returns the version of the configuration; zero except in the control group.
     fn configuration_version(&self) -> ConfigVersion {
         match &self.machine {
             Machine::Control(machine) => machine.configuration().version,
--- a/crates/replica/src/group/leases.rs
+++ b/crates/replica/src/group/leases.rs
@@ -1,5 +1,5 @@
-//! The leader's watch over leases, open submissions and
-//! open claims, on its own clock.
+//! Expiry of leases, open submissions and open claims by the leader, on its own
+//! clock.
 
 use super::Group;
 use crate::turn::Turn;
@@ -7,13 +7,13 @@
 use molespan_storage::Disk;
 use molespan_types::mechanism::{Mechanism, enabled};
 
-/// Share of the length after which a mutation run ends a lease.
+/// Divisor of the lease length in mutation runs without the lease grace.
 const MUTANT_SHARE: u32 = 8;
 
 impl<D: Disk> Group<D> {
-    /// Proposes the end of leases whose owner was silent for a lease length by
-    /// this leader's clock. The owner counts from before its request was sent
-    /// and stops earlier, so that it has stopped by then.
+    /// Proposes to expire leases that were not renewed for a lease length on this
+    /// leader's clock. The owner measures from before it sent its request and
+    /// stops earlier, so it has stopped by then.
     pub fn expire_leases(&mut self, turn: &Turn<'_, D>) {
         let mut length = turn.settings.lease_length;
         if !self.leads() || !self.leases.is_due(turn.now, length) {
@@ -26,12 +26,12 @@
         let leases = records.map(|record| (record.lease, record.renewals));
         for (lease, renewals) in self.leases.scan(turn.now, length, leases) {
             let command = JobCommand::Expire { lease, renewals };
-            // When it is refused, the next scan after a length proposes again.
+            // If rejected, it is proposed again after another lease length.
             let _ = self.replica.propose(molespan_state::encode(&command));
         }
     }
-    /// Proposes to drop submissions that have not gone on for long. Nothing of
-    /// them was accepted, and a client that comes back begins anew.
+    /// Proposes to drop submissions without progress for the submission timeout. None
+    /// of their items was accepted, and a returning client starts over.
     pub fn abandon_submissions(&mut self, turn: &Turn<'_, D>) {
         let length = turn.settings.submission_timeout;
         if !self.leads() || !self.submissions.is_due(turn.now, length) {
@@ -46,10 +46,10 @@
         }
     }
 
-    /// Proposes to settle claims that have been open for long as unknown: their
-    /// holder died, or its settlement is lost. Whether the request ran cannot
-    /// be told any more, so it never runs again. A holder that lives settles
-    /// too late and changes nothing.
+    /// Proposes to settle claims that have been open for the claim timeout as unknown:
+    /// their holder died, or its settlement was lost. It can no longer be determined
+    /// whether the request ran, so it never runs again. A late settlement by a holder
+    /// that is still alive has no effect.
     pub fn end_open_claims(&mut self, turn: &Turn<'_, D>) {
         let length = turn.settings.claim_timeout;
         if !self.leads() || !self.claims.is_due(turn.now, length) {
--- a/crates/replica/src/group/members.rs
+++ b/crates/replica/src/group/members.rs
@@ -1,4 +1,4 @@
-//! Replacing lost replicas by the new lives of their nodes.
+//! Replacement of lost replicas by new incarnations of their nodes.
 
 use std::time::Duration;
 
@@ -12,16 +12,17 @@
 use crate::identity::{node_of, replica_id};
 use crate::turn::{Turn, not_run};
 
-/// When to look again at a replacement that is under way, in milliseconds.
+/// Retry delay suggested while a replacement is pending, in milliseconds.
 const RETRY_MS: u32 = 500;
 
-/// Time between two attempts of a leader with a full disk to hand over.
+/// Interval between attempts of a leader with a full disk to transfer leadership.
 const STEP_ASIDE_INTERVAL: Duration = Duration::from_secs(1);
 
 impl<D: Disk> Group<D> {
-    /// Brings the new lives in `joining` one step further: first a learner,
-    /// then, once it has caught up durably, the voter in its old life's place.
-    /// Consensus refuses a step that comes too early.
+    /// Advances the replacement by each new incarnation in `joining` by one step: it
+    /// first becomes a learner and, once it has durably caught up, the voter in place
+    /// of the node's previous incarnation. Consensus rejects steps that come too
+    /// early.
     pub fn replace_lost(&mut self, joining: &[ReplicaId]) {
         if !self.leads() {
             return;
@@ -53,15 +54,16 @@
         })
     }
 
-    /// Whether a voter was heard of lately; then two processes claim to be one
-    /// node, and neither is replaced.
+    /// Whether a voter has responded recently. In that case two processes claim to be
+    /// the same node, and neither is replaced.
     fn is_active(&self, replica: ReplicaId) -> bool {
         let status = self.replica.status();
         let follower = status.followers.get(&replica);
         follower.is_some_and(|follower| follower.recently_active)
     }
 
-    /// Tells an operator how far the replacement of a node is.
+    /// Attempts the next step of a node's replacement for an operator, and replies
+    /// with the result.
     pub fn report_replacement(
         &mut self,
         turn: &mut Turn<'_, D>,
@@ -87,8 +89,8 @@
         turn.reply(ticket, result);
     }
 
-    /// Hands the leadership over when this disk is full: a leader without room
-    /// could only refuse, while another voter may have some.
+    /// Transfers leadership if this disk is full: a leader without disk space rejects
+    /// all proposals, while another voter may have space.
     pub fn step_aside_when_full(&mut self, turn: &Turn<'_, D>) {
         if !self.leads() || !turn.log.is_low() || turn.now < self.next_step_aside {
             return;
@@ -102,12 +104,12 @@
             .filter(|(id, follower)| voters.contains(id) && follower.recently_active);
         let target = present.max_by_key(|(_, follower)| follower.match_index);
         if let Some((&target, _)) = target {
-            // Refused while an earlier hand-over is under way; tried again.
+            // Rejected while an earlier transfer is in progress; retried later.
             let _ = self.replica.transfer_leadership(target);
         }
     }
 
-    /// Hands the leadership over to `to`.
+    /// Transfers leadership to the node `to`.
     pub fn transfer_leadership(&mut self, turn: &mut Turn<'_, D>, ticket: Ticket, to: NodeId) {
         let voter = voter_of(self.replica.membership(), to);
         let target = voter.unwrap_or(replica_id(to, 0));
@@ -119,7 +121,7 @@
     }
 }
 
-/// The life of `node` that votes.
+/// Returns the voter of `node`.
 fn voter_of(membership: &Membership, node: NodeId) -> Option<ReplicaId> {
     let mut voters = membership.voters.iter().copied();
     voters.find(|&voter| node_of(voter) == node)
--- a/crates/replica/src/group/mod.rs
+++ b/crates/replica/src/group/mod.rs
@@ -37,28 +37,30 @@
 use transfer::Staging;
 use watch::Watch;
 
-/// What a snapshot stands for.
+/// Header of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct SnapshotHeader {
-    /// Position and members.
+    /// Log position and membership.
     #[n(0)]
     pub meta: SnapshotMeta,
-    /// Bytes of the payload log that belong to it.
+    /// Length of the payload log at the snapshot, in bytes.
     #[n(1)]
     pub payload_length: u64,
-    /// Where the part of it begins that the machine needs, where each replica has a log of
-    /// its own and drops what is not needed; older builds had none for such a machine.
+    /// Start of the part of the payload log that the state machine needs. Set if each
+    /// replica has a payload log of its own and drops what is not needed; older builds
+    /// had no payloads for such a state machine.
     #[n(2)]
     #[cbor(default)]
     pub payload_start: Option<u64>,
 }
 
 impl SnapshotHeader {
-    /// The part of its sender's payload log that a snapshot comes with where each replica
-    /// has a log of its own; `None` where all have the same.
+    /// Returns the range of the sender's payload log that belongs to the snapshot if
+    /// each replica has a payload log of its own; `None` if the log is the same on all
+    /// replicas.
     fn own_payloads(&self, machine: &Machine) -> Option<Range<u64>> {
         machine.payloads_needed_from(0)?;
-        // An older build's machine needs none.
+        // A state machine of an older build needs no payloads.
         let start = self.payload_start.unwrap_or(self.payload_length);
         Some(start..self.payload_length)
     }
@@ -72,14 +74,14 @@
     replica: Replica,
     machine: Machine,
     payloads: FilePayloadLog<D>,
-    /// Where the payloads begin that the latest snapshot needs.
+    /// Start of the payloads that the latest snapshot needs.
     payload_floor: u64,
     snapshots: SnapshotStore<D>,
-    /// Last entry that the machine has applied.
+    /// Last entry applied to the state machine.
     applied: Index,
-    /// Committed entries that wait for room in the payload log.
+    /// Committed entries not applied yet, for lack of space in the payload log.
     to_apply: VecDeque<Entry>,
-    /// Messages that wait for the write-ahead log.
+    /// Messages to send after the sync of the write-ahead log.
     awaiting_sync: Option<Vec<Outgoing>>,
     proposals: Proposals,
     reads: Reads,
@@ -90,18 +92,18 @@
     staging: Staging,
     serving: Option<Serving>,
     leader: Option<NodeId>,
-    /// Members as of the last applied change.
+    /// Membership as of the last applied change.
     membership: Membership,
-    /// Position of that change.
+    /// Log index of that change.
     membership_index: Index,
-    /// When each voter was last heard, while this replica leads.
+    /// Time of the last response of each member, while this replica leads.
     heard: BTreeMap<ReplicaId, Timestamp>,
-    /// When a leader with a full disk tries again to hand over.
+    /// When a leader with a full disk next attempts to transfer leadership.
     next_step_aside: Timestamp,
 }
 
 impl<D: Disk> Group<D> {
-    /// Starts the group from what the log holds of it.
+    /// Opens the group from the state recovered from the log.
     pub fn open(
         disk: &D,
         id: GroupId,
@@ -122,8 +124,9 @@
         }?;
         let meta = header.map(|header| header.meta);
         let applied = meta.as_ref().map_or(Index::ZERO, |meta| meta.index);
-        // Later changes are applied anew: compared with the latest membership,
-        // those would seem to remove the lives that came after them.
+        // Starts from the snapshot's membership because later changes are applied
+        // again: compared with the latest membership, they would appear to remove
+        // the incarnations added after them.
         let membership = meta.as_ref().map(|meta| meta.membership.clone());
         let persisted = persisted(id, recovery, meta)?;
         let replica = Replica::new(config, persisted)
@@ -159,12 +162,12 @@
         self.replica.role() == Role::Leader
     }
 
-    /// The leader's node, when known.
+    /// Returns the leader's node, if known.
     pub fn leader(&self) -> Option<NodeId> {
         self.replica.leader().map(node_of)
     }
 
-    /// Whether this replica votes here, and in no joint membership.
+    /// Whether this replica is a voter and the membership is not joint.
     pub fn is_settled_voter(&self) -> bool {
         let membership = self.replica.membership();
         !membership.is_joint() && membership.voters.contains(&self.replica.id())
@@ -174,7 +177,7 @@
         self.replica.tick();
     }
 
-    /// Tells the driver when another node leads.
+    /// Reports a change of the leader to the driver.
     pub fn report_leader(&mut self, turn: &mut Turn<'_, D>) {
         let leader = self.leader();
         if leader != self.leader {
@@ -211,7 +214,7 @@
     }
 }
 
-/// Loads the machine that the log refers to.
+/// Loads the state machine from the snapshot that the log refers to.
 fn restore<D: Disk>(
     snapshots: &SnapshotStore<D>,
     group: GroupId,
@@ -230,8 +233,9 @@
     Ok((machine, Some(header)))
 }
 
-/// What the log held, as consensus wants it. Each entry's bytes are given back as
-/// it is read: both at once may be more than the process may have.
+/// Decodes the recovered log for consensus. The bytes of each entry are freed as soon
+/// as it is decoded: keeping all bytes and all entries at once may exceed the memory
+/// limit of the process.
 fn persisted(
     group: GroupId,
     recovery: GroupRecovery,
@@ -261,7 +265,7 @@
     }
 }
 
-/// The settings of consensus for one group.
+/// Returns the consensus settings of one group.
 pub(crate) fn config(
     settings: &ReplicaSettings,
     own: molespan_consensus::ReplicaId,
--- a/crates/replica/src/group/places.rs
+++ b/crates/replica/src/group/places.rs
@@ -1,6 +1,5 @@
-//! Places of voters where members are discovered: a place whose voter is lost
-//! or to be retired goes to a node that waits, and a group that has too few
-//! voters grows.
+//! Maintenance of the voters if members are discovered: a voter that is lost or
+//! retiring is replaced by a waiting node, and a group with too few voters grows.
 
 use std::collections::BTreeSet;
 
@@ -14,9 +13,9 @@
 use crate::turn::Turn;
 
 impl<D: Disk> Group<D> {
-    /// Takes the next step towards a membership of present voters that stay.
-    /// Each step is one change of the membership; consensus refuses one that
-    /// comes before the earlier one is done or its learner has caught up.
+    /// Takes the next step towards a membership of active voters that are not
+    /// retiring. Each step is one membership change; consensus rejects a step
+    /// while the previous one is incomplete or the learner has not caught up.
     pub fn renew_members(
         &mut self,
         turn: &mut Turn<'_, D>,
@@ -32,7 +31,7 @@
         }
         self.note_heard(turn.now);
         if let Some(change) = self.next_place(turn.now, discovery, joining, retiring) {
-            // Refused while an earlier step is under way; it is tried again.
+            // Rejected while an earlier step is in progress; retried later.
             let _ = self.replica.change_membership(change);
         }
     }
@@ -95,8 +94,8 @@
         Some(MembershipChange::AddLearner(*candidate))
     }
 
-    /// A learner becomes a voter beside the others, once it has all that is
-    /// committed.
+    /// Returns the change that makes a learner an additional voter, once it has all
+    /// committed entries.
     fn seat(&self, learner: ReplicaId) -> Option<MembershipChange> {
         let status = self.replica.status();
         let follower = status.followers.get(&learner)?;
--- a/crates/replica/src/group/proposals.rs
+++ b/crates/replica/src/group/proposals.rs
@@ -1,4 +1,4 @@
-//! Proposals whose fate is open.
+//! Undecided proposals.
 
 use std::collections::BTreeMap;
 
@@ -11,9 +11,9 @@
 use crate::turn::{Turn, not_run, unknown};
 use crate::{Refusal, Ticket};
 
-/// When to come back after a refusal that passes soon, in milliseconds.
+/// Retry delay suggested for short-lived conditions, in milliseconds.
 const SHORT_RETRY_MS: u32 = 50;
-/// When to come back while the disk is full, in milliseconds.
+/// Retry delay suggested while the disk is full, in milliseconds.
 const FULL_RETRY_MS: u32 = 1_000;
 
 #[derive(Debug)]
@@ -23,7 +23,7 @@
     deadline: Timestamp,
 }
 
-/// Proposals of this replica by log position.
+/// Undecided proposals of this replica by log index.
 #[derive(Debug, Default)]
 pub(super) struct Proposals {
     pending: BTreeMap<Index, Pending>,
@@ -34,13 +34,13 @@
         self.pending.remove(&index)
     }
 
-    /// Removes the proposals up to `index`.
+    /// Removes and returns the proposals up to `index`.
     fn take_through(&mut self, index: Index) -> BTreeMap<Index, Pending> {
         let later = self.pending.split_off(&index.next());
         std::mem::replace(&mut self.pending, later)
     }
 
-    /// Removes the proposals whose time is up.
+    /// Removes the proposals whose deadline has passed and returns their tickets.
     fn take_late(&mut self, now: Timestamp) -> Vec<Ticket> {
         let late = self.pending.extract_if(.., |_, one| one.deadline <= now);
         late.map(|(_, one)| one.ticket).collect()
@@ -48,8 +48,8 @@
 }
 
 impl<D: Disk> Group<D> {
-    /// Appends a command to the log. `not-run` is said only here, before
-    /// anything was appended, and where another entry took its place.
+    /// Appends a command to the log. `not-run` is only replied if nothing was
+    /// appended, or if an entry of another term was committed at its index.
     pub fn propose(&mut self, turn: &mut Turn<'_, D>, ticket: Ticket, command: Vec<u8>) {
         if let Some(refusal) = self.refusal(turn) {
             return turn.reply(ticket, Err(refusal));
@@ -62,7 +62,7 @@
                     deadline: turn.now + turn.settings.proposal_timeout,
                 };
                 if let Some(earlier) = self.proposals.pending.insert(index, pending) {
-                    // Its entry was cut off here, but others may still hold it.
+                    // Its entry was truncated here, but other replicas may still have it.
                     turn.reply(earlier.ticket, Err(unknown("another entry took its place")));
                 }
             }
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Why nothing new can be taken in now, if so.
+    /// Returns the reason why no proposals can be accepted now, if there is one.
     fn refusal(&self, turn: &Turn<'_, D>) -> Option<Refusal> {
         let leader = self.leader();
         if !self.leads() {
@@ -83,7 +83,7 @@
         crowded.then(|| not_run("too many proposals are under way", SHORT_RETRY_MS))
     }
 
-    /// Answers the proposal at an entry that was applied.
+    /// Replies to the proposal at the index of an applied entry.
     pub(super) fn settle_proposal(
         &mut self,
         turn: &mut Turn<'_, D>,
@@ -94,7 +94,8 @@
         let Some(pending) = self.proposals.take(index) else {
             return;
         };
-        // An entry of another term at its place: ours can never be committed.
+        // An entry of another term was committed at this index, so the proposed entry
+        // can never be committed.
         let result = if pending.term == term {
             Ok(reply())
         } else {
@@ -103,22 +104,22 @@
         turn.reply(pending.ticket, result);
     }
 
-    /// Proposals whose entries a snapshot has covered: whether they are among
-    /// the committed ones can no longer be seen.
+    /// Replies `unknown` to the proposals up to `index`, which a snapshot has replaced:
+    /// it can no longer be determined whether they were committed.
     pub(super) fn abandon_proposals_through(&mut self, turn: &mut Turn<'_, D>, index: Index) {
         for pending in self.proposals.take_through(index).into_values() {
             turn.reply(pending.ticket, Err(unknown("the log was replaced")));
         }
     }
 
-    /// Proposals that took too long.
+    /// Replies `unknown` to the proposals whose deadline has passed.
     pub fn time_out_proposals(&mut self, turn: &mut Turn<'_, D>) {
         for ticket in self.proposals.take_late(turn.now) {
             turn.reply(ticket, Err(unknown("not committed in time")));
         }
     }
 
-    /// Answers everything that is open, since this life of the disk ends.
+    /// Replies to all pending proposals and reads, because this incarnation ends.
     pub fn abandon_all(&mut self, turn: &mut Turn<'_, D>) {
         for pending in std::mem::take(&mut self.proposals.pending).into_values() {
             turn.reply(pending.ticket, Err(unknown("the replica starts anew")));
@@ -127,7 +128,8 @@
     }
 }
 
-/// The refusal that a driver sees. Consensus refuses before it appends.
+/// Converts a consensus error to a refusal. Consensus rejects before it appends, so
+/// the outcome is `NotRun`.
 pub(super) fn refusal_of(error: &ProposeError) -> Refusal {
     match error {
         ProposeError::NotLeader { leader } => Refusal::NotLeader {
--- a/crates/replica/src/group/reads.rs
+++ b/crates/replica/src/group/reads.rs
@@ -1,4 +1,4 @@
-//! Reads that wait for their position in the log.
+//! Reads waiting for their log position to be confirmed and applied.
 
 use std::collections::BTreeMap;
 
@@ -10,7 +10,7 @@
 use crate::turn::{Turn, not_run};
 use crate::{Consistency, Refusal, Ticket};
 
-/// When to come back when too many reads wait, in milliseconds.
+/// Retry delay suggested when too many reads are waiting, in milliseconds.
 const RETRY_MS: u32 = 50;
 
 #[derive(Debug)]
@@ -19,18 +19,19 @@
     query: Vec<u8>,
 }
 
-/// Reads that wait for their position in the log.
+/// Reads waiting for their log position to be confirmed and applied.
 #[derive(Debug, Default)]
 pub(super) struct Reads {
     last_context: u64,
-    /// Waiting for a quorum to confirm leadership.
+    /// Reads waiting for a quorum to confirm leadership, by context.
     unconfirmed: BTreeMap<u64, Read>,
-    /// Waiting for an entry to be applied.
+    /// Reads waiting for an entry to be applied.
     confirmed: Vec<(Index, Read)>,
 }
 
 impl<D: Disk> Group<D> {
-    /// Answers a query, now or once its position is confirmed and applied.
+    /// Answers a query: immediately if a local read is enough, otherwise once its log
+    /// position is confirmed and applied.
     pub fn query(
         &mut self,
         turn: &mut Turn<'_, D>,
@@ -84,7 +85,7 @@
         }
     }
 
-    /// Answers the reads whose position is applied.
+    /// Answers the reads whose log position is applied.
     pub(super) fn answer_reads(&mut self, turn: &mut Turn<'_, D>) {
         let applied = self.applied;
         let due = self
--- a/crates/replica/src/group/ready.rs
+++ b/crates/replica/src/group/ready.rs
@@ -1,4 +1,4 @@
-//! Carrying out what consensus asks for.
+//! Processing of the work requested by consensus.
 
 use molespan_consensus::{Fault, Message, Outgoing, ReplicaId};
 use molespan_storage::Disk;
@@ -8,14 +8,14 @@
 use crate::message::GroupPayload;
 use crate::turn::Turn;
 
-/// What one look at consensus led to.
+/// The result of processing consensus work once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Progress {
-    /// There was nothing to do.
+    /// There was no work.
     Idle,
-    /// Something was done.
+    /// Work was processed.
     Worked,
-    /// The leader knows entries that this disk acknowledged and lost.
+    /// The leader has acknowledgements from this replica for entries that its disk lost.
     RolledBack,
 }
 
@@ -24,7 +24,7 @@
         self.replica.step(from, message);
     }
 
-    /// Does what consensus asks for, up to the sync of the log.
+    /// Processes the work requested by consensus, up to the sync of the log.
     pub fn take_ready(&mut self, turn: &mut Turn<'_, D>) -> Result<Progress, ReplicaError> {
         let Some(ready) = self.replica.ready() else {
             return Ok(Progress::Idle);
@@ -62,7 +62,7 @@
         Ok(Progress::Worked)
     }
 
-    /// Goes on after a sync of the log.
+    /// Confirms the sync to consensus and sends the messages that waited for it.
     pub fn after_sync(&mut self, turn: &mut Turn<'_, D>) {
         if let Some(messages) = self.awaiting_sync.take() {
             self.replica.persisted();
--- a/crates/replica/src/group/serving.rs
+++ b/crates/replica/src/group/serving.rs
@@ -1,4 +1,4 @@
-//! Sending a snapshot to a replica that asks for it, piece by piece.
+//! Sending of a snapshot, in chunks, to a replica that requests it.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use crate::message::{Chunk, GroupPayload, Part, Pull};
 use crate::turn::Turn;
 
-/// How long a snapshot stays in memory after it was last asked for.
+/// How long a snapshot stays in memory after the last request for it.
 const KEPT_FOR: Duration = Duration::from_secs(10);
 
-/// The snapshot that is being sent.
+/// The snapshot being sent.
 #[derive(Debug)]
 pub(super) struct Serving {
     index: u64,
@@ -25,8 +25,8 @@
 }
 
 impl<D: Disk> Group<D> {
-    /// Answers with the next part. An unknown snapshot is not answered: the
-    /// leader's next offer names one that is there.
+    /// Replies with the next chunk. A request for an unknown snapshot is ignored: the
+    /// leader's next offer names an available one.
     pub fn serve(
         &mut self,
         turn: &mut Turn<'_, D>,
@@ -48,7 +48,8 @@
             let bytes = serving.snapshot.machine[range].to_vec();
             (Part::Machine, pull.machine_offset, bytes)
         } else if pull.payload_offset < self.payloads.start() {
-            // Dropped since; a later offer names a snapshot whose payloads are there.
+            // These payloads were dropped meanwhile; a later offer names a snapshot
+            // whose payloads are available.
             self.serving = None;
             return Ok(());
         } else if pull.payload_offset <= serving.payload_length {
@@ -74,7 +75,7 @@
         Ok(())
     }
 
-    /// Makes the snapshot at `index` the one that is sent.
+    /// Loads the snapshot at `index` for sending; returns whether it is available.
     fn load_serving(&mut self, now: Timestamp, index: u64) -> Result<bool, StorageError> {
         if matches!(&self.serving, Some(serving) if serving.index == index) {
             return Ok(true);
@@ -95,7 +96,7 @@
         Ok(true)
     }
 
-    /// Lets a snapshot go that nobody asks for any more.
+    /// Frees a snapshot that has not been requested for [`KEPT_FOR`].
     pub fn drop_idle_serving(&mut self, now: Timestamp) {
         let idle = |serving: &Serving| now.since(serving.last_asked) > KEPT_FOR;
         if self.serving.as_ref().is_some_and(idle) {
--- a/crates/replica/src/group/snapshots.rs
+++ b/crates/replica/src/group/snapshots.rs
@@ -1,4 +1,4 @@
-//! Taking snapshots of the machine.
+//! Snapshots of the state machine.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use crate::turn::Turn;
 use crate::{ReplicaEvent, ReplicaSettings};
 
-/// How long to wait after a snapshot found the disk full.
+/// Delay after a snapshot failed because the disk was full.
 const FULL_PAUSE: Duration = Duration::from_secs(5);
 
-/// Decides when a snapshot is due.
+/// Determines when a snapshot is due.
 #[derive(Debug)]
 pub(super) struct SnapshotPolicy {
     snapshot_index: Index,
@@ -24,7 +24,7 @@
 }
 
 impl SnapshotPolicy {
-    /// With the latest snapshot at `snapshot_index`.
+    /// Creates a policy with the latest snapshot at `snapshot_index`.
     pub fn new(snapshot_index: Index) -> Self {
         Self {
             snapshot_index,
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Last entry in the latest snapshot.
+    /// Returns the last entry in the latest snapshot.
     pub fn snapshot_index(&self) -> Index {
         self.snapshot_index
     }
@@ -52,8 +52,8 @@
 }
 
 impl<D: Disk> Group<D> {
-    /// Takes a snapshot when one is due, or when this group alone keeps old
-    /// segments of the log alive; says whether it did.
+    /// Takes a snapshot if one is due, or if `lagging` says that this group retains
+    /// old segments of the log. Returns whether it took one.
     pub fn snapshot_if_due(
         &mut self,
         turn: &mut Turn<'_, D>,
@@ -72,14 +72,14 @@
         }
     }
 
-    /// The payload log is synced first: a snapshot must never point to
-    /// payloads that a crash can take away.
+    /// Takes a snapshot. The payload log is synced first, because a snapshot must never
+    /// refer to payloads that a crash can lose.
     fn take_snapshot(&mut self, turn: &mut Turn<'_, D>) -> Result<bool, StorageError> {
         let Some(meta) = self.replica.snapshot_meta(self.applied) else {
             return Ok(false);
         };
-        // The mark of the snapshot before is durable, so that nothing needs what that one
-        // does not.
+        // The log record of the previous snapshot is durable, so payloads that it does
+        // not need are not needed at all.
         self.payloads.drop_before(self.payload_floor)?;
         self.payloads.sync()?;
         let payload_length = self.payloads.length();
--- a/crates/replica/src/group/transfer.rs
+++ b/crates/replica/src/group/transfer.rs
@@ -1,4 +1,4 @@
-//! Fetching a snapshot that the leader offers, piece by piece.
+//! Fetching of a snapshot offered by the leader, in chunks.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -15,46 +15,47 @@
 use crate::turn::Turn;
 use crate::{ReplicaError, ReplicaEvent};
 
-/// A part that has not come within this time is asked for again.
+/// Time after which a chunk that has not arrived is requested again.
 const RETRY: Duration = Duration::from_millis(300);
-/// A transfer without progress for this time gives way to another offer.
+/// Time without progress after which a transfer is abandoned.
 const STALLED: Duration = Duration::from_secs(2);
-/// Directory of payload bytes that do not belong to the payload log yet.
+/// Directory for staged payload bytes, which are not part of the payload log yet.
 const DIRECTORY: &str = "incoming";
-/// Staged bytes moved at once.
+/// Maximum number of staged bytes moved at once.
 const MOVE_BYTES: u64 = 1 << 20;
 
-/// A transfer under way.
+/// A transfer in progress.
 #[derive(Debug)]
 struct Transfer {
     from: ReplicaId,
     meta: SnapshotMeta,
     machine: Vec<u8>,
-    /// The sender's payloads that come with it, where each replica has its own; known with
-    /// the first part.
+    /// Range of the sender's payload log that belongs to the snapshot, if each replica has a
+    /// payload log of its own. Known once the first chunk has arrived.
     own_payloads: Option<Range<u64>>,
     last_progress: Timestamp,
     last_pull: Timestamp,
 }
 
 impl Transfer {
-    /// Where the first payload byte belongs that is fetched: in the sender's log where
-    /// each replica has its own, else in that of all, which is so long here.
+    /// Returns the offset of the first payload byte to fetch: in the sender's payload log if
+    /// each replica has its own, otherwise the local length of the common payload log.
     fn payloads_from(&self, payload_length: u64) -> u64 {
         let own = self.own_payloads.as_ref();
         own.map_or(payload_length, |own| own.start)
     }
 }
 
-/// What has arrived. Payload bytes wait in a file of their own, since the
-/// payload log may grow by ordinary entries while a transfer is cut off.
+/// The received parts of a snapshot. Payload bytes are staged in a separate file,
+/// because the payload log may grow by ordinary entries while a transfer is
+/// interrupted.
 #[derive(Debug)]
 pub(super) struct Staging {
     file: String,
     transfer: Option<Transfer>,
-    /// Where in the payload log of all, or of the sender, the staged bytes belong.
+    /// Offset of the staged bytes in the common payload log, or in the sender's.
     from: u64,
-    /// Staged bytes.
+    /// Number of staged bytes.
     length: u64,
     fresh: bool,
 }
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Throws staged bytes away unless they still follow on the payload log.
+    /// Discards the staged bytes unless they still start at `payload_length`.
     fn align<D: Disk>(&mut self, disk: &D, payload_length: u64) -> Result<(), StorageError> {
         if !self.fresh && self.from == payload_length {
             return Ok(());
@@ -83,7 +84,8 @@
         Ok(())
     }
 
-    /// Adds bytes; says whether there was room.
+    /// Appends bytes to the staging file; returns false if the disk is full, after
+    /// discarding the staged bytes.
     fn add<D: Disk>(&mut self, disk: &D, bytes: &[u8]) -> Result<bool, StorageError> {
         match disk.append(&self.file, bytes) {
             Ok(()) => {
@@ -101,7 +103,8 @@
 }
 
 impl<D: Disk> Group<D> {
-    /// Begins to fetch what the leader offers, unless that is under way.
+    /// Starts to fetch the offered snapshot, unless a transfer from the same sender is
+    /// progressing.
     pub(super) fn consider_offer(&mut self, turn: &mut Turn<'_, D>, offer: SnapshotOffer) {
         if let Some(transfer) = &self.staging.transfer {
             let stalled = turn.now.since(transfer.last_progress) > STALLED;
@@ -111,7 +114,8 @@
             }
         }
         if self.machine.payloads_needed_from(0).is_some() {
-            // What was staged is of another sender's log, or of an earlier part of this one's.
+            // The staged bytes come from another sender's log, or from an earlier part of this
+            // sender's log.
             self.staging.fresh = true;
         }
         self.staging.transfer = Some(Transfer {
@@ -125,7 +129,7 @@
         self.pull(turn);
     }
 
-    /// Asks for the next part.
+    /// Requests the next chunk.
     fn pull(&mut self, turn: &mut Turn<'_, D>) {
         let Some(transfer) = &mut self.staging.transfer else {
             return;
@@ -145,8 +149,8 @@
         turn.send(self.id, to, GroupPayload::Pull(pull));
     }
 
-    /// Asks again for a part that got lost, and gives up what is not wanted
-    /// any more.
+    /// Repeats the request for a lost chunk, and abandons a transfer that is stalled or no
+    /// longer needed.
     pub fn drive_transfer(&mut self, turn: &mut Turn<'_, D>) {
         let Some(transfer) = &self.staging.transfer else {
             return;
@@ -159,7 +163,7 @@
         }
     }
 
-    /// Takes a part in; asks for the next one, or installs the snapshot.
+    /// Handles a received chunk: requests the next one, or installs the snapshot.
     pub fn receive_chunk(
         &mut self,
         turn: &mut Turn<'_, D>,
@@ -195,7 +199,7 @@
                     return Ok(());
                 }
             }
-            // A part that came twice.
+            // A duplicate chunk.
             _ => return Ok(()),
         }
         self.pull_or_install(turn, chunk, &header)
@@ -217,22 +221,22 @@
             return Ok(());
         }
         if xxh3_64(&transfer.machine) != chunk.machine_checksum {
-            // Parts of different snapshots; a new offer starts afresh.
+            // The parts belong to different snapshots; a new offer restarts the transfer.
             self.staging.transfer = None;
             return Ok(());
         }
         self.install(turn, header)
     }
 
-    /// Puts the fetched snapshot in the place of the machine. The log is synced
-    /// before consensus learns of it, since that acknowledges it to the leader.
+    /// Replaces the state machine by the fetched snapshot. The log is synced before
+    /// consensus is notified, because that acknowledges the snapshot to the leader.
     fn install(
         &mut self,
         turn: &mut Turn<'_, D>,
         header: &SnapshotHeader,
     ) -> Result<(), ReplicaError> {
         let wanted = self.replica.wants_snapshot(&header.meta);
-        // While the log waits for room, consensus must not move on.
+        // While the log waits for disk space, consensus must not advance.
         if !wanted || self.awaiting_sync.is_some() {
             return Ok(());
         }
@@ -268,8 +272,8 @@
         Ok(())
     }
 
-    /// Stores a snapshot that comes with payloads of its sender's log: they go behind what
-    /// is in the own one, of which nothing is needed then.
+    /// Stores a snapshot with payloads of its sender's payload log. They are appended to the
+    /// local payload log, whose earlier content is then no longer needed.
     fn store_with_payloads(
         &mut self,
         turn: &mut Turn<'_, D>,
@@ -291,8 +295,8 @@
         Ok(stored)
     }
 
-    /// Stores the fetched snapshot durably; says whether there was room. On a
-    /// full disk everything is as before, and a later offer tries again.
+    /// Stores the fetched snapshot durably; returns false if the disk is full. In that
+    /// case nothing changes, and a later offer retries.
     fn store_fetched(
         &mut self,
         turn: &mut Turn<'_, D>,
@@ -308,14 +312,15 @@
         if self.replica.term_at(index) != Some(header.meta.term) {
             turn.log.truncate(self.id, index.next().0);
         }
-        // A full disk is an error from here on: the mark waits in the log, so
-        // that the machine in memory must not live on without the snapshot.
+        // A full disk is an error from here on: the snapshot's record is pending in the
+        // log, so the state machine in memory must not continue without the snapshot.
         turn.log.sync()?;
         self.snapshots.remove_older(index.0)?;
         Ok(true)
     }
 
-    /// Stores payloads and machine, which mean nothing before the log's mark.
+    /// Stores payloads and state machine, which take effect only with the snapshot's
+    /// record in the log.
     fn store_parts(
         &mut self,
         turn: &mut Turn<'_, D>,
@@ -323,7 +328,7 @@
         header: &[u8],
         machine: &[u8],
     ) -> Result<bool, StorageError> {
-        // What waits goes first: it belongs to entries that are applied.
+        // Pending writes go first, because they belong to applied entries.
         let ready = turn.log.sync().and_then(|_| self.payloads.flush());
         if !had_room(ready)? {
             return Ok(false);
@@ -340,7 +345,7 @@
         Ok(stored)
     }
 
-    /// Appends the staged bytes to the payload log and syncs it.
+    /// Moves the staged bytes to the payload log and syncs it.
     fn move_staged(&mut self) -> Result<(), StorageError> {
         let mut moved = 0;
         while moved < self.staging.length {
@@ -356,7 +361,7 @@
     }
 }
 
-/// Tells a full disk from other errors.
+/// Returns whether there was disk space; other errors are passed on.
 fn had_room(result: Result<(), StorageError>) -> Result<bool, StorageError> {
     match result {
         Ok(()) => Ok(true),
--- a/crates/replica/src/group/watch.rs
+++ b/crates/replica/src/group/watch.rs
@@ -1,11 +1,11 @@
-//! Notices what stands still, on the clock of one replica.
+//! Detection of items without progress, on the clock of one replica.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use molespan_types::Timestamp;
 
-/// A watch looks so many times in the length after which it gives up.
+/// Number of scans within the time after which an item counts as stalled.
 const SCANS_PER_LENGTH: u32 = 20;
 
 #[derive(Clone, Copy, Debug)]
@@ -14,7 +14,7 @@
     since: Timestamp,
 }
 
-/// When each thing was last seen to go on.
+/// The last observed progress of each item.
 #[derive(Debug)]
 pub(super) struct Watch<K> {
     watched: BTreeMap<K, Watched>,
@@ -31,13 +31,13 @@
 }
 
 impl<K: Clone + Ord> Watch<K> {
-    /// Forgets everything, since another replica leads.
+    /// Clears all items, because this replica no longer leads.
     pub fn clear(&mut self) {
         self.watched.clear();
         self.next_scan = Timestamp::ZERO;
     }
 
-    /// Whether it is time for a scan; then the next one is planned.
+    /// Whether a scan is due; if so, schedules the next one.
     pub fn is_due(&mut self, now: Timestamp, length: Duration) -> bool {
         if now < self.next_scan {
             return false;
@@ -46,8 +46,8 @@
         true
     }
 
-    /// Takes note of how far each thing is; gives those that have stood still
-    /// for `length`.
+    /// Records the progress of each item; returns the items without progress for
+    /// `length`.
     pub fn scan(
         &mut self,
         now: Timestamp,
@@ -67,7 +67,7 @@
                 .unwrap_or(fresh);
             if now.since(watched.since) >= length {
                 still.push((key.clone(), progress));
-                // Given again only after another full length.
+                // Reported again only after another full length.
                 watched = fresh;
             }
             seen.insert(key, watched);
--- a/crates/replica/src/identity.rs
+++ b/crates/replica/src/identity.rs
@@ -1,23 +1,23 @@
-//! How a replica's identity in consensus is made of its node and the life of
-//! its disk.
+//! Conversion between a consensus replica identifier and the node and disk
+//! incarnation it consists of.
 
 use molespan_consensus::ReplicaId;
 use molespan_types::NodeId;
 
-/// Bits of the incarnation, below those of the node.
+/// Number of low-order bits that hold the incarnation; the node is above them.
 const INCARNATION_BITS: u32 = 32;
 
-/// The identity of one life of a node's disk.
+/// Returns the replica identifier of one incarnation of a node's disk.
 pub(crate) fn replica_id(node: NodeId, incarnation: u32) -> ReplicaId {
     ReplicaId(u64::from(node.0) << INCARNATION_BITS | u64::from(incarnation))
 }
 
-/// The node of a replica.
+/// Returns the node of a replica.
 pub(crate) fn node_of(replica: ReplicaId) -> NodeId {
     NodeId((replica.0 >> INCARNATION_BITS) as u32)
 }
 
-/// The life of a replica's disk.
+/// Returns the disk incarnation of a replica.
 pub(crate) fn incarnation_of(replica: ReplicaId) -> u32 {
     replica.0 as u32
 }
--- a/crates/replica/src/lib.rs
+++ b/crates/replica/src/lib.rs
@@ -1,10 +1,11 @@
-//! A replica process: consensus, storage and state of many groups, driven
-//! together and without a clock, socket or thread of its own.
+//! The core of a replica process: consensus, storage and state of many groups,
+//! driven together. It has no clock, socket or thread of its own.
 //!
-//! The driver hands in messages and requests with [`ReplicaCore::handle`] and
-//! then calls [`ReplicaCore::poll`], which does the work of all groups with one
-//! sync of the write-ahead log and says what to send and to answer. It polls
-//! again at [`ReplicaCore::next_deadline`] when nothing comes in before.
+//! The driver passes messages and requests to [`ReplicaCore::handle`] and then
+//! calls [`ReplicaCore::poll`], which processes all groups, with one sync of the
+//! write-ahead log for all of them, and returns the messages and replies to
+//! send. The driver polls again at [`ReplicaCore::next_deadline`] if no input
+//! arrives earlier.
 
 mod api;
 mod bootstrap;
--- a/crates/replica/src/message.rs
+++ b/crates/replica/src/message.rs
@@ -6,105 +6,105 @@
 use minicbor::{Decode, Encode};
 use molespan_consensus::{Message, ReplicaId};
 
-/// How a life of a disk came to take part.
+/// How far an incarnation has joined the groups.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub(crate) enum Standing {
-    /// It knows of no founding.
+    /// It does not know the founders of the groups yet.
     #[default]
     #[n(0)]
     Blank,
-    /// It is one of the first voters.
+    /// It is one of the founders, the initial voters.
     #[n(1)]
     Founder,
-    /// It came later and is not yet a voter everywhere.
+    /// It joined later and is not yet a voter in every group.
     #[n(2)]
     Joining,
-    /// It came later and is a voter everywhere.
+    /// It joined later and is a voter in every group.
     #[n(3)]
     Member,
 }
 
 impl Standing {
-    /// Whether its word counts when another replica restarts.
+    /// Whether its confirmation counts when another replica restarts.
     pub fn is_voter(self) -> bool {
         matches!(self, Self::Founder | Self::Member)
     }
 }
 
-/// What a process thinks of the disk behind a [`Hello`].
+/// A process's assessment of the disk of the sender of a [`Hello`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Verdict {
-    /// Session of the judged process. A verdict on another one is void.
+    /// Session of the assessed process. A verdict for another session is ignored.
     #[n(0)]
     pub session: u64,
-    /// Whether later states of that disk are known, or its life was replaced.
+    /// Whether a later state of that disk is known, or its incarnation was replaced.
     #[n(1)]
     pub outdated: bool,
 }
 
-/// A process says which life of which disk it is.
+/// Announces the identity of a process and the state of its disk.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Hello {
-    /// The life of its disk.
+    /// Replica identifier, made of the node and the incarnation of its disk.
     #[n(0)]
     pub replica: ReplicaId,
-    /// Starts on that disk.
+    /// Number of starts on that disk.
     #[n(1)]
     pub boot: u64,
-    /// Drawn at random at each start.
+    /// Session identifier, drawn at random at each start.
     #[n(2)]
     pub session: u64,
-    /// Number of the last synced write of its log.
+    /// Sequence number of the last synced write of its log.
     #[n(3)]
     pub sequence: u64,
-    /// How it takes part.
+    /// How far it has joined the groups.
     #[n(4)]
     pub standing: Standing,
-    /// The first voters; empty when it knows of no founding.
+    /// The founders; empty if it does not know them.
     #[n(5)]
     pub founders: BTreeSet<ReplicaId>,
-    /// What it thinks of the receiver.
+    /// Its verdict on the receiver's disk, if it has heard from the receiver.
     #[n(6)]
     pub verdict: Option<Verdict>,
-    /// Whether it wants a hello back.
+    /// Whether it requests a hello in return.
     #[n(7)]
     pub wants_reply: bool,
-    /// The voters as far as it knows, where members are discovered.
+    /// The latest voters it knows, if members are discovered.
     #[n(8)]
     pub voters: KnownVoters,
 }
 
-/// Voters of the only group of a process that discovers its members.
+/// Known voters of the single group of a process that discovers its members.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct KnownVoters {
-    /// Position of the entry that made them so; later ones supersede.
+    /// Log index of the membership entry; a higher index supersedes a lower one.
     #[n(0)]
     pub index: u64,
-    /// Lives that vote, of both sides of a joint membership.
+    /// Voters, of both voter sets of a joint membership.
     #[n(1)]
     pub voters: BTreeSet<ReplicaId>,
 }
 
-/// Asks for the next part of a snapshot.
+/// Requests the next part of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Pull {
-    /// Last entry in the snapshot.
+    /// Log index of the last entry in the snapshot.
     #[n(0)]
     pub index: u64,
-    /// Bytes of the machine that have arrived.
+    /// Number of state machine bytes received so far.
     #[n(1)]
     pub machine_offset: u64,
-    /// Bytes of the payload log that are there.
+    /// Offset in the sender's payload log up to which bytes have been received.
     #[n(2)]
     pub payload_offset: u64,
 }
 
-/// Which part of a snapshot a chunk belongs to.
+/// The part of a snapshot that a chunk belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub(crate) enum Part {
-    /// The machine's bytes.
+    /// The state machine.
     #[n(0)]
     Machine,
     /// The payload log.
@@ -112,25 +112,25 @@
     Payload,
 }
 
-/// A part of a snapshot.
+/// A chunk of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct Chunk {
-    /// Last entry in the snapshot.
+    /// Log index of the last entry in the snapshot.
     #[n(0)]
     pub index: u64,
     /// Encoded [`crate::group::SnapshotHeader`].
     #[n(1)]
     pub header: ByteVec,
-    /// Bytes of the whole machine.
+    /// Total size of the state machine in bytes.
     #[n(2)]
     pub machine_length: u64,
-    /// Checksum of the whole machine.
+    /// Checksum of the whole state machine.
     #[n(3)]
     pub machine_checksum: u64,
-    /// What `bytes` belong to.
+    /// The part that `bytes` belong to.
     #[n(4)]
     pub part: Part,
-    /// Where they belong.
+    /// Offset of `bytes` in that part.
     #[n(5)]
     pub offset: u64,
     /// Checksum of `bytes`.
@@ -141,16 +141,16 @@
     pub bytes: ByteVec,
 }
 
-/// What a message to a replica of a group is about.
+/// The payload of a message to a replica of a group.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum GroupPayload {
-    /// Consensus.
+    /// A consensus message.
     #[n(0)]
     Consensus(#[n(0)] Message),
-    /// Asks for the next part of a snapshot.
+    /// Requests the next part of a snapshot.
     #[n(1)]
     Pull(#[n(0)] Pull),
-    /// A part of a snapshot.
+    /// A chunk of a snapshot.
     #[n(2)]
     Chunk(#[n(0)] Chunk),
 }
@@ -158,22 +158,22 @@
 /// A message between replica processes.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) enum PeerMessage {
-    /// A process says who it is.
+    /// Announces the identity of the sending process.
     #[n(0)]
     Hello(#[n(0)] Hello),
-    /// From one life of a replica to one life of another.
+    /// A message between two replicas of a group.
     #[n(1)]
     Group {
         /// Sender.
         #[n(0)]
         from: ReplicaId,
-        /// Receiver; another life of it ignores the message.
+        /// Receiver; another incarnation of its node ignores the message.
         #[n(1)]
         to: ReplicaId,
-        /// Start of the sender's process.
+        /// Session of the sender's process.
         #[n(2)]
         session: u64,
-        /// Number of the last synced write of the sender's log.
+        /// Sequence number of the last synced write of the sender's log.
         #[n(3)]
         sequence: u64,
         /// Content.
--- a/crates/replica/src/records.rs
+++ b/crates/replica/src/records.rs
@@ -1,4 +1,4 @@
-//! What a process keeps on disk about itself and the others.
+//! Persistent record of a process about itself and other replicas.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,12 +9,12 @@
 
 use crate::message::{KnownVoters, Standing};
 
-/// File that holds the record.
+/// Name of the file that stores the record.
 const FILE: &str = "fleet";
-/// File whose presence says that the folder is being emptied.
+/// Name of the file that marks an unfinished wipe of the data folder.
 const EMPTYING_FILE: &str = "emptying";
 
-/// The latest start of one life of a disk.
+/// The latest known start of one incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct BootRecord {
     #[n(0)]
@@ -23,32 +23,32 @@
     pub session: u64,
 }
 
-/// What a process keeps on disk about itself and the others.
+/// Persistent record of a process about itself and other replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct FleetRecord {
-    /// How this life takes part.
+    /// How far this incarnation has joined the groups.
     #[n(0)]
     pub standing: Standing,
-    /// The first voters; empty when not known.
+    /// The founders; empty if unknown.
     #[n(1)]
     pub founders: BTreeSet<ReplicaId>,
-    /// Whether the first entry of each group was written to the log.
+    /// Whether the first entry of each group has been written to the log.
     #[n(2)]
     pub bootstrapped: bool,
-    /// The latest start of other lives.
+    /// The latest known start of each other incarnation.
     #[n(3)]
     pub boots: BTreeMap<ReplicaId, BootRecord>,
-    /// Lives that lost their vote to a successor.
+    /// Replicas that were removed from a group and replaced.
     #[n(4)]
     pub replaced: BTreeSet<ReplicaId>,
-    /// Voters, where members are discovered.
+    /// The latest known voters, if members are discovered.
     #[n(5)]
     #[cbor(default)]
     pub voters: KnownVoters,
 }
 
 impl FleetRecord {
-    /// Reads the record; an empty one when there is none.
+    /// Reads the record from disk; returns an empty one if none is stored.
     pub fn load<D: Disk>(disk: &D) -> Result<Self, StorageError> {
         match read_checked(disk, "", FILE)? {
             Some(bytes) => molespan_state::decode(&bytes).map_err(|error| StorageError::Corrupt {
@@ -60,12 +60,12 @@
         }
     }
 
-    /// Replaces the stored record by this one.
+    /// Replaces the stored record by this one durably.
     pub fn store<D: Disk>(&self, disk: &D) -> Result<(), StorageError> {
         write_checked(disk, "", FILE, &[&molespan_state::encode(self)])
     }
 
-    /// The record of the life that follows on this disk.
+    /// Returns the record for the next incarnation on this disk.
     pub fn successor(&self) -> Self {
         Self {
             standing: Standing::Joining,
@@ -78,9 +78,9 @@
     }
 }
 
-/// Ends the life of this disk: removes everything but `record`, which belongs
-/// to the next life. A crash in between is made good by
-/// [`finish_emptying`] at the next start.
+/// Ends the current incarnation: wipes the disk and keeps only the successor of
+/// `record` for the next incarnation. If a crash interrupts the wipe,
+/// [`finish_emptying`] completes it at the next start.
 pub(crate) fn empty<D: Disk>(
     disk: &D,
     record: &FleetRecord,
@@ -91,7 +91,7 @@
     finish_emptying(disk, groups)
 }
 
-/// Goes on with an emptying that a crash cut short.
+/// Completes a wipe that was interrupted by a crash.
 pub(crate) fn finish_emptying<D: Disk>(
     disk: &D,
     groups: impl IntoIterator<Item = GroupId>,
--- a/crates/replica/src/settings.rs
+++ b/crates/replica/src/settings.rs
@@ -13,68 +13,68 @@
 pub struct ReplicaSettings {
     /// This node.
     pub node: NodeId,
-    /// Every node that holds a replica, this one included. It must be the same
-    /// list on each of them.
+    /// All nodes that hold a replica, including this one. The list must be
+    /// identical on all of them.
     pub peers: Vec<NodeId>,
-    /// Job groups beside the control group.
+    /// Number of job groups, in addition to the control group.
     pub job_groups: u32,
-    /// Set where the members are not listed in the settings.
+    /// Set if members are discovered instead of listed in `peers`.
     pub discovery: Option<Discovery>,
-    /// How long a lease outlives its last renewal on the leader's clock.
+    /// How long a lease stays valid after its last renewal, on the leader's clock.
     pub lease_length: Duration,
-    /// How long the submission of a job may stand still before it is dropped.
+    /// How long a job submission may make no progress before it is dropped.
     pub submission_timeout: Duration,
-    /// How long a claim may stay open on the leader's clock before it is
-    /// settled as unknown; longer than a gateway keeps a request going.
+    /// How long a claim may stay open, on the leader's clock, before it is
+    /// settled as unknown. Must be longer than a gateway keeps a request in flight.
     pub claim_timeout: Duration,
-    /// A snapshot of a group is taken after as many applied entries.
+    /// Number of applied entries after which a snapshot of a group is taken.
     pub snapshot_every_entries: u64,
-    /// A snapshot of a group is taken after as many bytes of applied commands.
+    /// Bytes of applied entries after which a snapshot of a group is taken.
     pub snapshot_every_bytes: u64,
-    /// Time between two ticks of consensus.
+    /// Interval between two consensus ticks.
     pub tick: Duration,
-    /// Ticks without a leader before an election; the actual number is drawn
-    /// from this up to twice as many.
+    /// Minimum election timeout, in ticks. The actual timeout is drawn at random
+    /// between this value and twice as much.
     pub election_ticks: u32,
-    /// Ticks between two heartbeats of a leader.
+    /// Interval between two heartbeats of a leader, in ticks.
     pub heartbeat_ticks: u32,
-    /// How long the fate of a proposal may stay open before it is reported as
+    /// How long a proposal may stay undecided before its outcome is reported as
     /// unknown.
     pub proposal_timeout: Duration,
-    /// Most proposals of one group whose fate is open.
+    /// Maximum undecided proposals per group.
     pub max_pending_proposals: usize,
-    /// Bytes of a snapshot that are sent at once.
+    /// Maximum bytes of a snapshot in one message.
     pub chunk_bytes: usize,
-    /// Sizes of the write-ahead log.
+    /// Size settings of the write-ahead log.
     pub log: LogSettings,
-    /// Seed of everything random. A blank disk draws its identity from it, so
-    /// it must be fresh at each start: from the operating system in a daemon,
-    /// from the run's generator in a simulation.
+    /// Seed for all random numbers. A blank disk draws its incarnation from it, so
+    /// it must be different at each start: from the operating system in a daemon,
+    /// from the generator of the run in a simulation.
     pub seed: u64,
 }
 
-/// How a process whose members are not listed finds and keeps them.
+/// How a process whose members are not listed discovers and maintains them.
 #[derive(Clone, Debug)]
 pub struct Discovery {
-    /// The only group of the process.
+    /// The single group of the process.
     pub group: GroupId,
-    /// Nodes to greet first; others are learnt from them.
+    /// Nodes to send the first hellos to; further nodes are learned from them.
     pub contacts: BTreeSet<NodeId>,
-    /// The first voters, all with [`FIRST_INCARNATION`], where they are known
-    /// beforehand and the disks are blank for the very first time. Otherwise
-    /// they come by [`crate::Input::Found`] or from another process.
+    /// The founders, all with [`FIRST_INCARNATION`], if they are known in advance
+    /// and their disks have never been used. Otherwise they are provided by
+    /// [`crate::Input::Found`] or by another process.
     pub founders: BTreeSet<NodeId>,
-    /// Voters that the group is to have.
+    /// Desired number of voters.
     pub voters: usize,
-    /// A voter that is silent for longer gives its place to a node that waits.
+    /// A voter that does not respond for this long is replaced by a waiting node.
     pub replace_after: Duration,
 }
 
-/// Incarnation of the disks of founders that are known beforehand.
+/// Disk incarnation of founders that are known in advance.
 pub const FIRST_INCARNATION: u32 = 1;
 
 impl Discovery {
-    /// Nobody known yet; a group of three voters.
+    /// Returns the defaults: three voters, and neither contacts nor founders.
     #[must_use]
     pub fn new(group: GroupId) -> Self {
         Self {
@@ -88,7 +88,7 @@
 }
 
 impl ReplicaSettings {
-    /// Settings with the defaults for `node` among `peers`.
+    /// Returns the default settings for `node` in a cluster of `peers`.
     #[must_use]
     pub fn new(node: NodeId, peers: Vec<NodeId>, seed: u64) -> Self {
         Self {
@@ -114,7 +114,7 @@
 }
 
 impl ReplicaSettings {
-    /// Checks that the settings can work together.
+    /// Checks that the settings are valid.
     pub(crate) fn check(&self) -> Result<(), ReplicaError> {
         let rules = [
             (
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Segments of the log beyond which a group that keeps the oldest alive
-    /// takes a snapshot before its time.
+    /// Returns the number of log segments beyond which the group that retains the
+    /// oldest segment takes a snapshot early.
     pub(crate) fn most_segments(&self) -> usize {
         const SPARE: u64 = 2;
         let bytes = self.snapshot_every_bytes.saturating_mul(2);
--- a/crates/replica/src/shared.rs
+++ b/crates/replica/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all groups of a process share.
+//! State shared by all groups of a process.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,24 +11,24 @@
 use crate::turn::Turn;
 use crate::{Output, ReplicaEvent, ReplicaSettings};
 
-/// Time between two attempts to set the log's reserve aside again.
+/// Interval between attempts to restore the log's reserved disk space.
 const RESERVE_RETRY: Duration = Duration::from_secs(1);
 
-/// What all groups of a process share.
+/// State shared by all groups of a process.
 #[derive(Debug)]
 pub(crate) struct Shared<D> {
     pub settings: ReplicaSettings,
     pub own: ReplicaId,
-    /// This start of the process.
+    /// Random identifier of this start of the process.
     pub session: u64,
     pub log: WriteAheadLog<D>,
     pub outputs: Vec<Output>,
     pub replaced: BTreeSet<ReplicaId>,
     pub syncs: u64,
-    /// Whether operators were told that the disk is full.
+    /// Whether the full disk has been reported to operators.
     told_full: bool,
     next_reserve: Timestamp,
-    /// Set at each tick; only mutation runs look at it.
+    /// Set at each tick; only used in mutation runs.
     lazy_sync_due: bool,
 }
 
@@ -73,8 +73,8 @@
         self.lazy_sync_due = true;
     }
 
-    /// One sync for all groups. Says whether replies may rest on it: on a full
-    /// disk the changes wait, and so do the replies.
+    /// Syncs the log once for all groups. Returns whether replies may be sent: on a
+    /// full disk the changes stay pending, and so do the replies.
     pub fn sync(&mut self) -> Result<bool, StorageError> {
         if !enabled(Mechanism::SyncBeforeReply) && !std::mem::take(&mut self.lazy_sync_due) {
             return Ok(true);
@@ -90,7 +90,8 @@
         }
     }
 
-    /// Tells operators when the disk fills or has room again.
+    /// Restores the log's reserved disk space if needed, and reports to operators when
+    /// the disk becomes full or has space again.
     pub fn watch_space(&mut self, now: Timestamp) -> Result<(), StorageError> {
         if self.log.is_low() && now >= self.next_reserve && !self.log.has_unsynced() {
             self.next_reserve = now + RESERVE_RETRY;
--- a/crates/replica/src/turn.rs
+++ b/crates/replica/src/turn.rs
@@ -1,4 +1,4 @@
-//! What a group works with during one call of the driver.
+//! The context of a group during one call of the driver.
 
 use std::collections::BTreeSet;
 
@@ -10,17 +10,17 @@
 use crate::message::{GroupPayload, PeerMessage};
 use crate::{Output, Refusal, ReplicaEvent, ReplicaSettings, Ticket};
 
-/// What a group works with during one call of the driver.
+/// The context of a group during one call of the driver.
 pub(crate) struct Turn<'a, D> {
     pub now: Timestamp,
     pub settings: &'a ReplicaSettings,
-    /// This life of this replica.
+    /// Identifier of this replica, including its incarnation.
     pub own: ReplicaId,
-    /// This start of the process.
+    /// Random identifier of this start of the process.
     pub session: u64,
     pub log: &'a mut WriteAheadLog<D>,
     pub outputs: &'a mut Vec<Output>,
-    /// Lives that lost their vote during this turn.
+    /// Voters that were removed by membership changes applied during this call.
     pub replaced: &'a mut BTreeSet<ReplicaId>,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// A refusal of something that will never take effect.
+/// Returns a refusal of a request that will never take effect.
 pub(crate) fn not_run(message: impl ToString, retry_after_ms: u32) -> Refusal {
     Refusal::Refused {
         outcome: RunOutcome::NotRun,
@@ -59,7 +59,7 @@
     }
 }
 
-/// The answer to something that may have taken effect, or may yet.
+/// Returns the reply to a request that may have taken effect or may still do so.
 pub(crate) fn unknown(message: impl ToString) -> Refusal {
     Refusal::Refused {
         outcome: RunOutcome::Unknown,
