--- a/crates/replica/tests/batch_outputs.rs
+++ b/crates/replica/tests/batch_outputs.rs
@@ -1,4 +1,4 @@
-//! Outputs of batch items through kills, lost disks and snapshots that are fetched.
+//! Outputs of batch items across kills, lost disks and fetched snapshots.
 
 mod cluster;
 
@@ -18,9 +18,9 @@
 
 const NODES: [u32; 3] = [1, 2, 3];
 const ITEMS: u32 = 24;
-/// Drawn runs.
+/// Number of random runs.
 const SEEDS: u64 = 3;
-/// Length of an output in bytes: some make a segment of the log.
+/// Length of an output in bytes. A few outputs fill a segment of the log.
 const OUTPUT: usize = 200_000;
 
 fn tune(settings: &mut ReplicaSettings) {
@@ -71,7 +71,7 @@
     commit(cluster, &BatchCommand::Submit(Box::new(submit)));
 }
 
-/// A text that cannot be packed well, the same for each item.
+/// Returns a text that compresses poorly, always the same for a given item.
 fn output(job: u64, place: u32) -> String {
     let mut random = ChaCha8Rng::seed_from_u64(job << 32 | u64::from(place));
     let signs = (0..OUTPUT).map(|_| char::from(random.random_range(b'!'..=b'~')));
@@ -89,7 +89,7 @@
     commit(cluster, &BatchCommand::Record(RecordOutcome { records }));
 }
 
-/// What a node itself has of a job.
+/// Returns the outputs of a job that a node has applied.
 fn outputs(cluster: &mut Cluster, at: NodeId, job: u64) -> Option<Vec<String>> {
     let ticket = cluster.ticket();
     let query = BatchQuery::Results {
@@ -119,7 +119,7 @@
 }
 
 fn run_until_whole(cluster: &mut Cluster) {
-    cluster.run_until("all nodes as one", |cluster| {
+    cluster.run_until("equal nodes that all vote", |cluster| {
         let statuses = cluster.statuses();
         let groups = statuses.iter().filter_map(|status| status.groups.first());
         let applied: BTreeSet<u64> = groups.clone().map(|group| group.applied).collect();
@@ -134,7 +134,7 @@
     });
 }
 
-/// Each node has exactly the outputs that were recorded, and of forgotten jobs none.
+/// Asserts that each node has exactly the recorded outputs of the kept jobs.
 fn check(cluster: &mut Cluster, recorded: &BTreeMap<u64, u32>, seed: u64) {
     run_until_whole(cluster);
     for number in NODES {
@@ -151,8 +151,8 @@
     );
 }
 
-/// Logs of payloads are each node's own: they begin where its kept jobs do, and what is
-/// fetched from another node lies elsewhere than there.
+/// Each node has a payload log of its own that starts at its kept jobs, so payloads
+/// fetched from another node have different offsets locally.
 #[test]
 fn outputs_are_the_same_at_every_node_through_kills_lost_disks_and_fetched_snapshots() {
     for seed in 0..SEEDS {
@@ -205,7 +205,7 @@
     }
 }
 
-/// Without that a disk fills for good.
+/// If the payload log kept growing, the disk would eventually fill up.
 #[test]
 fn the_log_of_payloads_does_not_grow_with_jobs_that_are_forgotten() {
     let mut cluster = founded(9);
--- a/crates/replica/tests/claims.rs
+++ b/crates/replica/tests/claims.rs
@@ -1,4 +1,4 @@
-//! Claims whose holders never settle them.
+//! Expiry of claims whose holders do not settle them.
 
 mod cluster;
 
@@ -69,14 +69,14 @@
     cluster.run_for(Duration::from_secs(15));
     let leader = cluster.leader(GROUP).unwrap();
     cluster.restart(leader);
-    // The new leader has not watched it for long enough.
+    // The new leader has not observed the claim for the claim timeout yet.
     cluster.run_for(Duration::from_secs(10));
     assert_eq!(claim(&mut cluster, "bill", 2), held);
     cluster.run_for(Duration::from_secs(20));
     let unknown = settled(RunOutcome::Unknown);
     assert_eq!(claim(&mut cluster, "bill", 2), unknown);
 
-    // The holder comes too late, and restarts forget nothing.
+    // A late settlement has no effect, and the outcome survives restarts.
     let late = settle(&mut cluster, "bill", 1, RunOutcome::Completed);
     let stands = JobReply::Settled {
         outcome: RunOutcome::Unknown,
--- a/crates/replica/tests/cluster/jobs.rs
+++ b/crates/replica/tests/cluster/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs of one item each, whose input is recorded as its result.
+//! Jobs of one item each, whose input is also recorded as the result.
 
 use minicbor::bytes::ByteVec;
 use molespan_replica::{Consistency, Input};
@@ -31,13 +31,13 @@
     ByteVec::from(format!("payload {number}").repeat(4).into_bytes())
 }
 
-/// Opens a job and goes no further.
+/// Begins a job without appending its items.
 pub fn begin_only(cluster: &mut Cluster, number: u32) {
     let command = JobCommand::from(begin(number));
     cluster.commit(GROUP, &molespan_state::encode(&command));
 }
 
-/// Phase of a job as a node sees it, if it knows the job.
+/// Returns the phase of a job on a node, if the node knows the job.
 pub fn phase(cluster: &mut Cluster, node: NodeId, number: u32) -> Option<JobPhase> {
     let job = begin(number).job;
     match query(cluster, node, &JobQuery::Status { job }) {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Asks a node for what it has applied.
+/// Queries the applied state of a node.
 fn query(cluster: &mut Cluster, node: NodeId, query: &JobQuery) -> JobAnswer {
     let ticket = cluster.ticket();
     let input = Input::Query {
@@ -60,7 +60,7 @@
     molespan_state::decode(&answer).unwrap()
 }
 
-/// Submits and runs a job; says whether its result was acknowledged.
+/// Submits and runs a job; returns whether its result was acknowledged.
 pub fn submit(cluster: &mut Cluster, number: u32, stopped: impl Fn(&Cluster) -> bool) -> bool {
     let mut apply = |command: JobCommand| -> Option<JobReply> {
         let bytes = molespan_state::encode(&command);
--- a/crates/replica/tests/cluster/mod.rs
+++ b/crates/replica/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A cluster of replica processes under virtual time, with a seeded network
-//! and simulated disks.
+//! A cluster of replica processes on virtual time, with a seeded network and
+//! simulated disks.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -21,10 +21,10 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How a request ended.
+/// The result of a request.
 pub type Answer = Result<Vec<u8>, Refusal>;
 
-/// A message on its way.
+/// A message in flight.
 struct Packet {
     from: NodeId,
     to: NodeId,
@@ -32,7 +32,7 @@
     bytes: Vec<u8>,
 }
 
-/// The nodes, their disks and the network between them.
+/// A simulated cluster: nodes, their disks and the network.
 pub struct Cluster {
     pub now: Timestamp,
     pub random: ChaCha8Rng,
@@ -41,18 +41,18 @@
     pub events: Vec<(NodeId, ReplicaEvent)>,
     pub errors: Vec<(NodeId, ReplicaError)>,
     pub answers: HashMap<Ticket, Answer>,
-    /// Pairs that cannot send in this direction.
+    /// Directed links, from sender to receiver, that drop all messages.
     pub cut: BTreeSet<(NodeId, NodeId)>,
     pub loss: f64,
     pub bytes_sent: u64,
     network: BTreeMap<(Timestamp, u64), Packet>,
-    /// A node whose messages wait for [`Cluster::deliver_reversed`].
+    /// A node whose messages are withheld until [`Cluster::deliver_reversed`].
     pub held_for: Option<NodeId>,
     held: Vec<Input>,
     last_ticket: u64,
     last_message: u64,
     pub job_groups: u32,
-    /// Whether disks are blank for the very first time, where members are
+    /// Whether nodes start for the first time and know the founders, if members are
     /// discovered.
     pub first_start: bool,
     tune: fn(&mut ReplicaSettings),
@@ -63,7 +63,7 @@
 }
 
 impl Cluster {
-    /// A cluster of `size` blank nodes that are all started.
+    /// Returns a cluster of `size` blank nodes, all started.
     pub fn new(size: u32, seed: u64) -> Self {
         Self::tuned(size, seed, |_| {})
     }
@@ -76,7 +76,7 @@
         cluster
     }
 
-    /// A cluster of blank nodes, none of which is started.
+    /// Returns a cluster of `size` blank nodes, none started.
     pub fn stopped(size: u32, seed: u64, tune: fn(&mut ReplicaSettings)) -> Self {
         let nodes = (1..=size).map(NodeId);
         Self {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The first running node but this one.
+    /// Returns the first running node other than `node`.
     pub fn other_than(&self, node: NodeId) -> NodeId {
         let mut others = self.cores.keys().copied();
         others.find(|&other| other != node).expect("there is one")
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Kills a node; its disk loses what was not synced.
+    /// Kills a node; its disk loses all data that was not synced.
     pub fn kill(&mut self, node: NodeId) {
         self.cores.remove(&node);
         let seed = self.random.random();
@@ -158,7 +158,7 @@
         self.start(node);
     }
 
-    /// Cuts a node off from the others in both directions, or reconnects it.
+    /// Disconnects a node from all others in both directions, or reconnects it.
     pub fn isolate(&mut self, node: NodeId, isolated: bool) {
         for other in self.nodes() {
             for pair in [(node, other), (other, node)] {
@@ -220,7 +220,8 @@
         self.network.insert(key, packet);
     }
 
-    /// Lets one thing happen: a message arrives or a timer runs out.
+    /// Processes the next event: delivers a message or polls a node whose deadline has
+    /// passed. Returns false if there is none up to `end`.
     fn advance(&mut self, end: Timestamp) -> bool {
         let arrival = self.network.first_key_value().map(|((at, _), _)| *at);
         let deadlines = self.cores.iter();
@@ -256,7 +257,7 @@
         true
     }
 
-    /// Delivers what waits for a node, the latest first.
+    /// Delivers the withheld messages to their node in reverse order.
     pub fn deliver_reversed(&mut self) {
         let Some(node) = self.held_for.take() else {
             return;
@@ -278,7 +279,7 @@
         while self.advance(end) {}
     }
 
-    /// Runs until `done`; panics when that takes more than a virtual minute.
+    /// Runs until `done` returns true; panics after one minute of virtual time.
     pub fn run_until(&mut self, what: &str, mut done: impl FnMut(&Self) -> bool) {
         let end = self.now + Duration::from_secs(60);
         while !done(self) {
@@ -296,7 +297,7 @@
         leaders.next().map(|(&node, _)| node)
     }
 
-    /// Runs until every group has a leader; gives that of the control group.
+    /// Runs until every group has a leader; returns the leader of the control group.
     pub fn run_until_led(&mut self) -> NodeId {
         let groups = self.job_groups;
         self.run_until("leaders", |cluster| {
@@ -321,14 +322,14 @@
         ticket
     }
 
-    /// Proposes to whoever leads, again and again, until it is committed.
+    /// Proposes to the current leader, with retries, until the command is committed.
     pub fn commit(&mut self, group: GroupId, command: &[u8]) -> Vec<u8> {
         let reply = self.try_commit(group, command, &|_| false);
-        reply.unwrap_or_else(|| panic!("nothing is committed: {:#?}", self.statuses()))
+        reply.unwrap_or_else(|| panic!("the command was not committed: {:#?}", self.statuses()))
     }
 
-    /// Proposes to whoever leads, again and again, until it is committed or
-    /// `stopped`.
+    /// Proposes to the current leader, with retries, until the command is committed or
+    /// `stopped` returns true.
     pub fn try_commit(
         &mut self,
         group: GroupId,
@@ -354,7 +355,7 @@
         None
     }
 
-    /// Confirms an intent; gives the new version, or nothing when `stopped`.
+    /// Confirms an intent; returns the new version, or `None` if `stopped` returned true.
     pub fn try_confirm(
         &mut self,
         number: u64,
@@ -368,7 +369,7 @@
         }
     }
 
-    /// Confirms an intent with this number; gives the version it produced.
+    /// Confirms an intent with this number; returns the reply.
     pub fn confirm(&mut self, number: u64, base: ConfigVersion) -> ConfirmReply {
         let reply = self.commit(GroupId::CONTROL, &intent(number, base));
         match molespan_state::decode(&reply) {
@@ -377,7 +378,7 @@
         }
     }
 
-    /// Confirms intents 1 to `count`, each based on the one before.
+    /// Confirms intents 1 to `count`, each based on the previous version.
     pub fn confirm_many(&mut self, count: u64) {
         for number in 1..=count {
             let base = ConfigVersion(number - 1);
@@ -387,7 +388,7 @@
         }
     }
 
-    /// Asks one node for the version of the configuration.
+    /// Queries one node for the version of the configuration.
     pub fn version_at(&mut self, node: NodeId, consistency: Consistency) -> Option<ConfigVersion> {
         let ticket = self.ticket();
         let query = Input::Query {
@@ -406,7 +407,7 @@
         }
     }
 
-    /// Runs until every node has applied the same version of everything.
+    /// Runs until all nodes participate and have applied the same entries in all groups.
     pub fn run_until_equal(&mut self) {
         self.run_until("equal replicas", |cluster| {
             let applied = |status: &ReplicaStatus| -> Vec<u64> {
@@ -421,7 +422,7 @@
         });
     }
 
-    /// Whether each node votes in each group with its present life only.
+    /// Whether the voters of each group are exactly the current incarnations of all nodes.
     pub fn is_whole(&self) -> bool {
         let lives: BTreeSet<(NodeId, u32)> = self
             .statuses()
@@ -438,7 +439,7 @@
     }
 }
 
-/// An intent that changes the policy.
+/// Returns an encoded intent that changes the policy.
 pub fn intent(number: u64, base_version: ConfigVersion) -> Vec<u8> {
     let policy = Policy {
         tail_protection: (number % 100) as u8,
--- a/crates/replica/tests/crash_points.rs
+++ b/crates/replica/tests/crash_points.rs
@@ -1,5 +1,4 @@
-//! The power fails at each change of the disk in turn, under whole replica
-//! processes.
+//! Power failures at each single change of the disk, with whole replica processes.
 
 mod cluster;
 
@@ -10,7 +9,7 @@
 use molespan_replica::{Consistency, ReplicaSettings};
 use molespan_types::{ConfigVersion, GroupId};
 
-/// Changes to the configuration in one run.
+/// Number of configuration changes in one run.
 const CHANGES: u64 = 14;
 
 fn small(settings: &mut ReplicaSettings) {
@@ -20,7 +19,7 @@
     settings.log.reserve_bytes = 128;
 }
 
-/// Confirms changes and submits jobs until the power fails; gives the last
+/// Confirms changes and submits jobs until the power fails. Returns the last
 /// acknowledged version and the number of acknowledged jobs.
 fn work(cluster: &mut Cluster, stopped: impl Fn(&Cluster) -> bool) -> (ConfigVersion, u32) {
     let mut version = ConfigVersion(0);
@@ -38,8 +37,8 @@
     (version, jobs)
 }
 
-/// Runs a node alone with the power failing after `changes`; says whether it
-/// failed.
+/// Runs a single node whose power fails after `changes` disk changes. Returns
+/// whether the power failed during the run.
 fn alone(changes: u64, seed: u64) -> bool {
     let mut cluster = Cluster::stopped(1, seed, small);
     cluster.disks[&node(1)].fail_power_after(changes);
@@ -115,7 +114,7 @@
         cluster.errors.clear();
         cluster.restart(victim);
         assert!(cluster.errors.is_empty(), "{point}: {:?}", cluster.errors);
-        cluster.run_until("the new life votes", Cluster::is_whole);
+        cluster.run_until("a new incarnation that votes", Cluster::is_whole);
         assert!(cluster.leader(GroupId::CONTROL).is_some());
     }
 }
--- a/crates/replica/tests/discovery.rs
+++ b/crates/replica/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! Groups whose members are not listed: founded by seeds, joined through
-//! whoever answers, and kept at the wanted number of voters.
+//! Groups that discover their members: founded by seeds, joined through any
+//! responding node, and kept at the desired number of voters.
 
 mod cluster;
 
@@ -16,7 +16,7 @@
     SEEDS.into_iter().map(NodeId).collect()
 }
 
-/// Nodes 1 to 3 are the seeds and found; everyone greets them first.
+/// Makes nodes 1 to 3 the seeds: they are the founders and the first contacts.
 fn discover(settings: &mut ReplicaSettings) {
     let mut discovery = Discovery::new(GroupId::CONTROL);
     discovery.contacts = seeds();
@@ -32,7 +32,8 @@
     }
 }
 
-/// `size` nodes with disks, of which the seeds are started for the first time.
+/// Returns a cluster of `size` nodes of which only the seeds are started, with blank
+/// disks.
 fn founded(size: u32, seed: u64, tune: fn(&mut ReplicaSettings)) -> Cluster {
     let mut cluster = Cluster::stopped(size, seed, tune);
     cluster.job_groups = 0;
@@ -54,7 +55,8 @@
     })
 }
 
-/// Whether a node votes with its present life, in no joint membership.
+/// Whether a node votes with its current incarnation, and no other incarnation of any
+/// node votes as well.
 fn is_settled(status: &ReplicaStatus) -> bool {
     status.groups.first().is_some_and(|group| {
         let nodes: BTreeSet<NodeId> = group.voters.iter().map(|(node, _)| *node).collect();
@@ -97,7 +99,7 @@
         cluster.run_until_led();
         cluster.first_start = false;
         cluster.confirm_many(5);
-        // The third one comes late, as one that knows of no founding.
+        // The third node starts late and does not know the founders.
         cluster.start(node(order[2]));
         run_until_voters(&mut cluster, &SEEDS);
         assert_eq!(newest(&mut cluster), Some(ConfigVersion(5)));
@@ -129,7 +131,7 @@
         let wanted: Vec<u32> = (1..=4).filter(|&number| number != gone).collect();
         run_until_voters(&mut cluster, &wanted);
         assert_eq!(newest(&mut cluster), Some(ConfigVersion(20)));
-        // Then another one is lost with its disk at once.
+        // Another node loses its disk right afterwards.
         let second = node(wanted[0]);
         cluster.lose_disk(second);
         run_until_voters(&mut cluster, &wanted);
@@ -171,8 +173,8 @@
     }
 }
 
-/// Bytes that a node sends in a second on the average, in a group of three voters
-/// with `spares` beside them.
+/// Returns the average bytes per second that a node sends in a cluster of three voters
+/// and `spares` spare nodes.
 fn bytes_a_second(spares: u32) -> u64 {
     const SECONDS: u64 = 20;
     let size = 3 + spares;
@@ -180,7 +182,7 @@
     for spare in 4..=size {
         cluster.start(node(spare));
     }
-    // The control nodes tell everybody of everybody.
+    // The control nodes announce all nodes to each other.
     for told in cluster.nodes() {
         let members = Input::Members {
             contacts: cluster.nodes().into_iter().collect(),
@@ -199,7 +201,7 @@
 fn what_a_spare_machine_says_does_not_grow_with_the_square_of_the_spares() {
     let few = bytes_a_second(5);
     let many = bytes_a_second(40);
-    // Each greets all others once in a while, so it grows a little.
+    // Each node periodically sends a hello to all others, so some growth is expected.
     assert!(
         many < 3 * few,
         "{many} bytes beside 40 spares, {few} beside 5"
@@ -213,7 +215,7 @@
     cluster.start(node(4));
     cluster.start(node(5));
     run_until_voters(&mut cluster, &[1, 2, 3, 4, 5]);
-    // The last joint membership looks the same until it is left.
+    // The final joint membership has the same voters until the group leaves it.
     cluster.run_for(Duration::from_secs(1));
     cluster.lose_disk(node(1));
     cluster.lose_disk(node(2));
@@ -238,7 +240,7 @@
         run_until_voters(&mut cluster, &wanted);
         cluster.run_for(Duration::from_secs(10));
         assert!(!voters(&cluster).contains(&node(leaving)));
-        // Its disk is taken away, and another one is lost right after.
+        // The retiring node is removed, and another node loses its disk right afterwards.
         cluster.kill(node(leaving));
         cluster.lose_disk(node(wanted[1]));
         run_until_voters(&mut cluster, &wanted);
@@ -273,7 +275,7 @@
     run_until_voters(&mut cluster, &wanted);
     let before = cluster.cores[&cut].status().incarnation;
     cluster.isolate(cut, false);
-    cluster.run_until("a new life", |cluster| {
+    cluster.run_until("a new incarnation", |cluster| {
         cluster.cores[&cut].status().incarnation != before
     });
     cluster.run_for(Duration::from_secs(5));
@@ -310,7 +312,7 @@
     }
     run_until_voters(&mut cluster, &SEEDS);
     cluster.confirm_many(3);
-    // The fourth one joins through them when one is gone.
+    // The fourth node joins through the founders when one of them is gone.
     cluster.kill(node(2));
     run_until_voters(&mut cluster, &[1, 3, 4]);
     assert_eq!(newest(&mut cluster), Some(ConfigVersion(3)));
--- a/crates/replica/tests/disks.rs
+++ b/crates/replica/tests/disks.rs
@@ -13,7 +13,7 @@
     cluster.version_at(leader, Consistency::Linearizable)
 }
 
-/// Lives of all nodes.
+/// Returns the incarnations of all nodes.
 fn lives(cluster: &Cluster) -> Vec<(NodeId, u32)> {
     let statuses = cluster.statuses();
     statuses
@@ -129,7 +129,7 @@
     let witness = nodes.find(|&node| node != leader && node != victim);
     let witness = witness.unwrap();
     let backup = cluster.disks[&victim].backup();
-    // The witness hears the victim but not the leader.
+    // The witness receives messages from the victim but not from the leader.
     cluster.cut.insert((leader, witness));
     cluster.cut.insert((witness, leader));
     for number in 6..=20 {
@@ -141,7 +141,7 @@
     cluster.isolate(leader, true);
     cluster.start(victim);
     cluster.run_for(Duration::from_secs(10));
-    // Only the leader holds what was acknowledged.
+    // Only the leader still has the acknowledged changes.
     cluster.isolate(leader, false);
     cluster.run_until("the repair", Cluster::is_whole);
     assert_eq!(version(&mut cluster), Some(ConfigVersion(20)));
@@ -183,7 +183,7 @@
         let ticket = cluster.propose_to(node(1), GroupId::CONTROL, command);
         cluster.run_for(Duration::from_millis(60));
         match &cluster.answers[&ticket] {
-            Ok(_) => assert_eq!(refused, 0, "taken after a refusal"),
+            Ok(_) => assert_eq!(refused, 0, "accepted after a refusal"),
             Err(Refusal::Refused {
                 outcome,
                 retry_after_ms,
@@ -212,7 +212,7 @@
         let leader = cluster.run_until_led();
         cluster.confirm_many(5);
         cluster.disks[&leader].set_full(true);
-        // What it still takes spends its reserve.
+        // Commands that it still accepts use up its reserved disk space.
         let mut number = 5;
         let ends = cluster.now + Duration::from_secs(20);
         while cluster.leader(GroupId::CONTROL) == Some(leader) && cluster.now < ends {
--- a/crates/replica/tests/judgement.rs
+++ b/crates/replica/tests/judgement.rs
@@ -1,4 +1,4 @@
-//! Telling healthy disks from outdated ones under reordering and full disks.
+//! Detection of outdated disks under reordered messages and full disks.
 
 mod cluster;
 
@@ -16,7 +16,7 @@
     renewed.count()
 }
 
-/// Lets `to` lead the control group.
+/// Transfers leadership of the control group to `to`.
 fn lead(cluster: &mut Cluster, to: NodeId) {
     cluster.run_until("leadership", |cluster| {
         cluster.leader(GroupId::CONTROL).is_some()
@@ -36,7 +36,7 @@
     cluster.run_until_led();
     cluster.run_until("all voters", Cluster::is_whole);
     cluster.held_for = Some(node(1));
-    // Without what waits for node 1, the other two lead everything.
+    // Without the withheld messages to node 1, the other two lead all groups.
     cluster.run_for(Duration::from_secs(3));
     cluster.restart(node(3));
     cluster.run_for(Duration::from_secs(1));
@@ -77,7 +77,7 @@
         cluster.commit(GroupId::CONTROL, &command);
     }
     cluster.isolate(node(3), true);
-    // Long enough for node 2 to stop leading, so that it only answers hellos.
+    // Long enough for node 2 to step down, so that it only answers hellos.
     cluster.run_for(Duration::from_secs(2));
     cluster.start(node(1));
     cluster.run_for(Duration::from_millis(20));
--- a/crates/replica/tests/proposals.rs
+++ b/crates/replica/tests/proposals.rs
@@ -1,5 +1,5 @@
-//! Every request gets one answer, whatever becomes of the leader; and many
-//! groups share one disk.
+//! Every request gets exactly one answer across leader changes, and many groups
+//! share one sync of the disk.
 
 mod cluster;
 
@@ -10,7 +10,7 @@
 use molespan_storage::SimulatedDisk;
 use molespan_types::{ConfigVersion, GroupId, NodeId, RunOutcome};
 
-/// Proposes to `node` without waiting.
+/// Proposes to `node` without waiting for answers.
 fn propose_many(cluster: &mut Cluster, node: NodeId, count: u64) -> Vec<Ticket> {
     (0..count)
         .map(|number| {
--- a/crates/replica/tests/replication.rs
+++ b/crates/replica/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Replica processes together: founding, committing, restarting.
+//! Clusters of replica processes: founding, committing, restarting.
 
 mod cluster;
 
@@ -123,7 +123,7 @@
     }
     assert!(cluster.errors.is_empty(), "{:?}", cluster.errors);
     let version = ConfigVersion(1_000);
-    // A resend of an old confirmation still gets its first answer.
+    // A resent old confirmation still gets the original answer.
     let reply = cluster.confirm(1_000, ConfigVersion(999));
     assert_eq!(reply, ConfirmReply::Confirmed { version });
     for node in cluster.nodes() {
--- a/crates/replica/tests/restart_after_replacement.rs
+++ b/crates/replica/tests/restart_after_replacement.rs
@@ -1,4 +1,4 @@
-//! Restarts whose log still holds the changes that replaced lost disks.
+//! Restarts with a log that still contains the changes that replaced lost disks.
 
 mod cluster;
 
--- a/crates/replica/tests/submissions.rs
+++ b/crates/replica/tests/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions that their clients gave up.
+//! Submissions abandoned by their clients.
 
 mod cluster;
 
@@ -20,7 +20,7 @@
     cluster.run_for(Duration::from_secs(15));
     let leader = cluster.leader(GroupId(1)).unwrap();
     cluster.restart(leader);
-    // The new leader has not watched it for long enough.
+    // The new leader has not observed the submission for the submission timeout yet.
     cluster.run_for(Duration::from_secs(10));
     let node = cluster.other_than(leader);
     assert_eq!(phase(&mut cluster, node, 1), Some(JobPhase::Submitting));
