--- a/crates/replica/examples/figures/changes.rs
+++ b/crates/replica/examples/figures/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration, as operators make them.
+//! Configuration changes as made by operators.
 
 use std::error::Error;
 
@@ -9,7 +9,7 @@
 
 use crate::fleet::{Client, reply};
 
-/// An encoded intent that changes the policy, based on version `number - 1`.
+/// Returns an encoded intent that changes the policy, based on version `number - 1`.
 pub fn intent(number: u64) -> Vec<u8> {
     let policy = Policy {
         tail_protection: (number % 100) as u8,
@@ -23,7 +23,7 @@
     molespan_state::encode(&ControlCommand::Confirm(confirm))
 }
 
-/// Confirms one intent after the other.
+/// Confirms intents one after another.
 pub fn confirm_all(
     client: &Client,
     numbers: impl Iterator<Item = u64>,
--- a/crates/replica/examples/figures/fail_over.rs
+++ b/crates/replica/examples/figures/fail_over.rs
@@ -1,4 +1,4 @@
-//! How long a group is without a leader when the leader is killed.
+//! Time without a leader after the leader is killed.
 
 use std::error::Error;
 use std::time::Instant;
--- a/crates/replica/examples/figures/fleet.rs
+++ b/crates/replica/examples/figures/fleet.rs
@@ -1,4 +1,4 @@
-//! Three replica processes and the ways to reach them.
+//! Three replica processes and clients for them.
 
 use std::collections::HashMap;
 use std::error::Error;
@@ -16,11 +16,11 @@
 use crate::process::{Answer, Counters, Process, Request, open};
 
 const NODES: u32 = 3;
-/// Longest wait for something that must happen.
+/// Maximum wait for an expected condition.
 const PATIENCE: Duration = Duration::from_secs(30);
 const PAUSE: Duration = Duration::from_millis(2);
 
-/// Three replicas with a folder each.
+/// Three replicas, each with its own folder.
 pub struct Fleet {
     folder: TempDir,
     start: Instant,
@@ -38,7 +38,7 @@
 }
 
 impl Fleet {
-    /// Starts blank replicas and waits until every group is led.
+    /// Starts blank replicas and waits until every group has a leader.
     pub fn start(tune: fn(&mut ReplicaSettings)) -> Result<Self, Box<dyn Error>> {
         let mut fleet = Self {
             folder: tempfile::tempdir()?,
@@ -83,7 +83,7 @@
         Ok(())
     }
 
-    /// Stops a process as a kill would, without a farewell.
+    /// Stops a process abruptly, without a graceful shutdown.
     pub fn stop(&mut self, node: NodeId) -> Option<Receiver<Request>> {
         let _ = self.senders[&node].send(Request::Stop);
         self.threads.remove(&node)?.join().ok()
@@ -93,12 +93,12 @@
     pub fn lose_disk(&mut self, node: NodeId) -> Result<(), Box<dyn Error>> {
         let inbox = self.stop(node).ok_or("the process does not run")?;
         std::fs::remove_dir_all(self.folder(node))?;
-        // What was sent to the earlier life is lost.
+        // Discards messages to the previous incarnation.
         while inbox.try_recv().is_ok() {}
         self.run(node, inbox)
     }
 
-    /// Whether each group has three voters, one life of each node.
+    /// Whether the voters of each group have exactly the given incarnations.
     pub fn is_whole(&self, incarnations: &[u32]) -> bool {
         (1..=NODES).map(NodeId).all(|node| {
             let groups = self.status(node).map(|status| status.groups);
@@ -111,7 +111,7 @@
         })
     }
 
-    /// The present life of each node.
+    /// Returns the current incarnation of each node.
     pub fn incarnations(&self) -> Vec<u32> {
         let nodes = (1..=NODES).map(NodeId);
         let statuses = nodes.filter_map(|node| self.status(node));
@@ -127,12 +127,12 @@
         reply.recv_timeout(PATIENCE).ok()
     }
 
-    /// The longest turn of any process so far.
+    /// Returns the longest poll of any process so far.
     pub fn longest_turn(&self) -> Duration {
         Duration::from_micros(self.counters.longest_turn.load(Ordering::Relaxed))
     }
 
-    /// Bytes that the processes have sent to each other so far.
+    /// Returns the total bytes sent between the processes so far.
     pub fn bytes_sent(&self) -> u64 {
         self.counters.bytes_sent.load(Ordering::Relaxed)
     }
@@ -156,7 +156,7 @@
         Err(format!("group {group} has no leader").into())
     }
 
-    /// Waits until the present life of each node votes in each group.
+    /// Waits until the current incarnation of each node votes in each group.
     pub fn wait_until_whole(&self) -> Result<(), Box<dyn Error>> {
         let end = Instant::now() + PATIENCE;
         while Instant::now() < end {
@@ -165,7 +165,7 @@
             }
             std::thread::sleep(PAUSE);
         }
-        Err("the new life does not vote everywhere".into())
+        Err("the new incarnation does not vote in every group".into())
     }
 
     fn wait_for_leaders(&self) -> Result<(), Box<dyn Error>> {
@@ -176,7 +176,7 @@
         Ok(())
     }
 
-    /// A client of the leader of `group`.
+    /// Returns a client for the leader of `group`.
     pub fn client(&self, group: GroupId) -> Result<Client, Box<dyn Error>> {
         let leader = self.wait_for_leader(group)?;
         let sender = self.senders[&leader].clone();
@@ -193,7 +193,7 @@
 }
 
 impl Client {
-    /// Proposes a command; the answer comes from the receiver.
+    /// Proposes a command; the answer arrives on the returned receiver.
     pub fn propose(&self, command: Vec<u8>) -> Receiver<Answer> {
         let group = self.group;
         self.ask(move |ticket| Input::Propose {
@@ -203,7 +203,7 @@
         })
     }
 
-    /// A linearizable read.
+    /// Starts a linearizable read; the answer arrives on the returned receiver.
     pub fn query(&self, query: Vec<u8>) -> Receiver<Answer> {
         let group = self.group;
         self.ask(move |ticket| Input::Query {
@@ -221,7 +221,7 @@
     }
 }
 
-/// The reply to a command that must be taken.
+/// Waits for the reply to a request; a refusal is an error.
 pub fn reply(answer: &Receiver<Answer>) -> Result<Vec<u8>, Box<dyn Error>> {
     match answer.recv_timeout(PATIENCE)? {
         Ok(reply) => Ok(reply),
--- a/crates/replica/examples/figures/idle.rs
+++ b/crates/replica/examples/figures/idle.rs
@@ -1,4 +1,4 @@
-//! What replicas cost that nobody uses, by the number of their groups.
+//! Resource usage of idle replicas, by number of groups.
 
 use std::error::Error;
 use std::time::Duration;
@@ -7,7 +7,7 @@
 
 const REPLICAS: f64 = 3.0;
 const WATCHED: Duration = Duration::from_secs(10);
-/// Clock ticks in which the system counts processor time.
+/// Clock ticks per second in which the operating system counts processor time.
 const TICKS_A_SECOND: f64 = 100.0;
 
 pub fn measure() -> Result<(), Box<dyn Error>> {
@@ -35,13 +35,13 @@
                 (after - before) / seconds / REPLICAS * 100.0
             )
         }
-        _ => "processor time not known here".to_owned(),
+        _ => "processor time not available".to_owned(),
     };
-    println!("{groups} idle groups: {sent:.0} bytes/s sent and {share} for each replica");
+    println!("{groups} idle groups: {sent:.0} bytes/s sent and {share} per replica");
     Ok(())
 }
 
-/// Processor time of this process, where the system tells it.
+/// Returns the processor time of this process in seconds, if available.
 fn processor_seconds() -> Option<f64> {
     let stat = std::fs::read_to_string("/proc/self/stat").ok()?;
     let (_, fields) = stat.rsplit_once(')')?;
--- a/crates/replica/examples/figures/items.rs
+++ b/crates/replica/examples/figures/items.rs
@@ -1,5 +1,5 @@
-//! Batch items a second through their whole life: submitted, leased to owners,
-//! recorded with a result.
+//! Throughput of batch items over their whole lifecycle: submitted, leased to
+//! owners, recorded with a result.
 
 use std::collections::VecDeque;
 use std::error::Error;
@@ -21,13 +21,13 @@
 const ITEMS: u32 = 110_000;
 const INPUT_BYTES: usize = 300;
 const RESULT_BYTES: usize = 400;
-/// Items of one append and of one lease.
+/// Items per append and per lease.
 const BATCH: u32 = 256;
-/// Results of one record.
+/// Results per record command.
 const RECORDED: usize = 64;
-/// Appends under way.
+/// Appends in flight.
 const APPENDS_AT_ONCE: usize = 8;
-/// Owners that lease and record side by side, one request each.
+/// Owners that lease and record concurrently, each with one request in flight.
 const OWNERS: u32 = 16;
 
 pub fn measure() -> Result<(), Box<dyn Error>> {
@@ -44,7 +44,7 @@
         for thread in threads {
             let run = thread.join().map_err(|_| "a client panicked")?;
             let times = run.inspect_err(|_| {
-                println!("longest turn of a replica: {:.0?}", fleet.longest_turn());
+                println!("longest poll of a replica: {:.0?}", fleet.longest_turn());
             })?;
             if groups == 1 {
                 report("submission", times.submission);
@@ -54,19 +54,20 @@
         let rate = f64::from(ITEMS * groups) / began.elapsed().as_secs_f64();
         println!("{groups} group(s): {rate:.0} items/s through their whole life");
         report_load(&fleet, groups)?;
-        println!("  longest turn of a replica: {:.0?}", fleet.longest_turn());
+        println!("  longest poll of a replica: {:.0?}", fleet.longest_turn());
     }
     Ok(())
 }
 
-/// How much was written for each item, by the leader of the first group.
+/// Reports the commands per sync and the payload bytes per item on the leader of the
+/// first group.
 fn report_load(fleet: &Fleet, groups: u32) -> Result<(), Box<dyn Error>> {
     let leader = fleet.wait_for_leader(GroupId(1))?;
     let status = fleet.status(leader).ok_or("no status")?;
     let commands: u64 = status.groups.iter().map(|group| group.applied).sum();
     let payload: u64 = status.groups.iter().map(|group| group.payload_bytes).sum();
     println!(
-        "  {:.1} commands a sync, {:.0} payload bytes an item",
+        "  {:.1} commands per sync, {:.0} payload bytes per item",
         commands as f64 / status.log_syncs as f64,
         payload as f64 / f64::from(ITEMS * groups)
     );
@@ -78,7 +79,7 @@
     println!("{what}: {rate:.0} items/s ({ITEMS} items in {took:.2?})");
 }
 
-/// How long the parts of a job took.
+/// Durations of the phases of a job.
 pub struct Times {
     submission: Duration,
     running: Duration,
@@ -143,13 +144,13 @@
     Ok(())
 }
 
-/// What an owner waits for.
+/// The request an owner is waiting for.
 enum Step {
     Lease(Receiver<Answer>),
     Record(GrantedLease, Receiver<Answer>),
 }
 
-/// Lets every owner lease and record until nothing is left.
+/// Leases and records items with all owners until none are left.
 fn run_items(client: &Client) -> Result<(), Box<dyn Error>> {
     let mut sequences = vec![0; OWNERS as usize];
     let mut steps: VecDeque<(u32, Step)> = (0..OWNERS)
--- a/crates/replica/examples/figures/latency.rs
+++ b/crates/replica/examples/figures/latency.rs
@@ -1,4 +1,4 @@
-//! How long a write and a read take, one at a time and many at once.
+//! Latency of writes and reads, sequential and concurrent.
 
 use std::collections::VecDeque;
 use std::error::Error;
@@ -21,11 +21,11 @@
     for at_once in AT_ONCE {
         let before = syncs();
         let began = Instant::now();
-        // The same intent again and again: a resend is a write as well.
+        // Repeats the same intent, because a resend is a write as well.
         let latencies = run(at_once, || client.propose(intent(1)))?;
         let synced = (syncs() - before).max(1);
         report("writes", at_once, latencies, began.elapsed());
-        println!("  {:.1} writes a sync", WRITES as f64 / synced as f64);
+        println!("  {:.1} writes per sync", WRITES as f64 / synced as f64);
     }
     for at_once in AT_ONCE {
         let began = Instant::now();
@@ -42,7 +42,7 @@
     }))
 }
 
-/// Runs requests with so many under way; gives their latencies.
+/// Runs requests with up to `at_once` in flight; returns their latencies.
 fn run(
     at_once: usize,
     send: impl Fn() -> std::sync::mpsc::Receiver<crate::process::Answer>,
--- a/crates/replica/examples/figures/main.rs
+++ b/crates/replica/examples/figures/main.rs
@@ -1,9 +1,9 @@
-//! Figures of replica processes on the disk of this machine: three replicas in
-//! one process, a thread and a folder each, joined by channels.
+//! Benchmarks of replica processes on the disk of this machine: three replicas in
+//! one process, each with a thread and a folder, connected by channels.
 //!
 //! `cargo run --release -p molespan-replica --example figures [NAME…]` with any
-//! of `latency`, `items`, `restart`, `memory`, `idle`, `fail-over`, `replacement`; all of them
-//! without a name. The data lies in a temporary folder below `TMPDIR`.
+//! of `latency`, `items`, `restart`, `memory`, `idle`, `fail-over`, `replacement`; without a
+//! name it runs all of them. The data is stored in a temporary folder below `TMPDIR`.
 
 mod changes;
 mod fail_over;
@@ -18,7 +18,7 @@
 
 use std::error::Error;
 
-/// A measurement by name.
+/// The name of a measurement and the function that runs it.
 type Measurement = (&'static str, fn() -> Result<(), Box<dyn Error>>);
 
 const MEASUREMENTS: &[Measurement] = &[
@@ -32,19 +32,19 @@
 ];
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let mut broken = false;
+    let mut failed = false;
     let wanted: Vec<String> = std::env::args().skip(1).collect();
     for (name, measure) in MEASUREMENTS {
         if wanted.is_empty() || wanted.iter().any(|one| one == name) {
             println!("## {name}");
             if let Err(error) = measure() {
-                println!("broke off: {error}");
-                broken = true;
+                println!("failed: {error}");
+                failed = true;
             }
         }
     }
-    if broken {
-        return Err("not every figure was taken".into());
+    if failed {
+        return Err("not all measurements completed".into());
     }
     Ok(())
 }
--- a/crates/replica/examples/figures/memory.rs
+++ b/crates/replica/examples/figures/memory.rs
@@ -1,4 +1,4 @@
-//! Memory of 100,000 items, running and finished.
+//! Memory usage of 100,000 items, running and finished.
 
 use std::error::Error;
 use std::time::Instant;
@@ -30,7 +30,7 @@
         payloads: FilePayloadLog::open(disk, GroupId(1), 0)?,
         sequence: 0,
     };
-    // So that the buffers of the first job are not counted.
+    // A first job excludes one-time buffer allocations from the measurement.
     group.submit(JOBS)?;
     group.run_all()?;
     let before = resident_bytes();
@@ -52,14 +52,14 @@
             let grown = after.saturating_sub(before) as f64 / f64::from(JOBS);
             format!("{grown:.0} resident bytes")
         }
-        _ => "resident bytes not known here".to_owned(),
+        _ => "resident bytes not available".to_owned(),
     };
     println!(
         "{what}: {resident} and {snapshot:.0} bytes of snapshot for each {ITEMS} items ({JOBS} jobs)"
     );
 }
 
-/// How long a replica does nothing else while it writes this machine.
+/// Measures how long writing a snapshot of this state machine blocks a replica.
 fn report_snapshot(group: &Group) -> Result<(), Box<dyn Error>> {
     let folder = tempfile::tempdir()?;
     let store = SnapshotStore::open(RealDisk::open(folder.path())?, GroupId(1))?;
@@ -79,7 +79,7 @@
     Ok(())
 }
 
-/// Memory of this process, where the system tells it.
+/// Returns the resident memory of this process in bytes, if available.
 fn resident_bytes() -> Option<u64> {
     let statm = std::fs::read_to_string("/proc/self/statm").ok()?;
     let pages: u64 = statm.split_whitespace().nth(1)?.parse().ok()?;
--- a/crates/replica/examples/figures/process.rs
+++ b/crates/replica/examples/figures/process.rs
@@ -1,4 +1,4 @@
-//! A replica process on a thread of its own.
+//! A replica process on its own thread.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -13,31 +13,31 @@
 use molespan_storage::RealDisk;
 use molespan_types::{NodeId, Timestamp};
 
-/// Inputs taken in before the next turn of work.
+/// Maximum number of inputs processed between two polls.
 const MOST_INPUTS: usize = 4_096;
 
-/// How a request ended.
+/// The result of a request.
 pub type Answer = Result<Vec<u8>, Refusal>;
 
-/// What a process is asked.
+/// A request to a process.
 pub enum Request {
     Input(Input),
-    /// A request whose answer goes to the sender.
+    /// An input whose answer is sent to the given sender.
     Ask(Box<dyn FnOnce(Ticket) -> Input + Send>, Sender<Answer>),
     Status(Sender<ReplicaStatus>),
     Stop,
 }
 
-/// What all processes of a fleet count together.
+/// Counters shared by all processes of a fleet.
 #[derive(Debug, Default)]
 pub struct Counters {
-    /// The longest turn, in microseconds: while it lasts no heartbeat goes out.
+    /// The longest poll, in microseconds. No heartbeat is sent during a poll.
     pub longest_turn: AtomicU64,
-    /// Bytes sent from one replica to another.
+    /// Total bytes sent between replicas.
     pub bytes_sent: AtomicU64,
 }
 
-/// What drives one replica core.
+/// The driver of one replica core.
 pub struct Process {
     pub core: ReplicaCore<RealDisk>,
     pub start: Instant,
@@ -49,7 +49,7 @@
     last_ticket: u64,
 }
 
-/// Opens the replica of a folder.
+/// Opens the replica stored in a folder.
 pub fn open(
     folder: &Path,
     settings: ReplicaSettings,
@@ -60,7 +60,7 @@
 }
 
 pub fn now(start: Instant) -> Timestamp {
-    // Zero stands for "never" in timestamps.
+    // A timestamp of zero means "never".
     Timestamp::ZERO + start.elapsed() + Duration::from_millis(1)
 }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Works until it is told to stop; gives the inbox back for another start.
+    /// Runs until it receives a stop request or fails; returns the inbox for a restart.
     pub fn run(mut self) -> Receiver<Request> {
         while self.take_inputs() {
             let began = Instant::now();
@@ -107,7 +107,7 @@
         self.inbox
     }
 
-    /// Waits for inputs or the next deadline; says whether to go on.
+    /// Waits for inputs or the next deadline; returns whether to continue.
     fn take_inputs(&mut self) -> bool {
         let wait = self.core.next_deadline().since(now(self.start));
         let mut next = match self.inbox.recv_timeout(wait) {
--- a/crates/replica/examples/figures/replacement.rs
+++ b/crates/replica/examples/figures/replacement.rs
@@ -1,4 +1,4 @@
-//! How long it takes until a lost replica is replaced by its new life.
+//! Time until a lost replica is replaced by its new incarnation.
 
 use std::error::Error;
 use std::time::Instant;
--- a/crates/replica/examples/figures/restart.rs
+++ b/crates/replica/examples/figures/restart.rs
@@ -1,4 +1,4 @@
-//! How long a snapshot takes, and a restart after 1,000 changes.
+//! Duration of a snapshot and of a restart after 1,000 changes.
 
 use std::error::Error;
 use std::time::{Duration, Instant};
@@ -24,7 +24,7 @@
     })
 }
 
-/// Writes the machine after so many changes.
+/// Measures a snapshot of the state machine after [`CHANGES`] changes.
 fn snapshot() -> Result<(), Box<dyn Error>> {
     let mut machine = ControlMachine::new();
     for number in 1..=CHANGES {
@@ -50,7 +50,7 @@
     let mut fleet = Fleet::start(tune)?;
     let client = fleet.client(GroupId::CONTROL)?;
     confirm_all(&client, 1..=CHANGES)?;
-    // Lets the last snapshot be taken.
+    // Waits until the last snapshot has been taken.
     std::thread::sleep(Duration::from_millis(300));
     let leader = fleet.wait_for_leader(GroupId::CONTROL)?;
     let node = (1..=3).map(NodeId).find(|&node| node != leader);
