--- a/crates/replica/src/bootstrap.rs
+++ b/crates/replica/src/bootstrap.rs
@@ -10,7 +10,7 @@
 use crate::ReplicaSettings;
 use crate::fleet::Fleet;
 use crate::group::{Group, config};
-use crate::message::Standing;
+use crate::message::JoinState;
 use crate::shared::Shared;
 
 /// Returns the groups of a process: the control group and the job groups, or the
@@ -33,7 +33,7 @@
     shared: &mut Shared<D>,
     mut recovery: Recovery,
 ) -> Result<BTreeMap<GroupId, Group<D>>, ReplicaError> {
-    if fleet.record().standing == Standing::Founder {
+    if fleet.record().join_state == JoinState::Founder {
         bootstrap(fleet, shared, &mut recovery)?;
     }
     let mut groups = BTreeMap::new();
@@ -62,7 +62,7 @@
         recovery.groups.insert(id, write_first(shared, id, &first));
     }
     shared.log.sync()?;
-    fleet.note_bootstrapped()?;
+    fleet.record_bootstrapped()?;
     Ok(())
 }
 
--- a/crates/replica/src/core.rs
+++ b/crates/replica/src/core.rs
@@ -12,7 +12,7 @@
 use crate::fleet::{Fleet, FleetChange};
 use crate::group::{Group, Progress};
 use crate::identity::node_of;
-use crate::message::{GroupPayload, Hello, PeerMessage, Standing};
+use crate::message::{GroupPayload, Hello, JoinState, PeerMessage};
 use crate::shared::Shared;
 use crate::turn::not_run;
 use crate::{
@@ -75,7 +75,7 @@
         mut random: ChaCha8Rng,
         now: Timestamp,
     ) -> Result<Self, ReplicaError> {
-        records::finish_emptying(&disk, group_ids(&settings))?;
+        records::finish_wipe(&disk, group_ids(&settings))?;
         let fresh = fresh_incarnation(&disk, &settings, &mut random)?;
         let identity = DiskIdentity::open(&disk, settings.node, fresh)?;
         let session = random.random();
@@ -92,10 +92,10 @@
             next_tick: now,
             failure: None,
         };
-        if core.fleet.record().standing != Standing::Blank {
+        if core.fleet.record().join_state != JoinState::Blank {
             core.open_groups()?;
         }
-        core.follow(now, changes)?;
+        core.apply_fleet_changes(now, changes)?;
         Ok(core)
     }
 
@@ -112,13 +112,13 @@
     pub fn handle(&mut self, now: Timestamp, input: Input) {
         let result = match input {
             Input::Message { from, group, bytes } => self.receive(now, from, group, &bytes),
-            Input::Found { founders } => self.found(now, &founders),
+            Input::Found { founders } => self.handle_founders(now, &founders),
             Input::Members { contacts, retiring } => {
-                self.fleet.note_members(&contacts, retiring);
+                self.fleet.record_contacts(&contacts, retiring);
                 Ok(())
             }
             request => {
-                self.request(now, request);
+                self.handle_request(now, request);
                 Ok(())
             }
         };
@@ -127,7 +127,7 @@
         }
     }
 
-    fn request(&mut self, now: Timestamp, request: Input) {
+    fn handle_request(&mut self, now: Timestamp, request: Input) {
         let (ticket, group) = match &request {
             Input::Message { .. } | Input::Found { .. } | Input::Members { .. } => return,
             Input::Propose { ticket, group, .. }
@@ -142,11 +142,11 @@
         let Some(group) = self.groups.get_mut(&group) else {
             return self.refuse(ticket, "there is no such group");
         };
-        if self.fleet.waits() && request.needs_leader() {
+        if self.fleet.is_waiting() && request.needs_leader() {
             // A replica that waits to become a voter receives nothing from a leader, but
             // knows the voters.
             let leader = group.leader();
-            let leader = leader.or_else(|| self.fleet.draw_voter(&mut self.random));
+            let leader = leader.or_else(|| self.fleet.random_voter(&mut self.random));
             let result = Err(Refusal::NotLeader { leader });
             return self.shared.outputs.push(Output::Reply { ticket, result });
         }
@@ -165,14 +165,14 @@
     }
 
     /// Handles the announced founders, and founds the group if this node is one of them.
-    fn found(
+    fn handle_founders(
         &mut self,
         now: Timestamp,
         founders: &BTreeMap<NodeId, u32>,
     ) -> Result<(), ReplicaError> {
         let mut changes = Vec::new();
         self.fleet.found(founders, &mut changes)?;
-        self.follow(now, changes)
+        self.apply_fleet_changes(now, changes)
     }
 
     fn refuse(&mut self, ticket: Ticket, message: &str) {
@@ -199,7 +199,7 @@
                 sequence,
                 payload,
             }) if node_of(sender) == from && to == self.fleet.own_id() => {
-                self.fleet.saw_sequence(sender, session, sequence);
+                self.fleet.record_sequence(sender, session, sequence);
                 self.receive_group(now, sender, group, payload)
             }
             _ => Ok(()),
@@ -217,7 +217,7 @@
         if let Some(reply) = reply {
             self.send_hello(to, reply);
         }
-        self.follow(now, changes)
+        self.apply_fleet_changes(now, changes)
     }
 
     fn receive_group(
@@ -236,17 +236,21 @@
         let turn = &mut self.shared.turn(now);
         match payload {
             GroupPayload::Consensus(message) => group.step(from, message),
-            GroupPayload::Pull(pull) => group.serve(turn, from, &pull)?,
+            GroupPayload::Pull(pull) => group.send_chunk(turn, from, &pull)?,
             GroupPayload::Chunk(chunk) => group.receive_chunk(turn, from, &chunk)?,
         }
         Ok(())
     }
 
     /// Applies changes reported by the fleet state.
-    fn follow(&mut self, now: Timestamp, changes: Vec<FleetChange>) -> Result<(), ReplicaError> {
+    fn apply_fleet_changes(
+        &mut self,
+        now: Timestamp,
+        changes: Vec<FleetChange>,
+    ) -> Result<(), ReplicaError> {
         for change in changes {
             match change {
-                FleetChange::Formed => {
+                FleetChange::FoundersKnown => {
                     self.open_groups()?;
                     self.report_founding();
                 }
@@ -261,7 +265,7 @@
                 }
                 FleetChange::Outdated { by } => {
                     let reason = format!("node {by} knows a later state of this disk");
-                    return self.renew(now, reason);
+                    return self.start_new_incarnation(now, reason);
                 }
                 FleetChange::Contradiction { with } => {
                     let message = format!("node {with} has other first voters");
@@ -274,7 +278,7 @@
 
     fn report_founding(&mut self) {
         let record = self.fleet.record();
-        let event = if record.standing == Standing::Founder {
+        let event = if record.join_state == JoinState::Founder {
             let founders = record.founders.iter();
             ReplicaEvent::Founded {
                 nodes: founders.map(|&founder| node_of(founder)).collect(),
@@ -290,12 +294,16 @@
 
     /// Ends the current incarnation: wipes the disk and reloads the process as a new
     /// incarnation.
-    fn renew(&mut self, now: Timestamp, reason: String) -> Result<(), ReplicaError> {
+    fn start_new_incarnation(
+        &mut self,
+        now: Timestamp,
+        reason: String,
+    ) -> Result<(), ReplicaError> {
         for group in self.groups.values_mut() {
             group.abandon_all(&mut self.shared.turn(now));
         }
         let settings = self.shared.settings.clone();
-        records::empty(&self.disk, self.fleet.record(), group_ids(&settings))?;
+        records::wipe(&self.disk, self.fleet.record(), group_ids(&settings))?;
         let outputs = std::mem::take(&mut self.shared.outputs);
         let random = ChaCha8Rng::from_rng(&mut self.random);
         *self = Self::load(self.disk.clone(), settings, random, now)?;
@@ -318,20 +326,20 @@
         if let Some(failure) = self.failure.take() {
             return Err(failure);
         }
-        self.greet(now);
+        self.send_due_hellos(now);
         if self.fleet.takes_part() {
             let ticked = self.tick(now);
-            self.run(now)?;
+            self.process_groups(now)?;
             if ticked {
                 self.maintain(now)?;
-                self.run(now)?;
+                self.process_groups(now)?;
             }
-            self.conclude(now)?;
+            self.report_changes(now)?;
         }
         Ok(std::mem::take(&mut self.shared.outputs))
     }
 
-    fn greet(&mut self, now: Timestamp) {
+    fn send_due_hellos(&mut self, now: Timestamp) {
         let sequence = self.shared.log.sequence();
         for (node, hello) in self.fleet.hellos_due(now, sequence) {
             self.send_hello(node, hello);
@@ -363,23 +371,23 @@
             self.next_tick = now + self.shared.settings.tick;
         }
         if ticks > 0 {
-            self.shared.note_tick();
+            self.shared.record_tick();
         }
         ticks > 0
     }
 
     /// Processes all groups until no work is left, with one sync for all of them in
     /// each round.
-    fn run(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
+    fn process_groups(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
         loop {
             let mut worked = false;
             for group in self.groups.values_mut() {
-                match group.take_ready(&mut self.shared.turn(now))? {
+                match group.process_ready(&mut self.shared.turn(now))? {
                     Progress::Idle => {}
                     Progress::Worked => worked = true,
                     Progress::RolledBack => {
                         let reason = "acknowledged entries are missing".to_owned();
-                        return self.renew(now, reason);
+                        return self.start_new_incarnation(now, reason);
                     }
                 }
             }
@@ -397,7 +405,7 @@
 
     /// Performs the periodic work that is due at each tick.
     fn maintain(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
-        self.shared.watch_space(now)?;
+        self.shared.check_disk_space(now)?;
         let joining = self.fleet.joining(now);
         let retiring = self.fleet.retiring().clone();
         for group in self.groups.values_mut() {
@@ -406,25 +414,25 @@
             group.time_out_proposals(turn);
             group.expire_leases(turn);
             group.abandon_submissions(turn);
-            group.end_open_claims(turn);
+            group.settle_expired_claims(turn);
             group.replace_lost(&joining);
-            group.step_aside_when_full(turn);
-            group.renew_members(turn, &joining, &retiring);
-            group.drive_transfer(turn);
-            group.drop_idle_serving(now);
+            group.transfer_leadership_when_full(turn);
+            group.maintain_voters(turn, &joining, &retiring);
+            group.check_transfer(turn);
+            group.drop_idle_outgoing(now);
         }
-        self.take_a_snapshot(now)?;
+        self.take_due_snapshot(now)?;
         self.shared.log.remove_obsolete()?;
         Ok(())
     }
 
     /// Takes at most one snapshot, and only once the log record of the previous one is
     /// durable: the log must never refer to a removed snapshot.
-    fn take_a_snapshot(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
+    fn take_due_snapshot(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
         if self.shared.log.has_unsynced() {
             return Ok(());
         }
-        let segments = self.shared.settings.most_segments();
+        let segments = self.shared.settings.max_segments();
         let lagging = self.shared.log.lagging_group(segments);
         for (&id, group) in &mut self.groups {
             let turn = &mut self.shared.turn(now);
@@ -436,11 +444,11 @@
     }
 
     /// Reports leader changes, and records membership changes durably.
-    fn conclude(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
+    fn report_changes(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
         for group in self.groups.values_mut() {
             group.report_leader(&mut self.shared.turn(now));
         }
-        match self.note_members() {
+        match self.record_membership_changes() {
             // Retried at the next poll.
             Err(error) if error.is_full() => Ok(()),
             result => Ok(result?),
@@ -449,16 +457,16 @@
 
     /// Records which replicas were replaced, who votes, and whether this replica votes
     /// in every group.
-    fn note_members(&mut self) -> Result<(), StorageError> {
-        self.fleet.note_replaced(&self.shared.replaced)?;
+    fn record_membership_changes(&mut self) -> Result<(), StorageError> {
+        self.fleet.record_replaced(&self.shared.replaced)?;
         self.shared.replaced.clear();
         if self.shared.settings.discovery.is_some() {
             let voters = self.groups.values().next().map(Group::known_voters);
-            self.fleet.note_voters(voters.unwrap_or_default())?;
+            self.fleet.record_voters(voters.unwrap_or_default())?;
         }
-        let joining = self.fleet.record().standing == Standing::Joining;
+        let joining = self.fleet.record().join_state == JoinState::Joining;
         if joining && self.groups.values().all(Group::is_settled_voter) {
-            self.fleet.note_member()?;
+            self.fleet.record_member()?;
         }
         Ok(())
     }
--- a/crates/replica/src/fleet.rs
+++ b/crates/replica/src/fleet.rs
@@ -15,25 +15,25 @@
 use rand::seq::IteratorRandom;
 
 use crate::identity::{node_of, replica_id};
-use crate::message::{Hello, KnownVoters, Standing, Verdict};
+use crate::message::{Hello, JoinState, KnownVoters, Verdict};
 use crate::records::{BootRecord, FleetRecord};
 use crate::{FIRST_INCARNATION, ReplicaSettings};
 
 /// Hello interval of a process that is neither a voter nor waiting to become one.
-const EAGER_INTERVAL: Duration = Duration::from_millis(200);
+const JOINING_HELLO_INTERVAL: Duration = Duration::from_millis(200);
 /// Interval between hellos to all nodes otherwise.
-const CALM_INTERVAL: Duration = Duration::from_secs(5);
+const HELLO_INTERVAL: Duration = Duration::from_secs(5);
 /// Interval between hellos to the voters from a process that waits to become one.
-/// Two of them may be lost within [`PRESENCE`].
-const WAITING_INTERVAL: Duration = Duration::from_secs(1);
+/// Two of them may be lost within [`HELLO_TTL`].
+const WAITING_HELLO_INTERVAL: Duration = Duration::from_secs(1);
 /// TTL of a hello; a process without a newer one counts as absent.
-const PRESENCE: Duration = Duration::from_secs(3);
+const HELLO_TTL: Duration = Duration::from_secs(3);
 
 /// A change that results from a hello.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum FleetChange {
     /// The founders are known, so this replica's groups can be opened.
-    Formed,
+    FoundersKnown,
     /// This replica may participate in the groups.
     TakesPart,
     /// This disk is outdated, so this process must become a new replica.
@@ -50,7 +50,7 @@
 
 /// The latest hello from another process.
 #[derive(Clone, Debug)]
-struct Presence {
+struct LatestHello {
     at: Timestamp,
     hello: Hello,
     outdated: bool,
@@ -63,18 +63,18 @@
 /// Later messages of a session may overtake the hello that announces it, so only
 /// the writes observed in other sessions indicate that a disk was rolled back.
 #[derive(Debug, Default)]
-struct SeenWrites {
+struct ObservedWrites {
     sessions: BTreeMap<u64, u64>,
 }
 
-impl SeenWrites {
-    fn note(&mut self, session: u64, sequence: u64) {
+impl ObservedWrites {
+    fn observe(&mut self, session: u64, sequence: u64) {
         let highest = self.sessions.entry(session).or_default();
         *highest = sequence.max(*highest);
     }
 
     /// Returns the highest write observed in sessions other than `session`.
-    fn before(&self, session: u64) -> u64 {
+    fn highest_in_other_sessions(&self, session: u64) -> u64 {
         let others = self.sessions.iter().filter(|(one, _)| **one != session);
         others.map(|(_, sequence)| *sequence).max().unwrap_or(0)
     }
@@ -99,9 +99,9 @@
     discovers: bool,
     /// Nodes that must not be voters.
     retiring: BTreeSet<NodeId>,
-    present: BTreeMap<NodeId, Presence>,
+    latest_hellos: BTreeMap<NodeId, LatestHello>,
     /// Highest observed writes of each incarnation.
-    sequences: BTreeMap<ReplicaId, SeenWrites>,
+    sequences: BTreeMap<ReplicaId, ObservedWrites>,
     confirmed: BTreeSet<NodeId>,
     takes_part: bool,
     next_hello: Timestamp,
@@ -111,11 +111,11 @@
 
 /// Progress of a process towards becoming a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
+enum JoinProgress {
     /// It does not participate yet, or still joins a group with listed members.
-    Open,
+    NotJoined,
     /// It participates and waits to become a voter, possibly forever.
-    Waits,
+    Waiting,
     /// It is a voter.
     Voter,
 }
@@ -145,7 +145,7 @@
             others,
             discovers: settings.discovery.is_some(),
             retiring: BTreeSet::new(),
-            present: BTreeMap::new(),
+            latest_hellos: BTreeMap::new(),
             sequences: BTreeMap::new(),
             confirmed: BTreeSet::new(),
             takes_part: false,
@@ -195,9 +195,9 @@
 
     /// Records up to which sequence number another replica has synced its log in one
     /// session.
-    pub fn saw_sequence(&mut self, replica: ReplicaId, session: u64, sequence: u64) {
+    pub fn record_sequence(&mut self, replica: ReplicaId, session: u64, sequence: u64) {
         let seen = self.sequences.entry(replica).or_default();
-        seen.note(session, sequence);
+        seen.observe(session, sequence);
     }
 
     /// Returns the hellos to send now, if any are due.
@@ -205,16 +205,16 @@
         if now < self.next_hello {
             return Vec::new();
         }
-        let place = self.place();
+        let progress = self.join_progress();
         self.next_hello = now
-            + match place {
-                Place::Open => EAGER_INTERVAL,
-                Place::Waits => WAITING_INTERVAL,
-                Place::Voter => CALM_INTERVAL,
+            + match progress {
+                JoinProgress::NotJoined => JOINING_HELLO_INTERVAL,
+                JoinProgress::Waiting => WAITING_HELLO_INTERVAL,
+                JoinProgress::Voter => HELLO_INTERVAL,
             };
-        let to_all = place != Place::Waits || now >= self.next_hello_to_all;
+        let to_all = progress != JoinProgress::Waiting || now >= self.next_hello_to_all;
         if to_all {
-            self.next_hello_to_all = now + CALM_INTERVAL;
+            self.next_hello_to_all = now + HELLO_INTERVAL;
         }
         let voters = self.known_voters();
         let others = self.others.iter();
@@ -225,34 +225,34 @@
     }
 
     /// Whether this process participates and waits to become a voter.
-    pub fn waits(&self) -> bool {
-        self.place() == Place::Waits
+    pub fn is_waiting(&self) -> bool {
+        self.join_progress() == JoinProgress::Waiting
     }
 
     /// Returns a random one of the known voters.
-    pub fn draw_voter(&self, random: &mut impl Rng) -> Option<NodeId> {
+    pub fn random_voter(&self, random: &mut impl Rng) -> Option<NodeId> {
         self.known_voters().into_iter().choose(random)
     }
 
-    fn place(&self) -> Place {
-        match self.record.standing {
-            Standing::Founder | Standing::Member if self.takes_part => Place::Voter,
-            Standing::Joining if self.takes_part && self.discovers => Place::Waits,
-            _ => Place::Open,
+    fn join_progress(&self) -> JoinProgress {
+        match self.record.join_state {
+            JoinState::Founder | JoinState::Member if self.takes_part => JoinProgress::Voter,
+            JoinState::Joining if self.takes_part && self.discovers => JoinProgress::Waiting,
+            _ => JoinProgress::NotJoined,
         }
     }
 
     fn hello(&self, to: NodeId, sequence: u64, wants_reply: bool) -> Hello {
-        let verdict = self.present.get(&to).map(|presence| Verdict {
-            session: presence.hello.session,
-            outdated: presence.outdated,
+        let verdict = self.latest_hellos.get(&to).map(|latest| Verdict {
+            session: latest.hello.session,
+            outdated: latest.outdated,
         });
         Hello {
             replica: self.own_id(),
             boot: self.identity.boot,
             session: self.session,
             sequence,
-            standing: self.record.standing,
+            join_state: self.record.join_state,
             founders: self.record.founders.clone(),
             verdict,
             wants_reply,
@@ -275,37 +275,37 @@
         if !self.others.contains(&from) {
             return Ok((changes, None));
         }
-        let outdated = self.judge(&hello)?;
+        let outdated = self.is_outdated(&hello)?;
         // A process that leads no group sends other followers only hellos.
-        self.saw_sequence(hello.replica, hello.session, hello.sequence);
+        self.record_sequence(hello.replica, hello.session, hello.sequence);
         let verdict = hello.verdict;
         let answered = verdict.is_some_and(|verdict| verdict.session == self.session);
         let wants_reply = hello.wants_reply;
-        let standing = hello.standing;
+        let join_state = hello.join_state;
         let founders = hello.founders.clone();
         let voters = hello.voters.clone();
         let (replica, session, synced) = (hello.replica, hello.session, hello.sequence);
-        let presence = Presence {
+        let latest = LatestHello {
             at: now,
             hello,
             outdated,
             answered,
         };
-        self.present.insert(from, presence);
+        self.latest_hellos.insert(from, latest);
         if !outdated {
             // For a replica that leads no group, hellos are the only source of other
             // replicas' sequence numbers.
-            self.saw_sequence(replica, session, synced);
+            self.record_sequence(replica, session, synced);
             self.compare_founders(from, founders, &mut changes)?;
-            if self.discovers && standing.is_voter() {
-                self.note_voters(voters)?;
+            if self.discovers && join_state.is_voter() {
+                self.record_voters(voters)?;
             }
         }
         if !self.discovers {
             self.found_if_all_are_blank(now, &mut changes)?;
         }
         if let Some(verdict) = verdict.filter(|_| answered) {
-            self.take_verdict(from, verdict, standing, &mut changes);
+            self.handle_verdict(from, verdict, join_state, &mut changes);
         }
         let reply = wants_reply.then(|| self.hello(from, sequence, false));
         Ok((changes, reply))
@@ -314,23 +314,23 @@
     /// Whether the sender's disk is older than a known state of it. A delayed hello of
     /// an earlier session is judged outdated too, which is harmless because the verdict
     /// names that session.
-    fn judge(&mut self, hello: &Hello) -> Result<bool, StorageError> {
+    fn is_outdated(&mut self, hello: &Hello) -> Result<bool, StorageError> {
         if !enabled(Mechanism::NewIncarnation) {
             return Ok(false);
         }
         if self.record.replaced.contains(&hello.replica) {
             return Ok(true);
         }
-        let presence = self.present.get(&node_of(hello.replica));
-        if let Some(presence) = presence.filter(|known| known.hello.session == hello.session) {
-            return Ok(presence.outdated);
+        let latest = self.latest_hellos.get(&node_of(hello.replica));
+        if let Some(latest) = latest.filter(|known| known.hello.session == hello.session) {
+            return Ok(latest.outdated);
         }
         if let Some(known) = self.record.boots.get(&hello.replica) {
             if known.session == hello.session {
                 return Ok(false);
             }
             let seen = self.sequences.get(&hello.replica);
-            let seen = seen.map_or(0, |seen| seen.before(hello.session));
+            let seen = seen.map_or(0, |seen| seen.highest_in_other_sessions(hello.session));
             if hello.boot <= known.boot || hello.sequence < seen {
                 return Ok(true);
             }
@@ -359,40 +359,40 @@
             return Ok(());
         }
         let known = !self.record.founders.is_empty();
-        if known || !(self.discovers || self.is_of_all_nodes(&founders)) {
+        if known || !(self.discovers || self.covers_all_nodes(&founders)) {
             changes.push(FleetChange::Contradiction { with: from });
             return Ok(());
         }
-        self.take_founders(founders, changes)
+        self.set_founders(founders, changes)
     }
 
-    /// Records the founders, and with them the standing of this process.
-    fn take_founders(
+    /// Records the founders, and with them the join state of this process.
+    fn set_founders(
         &mut self,
         founders: BTreeSet<ReplicaId>,
         changes: &mut Vec<FleetChange>,
     ) -> Result<(), StorageError> {
         if !enabled(Mechanism::NewIncarnation) {
-            self.take_old_identity(&founders)?;
+            self.reuse_old_identity(&founders)?;
         }
         let founder = founders.contains(&self.own_id());
-        let standing = if founder {
-            Standing::Founder
+        let join_state = if founder {
+            JoinState::Founder
         } else {
-            Standing::Joining
+            JoinState::Joining
         };
         self.store(|record| {
             record.founders = founders;
-            record.standing = standing;
+            record.join_state = join_state;
         })?;
         self.next_hello = Timestamp::ZERO;
-        changes.push(FleetChange::Formed);
+        changes.push(FleetChange::FoundersKnown);
         Ok(())
     }
 
     /// Reuses the identity of an earlier incarnation, which a blank disk must never
     /// do. Only mutation runs call this.
-    fn take_old_identity(&mut self, founders: &BTreeSet<ReplicaId>) -> Result<(), StorageError> {
+    fn reuse_old_identity(&mut self, founders: &BTreeSet<ReplicaId>) -> Result<(), StorageError> {
         let node = self.identity.node;
         if let Some(&old) = founders.iter().find(|&&founder| node_of(founder) == node) {
             self.identity.incarnation = crate::identity::incarnation_of(old);
@@ -402,7 +402,7 @@
     }
 
     /// Whether the founders are exactly one incarnation of each node in the settings.
-    fn is_of_all_nodes(&self, founders: &BTreeSet<ReplicaId>) -> bool {
+    fn covers_all_nodes(&self, founders: &BTreeSet<ReplicaId>) -> bool {
         let nodes: BTreeSet<NodeId> = founders.iter().map(|&founder| node_of(founder)).collect();
         let mut expected = self.others.clone();
         expected.insert(self.identity.node);
@@ -417,41 +417,41 @@
         changes: &mut Vec<FleetChange>,
     ) -> Result<(), StorageError> {
         let lowest = self.others.iter().all(|&other| other > self.identity.node);
-        if self.record.standing != Standing::Blank || !lowest {
+        if self.record.join_state != JoinState::Blank || !lowest {
             return Ok(());
         }
         let mut founders = BTreeSet::from([self.own_id()]);
         for node in &self.others {
-            let Some(presence) = self.present.get(node) else {
+            let Some(latest) = self.latest_hellos.get(node) else {
                 return Ok(());
             };
-            let blank = presence.hello.standing == Standing::Blank;
-            if !blank || !presence.answered || now.since(presence.at) > PRESENCE {
+            let blank = latest.hello.join_state == JoinState::Blank;
+            if !blank || !latest.answered || now.since(latest.at) > HELLO_TTL {
                 return Ok(());
             }
-            founders.insert(presence.hello.replica);
+            founders.insert(latest.hello.replica);
         }
         self.store(|record| {
             record.founders = founders;
-            record.standing = Standing::Founder;
+            record.join_state = JoinState::Founder;
         })?;
         self.next_hello = Timestamp::ZERO;
-        changes.push(FleetChange::Formed);
+        changes.push(FleetChange::FoundersKnown);
         Ok(())
     }
 
-    fn take_verdict(
+    fn handle_verdict(
         &mut self,
         from: NodeId,
         verdict: Verdict,
-        standing: Standing,
+        join_state: JoinState,
         changes: &mut Vec<FleetChange>,
     ) {
         if verdict.outdated && enabled(Mechanism::NewIncarnation) {
             changes.push(FleetChange::Outdated { by: from });
             return;
         }
-        if standing.is_voter() {
+        if join_state.is_voter() {
             self.confirmed.insert(from);
         }
         self.check_confirmations(changes);
@@ -460,7 +460,7 @@
     /// Checks whether this replica may participate: once it and the nodes that
     /// confirmed it form a majority.
     fn check_confirmations(&mut self, changes: &mut Vec<FleetChange>) {
-        let formed = self.record.standing != Standing::Blank;
+        let formed = self.record.join_state != JoinState::Blank;
         if !self.takes_part && formed && self.is_confirmed() {
             self.takes_part = true;
             changes.push(FleetChange::TakesPart);
@@ -473,7 +473,7 @@
         }
         // A new incarnation has made no promises yet, so one confirming voter is
         // enough.
-        if self.record.standing == Standing::Joining {
+        if self.record.join_state == JoinState::Joining {
             return !self.confirmed.is_empty();
         }
         let voters = self.voters();
@@ -497,7 +497,7 @@
     }
 
     /// Records the voters, unless a later membership is known.
-    pub fn note_voters(&mut self, voters: KnownVoters) -> Result<(), StorageError> {
+    pub fn record_voters(&mut self, voters: KnownVoters) -> Result<(), StorageError> {
         if !self.discovers || voters.voters.is_empty() || voters.index <= self.record.voters.index {
             return Ok(());
         }
@@ -508,7 +508,7 @@
     }
 
     /// Records the nodes that may become members, and those that must not stay members.
-    pub fn note_members(&mut self, contacts: &BTreeSet<NodeId>, retiring: BTreeSet<NodeId>) {
+    pub fn record_contacts(&mut self, contacts: &BTreeSet<NodeId>, retiring: BTreeSet<NodeId>) {
         let own = self.identity.node;
         self.others
             .extend(contacts.iter().filter(|&&node| node != own));
@@ -537,14 +537,14 @@
         founders: &BTreeMap<NodeId, u32>,
         changes: &mut Vec<FleetChange>,
     ) -> Result<(), StorageError> {
-        let blank = self.record.standing == Standing::Blank;
+        let blank = self.record.join_state == JoinState::Blank;
         if !self.discovers || !blank || founders.is_empty() {
             return Ok(());
         }
         let lives = founders.iter().map(|(&node, &life)| replica_id(node, life));
         let founders = lives.collect();
         let own = self.identity.node;
-        self.take_founders(founders, changes)?;
+        self.set_founders(founders, changes)?;
         let nodes = self.record.founders.iter().map(|&founder| node_of(founder));
         self.others.extend(nodes.filter(|&node| node != own));
         self.check_confirmations(changes);
@@ -553,15 +553,15 @@
 
     /// Returns the replicas that wait to become voters and sent a hello recently.
     pub fn joining(&self, now: Timestamp) -> Vec<ReplicaId> {
-        let waiting = self.present.values().filter(|presence| {
-            let joining = presence.hello.standing == Standing::Joining;
-            joining && !presence.outdated && now.since(presence.at) <= PRESENCE
+        let waiting = self.latest_hellos.values().filter(|latest| {
+            let joining = latest.hello.join_state == JoinState::Joining;
+            joining && !latest.outdated && now.since(latest.at) <= HELLO_TTL
         });
-        waiting.map(|presence| presence.hello.replica).collect()
+        waiting.map(|latest| latest.hello.replica).collect()
     }
 
     /// Records that replicas were permanently replaced.
-    pub fn note_replaced(&mut self, replaced: &BTreeSet<ReplicaId>) -> Result<(), StorageError> {
+    pub fn record_replaced(&mut self, replaced: &BTreeSet<ReplicaId>) -> Result<(), StorageError> {
         if replaced.is_subset(&self.record.replaced) {
             return Ok(());
         }
@@ -574,13 +574,13 @@
     }
 
     /// Records that the founders' common first entries are in the log.
-    pub fn note_bootstrapped(&mut self) -> Result<(), StorageError> {
+    pub fn record_bootstrapped(&mut self) -> Result<(), StorageError> {
         self.store(|record| record.bootstrapped = true)
     }
 
     /// Records that this incarnation votes in every group.
-    pub fn note_member(&mut self) -> Result<(), StorageError> {
-        self.store(|record| record.standing = Standing::Member)?;
+    pub fn record_member(&mut self) -> Result<(), StorageError> {
+        self.store(|record| record.join_state = JoinState::Member)?;
         self.next_hello = Timestamp::ZERO;
         Ok(())
     }
--- a/crates/replica/src/group/apply.rs
+++ b/crates/replica/src/group/apply.rs
@@ -23,8 +23,8 @@
         let version = self.configuration_version();
         let revision = self.machine.revision();
         while let Some(entry) = self.to_apply.pop_front() {
-            let crowded = self.payloads.waiting_bytes() > MAX_WAITING_BYTES;
-            if crowded && !self.flush_payloads()? {
+            let buffer_full = self.payloads.waiting_bytes() > MAX_WAITING_BYTES;
+            if buffer_full && !self.flush_payloads()? {
                 self.to_apply.push_front(entry);
                 break;
             }
@@ -54,7 +54,7 @@
     }
 
     fn apply_entry(&mut self, turn: &mut Turn<'_, D>, entry: Entry) -> Result<(), ReplicaError> {
-        self.policy.note_applied(&entry);
+        self.policy.record_applied(&entry);
         self.applied = entry.index;
         match entry.kind {
             EntryKind::Command(command) => {
@@ -65,19 +65,19 @@
                         group: self.id,
                         source,
                     })?;
-                self.settle_proposal(turn, entry.index, entry.term, || reply);
+                self.complete_proposal(turn, entry.index, entry.term, || reply);
             }
             EntryKind::Membership(membership) => {
-                self.note_membership(turn, &membership);
-                self.settle_proposal(turn, entry.index, entry.term, Vec::new);
+                self.record_membership(turn, &membership);
+                self.complete_proposal(turn, entry.index, entry.term, Vec::new);
             }
-            EntryKind::Empty => self.settle_proposal(turn, entry.index, entry.term, Vec::new),
+            EntryKind::Empty => self.complete_proposal(turn, entry.index, entry.term, Vec::new),
         }
         Ok(())
     }
 
     /// Records an applied membership, and reports the voters that it removed.
-    pub(super) fn note_membership(&mut self, turn: &mut Turn<'_, D>, membership: &Membership) {
+    pub(super) fn record_membership(&mut self, turn: &mut Turn<'_, D>, membership: &Membership) {
         let present = membership.members();
         let before = self.membership.all_voters();
         let gone: BTreeSet<ReplicaId> = before.difference(&present).copied().collect();
--- a/crates/replica/src/group/leases.rs
+++ b/crates/replica/src/group/leases.rs
@@ -8,7 +8,7 @@
 use molespan_types::mechanism::{Mechanism, enabled};
 
 /// Divisor of the lease length in mutation runs without the lease grace.
-const MUTANT_SHARE: u32 = 8;
+const MUTANT_LEASE_DIVISOR: u32 = 8;
 
 impl<D: Disk> Group<D> {
     /// Proposes to expire leases that were not renewed for a lease length on this
@@ -20,7 +20,7 @@
             return;
         }
         if !enabled(Mechanism::LeaseGrace) {
-            length /= MUTANT_SHARE;
+            length /= MUTANT_LEASE_DIVISOR;
         }
         let records = self.machine.leases();
         let leases = records.map(|record| (record.lease, record.renewals));
@@ -50,7 +50,7 @@
     /// their holder died, or its settlement was lost. It can no longer be determined
     /// whether the request ran, so it never runs again. A late settlement by a holder
     /// that is still alive has no effect.
-    pub fn end_open_claims(&mut self, turn: &Turn<'_, D>) {
+    pub fn settle_expired_claims(&mut self, turn: &Turn<'_, D>) {
         let length = turn.settings.claim_timeout;
         if !self.leads() || !self.claims.is_due(turn.now, length) {
             return;
--- a/crates/replica/src/group/members.rs
+++ b/crates/replica/src/group/members.rs
@@ -16,7 +16,7 @@
 const RETRY_MS: u32 = 500;
 
 /// Interval between attempts of a leader with a full disk to transfer leadership.
-const STEP_ASIDE_INTERVAL: Duration = Duration::from_secs(1);
+const FULL_DISK_TRANSFER_INTERVAL: Duration = Duration::from_secs(1);
 
 impl<D: Disk> Group<D> {
     /// Advances the replacement by each new incarnation in `joining` by one step: it
@@ -91,11 +91,11 @@
 
     /// Transfers leadership if this disk is full: a leader without disk space rejects
     /// all proposals, while another voter may have space.
-    pub fn step_aside_when_full(&mut self, turn: &Turn<'_, D>) {
-        if !self.leads() || !turn.log.is_low() || turn.now < self.next_step_aside {
+    pub fn transfer_leadership_when_full(&mut self, turn: &Turn<'_, D>) {
+        if !self.leads() || !turn.log.is_low() || turn.now < self.next_full_disk_transfer {
             return;
         }
-        self.next_step_aside = turn.now + STEP_ASIDE_INTERVAL;
+        self.next_full_disk_transfer = turn.now + FULL_DISK_TRANSFER_INTERVAL;
         let status = self.replica.status();
         let voters = &status.membership.voters;
         let present = status
--- a/crates/replica/src/group/mod.rs
+++ b/crates/replica/src/group/mod.rs
@@ -32,10 +32,10 @@
 use proposals::Proposals;
 use reads::Reads;
 pub(crate) use ready::Progress;
-use serving::Serving;
+use serving::OutgoingSnapshot;
 use snapshots::SnapshotPolicy;
 use transfer::Staging;
-use watch::Watch;
+use watch::ProgressWatch;
 
 /// Header of a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
@@ -85,21 +85,21 @@
     awaiting_sync: Option<Vec<Outgoing>>,
     proposals: Proposals,
     reads: Reads,
-    leases: Watch<LeaseId>,
-    submissions: Watch<JobId>,
-    claims: Watch<OpenClaimRecord>,
+    leases: ProgressWatch<LeaseId>,
+    submissions: ProgressWatch<JobId>,
+    claims: ProgressWatch<OpenClaimRecord>,
     policy: SnapshotPolicy,
     staging: Staging,
-    serving: Option<Serving>,
+    outgoing: Option<OutgoingSnapshot>,
     leader: Option<NodeId>,
     /// Membership as of the last applied change.
     membership: Membership,
     /// Log index of that change.
     membership_index: Index,
     /// Time of the last response of each member, while this replica leads.
-    heard: BTreeMap<ReplicaId, Timestamp>,
+    last_responses: BTreeMap<ReplicaId, Timestamp>,
     /// When a leader with a full disk next attempts to transfer leadership.
-    next_step_aside: Timestamp,
+    next_full_disk_transfer: Timestamp,
 }
 
 impl<D: Disk> Group<D> {
@@ -136,8 +136,8 @@
             disk: disk.clone(),
             membership: membership.unwrap_or_default(),
             membership_index: applied,
-            heard: BTreeMap::new(),
-            next_step_aside: Timestamp::ZERO,
+            last_responses: BTreeMap::new(),
+            next_full_disk_transfer: Timestamp::ZERO,
             replica,
             machine,
             payloads,
@@ -148,12 +148,12 @@
             awaiting_sync: None,
             proposals: Proposals::default(),
             reads: Reads::default(),
-            leases: Watch::default(),
-            submissions: Watch::default(),
-            claims: Watch::default(),
+            leases: ProgressWatch::default(),
+            submissions: ProgressWatch::default(),
+            claims: ProgressWatch::default(),
             policy: SnapshotPolicy::new(applied),
             staging: Staging::new(id),
-            serving: None,
+            outgoing: None,
             leader: None,
         })
     }
--- a/crates/replica/src/group/places.rs
+++ b/crates/replica/src/group/places.rs
@@ -16,7 +16,7 @@
     /// Takes the next step towards a membership of active voters that are not
     /// retiring. Each step is one membership change; consensus rejects a step
     /// while the previous one is incomplete or the learner has not caught up.
-    pub fn renew_members(
+    pub fn maintain_voters(
         &mut self,
         turn: &mut Turn<'_, D>,
         joining: &[ReplicaId],
@@ -26,29 +26,30 @@
             return;
         };
         if !self.leads() {
-            self.heard.clear();
+            self.last_responses.clear();
             return;
         }
-        self.note_heard(turn.now);
-        if let Some(change) = self.next_place(turn.now, discovery, joining, retiring) {
+        self.record_responses(turn.now);
+        if let Some(change) = self.next_voter_change(turn.now, discovery, joining, retiring) {
             // Rejected while an earlier step is in progress; retried later.
             let _ = self.replica.change_membership(change);
         }
     }
 
-    fn note_heard(&mut self, now: Timestamp) {
+    fn record_responses(&mut self, now: Timestamp) {
         let status = self.replica.status();
         let members = status.membership.members();
-        self.heard.retain(|member, _| members.contains(member));
+        self.last_responses
+            .retain(|member, _| members.contains(member));
         for (member, follower) in &status.followers {
-            let heard = self.heard.entry(*member).or_insert(now);
+            let last_response = self.last_responses.entry(*member).or_insert(now);
             if follower.recently_active {
-                *heard = now;
+                *last_response = now;
             }
         }
     }
 
-    fn next_place(
+    fn next_voter_change(
         &self,
         now: Timestamp,
         discovery: &Discovery,
@@ -59,44 +60,45 @@
         if membership.is_joint() {
             return None;
         }
-        let silent = |member: ReplicaId| {
-            let heard = self.heard.get(&member);
-            heard.is_some_and(|&heard| now.since(heard) >= discovery.replace_after)
+        let unresponsive = |member: ReplicaId| {
+            let last_response = self.last_responses.get(&member);
+            last_response
+                .is_some_and(|&last_response| now.since(last_response) >= discovery.replace_after)
         };
         let mut learners = membership.learners.iter().copied();
-        if let Some(lost) = learners.find(|&learner| silent(learner)) {
+        if let Some(lost) = learners.find(|&learner| unresponsive(learner)) {
             return Some(MembershipChange::RemoveLearner(lost));
         }
         let own = self.replica.id();
         let voters = &membership.voters;
-        let leaving = |&&voter: &&ReplicaId| retiring.contains(&node_of(voter));
-        let lost = |&&voter: &&ReplicaId| voter != own && silent(voter);
-        let victim = voters
+        let is_retiring = |&&voter: &&ReplicaId| retiring.contains(&node_of(voter));
+        let lost = |&&voter: &&ReplicaId| voter != own && unresponsive(voter);
+        let to_replace = voters
             .iter()
             .find(lost)
-            .or_else(|| voters.iter().find(leaving));
+            .or_else(|| voters.iter().find(is_retiring));
         let grows = voters.len() < discovery.voters;
-        if victim.is_none() && !grows {
+        if to_replace.is_none() && !grows {
             return None;
         }
-        let seated: BTreeSet<NodeId> = voters.iter().map(|&voter| node_of(voter)).collect();
-        let waits = |&&one: &&ReplicaId| {
-            !seated.contains(&node_of(one)) && !retiring.contains(&node_of(one))
+        let voter_nodes: BTreeSet<NodeId> = voters.iter().map(|&voter| node_of(voter)).collect();
+        let is_waiting = |&&one: &&ReplicaId| {
+            !voter_nodes.contains(&node_of(one)) && !retiring.contains(&node_of(one))
         };
         let learners = &membership.learners;
-        if let Some(&replacement) = learners.iter().find(waits) {
-            return match victim {
+        if let Some(&replacement) = learners.iter().find(is_waiting) {
+            return match to_replace {
                 Some(&lost) => Some(MembershipChange::Replace { lost, replacement }),
-                None => self.seat(replacement),
+                None => self.add_voter(replacement),
             };
         }
-        let candidate = joining.iter().find(waits)?;
+        let candidate = joining.iter().find(is_waiting)?;
         Some(MembershipChange::AddLearner(*candidate))
     }
 
     /// Returns the change that makes a learner an additional voter, once it has all
     /// committed entries.
-    fn seat(&self, learner: ReplicaId) -> Option<MembershipChange> {
+    fn add_voter(&self, learner: ReplicaId) -> Option<MembershipChange> {
         let status = self.replica.status();
         let follower = status.followers.get(&learner)?;
         if follower.match_index < status.commit {
--- a/crates/replica/src/group/proposals.rs
+++ b/crates/replica/src/group/proposals.rs
@@ -41,7 +41,7 @@
     }
 
     /// Removes the proposals whose deadline has passed and returns their tickets.
-    fn take_late(&mut self, now: Timestamp) -> Vec<Ticket> {
+    fn take_expired(&mut self, now: Timestamp) -> Vec<Ticket> {
         let late = self.pending.extract_if(.., |_, one| one.deadline <= now);
         late.map(|(_, one)| one.ticket).collect()
     }
@@ -79,12 +79,12 @@
         if turn.log.is_low() || !self.to_apply.is_empty() {
             return Some(not_run("the disk is full", FULL_RETRY_MS));
         }
-        let crowded = self.proposals.pending.len() >= turn.settings.max_pending_proposals;
-        crowded.then(|| not_run("too many proposals are under way", SHORT_RETRY_MS))
+        let at_limit = self.proposals.pending.len() >= turn.settings.max_pending_proposals;
+        at_limit.then(|| not_run("too many proposals are under way", SHORT_RETRY_MS))
     }
 
     /// Replies to the proposal at the index of an applied entry.
-    pub(super) fn settle_proposal(
+    pub(super) fn complete_proposal(
         &mut self,
         turn: &mut Turn<'_, D>,
         index: Index,
@@ -114,7 +114,7 @@
 
     /// Replies `unknown` to the proposals whose deadline has passed.
     pub fn time_out_proposals(&mut self, turn: &mut Turn<'_, D>) {
-        for ticket in self.proposals.take_late(turn.now) {
+        for ticket in self.proposals.take_expired(turn.now) {
             turn.reply(ticket, Err(unknown("not committed in time")));
         }
     }
--- a/crates/replica/src/group/ready.rs
+++ b/crates/replica/src/group/ready.rs
@@ -25,7 +25,7 @@
     }
 
     /// Processes the work requested by consensus, up to the sync of the log.
-    pub fn take_ready(&mut self, turn: &mut Turn<'_, D>) -> Result<Progress, ReplicaError> {
+    pub fn process_ready(&mut self, turn: &mut Turn<'_, D>) -> Result<Progress, ReplicaError> {
         let Some(ready) = self.replica.ready() else {
             return Ok(Progress::Idle);
         };
@@ -57,7 +57,7 @@
         self.fail_reads(turn, &ready.failed_reads);
         self.apply(turn)?;
         if let Some(offer) = ready.snapshot_offer {
-            self.consider_offer(turn, offer);
+            self.handle_offer(turn, offer);
         }
         Ok(Progress::Worked)
     }
--- a/crates/replica/src/group/snapshots.rs
+++ b/crates/replica/src/group/snapshots.rs
@@ -39,7 +39,7 @@
         self.snapshot_index
     }
 
-    pub fn note_applied(&mut self, entry: &Entry) {
+    pub fn record_applied(&mut self, entry: &Entry) {
         self.applied_entries += 1;
         self.applied_bytes += entry.size() as u64;
     }
--- a/crates/replica/src/group/transfer.rs
+++ b/crates/replica/src/group/transfer.rs
@@ -16,9 +16,9 @@
 use crate::{ReplicaError, ReplicaEvent};
 
 /// Time after which a chunk that has not arrived is requested again.
-const RETRY: Duration = Duration::from_millis(300);
+const CHUNK_RETRY: Duration = Duration::from_millis(300);
 /// Time without progress after which a transfer is abandoned.
-const STALLED: Duration = Duration::from_secs(2);
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Directory for staged payload bytes, which are not part of the payload log yet.
 const DIRECTORY: &str = "incoming";
 /// Maximum number of staged bytes moved at once.
@@ -34,7 +34,7 @@
     /// payload log of its own. Known once the first chunk has arrived.
     own_payloads: Option<Range<u64>>,
     last_progress: Timestamp,
-    last_pull: Timestamp,
+    last_request: Timestamp,
 }
 
 impl Transfer {
@@ -57,7 +57,7 @@
     from: u64,
     /// Number of staged bytes.
     length: u64,
-    fresh: bool,
+    needs_reset: bool,
 }
 
 impl Staging {
@@ -67,33 +67,33 @@
             transfer: None,
             from: 0,
             length: 0,
-            fresh: true,
+            needs_reset: true,
         }
     }
 
     /// Discards the staged bytes unless they still start at `payload_length`.
     fn align<D: Disk>(&mut self, disk: &D, payload_length: u64) -> Result<(), StorageError> {
-        if !self.fresh && self.from == payload_length {
+        if !self.needs_reset && self.from == payload_length {
             return Ok(());
         }
         disk.create_dir(DIRECTORY)?;
         disk.remove(&self.file)?;
         self.from = payload_length;
         self.length = 0;
-        self.fresh = false;
+        self.needs_reset = false;
         Ok(())
     }
 
     /// Appends bytes to the staging file; returns false if the disk is full, after
     /// discarding the staged bytes.
-    fn add<D: Disk>(&mut self, disk: &D, bytes: &[u8]) -> Result<bool, StorageError> {
+    fn append_bytes<D: Disk>(&mut self, disk: &D, bytes: &[u8]) -> Result<bool, StorageError> {
         match disk.append(&self.file, bytes) {
             Ok(()) => {
                 self.length += bytes.len() as u64;
                 Ok(true)
             }
             Err(error) if error.is_full() => {
-                self.fresh = true;
+                self.needs_reset = true;
                 disk.remove(&self.file)?;
                 Ok(false)
             }
@@ -105,9 +105,9 @@
 impl<D: Disk> Group<D> {
     /// Starts to fetch the offered snapshot, unless a transfer from the same sender is
     /// progressing.
-    pub(super) fn consider_offer(&mut self, turn: &mut Turn<'_, D>, offer: SnapshotOffer) {
+    pub(super) fn handle_offer(&mut self, turn: &mut Turn<'_, D>, offer: SnapshotOffer) {
         if let Some(transfer) = &self.staging.transfer {
-            let stalled = turn.now.since(transfer.last_progress) > STALLED;
+            let stalled = turn.now.since(transfer.last_progress) > STALL_TIMEOUT;
             let same_sender = transfer.from == offer.from;
             if same_sender && !stalled {
                 return;
@@ -116,7 +116,7 @@
         if self.machine.payloads_needed_from(0).is_some() {
             // The staged bytes come from another sender's log, or from an earlier part of this
             // sender's log.
-            self.staging.fresh = true;
+            self.staging.needs_reset = true;
         }
         self.staging.transfer = Some(Transfer {
             from: offer.from,
@@ -124,22 +124,22 @@
             machine: Vec::new(),
             own_payloads: None,
             last_progress: turn.now,
-            last_pull: Timestamp::ZERO,
+            last_request: Timestamp::ZERO,
         });
-        self.pull(turn);
+        self.request_chunk(turn);
     }
 
     /// Requests the next chunk.
-    fn pull(&mut self, turn: &mut Turn<'_, D>) {
+    fn request_chunk(&mut self, turn: &mut Turn<'_, D>) {
         let Some(transfer) = &mut self.staging.transfer else {
             return;
         };
         let from = transfer.payloads_from(self.payloads.length());
-        let staged = match self.staging.from == from && !self.staging.fresh {
+        let staged = match self.staging.from == from && !self.staging.needs_reset {
             true => self.staging.length,
             false => 0,
         };
-        transfer.last_pull = turn.now;
+        transfer.last_request = turn.now;
         let pull = Pull {
             index: transfer.meta.index.0,
             machine_offset: transfer.machine.len() as u64,
@@ -151,15 +151,15 @@
 
     /// Repeats the request for a lost chunk, and abandons a transfer that is stalled or no
     /// longer needed.
-    pub fn drive_transfer(&mut self, turn: &mut Turn<'_, D>) {
+    pub fn check_transfer(&mut self, turn: &mut Turn<'_, D>) {
         let Some(transfer) = &self.staging.transfer else {
             return;
         };
-        let stalled = turn.now.since(transfer.last_progress) > STALLED;
+        let stalled = turn.now.since(transfer.last_progress) > STALL_TIMEOUT;
         if stalled || !self.replica.wants_snapshot(&transfer.meta) {
             self.staging.transfer = None;
-        } else if turn.now.since(transfer.last_pull) > RETRY {
-            self.pull(turn);
+        } else if turn.now.since(transfer.last_request) > CHUNK_RETRY {
+            self.request_chunk(turn);
         }
     }
 
@@ -186,26 +186,26 @@
         let Some(transfer) = &mut self.staging.transfer else {
             return Ok(());
         };
-        let machine_held = transfer.machine.len() as u64;
-        let payload_held = payloads_from + self.staging.length;
+        let machine_received = transfer.machine.len() as u64;
+        let payload_received = payloads_from + self.staging.length;
         match chunk.part {
-            Part::Machine if chunk.offset == machine_held => {
+            Part::Machine if chunk.offset == machine_received => {
                 transfer.machine.extend_from_slice(&chunk.bytes);
                 transfer.last_progress = turn.now;
             }
-            Part::Payload if chunk.offset == payload_held => {
+            Part::Payload if chunk.offset == payload_received => {
                 transfer.last_progress = turn.now;
-                if !self.staging.add(&self.disk, &chunk.bytes)? {
+                if !self.staging.append_bytes(&self.disk, &chunk.bytes)? {
                     return Ok(());
                 }
             }
             // A duplicate chunk.
             _ => return Ok(()),
         }
-        self.pull_or_install(turn, chunk, &header)
+        self.continue_or_install(turn, chunk, &header)
     }
 
-    fn pull_or_install(
+    fn continue_or_install(
         &mut self,
         turn: &mut Turn<'_, D>,
         chunk: &Chunk,
@@ -215,9 +215,9 @@
             return Ok(());
         };
         let machine_complete = transfer.machine.len() as u64 >= chunk.machine_length;
-        let payload_held = transfer.payloads_from(self.payloads.length()) + self.staging.length;
-        if !machine_complete || payload_held < header.payload_length {
-            self.pull(turn);
+        let payload_received = transfer.payloads_from(self.payloads.length()) + self.staging.length;
+        if !machine_complete || payload_received < header.payload_length {
+            self.request_chunk(turn);
             return Ok(());
         }
         if xxh3_64(&transfer.machine) != chunk.machine_checksum {
@@ -248,9 +248,9 @@
             .map_err(|source| ReplicaError::State { group, source })?;
         let stored = match transfer.own_payloads {
             None => self.store_fetched(turn, header, &transfer.machine)?,
-            Some(theirs) => {
+            Some(sender_range) => {
                 drop(transfer.machine);
-                self.store_with_payloads(turn, header, &mut machine, &theirs)?
+                self.store_with_payloads(turn, header, &mut machine, &sender_range)?
             }
         };
         if !stored {
@@ -261,7 +261,7 @@
         self.applied = index;
         self.to_apply.clear();
         self.policy = SnapshotPolicy::new(index);
-        self.note_membership(turn, &header.meta.membership);
+        self.record_membership(turn, &header.meta.membership);
         self.abandon_proposals_through(turn, index);
         self.replica.snapshot_installed(header.meta.clone());
         self.answer_reads(turn);
@@ -279,13 +279,13 @@
         turn: &mut Turn<'_, D>,
         header: &SnapshotHeader,
         machine: &mut Machine,
-        theirs: &Range<u64>,
+        sender_range: &Range<u64>,
     ) -> Result<bool, StorageError> {
         let start = self.payloads.length();
-        machine.move_payloads(theirs.start, start);
+        machine.move_payloads(sender_range.start, start);
         let header = SnapshotHeader {
             meta: header.meta.clone(),
-            payload_length: start + (theirs.end - theirs.start),
+            payload_length: start + (sender_range.end - sender_range.start),
             payload_start: Some(start),
         };
         let stored = self.store_fetched(turn, &header, &machine.snapshot())?;
@@ -330,18 +330,18 @@
     ) -> Result<bool, StorageError> {
         // Pending writes go first, because they belong to applied entries.
         let ready = turn.log.sync().and_then(|_| self.payloads.flush());
-        if !had_room(ready)? {
+        if !had_space(ready)? {
             return Ok(false);
         }
         let before = self.payloads.length();
         let stored = self
             .move_staged()
             .and_then(|()| self.snapshots.save(index.0, header, machine));
-        let stored = had_room(stored)?;
+        let stored = had_space(stored)?;
         if !stored {
             self.payloads.truncate(before)?;
         }
-        self.staging.fresh = true;
+        self.staging.needs_reset = true;
         Ok(stored)
     }
 
@@ -362,7 +362,7 @@
 }
 
 /// Returns whether there was disk space; other errors are passed on.
-fn had_room(result: Result<(), StorageError>) -> Result<bool, StorageError> {
+fn had_space(result: Result<(), StorageError>) -> Result<bool, StorageError> {
     match result {
         Ok(()) => Ok(true),
         Err(error) if error.is_full() => Ok(false),
--- a/crates/replica/src/group/watch.rs
+++ b/crates/replica/src/group/watch.rs
@@ -9,19 +9,19 @@
 const SCANS_PER_LENGTH: u32 = 20;
 
 #[derive(Clone, Copy, Debug)]
-struct Watched {
+struct Observation {
     progress: u64,
     since: Timestamp,
 }
 
 /// The last observed progress of each item.
 #[derive(Debug)]
-pub(super) struct Watch<K> {
-    watched: BTreeMap<K, Watched>,
+pub(super) struct ProgressWatch<K> {
+    watched: BTreeMap<K, Observation>,
     next_scan: Timestamp,
 }
 
-impl<K> Default for Watch<K> {
+impl<K> Default for ProgressWatch<K> {
     fn default() -> Self {
         Self {
             watched: BTreeMap::new(),
@@ -30,7 +30,7 @@
     }
 }
 
-impl<K: Clone + Ord> Watch<K> {
+impl<K: Clone + Ord> ProgressWatch<K> {
     /// Clears all items, because this replica no longer leads.
     pub fn clear(&mut self) {
         self.watched.clear();
@@ -52,12 +52,12 @@
         &mut self,
         now: Timestamp,
         length: Duration,
-        things: impl Iterator<Item = (K, u64)>,
+        items: impl Iterator<Item = (K, u64)>,
     ) -> Vec<(K, u64)> {
         let mut seen = BTreeMap::new();
-        let mut still = Vec::new();
-        for (key, progress) in things {
-            let fresh = Watched {
+        let mut stalled = Vec::new();
+        for (key, progress) in items {
+            let fresh = Observation {
                 progress,
                 since: now,
             };
@@ -66,13 +66,13 @@
                 .filter(|known| known.progress == progress)
                 .unwrap_or(fresh);
             if now.since(watched.since) >= length {
-                still.push((key.clone(), progress));
+                stalled.push((key.clone(), progress));
                 // Reported again only after another full length.
                 watched = fresh;
             }
             seen.insert(key, watched);
         }
         self.watched = seen;
-        still
+        stalled
     }
 }
--- a/crates/replica/src/message.rs
+++ b/crates/replica/src/message.rs
@@ -9,7 +9,7 @@
 /// How far an incarnation has joined the groups.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
-pub(crate) enum Standing {
+pub(crate) enum JoinState {
     /// It does not know the founders of the groups yet.
     #[default]
     #[n(0)]
@@ -25,7 +25,7 @@
     Member,
 }
 
-impl Standing {
+impl JoinState {
     /// Whether its confirmation counts when another replica restarts.
     pub fn is_voter(self) -> bool {
         matches!(self, Self::Founder | Self::Member)
@@ -60,7 +60,7 @@
     pub sequence: u64,
     /// How far it has joined the groups.
     #[n(4)]
-    pub standing: Standing,
+    pub join_state: JoinState,
     /// The founders; empty if it does not know them.
     #[n(5)]
     pub founders: BTreeSet<ReplicaId>,
--- a/crates/replica/src/records.rs
+++ b/crates/replica/src/records.rs
@@ -7,12 +7,12 @@
 use molespan_storage::{Disk, StorageError, read_checked, remove_everything, write_checked};
 use molespan_types::GroupId;
 
-use crate::message::{KnownVoters, Standing};
+use crate::message::{JoinState, KnownVoters};
 
 /// Name of the file that stores the record.
 const FILE: &str = "fleet";
 /// Name of the file that marks an unfinished wipe of the data folder.
-const EMPTYING_FILE: &str = "emptying";
+const WIPE_MARKER_FILE: &str = "emptying";
 
 /// The latest known start of one incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
@@ -28,7 +28,7 @@
 pub(crate) struct FleetRecord {
     /// How far this incarnation has joined the groups.
     #[n(0)]
-    pub standing: Standing,
+    pub join_state: JoinState,
     /// The founders; empty if unknown.
     #[n(1)]
     pub founders: BTreeSet<ReplicaId>,
@@ -68,7 +68,7 @@
     /// Returns the record for the next incarnation on this disk.
     pub fn successor(&self) -> Self {
         Self {
-            standing: Standing::Joining,
+            join_state: JoinState::Joining,
             founders: self.founders.clone(),
             bootstrapped: false,
             boots: self.boots.clone(),
@@ -80,27 +80,27 @@
 
 /// Ends the current incarnation: wipes the disk and keeps only the successor of
 /// `record` for the next incarnation. If a crash interrupts the wipe,
-/// [`finish_emptying`] completes it at the next start.
-pub(crate) fn empty<D: Disk>(
+/// [`finish_wipe`] completes it at the next start.
+pub(crate) fn wipe<D: Disk>(
     disk: &D,
     record: &FleetRecord,
     groups: impl IntoIterator<Item = GroupId>,
 ) -> Result<(), StorageError> {
     let successor = molespan_state::encode(&record.successor());
-    write_checked(disk, "", EMPTYING_FILE, &[&successor])?;
-    finish_emptying(disk, groups)
+    write_checked(disk, "", WIPE_MARKER_FILE, &[&successor])?;
+    finish_wipe(disk, groups)
 }
 
 /// Completes a wipe that was interrupted by a crash.
-pub(crate) fn finish_emptying<D: Disk>(
+pub(crate) fn finish_wipe<D: Disk>(
     disk: &D,
     groups: impl IntoIterator<Item = GroupId>,
 ) -> Result<(), StorageError> {
-    let Some(successor) = read_checked(disk, "", EMPTYING_FILE)? else {
+    let Some(successor) = read_checked(disk, "", WIPE_MARKER_FILE)? else {
         return Ok(());
     };
     remove_everything(disk, groups)?;
     write_checked(disk, "", FILE, &[&successor])?;
-    disk.remove(EMPTYING_FILE)?;
+    disk.remove(WIPE_MARKER_FILE)?;
     disk.sync_dir("")
 }
--- a/crates/replica/src/settings.rs
+++ b/crates/replica/src/settings.rs
@@ -150,9 +150,9 @@
 
     /// Returns the number of log segments beyond which the group that retains the
     /// oldest segment takes a snapshot early.
-    pub(crate) fn most_segments(&self) -> usize {
-        const SPARE: u64 = 2;
+    pub(crate) fn max_segments(&self) -> usize {
+        const SPARE_SEGMENTS: u64 = 2;
         let bytes = self.snapshot_every_bytes.saturating_mul(2);
-        (bytes / self.log.segment_bytes + SPARE) as usize
+        (bytes / self.log.segment_bytes + SPARE_SEGMENTS) as usize
     }
 }
--- a/crates/replica/src/shared.rs
+++ b/crates/replica/src/shared.rs
@@ -26,7 +26,7 @@
     pub replaced: BTreeSet<ReplicaId>,
     pub syncs: u64,
     /// Whether the full disk has been reported to operators.
-    told_full: bool,
+    reported_full: bool,
     next_reserve: Timestamp,
     /// Set at each tick; only used in mutation runs.
     lazy_sync_due: bool,
@@ -47,7 +47,7 @@
             outputs: Vec::new(),
             replaced: BTreeSet::new(),
             syncs: 0,
-            told_full: false,
+            reported_full: false,
             next_reserve: Timestamp::ZERO,
             lazy_sync_due: false,
         }
@@ -69,7 +69,7 @@
         self.outputs.push(Output::Event(event));
     }
 
-    pub fn note_tick(&mut self) {
+    pub fn record_tick(&mut self) {
         self.lazy_sync_due = true;
     }
 
@@ -92,14 +92,14 @@
 
     /// Restores the log's reserved disk space if needed, and reports to operators when
     /// the disk becomes full or has space again.
-    pub fn watch_space(&mut self, now: Timestamp) -> Result<(), StorageError> {
+    pub fn check_disk_space(&mut self, now: Timestamp) -> Result<(), StorageError> {
         if self.log.is_low() && now >= self.next_reserve && !self.log.has_unsynced() {
             self.next_reserve = now + RESERVE_RETRY;
             self.log.restore_reserve()?;
         }
         let full = self.log.is_low();
-        if full != self.told_full {
-            self.told_full = full;
+        if full != self.reported_full {
+            self.reported_full = full;
             self.event(ReplicaEvent::DiskFull { full });
         }
         Ok(())
