--- a/crates/replica/tests/batch_outputs.rs
+++ b/crates/replica/tests/batch_outputs.rs
@@ -33,7 +33,7 @@
     settings.log.segment_bytes = 512 << 10;
 }
 
-fn founded(seed: u64) -> Cluster {
+fn founded_cluster(seed: u64) -> Cluster {
     let mut cluster = Cluster::stopped(3, seed, tune);
     for number in NODES {
         cluster.start(node(number));
@@ -118,7 +118,7 @@
     Some(texts.collect())
 }
 
-fn run_until_whole(cluster: &mut Cluster) {
+fn run_until_synced(cluster: &mut Cluster) {
     cluster.run_until("equal nodes that all vote", |cluster| {
         let statuses = cluster.statuses();
         let groups = statuses.iter().filter_map(|status| status.groups.first());
@@ -135,8 +135,8 @@
 }
 
 /// Asserts that each node has exactly the recorded outputs of the kept jobs.
-fn check(cluster: &mut Cluster, recorded: &BTreeMap<u64, u32>, seed: u64) {
-    run_until_whole(cluster);
+fn assert_outputs(cluster: &mut Cluster, recorded: &BTreeMap<u64, u32>, seed: u64) {
+    run_until_synced(cluster);
     for number in NODES {
         for (&job, &places) in recorded {
             let wanted: Vec<String> = (0..places).map(|place| output(job, place)).collect();
@@ -157,9 +157,9 @@
 fn outputs_are_the_same_at_every_node_through_kills_lost_disks_and_fetched_snapshots() {
     for seed in 0..SEEDS {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut cluster = founded(seed);
+        let mut cluster = founded_cluster(seed);
         let mut recorded = BTreeMap::new();
-        let mut away: Option<NodeId> = None;
+        let mut isolated: Option<NodeId> = None;
         for job in 1..=5 {
             submit(&mut cluster, job);
             recorded.insert(job, 0);
@@ -168,23 +168,23 @@
                 recorded.insert(job, place + 1);
                 let number = node(random.random_range(1..=3));
                 match random.random_range(0..12) {
-                    0 if away.is_none() => cluster.restart(number),
-                    1 if away.is_none() => {
+                    0 if isolated.is_none() => cluster.restart(number),
+                    1 if isolated.is_none() => {
                         cluster.isolate(number, true);
-                        away = Some(number);
+                        isolated = Some(number);
                     }
                     2 | 3 => {
-                        if let Some(back) = away.take() {
+                        if let Some(back) = isolated.take() {
                             cluster.isolate(back, false);
                         }
                     }
                     _ => {}
                 }
             }
-            if let Some(back) = away.take() {
+            if let Some(back) = isolated.take() {
                 cluster.isolate(back, false);
             }
-            check(&mut cluster, &recorded, seed);
+            assert_outputs(&mut cluster, &recorded, seed);
             if job > 2 {
                 commit(&mut cluster, &BatchCommand::Forget { job: job - 2 });
                 recorded.remove(&(job - 2));
@@ -193,7 +193,7 @@
             if random.random_bool(0.5) {
                 cluster.lose_disk(node(random.random_range(1..=3)));
             }
-            check(&mut cluster, &recorded, seed);
+            assert_outputs(&mut cluster, &recorded, seed);
         }
         for number in NODES {
             cluster.kill(node(number));
@@ -201,15 +201,15 @@
         for number in NODES {
             cluster.start(node(number));
         }
-        check(&mut cluster, &recorded, seed);
+        assert_outputs(&mut cluster, &recorded, seed);
     }
 }
 
 /// If the payload log kept growing, the disk would eventually fill up.
 #[test]
 fn the_log_of_payloads_does_not_grow_with_jobs_that_are_forgotten() {
-    let mut cluster = founded(9);
-    let mut most = 0;
+    let mut cluster = founded_cluster(9);
+    let mut highest = 0;
     for job in 1..=8 {
         submit(&mut cluster, job);
         for place in 0..ITEMS {
@@ -218,7 +218,7 @@
         if job > 1 {
             commit(&mut cluster, &BatchCommand::Forget { job: job - 1 });
         }
-        run_until_whole(&mut cluster);
+        run_until_synced(&mut cluster);
         let used = cluster.disks.values().map(|disk| {
             let payloads = disk.files().into_iter();
             let payloads = payloads.filter(|file| file.starts_with("payload/"));
@@ -227,11 +227,11 @@
         });
         let used = used.max().unwrap_or_default();
         if job == 4 {
-            most = used;
+            highest = used;
         }
         assert!(
-            job <= 4 || used <= most + (8 << 20),
-            "{used} bytes, {most} before"
+            job <= 4 || used <= highest + (8 << 20),
+            "{used} bytes, {highest} before"
         );
     }
 }
--- a/crates/replica/tests/claims.rs
+++ b/crates/replica/tests/claims.rs
@@ -60,8 +60,8 @@
 
 #[test]
 fn claim_that_stays_open_ends_as_unknown_also_after_a_leader_change() {
-    let mut cluster = Cluster::tuned(3, 5, short_claims);
-    cluster.run_until_led();
+    let mut cluster = Cluster::with_settings(3, 5, short_claims);
+    cluster.run_until_leaders();
     assert_eq!(claim(&mut cluster, "bill", 1), ClaimReply::Granted);
     let held = ClaimReply::Held {
         attempt: attempt(1),
@@ -92,8 +92,8 @@
 
 #[test]
 fn claim_that_is_settled_or_granted_anew_in_time_is_left_alone() {
-    let mut cluster = Cluster::tuned(3, 6, short_claims);
-    cluster.run_until_led();
+    let mut cluster = Cluster::with_settings(3, 6, short_claims);
+    cluster.run_until_leaders();
     claim(&mut cluster, "paid", 1);
     claim(&mut cluster, "freed", 1);
     cluster.run_for(Duration::from_secs(15));
--- a/crates/replica/tests/cluster/mod.rs
+++ b/crates/replica/tests/cluster/mod.rs
@@ -42,13 +42,13 @@
     pub errors: Vec<(NodeId, ReplicaError)>,
     pub answers: HashMap<Ticket, Answer>,
     /// Directed links, from sender to receiver, that drop all messages.
-    pub cut: BTreeSet<(NodeId, NodeId)>,
+    pub cut_links: BTreeSet<(NodeId, NodeId)>,
     pub loss: f64,
     pub bytes_sent: u64,
     network: BTreeMap<(Timestamp, u64), Packet>,
     /// A node whose messages are withheld until [`Cluster::deliver_reversed`].
-    pub held_for: Option<NodeId>,
-    held: Vec<Input>,
+    pub withheld_for: Option<NodeId>,
+    withheld: Vec<Input>,
     last_ticket: u64,
     last_message: u64,
     pub job_groups: u32,
@@ -65,10 +65,10 @@
 impl Cluster {
     /// Returns a cluster of `size` blank nodes, all started.
     pub fn new(size: u32, seed: u64) -> Self {
-        Self::tuned(size, seed, |_| {})
+        Self::with_settings(size, seed, |_| {})
     }
 
-    pub fn tuned(size: u32, seed: u64, tune: fn(&mut ReplicaSettings)) -> Self {
+    pub fn with_settings(size: u32, seed: u64, tune: fn(&mut ReplicaSettings)) -> Self {
         let mut cluster = Self::stopped(size, seed, tune);
         for node in cluster.nodes() {
             cluster.start(node);
@@ -87,12 +87,12 @@
             events: Vec::new(),
             errors: Vec::new(),
             answers: HashMap::new(),
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             loss: 0.0,
             bytes_sent: 0,
             network: BTreeMap::new(),
-            held_for: None,
-            held: Vec::new(),
+            withheld_for: None,
+            withheld: Vec::new(),
             last_ticket: 0,
             last_message: 0,
             job_groups: 2,
@@ -163,9 +163,9 @@
         for other in self.nodes() {
             for pair in [(node, other), (other, node)] {
                 if isolated {
-                    self.cut.insert(pair);
+                    self.cut_links.insert(pair);
                 } else {
-                    self.cut.remove(&pair);
+                    self.cut_links.remove(&pair);
                 }
             }
         }
@@ -178,7 +178,7 @@
         match core.poll(self.now) {
             Ok(outputs) => {
                 for output in outputs {
-                    self.take(node, output);
+                    self.handle_output(node, output);
                 }
             }
             Err(error) => {
@@ -188,7 +188,7 @@
         }
     }
 
-    fn take(&mut self, from: NodeId, output: Output) {
+    fn handle_output(&mut self, from: NodeId, output: Output) {
         match output {
             Output::Send { to, group, bytes } => self.send(from, to, group, bytes),
             Output::Reply { ticket, result } => {
@@ -205,7 +205,7 @@
     fn send(&mut self, from: NodeId, to: NodeId, group: GroupId, bytes: Vec<u8>) {
         self.bytes_sent += bytes.len() as u64;
         let lost = self.random.random_bool(self.loss);
-        if lost || self.cut.contains(&(from, to)) {
+        if lost || self.cut_links.contains(&(from, to)) {
             return;
         }
         self.last_message += 1;
@@ -238,7 +238,7 @@
             let Some((_, packet)) = self.network.pop_first() else {
                 return false;
             };
-            if self.cut.contains(&(packet.from, packet.to)) {
+            if self.cut_links.contains(&(packet.from, packet.to)) {
                 return true;
             }
             let message = Input::Message {
@@ -246,8 +246,8 @@
                 group: packet.group,
                 bytes: packet.bytes,
             };
-            if self.held_for == Some(packet.to) {
-                self.held.push(message);
+            if self.withheld_for == Some(packet.to) {
+                self.withheld.push(message);
             } else {
                 self.input(packet.to, message);
             }
@@ -259,10 +259,10 @@
 
     /// Delivers the withheld messages to their node in reverse order.
     pub fn deliver_reversed(&mut self) {
-        let Some(node) = self.held_for.take() else {
+        let Some(node) = self.withheld_for.take() else {
             return;
         };
-        for message in std::mem::take(&mut self.held).into_iter().rev() {
+        for message in std::mem::take(&mut self.withheld).into_iter().rev() {
             self.input(node, message);
         }
     }
@@ -292,13 +292,14 @@
     }
 
     pub fn leader(&self, group: GroupId) -> Option<NodeId> {
-        let led = |core: &ReplicaCore<SimulatedDisk>| core.status().leads().any(|led| led == group);
-        let mut leaders = self.cores.iter().filter(|(_, core)| led(core));
+        let leads_group =
+            |core: &ReplicaCore<SimulatedDisk>| core.status().leads().any(|led| led == group);
+        let mut leaders = self.cores.iter().filter(|(_, core)| leads_group(core));
         leaders.next().map(|(&node, _)| node)
     }
 
     /// Runs until every group has a leader; returns the leader of the control group.
-    pub fn run_until_led(&mut self) -> NodeId {
+    pub fn run_until_leaders(&mut self) -> NodeId {
         let groups = self.job_groups;
         self.run_until("leaders", |cluster| {
             (0..=groups).all(|group| cluster.leader(GroupId(group)).is_some())
@@ -408,7 +409,7 @@
     }
 
     /// Runs until all nodes participate and have applied the same entries in all groups.
-    pub fn run_until_equal(&mut self) {
+    pub fn run_until_in_sync(&mut self) {
         self.run_until("equal replicas", |cluster| {
             let applied = |status: &ReplicaStatus| -> Vec<u64> {
                 status.groups.iter().map(|group| group.applied).collect()
@@ -423,7 +424,7 @@
     }
 
     /// Whether the voters of each group are exactly the current incarnations of all nodes.
-    pub fn is_whole(&self) -> bool {
+    pub fn all_nodes_vote(&self) -> bool {
         let lives: BTreeSet<(NodeId, u32)> = self
             .statuses()
             .iter()
--- a/crates/replica/tests/crash_points.rs
+++ b/crates/replica/tests/crash_points.rs
@@ -12,7 +12,7 @@
 /// Number of configuration changes in one run.
 const CHANGES: u64 = 14;
 
-fn small(settings: &mut ReplicaSettings) {
+fn small_limits(settings: &mut ReplicaSettings) {
     settings.snapshot_every_entries = 5;
     settings.chunk_bytes = 64;
     settings.log.segment_bytes = 600;
@@ -21,7 +21,7 @@
 
 /// Confirms changes and submits jobs until the power fails. Returns the last
 /// acknowledged version and the number of acknowledged jobs.
-fn work(cluster: &mut Cluster, stopped: impl Fn(&Cluster) -> bool) -> (ConfigVersion, u32) {
+fn run_workload(cluster: &mut Cluster, stopped: impl Fn(&Cluster) -> bool) -> (ConfigVersion, u32) {
     let mut version = ConfigVersion(0);
     let mut jobs = 0;
     for number in 1..=CHANGES {
@@ -39,11 +39,11 @@
 
 /// Runs a single node whose power fails after `changes` disk changes. Returns
 /// whether the power failed during the run.
-fn alone(changes: u64, seed: u64) -> bool {
-    let mut cluster = Cluster::stopped(1, seed, small);
+fn run_single_node(changes: u64, seed: u64) -> bool {
+    let mut cluster = Cluster::stopped(1, seed, small_limits);
     cluster.disks[&node(1)].fail_power_after(changes);
     cluster.start(node(1));
-    let (version, jobs) = work(&mut cluster, |cluster| cluster.cores.is_empty());
+    let (version, jobs) = run_workload(&mut cluster, |cluster| cluster.cores.is_empty());
     let failed = cluster.cores.is_empty();
     cluster.errors.clear();
     cluster.restart(node(1));
@@ -52,7 +52,7 @@
         "after {changes}: {:?}",
         cluster.errors
     );
-    cluster.run_until_led();
+    cluster.run_until_leaders();
     let read = cluster.version_at(node(1), Consistency::Linearizable);
     assert!(
         read >= Some(version),
@@ -67,7 +67,7 @@
 #[test]
 fn nothing_acknowledged_is_lost_when_power_fails_at_each_change() {
     let mut changes = 0;
-    while alone(changes, changes) {
+    while run_single_node(changes, changes) {
         changes += 1;
     }
     assert!(changes > 200, "only {changes} changes");
@@ -76,22 +76,22 @@
 #[test]
 fn follower_catches_up_when_power_fails_at_each_change_of_a_snapshot_transfer() {
     for point in 0..60 {
-        let mut cluster = Cluster::tuned(3, point, small);
-        let leader = cluster.run_until_led();
-        let behind = cluster.other_than(leader);
-        cluster.kill(behind);
-        work(&mut cluster, |_| false);
-        cluster.start(behind);
-        cluster.disks[&behind].fail_power_after(point * 2);
+        let mut cluster = Cluster::with_settings(3, point, small_limits);
+        let leader = cluster.run_until_leaders();
+        let lagging = cluster.other_than(leader);
+        cluster.kill(lagging);
+        run_workload(&mut cluster, |_| false);
+        cluster.start(lagging);
+        cluster.disks[&lagging].fail_power_after(point * 2);
         cluster.run_for(Duration::from_secs(5));
         cluster.errors.clear();
-        cluster.restart(behind);
+        cluster.restart(lagging);
         assert!(cluster.errors.is_empty(), "{point}: {:?}", cluster.errors);
-        cluster.run_until_equal();
+        cluster.run_until_in_sync();
         let version = Some(ConfigVersion(CHANGES));
-        assert_eq!(cluster.version_at(behind, Consistency::Local), version);
+        assert_eq!(cluster.version_at(lagging, Consistency::Local), version);
         for job in 0..CHANGES as u32 {
-            cluster::jobs::assert_readable(&mut cluster, behind, job);
+            cluster::jobs::assert_readable(&mut cluster, lagging, job);
         }
     }
 }
@@ -99,12 +99,12 @@
 #[test]
 fn life_that_ends_is_emptied_when_power_fails_at_each_change() {
     for point in 0..40 {
-        let mut cluster = Cluster::tuned(3, point, small);
-        cluster.run_until_led();
+        let mut cluster = Cluster::with_settings(3, point, small_limits);
+        cluster.run_until_leaders();
         let victim = node(2);
         let backup = cluster.disks[&victim].backup();
         cluster.restart(victim);
-        cluster.run_until_equal();
+        cluster.run_until_in_sync();
         cluster.confirm_many(5);
         cluster.kill(victim);
         cluster.disks[&victim].roll_back(&backup);
@@ -114,7 +114,7 @@
         cluster.errors.clear();
         cluster.restart(victim);
         assert!(cluster.errors.is_empty(), "{point}: {:?}", cluster.errors);
-        cluster.run_until("a new incarnation that votes", Cluster::is_whole);
+        cluster.run_until("a new incarnation that votes", Cluster::all_nodes_vote);
         assert!(cluster.leader(GroupId::CONTROL).is_some());
     }
 }
--- a/crates/replica/tests/discovery.rs
+++ b/crates/replica/tests/discovery.rs
@@ -34,13 +34,13 @@
 
 /// Returns a cluster of `size` nodes of which only the seeds are started, with blank
 /// disks.
-fn founded(size: u32, seed: u64, tune: fn(&mut ReplicaSettings)) -> Cluster {
+fn founded_cluster(size: u32, seed: u64, tune: fn(&mut ReplicaSettings)) -> Cluster {
     let mut cluster = Cluster::stopped(size, seed, tune);
     cluster.job_groups = 0;
     for seed in SEEDS {
         cluster.start(node(seed));
     }
-    cluster.run_until_led();
+    cluster.run_until_leaders();
     cluster.first_start = false;
     cluster
 }
@@ -78,8 +78,8 @@
     });
 }
 
-fn newest(cluster: &mut Cluster) -> Option<ConfigVersion> {
-    let leader = cluster.run_until_led();
+fn latest_version(cluster: &mut Cluster) -> Option<ConfigVersion> {
+    let leader = cluster.run_until_leaders();
     cluster.version_at(leader, Consistency::Linearizable)
 }
 
@@ -96,27 +96,31 @@
             "one of three leads alone"
         );
         cluster.start(node(order[1]));
-        cluster.run_until_led();
+        cluster.run_until_leaders();
         cluster.first_start = false;
         cluster.confirm_many(5);
         // The third node starts late and does not know the founders.
         cluster.start(node(order[2]));
         run_until_voters(&mut cluster, &SEEDS);
-        assert_eq!(newest(&mut cluster), Some(ConfigVersion(5)));
+        assert_eq!(latest_version(&mut cluster), Some(ConfigVersion(5)));
     }
 }
 
 #[test]
 fn a_blank_disk_at_the_old_address_gets_its_place_back() {
     for seed in 0..6 {
-        let mut cluster = founded(3, seed, discover);
+        let mut cluster = founded_cluster(3, seed, discover);
         cluster.confirm_many(20);
         for round in 0..3_u32 {
             let lost = node(1 + (seed as u32 + round) % 3);
             cluster.lose_disk(lost);
             run_until_voters(&mut cluster, &SEEDS);
         }
-        assert_eq!(newest(&mut cluster), Some(ConfigVersion(20)), "seed {seed}");
+        assert_eq!(
+            latest_version(&mut cluster),
+            Some(ConfigVersion(20)),
+            "seed {seed}"
+        );
         assert!(cluster.errors.is_empty(), "{:?}", cluster.errors);
     }
 }
@@ -124,24 +128,24 @@
 #[test]
 fn a_machine_at_another_address_takes_the_place_of_one_that_is_gone() {
     for (seed, gone) in [(1, 1), (2, 2), (3, 3)] {
-        let mut cluster = founded(4, seed, discover);
+        let mut cluster = founded_cluster(4, seed, discover);
         cluster.confirm_many(20);
         cluster.kill(node(gone));
         cluster.start(node(4));
         let wanted: Vec<u32> = (1..=4).filter(|&number| number != gone).collect();
         run_until_voters(&mut cluster, &wanted);
-        assert_eq!(newest(&mut cluster), Some(ConfigVersion(20)));
+        assert_eq!(latest_version(&mut cluster), Some(ConfigVersion(20)));
         // Another node loses its disk right afterwards.
         let second = node(wanted[0]);
         cluster.lose_disk(second);
         run_until_voters(&mut cluster, &wanted);
-        assert_eq!(newest(&mut cluster), Some(ConfigVersion(20)));
+        assert_eq!(latest_version(&mut cluster), Some(ConfigVersion(20)));
     }
 }
 
 #[test]
 fn a_spare_machine_waits_until_it_is_needed() {
-    let mut cluster = founded(4, 7, discover);
+    let mut cluster = founded_cluster(4, 7, discover);
     cluster.start(node(4));
     cluster.run_for(Duration::from_secs(10));
     assert_eq!(voters(&cluster), seeds());
@@ -149,7 +153,7 @@
 
 #[test]
 fn a_spare_machine_names_a_voter_to_whoever_looks_for_the_leader() {
-    let mut cluster = founded(4, 18, discover);
+    let mut cluster = founded_cluster(4, 18, discover);
     cluster.start(node(4));
     cluster.run_for(Duration::from_secs(2));
     let query = Input::Query {
@@ -178,17 +182,17 @@
 fn bytes_a_second(spares: u32) -> u64 {
     const SECONDS: u64 = 20;
     let size = 3 + spares;
-    let mut cluster = founded(size, 17, discover);
+    let mut cluster = founded_cluster(size, 17, discover);
     for spare in 4..=size {
         cluster.start(node(spare));
     }
     // The control nodes announce all nodes to each other.
-    for told in cluster.nodes() {
+    for receiver in cluster.nodes() {
         let members = Input::Members {
             contacts: cluster.nodes().into_iter().collect(),
             retiring: BTreeSet::new(),
         };
-        cluster.input(told, members);
+        cluster.input(receiver, members);
     }
     cluster.run_for(Duration::from_secs(10));
     assert_eq!(voters(&cluster), seeds());
@@ -210,7 +214,7 @@
 
 #[test]
 fn a_group_grows_to_the_wanted_number() {
-    let mut cluster = founded(5, 8, discover_five);
+    let mut cluster = founded_cluster(5, 8, discover_five);
     cluster.confirm_many(10);
     cluster.start(node(4));
     cluster.start(node(5));
@@ -220,13 +224,13 @@
     cluster.lose_disk(node(1));
     cluster.lose_disk(node(2));
     run_until_voters(&mut cluster, &[1, 2, 3, 4, 5]);
-    assert_eq!(newest(&mut cluster), Some(ConfigVersion(10)));
+    assert_eq!(latest_version(&mut cluster), Some(ConfigVersion(10)));
 }
 
 #[test]
 fn a_retiring_node_gives_its_place_away_and_gets_none_back() {
     for (seed, leaving) in [(11, 1), (12, 2), (13, 3)] {
-        let mut cluster = founded(4, seed, discover);
+        let mut cluster = founded_cluster(4, seed, discover);
         cluster.confirm_many(10);
         cluster.start(node(4));
         for number in 1..=4 {
@@ -244,14 +248,14 @@
         cluster.kill(node(leaving));
         cluster.lose_disk(node(wanted[1]));
         run_until_voters(&mut cluster, &wanted);
-        assert_eq!(newest(&mut cluster), Some(ConfigVersion(10)));
+        assert_eq!(latest_version(&mut cluster), Some(ConfigVersion(10)));
     }
 }
 
 #[test]
 fn all_killed_or_without_power_return_with_everything() {
     for seed in 20..26 {
-        let mut cluster = founded(3, seed, discover);
+        let mut cluster = founded_cluster(3, seed, discover);
         cluster.confirm_many(15);
         for seed in SEEDS {
             cluster.kill(node(seed));
@@ -260,23 +264,27 @@
             cluster.start(node(seed));
         }
         run_until_voters(&mut cluster, &SEEDS);
-        assert_eq!(newest(&mut cluster), Some(ConfigVersion(15)), "seed {seed}");
+        assert_eq!(
+            latest_version(&mut cluster),
+            Some(ConfigVersion(15)),
+            "seed {seed}"
+        );
     }
 }
 
 #[test]
 fn a_voter_that_was_replaced_while_it_was_cut_off_begins_anew() {
-    let mut cluster = founded(4, 31, discover);
+    let mut cluster = founded_cluster(4, 31, discover);
     cluster.confirm_many(10);
-    let cut = cluster.other_than(cluster.leader(GroupId::CONTROL).expect("a leader"));
-    cluster.isolate(cut, true);
+    let isolated = cluster.other_than(cluster.leader(GroupId::CONTROL).expect("a leader"));
+    cluster.isolate(isolated, true);
     cluster.start(node(4));
-    let wanted: Vec<u32> = (1..=4).filter(|&number| node(number) != cut).collect();
+    let wanted: Vec<u32> = (1..=4).filter(|&number| node(number) != isolated).collect();
     run_until_voters(&mut cluster, &wanted);
-    let before = cluster.cores[&cut].status().incarnation;
-    cluster.isolate(cut, false);
+    let before = cluster.cores[&isolated].status().incarnation;
+    cluster.isolate(isolated, false);
     cluster.run_until("a new incarnation", |cluster| {
-        cluster.cores[&cut].status().incarnation != before
+        cluster.cores[&isolated].status().incarnation != before
     });
     cluster.run_for(Duration::from_secs(5));
     let wanted = wanted.into_iter().map(NodeId).collect();
@@ -286,20 +294,20 @@
 
 #[test]
 fn founders_that_are_told_later_found_once() {
-    fn told_later(settings: &mut ReplicaSettings) {
+    fn without_founders(settings: &mut ReplicaSettings) {
         discover(settings);
         if let Some(discovery) = &mut settings.discovery {
             discovery.founders.clear();
             discovery.contacts.clear();
         }
     }
-    let mut cluster = Cluster::stopped(4, 41, told_later);
+    let mut cluster = Cluster::stopped(4, 41, without_founders);
     cluster.job_groups = 0;
     for number in 1..=4 {
         cluster.start(node(number));
     }
-    let lives = cluster.statuses();
-    let founders: BTreeMap<NodeId, u32> = lives
+    let started_nodes = cluster.statuses();
+    let founders: BTreeMap<NodeId, u32> = started_nodes
         .iter()
         .filter(|status| SEEDS.contains(&status.node.0))
         .map(|status| (status.node, status.incarnation))
@@ -315,5 +323,5 @@
     // The fourth node joins through the founders when one of them is gone.
     cluster.kill(node(2));
     run_until_voters(&mut cluster, &[1, 3, 4]);
-    assert_eq!(newest(&mut cluster), Some(ConfigVersion(3)));
+    assert_eq!(latest_version(&mut cluster), Some(ConfigVersion(3)));
 }
--- a/crates/replica/tests/disks.rs
+++ b/crates/replica/tests/disks.rs
@@ -9,12 +9,12 @@
 use molespan_types::{ConfigVersion, GroupId, NodeId, RunOutcome};
 
 fn version(cluster: &mut Cluster) -> Option<ConfigVersion> {
-    let leader = cluster.run_until_led();
+    let leader = cluster.run_until_leaders();
     cluster.version_at(leader, Consistency::Linearizable)
 }
 
 /// Returns the incarnations of all nodes.
-fn lives(cluster: &Cluster) -> Vec<(NodeId, u32)> {
+fn incarnations(cluster: &Cluster) -> Vec<(NodeId, u32)> {
     let statuses = cluster.statuses();
     statuses
         .iter()
@@ -26,18 +26,18 @@
 fn second_disk_lost_right_after_a_repair_loses_nothing() {
     for seed in 0..12 {
         let mut cluster = Cluster::new(3, seed);
-        let leader = cluster.run_until_led();
+        let leader = cluster.run_until_leaders();
         cluster.confirm_many(40);
         let first = cluster.other_than(leader);
         cluster.lose_disk(first);
-        cluster.run_until("the first repair", Cluster::is_whole);
+        cluster.run_until("the first repair", Cluster::all_nodes_vote);
         let second = if seed % 2 == 0 {
             leader
         } else {
             cluster.other_than(first)
         };
         cluster.lose_disk(second);
-        cluster.run_until("the second repair", Cluster::is_whole);
+        cluster.run_until("the second repair", Cluster::all_nodes_vote);
         assert_eq!(version(&mut cluster), Some(ConfigVersion(40)));
         assert!(cluster.errors.is_empty(), "{:?}", cluster.errors);
     }
@@ -46,11 +46,11 @@
 #[test]
 fn five_nodes_bear_two_disks_lost_at_once() {
     let mut cluster = Cluster::new(5, 1);
-    cluster.run_until_led();
+    cluster.run_until_leaders();
     cluster.confirm_many(20);
     cluster.lose_disk(node(2));
     cluster.lose_disk(node(4));
-    cluster.run_until("both repairs", Cluster::is_whole);
+    cluster.run_until("both repairs", Cluster::all_nodes_vote);
     assert_eq!(version(&mut cluster), Some(ConfigVersion(20)));
 }
 
@@ -58,13 +58,13 @@
 fn disk_lost_again_while_it_is_repaired_is_repaired() {
     for seed in 0..8 {
         let mut cluster = Cluster::new(3, seed);
-        let leader = cluster.run_until_led();
+        let leader = cluster.run_until_leaders();
         cluster.confirm_many(10);
         let lost = cluster.other_than(leader);
         cluster.lose_disk(lost);
         cluster.run_for(Duration::from_millis(400 * seed));
         cluster.lose_disk(lost);
-        cluster.run_until("the repair", Cluster::is_whole);
+        cluster.run_until("the repair", Cluster::all_nodes_vote);
         assert_eq!(version(&mut cluster), Some(ConfigVersion(10)));
     }
 }
@@ -72,26 +72,26 @@
 #[test]
 fn restart_after_a_repair_ends_no_new_life() {
     let mut cluster = Cluster::new(3, 3);
-    let leader = cluster.run_until_led();
+    let leader = cluster.run_until_leaders();
     cluster.confirm_many(10);
     let lost = cluster.other_than(leader);
     cluster.lose_disk(lost);
-    cluster.run_until("the repair", Cluster::is_whole);
-    cluster.run_until_equal();
-    let before = lives(&cluster);
+    cluster.run_until("the repair", Cluster::all_nodes_vote);
+    cluster.run_until_in_sync();
+    let before = incarnations(&cluster);
     for other in cluster.nodes() {
         cluster.restart(other);
-        cluster.run_until_equal();
+        cluster.run_until_in_sync();
         cluster.run_for(Duration::from_secs(20));
     }
-    assert_eq!(lives(&cluster), before);
+    assert_eq!(incarnations(&cluster), before);
 }
 
 #[test]
 fn rolled_back_disk_starts_a_new_life() {
     for seed in 0..8 {
         let mut cluster = Cluster::new(3, seed);
-        cluster.run_until_led();
+        cluster.run_until_leaders();
         cluster.confirm_many(5);
         let victim = node(1 + (seed % 3) as u32);
         let backup = cluster.disks[&victim].backup();
@@ -105,7 +105,7 @@
         cluster.run_until("the repair", |cluster| {
             let anew = |event: &ReplicaEvent| matches!(event, ReplicaEvent::NewIncarnation { .. });
             let events = &cluster.events[before..];
-            cluster.is_whole()
+            cluster.all_nodes_vote()
                 && events
                     .iter()
                     .any(|(node, event)| *node == victim && anew(event))
@@ -121,17 +121,17 @@
     for node in cluster.nodes() {
         cluster.start(node);
     }
-    let leader = cluster.run_until_led();
+    let leader = cluster.run_until_leaders();
     cluster.confirm_many(5);
-    cluster.run_until_equal();
+    cluster.run_until_in_sync();
     let victim = cluster.other_than(leader);
     let mut nodes = cluster.nodes().into_iter();
     let witness = nodes.find(|&node| node != leader && node != victim);
     let witness = witness.unwrap();
     let backup = cluster.disks[&victim].backup();
     // The witness receives messages from the victim but not from the leader.
-    cluster.cut.insert((leader, witness));
-    cluster.cut.insert((witness, leader));
+    cluster.cut_links.insert((leader, witness));
+    cluster.cut_links.insert((witness, leader));
     for number in 6..=20 {
         cluster.confirm(number, ConfigVersion(number - 1));
     }
@@ -143,7 +143,7 @@
     cluster.run_for(Duration::from_secs(10));
     // Only the leader still has the acknowledged changes.
     cluster.isolate(leader, false);
-    cluster.run_until("the repair", Cluster::is_whole);
+    cluster.run_until("the repair", Cluster::all_nodes_vote);
     assert_eq!(version(&mut cluster), Some(ConfigVersion(20)));
     assert!(cluster.errors.is_empty(), "{:?}", cluster.errors);
 }
@@ -151,7 +151,7 @@
 #[test]
 fn damage_in_the_middle_of_the_log_stops_the_replica() {
     let mut cluster = Cluster::new(3, 2);
-    let leader = cluster.run_until_led();
+    let leader = cluster.run_until_leaders();
     cluster.confirm_many(10);
     let victim = cluster.other_than(leader);
     cluster.kill(victim);
@@ -162,19 +162,23 @@
         .find(|file| file.ends_with(".segment"));
     assert!(disk.flip(&segment.unwrap(), 40));
     cluster.start(victim);
-    let told: Vec<String> = cluster
+    let messages: Vec<String> = cluster
         .errors
         .iter()
         .map(|(_, error)| error.to_string())
         .collect();
-    assert_eq!(told.len(), 1);
-    assert!(told[0].contains("is corrupt at offset"), "{}", told[0]);
+    assert_eq!(messages.len(), 1);
+    assert!(
+        messages[0].contains("is corrupt at offset"),
+        "{}",
+        messages[0]
+    );
 }
 
 #[test]
 fn full_disk_refuses_as_not_run_and_recovers() {
-    let mut cluster = Cluster::tuned(1, 4, |settings| settings.log.reserve_bytes = 4 << 10);
-    cluster.run_until_led();
+    let mut cluster = Cluster::with_settings(1, 4, |settings| settings.log.reserve_bytes = 4 << 10);
+    cluster.run_until_leaders();
     cluster.confirm_many(3);
     cluster.disks[&node(1)].set_full(true);
     let mut refused = 0;
@@ -209,7 +213,7 @@
 fn a_leader_whose_disk_is_full_hands_over_to_one_with_room() {
     for seed in 0..4 {
         let mut cluster = Cluster::new(3, seed);
-        let leader = cluster.run_until_led();
+        let leader = cluster.run_until_leaders();
         cluster.confirm_many(5);
         cluster.disks[&leader].set_full(true);
         // Commands that it still accepts use up its reserved disk space.
@@ -230,6 +234,6 @@
         cluster.confirm(number + 1, ConfigVersion(number));
         assert_eq!(version(&mut cluster), Some(ConfigVersion(number + 1)));
         cluster.disks[&leader].set_full(false);
-        cluster.run_until_equal();
+        cluster.run_until_in_sync();
     }
 }
--- a/crates/replica/tests/judgement.rs
+++ b/crates/replica/tests/judgement.rs
@@ -33,9 +33,9 @@
 #[test]
 fn hello_that_its_own_start_overtook_condemns_nobody() {
     let mut cluster = Cluster::new(3, SEED);
-    cluster.run_until_led();
-    cluster.run_until("all voters", Cluster::is_whole);
-    cluster.held_for = Some(node(1));
+    cluster.run_until_leaders();
+    cluster.run_until("all voters", Cluster::all_nodes_vote);
+    cluster.withheld_for = Some(node(1));
     // Without the withheld messages to node 1, the other two lead all groups.
     cluster.run_for(Duration::from_secs(3));
     cluster.restart(node(3));
@@ -49,27 +49,27 @@
     cluster.deliver_reversed();
     cluster.run_for(Duration::from_secs(10));
     assert_eq!(new_incarnations(&cluster), 0, "{:#?}", cluster.events);
-    cluster.run_until_equal();
+    cluster.run_until_in_sync();
 }
 
 #[test]
 fn hello_of_a_restarted_node_does_not_stop_one_with_a_full_disk() {
     let mut cluster = Cluster::new(3, SEED);
-    cluster.run_until_led();
-    cluster.run_until("all voters", Cluster::is_whole);
+    cluster.run_until_leaders();
+    cluster.run_until("all voters", Cluster::all_nodes_vote);
     cluster.disks[&node(1)].set_full(true);
     cluster.restart(node(3));
     cluster.run_for(Duration::from_secs(3));
     assert!(cluster.errors.is_empty(), "{:?}", cluster.errors);
     cluster.disks[&node(1)].set_full(false);
-    cluster.run_until_equal();
+    cluster.run_until_in_sync();
 }
 
 #[test]
 fn roll_back_is_told_by_a_node_that_started_after_the_lost_writes() {
     let mut cluster = Cluster::new(3, SEED);
-    cluster.run_until_led();
-    cluster.run_until("all voters", Cluster::is_whole);
+    cluster.run_until_leaders();
+    cluster.run_until("all voters", Cluster::all_nodes_vote);
     let backup = cluster.disks[&node(2)].backup();
     cluster.kill(node(1));
     for number in 1..=20 {
@@ -88,7 +88,7 @@
     cluster.run_for(Duration::from_secs(3));
     assert_eq!(new_incarnations(&cluster), 1, "{:#?}", cluster.events);
     cluster.isolate(node(3), false);
-    cluster.run_until("all voters", Cluster::is_whole);
+    cluster.run_until("all voters", Cluster::all_nodes_vote);
     let version = cluster.version_at(node(3), Consistency::Local);
     assert_eq!(version, Some(ConfigVersion(20)));
 }
--- a/crates/replica/tests/proposals.rs
+++ b/crates/replica/tests/proposals.rs
@@ -24,7 +24,7 @@
 fn proposals_of_a_cut_leader_are_answered_when_it_leads_again() {
     for seed in 0..5 {
         let mut cluster = Cluster::new(3, seed);
-        let old = cluster.run_until_led();
+        let old = cluster.run_until_leaders();
         cluster.confirm_many(3);
         cluster.isolate(old, true);
         let mut tickets = propose_many(&mut cluster, old, 20);
@@ -62,7 +62,7 @@
 #[test]
 fn proposal_that_another_leader_overwrote_is_not_said_to_have_run() {
     let mut cluster = Cluster::new(3, 9);
-    let old = cluster.run_until_led();
+    let old = cluster.run_until_leaders();
     cluster.confirm_many(3);
     cluster.isolate(old, true);
     let lost = propose_many(&mut cluster, old, 5);
@@ -80,8 +80,8 @@
 
 #[test]
 fn one_sync_serves_proposals_of_many_groups() {
-    let mut cluster = Cluster::tuned(1, 1, |settings| settings.job_groups = 16);
-    cluster.run_until_led();
+    let mut cluster = Cluster::with_settings(1, 1, |settings| settings.job_groups = 16);
+    cluster.run_until_leaders();
     cluster.run_for(Duration::from_secs(1));
     let node = NodeId(1);
     let syncs = |cluster: &Cluster| cluster.statuses()[0].log_syncs;
--- a/crates/replica/tests/restart_after_replacement.rs
+++ b/crates/replica/tests/restart_after_replacement.rs
@@ -11,14 +11,14 @@
 
 fn replace_disk(cluster: &mut Cluster, number: u32) {
     cluster.lose_disk(node(number));
-    cluster.run_until("the replacement", Cluster::is_whole);
-    cluster.run_until_equal();
+    cluster.run_until("the replacement", Cluster::all_nodes_vote);
+    cluster.run_until_in_sync();
 }
 
 #[test]
 fn replayed_replacements_do_not_condemn_the_present_lives() {
     let mut cluster = Cluster::new(3, SEED);
-    cluster.run_until_led();
+    cluster.run_until_leaders();
     replace_disk(&mut cluster, 3);
     replace_disk(&mut cluster, 1);
     cluster.events.clear();
@@ -30,11 +30,11 @@
     for &node in &nodes {
         cluster.start(node);
     }
-    cluster.run_until_led();
+    cluster.run_until_leaders();
     cluster.run_for(Duration::from_secs(15));
 
     let renewed = cluster.events.iter();
     let renewed = renewed.filter(|(_, event)| matches!(event, ReplicaEvent::NewIncarnation { .. }));
     assert_eq!(renewed.collect::<Vec<_>>(), Vec::<&(_, _)>::new());
-    assert!(cluster.is_whole(), "{:#?}", cluster.statuses());
+    assert!(cluster.all_nodes_vote(), "{:#?}", cluster.statuses());
 }
--- a/crates/replica/tests/submissions.rs
+++ b/crates/replica/tests/submissions.rs
@@ -11,10 +11,10 @@
 
 #[test]
 fn submission_that_stands_still_is_dropped_also_after_a_leader_change() {
-    let mut cluster = Cluster::tuned(3, 5, |settings| {
+    let mut cluster = Cluster::with_settings(3, 5, |settings| {
         settings.submission_timeout = Duration::from_secs(20);
     });
-    cluster.run_until_led();
+    cluster.run_until_leaders();
     begin_only(&mut cluster, 1);
     assert!(submit(&mut cluster, 2, |_| false));
     cluster.run_for(Duration::from_secs(15));
