--- a/crates/replica/examples/figures/fail_over.rs
+++ b/crates/replica/examples/figures/fail_over.rs
@@ -15,10 +15,10 @@
         let mut fleet = Fleet::start(|settings| settings.job_groups = 1)?;
         let tick = fleet.settings(molespan_types::NodeId(1)).tick;
         let leader = fleet.wait_for_leader(GroupId::CONTROL)?;
-        let began = Instant::now();
+        let started = Instant::now();
         fleet.stop(leader);
         fleet.wait_for_leader(GroupId::CONTROL)?;
-        times.push(began.elapsed().as_secs_f64() / tick.as_secs_f64());
+        times.push(started.elapsed().as_secs_f64() / tick.as_secs_f64());
     }
     times.sort_by(f64::total_cmp);
     println!(
--- a/crates/replica/examples/figures/fleet.rs
+++ b/crates/replica/examples/figures/fleet.rs
@@ -17,8 +17,8 @@
 
 const NODES: u32 = 3;
 /// Maximum wait for an expected condition.
-const PATIENCE: Duration = Duration::from_secs(30);
-const PAUSE: Duration = Duration::from_millis(2);
+const TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// Three replicas, each with its own folder.
 pub struct Fleet {
@@ -99,7 +99,7 @@
     }
 
     /// Whether the voters of each group have exactly the given incarnations.
-    pub fn is_whole(&self, incarnations: &[u32]) -> bool {
+    pub fn voters_are(&self, incarnations: &[u32]) -> bool {
         (1..=NODES).map(NodeId).all(|node| {
             let groups = self.status(node).map(|status| status.groups);
             groups.is_some_and(|groups| {
@@ -124,12 +124,12 @@
         }
         let (sender, reply) = channel();
         self.senders[&node].send(Request::Status(sender)).ok()?;
-        reply.recv_timeout(PATIENCE).ok()
+        reply.recv_timeout(TIMEOUT).ok()
     }
 
     /// Returns the longest poll of any process so far.
-    pub fn longest_turn(&self) -> Duration {
-        Duration::from_micros(self.counters.longest_turn.load(Ordering::Relaxed))
+    pub fn longest_poll(&self) -> Duration {
+        Duration::from_micros(self.counters.longest_poll.load(Ordering::Relaxed))
     }
 
     /// Returns the total bytes sent between the processes so far.
@@ -146,24 +146,24 @@
     }
 
     pub fn wait_for_leader(&self, group: GroupId) -> Result<NodeId, Box<dyn Error>> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         while Instant::now() < end {
             if let Some(leader) = self.leader(group) {
                 return Ok(leader);
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Err(format!("group {group} has no leader").into())
     }
 
     /// Waits until the current incarnation of each node votes in each group.
-    pub fn wait_until_whole(&self) -> Result<(), Box<dyn Error>> {
-        let end = Instant::now() + PATIENCE;
+    pub fn wait_until_all_vote(&self) -> Result<(), Box<dyn Error>> {
+        let end = Instant::now() + TIMEOUT;
         while Instant::now() < end {
-            if self.is_whole(&self.incarnations()) {
+            if self.voters_are(&self.incarnations()) {
                 return Ok(());
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(POLL_INTERVAL);
         }
         Err("the new incarnation does not vote in every group".into())
     }
@@ -223,7 +223,7 @@
 
 /// Waits for the reply to a request; a refusal is an error.
 pub fn reply(answer: &Receiver<Answer>) -> Result<Vec<u8>, Box<dyn Error>> {
-    match answer.recv_timeout(PATIENCE)? {
+    match answer.recv_timeout(TIMEOUT)? {
         Ok(reply) => Ok(reply),
         Err(refusal) => Err(format!("{refusal:?}").into()),
     }
--- a/crates/replica/examples/figures/idle.rs
+++ b/crates/replica/examples/figures/idle.rs
@@ -6,9 +6,9 @@
 use crate::fleet::Fleet;
 
 const REPLICAS: f64 = 3.0;
-const WATCHED: Duration = Duration::from_secs(10);
+const MEASUREMENT_TIME: Duration = Duration::from_secs(10);
 /// Clock ticks per second in which the operating system counts processor time.
-const TICKS_A_SECOND: f64 = 100.0;
+const TICKS_PER_SECOND: f64 = 100.0;
 
 pub fn measure() -> Result<(), Box<dyn Error>> {
     few()?;
@@ -25,8 +25,8 @@
 
 fn watch(groups: u32, fleet: &Fleet) -> Result<(), Box<dyn Error>> {
     let (bytes, time) = (fleet.bytes_sent(), processor_seconds());
-    std::thread::sleep(WATCHED);
-    let seconds = WATCHED.as_secs_f64();
+    std::thread::sleep(MEASUREMENT_TIME);
+    let seconds = MEASUREMENT_TIME.as_secs_f64();
     let sent = (fleet.bytes_sent() - bytes) as f64 / seconds / REPLICAS;
     let share = match (time, processor_seconds()) {
         (Some(before), Some(after)) => {
@@ -48,5 +48,5 @@
     let mut fields = fields.split_whitespace().skip(11);
     let user: f64 = fields.next()?.parse().ok()?;
     let system: f64 = fields.next()?.parse().ok()?;
-    Some((user + system) / TICKS_A_SECOND)
+    Some((user + system) / TICKS_PER_SECOND)
 }
--- a/crates/replica/examples/figures/items.rs
+++ b/crates/replica/examples/figures/items.rs
@@ -24,16 +24,16 @@
 /// Items per append and per lease.
 const BATCH: u32 = 256;
 /// Results per record command.
-const RECORDED: usize = 64;
+const RECORD_ITEMS: usize = 64;
 /// Appends in flight.
-const APPENDS_AT_ONCE: usize = 8;
+const CONCURRENT_APPENDS: usize = 8;
 /// Owners that lease and record concurrently, each with one request in flight.
 const OWNERS: u32 = 16;
 
 pub fn measure() -> Result<(), Box<dyn Error>> {
     for groups in [1_u32, 4] {
         let fleet = Fleet::start(|settings| settings.job_groups = 4)?;
-        let began = Instant::now();
+        let started = Instant::now();
         let mut threads = Vec::new();
         for group in 1..=groups {
             let client = fleet.client(GroupId(group))?;
@@ -44,17 +44,17 @@
         for thread in threads {
             let run = thread.join().map_err(|_| "a client panicked")?;
             let times = run.inspect_err(|_| {
-                println!("longest poll of a replica: {:.0?}", fleet.longest_turn());
+                println!("longest poll of a replica: {:.0?}", fleet.longest_poll());
             })?;
             if groups == 1 {
                 report("submission", times.submission);
                 report("lease and record", times.running);
             }
         }
-        let rate = f64::from(ITEMS * groups) / began.elapsed().as_secs_f64();
+        let rate = f64::from(ITEMS * groups) / started.elapsed().as_secs_f64();
         println!("{groups} group(s): {rate:.0} items/s through their whole life");
         report_load(&fleet, groups)?;
-        println!("  longest poll of a replica: {:.0?}", fleet.longest_turn());
+        println!("  longest poll of a replica: {:.0?}", fleet.longest_poll());
     }
     Ok(())
 }
@@ -87,12 +87,12 @@
 
 /// Submits a job and runs all of its items.
 pub fn run_job(client: &Client, number: u32) -> Result<Times, Box<dyn Error>> {
-    let began = Instant::now();
+    let started = Instant::now();
     submit(client, number)?;
-    let submission = began.elapsed();
-    let began = Instant::now();
+    let submission = started.elapsed();
+    let started = Instant::now();
     run_items(client)?;
-    let running = began.elapsed();
+    let running = started.elapsed();
     Ok(Times {
         submission,
         running,
@@ -122,7 +122,7 @@
         deadline_unix_seconds: 0,
     };
     result_of(&send(client, begin))?;
-    let mut under_way = VecDeque::new();
+    let mut in_flight = VecDeque::new();
     for first in (0..ITEMS).step_by(BATCH as usize) {
         let count = BATCH.min(ITEMS - first) as usize;
         let append = AppendItems {
@@ -130,14 +130,14 @@
             first: ItemIndex(first),
             inputs: vec![ByteVec::from(vec![b'i'; INPUT_BYTES]); count],
         };
-        under_way.push_back(send(client, append));
-        if under_way.len() >= APPENDS_AT_ONCE
-            && let Some(oldest) = under_way.pop_front()
+        in_flight.push_back(send(client, append));
+        if in_flight.len() >= CONCURRENT_APPENDS
+            && let Some(oldest) = in_flight.pop_front()
         {
             result_of(&oldest)?;
         }
     }
-    for answer in under_way {
+    for answer in in_flight {
         result_of(&answer)?;
     }
     result_of(&send(client, JobCommand::Accept { job }))?;
@@ -192,7 +192,7 @@
 
 /// Records the next results of a lease.
 fn record(client: &Client, mut lease: GrantedLease) -> Step {
-    let count = RECORDED.min(lease.items.len());
+    let count = RECORD_ITEMS.min(lease.items.len());
     let items = lease.items.drain(..count);
     let results = items.map(|leased| ItemResult {
         item: leased.item,
--- a/crates/replica/examples/figures/latency.rs
+++ b/crates/replica/examples/figures/latency.rs
@@ -11,26 +11,31 @@
 use crate::fleet::{Client, Fleet, reply};
 
 const WRITES: usize = 4_000;
-const AT_ONCE: [usize; 3] = [1, 16, 256];
+const CONCURRENCY: [usize; 3] = [1, 16, 256];
 
 pub fn measure() -> Result<(), Box<dyn Error>> {
     let fleet = Fleet::start(|settings| settings.job_groups = 1)?;
     let client = fleet.client(GroupId::CONTROL)?;
     let leader = fleet.wait_for_leader(GroupId::CONTROL)?;
     let syncs = || fleet.status(leader).map_or(0, |status| status.log_syncs);
-    for at_once in AT_ONCE {
+    for concurrency in CONCURRENCY {
         let before = syncs();
-        let began = Instant::now();
+        let started = Instant::now();
         // Repeats the same intent, because a resend is a write as well.
-        let latencies = run(at_once, || client.propose(intent(1)))?;
+        let latencies = run(concurrency, || client.propose(intent(1)))?;
         let synced = (syncs() - before).max(1);
-        report("writes", at_once, latencies, began.elapsed());
+        report("writes", concurrency, latencies, started.elapsed());
         println!("  {:.1} writes per sync", WRITES as f64 / synced as f64);
     }
-    for at_once in AT_ONCE {
-        let began = Instant::now();
-        let latencies = run(at_once, || read(&client))?;
-        report("linearizable reads", at_once, latencies, began.elapsed());
+    for concurrency in CONCURRENCY {
+        let started = Instant::now();
+        let latencies = run(concurrency, || read(&client))?;
+        report(
+            "linearizable reads",
+            concurrency,
+            latencies,
+            started.elapsed(),
+        );
     }
     Ok(())
 }
@@ -42,39 +47,39 @@
     }))
 }
 
-/// Runs requests with up to `at_once` in flight; returns their latencies.
+/// Runs requests with up to `concurrency` in flight; returns their latencies.
 fn run(
-    at_once: usize,
+    concurrency: usize,
     send: impl Fn() -> std::sync::mpsc::Receiver<crate::process::Answer>,
 ) -> Result<Vec<Duration>, Box<dyn Error>> {
-    let mut under_way = VecDeque::new();
+    let mut in_flight = VecDeque::new();
     let mut latencies = Vec::with_capacity(WRITES);
     for _ in 0..WRITES {
-        if under_way.len() >= at_once {
-            finish_oldest(&mut under_way, &mut latencies)?;
+        if in_flight.len() >= concurrency {
+            finish_oldest(&mut in_flight, &mut latencies)?;
         }
-        under_way.push_back((Instant::now(), send()));
+        in_flight.push_back((Instant::now(), send()));
     }
-    while !under_way.is_empty() {
-        finish_oldest(&mut under_way, &mut latencies)?;
+    while !in_flight.is_empty() {
+        finish_oldest(&mut in_flight, &mut latencies)?;
     }
     Ok(latencies)
 }
 
-type UnderWay = VecDeque<(Instant, std::sync::mpsc::Receiver<crate::process::Answer>)>;
+type InFlight = VecDeque<(Instant, std::sync::mpsc::Receiver<crate::process::Answer>)>;
 
 fn finish_oldest(
-    under_way: &mut UnderWay,
+    in_flight: &mut InFlight,
     latencies: &mut Vec<Duration>,
 ) -> Result<(), Box<dyn Error>> {
-    if let Some((began, answer)) = under_way.pop_front() {
+    if let Some((started, answer)) = in_flight.pop_front() {
         reply(&answer)?;
-        latencies.push(began.elapsed());
+        latencies.push(started.elapsed());
     }
     Ok(())
 }
 
-fn report(what: &str, at_once: usize, mut latencies: Vec<Duration>, took: Duration) {
+fn report(what: &str, concurrency: usize, mut latencies: Vec<Duration>, took: Duration) {
     latencies.sort_unstable();
     let at = |share: f64| {
         let position = (latencies.len() as f64 * share) as usize;
@@ -82,7 +87,7 @@
     };
     let rate = latencies.len() as f64 / took.as_secs_f64();
     println!(
-        "{what}, {at_once} at once: p50 {:.2} ms, p99 {:.2} ms, {rate:.0}/s",
+        "{what}, {concurrency} at once: p50 {:.2} ms, p99 {:.2} ms, {rate:.0}/s",
         at(0.50),
         at(0.99)
     );
--- a/crates/replica/examples/figures/memory.rs
+++ b/crates/replica/examples/figures/memory.rs
@@ -63,11 +63,11 @@
 fn report_snapshot(group: &Group) -> Result<(), Box<dyn Error>> {
     let folder = tempfile::tempdir()?;
     let store = SnapshotStore::open(RealDisk::open(folder.path())?, GroupId(1))?;
-    let began = Instant::now();
+    let started = Instant::now();
     let bytes = group.machine.snapshot();
-    let encoded = began.elapsed();
+    let encoded = started.elapsed();
     store.save(1, b"header", &bytes)?;
-    let saved = began.elapsed();
+    let saved = started.elapsed();
     let read = Instant::now();
     JobMachine::restore(&bytes)?;
     println!(
--- a/crates/replica/examples/figures/process.rs
+++ b/crates/replica/examples/figures/process.rs
@@ -14,7 +14,7 @@
 use molespan_types::{NodeId, Timestamp};
 
 /// Maximum number of inputs processed between two polls.
-const MOST_INPUTS: usize = 4_096;
+const MAX_INPUTS: usize = 4_096;
 
 /// The result of a request.
 pub type Answer = Result<Vec<u8>, Refusal>;
@@ -32,7 +32,7 @@
 #[derive(Debug, Default)]
 pub struct Counters {
     /// The longest poll, in microseconds. No heartbeat is sent during a poll.
-    pub longest_turn: AtomicU64,
+    pub longest_poll: AtomicU64,
     /// Total bytes sent between replicas.
     pub bytes_sent: AtomicU64,
 }
@@ -88,16 +88,16 @@
     /// Runs until it receives a stop request or fails; returns the inbox for a restart.
     pub fn run(mut self) -> Receiver<Request> {
         while self.take_inputs() {
-            let began = Instant::now();
+            let started = Instant::now();
             let polled = self.core.poll(now(self.start));
-            let took = began.elapsed().as_micros() as u64;
+            let took = started.elapsed().as_micros() as u64;
             self.counters
-                .longest_turn
+                .longest_poll
                 .fetch_max(took, Ordering::Relaxed);
             match polled {
                 Ok(outputs) => outputs
                     .into_iter()
-                    .for_each(|output| self.carry_out(output)),
+                    .for_each(|output| self.handle_output(output)),
                 Err(error) => {
                     eprintln!("node {}: {error}", self.node);
                     break;
@@ -122,7 +122,7 @@
             }
             taken += 1;
             next = match self.inbox.try_recv() {
-                Ok(request) if taken < MOST_INPUTS => Some(request),
+                Ok(request) if taken < MAX_INPUTS => Some(request),
                 Ok(request) => return self.take(request),
                 Err(TryRecvError::Empty | TryRecvError::Disconnected) => None,
             };
@@ -147,7 +147,7 @@
         true
     }
 
-    fn carry_out(&mut self, output: Output) {
+    fn handle_output(&mut self, output: Output) {
         match output {
             Output::Send { to, group, bytes } => {
                 let length = bytes.len() as u64;
--- a/crates/replica/examples/figures/replacement.rs
+++ b/crates/replica/examples/figures/replacement.rs
@@ -26,12 +26,12 @@
             let groups = status.groups.iter();
             groups.map(|group| group.payload_bytes).sum()
         });
-        let began = Instant::now();
+        let started = Instant::now();
         fleet.lose_disk(lost)?;
-        fleet.wait_until_whole()?;
+        fleet.wait_until_all_vote()?;
         println!(
             "replacement after {CHANGES} changes and {payload} payload bytes: {:.2?}",
-            began.elapsed()
+            started.elapsed()
         );
     }
     Ok(())
--- a/crates/replica/examples/figures/restart.rs
+++ b/crates/replica/examples/figures/restart.rs
@@ -34,11 +34,11 @@
     let machine = Machine::Control(machine);
     let folder = tempfile::tempdir()?;
     let store = SnapshotStore::open(RealDisk::open(folder.path())?, GroupId::CONTROL)?;
-    let began = Instant::now();
+    let started = Instant::now();
     let bytes = machine.snapshot();
-    let encoded = began.elapsed();
+    let encoded = started.elapsed();
     store.save(CHANGES, b"header", &bytes)?;
-    let saved = began.elapsed();
+    let saved = started.elapsed();
     println!(
         "snapshot after {CHANGES} changes: {} bytes, encoded in {encoded:.2?}, durable in {saved:.2?}",
         bytes.len()
@@ -56,9 +56,9 @@
     let node = (1..=3).map(NodeId).find(|&node| node != leader);
     let node = node.ok_or("no follower")?;
     fleet.stop(node);
-    let began = Instant::now();
-    let core = open(&fleet.folder(node), fleet.settings(node), began)?;
-    let took = began.elapsed();
+    let started = Instant::now();
+    let core = open(&fleet.folder(node), fleet.settings(node), started)?;
+    let took = started.elapsed();
     let snapshot = core.status().groups[0].snapshot;
     println!("restart after {CHANGES} changes {how} (snapshot at {snapshot}): {took:.2?}");
     Ok(())
