--- a/crates/consensus/src/explore/start.rs
+++ b/crates/consensus/src/explore/start.rs
@@ -1,4 +1,4 @@
-//! The ways to the states where a search may start.
+//! Construction of the start states of a search.
 
 use super::check::Invariant;
 use super::node::Node;
@@ -7,19 +7,19 @@
 use crate::{MembershipChange, Persisted, ReplicaId};
 
 impl World {
-    /// Goes to the start that the bounds ask for.
+    /// Brings the group into the start state given by the bounds.
     pub(super) fn prepare(&mut self) -> Result<(), Invariant> {
         match self.bounds.start {
             Start::Fresh => Ok(()),
             Start::Led => self.without_faults(Self::elect_first),
             Start::Repairing => self.without_faults(|world| {
                 world.elect_first()?;
-                world.begin_repair()
+                world.add_caught_up_learner()
             }),
         }
     }
 
-    /// Prepares the start with quick disks and a network that loses nothing.
+    /// Runs `prepare` with immediate syncs and a network without message loss.
     fn without_faults(
         &mut self,
         prepare: impl FnOnce(&mut Self) -> Result<(), Invariant>,
@@ -33,34 +33,34 @@
         Ok(())
     }
 
-    /// Lets replica 1 win an election.
+    /// Makes replica 1 win an election.
     fn elect_first(&mut self) -> Result<(), Invariant> {
-        self.act(&Action::Tick(ReplicaId(1)))?;
+        self.execute(&Action::Tick(ReplicaId(1)))?;
         self.deliver_all()
     }
 
-    /// Adds a learner that catches up.
-    fn begin_repair(&mut self) -> Result<(), Invariant> {
-        let (_, learner) = self.repaired();
+    /// Adds a learner and lets it catch up.
+    fn add_caught_up_learner(&mut self) -> Result<(), Invariant> {
+        let (_, learner) = self.replacement_pair();
         let blank = Node::start(learner, Persisted::default(), self.bounds.pre_vote)?;
         self.nodes.insert(learner, blank);
         let add = MembershipChange::AddLearner(learner);
         let added = self.node(ReplicaId(1)).replica.change_membership(add);
         debug_assert!(added.is_ok(), "the first leader is undisturbed");
-        self.work(ReplicaId(1))?;
+        self.process_ready(ReplicaId(1))?;
         self.deliver_all()
     }
 
-    /// The voter that goes, and the learner that shall take its place.
-    pub(super) fn repaired(&self) -> (ReplicaId, ReplicaId) {
+    /// Returns the voter to replace and the learner that replaces it.
+    pub(super) fn replacement_pair(&self) -> (ReplicaId, ReplicaId) {
         let voters = self.bounds.replicas;
         (ReplicaId(voters), ReplicaId(voters + 1))
     }
 
     fn deliver_all(&mut self) -> Result<(), Invariant> {
         while let Some(envelope) = self.network.first() {
-            let arrival = envelope.arrival(false);
-            self.act(&arrival)?;
+            let delivery = envelope.delivery(false);
+            self.execute(&delivery)?;
         }
         Ok(())
     }
--- a/crates/consensus/src/explore/world.rs
+++ b/crates/consensus/src/explore/world.rs
@@ -1,14 +1,14 @@
-//! A group, its disks and its network in one state.
+//! The state of a group with its disks and its network.
 
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use super::check::{Invariant, Record};
+use super::check::{History, Invariant};
 use super::node::Node;
 use super::{Action, Bounds, Start};
 use crate::{Membership, MembershipChange, Message, Outgoing, Persisted, ReplicaId};
 
-/// A message on its way.
+/// A message in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Envelope {
     from: ReplicaId,
@@ -16,7 +16,7 @@
     message: Message,
 }
 
-/// What is left of the bounds.
+/// Remaining number of steps of each kind within the bounds.
 #[derive(Clone, Copy, Debug, Hash)]
 pub(super) struct Budget {
     pub(super) ticks: u32,
@@ -27,21 +27,21 @@
     replacements: u32,
 }
 
-/// A state of the group.
+/// The state of a group with its disks and its network.
 #[derive(Clone, Debug)]
 pub(super) struct World {
     pub(super) nodes: BTreeMap<ReplicaId, Node>,
     pub(super) network: Vec<Envelope>,
-    record: Record,
+    history: History,
     pub(super) budget: Budget,
     pub(super) bounds: Bounds,
 }
 
 impl World {
-    /// The state where the search starts.
+    /// Returns the start state of the search.
     ///
     /// # Errors
-    /// When the way there breaks an invariant.
+    /// The violated invariant if preparing the start state violates one.
     pub(super) fn new(bounds: &Bounds) -> Result<Self, Invariant> {
         let ids = (1..=bounds.replicas).map(ReplicaId);
         let disk = Persisted::bootstrap(Membership::of_voters(ids.clone()));
@@ -52,7 +52,7 @@
         let mut world = Self {
             nodes,
             network: Vec::new(),
-            record: Record::default(),
+            history: History::default(),
             budget: Budget {
                 ticks: bounds.ticks,
                 proposals: bounds.proposals,
@@ -67,11 +67,11 @@
         Ok(world)
     }
 
-    /// A hash over all that decides what can follow.
+    /// Returns a hash of everything that determines the possible next steps.
     pub(super) fn fingerprint(&self) -> u64 {
         let mut hasher = DefaultHasher::new();
         self.nodes.hash(&mut hasher);
-        self.record.hash(&mut hasher);
+        self.history.hash(&mut hasher);
         self.budget.hash(&mut hasher);
         // The order in which messages were sent does not matter.
         let mut messages: Vec<u64> = self.network.iter().map(hash_of).collect();
@@ -80,7 +80,7 @@
         hasher.finish()
     }
 
-    /// Steps that can come next.
+    /// Returns the possible next steps.
     pub(super) fn actions(&self) -> Vec<Action> {
         let mut actions = Vec::new();
         for (id, node) in &self.nodes {
@@ -99,30 +99,30 @@
             if self.budget.replacements > 0 && node.replica.leader() == Some(*id) {
                 actions.push(Action::Replace(*id));
             }
-            if node.writing.is_some() {
+            if node.unsynced.is_some() {
                 actions.push(Action::Sync(*id));
             }
         }
         for envelope in &self.network {
-            actions.push(envelope.arrival(false));
+            actions.push(envelope.delivery(false));
             if self.budget.repetitions > 0 {
-                actions.push(envelope.arrival(true));
+                actions.push(envelope.delivery(true));
             }
         }
         actions
     }
 
-    /// Takes one step, and checks the state after it.
-    pub(super) fn act(&mut self, action: &Action) -> Result<(), Invariant> {
-        let id = self.input(action)?;
+    /// Executes one step and checks the invariants on the resulting state.
+    pub(super) fn execute(&mut self, action: &Action) -> Result<(), Invariant> {
+        let id = self.apply_action(action)?;
         if self.nodes.contains_key(&id) {
-            self.work(id)?;
+            self.process_ready(id)?;
         }
-        self.record.check(&self.nodes)
+        self.history.check(&self.nodes)
     }
 
-    /// Gives a replica its input; returns the replica.
-    fn input(&mut self, action: &Action) -> Result<ReplicaId, Invariant> {
+    /// Passes the input of a step to its replica, and returns that replica.
+    fn apply_action(&mut self, action: &Action) -> Result<ReplicaId, Invariant> {
         let id = match action {
             Action::Tick(id) => {
                 self.budget.ticks -= 1;
@@ -132,7 +132,7 @@
             Action::Propose(id) => {
                 self.budget.proposals -= 1;
                 let command = self.budget.proposals.to_be_bytes().to_vec();
-                // A refusal is a step that changes nothing.
+                // A rejected request does not change the state.
                 let _ = self.node(*id).replica.propose(command);
                 *id
             }
@@ -149,16 +149,16 @@
             }
             Action::Lose(id) => {
                 self.budget.losses -= 1;
-                self.record.disk_lost = true;
+                self.history.disk_lost = true;
                 self.nodes.remove(id);
                 self.network.retain(|envelope| envelope.to != *id);
                 *id
             }
             Action::Replace(id) => {
                 self.budget.replacements -= 1;
-                let (lost, replacement) = self.repaired();
+                let (lost, replacement) = self.replacement_pair();
                 let change = MembershipChange::Replace { lost, replacement };
-                // A refusal is a step that changes nothing.
+                // A rejected request does not change the state.
                 let _ = self.node(*id).replica.change_membership(change);
                 *id
             }
@@ -168,7 +168,7 @@
                 message,
                 repeated,
             } => {
-                self.take(*from, *to, message, *repeated);
+                self.remove_delivered(*from, *to, message, *repeated);
                 self.node(*to).replica.step(*from, message.clone());
                 *to
             }
@@ -178,34 +178,41 @@
 
     pub(super) fn node(&mut self, id: ReplicaId) -> &mut Node {
         let Some(node) = self.nodes.get_mut(&id) else {
-            unreachable!("messages go to replicas that are there")
+            unreachable!("messages only go to existing replicas")
         };
         node
     }
 
-    /// Takes a message off the network, unless it will come once more.
-    fn take(&mut self, from: ReplicaId, to: ReplicaId, message: &Message, repeated: bool) {
+    /// Removes a delivered message from the network, unless it is a duplicate
+    /// delivery.
+    fn remove_delivered(
+        &mut self,
+        from: ReplicaId,
+        to: ReplicaId,
+        message: &Message,
+        repeated: bool,
+    ) {
         if repeated {
             self.budget.repetitions -= 1;
             return;
         }
-        let arrived = |envelope: &Envelope| {
+        let delivered = |envelope: &Envelope| {
             envelope.from == from && envelope.to == to && envelope.message == *message
         };
-        if let Some(position) = self.network.iter().position(arrived) {
+        if let Some(position) = self.network.iter().position(delivered) {
             self.network.remove(position);
         }
     }
 
-    /// Does the work that a replica hands out.
-    pub(super) fn work(&mut self, id: ReplicaId) -> Result<(), Invariant> {
+    /// Processes all pending work of a replica.
+    pub(super) fn process_ready(&mut self, id: ReplicaId) -> Result<(), Invariant> {
         while let Some(mut ready) = self.node(id).replica.ready() {
             self.send(id, std::mem::take(&mut ready.messages));
             for entry in std::mem::take(&mut ready.committed) {
-                self.record.apply(entry)?;
+                self.history.record_applied(entry)?;
             }
             if ready.needs_sync() {
-                self.node(id).writing = Some(ready);
+                self.node(id).unsynced = Some(ready);
                 if !self.bounds.slow_disk {
                     self.sync(id);
                 }
@@ -216,10 +223,11 @@
         Ok(())
     }
 
-    /// Syncs what a replica has written, and sends what waited for it.
+    /// Syncs the data a replica has written, and sends the messages that depend on
+    /// the sync.
     fn sync(&mut self, id: ReplicaId) {
         let node = self.node(id);
-        let Some(ready) = node.writing.take() else {
+        let Some(ready) = node.unsynced.take() else {
             return;
         };
         node.store(ready.hard_state, &ready.entries);
@@ -229,8 +237,8 @@
 
     fn send(&mut self, from: ReplicaId, messages: Vec<Outgoing>) {
         for Outgoing { to, message } in messages {
-            let arrives = self.nodes.contains_key(&to);
-            if arrives && self.network.len() < self.bounds.max_in_flight {
+            let receiver_exists = self.nodes.contains_key(&to);
+            if receiver_exists && self.network.len() < self.bounds.max_in_flight {
                 self.network.push(Envelope { from, to, message });
             }
         }
@@ -238,7 +246,7 @@
 }
 
 impl Envelope {
-    pub(super) fn arrival(&self, repeated: bool) -> Action {
+    pub(super) fn delivery(&self, repeated: bool) -> Action {
         Action::Deliver {
             from: self.from,
             to: self.to,
--- a/crates/consensus/src/replica/log/compaction.rs
+++ b/crates/consensus/src/replica/log/compaction.rs
@@ -1,12 +1,12 @@
-//! Snapshots in the place of entries.
+//! Replacement of log entries by snapshots.
 
 use super::super::memberships::Memberships;
 use super::Log;
 use crate::{Index, SnapshotMeta};
 
 impl Log {
-    /// Drops entries that a snapshot contains, but keeps the last ones within
-    /// the given bounds.
+    /// Removes the entries that a snapshot contains, except for the last ones within
+    /// the given limits.
     pub(crate) fn compact(
         &mut self,
         meta: SnapshotMeta,
@@ -22,10 +22,10 @@
             let Some(entry) = self.entries.pop_front() else {
                 break;
             };
-            self.anchor_index = entry.index;
-            self.anchor_term = entry.term;
+            self.base_index = entry.index;
+            self.base_term = entry.term;
         }
-        self.memberships.compact(self.anchor_index);
+        self.memberships.compact(self.base_index);
     }
 
     fn first_trailing(&self, snapshot: Index, max_entries: usize, max_bytes: usize) -> Index {
@@ -43,18 +43,18 @@
         first
     }
 
-    /// Continues from an installed snapshot. Entries behind it stay if the log
-    /// holds the snapshot's last entry: they may be acknowledged.
+    /// Continues from an installed snapshot. Entries after it are kept if the log
+    /// contains the snapshot's last entry, because they may be acknowledged.
     pub(crate) fn install_snapshot(&mut self, meta: SnapshotMeta) {
-        if !self.holds(meta.index, meta.term) {
+        if !self.contains(meta.index, meta.term) {
             self.entries.clear();
-            self.anchor_index = meta.index;
-            self.anchor_term = meta.term;
+            self.base_index = meta.index;
+            self.base_term = meta.term;
             self.memberships = Memberships::new(meta.index, meta.membership.clone());
-            self.taken = meta.index;
+            self.submitted = meta.index;
             self.persisted = meta.index;
         }
-        self.taken = self.taken.max(meta.index);
+        self.submitted = self.submitted.max(meta.index);
         self.persisted = self.persisted.max(meta.index);
         self.commit = self.commit.max(meta.index);
         self.applied = meta.index;
--- a/crates/consensus/src/replica/output.rs
+++ b/crates/consensus/src/replica/output.rs
@@ -1,4 +1,4 @@
-//! What waits to be handed to the driver, and the order of disk and network.
+//! Output for the driver, and the ordering between syncs and messages.
 
 use molespan_types::mechanism::{Mechanism, enabled};
 
@@ -7,28 +7,28 @@
     Fault, HardState, Index, Message, Outgoing, ReadReady, Ready, ReplicaId, SnapshotOffer, Term,
 };
 
-/// What waits for the next [`Ready`].
+/// Output collected for the next [`Ready`].
 #[derive(Clone, Debug, Hash)]
 pub(crate) struct Output {
-    /// May go before a sync.
+    /// Messages that may be sent before the sync.
     messages: Vec<Outgoing>,
-    /// Must wait until the disk holds the state at the time of the message.
+    /// Messages that must wait until the state they were created in is synced.
     messages_after_sync: Vec<Outgoing>,
     pub(crate) reads: Vec<ReadReady>,
     pub(crate) failed_reads: Vec<u64>,
     pub(crate) snapshot_offer: Option<SnapshotOffer>,
     pub(crate) fault: Option<Fault>,
-    /// Term, vote and commit index last handed to the disk.
+    /// Term, vote and commit index last passed to the driver for writing.
     term: Term,
     vote: Option<ReplicaId>,
     commit: Index,
-    /// What the disk is writing.
-    writing: Option<Writing>,
+    /// State passed to the driver whose sync is not yet confirmed.
+    pending_sync: Option<PendingSync>,
 }
 
-/// State that a `Ready` has handed to the disk.
+/// State passed to the driver for writing in a `Ready`.
 #[derive(Clone, Debug, Hash)]
-struct Writing {
+struct PendingSync {
     term: Term,
     vote: Option<ReplicaId>,
     last_index: Index,
@@ -47,7 +47,7 @@
             term,
             vote,
             commit: Index::ZERO,
-            writing: None,
+            pending_sync: None,
         }
     }
 
@@ -58,17 +58,17 @@
 }
 
 impl Replica {
-    /// Work for the driver, or nothing.
+    /// Returns the pending work for the driver, or `None` if there is none.
     ///
-    /// While the disk writes an earlier `Ready`, that is until
-    /// [`Replica::persisted`] is called, a further one holds nothing that has
-    /// to be synced.
+    /// While an earlier `Ready` is being written, that is until
+    /// [`Replica::persisted`] is called, further ones contain nothing that has to
+    /// be synced.
     pub fn ready(&mut self) -> Option<Ready> {
         self.start_read_round();
         self.send_appends();
         let mut ready = Ready::default();
-        if self.output.writing.is_none() && self.fault.is_none() {
-            self.hand_to_disk(&mut ready);
+        if self.output.pending_sync.is_none() && self.fault.is_none() {
+            self.take_unsynced_state(&mut ready);
         }
         ready.messages.append(&mut self.output.messages);
         ready.committed = self.log.take_committed(self.config.max_committed_bytes);
@@ -83,35 +83,35 @@
         Some(ready).filter(|ready| !ready.is_empty())
     }
 
-    /// Notes that the last `Ready` that needed a sync is synced.
+    /// Reports that the last `Ready` that needed a sync is synced.
     pub fn persisted(&mut self) {
-        let Some(writing) = self.output.writing.take() else {
+        let Some(pending_sync) = self.output.pending_sync.take() else {
             return;
         };
         self.log
-            .mark_persisted(writing.last_index, writing.last_term);
-        if writing.term != self.term || self.fault.is_some() {
+            .mark_persisted(pending_sync.last_index, pending_sync.last_term);
+        if pending_sync.term != self.term || self.fault.is_some() {
             return;
         }
         match &self.role {
-            // A candidate's vote for itself counts once it is synced.
-            RoleState::Candidate { .. } if writing.vote == Some(self.config.id) => {
+            // A candidate's vote for itself counts only once it is synced.
+            RoleState::Candidate { .. } if pending_sync.vote == Some(self.config.id) => {
                 self.count_vote(self.config.id);
             }
-            // So do a leader's own entries.
+            // A leader's own copy of an entry also counts only once it is synced.
             RoleState::Leader(_) => self.advance_commit(),
             _ => {}
         }
     }
 
-    fn hand_to_disk(&mut self, ready: &mut Ready) {
+    fn take_unsynced_state(&mut self, ready: &mut Ready) {
         ready.entries = self.log.take_unsynced();
         ready.hard_state = self.take_hard_state(!ready.entries.is_empty());
         ready
             .messages_after_sync
             .append(&mut self.output.messages_after_sync);
         if ready.needs_sync() {
-            self.output.writing = Some(Writing {
+            self.output.pending_sync = Some(PendingSync {
                 term: self.term,
                 vote: self.vote,
                 last_index: self.log.last_index(),
@@ -120,13 +120,14 @@
         }
     }
 
-    /// The hard state, if term or vote changed. The commit index alone is not
-    /// worth a sync; it goes along with other data.
+    /// Returns the hard state if the term or vote changed, or if the commit index
+    /// changed and `entries` says that entries are written as well. The commit index
+    /// alone does not cause a sync.
     fn take_hard_state(&mut self, entries: bool) -> Option<HardState> {
         let commit = self.log.commit();
         let changed = (self.term, self.vote) != (self.output.term, self.output.vote);
-        let commit_goes_along = entries && commit != self.output.commit;
-        if !changed && !commit_goes_along {
+        let include_commit = entries && commit != self.output.commit;
+        if !changed && !include_commit {
             return None;
         }
         self.output.term = self.term;
@@ -140,12 +141,12 @@
         })
     }
 
-    /// Sends a message that rests on nothing unsynced.
+    /// Sends a message that does not depend on unsynced state.
     pub(super) fn send(&mut self, to: ReplicaId, message: Message) {
         self.output.messages.push(Outgoing { to, message });
     }
 
-    /// Sends a message once all that came before it is synced.
+    /// Sends a message once all state up to this call is synced.
     pub(super) fn send_after_sync(&mut self, to: ReplicaId, message: Message) {
         self.output
             .messages_after_sync
--- a/crates/consensus/src/replica/progress.rs
+++ b/crates/consensus/src/replica/progress.rs
@@ -7,13 +7,13 @@
 /// How entries are sent to a follower.
 #[derive(Clone, Debug, Hash)]
 enum State {
-    /// One request at a time; `waiting` while one is out.
+    /// One request at a time; `waiting` while a request is in flight.
     Probe { waiting: bool },
-    /// Requests ahead of the answers. Holds the last entry of each request that
-    /// is out.
+    /// Pipelined requests. `in_flight` holds the last entry of each unacknowledged
+    /// request.
     Replicate { in_flight: VecDeque<Index> },
-    /// The follower has to fetch a snapshot. Counts the heartbeats it answered
-    /// since the offer.
+    /// The follower has to fetch a snapshot. `heartbeats` counts its heartbeat
+    /// responses since the offer.
     Snapshot { heartbeats: u32 },
 }
 
@@ -23,10 +23,10 @@
     match_index: Index,
     next_index: Index,
     state: State,
-    /// Whether a request is due even without entries, to find out about a loss.
-    poke: bool,
+    /// Whether to send a request even without new entries, to detect a lost one.
+    probe_due: bool,
     recently_active: bool,
-    /// The last round of read confirmation that it answered.
+    /// The last read-confirmation round the follower has confirmed.
     confirmed_round: u64,
 }
 
@@ -36,7 +36,7 @@
             match_index: Index::ZERO,
             next_index,
             state: State::Probe { waiting: false },
-            poke: false,
+            probe_due: false,
             recently_active: false,
             confirmed_round: 0,
         }
@@ -58,11 +58,11 @@
         self.confirmed_round = self.confirmed_round.max(round);
     }
 
-    pub(crate) fn note_activity(&mut self) {
+    pub(crate) fn record_activity(&mut self) {
         self.recently_active = true;
     }
 
-    /// Whether the follower was heard of since the last call.
+    /// Whether the follower has responded since the last call.
     pub(crate) fn take_activity(&mut self) -> bool {
         std::mem::take(&mut self.recently_active)
     }
@@ -71,9 +71,9 @@
         matches!(self.state, State::Replicate { .. })
     }
 
-    /// Whether a request may and should go out.
-    pub(crate) fn wants_append(&self, last_index: Index, max_in_flight: usize) -> bool {
-        let due = self.poke || self.next_index <= last_index;
+    /// Whether a request is due and may be sent.
+    pub(crate) fn should_send_append(&self, last_index: Index, max_in_flight: usize) -> bool {
+        let due = self.probe_due || self.next_index <= last_index;
         let free = match &self.state {
             State::Probe { waiting } => !waiting,
             State::Replicate { in_flight } => in_flight.len() < max_in_flight,
@@ -82,9 +82,9 @@
         due && free
     }
 
-    /// Notes a request whose last entry is `last`, or one without entries.
-    pub(crate) fn sent(&mut self, last: Option<Index>) {
-        self.poke = false;
+    /// Records a sent request whose last entry is `last`; `None` if it has no entries.
+    pub(crate) fn record_sent(&mut self, last: Option<Index>) {
+        self.probe_due = false;
         match (&mut self.state, last) {
             (State::Probe { waiting }, _) => *waiting = true,
             (State::Replicate { in_flight }, Some(last)) => {
@@ -95,15 +95,15 @@
         }
     }
 
-    /// Notes that a snapshot was offered.
-    pub(crate) fn snapshot_offered(&mut self) {
-        self.poke = false;
+    /// Records that a snapshot was offered.
+    pub(crate) fn record_snapshot_offer(&mut self) {
+        self.probe_due = false;
         self.state = State::Snapshot { heartbeats: 0 };
     }
 
-    /// Notes an accepted request. `reachable` says whether the log still holds
-    /// the entries behind `match_index`.
-    pub(crate) fn accepted(&mut self, match_index: Index, reachable: bool) {
+    /// Records an accepted request. `reachable` states whether the leader's log still
+    /// contains the entries after `match_index`.
+    pub(crate) fn record_accepted(&mut self, match_index: Index, reachable: bool) {
         self.match_index = self.match_index.max(match_index);
         self.next_index = self.next_index.max(self.match_index.next());
         match &mut self.state {
@@ -128,8 +128,9 @@
         };
     }
 
-    /// Notes a rejected request; the logs may agree at `agreement`.
-    pub(crate) fn rejected(&mut self, previous_index: Index, agreement: Index) {
+    /// Records a rejected request; `agreement` is the last position at which the
+    /// logs may agree.
+    pub(crate) fn record_rejected(&mut self, previous_index: Index, agreement: Index) {
         let stale = match self.state {
             State::Probe { .. } => previous_index != self.next_index.previous(),
             State::Replicate { .. } => previous_index <= self.match_index,
@@ -141,12 +142,12 @@
         let next = agreement.next().min(previous_index);
         self.next_index = next.max(self.match_index.next());
         self.state = State::Probe { waiting: false };
-        self.poke = true;
+        self.probe_due = true;
     }
 
-    /// Notes a heartbeat response. A follower that lacks entries may have
-    /// missed a request, so that one is sent again.
-    pub(crate) fn heartbeat_answered(
+    /// Records a heartbeat response. A follower that lacks entries may have missed a
+    /// request, so another one becomes due.
+    pub(crate) fn record_heartbeat_response(
         &mut self,
         last_index: Index,
         max_in_flight: usize,
@@ -167,17 +168,17 @@
                 return;
             }
         }
-        self.poke = self.match_index < last_index;
+        self.probe_due = self.match_index < last_index;
     }
 
-    /// Goes back to one request at a time.
+    /// Returns to sending one request at a time.
     pub(crate) fn probe(&mut self) {
         self.next_index = self.match_index.next();
         self.state = State::Probe { waiting: false };
     }
 
-    /// Notes that the follower cannot be reached.
-    pub(crate) fn unreachable(&mut self) {
+    /// Records that the follower is unreachable.
+    pub(crate) fn record_unreachable(&mut self) {
         if self.is_replicating() {
             self.probe();
         }
--- a/crates/consensus/src/replica/replication.rs
+++ b/crates/consensus/src/replica/replication.rs
@@ -1,4 +1,5 @@
-//! Replication: appends and heartbeats on both sides, and the commit index.
+//! Replication: appends and heartbeats on leader and follower, and the commit
+//! index.
 
 use super::log::Appended;
 use super::{Replica, RoleState};
@@ -26,7 +27,7 @@
         }
     }
 
-    /// Whether a quorum was heard of since the last check.
+    /// Whether a quorum has responded since the last check.
     fn check_quorum(&mut self) -> bool {
         let RoleState::Leader(leadership) = &mut self.role else {
             return false;
@@ -52,7 +53,7 @@
             .map(|(id, progress)| {
                 let heartbeat = Heartbeat {
                     term: self.term,
-                    // Never more than the follower is known to hold.
+                    // Never beyond the last entry the follower is known to store.
                     commit: self.log.commit().min(progress.match_index()),
                     round: leadership.reads.latest_round,
                 };
@@ -73,12 +74,12 @@
             leadership.uncommitted_bytes += bytes;
         }
         if new_membership {
-            self.follow_members(index);
+            self.track_members(index);
         }
         index
     }
 
-    /// Sends every follower what it lacks, within its window.
+    /// Sends missing entries to every follower, within its in-flight limit.
     pub(super) fn send_appends(&mut self) {
         let RoleState::Leader(leadership) = &self.role else {
             return;
@@ -89,7 +90,8 @@
         }
     }
 
-    /// Sends one request, if the follower lacks something and has room.
+    /// Sends one request if the follower needs one and has a free in-flight slot.
+    /// Returns whether a request was sent.
     fn send_append(&mut self, to: ReplicaId) -> bool {
         let RoleState::Leader(leadership) = &mut self.role else {
             return false;
@@ -98,7 +100,7 @@
             return false;
         };
         let last_index = self.log.last_index();
-        if !progress.wants_append(last_index, self.config.max_in_flight_appends) {
+        if !progress.should_send_append(last_index, self.config.max_in_flight_appends) {
             return false;
         }
         let next_index = progress.next_index();
@@ -106,7 +108,7 @@
         let message = if let Some(previous_term) = self.log.term(previous_index) {
             let max_bytes = self.config.max_append_bytes;
             let entries = self.log.slice(next_index, last_index, max_bytes);
-            progress.sent(entries.last().map(|entry| entry.index));
+            progress.record_sent(entries.last().map(|entry| entry.index));
             Message::AppendRequest(AppendRequest {
                 term: self.term,
                 previous_index,
@@ -115,7 +117,7 @@
                 commit: self.log.commit(),
             })
         } else {
-            progress.snapshot_offered();
+            progress.record_snapshot_offer();
             Message::SnapshotNotice(SnapshotNotice {
                 term: self.term,
                 meta: self.log.snapshot().clone(),
@@ -140,7 +142,7 @@
             .log
             .append_from_leader(previous_index, previous_term, entries);
         let outcome = match appended {
-            Ok(Appended::UpTo(match_index)) => {
+            Ok(Appended::MatchedUpTo(match_index)) => {
                 self.log.commit_to(commit.min(match_index));
                 AppendOutcome::Accepted { match_index }
             }
@@ -178,11 +180,11 @@
         let Some(progress) = leadership.followers.get_mut(&from) else {
             return;
         };
-        progress.note_activity();
+        progress.record_activity();
         match outcome {
             AppendOutcome::Accepted { match_index } if match_index <= last_index => {
                 let reachable = self.log.term(match_index).is_some();
-                progress.accepted(match_index, reachable);
+                progress.record_accepted(match_index, reachable);
                 self.advance_commit();
                 self.continue_transfer(from);
             }
@@ -193,7 +195,7 @@
                 hint_term,
             } => {
                 let (agreement, _) = self.log.last_with_term_at_most(hint_index, hint_term);
-                progress.rejected(previous_index, agreement);
+                progress.record_rejected(previous_index, agreement);
             }
         }
     }
@@ -208,8 +210,8 @@
             return;
         }
         self.log.commit_to(heartbeat.commit);
-        // Does not wait for the sync: it rests on no entry, and a replica that
-        // lost the term in a crash has not voted in a later one before now.
+        // Needs no sync: the response depends on no entry, and a replica that loses
+        // the term in a crash has not yet voted in a later one.
         let response = HeartbeatResponse {
             term: self.term,
             round: heartbeat.round,
@@ -229,9 +231,9 @@
         let Some(progress) = leadership.followers.get_mut(&from) else {
             return;
         };
-        progress.note_activity();
+        progress.record_activity();
         progress.confirm_round(response.round);
-        progress.heartbeat_answered(
+        progress.record_heartbeat_response(
             last_index,
             self.config.max_in_flight_appends,
             self.config.snapshot_retry_heartbeats,
@@ -239,7 +241,8 @@
         self.confirm_reads();
     }
 
-    /// Commits what a quorum has stored, if it is of the leader's own term.
+    /// Commits the entries that a quorum has stored, if the last of them is of the
+    /// leader's own term.
     pub(super) fn advance_commit(&mut self) {
         let RoleState::Leader(leadership) = &mut self.role else {
             return;
@@ -265,17 +268,17 @@
         self.finish_membership_change();
     }
 
-    /// Notes that messages to `peer` do not arrive.
+    /// Reports that messages to `peer` cannot be delivered.
     pub fn report_unreachable(&mut self, peer: ReplicaId) {
         if let RoleState::Leader(leadership) = &mut self.role
             && let Some(progress) = leadership.followers.get_mut(&peer)
         {
-            progress.unreachable();
+            progress.record_unreachable();
         }
     }
 }
 
-/// Whether the entries follow `previous_index` without a gap.
+/// Whether the entries are contiguous and start right after `previous_index`.
 fn is_contiguous(previous_index: Index, entries: &[Entry]) -> bool {
     let mut expected = previous_index;
     entries.iter().all(|entry| {
--- a/crates/consensus/src/replica/step.rs
+++ b/crates/consensus/src/replica/step.rs
@@ -1,33 +1,33 @@
-//! Taking in a message: whom to listen to, and which term counts.
+//! Handling of received messages: which senders and terms are accepted.
 
 use super::{Replica, RoleState};
 use crate::{HeartbeatResponse, Message, ReplicaId, VoteResponse};
 
 impl Replica {
-    /// Takes in a message of another replica of the group.
+    /// Handles a message from another replica of the group.
     ///
-    /// Messages may be lost, doubled, late or out of order. Those of replicas
-    /// that are not members never disturb a group that has a leader.
+    /// Messages may be lost, duplicated, delayed or reordered. Messages from
+    /// replicas that are not members never disrupt a group that has a leader.
     pub fn step(&mut self, from: ReplicaId, message: Message) {
-        if self.fault.is_some() || from == self.config.id || self.ignores(from, &message) {
+        if self.fault.is_some() || from == self.config.id || self.should_ignore(from, &message) {
             return;
         }
         if message.term() < self.term {
-            self.answer_outdated(from, &message);
+            self.reject_outdated(from, &message);
             return;
         }
-        if message.term() > self.term && !is_prospective(&message) {
+        if message.term() > self.term && !has_prospective_term(&message) {
             let leader = Some(from).filter(|_| message.is_from_leader());
             self.become_follower(message.term(), leader);
         }
         self.handle(from, message);
     }
 
-    /// Whether the message must not have any effect.
-    fn ignores(&self, from: ReplicaId, message: &Message) -> bool {
+    /// Whether the message must be ignored.
+    fn should_ignore(&self, from: ReplicaId, message: &Message) -> bool {
         let member = self.log.membership().contains(from);
-        // The sender may belong to a membership that has not arrived here yet,
-        // so it is heard once the known leader has fallen silent.
+        // The sender may belong to a membership that this replica has not received
+        // yet, so its messages are accepted once the known leader has timed out.
         if !member && self.has_live_leader() && self.leader != Some(from) {
             return true;
         }
@@ -38,17 +38,18 @@
         }
     }
 
-    /// Whether a leader was heard within the shortest election timeout. A
-    /// leader itself steps down when it has lost its quorum for as long.
+    /// Whether a leader has sent a message within the minimum election timeout. A
+    /// leader that loses contact with a quorum for as long steps down on its own.
     fn has_live_leader(&self) -> bool {
         match self.role {
             RoleState::Leader(_) => true,
-            _ => self.leader.is_some() && self.timer.within_minimum(),
+            _ => self.leader.is_some() && self.timer.within_minimum_timeout(),
         }
     }
 
-    /// Tells the sender of an outdated request about the current term.
-    fn answer_outdated(&mut self, from: ReplicaId, message: &Message) {
+    /// Rejects a request from an earlier term and reports the current term to its
+    /// sender.
+    fn reject_outdated(&mut self, from: ReplicaId, message: &Message) {
         let refusal = VoteResponse {
             term: self.term,
             granted: false,
@@ -78,7 +79,7 @@
             Message::VoteRequest(request) => self.handle_vote_request(from, &request),
             Message::VoteResponse(response) => self.handle_vote_response(from, &response),
             Message::AppendRequest(request) => {
-                if self.follow(from) {
+                if self.accept_leader(from) {
                     self.handle_append_request(from, request);
                 }
             }
@@ -86,7 +87,7 @@
                 self.handle_append_response(from, response.outcome);
             }
             Message::Heartbeat(heartbeat) => {
-                if self.follow(from) {
+                if self.accept_leader(from) {
                     self.handle_heartbeat(from, &heartbeat);
                 }
             }
@@ -94,7 +95,7 @@
                 self.handle_heartbeat_response(from, &response);
             }
             Message::SnapshotNotice(notice) => {
-                if self.follow(from) {
+                if self.accept_leader(from) {
                     self.handle_snapshot_notice(from, notice.meta);
                 }
             }
@@ -102,21 +103,22 @@
         }
     }
 
-    /// Takes the sender for the leader of the term, which it is unless this
+    /// Accepts the sender as the leader of the current term. Returns false if this
     /// replica leads the term itself.
-    fn follow(&mut self, from: ReplicaId) -> bool {
+    fn accept_leader(&mut self, from: ReplicaId) -> bool {
         if matches!(self.role, RoleState::Leader(_)) {
             return false;
         }
         self.role = RoleState::Follower;
         self.leader = Some(from);
-        self.timer.leader_heard();
+        self.timer.record_leader_contact();
         true
     }
 }
 
-/// Whether the term of the message is one that nobody is in yet.
-fn is_prospective(message: &Message) -> bool {
+/// Whether the message carries the term of a possible future election, which the
+/// receiver must not adopt.
+fn has_prospective_term(message: &Message) -> bool {
     match message {
         Message::PreVoteRequest(_) => true,
         Message::PreVoteResponse(response) => response.granted,
--- a/crates/consensus/tests/faults/checker.rs
+++ b/crates/consensus/tests/faults/checker.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever happens.
+//! Invariants that must hold under all faults.
 
 use std::collections::BTreeMap;
 
@@ -11,17 +11,17 @@
 }
 
 impl Checker {
-    pub fn leads(&mut self, id: ReplicaId, term: Term) {
+    pub fn record_leader(&mut self, id: ReplicaId, term: Term) {
         let first = *self.leaders.entry(term).or_insert(id);
         assert_eq!(first, id, "two leaders in term {term}");
     }
 
-    pub fn applies(&mut self, id: ReplicaId, entry: &Entry) {
+    pub fn record_applied(&mut self, id: ReplicaId, entry: &Entry) {
         let first = self
             .committed
             .entry(entry.index)
             .or_insert_with(|| entry.clone());
-        assert_eq!(first, entry, "replica {id} applies another entry");
+        assert_eq!(first, entry, "replica {id} applied a different entry");
     }
 
     pub fn last(&self) -> Index {
@@ -30,7 +30,7 @@
             .map_or(Index::ZERO, |(index, _)| *index)
     }
 
-    /// Commands up to `index`.
+    /// Returns the committed commands up to `index`.
     pub fn commands(&self, index: Index) -> Vec<Vec<u8>> {
         let entries = self.committed.range(..=index);
         let commands = entries.filter_map(|(_, entry)| match &entry.kind {
--- a/crates/consensus/tests/faults/network.rs
+++ b/crates/consensus/tests/faults/network.rs
@@ -1,4 +1,5 @@
-//! A network that loses, doubles, delays and reorders, and can be cut.
+//! A network that loses, duplicates, delays and reorders packets, and whose links
+//! can be cut.
 
 use std::collections::BTreeSet;
 
@@ -6,11 +7,11 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// What goes from one replica to another.
+/// A packet from one replica to another.
 #[derive(Clone, Debug)]
 pub enum Packet {
     Consensus(Message),
-    /// Asks for a command of a snapshot.
+    /// Requests one command of a snapshot.
     Pull {
         snapshot: Index,
         position: usize,
@@ -24,16 +25,16 @@
     },
 }
 
-/// Rates in a hundred, and the longest delay in ticks.
+/// Fault rates in percent, and the maximum delay in ticks.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Weather {
+pub struct FaultRates {
     pub loss: u32,
     pub repetition: u32,
     pub max_delay: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Flying {
+struct InFlightPacket {
     due: u64,
     from: ReplicaId,
     to: ReplicaId,
@@ -42,10 +43,10 @@
 
 #[derive(Debug, Default)]
 pub struct Network {
-    pub weather: Weather,
-    flying: Vec<Flying>,
-    /// Directions that nothing gets through.
-    cuts: BTreeSet<(ReplicaId, ReplicaId)>,
+    pub fault_rates: FaultRates,
+    in_flight: Vec<InFlightPacket>,
+    /// Directed links, from sender to receiver, that drop all packets.
+    cut_links: BTreeSet<(ReplicaId, ReplicaId)>,
 }
 
 impl Network {
@@ -57,16 +58,16 @@
         packet: Packet,
     ) {
         let mut copies = 1;
-        if random.random_range(0..100) < self.weather.repetition {
+        if random.random_range(0..100) < self.fault_rates.repetition {
             copies += 1;
         }
         for _ in 0..copies {
-            if random.random_range(0..100) < self.weather.loss {
+            if random.random_range(0..100) < self.fault_rates.loss {
                 continue;
             }
-            let due = now + random.random_range(0..=self.weather.max_delay);
+            let due = now + random.random_range(0..=self.fault_rates.max_delay);
             let packet = packet.clone();
-            self.flying.push(Flying {
+            self.in_flight.push(InFlightPacket {
                 due,
                 from,
                 to,
@@ -75,19 +76,19 @@
         }
     }
 
-    /// The next packet that arrives by `now`.
-    pub fn arrival(&mut self, now: u64) -> Option<(ReplicaId, ReplicaId, Packet)> {
+    /// Removes and returns the next packet that is due by `now`.
+    pub fn take_due(&mut self, now: u64) -> Option<(ReplicaId, ReplicaId, Packet)> {
         loop {
-            let position = self.flying.iter().position(|one| one.due <= now)?;
-            let one = self.flying.remove(position);
-            if !self.cuts.contains(&(one.from, one.to)) {
+            let position = self.in_flight.iter().position(|one| one.due <= now)?;
+            let one = self.in_flight.remove(position);
+            if !self.cut_links.contains(&(one.from, one.to)) {
                 return Some((one.from, one.to, one.packet));
             }
         }
     }
 
     pub fn cut_one_way(&mut self, from: ReplicaId, to: ReplicaId) {
-        self.cuts.insert((from, to));
+        self.cut_links.insert((from, to));
     }
 
     pub fn cut(&mut self, one: ReplicaId, other: ReplicaId) {
@@ -96,6 +97,6 @@
     }
 
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.cut_links.clear();
     }
 }
--- a/crates/consensus/tests/faults/reads.rs
+++ b/crates/consensus/tests/faults/reads.rs
@@ -1,10 +1,10 @@
-//! Linearizable reads when leadership is in doubt.
+//! Linearizable reads while leadership is uncertain.
 
 use molespan_consensus::ReplicaId;
 
 use crate::cluster::Cluster;
 
-fn cut_off(cluster: &mut Cluster, id: ReplicaId) {
+fn isolate(cluster: &mut Cluster, id: ReplicaId) {
     for other in cluster.running() {
         if other != id {
             cluster.network.cut(id, other);
@@ -17,7 +17,7 @@
     let mut cluster = Cluster::new(3, 1);
     let old = cluster.elect();
     cluster.run(10);
-    cut_off(&mut cluster, old);
+    isolate(&mut cluster, old);
     assert!(cluster.read(old));
     cluster.wait("another leader", |cluster| {
         cluster.leader().is_some_and(|id| id != old)
@@ -29,7 +29,7 @@
     assert_eq!((running.answered_reads, running.failed_reads), (0, 1));
     assert!(
         !cluster.read(old),
-        "a replica that stepped down takes a read"
+        "a replica that stepped down accepted a read"
     );
 }
 
@@ -38,8 +38,8 @@
     let mut cluster = Cluster::new(3, 2);
     let leader = cluster.elect();
     cluster.run(10);
-    // Answers to this round are under way when the leader is cut off.
-    cluster.network.weather.max_delay = 6;
+    // Responses to this round are in flight when the leader is cut off.
+    cluster.network.fault_rates.max_delay = 6;
     assert!(cluster.read(leader));
     cluster.run(2);
     for other in cluster.running() {
@@ -53,7 +53,7 @@
     };
     assert!(cluster.read(leader));
     cluster.run(60);
-    assert!(answered(&mut cluster) <= 1, "a read rests on an old round");
+    assert!(answered(&mut cluster) <= 1, "a read relied on an old round");
 }
 
 #[test]
@@ -61,7 +61,7 @@
     let mut cluster = Cluster::new(3, 3);
     let leader = cluster.elect();
     cluster.run(10);
-    cut_off(&mut cluster, leader);
+    isolate(&mut cluster, leader);
     assert!(cluster.read(leader));
     cluster.run(2);
     cluster.network.heal();
@@ -78,12 +78,12 @@
     for _ in 0..4 {
         let leader = cluster.elect();
         assert!(cluster.propose(leader));
-        // The checker compares each answer with what was committed.
+        // The cluster checks each answered index against the last committed one.
         assert!(cluster.read(leader));
         cluster.run(5);
         cluster.crash(leader);
         cluster.run(60);
         cluster.restart(leader);
     }
-    cluster.settle();
+    cluster.expect_recovery();
 }
--- a/crates/replica/examples/figures/items.rs
+++ b/crates/replica/examples/figures/items.rs
@@ -1,5 +1,5 @@
-//! Batch items a second through their whole life: submitted, leased to owners,
-//! recorded with a result.
+//! Throughput of batch items over their whole lifecycle: submitted, leased to
+//! owners, recorded with a result.
 
 use std::collections::VecDeque;
 use std::error::Error;
@@ -21,19 +21,19 @@
 const ITEMS: u32 = 110_000;
 const INPUT_BYTES: usize = 300;
 const RESULT_BYTES: usize = 400;
-/// Items of one append and of one lease.
+/// Items per append and per lease.
 const BATCH: u32 = 256;
-/// Results of one record.
-const RECORDED: usize = 64;
-/// Appends under way.
-const APPENDS_AT_ONCE: usize = 8;
-/// Owners that lease and record side by side, one request each.
+/// Results per record command.
+const RECORD_ITEMS: usize = 64;
+/// Appends in flight.
+const CONCURRENT_APPENDS: usize = 8;
+/// Owners that lease and record concurrently, each with one request in flight.
 const OWNERS: u32 = 16;
 
 pub fn measure() -> Result<(), Box<dyn Error>> {
     for groups in [1_u32, 4] {
         let fleet = Fleet::start(|settings| settings.job_groups = 4)?;
-        let began = Instant::now();
+        let started = Instant::now();
         let mut threads = Vec::new();
         for group in 1..=groups {
             let client = fleet.client(GroupId(group))?;
@@ -44,29 +44,30 @@
         for thread in threads {
             let run = thread.join().map_err(|_| "a client panicked")?;
             let times = run.inspect_err(|_| {
-                println!("longest turn of a replica: {:.0?}", fleet.longest_turn());
+                println!("longest poll of a replica: {:.0?}", fleet.longest_poll());
             })?;
             if groups == 1 {
                 report("submission", times.submission);
                 report("lease and record", times.running);
             }
         }
-        let rate = f64::from(ITEMS * groups) / began.elapsed().as_secs_f64();
+        let rate = f64::from(ITEMS * groups) / started.elapsed().as_secs_f64();
         println!("{groups} group(s): {rate:.0} items/s through their whole life");
         report_load(&fleet, groups)?;
-        println!("  longest turn of a replica: {:.0?}", fleet.longest_turn());
+        println!("  longest poll of a replica: {:.0?}", fleet.longest_poll());
     }
     Ok(())
 }
 
-/// How much was written for each item, by the leader of the first group.
+/// Reports the commands per sync and the payload bytes per item on the leader of the
+/// first group.
 fn report_load(fleet: &Fleet, groups: u32) -> Result<(), Box<dyn Error>> {
     let leader = fleet.wait_for_leader(GroupId(1))?;
     let status = fleet.status(leader).ok_or("no status")?;
     let commands: u64 = status.groups.iter().map(|group| group.applied).sum();
     let payload: u64 = status.groups.iter().map(|group| group.payload_bytes).sum();
     println!(
-        "  {:.1} commands a sync, {:.0} payload bytes an item",
+        "  {:.1} commands per sync, {:.0} payload bytes per item",
         commands as f64 / status.log_syncs as f64,
         payload as f64 / f64::from(ITEMS * groups)
     );
@@ -78,7 +79,7 @@
     println!("{what}: {rate:.0} items/s ({ITEMS} items in {took:.2?})");
 }
 
-/// How long the parts of a job took.
+/// Durations of the phases of a job.
 pub struct Times {
     submission: Duration,
     running: Duration,
@@ -86,12 +87,12 @@
 
 /// Submits a job and runs all of its items.
 pub fn run_job(client: &Client, number: u32) -> Result<Times, Box<dyn Error>> {
-    let began = Instant::now();
+    let started = Instant::now();
     submit(client, number)?;
-    let submission = began.elapsed();
-    let began = Instant::now();
+    let submission = started.elapsed();
+    let started = Instant::now();
     run_items(client)?;
-    let running = began.elapsed();
+    let running = started.elapsed();
     Ok(Times {
         submission,
         running,
@@ -121,7 +122,7 @@
         deadline_unix_seconds: 0,
     };
     result_of(&send(client, begin))?;
-    let mut under_way = VecDeque::new();
+    let mut in_flight = VecDeque::new();
     for first in (0..ITEMS).step_by(BATCH as usize) {
         let count = BATCH.min(ITEMS - first) as usize;
         let append = AppendItems {
@@ -129,27 +130,27 @@
             first: ItemIndex(first),
             inputs: vec![ByteVec::from(vec![b'i'; INPUT_BYTES]); count],
         };
-        under_way.push_back(send(client, append));
-        if under_way.len() >= APPENDS_AT_ONCE
-            && let Some(oldest) = under_way.pop_front()
+        in_flight.push_back(send(client, append));
+        if in_flight.len() >= CONCURRENT_APPENDS
+            && let Some(oldest) = in_flight.pop_front()
         {
             result_of(&oldest)?;
         }
     }
-    for answer in under_way {
+    for answer in in_flight {
         result_of(&answer)?;
     }
     result_of(&send(client, JobCommand::Accept { job }))?;
     Ok(())
 }
 
-/// What an owner waits for.
+/// The request an owner is waiting for.
 enum Step {
     Lease(Receiver<Answer>),
     Record(GrantedLease, Receiver<Answer>),
 }
 
-/// Lets every owner lease and record until nothing is left.
+/// Leases and records items with all owners until none are left.
 fn run_items(client: &Client) -> Result<(), Box<dyn Error>> {
     let mut sequences = vec![0; OWNERS as usize];
     let mut steps: VecDeque<(u32, Step)> = (0..OWNERS)
@@ -191,7 +192,7 @@
 
 /// Records the next results of a lease.
 fn record(client: &Client, mut lease: GrantedLease) -> Step {
-    let count = RECORDED.min(lease.items.len());
+    let count = RECORD_ITEMS.min(lease.items.len());
     let items = lease.items.drain(..count);
     let results = items.map(|leased| ItemResult {
         item: leased.item,
--- a/crates/replica/examples/figures/replacement.rs
+++ b/crates/replica/examples/figures/replacement.rs
@@ -1,4 +1,4 @@
-//! How long it takes until a lost replica is replaced by its new life.
+//! Time until a lost replica is replaced by its new incarnation.
 
 use std::error::Error;
 use std::time::Instant;
@@ -26,12 +26,12 @@
             let groups = status.groups.iter();
             groups.map(|group| group.payload_bytes).sum()
         });
-        let began = Instant::now();
+        let started = Instant::now();
         fleet.lose_disk(lost)?;
-        fleet.wait_until_whole()?;
+        fleet.wait_until_all_vote()?;
         println!(
             "replacement after {CHANGES} changes and {payload} payload bytes: {:.2?}",
-            began.elapsed()
+            started.elapsed()
         );
     }
     Ok(())
--- a/crates/replica/examples/figures/restart.rs
+++ b/crates/replica/examples/figures/restart.rs
@@ -1,4 +1,4 @@
-//! How long a snapshot takes, and a restart after 1,000 changes.
+//! Duration of a snapshot and of a restart after 1,000 changes.
 
 use std::error::Error;
 use std::time::{Duration, Instant};
@@ -24,7 +24,7 @@
     })
 }
 
-/// Writes the machine after so many changes.
+/// Measures a snapshot of the state machine after [`CHANGES`] changes.
 fn snapshot() -> Result<(), Box<dyn Error>> {
     let mut machine = ControlMachine::new();
     for number in 1..=CHANGES {
@@ -34,11 +34,11 @@
     let machine = Machine::Control(machine);
     let folder = tempfile::tempdir()?;
     let store = SnapshotStore::open(RealDisk::open(folder.path())?, GroupId::CONTROL)?;
-    let began = Instant::now();
+    let started = Instant::now();
     let bytes = machine.snapshot();
-    let encoded = began.elapsed();
+    let encoded = started.elapsed();
     store.save(CHANGES, b"header", &bytes)?;
-    let saved = began.elapsed();
+    let saved = started.elapsed();
     println!(
         "snapshot after {CHANGES} changes: {} bytes, encoded in {encoded:.2?}, durable in {saved:.2?}",
         bytes.len()
@@ -50,15 +50,15 @@
     let mut fleet = Fleet::start(tune)?;
     let client = fleet.client(GroupId::CONTROL)?;
     confirm_all(&client, 1..=CHANGES)?;
-    // Lets the last snapshot be taken.
+    // Waits until the last snapshot has been taken.
     std::thread::sleep(Duration::from_millis(300));
     let leader = fleet.wait_for_leader(GroupId::CONTROL)?;
     let node = (1..=3).map(NodeId).find(|&node| node != leader);
     let node = node.ok_or("no follower")?;
     fleet.stop(node);
-    let began = Instant::now();
-    let core = open(&fleet.folder(node), fleet.settings(node), began)?;
-    let took = began.elapsed();
+    let started = Instant::now();
+    let core = open(&fleet.folder(node), fleet.settings(node), started)?;
+    let took = started.elapsed();
     let snapshot = core.status().groups[0].snapshot;
     println!("restart after {CHANGES} changes {how} (snapshot at {snapshot}): {took:.2?}");
     Ok(())
--- a/crates/replica/src/bootstrap.rs
+++ b/crates/replica/src/bootstrap.rs
@@ -1,4 +1,4 @@
-//! Opening the groups of a process.
+//! Opening of the groups of a process.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,11 @@
 use crate::ReplicaSettings;
 use crate::fleet::Fleet;
 use crate::group::{Group, config};
-use crate::message::Standing;
+use crate::message::JoinState;
 use crate::shared::Shared;
 
-/// Every group of a process: the control group and the job groups.
+/// Returns the groups of a process: the control group and the job groups, or the
+/// single group if members are discovered.
 pub(crate) fn group_ids(settings: &ReplicaSettings) -> impl Iterator<Item = GroupId> + use<> {
     let only = settings
         .discovery
@@ -24,15 +25,15 @@
     (first..=last).map(GroupId)
 }
 
-/// Opens every group. On a first voter whose log has no entry yet, the common
-/// first entry is written before.
+/// Opens every group. On a founder that has not been bootstrapped yet, this first
+/// writes the common first entry of each group to the log.
 pub(crate) fn open_groups<D: Disk>(
     disk: &D,
     fleet: &mut Fleet<D>,
     shared: &mut Shared<D>,
     mut recovery: Recovery,
 ) -> Result<BTreeMap<GroupId, Group<D>>, ReplicaError> {
-    if fleet.record().standing == Standing::Founder {
+    if fleet.record().join_state == JoinState::Founder {
         bootstrap(fleet, shared, &mut recovery)?;
     }
     let mut groups = BTreeMap::new();
@@ -61,11 +62,12 @@
         recovery.groups.insert(id, write_first(shared, id, &first));
     }
     shared.log.sync()?;
-    fleet.note_bootstrapped()?;
+    fleet.record_bootstrapped()?;
     Ok(())
 }
 
-/// Writes the common first entry; gives what a restart would read back.
+/// Writes the common first entry to the log; returns the state that a restart would
+/// recover from it.
 fn write_first<D: Disk>(
     shared: &mut Shared<D>,
     group: GroupId,
--- a/crates/replica/src/core.rs
+++ b/crates/replica/src/core.rs
@@ -1,4 +1,4 @@
-//! The replica process as its driver sees it.
+//! The interface of a replica process for its driver.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 use crate::fleet::{Fleet, FleetChange};
 use crate::group::{Group, Progress};
 use crate::identity::node_of;
-use crate::message::{GroupPayload, Hello, PeerMessage, Standing};
+use crate::message::{GroupPayload, Hello, JoinState, PeerMessage};
 use crate::shared::Shared;
 use crate::turn::not_run;
 use crate::{
@@ -20,17 +20,17 @@
     ReplicaStatus, Ticket, records,
 };
 
-/// When to come back to a replica that does not take part yet, in milliseconds.
+/// Retry delay suggested by a replica that does not participate yet, in milliseconds.
 const NOT_READY_RETRY_MS: u32 = 500;
 
-/// The incarnation that a blank disk gets: a common one where the first voters
-/// are known beforehand and this is one of them, otherwise one that nobody had.
+/// Returns the incarnation for a blank disk: [`FIRST_INCARNATION`] if this node is
+/// one of the founders known in advance, otherwise a new random one.
 fn fresh_incarnation<D: Disk>(
     disk: &D,
     settings: &ReplicaSettings,
     random: &mut ChaCha8Rng,
 ) -> Result<u32, ReplicaError> {
-    // A disk that was emptied in an earlier life still knows of the founding.
+    // A disk that was wiped by an earlier incarnation still records the founders.
     let first_life = records::FleetRecord::load(disk)?.founders.is_empty();
     let founds = settings
         .discovery
@@ -49,19 +49,20 @@
     random: ChaCha8Rng,
     fleet: Fleet<D>,
     shared: Shared<D>,
-    /// What the log held, until the groups are opened with it.
+    /// State recovered from the log, until the groups are opened with it.
     recovery: Option<Recovery>,
     groups: BTreeMap<GroupId, Group<D>>,
     next_tick: Timestamp,
-    /// An error that came up while an input was taken in.
+    /// An error that occurred while handling an input; the next poll returns it.
     failure: Option<ReplicaError>,
 }
 
 impl<D: Disk> ReplicaCore<D> {
-    /// Starts from what is on `disk`.
+    /// Starts a replica process from the state on `disk`.
     ///
     /// # Errors
-    /// When the settings cannot work, or the disk refuses or is damaged.
+    /// [`ReplicaError`] if the settings are invalid, the disk returns an error, or the
+    /// stored state is corrupt.
     pub fn open(disk: D, settings: ReplicaSettings, now: Timestamp) -> Result<Self, ReplicaError> {
         settings.check()?;
         let random = ChaCha8Rng::seed_from_u64(settings.seed);
@@ -74,7 +75,7 @@
         mut random: ChaCha8Rng,
         now: Timestamp,
     ) -> Result<Self, ReplicaError> {
-        records::finish_emptying(&disk, group_ids(&settings))?;
+        records::finish_wipe(&disk, group_ids(&settings))?;
         let fresh = fresh_incarnation(&disk, &settings, &mut random)?;
         let identity = DiskIdentity::open(&disk, settings.node, fresh)?;
         let session = random.random();
@@ -91,10 +92,10 @@
             next_tick: now,
             failure: None,
         };
-        if core.fleet.record().standing != Standing::Blank {
+        if core.fleet.record().join_state != JoinState::Blank {
             core.open_groups()?;
         }
-        core.follow(now, changes)?;
+        core.apply_fleet_changes(now, changes)?;
         Ok(core)
     }
 
@@ -107,17 +108,17 @@
         Ok(())
     }
 
-    /// Takes an input in. Its outputs come from the next [`ReplicaCore::poll`].
+    /// Handles an input. The next [`ReplicaCore::poll`] returns its outputs.
     pub fn handle(&mut self, now: Timestamp, input: Input) {
         let result = match input {
             Input::Message { from, group, bytes } => self.receive(now, from, group, &bytes),
-            Input::Found { founders } => self.found(now, &founders),
+            Input::Found { founders } => self.handle_founders(now, &founders),
             Input::Members { contacts, retiring } => {
-                self.fleet.note_members(&contacts, retiring);
+                self.fleet.record_contacts(&contacts, retiring);
                 Ok(())
             }
             request => {
-                self.request(now, request);
+                self.handle_request(now, request);
                 Ok(())
             }
         };
@@ -126,7 +127,7 @@
         }
     }
 
-    fn request(&mut self, now: Timestamp, request: Input) {
+    fn handle_request(&mut self, now: Timestamp, request: Input) {
         let (ticket, group) = match &request {
             Input::Message { .. } | Input::Found { .. } | Input::Members { .. } => return,
             Input::Propose { ticket, group, .. }
@@ -141,10 +142,11 @@
         let Some(group) = self.groups.get_mut(&group) else {
             return self.refuse(ticket, "there is no such group");
         };
-        if self.fleet.waits() && request.needs_leader() {
-            // Who only waits for a vote hears of no leader, but knows who votes.
+        if self.fleet.is_waiting() && request.needs_leader() {
+            // A replica that waits to become a voter receives nothing from a leader, but
+            // knows the voters.
             let leader = group.leader();
-            let leader = leader.or_else(|| self.fleet.draw_voter(&mut self.random));
+            let leader = leader.or_else(|| self.fleet.random_voter(&mut self.random));
             let result = Err(Refusal::NotLeader { leader });
             return self.shared.outputs.push(Output::Reply { ticket, result });
         }
@@ -162,15 +164,15 @@
         }
     }
 
-    /// Takes the first voters in, and founds where this is one of them.
-    fn found(
+    /// Handles the announced founders, and founds the group if this node is one of them.
+    fn handle_founders(
         &mut self,
         now: Timestamp,
         founders: &BTreeMap<NodeId, u32>,
     ) -> Result<(), ReplicaError> {
         let mut changes = Vec::new();
         self.fleet.found(founders, &mut changes)?;
-        self.follow(now, changes)
+        self.apply_fleet_changes(now, changes)
     }
 
     fn refuse(&mut self, ticket: Ticket, message: &str) {
@@ -178,7 +180,7 @@
         self.shared.outputs.push(Output::Reply { ticket, result });
     }
 
-    /// Takes a message in. What cannot be read is as good as lost.
+    /// Handles a message. An undecodable message is treated as lost.
     fn receive(
         &mut self,
         now: Timestamp,
@@ -197,7 +199,7 @@
                 sequence,
                 payload,
             }) if node_of(sender) == from && to == self.fleet.own_id() => {
-                self.fleet.saw_sequence(sender, session, sequence);
+                self.fleet.record_sequence(sender, session, sequence);
                 self.receive_group(now, sender, group, payload)
             }
             _ => Ok(()),
@@ -208,14 +210,14 @@
         let to = node_of(hello.replica);
         let sequence = self.shared.log.sequence();
         let (changes, reply) = match self.fleet.receive(now, hello, sequence) {
-            // As good as lost: the sender says hello again until it is answered.
+            // Treated as lost: the sender repeats its hello until it gets an answer.
             Err(error) if error.is_full() => return Ok(()),
             received => received?,
         };
         if let Some(reply) = reply {
             self.send_hello(to, reply);
         }
-        self.follow(now, changes)
+        self.apply_fleet_changes(now, changes)
     }
 
     fn receive_group(
@@ -234,24 +236,28 @@
         let turn = &mut self.shared.turn(now);
         match payload {
             GroupPayload::Consensus(message) => group.step(from, message),
-            GroupPayload::Pull(pull) => group.serve(turn, from, &pull)?,
+            GroupPayload::Pull(pull) => group.send_chunk(turn, from, &pull)?,
             GroupPayload::Chunk(chunk) => group.receive_chunk(turn, from, &chunk)?,
         }
         Ok(())
     }
 
-    /// Carries out what the fleet's bookkeeping led to.
-    fn follow(&mut self, now: Timestamp, changes: Vec<FleetChange>) -> Result<(), ReplicaError> {
+    /// Applies changes reported by the fleet state.
+    fn apply_fleet_changes(
+        &mut self,
+        now: Timestamp,
+        changes: Vec<FleetChange>,
+    ) -> Result<(), ReplicaError> {
         for change in changes {
             match change {
-                FleetChange::Formed => {
+                FleetChange::FoundersKnown => {
                     self.open_groups()?;
                     self.report_founding();
                 }
                 FleetChange::TakesPart => {
-                    // Members that start together confirm each other at the same
-                    // moment; they must not all tick, and stand for election,
-                    // at the same moments from then on.
+                    // Members that start together confirm each other
+                    // simultaneously; a random offset prevents that all of them
+                    // tick, and start elections, at the same times afterwards.
                     let tick = self.shared.settings.tick;
                     self.next_tick = now + tick.mul_f64(self.random.random());
                     let incarnation = self.fleet.identity().incarnation;
@@ -259,7 +265,7 @@
                 }
                 FleetChange::Outdated { by } => {
                     let reason = format!("node {by} knows a later state of this disk");
-                    return self.renew(now, reason);
+                    return self.start_new_incarnation(now, reason);
                 }
                 FleetChange::Contradiction { with } => {
                     let message = format!("node {with} has other first voters");
@@ -272,7 +278,7 @@
 
     fn report_founding(&mut self) {
         let record = self.fleet.record();
-        let event = if record.standing == Standing::Founder {
+        let event = if record.join_state == JoinState::Founder {
             let founders = record.founders.iter();
             ReplicaEvent::Founded {
                 nodes: founders.map(|&founder| node_of(founder)).collect(),
@@ -286,13 +292,18 @@
         self.shared.event(event);
     }
 
-    /// Ends this life of the disk and begins another one without a past.
-    fn renew(&mut self, now: Timestamp, reason: String) -> Result<(), ReplicaError> {
+    /// Ends the current incarnation: wipes the disk and reloads the process as a new
+    /// incarnation.
+    fn start_new_incarnation(
+        &mut self,
+        now: Timestamp,
+        reason: String,
+    ) -> Result<(), ReplicaError> {
         for group in self.groups.values_mut() {
             group.abandon_all(&mut self.shared.turn(now));
         }
         let settings = self.shared.settings.clone();
-        records::empty(&self.disk, self.fleet.record(), group_ids(&settings))?;
+        records::wipe(&self.disk, self.fleet.record(), group_ids(&settings))?;
         let outputs = std::mem::take(&mut self.shared.outputs);
         let random = ChaCha8Rng::from_rng(&mut self.random);
         *self = Self::load(self.disk.clone(), settings, random, now)?;
@@ -306,29 +317,29 @@
         Ok(())
     }
 
-    /// Does all work that is due: call it after a batch of inputs and at
+    /// Performs all due work. Call it after a batch of inputs and at
     /// [`ReplicaCore::next_deadline`].
     ///
     /// # Errors
-    /// Every error is final; the core must be dropped.
+    /// No error is recoverable; the core must be dropped.
     pub fn poll(&mut self, now: Timestamp) -> Result<Vec<Output>, ReplicaError> {
         if let Some(failure) = self.failure.take() {
             return Err(failure);
         }
-        self.greet(now);
+        self.send_due_hellos(now);
         if self.fleet.takes_part() {
             let ticked = self.tick(now);
-            self.run(now)?;
+            self.process_groups(now)?;
             if ticked {
                 self.maintain(now)?;
-                self.run(now)?;
+                self.process_groups(now)?;
             }
-            self.conclude(now)?;
+            self.report_changes(now)?;
         }
         Ok(std::mem::take(&mut self.shared.outputs))
     }
 
-    fn greet(&mut self, now: Timestamp) {
+    fn send_due_hellos(&mut self, now: Timestamp) {
         let sequence = self.shared.log.sequence();
         for (node, hello) in self.fleet.hellos_due(now, sequence) {
             self.send_hello(node, hello);
@@ -343,8 +354,9 @@
         });
     }
 
-    /// Ticks every group as often as is due; says whether any was. After a
-    /// long pause more ticks than an election takes would tell nothing new.
+    /// Runs the due ticks of every group; returns whether there was one. After a long
+    /// pause the ticks are capped at the longest election timeout, since further ones
+    /// have no additional effect.
     fn tick(&mut self, now: Timestamp) -> bool {
         let most = 2 * self.shared.settings.election_ticks;
         let mut ticks = 0;
@@ -359,23 +371,23 @@
             self.next_tick = now + self.shared.settings.tick;
         }
         if ticks > 0 {
-            self.shared.note_tick();
+            self.shared.record_tick();
         }
         ticks > 0
     }
 
-    /// Lets every group work until nothing is left, with one sync for all of
-    /// them in each round.
-    fn run(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
+    /// Processes all groups until no work is left, with one sync for all of them in
+    /// each round.
+    fn process_groups(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
         loop {
             let mut worked = false;
             for group in self.groups.values_mut() {
-                match group.take_ready(&mut self.shared.turn(now))? {
+                match group.process_ready(&mut self.shared.turn(now))? {
                     Progress::Idle => {}
                     Progress::Worked => worked = true,
                     Progress::RolledBack => {
                         let reason = "acknowledged entries are missing".to_owned();
-                        return self.renew(now, reason);
+                        return self.start_new_incarnation(now, reason);
                     }
                 }
             }
@@ -391,9 +403,9 @@
         }
     }
 
-    /// What is due once a tick.
+    /// Performs the periodic work that is due at each tick.
     fn maintain(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
-        self.shared.watch_space(now)?;
+        self.shared.check_disk_space(now)?;
         let joining = self.fleet.joining(now);
         let retiring = self.fleet.retiring().clone();
         for group in self.groups.values_mut() {
@@ -402,25 +414,25 @@
             group.time_out_proposals(turn);
             group.expire_leases(turn);
             group.abandon_submissions(turn);
-            group.end_open_claims(turn);
+            group.settle_expired_claims(turn);
             group.replace_lost(&joining);
-            group.step_aside_when_full(turn);
-            group.renew_members(turn, &joining, &retiring);
-            group.drive_transfer(turn);
-            group.drop_idle_serving(now);
+            group.transfer_leadership_when_full(turn);
+            group.maintain_voters(turn, &joining, &retiring);
+            group.check_transfer(turn);
+            group.drop_idle_outgoing(now);
         }
-        self.take_a_snapshot(now)?;
+        self.take_due_snapshot(now)?;
         self.shared.log.remove_obsolete()?;
         Ok(())
     }
 
-    /// Takes at most one snapshot, and only when the mark of the one before is
-    /// durable: the log must never refer to a snapshot that was removed.
-    fn take_a_snapshot(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
+    /// Takes at most one snapshot, and only once the log record of the previous one is
+    /// durable: the log must never refer to a removed snapshot.
+    fn take_due_snapshot(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
         if self.shared.log.has_unsynced() {
             return Ok(());
         }
-        let segments = self.shared.settings.most_segments();
+        let segments = self.shared.settings.max_segments();
         let lagging = self.shared.log.lagging_group(segments);
         for (&id, group) in &mut self.groups {
             let turn = &mut self.shared.turn(now);
@@ -431,34 +443,35 @@
         Ok(())
     }
 
-    /// Tells what changed, and notes what must outlive a restart.
-    fn conclude(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
+    /// Reports leader changes, and records membership changes durably.
+    fn report_changes(&mut self, now: Timestamp) -> Result<(), ReplicaError> {
         for group in self.groups.values_mut() {
             group.report_leader(&mut self.shared.turn(now));
         }
-        match self.note_members() {
-            // It is tried again at the next poll.
+        match self.record_membership_changes() {
+            // Retried at the next poll.
             Err(error) if error.is_full() => Ok(()),
             result => Ok(result?),
         }
     }
 
-    /// Notes which lives were replaced, and that this one votes everywhere.
-    fn note_members(&mut self) -> Result<(), StorageError> {
-        self.fleet.note_replaced(&self.shared.replaced)?;
+    /// Records which replicas were replaced, who votes, and whether this replica votes
+    /// in every group.
+    fn record_membership_changes(&mut self) -> Result<(), StorageError> {
+        self.fleet.record_replaced(&self.shared.replaced)?;
         self.shared.replaced.clear();
         if self.shared.settings.discovery.is_some() {
             let voters = self.groups.values().next().map(Group::known_voters);
-            self.fleet.note_voters(voters.unwrap_or_default())?;
+            self.fleet.record_voters(voters.unwrap_or_default())?;
         }
-        let joining = self.fleet.record().standing == Standing::Joining;
+        let joining = self.fleet.record().join_state == JoinState::Joining;
         if joining && self.groups.values().all(Group::is_settled_voter) {
-            self.fleet.note_member()?;
+            self.fleet.record_member()?;
         }
         Ok(())
     }
 
-    /// When to poll again if no input comes before.
+    /// Returns when to poll again if no input arrives earlier.
     #[must_use]
     pub fn next_deadline(&self) -> Timestamp {
         let hello = self.fleet.next_hello();
@@ -469,7 +482,7 @@
         }
     }
 
-    /// What operators and metrics show.
+    /// Returns the status for operators and metrics.
     #[must_use]
     pub fn status(&self) -> ReplicaStatus {
         let identity = self.fleet.identity();
--- a/crates/replica/src/fleet.rs
+++ b/crates/replica/src/fleet.rs
@@ -1,7 +1,7 @@
-//! Which lives of which disks exist: founding, joining, and telling a rolled
-//! back disk from one that merely restarted.
+//! Identity of the replicas: founding of the groups, joining them, and
+//! distinguishing a rolled back disk from an ordinary restart.
 //!
-//! The rules and their argument stand in
+//! The rules and their rationale are documented in
 //! `docs/decisions/0003-replica-identity.md`.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -15,77 +15,79 @@
 use rand::seq::IteratorRandom;
 
 use crate::identity::{node_of, replica_id};
-use crate::message::{Hello, KnownVoters, Standing, Verdict};
+use crate::message::{Hello, JoinState, KnownVoters, Verdict};
 use crate::records::{BootRecord, FleetRecord};
 use crate::{FIRST_INCARNATION, ReplicaSettings};
 
-/// Time between two hellos while something is still open.
-const EAGER_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two hellos to everybody otherwise.
-const CALM_INTERVAL: Duration = Duration::from_secs(5);
-/// Time between two hellos, to the voters, of a process that waits to become one:
-/// two of them may be lost within [`PRESENCE`].
-const WAITING_INTERVAL: Duration = Duration::from_secs(1);
-/// A process that said nothing for longer is not counted on.
-const PRESENCE: Duration = Duration::from_secs(3);
-
-/// Something that follows from a hello.
+/// Hello interval of a process that is neither a voter nor waiting to become one.
+const JOINING_HELLO_INTERVAL: Duration = Duration::from_millis(200);
+/// Interval between hellos to all nodes otherwise.
+const HELLO_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between hellos to the voters from a process that waits to become one.
+/// Two of them may be lost within [`HELLO_TTL`].
+const WAITING_HELLO_INTERVAL: Duration = Duration::from_secs(1);
+/// TTL of a hello; a process without a newer one counts as absent.
+const HELLO_TTL: Duration = Duration::from_secs(3);
+
+/// A change that results from a hello.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum FleetChange {
-    /// This replica knows its standing now, and its groups can be opened.
-    Formed,
-    /// This replica may take part.
+    /// The founders are known, so this replica's groups can be opened.
+    FoundersKnown,
+    /// This replica may participate in the groups.
     TakesPart,
-    /// This disk is outdated, and this must become a new replica.
+    /// This disk is outdated, so this process must become a new replica.
     Outdated {
-        /// Who said so.
+        /// The node that reported it.
         by: NodeId,
     },
-    /// Two processes disagree on who the first voters are.
+    /// Another process knows different founders.
     Contradiction {
-        /// The other one.
+        /// The node of the other process.
         with: NodeId,
     },
 }
 
-/// The latest hello of another process.
+/// The latest hello from another process.
 #[derive(Clone, Debug)]
-struct Presence {
+struct LatestHello {
     at: Timestamp,
     hello: Hello,
     outdated: bool,
-    /// It answered this very start of ours, so it was sent after it.
+    /// Whether the hello carries a verdict on this session, so it was sent after
+    /// this process started.
     answered: bool,
 }
 
-/// Highest synced write seen of one life, by its latest starts. A hello may be
-/// overtaken by messages of the very start that it announces, so that only what
-/// was seen of other starts tells that a disk was rolled back.
+/// Highest observed sequence number of synced writes of one incarnation, by session.
+/// Later messages of a session may overtake the hello that announces it, so only
+/// the writes observed in other sessions indicate that a disk was rolled back.
 #[derive(Debug, Default)]
-struct SeenWrites {
+struct ObservedWrites {
     sessions: BTreeMap<u64, u64>,
 }
 
-impl SeenWrites {
-    fn note(&mut self, session: u64, sequence: u64) {
+impl ObservedWrites {
+    fn observe(&mut self, session: u64, sequence: u64) {
         let highest = self.sessions.entry(session).or_default();
         *highest = sequence.max(*highest);
     }
 
-    /// Highest write seen of other starts than `session`.
-    fn before(&self, session: u64) -> u64 {
+    /// Returns the highest write observed in sessions other than `session`.
+    fn highest_in_other_sessions(&self, session: u64) -> u64 {
         let others = self.sessions.iter().filter(|(one, _)| **one != session);
         others.map(|(_, sequence)| *sequence).max().unwrap_or(0)
     }
 
-    /// The log of `session` goes on from all that was seen of other starts.
+    /// Accepts that the log of `session` continues from all writes observed in other
+    /// sessions.
     fn accept(&mut self, session: u64) {
         let highest = self.sessions.values().copied().max().unwrap_or(0);
         self.sessions = BTreeMap::from([(session, highest)]);
     }
 }
 
-/// What this process knows of the others.
+/// The knowledge of this process about itself and the other processes.
 #[derive(Debug)]
 pub(crate) struct Fleet<D> {
     disk: D,
@@ -93,33 +95,34 @@
     session: u64,
     record: FleetRecord,
     others: BTreeSet<NodeId>,
-    /// Whether the others are learnt rather than listed.
+    /// Whether other nodes are discovered rather than listed.
     discovers: bool,
-    /// Nodes that must not take a place.
+    /// Nodes that must not be voters.
     retiring: BTreeSet<NodeId>,
-    present: BTreeMap<NodeId, Presence>,
-    /// Highest synced write seen of each life, by its starts.
-    sequences: BTreeMap<ReplicaId, SeenWrites>,
+    latest_hellos: BTreeMap<NodeId, LatestHello>,
+    /// Highest observed writes of each incarnation.
+    sequences: BTreeMap<ReplicaId, ObservedWrites>,
     confirmed: BTreeSet<NodeId>,
     takes_part: bool,
     next_hello: Timestamp,
-    /// When the others that do not vote are told too.
+    /// When the next hello goes to all nodes, not only to voters.
     next_hello_to_all: Timestamp,
 }
 
-/// What is to happen before a process has its place in the cluster.
+/// Progress of a process towards becoming a voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Place {
-    /// It does not take part yet, or does not know its standing.
-    Open,
-    /// It takes part and waits to become a voter, perhaps for ever.
-    Waits,
+enum JoinProgress {
+    /// It does not participate yet, or still joins a group with listed members.
+    NotJoined,
+    /// It participates and waits to become a voter, possibly forever.
+    Waiting,
     /// It is a voter.
     Voter,
 }
 
 impl<D: Disk> Fleet<D> {
-    /// Reads the records back. A process without others founds at once.
+    /// Loads the record from disk. A process without peers founds its groups
+    /// immediately.
     pub fn open(
         disk: D,
         identity: DiskIdentity,
@@ -142,7 +145,7 @@
             others,
             discovers: settings.discovery.is_some(),
             retiring: BTreeSet::new(),
-            present: BTreeMap::new(),
+            latest_hellos: BTreeMap::new(),
             sequences: BTreeMap::new(),
             confirmed: BTreeSet::new(),
             takes_part: false,
@@ -158,7 +161,8 @@
         Ok((fleet, changes))
     }
 
-    /// Changes the record, on disk first: what the disk refuses does not count.
+    /// Changes the record, on disk first: if the write fails, the record in memory
+    /// stays unchanged.
     fn store(&mut self, change: impl FnOnce(&mut FleetRecord)) -> Result<(), StorageError> {
         let mut changed = self.record.clone();
         change(&mut changed);
@@ -167,7 +171,7 @@
         Ok(())
     }
 
-    /// This life of this disk.
+    /// Returns the identifier of this replica.
     pub fn own_id(&self) -> ReplicaId {
         replica_id(self.identity.node, self.identity.incarnation)
     }
@@ -180,7 +184,7 @@
         &self.record
     }
 
-    /// Whether enough others confirmed that this disk was not rolled back.
+    /// Whether enough other replicas confirmed that this disk was not rolled back.
     pub fn takes_part(&self) -> bool {
         self.takes_part
     }
@@ -189,27 +193,28 @@
         self.next_hello
     }
 
-    /// Notes how far the log of another life was synced in one start of it.
-    pub fn saw_sequence(&mut self, replica: ReplicaId, session: u64, sequence: u64) {
+    /// Records up to which sequence number another replica has synced its log in one
+    /// session.
+    pub fn record_sequence(&mut self, replica: ReplicaId, session: u64, sequence: u64) {
         let seen = self.sequences.entry(replica).or_default();
-        seen.note(session, sequence);
+        seen.observe(session, sequence);
     }
 
-    /// Hellos to send now, if any are due.
+    /// Returns the hellos to send now, if any are due.
     pub fn hellos_due(&mut self, now: Timestamp, sequence: u64) -> Vec<(NodeId, Hello)> {
         if now < self.next_hello {
             return Vec::new();
         }
-        let place = self.place();
+        let progress = self.join_progress();
         self.next_hello = now
-            + match place {
-                Place::Open => EAGER_INTERVAL,
-                Place::Waits => WAITING_INTERVAL,
-                Place::Voter => CALM_INTERVAL,
+            + match progress {
+                JoinProgress::NotJoined => JOINING_HELLO_INTERVAL,
+                JoinProgress::Waiting => WAITING_HELLO_INTERVAL,
+                JoinProgress::Voter => HELLO_INTERVAL,
             };
-        let to_all = place != Place::Waits || now >= self.next_hello_to_all;
+        let to_all = progress != JoinProgress::Waiting || now >= self.next_hello_to_all;
         if to_all {
-            self.next_hello_to_all = now + CALM_INTERVAL;
+            self.next_hello_to_all = now + HELLO_INTERVAL;
         }
         let voters = self.known_voters();
         let others = self.others.iter();
@@ -219,35 +224,35 @@
             .collect()
     }
 
-    /// Whether this takes part and waits to become a voter.
-    pub fn waits(&self) -> bool {
-        self.place() == Place::Waits
+    /// Whether this process participates and waits to become a voter.
+    pub fn is_waiting(&self) -> bool {
+        self.join_progress() == JoinProgress::Waiting
     }
 
-    /// Some node that votes as far as is known.
-    pub fn draw_voter(&self, random: &mut impl Rng) -> Option<NodeId> {
+    /// Returns a random one of the known voters.
+    pub fn random_voter(&self, random: &mut impl Rng) -> Option<NodeId> {
         self.known_voters().into_iter().choose(random)
     }
 
-    fn place(&self) -> Place {
-        match self.record.standing {
-            Standing::Founder | Standing::Member if self.takes_part => Place::Voter,
-            Standing::Joining if self.takes_part && self.discovers => Place::Waits,
-            _ => Place::Open,
+    fn join_progress(&self) -> JoinProgress {
+        match self.record.join_state {
+            JoinState::Founder | JoinState::Member if self.takes_part => JoinProgress::Voter,
+            JoinState::Joining if self.takes_part && self.discovers => JoinProgress::Waiting,
+            _ => JoinProgress::NotJoined,
         }
     }
 
     fn hello(&self, to: NodeId, sequence: u64, wants_reply: bool) -> Hello {
-        let verdict = self.present.get(&to).map(|presence| Verdict {
-            session: presence.hello.session,
-            outdated: presence.outdated,
+        let verdict = self.latest_hellos.get(&to).map(|latest| Verdict {
+            session: latest.hello.session,
+            outdated: latest.outdated,
         });
         Hello {
             replica: self.own_id(),
             boot: self.identity.boot,
             session: self.session,
             sequence,
-            standing: self.record.standing,
+            join_state: self.record.join_state,
             founders: self.record.founders.clone(),
             verdict,
             wants_reply,
@@ -255,7 +260,7 @@
         }
     }
 
-    /// Takes a hello in. Returns what follows and the hello to answer with.
+    /// Handles a hello. Returns the resulting changes and the hello to reply with.
     pub fn receive(
         &mut self,
         now: Timestamp,
@@ -270,61 +275,62 @@
         if !self.others.contains(&from) {
             return Ok((changes, None));
         }
-        let outdated = self.judge(&hello)?;
-        // A process that only follows sends others nothing but hellos.
-        self.saw_sequence(hello.replica, hello.session, hello.sequence);
+        let outdated = self.is_outdated(&hello)?;
+        // A process that leads no group sends other followers only hellos.
+        self.record_sequence(hello.replica, hello.session, hello.sequence);
         let verdict = hello.verdict;
         let answered = verdict.is_some_and(|verdict| verdict.session == self.session);
         let wants_reply = hello.wants_reply;
-        let standing = hello.standing;
+        let join_state = hello.join_state;
         let founders = hello.founders.clone();
         let voters = hello.voters.clone();
         let (replica, session, synced) = (hello.replica, hello.session, hello.sequence);
-        let presence = Presence {
+        let latest = LatestHello {
             at: now,
             hello,
             outdated,
             answered,
         };
-        self.present.insert(from, presence);
+        self.latest_hellos.insert(from, latest);
         if !outdated {
-            // A replica that leads no group hears of others' logs only so.
-            self.saw_sequence(replica, session, synced);
+            // For a replica that leads no group, hellos are the only source of other
+            // replicas' sequence numbers.
+            self.record_sequence(replica, session, synced);
             self.compare_founders(from, founders, &mut changes)?;
-            if self.discovers && standing.is_voter() {
-                self.note_voters(voters)?;
+            if self.discovers && join_state.is_voter() {
+                self.record_voters(voters)?;
             }
         }
         if !self.discovers {
             self.found_if_all_are_blank(now, &mut changes)?;
         }
         if let Some(verdict) = verdict.filter(|_| answered) {
-            self.take_verdict(from, verdict, standing, &mut changes);
+            self.handle_verdict(from, verdict, join_state, &mut changes);
         }
         let reply = wants_reply.then(|| self.hello(from, sequence, false));
         Ok((changes, reply))
     }
 
-    /// Whether the sender's disk is behind what is known of it. A delayed
-    /// hello of an earlier start is judged so too, which harms nobody: the
-    /// verdict names that start.
-    fn judge(&mut self, hello: &Hello) -> Result<bool, StorageError> {
+    /// Whether the sender's disk is older than a known state of it. A delayed hello of
+    /// an earlier session is judged outdated too, which is harmless because the verdict
+    /// names that session.
+    fn is_outdated(&mut self, hello: &Hello) -> Result<bool, StorageError> {
         if !enabled(Mechanism::NewIncarnation) {
             return Ok(false);
         }
         if self.record.replaced.contains(&hello.replica) {
             return Ok(true);
         }
-        let presence = self.present.get(&node_of(hello.replica));
-        if let Some(presence) = presence.filter(|known| known.hello.session == hello.session) {
-            return Ok(presence.outdated);
+        let latest = self.latest_hellos.get(&node_of(hello.replica));
+        if let Some(latest) = latest.filter(|known| known.hello.session == hello.session) {
+            return Ok(latest.outdated);
         }
         if let Some(known) = self.record.boots.get(&hello.replica) {
             if known.session == hello.session {
                 return Ok(false);
             }
             let seen = self.sequences.get(&hello.replica);
-            let seen = seen.map_or(0, |seen| seen.before(hello.session));
+            let seen = seen.map_or(0, |seen| seen.highest_in_other_sessions(hello.session));
             if hello.boot <= known.boot || hello.sequence < seen {
                 return Ok(true);
             }
@@ -342,7 +348,7 @@
         Ok(false)
     }
 
-    /// Learns who the first voters are, or finds a contradiction.
+    /// Adopts the founders from another process, or reports a contradiction.
     fn compare_founders(
         &mut self,
         from: NodeId,
@@ -353,39 +359,40 @@
             return Ok(());
         }
         let known = !self.record.founders.is_empty();
-        if known || !(self.discovers || self.is_of_all_nodes(&founders)) {
+        if known || !(self.discovers || self.covers_all_nodes(&founders)) {
             changes.push(FleetChange::Contradiction { with: from });
             return Ok(());
         }
-        self.take_founders(founders, changes)
+        self.set_founders(founders, changes)
     }
 
-    /// Knows the first voters from now on, and so its own standing.
-    fn take_founders(
+    /// Records the founders, and with them the join state of this process.
+    fn set_founders(
         &mut self,
         founders: BTreeSet<ReplicaId>,
         changes: &mut Vec<FleetChange>,
     ) -> Result<(), StorageError> {
         if !enabled(Mechanism::NewIncarnation) {
-            self.take_old_identity(&founders)?;
+            self.reuse_old_identity(&founders)?;
         }
         let founder = founders.contains(&self.own_id());
-        let standing = if founder {
-            Standing::Founder
+        let join_state = if founder {
+            JoinState::Founder
         } else {
-            Standing::Joining
+            JoinState::Joining
         };
         self.store(|record| {
             record.founders = founders;
-            record.standing = standing;
+            record.join_state = join_state;
         })?;
         self.next_hello = Timestamp::ZERO;
-        changes.push(FleetChange::Formed);
+        changes.push(FleetChange::FoundersKnown);
         Ok(())
     }
 
-    /// What a blank disk must never do; only mutation runs come here.
-    fn take_old_identity(&mut self, founders: &BTreeSet<ReplicaId>) -> Result<(), StorageError> {
+    /// Reuses the identity of an earlier incarnation, which a blank disk must never
+    /// do. Only mutation runs call this.
+    fn reuse_old_identity(&mut self, founders: &BTreeSet<ReplicaId>) -> Result<(), StorageError> {
         let node = self.identity.node;
         if let Some(&old) = founders.iter().find(|&&founder| node_of(founder) == node) {
             self.identity.incarnation = crate::identity::incarnation_of(old);
@@ -394,66 +401,66 @@
         Ok(())
     }
 
-    /// Whether the founders are one life of each node in the settings.
-    fn is_of_all_nodes(&self, founders: &BTreeSet<ReplicaId>) -> bool {
+    /// Whether the founders are exactly one incarnation of each node in the settings.
+    fn covers_all_nodes(&self, founders: &BTreeSet<ReplicaId>) -> bool {
         let nodes: BTreeSet<NodeId> = founders.iter().map(|&founder| node_of(founder)).collect();
         let mut expected = self.others.clone();
         expected.insert(self.identity.node);
         nodes == expected && founders.len() == expected.len()
     }
 
-    /// Founds the groups, on the lowest node and only when every other one has
-    /// answered this very start with a blank disk of its own.
+    /// Founds the groups, only on the lowest node, and only once every other node
+    /// has answered this session with a blank disk of its own.
     fn found_if_all_are_blank(
         &mut self,
         now: Timestamp,
         changes: &mut Vec<FleetChange>,
     ) -> Result<(), StorageError> {
         let lowest = self.others.iter().all(|&other| other > self.identity.node);
-        if self.record.standing != Standing::Blank || !lowest {
+        if self.record.join_state != JoinState::Blank || !lowest {
             return Ok(());
         }
         let mut founders = BTreeSet::from([self.own_id()]);
         for node in &self.others {
-            let Some(presence) = self.present.get(node) else {
+            let Some(latest) = self.latest_hellos.get(node) else {
                 return Ok(());
             };
-            let blank = presence.hello.standing == Standing::Blank;
-            if !blank || !presence.answered || now.since(presence.at) > PRESENCE {
+            let blank = latest.hello.join_state == JoinState::Blank;
+            if !blank || !latest.answered || now.since(latest.at) > HELLO_TTL {
                 return Ok(());
             }
-            founders.insert(presence.hello.replica);
+            founders.insert(latest.hello.replica);
         }
         self.store(|record| {
             record.founders = founders;
-            record.standing = Standing::Founder;
+            record.join_state = JoinState::Founder;
         })?;
         self.next_hello = Timestamp::ZERO;
-        changes.push(FleetChange::Formed);
+        changes.push(FleetChange::FoundersKnown);
         Ok(())
     }
 
-    fn take_verdict(
+    fn handle_verdict(
         &mut self,
         from: NodeId,
         verdict: Verdict,
-        standing: Standing,
+        join_state: JoinState,
         changes: &mut Vec<FleetChange>,
     ) {
         if verdict.outdated && enabled(Mechanism::NewIncarnation) {
             changes.push(FleetChange::Outdated { by: from });
             return;
         }
-        if standing.is_voter() {
+        if join_state.is_voter() {
             self.confirmed.insert(from);
         }
         self.check_confirmations(changes);
     }
 
-    /// A replica takes part once it makes up a majority of the nodes together
-    /// with those that confirmed it.
+    /// Checks whether this replica may participate: once it and the nodes that
+    /// confirmed it form a majority.
     fn check_confirmations(&mut self, changes: &mut Vec<FleetChange>) {
-        let formed = self.record.standing != Standing::Blank;
+        let formed = self.record.join_state != JoinState::Blank;
         if !self.takes_part && formed && self.is_confirmed() {
             self.takes_part = true;
             changes.push(FleetChange::TakesPart);
@@ -464,8 +471,9 @@
         if !self.discovers {
             return self.confirmed.len() >= self.others.len().div_ceil(2);
         }
-        // A new life has promised nothing yet: one voter that knows it will do.
-        if self.record.standing == Standing::Joining {
+        // A new incarnation has made no promises yet, so one confirming voter is
+        // enough.
+        if self.record.join_state == JoinState::Joining {
             return !self.confirmed.is_empty();
         }
         let voters = self.voters();
@@ -475,7 +483,7 @@
         confirmed.count() > voters.len() / 2
     }
 
-    /// The voters as far as is known: the founders at first.
+    /// Returns the known voters; initially the founders.
     fn voters(&self) -> &BTreeSet<ReplicaId> {
         match self.record.voters.voters.is_empty() {
             true => &self.record.founders,
@@ -483,13 +491,13 @@
         }
     }
 
-    /// Nodes that vote as far as is known.
+    /// Returns the nodes of the known voters.
     pub fn known_voters(&self) -> BTreeSet<NodeId> {
         self.voters().iter().map(|&voter| node_of(voter)).collect()
     }
 
-    /// Notes who votes, unless something later is known.
-    pub fn note_voters(&mut self, voters: KnownVoters) -> Result<(), StorageError> {
+    /// Records the voters, unless a later membership is known.
+    pub fn record_voters(&mut self, voters: KnownVoters) -> Result<(), StorageError> {
         if !self.discovers || voters.voters.is_empty() || voters.index <= self.record.voters.index {
             return Ok(());
         }
@@ -499,21 +507,21 @@
         self.store(|record| record.voters = voters)
     }
 
-    /// Nodes that may be members, and those that must not stay so.
-    pub fn note_members(&mut self, contacts: &BTreeSet<NodeId>, retiring: BTreeSet<NodeId>) {
+    /// Records the nodes that may become members, and those that must not stay members.
+    pub fn record_contacts(&mut self, contacts: &BTreeSet<NodeId>, retiring: BTreeSet<NodeId>) {
         let own = self.identity.node;
         self.others
             .extend(contacts.iter().filter(|&&node| node != own));
         self.retiring = retiring;
     }
 
-    /// Nodes that must not stay members.
+    /// Returns the nodes that must not stay members.
     pub fn retiring(&self) -> &BTreeSet<NodeId> {
         &self.retiring
     }
 
-    /// Founds with nodes that are known beforehand and whose disks live their
-    /// first life.
+    /// Founds the group with nodes that are known in advance and whose disks have
+    /// their first incarnation.
     fn found_with(
         &mut self,
         founders: &BTreeSet<NodeId>,
@@ -523,37 +531,37 @@
         self.found(&founders.collect(), changes)
     }
 
-    /// Takes the first voters in, unless they are known.
+    /// Adopts the given founders, unless founders are already known.
     pub fn found(
         &mut self,
         founders: &BTreeMap<NodeId, u32>,
         changes: &mut Vec<FleetChange>,
     ) -> Result<(), StorageError> {
-        let blank = self.record.standing == Standing::Blank;
+        let blank = self.record.join_state == JoinState::Blank;
         if !self.discovers || !blank || founders.is_empty() {
             return Ok(());
         }
         let lives = founders.iter().map(|(&node, &life)| replica_id(node, life));
         let founders = lives.collect();
         let own = self.identity.node;
-        self.take_founders(founders, changes)?;
+        self.set_founders(founders, changes)?;
         let nodes = self.record.founders.iter().map(|&founder| node_of(founder));
         self.others.extend(nodes.filter(|&node| node != own));
         self.check_confirmations(changes);
         Ok(())
     }
 
-    /// Lives that wait to become voters and were heard lately.
+    /// Returns the replicas that wait to become voters and sent a hello recently.
     pub fn joining(&self, now: Timestamp) -> Vec<ReplicaId> {
-        let waiting = self.present.values().filter(|presence| {
-            let joining = presence.hello.standing == Standing::Joining;
-            joining && !presence.outdated && now.since(presence.at) <= PRESENCE
+        let waiting = self.latest_hellos.values().filter(|latest| {
+            let joining = latest.hello.join_state == JoinState::Joining;
+            joining && !latest.outdated && now.since(latest.at) <= HELLO_TTL
         });
-        waiting.map(|presence| presence.hello.replica).collect()
+        waiting.map(|latest| latest.hello.replica).collect()
     }
 
-    /// Notes that lives lost their vote to their successors, for good.
-    pub fn note_replaced(&mut self, replaced: &BTreeSet<ReplicaId>) -> Result<(), StorageError> {
+    /// Records that replicas were permanently replaced.
+    pub fn record_replaced(&mut self, replaced: &BTreeSet<ReplicaId>) -> Result<(), StorageError> {
         if replaced.is_subset(&self.record.replaced) {
             return Ok(());
         }
@@ -565,14 +573,14 @@
         })
     }
 
-    /// Notes that the first voters' common first entry is in the log.
-    pub fn note_bootstrapped(&mut self) -> Result<(), StorageError> {
+    /// Records that the founders' common first entries are in the log.
+    pub fn record_bootstrapped(&mut self) -> Result<(), StorageError> {
         self.store(|record| record.bootstrapped = true)
     }
 
-    /// Notes that this life votes in every group.
-    pub fn note_member(&mut self) -> Result<(), StorageError> {
-        self.store(|record| record.standing = Standing::Member)?;
+    /// Records that this incarnation votes in every group.
+    pub fn record_member(&mut self) -> Result<(), StorageError> {
+        self.store(|record| record.join_state = JoinState::Member)?;
         self.next_hello = Timestamp::ZERO;
         Ok(())
     }
--- a/crates/replica/src/group/transfer.rs
+++ b/crates/replica/src/group/transfer.rs
@@ -1,4 +1,4 @@
-//! Fetching a snapshot that the leader offers, piece by piece.
+//! Fetching of a snapshot offered by the leader, in chunks.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -15,48 +15,49 @@
 use crate::turn::Turn;
 use crate::{ReplicaError, ReplicaEvent};
 
-/// A part that has not come within this time is asked for again.
-const RETRY: Duration = Duration::from_millis(300);
-/// A transfer without progress for this time gives way to another offer.
-const STALLED: Duration = Duration::from_secs(2);
-/// Directory of payload bytes that do not belong to the payload log yet.
+/// Time after which a chunk that has not arrived is requested again.
+const CHUNK_RETRY: Duration = Duration::from_millis(300);
+/// Time without progress after which a transfer is abandoned.
+const STALL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Directory for staged payload bytes, which are not part of the payload log yet.
 const DIRECTORY: &str = "incoming";
-/// Staged bytes moved at once.
+/// Maximum number of staged bytes moved at once.
 const MOVE_BYTES: u64 = 1 << 20;
 
-/// A transfer under way.
+/// A transfer in progress.
 #[derive(Debug)]
 struct Transfer {
     from: ReplicaId,
     meta: SnapshotMeta,
     machine: Vec<u8>,
-    /// The sender's payloads that come with it, where each replica has its own; known with
-    /// the first part.
+    /// Range of the sender's payload log that belongs to the snapshot, if each replica has a
+    /// payload log of its own. Known once the first chunk has arrived.
     own_payloads: Option<Range<u64>>,
     last_progress: Timestamp,
-    last_pull: Timestamp,
+    last_request: Timestamp,
 }
 
 impl Transfer {
-    /// Where the first payload byte belongs that is fetched: in the sender's log where
-    /// each replica has its own, else in that of all, which is so long here.
+    /// Returns the offset of the first payload byte to fetch: in the sender's payload log if
+    /// each replica has its own, otherwise the local length of the common payload log.
     fn payloads_from(&self, payload_length: u64) -> u64 {
         let own = self.own_payloads.as_ref();
         own.map_or(payload_length, |own| own.start)
     }
 }
 
-/// What has arrived. Payload bytes wait in a file of their own, since the
-/// payload log may grow by ordinary entries while a transfer is cut off.
+/// The received parts of a snapshot. Payload bytes are staged in a separate file,
+/// because the payload log may grow by ordinary entries while a transfer is
+/// interrupted.
 #[derive(Debug)]
 pub(super) struct Staging {
     file: String,
     transfer: Option<Transfer>,
-    /// Where in the payload log of all, or of the sender, the staged bytes belong.
+    /// Offset of the staged bytes in the common payload log, or in the sender's.
     from: u64,
-    /// Staged bytes.
+    /// Number of staged bytes.
     length: u64,
-    fresh: bool,
+    needs_reset: bool,
 }
 
 impl Staging {
@@ -66,32 +67,33 @@
             transfer: None,
             from: 0,
             length: 0,
-            fresh: true,
+            needs_reset: true,
         }
     }
 
-    /// Throws staged bytes away unless they still follow on the payload log.
+    /// Discards the staged bytes unless they still start at `payload_length`.
     fn align<D: Disk>(&mut self, disk: &D, payload_length: u64) -> Result<(), StorageError> {
-        if !self.fresh && self.from == payload_length {
+        if !self.needs_reset && self.from == payload_length {
             return Ok(());
         }
         disk.create_dir(DIRECTORY)?;
         disk.remove(&self.file)?;
         self.from = payload_length;
         self.length = 0;
-        self.fresh = false;
+        self.needs_reset = false;
         Ok(())
     }
 
-    /// Adds bytes; says whether there was room.
-    fn add<D: Disk>(&mut self, disk: &D, bytes: &[u8]) -> Result<bool, StorageError> {
+    /// Appends bytes to the staging file; returns false if the disk is full, after
+    /// discarding the staged bytes.
+    fn append_bytes<D: Disk>(&mut self, disk: &D, bytes: &[u8]) -> Result<bool, StorageError> {
         match disk.append(&self.file, bytes) {
             Ok(()) => {
                 self.length += bytes.len() as u64;
                 Ok(true)
             }
             Err(error) if error.is_full() => {
-                self.fresh = true;
+                self.needs_reset = true;
                 disk.remove(&self.file)?;
                 Ok(false)
             }
@@ -101,18 +103,20 @@
 }
 
 impl<D: Disk> Group<D> {
-    /// Begins to fetch what the leader offers, unless that is under way.
-    pub(super) fn consider_offer(&mut self, turn: &mut Turn<'_, D>, offer: SnapshotOffer) {
+    /// Starts to fetch the offered snapshot, unless a transfer from the same sender is
+    /// progressing.
+    pub(super) fn handle_offer(&mut self, turn: &mut Turn<'_, D>, offer: SnapshotOffer) {
         if let Some(transfer) = &self.staging.transfer {
-            let stalled = turn.now.since(transfer.last_progress) > STALLED;
+            let stalled = turn.now.since(transfer.last_progress) > STALL_TIMEOUT;
             let same_sender = transfer.from == offer.from;
             if same_sender && !stalled {
                 return;
             }
         }
         if self.machine.payloads_needed_from(0).is_some() {
-            // What was staged is of another sender's log, or of an earlier part of this one's.
-            self.staging.fresh = true;
+            // The staged bytes come from another sender's log, or from an earlier part of this
+            // sender's log.
+            self.staging.needs_reset = true;
         }
         self.staging.transfer = Some(Transfer {
             from: offer.from,
@@ -120,22 +124,22 @@
             machine: Vec::new(),
             own_payloads: None,
             last_progress: turn.now,
-            last_pull: Timestamp::ZERO,
+            last_request: Timestamp::ZERO,
         });
-        self.pull(turn);
+        self.request_chunk(turn);
     }
 
-    /// Asks for the next part.
-    fn pull(&mut self, turn: &mut Turn<'_, D>) {
+    /// Requests the next chunk.
+    fn request_chunk(&mut self, turn: &mut Turn<'_, D>) {
         let Some(transfer) = &mut self.staging.transfer else {
             return;
         };
         let from = transfer.payloads_from(self.payloads.length());
-        let staged = match self.staging.from == from && !self.staging.fresh {
+        let staged = match self.staging.from == from && !self.staging.needs_reset {
             true => self.staging.length,
             false => 0,
         };
-        transfer.last_pull = turn.now;
+        transfer.last_request = turn.now;
         let pull = Pull {
             index: transfer.meta.index.0,
             machine_offset: transfer.machine.len() as u64,
@@ -145,21 +149,21 @@
         turn.send(self.id, to, GroupPayload::Pull(pull));
     }
 
-    /// Asks again for a part that got lost, and gives up what is not wanted
-    /// any more.
-    pub fn drive_transfer(&mut self, turn: &mut Turn<'_, D>) {
+    /// Repeats the request for a lost chunk, and abandons a transfer that is stalled or no
+    /// longer needed.
+    pub fn check_transfer(&mut self, turn: &mut Turn<'_, D>) {
         let Some(transfer) = &self.staging.transfer else {
             return;
         };
-        let stalled = turn.now.since(transfer.last_progress) > STALLED;
+        let stalled = turn.now.since(transfer.last_progress) > STALL_TIMEOUT;
         if stalled || !self.replica.wants_snapshot(&transfer.meta) {
             self.staging.transfer = None;
-        } else if turn.now.since(transfer.last_pull) > RETRY {
-            self.pull(turn);
+        } else if turn.now.since(transfer.last_request) > CHUNK_RETRY {
+            self.request_chunk(turn);
         }
     }
 
-    /// Takes a part in; asks for the next one, or installs the snapshot.
+    /// Handles a received chunk: requests the next one, or installs the snapshot.
     pub fn receive_chunk(
         &mut self,
         turn: &mut Turn<'_, D>,
@@ -182,26 +186,26 @@
         let Some(transfer) = &mut self.staging.transfer else {
             return Ok(());
         };
-        let machine_held = transfer.machine.len() as u64;
-        let payload_held = payloads_from + self.staging.length;
+        let machine_received = transfer.machine.len() as u64;
+        let payload_received = payloads_from + self.staging.length;
         match chunk.part {
-            Part::Machine if chunk.offset == machine_held => {
+            Part::Machine if chunk.offset == machine_received => {
                 transfer.machine.extend_from_slice(&chunk.bytes);
                 transfer.last_progress = turn.now;
             }
-            Part::Payload if chunk.offset == payload_held => {
+            Part::Payload if chunk.offset == payload_received => {
                 transfer.last_progress = turn.now;
-                if !self.staging.add(&self.disk, &chunk.bytes)? {
+                if !self.staging.append_bytes(&self.disk, &chunk.bytes)? {
                     return Ok(());
                 }
             }
-            // A part that came twice.
+            // A duplicate chunk.
             _ => return Ok(()),
         }
-        self.pull_or_install(turn, chunk, &header)
+        self.continue_or_install(turn, chunk, &header)
     }
 
-    fn pull_or_install(
+    fn continue_or_install(
         &mut self,
         turn: &mut Turn<'_, D>,
         chunk: &Chunk,
@@ -211,28 +215,28 @@
             return Ok(());
         };
         let machine_complete = transfer.machine.len() as u64 >= chunk.machine_length;
-        let payload_held = transfer.payloads_from(self.payloads.length()) + self.staging.length;
-        if !machine_complete || payload_held < header.payload_length {
-            self.pull(turn);
+        let payload_received = transfer.payloads_from(self.payloads.length()) + self.staging.length;
+        if !machine_complete || payload_received < header.payload_length {
+            self.request_chunk(turn);
             return Ok(());
         }
         if xxh3_64(&transfer.machine) != chunk.machine_checksum {
-            // Parts of different snapshots; a new offer starts afresh.
+            // The parts belong to different snapshots; a new offer restarts the transfer.
             self.staging.transfer = None;
             return Ok(());
         }
         self.install(turn, header)
     }
 
-    /// Puts the fetched snapshot in the place of the machine. The log is synced
-    /// before consensus learns of it, since that acknowledges it to the leader.
+    /// Replaces the state machine by the fetched snapshot. The log is synced before
+    /// consensus is notified, because that acknowledges the snapshot to the leader.
     fn install(
         &mut self,
         turn: &mut Turn<'_, D>,
         header: &SnapshotHeader,
     ) -> Result<(), ReplicaError> {
         let wanted = self.replica.wants_snapshot(&header.meta);
-        // While the log waits for room, consensus must not move on.
+        // While the log waits for disk space, consensus must not advance.
         if !wanted || self.awaiting_sync.is_some() {
             return Ok(());
         }
@@ -244,9 +248,9 @@
             .map_err(|source| ReplicaError::State { group, source })?;
         let stored = match transfer.own_payloads {
             None => self.store_fetched(turn, header, &transfer.machine)?,
-            Some(theirs) => {
+            Some(sender_range) => {
                 drop(transfer.machine);
-                self.store_with_payloads(turn, header, &mut machine, &theirs)?
+                self.store_with_payloads(turn, header, &mut machine, &sender_range)?
             }
         };
         if !stored {
@@ -257,7 +261,7 @@
         self.applied = index;
         self.to_apply.clear();
         self.policy = SnapshotPolicy::new(index);
-        self.note_membership(turn, &header.meta.membership);
+        self.record_membership(turn, &header.meta.membership);
         self.abandon_proposals_through(turn, index);
         self.replica.snapshot_installed(header.meta.clone());
         self.answer_reads(turn);
@@ -268,20 +272,20 @@
         Ok(())
     }
 
-    /// Stores a snapshot that comes with payloads of its sender's log: they go behind what
-    /// is in the own one, of which nothing is needed then.
+    /// Stores a snapshot with payloads of its sender's payload log. They are appended to the
+    /// local payload log, whose earlier content is then no longer needed.
     fn store_with_payloads(
         &mut self,
         turn: &mut Turn<'_, D>,
         header: &SnapshotHeader,
         machine: &mut Machine,
-        theirs: &Range<u64>,
+        sender_range: &Range<u64>,
     ) -> Result<bool, StorageError> {
         let start = self.payloads.length();
-        machine.move_payloads(theirs.start, start);
+        machine.move_payloads(sender_range.start, start);
         let header = SnapshotHeader {
             meta: header.meta.clone(),
-            payload_length: start + (theirs.end - theirs.start),
+            payload_length: start + (sender_range.end - sender_range.start),
             payload_start: Some(start),
         };
         let stored = self.store_fetched(turn, &header, &machine.snapshot())?;
@@ -291,8 +295,8 @@
         Ok(stored)
     }
 
-    /// Stores the fetched snapshot durably; says whether there was room. On a
-    /// full disk everything is as before, and a later offer tries again.
+    /// Stores the fetched snapshot durably; returns false if the disk is full. In that
+    /// case nothing changes, and a later offer retries.
     fn store_fetched(
         &mut self,
         turn: &mut Turn<'_, D>,
@@ -308,14 +312,15 @@
         if self.replica.term_at(index) != Some(header.meta.term) {
             turn.log.truncate(self.id, index.next().0);
         }
-        // A full disk is an error from here on: the mark waits in the log, so
-        // that the machine in memory must not live on without the snapshot.
+        // A full disk is an error from here on: the snapshot's record is pending in the
+        // log, so the state machine in memory must not continue without the snapshot.
         turn.log.sync()?;
         self.snapshots.remove_older(index.0)?;
         Ok(true)
     }
 
-    /// Stores payloads and machine, which mean nothing before the log's mark.
+    /// Stores payloads and state machine, which take effect only with the snapshot's
+    /// record in the log.
     fn store_parts(
         &mut self,
         turn: &mut Turn<'_, D>,
@@ -323,24 +328,24 @@
         header: &[u8],
         machine: &[u8],
     ) -> Result<bool, StorageError> {
-        // What waits goes first: it belongs to entries that are applied.
+        // Pending writes go first, because they belong to applied entries.
         let ready = turn.log.sync().and_then(|_| self.payloads.flush());
-        if !had_room(ready)? {
+        if !had_space(ready)? {
             return Ok(false);
         }
         let before = self.payloads.length();
         let stored = self
             .move_staged()
             .and_then(|()| self.snapshots.save(index.0, header, machine));
-        let stored = had_room(stored)?;
+        let stored = had_space(stored)?;
         if !stored {
             self.payloads.truncate(before)?;
         }
-        self.staging.fresh = true;
+        self.staging.needs_reset = true;
         Ok(stored)
     }
 
-    /// Appends the staged bytes to the payload log and syncs it.
+    /// Moves the staged bytes to the payload log and syncs it.
     fn move_staged(&mut self) -> Result<(), StorageError> {
         let mut moved = 0;
         while moved < self.staging.length {
@@ -356,8 +361,8 @@
     }
 }
 
-/// Tells a full disk from other errors.
-fn had_room(result: Result<(), StorageError>) -> Result<bool, StorageError> {
+/// Returns whether there was disk space; other errors are passed on.
+fn had_space(result: Result<(), StorageError>) -> Result<bool, StorageError> {
     match result {
         Ok(()) => Ok(true),
         Err(error) if error.is_full() => Ok(false),
--- a/crates/replica/src/records.rs
+++ b/crates/replica/src/records.rs
@@ -1,4 +1,4 @@
-//! What a process keeps on disk about itself and the others.
+//! Persistent record of a process about itself and other replicas.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,14 +7,14 @@
 use molespan_storage::{Disk, StorageError, read_checked, remove_everything, write_checked};
 use molespan_types::GroupId;
 
-use crate::message::{KnownVoters, Standing};
+use crate::message::{JoinState, KnownVoters};
 
-/// File that holds the record.
+/// Name of the file that stores the record.
 const FILE: &str = "fleet";
-/// File whose presence says that the folder is being emptied.
-const EMPTYING_FILE: &str = "emptying";
+/// Name of the file that marks an unfinished wipe of the data folder.
+const WIPE_MARKER_FILE: &str = "emptying";
 
-/// The latest start of one life of a disk.
+/// The latest known start of one incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct BootRecord {
     #[n(0)]
@@ -23,32 +23,32 @@
     pub session: u64,
 }
 
-/// What a process keeps on disk about itself and the others.
+/// Persistent record of a process about itself and other replicas.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Encode, Decode)]
 pub(crate) struct FleetRecord {
-    /// How this life takes part.
+    /// How far this incarnation has joined the groups.
     #[n(0)]
-    pub standing: Standing,
-    /// The first voters; empty when not known.
+    pub join_state: JoinState,
+    /// The founders; empty if unknown.
     #[n(1)]
     pub founders: BTreeSet<ReplicaId>,
-    /// Whether the first entry of each group was written to the log.
+    /// Whether the first entry of each group has been written to the log.
     #[n(2)]
     pub bootstrapped: bool,
-    /// The latest start of other lives.
+    /// The latest known start of each other incarnation.
     #[n(3)]
     pub boots: BTreeMap<ReplicaId, BootRecord>,
-    /// Lives that lost their vote to a successor.
+    /// Replicas that were removed from a group and replaced.
     #[n(4)]
     pub replaced: BTreeSet<ReplicaId>,
-    /// Voters, where members are discovered.
+    /// The latest known voters, if members are discovered.
     #[n(5)]
     #[cbor(default)]
     pub voters: KnownVoters,
 }
 
 impl FleetRecord {
-    /// Reads the record; an empty one when there is none.
+    /// Reads the record from disk; returns an empty one if none is stored.
     pub fn load<D: Disk>(disk: &D) -> Result<Self, StorageError> {
         match read_checked(disk, "", FILE)? {
             Some(bytes) => molespan_state::decode(&bytes).map_err(|error| StorageError::Corrupt {
@@ -60,15 +60,15 @@
         }
     }
 
-    /// Replaces the stored record by this one.
+    /// Replaces the stored record by this one durably.
     pub fn store<D: Disk>(&self, disk: &D) -> Result<(), StorageError> {
         write_checked(disk, "", FILE, &[&molespan_state::encode(self)])
     }
 
-    /// The record of the life that follows on this disk.
+    /// Returns the record for the next incarnation on this disk.
     pub fn successor(&self) -> Self {
         Self {
-            standing: Standing::Joining,
+            join_state: JoinState::Joining,
             founders: self.founders.clone(),
             bootstrapped: false,
             boots: self.boots.clone(),
@@ -78,29 +78,29 @@
     }
 }
 
-/// Ends the life of this disk: removes everything but `record`, which belongs
-/// to the next life. A crash in between is made good by
-/// [`finish_emptying`] at the next start.
-pub(crate) fn empty<D: Disk>(
+/// Ends the current incarnation: wipes the disk and keeps only the successor of
+/// `record` for the next incarnation. If a crash interrupts the wipe,
+/// [`finish_wipe`] completes it at the next start.
+pub(crate) fn wipe<D: Disk>(
     disk: &D,
     record: &FleetRecord,
     groups: impl IntoIterator<Item = GroupId>,
 ) -> Result<(), StorageError> {
     let successor = molespan_state::encode(&record.successor());
-    write_checked(disk, "", EMPTYING_FILE, &[&successor])?;
-    finish_emptying(disk, groups)
+    write_checked(disk, "", WIPE_MARKER_FILE, &[&successor])?;
+    finish_wipe(disk, groups)
 }
 
-/// Goes on with an emptying that a crash cut short.
-pub(crate) fn finish_emptying<D: Disk>(
+/// Completes a wipe that was interrupted by a crash.
+pub(crate) fn finish_wipe<D: Disk>(
     disk: &D,
     groups: impl IntoIterator<Item = GroupId>,
 ) -> Result<(), StorageError> {
-    let Some(successor) = read_checked(disk, "", EMPTYING_FILE)? else {
+    let Some(successor) = read_checked(disk, "", WIPE_MARKER_FILE)? else {
         return Ok(());
     };
     remove_everything(disk, groups)?;
     write_checked(disk, "", FILE, &[&successor])?;
-    disk.remove(EMPTYING_FILE)?;
+    disk.remove(WIPE_MARKER_FILE)?;
     disk.sync_dir("")
 }
--- a/crates/replica/tests/cluster/mod.rs
+++ b/crates/replica/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A cluster of replica processes under virtual time, with a seeded network
-//! and simulated disks.
+//! A cluster of replica processes on virtual time, with a seeded network and
+//! simulated disks.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -21,10 +21,10 @@
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// How a request ended.
+/// The result of a request.
 pub type Answer = Result<Vec<u8>, Refusal>;
 
-/// A message on its way.
+/// A message in flight.
 struct Packet {
     from: NodeId,
     to: NodeId,
@@ -32,7 +32,7 @@
     bytes: Vec<u8>,
 }
 
-/// The nodes, their disks and the network between them.
+/// A simulated cluster: nodes, their disks and the network.
 pub struct Cluster {
     pub now: Timestamp,
     pub random: ChaCha8Rng,
@@ -41,18 +41,18 @@
     pub events: Vec<(NodeId, ReplicaEvent)>,
     pub errors: Vec<(NodeId, ReplicaError)>,
     pub answers: HashMap<Ticket, Answer>,
-    /// Pairs that cannot send in this direction.
-    pub cut: BTreeSet<(NodeId, NodeId)>,
+    /// Directed links, from sender to receiver, that drop all messages.
+    pub cut_links: BTreeSet<(NodeId, NodeId)>,
     pub loss: f64,
     pub bytes_sent: u64,
     network: BTreeMap<(Timestamp, u64), Packet>,
-    /// A node whose messages wait for [`Cluster::deliver_reversed`].
-    pub held_for: Option<NodeId>,
-    held: Vec<Input>,
+    /// A node whose messages are withheld until [`Cluster::deliver_reversed`].
+    pub withheld_for: Option<NodeId>,
+    withheld: Vec<Input>,
     last_ticket: u64,
     last_message: u64,
     pub job_groups: u32,
-    /// Whether disks are blank for the very first time, where members are
+    /// Whether nodes start for the first time and know the founders, if members are
     /// discovered.
     pub first_start: bool,
     tune: fn(&mut ReplicaSettings),
@@ -63,12 +63,12 @@
 }
 
 impl Cluster {
-    /// A cluster of `size` blank nodes that are all started.
+    /// Returns a cluster of `size` blank nodes, all started.
     pub fn new(size: u32, seed: u64) -> Self {
-        Self::tuned(size, seed, |_| {})
+        Self::with_settings(size, seed, |_| {})
     }
 
-    pub fn tuned(size: u32, seed: u64, tune: fn(&mut ReplicaSettings)) -> Self {
+    pub fn with_settings(size: u32, seed: u64, tune: fn(&mut ReplicaSettings)) -> Self {
         let mut cluster = Self::stopped(size, seed, tune);
         for node in cluster.nodes() {
             cluster.start(node);
@@ -76,7 +76,7 @@
         cluster
     }
 
-    /// A cluster of blank nodes, none of which is started.
+    /// Returns a cluster of `size` blank nodes, none started.
     pub fn stopped(size: u32, seed: u64, tune: fn(&mut ReplicaSettings)) -> Self {
         let nodes = (1..=size).map(NodeId);
         Self {
@@ -87,12 +87,12 @@
             events: Vec::new(),
             errors: Vec::new(),
             answers: HashMap::new(),
-            cut: BTreeSet::new(),
+            cut_links: BTreeSet::new(),
             loss: 0.0,
             bytes_sent: 0,
             network: BTreeMap::new(),
-            held_for: None,
-            held: Vec::new(),
+            withheld_for: None,
+            withheld: Vec::new(),
             last_ticket: 0,
             last_message: 0,
             job_groups: 2,
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The first running node but this one.
+    /// Returns the first running node other than `node`.
     pub fn other_than(&self, node: NodeId) -> NodeId {
         let mut others = self.cores.keys().copied();
         others.find(|&other| other != node).expect("there is one")
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Kills a node; its disk loses what was not synced.
+    /// Kills a node; its disk loses all data that was not synced.
     pub fn kill(&mut self, node: NodeId) {
         self.cores.remove(&node);
         let seed = self.random.random();
@@ -158,14 +158,14 @@
         self.start(node);
     }
 
-    /// Cuts a node off from the others in both directions, or reconnects it.
+    /// Disconnects a node from all others in both directions, or reconnects it.
     pub fn isolate(&mut self, node: NodeId, isolated: bool) {
         for other in self.nodes() {
             for pair in [(node, other), (other, node)] {
                 if isolated {
-                    self.cut.insert(pair);
+                    self.cut_links.insert(pair);
                 } else {
-                    self.cut.remove(&pair);
+                    self.cut_links.remove(&pair);
                 }
             }
         }
@@ -178,7 +178,7 @@
         match core.poll(self.now) {
             Ok(outputs) => {
                 for output in outputs {
-                    self.take(node, output);
+                    self.handle_output(node, output);
                 }
             }
             Err(error) => {
@@ -188,7 +188,7 @@
         }
     }
 
-    fn take(&mut self, from: NodeId, output: Output) {
+    fn handle_output(&mut self, from: NodeId, output: Output) {
         match output {
             Output::Send { to, group, bytes } => self.send(from, to, group, bytes),
             Output::Reply { ticket, result } => {
@@ -205,7 +205,7 @@
     fn send(&mut self, from: NodeId, to: NodeId, group: GroupId, bytes: Vec<u8>) {
         self.bytes_sent += bytes.len() as u64;
         let lost = self.random.random_bool(self.loss);
-        if lost || self.cut.contains(&(from, to)) {
+        if lost || self.cut_links.contains(&(from, to)) {
             return;
         }
         self.last_message += 1;
@@ -220,7 +220,8 @@
         self.network.insert(key, packet);
     }
 
-    /// Lets one thing happen: a message arrives or a timer runs out.
+    /// Processes the next event: delivers a message or polls a node whose deadline has
+    /// passed. Returns false if there is none up to `end`.
     fn advance(&mut self, end: Timestamp) -> bool {
         let arrival = self.network.first_key_value().map(|((at, _), _)| *at);
         let deadlines = self.cores.iter();
@@ -237,7 +238,7 @@
             let Some((_, packet)) = self.network.pop_first() else {
                 return false;
             };
-            if self.cut.contains(&(packet.from, packet.to)) {
+            if self.cut_links.contains(&(packet.from, packet.to)) {
                 return true;
             }
             let message = Input::Message {
@@ -245,8 +246,8 @@
                 group: packet.group,
                 bytes: packet.bytes,
             };
-            if self.held_for == Some(packet.to) {
-                self.held.push(message);
+            if self.withheld_for == Some(packet.to) {
+                self.withheld.push(message);
             } else {
                 self.input(packet.to, message);
             }
@@ -256,12 +257,12 @@
         true
     }
 
-    /// Delivers what waits for a node, the latest first.
+    /// Delivers the withheld messages to their node in reverse order.
     pub fn deliver_reversed(&mut self) {
-        let Some(node) = self.held_for.take() else {
+        let Some(node) = self.withheld_for.take() else {
             return;
         };
-        for message in std::mem::take(&mut self.held).into_iter().rev() {
+        for message in std::mem::take(&mut self.withheld).into_iter().rev() {
             self.input(node, message);
         }
     }
@@ -278,7 +279,7 @@
         while self.advance(end) {}
     }
 
-    /// Runs until `done`; panics when that takes more than a virtual minute.
+    /// Runs until `done` returns true; panics after one minute of virtual time.
     pub fn run_until(&mut self, what: &str, mut done: impl FnMut(&Self) -> bool) {
         let end = self.now + Duration::from_secs(60);
         while !done(self) {
@@ -291,13 +292,14 @@
     }
 
     pub fn leader(&self, group: GroupId) -> Option<NodeId> {
-        let led = |core: &ReplicaCore<SimulatedDisk>| core.status().leads().any(|led| led == group);
-        let mut leaders = self.cores.iter().filter(|(_, core)| led(core));
+        let leads_group =
+            |core: &ReplicaCore<SimulatedDisk>| core.status().leads().any(|led| led == group);
+        let mut leaders = self.cores.iter().filter(|(_, core)| leads_group(core));
         leaders.next().map(|(&node, _)| node)
     }
 
-    /// Runs until every group has a leader; gives that of the control group.
-    pub fn run_until_led(&mut self) -> NodeId {
+    /// Runs until every group has a leader; returns the leader of the control group.
+    pub fn run_until_leaders(&mut self) -> NodeId {
         let groups = self.job_groups;
         self.run_until("leaders", |cluster| {
             (0..=groups).all(|group| cluster.leader(GroupId(group)).is_some())
@@ -321,14 +323,14 @@
         ticket
     }
 
-    /// Proposes to whoever leads, again and again, until it is committed.
+    /// Proposes to the current leader, with retries, until the command is committed.
     pub fn commit(&mut self, group: GroupId, command: &[u8]) -> Vec<u8> {
         let reply = self.try_commit(group, command, &|_| false);
-        reply.unwrap_or_else(|| panic!("nothing is committed: {:#?}", self.statuses()))
+        reply.unwrap_or_else(|| panic!("the command was not committed: {:#?}", self.statuses()))
     }
 
-    /// Proposes to whoever leads, again and again, until it is committed or
-    /// `stopped`.
+    /// Proposes to the current leader, with retries, until the command is committed or
+    /// `stopped` returns true.
     pub fn try_commit(
         &mut self,
         group: GroupId,
@@ -354,7 +356,7 @@
         None
     }
 
-    /// Confirms an intent; gives the new version, or nothing when `stopped`.
+    /// Confirms an intent; returns the new version, or `None` if `stopped` returned true.
     pub fn try_confirm(
         &mut self,
         number: u64,
@@ -368,7 +370,7 @@
         }
     }
 
-    /// Confirms an intent with this number; gives the version it produced.
+    /// Confirms an intent with this number; returns the reply.
     pub fn confirm(&mut self, number: u64, base: ConfigVersion) -> ConfirmReply {
         let reply = self.commit(GroupId::CONTROL, &intent(number, base));
         match molespan_state::decode(&reply) {
@@ -377,7 +379,7 @@
         }
     }
 
-    /// Confirms intents 1 to `count`, each based on the one before.
+    /// Confirms intents 1 to `count`, each based on the previous version.
     pub fn confirm_many(&mut self, count: u64) {
         for number in 1..=count {
             let base = ConfigVersion(number - 1);
@@ -387,7 +389,7 @@
         }
     }
 
-    /// Asks one node for the version of the configuration.
+    /// Queries one node for the version of the configuration.
     pub fn version_at(&mut self, node: NodeId, consistency: Consistency) -> Option<ConfigVersion> {
         let ticket = self.ticket();
         let query = Input::Query {
@@ -406,8 +408,8 @@
         }
     }
 
-    /// Runs until every node has applied the same version of everything.
-    pub fn run_until_equal(&mut self) {
+    /// Runs until all nodes participate and have applied the same entries in all groups.
+    pub fn run_until_in_sync(&mut self) {
         self.run_until("equal replicas", |cluster| {
             let applied = |status: &ReplicaStatus| -> Vec<u64> {
                 status.groups.iter().map(|group| group.applied).collect()
@@ -421,8 +423,8 @@
         });
     }
 
-    /// Whether each node votes in each group with its present life only.
-    pub fn is_whole(&self) -> bool {
+    /// Whether the voters of each group are exactly the current incarnations of all nodes.
+    pub fn all_nodes_vote(&self) -> bool {
         let lives: BTreeSet<(NodeId, u32)> = self
             .statuses()
             .iter()
@@ -438,7 +440,7 @@
     }
 }
 
-/// An intent that changes the policy.
+/// Returns an encoded intent that changes the policy.
 pub fn intent(number: u64, base_version: ConfigVersion) -> Vec<u8> {
     let policy = Policy {
         tail_protection: (number % 100) as u8,
--- a/crates/replica/tests/discovery.rs
+++ b/crates/replica/tests/discovery.rs
@@ -1,5 +1,5 @@
-//! Groups whose members are not listed: founded by seeds, joined through
-//! whoever answers, and kept at the wanted number of voters.
+//! Groups that discover their members: founded by seeds, joined through any
+//! responding node, and kept at the desired number of voters.
 
 mod cluster;
 
@@ -16,7 +16,7 @@
     SEEDS.into_iter().map(NodeId).collect()
 }
 
-/// Nodes 1 to 3 are the seeds and found; everyone greets them first.
+/// Makes nodes 1 to 3 the seeds: they are the founders and the first contacts.
 fn discover(settings: &mut ReplicaSettings) {
     let mut discovery = Discovery::new(GroupId::CONTROL);
     discovery.contacts = seeds();
@@ -32,14 +32,15 @@
     }
 }
 
-/// `size` nodes with disks, of which the seeds are started for the first time.
-fn founded(size: u32, seed: u64, tune: fn(&mut ReplicaSettings)) -> Cluster {
+/// Returns a cluster of `size` nodes of which only the seeds are started, with blank
+/// disks.
+fn founded_cluster(size: u32, seed: u64, tune: fn(&mut ReplicaSettings)) -> Cluster {
     let mut cluster = Cluster::stopped(size, seed, tune);
     cluster.job_groups = 0;
     for seed in SEEDS {
         cluster.start(node(seed));
     }
-    cluster.run_until_led();
+    cluster.run_until_leaders();
     cluster.first_start = false;
     cluster
 }
@@ -54,7 +55,8 @@
     })
 }
 
-/// Whether a node votes with its present life, in no joint membership.
+/// Whether a node votes with its current incarnation, and no other incarnation of any
+/// node votes as well.
 fn is_settled(status: &ReplicaStatus) -> bool {
     status.groups.first().is_some_and(|group| {
         let nodes: BTreeSet<NodeId> = group.voters.iter().map(|(node, _)| *node).collect();
@@ -76,8 +78,8 @@
     });
 }
 
-fn newest(cluster: &mut Cluster) -> Option<ConfigVersion> {
-    let leader = cluster.run_until_led();
+fn latest_version(cluster: &mut Cluster) -> Option<ConfigVersion> {
+    let leader = cluster.run_until_leaders();
     cluster.version_at(leader, Consistency::Linearizable)
 }
 
@@ -94,27 +96,31 @@
             "one of three leads alone"
         );
         cluster.start(node(order[1]));
-        cluster.run_until_led();
+        cluster.run_until_leaders();
         cluster.first_start = false;
         cluster.confirm_many(5);
-        // The third one comes late, as one that knows of no founding.
+        // The third node starts late and does not know the founders.
         cluster.start(node(order[2]));
         run_until_voters(&mut cluster, &SEEDS);
-        assert_eq!(newest(&mut cluster), Some(ConfigVersion(5)));
+        assert_eq!(latest_version(&mut cluster), Some(ConfigVersion(5)));
     }
 }
 
 #[test]
 fn a_blank_disk_at_the_old_address_gets_its_place_back() {
     for seed in 0..6 {
-        let mut cluster = founded(3, seed, discover);
+        let mut cluster = founded_cluster(3, seed, discover);
         cluster.confirm_many(20);
         for round in 0..3_u32 {
             let lost = node(1 + (seed as u32 + round) % 3);
             cluster.lose_disk(lost);
             run_until_voters(&mut cluster, &SEEDS);
         }
-        assert_eq!(newest(&mut cluster), Some(ConfigVersion(20)), "seed {seed}");
+        assert_eq!(
+            latest_version(&mut cluster),
+            Some(ConfigVersion(20)),
+            "seed {seed}"
+        );
         assert!(cluster.errors.is_empty(), "{:?}", cluster.errors);
     }
 }
@@ -122,24 +128,24 @@
 #[test]
 fn a_machine_at_another_address_takes_the_place_of_one_that_is_gone() {
     for (seed, gone) in [(1, 1), (2, 2), (3, 3)] {
-        let mut cluster = founded(4, seed, discover);
+        let mut cluster = founded_cluster(4, seed, discover);
         cluster.confirm_many(20);
         cluster.kill(node(gone));
         cluster.start(node(4));
         let wanted: Vec<u32> = (1..=4).filter(|&number| number != gone).collect();
         run_until_voters(&mut cluster, &wanted);
-        assert_eq!(newest(&mut cluster), Some(ConfigVersion(20)));
-        // Then another one is lost with its disk at once.
+        assert_eq!(latest_version(&mut cluster), Some(ConfigVersion(20)));
+        // Another node loses its disk right afterwards.
         let second = node(wanted[0]);
         cluster.lose_disk(second);
         run_until_voters(&mut cluster, &wanted);
-        assert_eq!(newest(&mut cluster), Some(ConfigVersion(20)));
+        assert_eq!(latest_version(&mut cluster), Some(ConfigVersion(20)));
     }
 }
 
 #[test]
 fn a_spare_machine_waits_until_it_is_needed() {
-    let mut cluster = founded(4, 7, discover);
+    let mut cluster = founded_cluster(4, 7, discover);
     cluster.start(node(4));
     cluster.run_for(Duration::from_secs(10));
     assert_eq!(voters(&cluster), seeds());
@@ -147,7 +153,7 @@
 
 #[test]
 fn a_spare_machine_names_a_voter_to_whoever_looks_for_the_leader() {
-    let mut cluster = founded(4, 18, discover);
+    let mut cluster = founded_cluster(4, 18, discover);
     cluster.start(node(4));
     cluster.run_for(Duration::from_secs(2));
     let query = Input::Query {
@@ -171,22 +177,22 @@
     }
 }
 
-/// Bytes that a node sends in a second on the average, in a group of three voters
-/// with `spares` beside them.
+/// Returns the average bytes per second that a node sends in a cluster of three voters
+/// and `spares` spare nodes.
 fn bytes_a_second(spares: u32) -> u64 {
     const SECONDS: u64 = 20;
     let size = 3 + spares;
-    let mut cluster = founded(size, 17, discover);
+    let mut cluster = founded_cluster(size, 17, discover);
     for spare in 4..=size {
         cluster.start(node(spare));
     }
-    // The control nodes tell everybody of everybody.
-    for told in cluster.nodes() {
+    // The control nodes announce all nodes to each other.
+    for receiver in cluster.nodes() {
         let members = Input::Members {
             contacts: cluster.nodes().into_iter().collect(),
             retiring: BTreeSet::new(),
         };
-        cluster.input(told, members);
+        cluster.input(receiver, members);
     }
     cluster.run_for(Duration::from_secs(10));
     assert_eq!(voters(&cluster), seeds());
@@ -199,7 +205,7 @@
 fn what_a_spare_machine_says_does_not_grow_with_the_square_of_the_spares() {
     let few = bytes_a_second(5);
     let many = bytes_a_second(40);
-    // Each greets all others once in a while, so it grows a little.
+    // Each node periodically sends a hello to all others, so some growth is expected.
     assert!(
         many < 3 * few,
         "{many} bytes beside 40 spares, {few} beside 5"
@@ -208,23 +214,23 @@
 
 #[test]
 fn a_group_grows_to_the_wanted_number() {
-    let mut cluster = founded(5, 8, discover_five);
+    let mut cluster = founded_cluster(5, 8, discover_five);
     cluster.confirm_many(10);
     cluster.start(node(4));
     cluster.start(node(5));
     run_until_voters(&mut cluster, &[1, 2, 3, 4, 5]);
-    // The last joint membership looks the same until it is left.
+    // The final joint membership has the same voters until the group leaves it.
     cluster.run_for(Duration::from_secs(1));
     cluster.lose_disk(node(1));
     cluster.lose_disk(node(2));
     run_until_voters(&mut cluster, &[1, 2, 3, 4, 5]);
-    assert_eq!(newest(&mut cluster), Some(ConfigVersion(10)));
+    assert_eq!(latest_version(&mut cluster), Some(ConfigVersion(10)));
 }
 
 #[test]
 fn a_retiring_node_gives_its_place_away_and_gets_none_back() {
     for (seed, leaving) in [(11, 1), (12, 2), (13, 3)] {
-        let mut cluster = founded(4, seed, discover);
+        let mut cluster = founded_cluster(4, seed, discover);
         cluster.confirm_many(10);
         cluster.start(node(4));
         for number in 1..=4 {
@@ -238,18 +244,18 @@
         run_until_voters(&mut cluster, &wanted);
         cluster.run_for(Duration::from_secs(10));
         assert!(!voters(&cluster).contains(&node(leaving)));
-        // Its disk is taken away, and another one is lost right after.
+        // The retiring node is removed, and another node loses its disk right afterwards.
         cluster.kill(node(leaving));
         cluster.lose_disk(node(wanted[1]));
         run_until_voters(&mut cluster, &wanted);
-        assert_eq!(newest(&mut cluster), Some(ConfigVersion(10)));
+        assert_eq!(latest_version(&mut cluster), Some(ConfigVersion(10)));
     }
 }
 
 #[test]
 fn all_killed_or_without_power_return_with_everything() {
     for seed in 20..26 {
-        let mut cluster = founded(3, seed, discover);
+        let mut cluster = founded_cluster(3, seed, discover);
         cluster.confirm_many(15);
         for seed in SEEDS {
             cluster.kill(node(seed));
@@ -258,23 +264,27 @@
             cluster.start(node(seed));
         }
         run_until_voters(&mut cluster, &SEEDS);
-        assert_eq!(newest(&mut cluster), Some(ConfigVersion(15)), "seed {seed}");
+        assert_eq!(
+            latest_version(&mut cluster),
+            Some(ConfigVersion(15)),
+            "seed {seed}"
+        );
     }
 }
 
 #[test]
 fn a_voter_that_was_replaced_while_it_was_cut_off_begins_anew() {
-    let mut cluster = founded(4, 31, discover);
+    let mut cluster = founded_cluster(4, 31, discover);
     cluster.confirm_many(10);
-    let cut = cluster.other_than(cluster.leader(GroupId::CONTROL).expect("a leader"));
-    cluster.isolate(cut, true);
+    let isolated = cluster.other_than(cluster.leader(GroupId::CONTROL).expect("a leader"));
+    cluster.isolate(isolated, true);
     cluster.start(node(4));
-    let wanted: Vec<u32> = (1..=4).filter(|&number| node(number) != cut).collect();
+    let wanted: Vec<u32> = (1..=4).filter(|&number| node(number) != isolated).collect();
     run_until_voters(&mut cluster, &wanted);
-    let before = cluster.cores[&cut].status().incarnation;
-    cluster.isolate(cut, false);
-    cluster.run_until("a new life", |cluster| {
-        cluster.cores[&cut].status().incarnation != before
+    let before = cluster.cores[&isolated].status().incarnation;
+    cluster.isolate(isolated, false);
+    cluster.run_until("a new incarnation", |cluster| {
+        cluster.cores[&isolated].status().incarnation != before
     });
     cluster.run_for(Duration::from_secs(5));
     let wanted = wanted.into_iter().map(NodeId).collect();
@@ -284,20 +294,20 @@
 
 #[test]
 fn founders_that_are_told_later_found_once() {
-    fn told_later(settings: &mut ReplicaSettings) {
+    fn without_founders(settings: &mut ReplicaSettings) {
         discover(settings);
         if let Some(discovery) = &mut settings.discovery {
             discovery.founders.clear();
             discovery.contacts.clear();
         }
     }
-    let mut cluster = Cluster::stopped(4, 41, told_later);
+    let mut cluster = Cluster::stopped(4, 41, without_founders);
     cluster.job_groups = 0;
     for number in 1..=4 {
         cluster.start(node(number));
     }
-    let lives = cluster.statuses();
-    let founders: BTreeMap<NodeId, u32> = lives
+    let started_nodes = cluster.statuses();
+    let founders: BTreeMap<NodeId, u32> = started_nodes
         .iter()
         .filter(|status| SEEDS.contains(&status.node.0))
         .map(|status| (status.node, status.incarnation))
@@ -310,8 +320,8 @@
     }
     run_until_voters(&mut cluster, &SEEDS);
     cluster.confirm_many(3);
-    // The fourth one joins through them when one is gone.
+    // The fourth node joins through the founders when one of them is gone.
     cluster.kill(node(2));
     run_until_voters(&mut cluster, &[1, 3, 4]);
-    assert_eq!(newest(&mut cluster), Some(ConfigVersion(3)));
+    assert_eq!(latest_version(&mut cluster), Some(ConfigVersion(3)));
 }
--- a/crates/replica/tests/submissions.rs
+++ b/crates/replica/tests/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions that their clients gave up.
+//! Submissions abandoned by their clients.
 
 mod cluster;
 
@@ -11,16 +11,16 @@
 
 #[test]
 fn submission_that_stands_still_is_dropped_also_after_a_leader_change() {
-    let mut cluster = Cluster::tuned(3, 5, |settings| {
+    let mut cluster = Cluster::with_settings(3, 5, |settings| {
         settings.submission_timeout = Duration::from_secs(20);
     });
-    cluster.run_until_led();
+    cluster.run_until_leaders();
     begin_only(&mut cluster, 1);
     assert!(submit(&mut cluster, 2, |_| false));
     cluster.run_for(Duration::from_secs(15));
     let leader = cluster.leader(GroupId(1)).unwrap();
     cluster.restart(leader);
-    // The new leader has not watched it for long enough.
+    // The new leader has not observed the submission for the submission timeout yet.
     cluster.run_for(Duration::from_secs(10));
     let node = cluster.other_than(leader);
     assert_eq!(phase(&mut cluster, node, 1), Some(JobPhase::Submitting));
