--- a/crates/daemon/src/boot_clock.rs
+++ b/crates/daemon/src/boot_clock.rs
@@ -32,13 +32,13 @@
     /// A clock that begins now.
     #[must_use]
     pub fn start() -> Self {
-        Self::skipping(Arc::default())
+        Self::with_offset(Arc::default())
     }
 
     /// A clock that begins now, and for which as many microseconds more have passed as
     /// `skipped` says: to see what a suspension does.
     #[must_use]
-    pub fn skipping(skipped: Arc<AtomicU64>) -> Self {
+    pub fn with_offset(skipped: Arc<AtomicU64>) -> Self {
         Self {
             started: since_boot(),
             skipped,
@@ -52,7 +52,7 @@
     pub fn by_hand(skipped: Arc<AtomicU64>) -> Self {
         Self {
             by_hand: true,
-            ..Self::skipping(skipped)
+            ..Self::with_offset(skipped)
         }
     }
 
--- a/crates/daemon/tests/boot_clock.rs
+++ b/crates/daemon/tests/boot_clock.rs
@@ -9,7 +9,7 @@
 #[test]
 fn a_wait_ends_soon_behind_a_suspension_that_it_lay_in() {
     let skipped = Arc::new(AtomicU64::new(0));
-    let clock = BootClock::skipping(skipped.clone());
+    let clock = BootClock::with_offset(skipped.clone());
     let at = clock.now() + Duration::from_secs(3_600);
     let began = Instant::now();
     let suspended = std::thread::spawn(move || {
--- a/crates/daemon/tests/gateway_suspended.rs
+++ b/crates/daemon/tests/gateway_suspended.rs
@@ -17,7 +17,7 @@
 
 fn suspended(world: &World, node: u32) -> (RunningGateway, Arc<AtomicU64>) {
     let skipped = Arc::new(AtomicU64::new(0));
-    let clock = BootClock::skipping(skipped.clone());
+    let clock = BootClock::with_offset(skipped.clone());
     let gateway = world.tuned_gateway(node, |options| options.clock = clock);
     (gateway, skipped)
 }
--- a/crates/fleet/src/control/api.rs
+++ b/crates/fleet/src/control/api.rs
@@ -12,7 +12,7 @@
 use molespan_types::{EngineLife, NodeId};
 use slog::{Logger, info, warn};
 
-use super::dialect::{CallProblem, ControlCall, ControlDialect, ControlOutcome, EngineHeartbeat};
+use super::dialect::{CallError, ControlCall, ControlDialect, ControlOutcome, EngineHeartbeat};
 use super::hub::Hub;
 use crate::refusals::RefusalLog;
 
@@ -59,18 +59,18 @@
     async fn execute(&self, call: ControlCall) -> ControlOutcome {
         match call {
             ControlCall::Heartbeat(heartbeat) => self.heartbeat(heartbeat).await,
-            ControlCall::Gone { engine, born } => self.end_engine(&engine, born).await,
+            ControlCall::Departure { engine, born } => self.end_engine(&engine, born).await,
             ControlCall::Declare(declaration) => self.declare(*declaration).await,
-            ControlCall::Read => self.read().await,
+            ControlCall::ReadConfiguration => self.read().await,
             ControlCall::Retire { name } => self.retire(name).await,
-            ControlCall::Retirement { name } => self.retirement(&name).await,
+            ControlCall::RetirementState { name } => self.retirement(&name).await,
         }
     }
 
     /// Logs a rejected call. An engine repeats its registration, so its problem is logged
     /// once.
-    fn log_problem(&self, head: &RequestHead, problem: &CallProblem) {
-        let CallProblem::Registration { engine, problems } = problem else {
+    fn log_problem(&self, head: &RequestHead, problem: &CallError) {
+        let CallError::Registration { engine, problems } = problem else {
             info!(self.logger, "call refused";
                 "method" => &head.method, "path" => head.path(), "problem" => ?problem);
             return;
@@ -123,7 +123,7 @@
 
     fn reject_registration(&self, engine: &str, problem: String) -> ControlOutcome {
         self.log_registration_problem(engine, &problem);
-        ControlOutcome::Problem(CallProblem::Registration {
+        ControlOutcome::Problem(CallError::Registration {
             engine: engine.to_owned(),
             problems: vec![problem],
         })
@@ -173,7 +173,7 @@
         if !problems.is_empty() {
             info!(self.logger, "configuration refused";
                 "version" => version, "problems" => problems.join("; "));
-            return ControlOutcome::Problem(CallProblem::Invalid { problems });
+            return ControlOutcome::Problem(CallError::Invalid { problems });
         }
         let command = DeclaredCommand::Declare(Box::new(declaration));
         match self.cluster.change_declared(command, CHANGE_DEADLINE).await {
@@ -216,7 +216,7 @@
         info!(self.logger, "store retirement requested"; "name" => name, "reply" => ?reply);
         match reply {
             Ok(DeclaredReply::Retire(RetireReply::Unknown)) => ControlOutcome::Unknown,
-            Ok(DeclaredReply::Retire(RetireReply::TooFew)) => ControlOutcome::TooFewLeft,
+            Ok(DeclaredReply::Retire(RetireReply::TooFew)) => ControlOutcome::TooFewStores,
             Ok(DeclaredReply::Retire(RetireReply::Taken { .. })) => ControlOutcome::Acknowledged,
             _ => ControlOutcome::Unavailable,
         }
--- a/crates/fleet/src/control/dialect.rs
+++ b/crates/fleet/src/control/dialect.rs
@@ -22,7 +22,7 @@
     /// An engine sends a heartbeat.
     Heartbeat(EngineHeartbeat),
     /// An engine announces that it is shutting down.
-    Gone {
+    Departure {
         /// Name of the engine.
         engine: String,
         /// Start time of the engine in milliseconds since the Unix epoch, if reported.
@@ -31,14 +31,14 @@
     /// An operator submits a complete configuration.
     Declare(Box<Declaration>),
     /// An operator reads the newest configuration.
-    Read,
+    ReadConfiguration,
     /// An operator asks to retire a store.
     Retire {
         /// Name of the store.
         name: String,
     },
     /// An operator asks for the progress of a retirement.
-    Retirement {
+    RetirementState {
         /// Name of the store.
         name: String,
     },
@@ -46,9 +46,9 @@
 
 /// Why a call was rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum CallProblem {
+pub enum CallError {
     /// The call does not exist.
-    NoSuchCall,
+    UnknownCall,
     /// The registration of an engine is malformed.
     Registration {
         /// Name of the engine.
@@ -75,9 +75,9 @@
     /// The named object does not exist.
     Unknown,
     /// Too few stores would remain.
-    TooFewLeft,
+    TooFewStores,
     /// The call was rejected.
-    Problem(CallProblem),
+    Problem(CallError),
     /// Whether the call took effect is unknown; it is safe to send the same call again.
     Unavailable,
 }
@@ -88,7 +88,7 @@
     ///
     /// # Errors
     /// Returns an error if the call does not exist or its content is malformed.
-    fn call(&self, head: &RequestHead, body: &[u8]) -> Result<ControlCall, CallProblem>;
+    fn call(&self, head: &RequestHead, body: &[u8]) -> Result<ControlCall, CallError>;
 
     /// Formats an outcome as an HTTP response.
     fn answer(&self, outcome: ControlOutcome) -> Answer;
--- a/crates/fleet/src/control/mod.rs
+++ b/crates/fleet/src/control/mod.rs
@@ -8,7 +8,7 @@
 mod registry;
 mod relay;
 
-pub use dialect::{CallProblem, ControlCall, ControlDialect, ControlOutcome, EngineHeartbeat};
+pub use dialect::{CallError, ControlCall, ControlDialect, ControlOutcome, EngineHeartbeat};
 pub use hub::Hub;
 pub use node::{ControlNode, ControlOptions};
 pub use registry::Registry;
--- a/crates/fleet/src/control/node.rs
+++ b/crates/fleet/src/control/node.rs
@@ -51,9 +51,9 @@
     /// the first time, so that the seeds bootstrap the group.
     pub first_start: bool,
     /// Number of simultaneous machine failures to tolerate.
-    pub tolerated_losses: u32,
+    pub tolerated_failures: u32,
     /// Time without a heartbeat after which an engine is lost.
-    pub engine_silence: Duration,
+    pub engine_timeout: Duration,
     /// Time limit for transferring leadership before a planned stop.
     pub hand_over_within: Duration,
 }
@@ -62,7 +62,7 @@
     /// Returns the number of voters needed to tolerate the failures.
     #[must_use]
     pub fn voters(&self) -> usize {
-        2 * self.tolerated_losses as usize + 1
+        2 * self.tolerated_failures as usize + 1
     }
 
     fn discovery(&self) -> Discovery {
@@ -167,7 +167,7 @@
         let logger = part_logger(logger, "control");
         let hub = Arc::new(Hub::new(
             options.zone.clone(),
-            options.engine_silence,
+            options.engine_timeout,
             BootClock::start(),
         ));
         let wire = options.addresses.transport(executor);
--- a/crates/fleet/src/store/node.rs
+++ b/crates/fleet/src/store/node.rs
@@ -55,7 +55,7 @@
     /// Directory of persistent data.
     pub data_folder: PathBuf,
     /// Number of simultaneous machine failures to tolerate.
-    pub tolerated_losses: u32,
+    pub tolerated_failures: u32,
     /// Retention time of jobs after submission.
     pub keep_jobs_for: Duration,
     /// Time limit for transferring leadership before a planned stop.
@@ -72,7 +72,7 @@
 
 impl StoreOptions {
     fn replicas(&self) -> u32 {
-        2 * self.tolerated_losses + 1
+        2 * self.tolerated_failures + 1
     }
 
     /// Returns the size of the log, in bytes, after which a snapshot is taken.
--- a/crates/fleet/tests/control.rs
+++ b/crates/fleet/tests/control.rs
@@ -85,7 +85,7 @@
 #[test]
 fn forwarded_heartbeats_do_not_keep_a_silent_engine_alive() {
     let skipped = Arc::new(AtomicU64::new(0));
-    let hub = || Hub::new("a".into(), SILENCE, BootClock::skipping(skipped.clone()));
+    let hub = || Hub::new("a".into(), SILENCE, BootClock::with_offset(skipped.clone()));
     let hubs = [hub(), hub(), hub()];
     hubs[0].record_heartbeat(record("a", "1:1", 1));
     let mut since = [Timestamp::ZERO; 3];
@@ -273,7 +273,7 @@
 #[test]
 fn a_resumed_control_node_treats_its_view_as_outdated() {
     let skipped = Arc::new(AtomicU64::new(0));
-    let hub = Hub::new("a".into(), SILENCE, BootClock::skipping(skipped.clone()));
+    let hub = Hub::new("a".into(), SILENCE, BootClock::with_offset(skipped.clone()));
     hub.record_heartbeat(record("a", "1:1", 1));
     watch(&hub, WatcherKind::Store, ViewMark::default());
     assert!(!hub.store_list_is_complete(), "it has just started");
@@ -305,7 +305,7 @@
 #[test]
 fn a_resumed_node_does_not_treat_its_view_as_current() {
     let skipped = Arc::new(AtomicU64::new(0));
-    let clock = BootClock::skipping(skipped.clone());
+    let clock = BootClock::with_offset(skipped.clone());
     let mut view = TopologyView::default();
     let reported = Topology {
         control: BTreeSet::from([NodeId(1)]),
--- a/crates/fleet/tests/subsets.rs
+++ b/crates/fleet/tests/subsets.rs
@@ -427,7 +427,7 @@
 #[test]
 fn a_waiting_watch_does_not_spin() {
     // Waits need a clock that advances by itself.
-    let mut fleet = Fleet::settled_by(BootClock::skipping, 1, 10);
+    let mut fleet = Fleet::settled_by(BootClock::with_offset, 1, 10);
     fleet.declare(3);
     for kind in [WatcherKind::Store, WatcherKind::Gateway] {
         for version in [None, Some(0), Some(3)] {
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -73,7 +73,7 @@
     /// Whether the engine has no capacity for the request now but may have some later.
     pub fn lacks_capacity(&self) -> bool {
         let says_so = matches!(self.head.status, 429 | 503);
-        self.facts.not_run && !self.facts.displaced && says_so
+        self.facts.not_run && !self.facts.misdirected && says_so
     }
 }
 
@@ -246,7 +246,7 @@
     if let Some(fault) = reply.facts.load.fault {
         note_fault(state, engine, fault);
     }
-    if reply.facts.displaced {
+    if reply.facts.misdirected {
         engines.displaced(engine, now);
         state.pool.forget(engine);
     } else if reply.facts.not_run {
@@ -329,7 +329,7 @@
         engine: EngineLife::of(&engine.id).name,
         after_event,
     };
-    dialect.address_engine(&mut headers, &call);
+    dialect.set_engine_headers(&mut headers, &call);
     headers.set("Content-Length", outbound.body.len().to_string());
     let mut message = h1::encode_request(&outbound.method, &outbound.target, &headers);
     message.extend_from_slice(&outbound.body);
--- a/crates/proxy/src/batch/api.rs
+++ b/crates/proxy/src/batch/api.rs
@@ -76,7 +76,7 @@
 
 async fn store(state: &GatewayState, command: &BatchCommand) -> BatchOutcome {
     match state.batch.change_batch(command, SUBMIT_TIMEOUT).await {
-        Ok(BatchReply::Kept) => BatchOutcome::Kept,
+        Ok(BatchReply::Kept) => BatchOutcome::Accepted,
         Ok(BatchReply::QueueFull) => QUEUE_FULL,
         Ok(_) => UNAVAILABLE,
         Err(error) => change_failed(&error),
@@ -205,7 +205,7 @@
 
 fn outcome_name(outcome: &BatchOutcome) -> &'static str {
     match outcome {
-        BatchOutcome::Kept => "kept",
+        BatchOutcome::Accepted => "kept",
         BatchOutcome::QueueFull { .. } => "queue full",
         BatchOutcome::Results { .. } => "results",
         BatchOutcome::Body(_) => "body",
--- a/crates/proxy/src/batch/item.rs
+++ b/crates/proxy/src/batch/item.rs
@@ -122,9 +122,9 @@
     headers.set("Host", item.host.as_bytes());
     dialect.item_headers(&mut headers, &item.item);
     if item.tenant.is_some() {
-        dialect.name_tenant(&mut headers, item.tenant.as_deref());
+        dialect.replace_key_with_tenant(&mut headers, item.tenant.as_deref());
     }
-    let facts = dialect.facts(&headers);
+    let facts = dialect.request_facts(&headers);
     let outbound = Outbound {
         id: item.item.id.clone(),
         tenant: item.tenant.as_deref().map(Into::into),
@@ -174,7 +174,7 @@
 
 /// Processes the answer of an engine.
 async fn finish_run(state: &GatewayState, reply: EngineReply, output: &SharedOutput) -> RunResult {
-    if reply.facts.impossible {
+    if reply.facts.never_executable {
         return RunResult::Impossible;
     }
     if reply.head.status != 200 {
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -46,7 +46,7 @@
         let request = match arrival {
             Arrival::Request(request) => request,
             Arrival::Refused(refusal) => {
-                let answer = dialect.refusal(refusal).encode(false);
+                let answer = dialect.refusal_answer(refusal).encode(false);
                 if connection.write(&answer).await.is_ok() {
                     linger(connection).await;
                 }
--- a/crates/proxy/src/dialect.rs
+++ b/crates/proxy/src/dialect.rs
@@ -14,7 +14,7 @@
     /// Identifier of the request; empty if it has none.
     pub id: String,
     /// How long the caller waits.
-    pub patience: Option<Duration>,
+    pub time_left: Option<Duration>,
     /// Parts of the prompt, in order.
     pub prompt: Vec<PromptPart>,
     /// Expected number of answer tokens.
@@ -51,9 +51,9 @@
     /// Whether the engine states that it did not run the request.
     pub not_run: bool,
     /// Whether another incarnation now has the address.
-    pub displaced: bool,
+    pub misdirected: bool,
     /// Whether the engine can never run the request.
-    pub impossible: bool,
+    pub never_executable: bool,
     /// Load reported by the engine, if any.
     pub load: LoadReport,
     /// How long the engine keeps an idle connection.
@@ -140,7 +140,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BatchOutcome {
     /// The job is stored.
-    Kept,
+    Accepted,
     /// The job would exceed the limit of waiting tokens; none of it runs.
     QueueFull {
         /// Delay before a retry.
@@ -175,17 +175,17 @@
 /// Names and formats of requests, answers and calls.
 pub trait GatewayDialect: 'static {
     /// Returns the facts that a request states about itself.
-    fn facts(&self, headers: &Headers) -> RequestFacts;
+    fn request_facts(&self, headers: &Headers) -> RequestFacts;
 
     /// Returns the API key of a request.
     fn credential(&self, headers: &Headers) -> Credential;
 
     /// Removes the API key and any tenant named by the caller from the headers of a
     /// request, and sets its tenant.
-    fn name_tenant(&self, headers: &mut Headers, tenant: Option<&str>);
+    fn replace_key_with_tenant(&self, headers: &mut Headers, tenant: Option<&str>);
 
     /// Adds to the headers of a request what its engine must be told.
-    fn address_engine(&self, headers: &mut Headers, call: &EngineCall<'_>);
+    fn set_engine_headers(&self, headers: &mut Headers, call: &EngineCall<'_>);
 
     /// Sets the headers that identify the request of a batch item.
     fn item_headers(&self, headers: &mut Headers, item: &BatchItem);
@@ -194,7 +194,7 @@
     fn engine_answer(&self, head: &ResponseHead) -> EngineAnswer;
 
     /// Returns the gateway's own answer for a refusal.
-    fn refusal(&self, refusal: Refusal) -> Answer;
+    fn refusal_answer(&self, refusal: Refusal) -> Answer;
 
     /// Returns the call on a batch job that a request stands for, if it is one.
     fn batch_call(&self, head: &RequestHead) -> Option<BatchCall>;
--- a/crates/proxy/src/dispatch.rs
+++ b/crates/proxy/src/dispatch.rs
@@ -34,7 +34,7 @@
 /// Share of the target latency within which an engine has to begin a request; the rest is
 /// for producing and passing on its first output.
 const BEGIN_SHARE: f64 = 0.8;
-/// Share of the caller's patience for which a late request waits for a slot; the rest is
+/// Share of the caller's time limit for which a late request waits for a slot; the rest is
 /// for its answer.
 const WAIT_SHARE: f64 = 0.7;
 /// Minimum time for which a request that returns from an engine tries to pick another one,
@@ -82,9 +82,9 @@
         tenant: Option<Rc<str>>,
         request: CallerRequest,
     ) -> Self {
-        let facts = dialect.facts(&request.head.headers);
+        let facts = dialect.request_facts(&request.head.headers);
         let timeout = Duration::from_millis(u64::from(route.timeout_ms));
-        let patience = facts.patience.unwrap_or(timeout).min(timeout);
+        let time_limit = facts.time_left.unwrap_or(timeout).min(timeout);
         let mut headers = Headers::new();
         headers.extend_end_to_end(&request.head.headers);
         headers.remove("expect");
@@ -99,7 +99,7 @@
             class: WorkClass::Online,
             digest: OnceCell::new(),
         };
-        let deadline = request.arrived + patience;
+        let deadline = request.arrived + time_limit;
         state
             .engines
             .borrow_mut()
@@ -197,7 +197,7 @@
             let result = attempt(state, dialect, &mut picked, another, outbound, limits).await;
             let engine = &picked.facts;
             match result {
-                Ok(reply) if reply.facts.not_run || reply.facts.displaced => {
+                Ok(reply) if reply.facts.not_run || reply.facts.misdirected => {
                     self.note_rejection(&engine.id, &reply)?;
                 }
                 Ok(reply) => {
@@ -407,8 +407,8 @@
 
     fn enqueue(&self, start_by: Timestamp) -> Result<Waiter, Refusal> {
         let returned = self.runs + self.rejections > 0;
-        let patience = self.deadline.since(self.arrived);
-        let waits_until = self.arrived + patience.mul_f64(WAIT_SHARE);
+        let time_limit = self.deadline.since(self.arrived);
+        let waits_until = self.arrived + time_limit.mul_f64(WAIT_SHARE);
         let min_pick_until = self.state.now() + MIN_REPICK_TIME;
         let request = QueueRequest {
             tenant: self.outbound.tenant.as_deref(),
--- a/crates/proxy/src/gateway.rs
+++ b/crates/proxy/src/gateway.rs
@@ -56,7 +56,7 @@
     pub stop_within: Duration,
     /// A gateway that has not heard from most control nodes for this long refuses requests
     /// that need a key; `None` to keep using the keys it knows.
-    pub keys_hold_for: Option<Duration>,
+    pub max_key_age: Option<Duration>,
     /// Time after the acknowledged end of a job from which on none of its items reaches an
     /// engine.
     pub withdrawn_within: Duration,
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -57,7 +57,7 @@
     if let Some(call) = dialect.batch_call(&request.head) {
         let answer = match state.tenant(&in_force, credential, false) {
             Ok(tenant) => batch::call(state, dialect, call, tenant.as_deref()).await,
-            Err(refusal) => dialect.refusal(refusal),
+            Err(refusal) => dialect.refusal_answer(refusal),
         };
         return write_answer(caller, &answer.encode(keep_alive), keep_alive).await;
     }
@@ -110,7 +110,7 @@
     let mut dispatch = Dispatch::online(state, dialect, route, service, tenant.clone(), request);
     dispatch.rank = in_force.rank(route, tenant.as_deref());
     if in_force.keys.is_some() {
-        dialect.name_tenant(&mut dispatch.outbound.headers, tenant.as_deref());
+        dialect.replace_key_with_tenant(&mut dispatch.outbound.headers, tenant.as_deref());
     }
     if let Some(tenant) = &tenant {
         state.admit(&dispatch.facts.id, tenant)?;
@@ -145,7 +145,7 @@
     keep_alive: bool,
 ) -> ConnectionAction {
     state.metrics.count_refusal(refusal);
-    let answer = dialect.refusal(refusal).encode(keep_alive);
+    let answer = dialect.refusal_answer(refusal).encode(keep_alive);
     write_answer(caller, &answer, keep_alive).await
 }
 
--- a/crates/proxy/src/state.rs
+++ b/crates/proxy/src/state.rs
@@ -82,7 +82,7 @@
 pub(crate) struct GatewayState {
     pub own: NodeId,
     zone: ZoneName,
-    keys_hold_for: Option<Duration>,
+    max_key_age: Option<Duration>,
     pub engines: RefCell<EngineTable>,
     /// Rate limits of tenants.
     pub tenants: RefCell<TenantTable>,
@@ -146,7 +146,7 @@
         let zone = options.zone.clone();
         Self {
             own: options.addresses.own,
-            keys_hold_for: options.keys_hold_for,
+            max_key_age: options.max_key_age,
             engines: RefCell::new(EngineTable::new(zone.clone(), rand::random())),
             tenants: RefCell::new(TenantTable::new(Timestamp::ZERO)),
             zone,
@@ -233,7 +233,7 @@
     pub fn has_current_keys(&self) -> bool {
         let view = self.topology_view.borrow();
         let now = self.now();
-        self.keys_hold_for
+        self.max_key_age
             .is_none_or(|limit| view.is_current(limit, now))
     }
 
--- a/crates/routing/src/dispatch/load.rs
+++ b/crates/routing/src/dispatch/load.rs
@@ -42,7 +42,7 @@
     /// Parses the figures of a report: running requests, waiting requests, slots, and
     /// optionally the pace. A figure that is not a whole number of 0 or more is `None`.
     #[must_use]
-    pub fn read(figures: &[Option<u32>]) -> Self {
+    pub fn from_values(figures: &[Option<u32>]) -> Self {
         let figure = |place: usize, max: u32| {
             let figure = figures.get(place).copied().flatten();
             figure.filter(|figure| *figure <= max)
--- a/crates/routing/tests/pace/main.rs
+++ b/crates/routing/tests/pace/main.rs
@@ -358,7 +358,7 @@
         (&[too_many, too_many, Some(8), Some(100)], None, bad_load),
     ];
     for (figures, load, fault) in cases {
-        assert_eq!(LoadReport::read(figures), LoadReport { load, fault });
+        assert_eq!(LoadReport::from_values(figures), LoadReport { load, fault });
     }
 }
 
