--- a/crates/fleet/src/control/api.rs
+++ b/crates/fleet/src/control/api.rs
@@ -9,7 +9,7 @@
 use molespan_state::declared::{
     Declaration, DeclaredCommand, DeclaredReply, Departure, RetireReply,
 };
-use molespan_types::{EngineLife, NodeId};
+use molespan_types::{EngineIncarnation, NodeId};
 use slog::{Logger, info, warn};
 
 use super::dialect::{CallError, ControlCall, ControlDialect, ControlOutcome, EngineHeartbeat};
@@ -59,7 +59,10 @@
     async fn execute(&self, call: ControlCall) -> ControlOutcome {
         match call {
             ControlCall::Heartbeat(heartbeat) => self.heartbeat(heartbeat).await,
-            ControlCall::Departure { engine, born } => self.end_engine(&engine, born).await,
+            ControlCall::Departure {
+                engine,
+                started_at_ms,
+            } => self.end_engine(&engine, started_at_ms).await,
             ControlCall::Declare(declaration) => self.declare(*declaration).await,
             ControlCall::ReadConfiguration => self.read().await,
             ControlCall::Retire { name } => self.retire(name).await,
@@ -103,11 +106,14 @@
     }
 
     async fn heartbeat(&self, heartbeat: EngineHeartbeat) -> ControlOutcome {
-        let life = EngineLife::of(&heartbeat.record.id);
+        let incarnation = EngineIncarnation::of(&heartbeat.record.id);
         let latest = unix_millis() + MAX_CLOCK_SKEW.as_millis() as u64;
-        if life.born.is_some_and(|born| born > latest) {
+        if incarnation
+            .started_at_ms
+            .is_some_and(|started_at_ms| started_at_ms > latest)
+        {
             let problem = "born: in the future".to_owned();
-            return self.reject_registration(life.name, problem);
+            return self.reject_registration(incarnation.name, problem);
         }
         if heartbeat.draining {
             return self.depart(heartbeat.record.id, Departure::Draining).await;
@@ -129,14 +135,18 @@
         })
     }
 
-    /// Records the shutdown of an engine. Without a start time it applies to every life
-    /// started until now.
-    async fn end_engine(&self, name: &str, born: Option<u64>) -> ControlOutcome {
-        let life = match born {
-            Some(_) => EngineLife { name, born }.id(),
-            None => self.hub.ended_life(name, unix_millis()),
+    /// Records the shutdown of an engine. Without a start time it applies to every
+    /// incarnation started until now.
+    async fn end_engine(&self, name: &str, started_at_ms: Option<u64>) -> ControlOutcome {
+        let incarnation = match started_at_ms {
+            Some(_) => EngineIncarnation {
+                name,
+                started_at_ms,
+            }
+            .id(),
+            None => self.hub.ended_incarnation(name, unix_millis()),
         };
-        self.depart(life, Departure::Gone).await
+        self.depart(incarnation, Departure::Gone).await
     }
 
     /// Commits a departure before it is acknowledged: an acknowledged departure binds
--- a/crates/fleet/src/control/dialect.rs
+++ b/crates/fleet/src/control/dialect.rs
@@ -26,7 +26,7 @@
         /// Name of the engine.
         engine: String,
         /// Start time of the engine in milliseconds since the Unix epoch, if reported.
-        born: Option<u64>,
+        started_at_ms: Option<u64>,
     },
     /// An operator submits a complete configuration.
     Declare(Box<Declaration>),
--- a/crates/fleet/src/control/hub/mod.rs
+++ b/crates/fleet/src/control/hub/mod.rs
@@ -113,11 +113,11 @@
         self.lock().departure(engine)
     }
 
-    /// Returns the identifier of the engine life that a shutdown without a start time
-    /// applies to; `now_ms` is in milliseconds since the Unix epoch.
+    /// Returns the identifier of the engine incarnation that a shutdown without a start
+    /// time applies to; `now_ms` is in milliseconds since the Unix epoch.
     #[must_use]
-    pub fn ended_life(&self, name: &str, now_ms: u64) -> String {
-        self.lock().registry.ended_life(name, now_ms)
+    pub fn ended_incarnation(&self, name: &str, now_ms: u64) -> String {
+        self.lock().registry.ended_incarnation(name, now_ms)
     }
 
     /// Whether a configuration is in force that does not name `service`.
--- a/crates/fleet/src/control/hub/state.rs
+++ b/crates/fleet/src/control/hub/state.rs
@@ -6,7 +6,7 @@
 use async_channel::Sender;
 use molespan_routing::subset::{Breadth, Subsets};
 use molespan_state::declared::{Bar, DeclaredState, Departure, RequestDigest};
-use molespan_types::{EngineLife, NodeId, Timestamp, ZoneName, lives_of};
+use molespan_types::{EngineIncarnation, NodeId, Timestamp, ZoneName, incarnations_of};
 use molespan_wire::{ViewMark, WatchView, WatcherKind};
 
 use super::{LIVE_TTL, MAX_WATCH_GAP};
@@ -239,11 +239,13 @@
         changed
     }
 
-    /// Returns the departure state of an engine, which also binds its earlier lives.
+    /// Returns the departure state of an engine, which also binds its earlier
+    /// incarnations.
     pub fn departure(&self, id: &str) -> Option<Departure> {
-        let life = EngineLife::of(id);
-        let departed = lives_of(&self.departures, life.name);
-        let binding = departed.filter(|(id, _)| life.is_bound_by(&EngineLife::of(id)));
+        let incarnation = EngineIncarnation::of(id);
+        let departed = incarnations_of(&self.departures, incarnation.name);
+        let binding =
+            departed.filter(|(id, _)| incarnation.departure_applies(&EngineIncarnation::of(id)));
         binding.map(|(_, (departure, _))| *departure).max()
     }
 
--- a/crates/fleet/src/control/registry.rs
+++ b/crates/fleet/src/control/registry.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::Duration;
 
-use molespan_routing::dispatch::LatestLives;
-use molespan_types::{EngineLife, Timestamp, ZoneName, lives_of};
+use molespan_routing::dispatch::LatestIncarnations;
+use molespan_types::{EngineIncarnation, Timestamp, ZoneName, incarnations_of};
 
 use super::change_log::ChangeLog;
 use crate::view::EngineRecord;
@@ -68,7 +68,7 @@
     /// Identifiers of the displaced engines, oldest first.
     displaced_order: VecDeque<String>,
     /// Latest known start time of each engine that reports one.
-    latest: LatestLives,
+    latest: LatestIncarnations,
     silence: Duration,
 }
 
@@ -86,7 +86,7 @@
             events: Vec::new(),
             displaced: BTreeMap::new(),
             displaced_order: VecDeque::new(),
-            latest: LatestLives::default(),
+            latest: LatestIncarnations::default(),
             silence,
         }
     }
@@ -132,17 +132,18 @@
         } else if self.displaced.get(&record.id) == Some(&record.address) {
             return false;
         }
-        self.remove_earlier_lives(&record.id, change);
+        self.remove_earlier_incarnations(&record.id, change);
         self.release_address(&record.address, change);
         self.insert(record, here, now, change);
         true
     }
 
-    /// Removes the earlier lives of an engine that restarted.
-    fn remove_earlier_lives(&mut self, id: &str, change: u64) {
-        let life = EngineLife::of(id);
-        let known = lives_of(&self.engines, life.name);
-        let earlier = known.filter(|(id, _)| EngineLife::of(id).is_before(&life));
+    /// Removes the earlier incarnations of an engine that restarted.
+    fn remove_earlier_incarnations(&mut self, id: &str, change: u64) {
+        let incarnation = EngineIncarnation::of(id);
+        let known = incarnations_of(&self.engines, incarnation.name);
+        let earlier =
+            known.filter(|(id, _)| EngineIncarnation::of(id).is_superseded_by(&incarnation));
         let earlier: Vec<String> = earlier.map(|(id, _)| id.clone()).collect();
         for id in &earlier {
             self.mark_lost(id, change);
@@ -220,8 +221,8 @@
         }
     }
 
-    /// Removes an engine, in the life that departed or an earlier one. Departures are
-    /// reported separately, so the engine is not recorded as lost.
+    /// Removes an engine, in the incarnation that departed or an earlier one. Departures
+    /// are reported separately, so the engine is not recorded as lost.
     pub fn remove(&mut self, departed: &str) {
         if let Some(id) = self.bound_by(departed).map(|record| record.id.clone()) {
             let _known = self.remove_entry(&id);
@@ -230,25 +231,27 @@
 
     /// Returns the live engine that a departure of `departed` applies to.
     pub(super) fn bound_by(&self, departed: &str) -> Option<&EngineRecord> {
-        let departed = EngineLife::of(departed);
-        let mut lives = lives_of(&self.engines, departed.name);
-        let bound = lives.find(|(id, _)| EngineLife::of(id).is_bound_by(&departed));
+        let departed = EngineIncarnation::of(departed);
+        let mut incarnations = incarnations_of(&self.engines, departed.name);
+        let bound =
+            incarnations.find(|(id, _)| EngineIncarnation::of(id).departure_applies(&departed));
         bound.map(|(_, entry)| &entry.record)
     }
 
-    /// Returns the life that a shutdown without a start time applies to. Unless the live
-    /// engine reports no start time, this is a life late enough that the departure
-    /// applies to every life started by `now_ms`, in milliseconds since the Unix epoch.
-    pub(super) fn ended_life(&self, name: &str, now_ms: u64) -> String {
+    /// Returns the incarnation that a shutdown without a start time applies to. Unless the
+    /// live engine reports no start time, this is an incarnation late enough that the
+    /// departure applies to every incarnation started by `now_ms`, in milliseconds since
+    /// the Unix epoch.
+    pub(super) fn ended_incarnation(&self, name: &str, now_ms: u64) -> String {
         if self.engines.contains_key(name) {
             return name.to_owned();
         }
-        let born = self.latest.latest(name).unwrap_or_default().max(now_ms);
-        let life = EngineLife {
+        let started_at_ms = self.latest.latest(name).unwrap_or_default().max(now_ms);
+        let incarnation = EngineIncarnation {
             name,
-            born: Some(born),
+            started_at_ms: Some(started_at_ms),
         };
-        life.id()
+        incarnation.id()
     }
 
     /// Removes engines that were silent for too long. Returns whether there were any.
--- a/crates/fleet/tests/lives.rs
+++ b/crates/fleet/tests/lives.rs
@@ -9,7 +9,7 @@
 use molespan_fleet::view::EngineRecord;
 use molespan_state::control::{ControlCommand, ControlMachine};
 use molespan_state::declared::{DeclaredCommand, Departure};
-use molespan_types::{EngineLife, Timestamp};
+use molespan_types::{EngineIncarnation, Timestamp};
 
 const SILENCE: Duration = Duration::from_secs(10);
 
@@ -42,14 +42,18 @@
         ("i-1#", "i-1#", None),
         ("i-1#x", "i-1#x", None),
     ];
-    for (id, name, born) in cases {
-        let life = EngineLife::of(id);
-        assert_eq!((life.name, life.born), (name, born), "{id}");
-        assert_eq!(life.id(), id);
+    for (id, name, started_at_ms) in cases {
+        let incarnation = EngineIncarnation::of(id);
+        assert_eq!(
+            (incarnation.name, incarnation.started_at_ms),
+            (name, started_at_ms),
+            "{id}"
+        );
+        assert_eq!(incarnation.id(), id);
     }
-    assert!(EngineLife::is_name("i-1"));
-    assert!(!EngineLife::is_name("i-1#17"));
-    assert!(!EngineLife::is_name(""));
+    assert!(EngineIncarnation::is_name("i-1"));
+    assert!(!EngineIncarnation::is_name("i-1#17"));
+    assert!(!EngineIncarnation::is_name(""));
 }
 
 #[test]
@@ -57,7 +61,7 @@
     for address in ["1:1", "2:2"] {
         let mut registry = Registry::new(SILENCE);
         assert!(registry.record_heartbeat(record("a#100", "1:1", 900), at(0), 1));
-        // The new life numbers its heartbeats from 1 again.
+        // The new incarnation numbers its heartbeats from 1 again.
         assert!(registry.record_heartbeat(record("a#200", address, 1), at(10), 2));
         assert_eq!(live_ids(&registry), ["a#200"]);
         assert_eq!(registry.lost_after(1), ["a#100"]);
@@ -68,7 +72,7 @@
         registry.remove("a#100");
         assert_eq!(live_ids(&registry), ["a#200"], "a late departure");
         assert!(!registry.record_heartbeat(record("a#200", address, 2), at(30), 3));
-        // The new life expires by its own heartbeats.
+        // The new incarnation expires by its own heartbeats.
         assert!(registry.expire(at(10_030), 4));
         assert!(!registry.record_heartbeat(record("a#100", "1:1", 902), at(10_040), 5));
         assert!(live_ids(&registry).is_empty());
@@ -135,14 +139,22 @@
 #[test]
 fn a_shutdown_without_start_time_applies_to_all_lives_started_before() {
     let hub = hub_with(&[]);
-    assert_eq!(hub.ended_life("a", 500), "a#500", "unknown to this node");
+    assert_eq!(
+        hub.ended_incarnation("a", 500),
+        "a#500",
+        "unknown to this node"
+    );
     hub.record_heartbeat(record("a", "1:1", 1));
-    assert_eq!(hub.ended_life("a", 500), "a", "it reports no start time");
+    assert_eq!(
+        hub.ended_incarnation("a", 500),
+        "a",
+        "it reports no start time"
+    );
     hub.record_heartbeat(record("a#100", "1:1", 1));
-    assert_eq!(hub.ended_life("a", 500), "a#500");
+    assert_eq!(hub.ended_incarnation("a", 500), "a#500");
     // The clock of the engine is ahead.
     hub.record_heartbeat(record("a#700", "1:1", 1));
-    assert_eq!(hub.ended_life("a", 500), "a#700");
+    assert_eq!(hub.ended_incarnation("a", 500), "a#700");
 }
 
 #[test]
--- a/crates/proxy/src/attempt.rs
+++ b/crates/proxy/src/attempt.rs
@@ -12,7 +12,7 @@
 use molespan_routing::dispatch::{EngineFacts, Failure, Picked, SuspectReason, WorkClass};
 use molespan_routing::reach::ReturnEvidence;
 use molespan_state::declared::{RequestDigest, RequestParts};
-use molespan_types::{EngineLife, Timestamp};
+use molespan_types::{EngineIncarnation, Timestamp};
 
 use crate::dialect::{EngineAnswer, EngineCall, GatewayDialect};
 use crate::pace::{EventTimes, note_fault};
@@ -326,7 +326,7 @@
     let mut headers = outbound.headers.clone();
     let call = EngineCall {
         time_left,
-        engine: EngineLife::of(&engine.id).name,
+        engine: EngineIncarnation::of(&engine.id).name,
         after_event,
     };
     dialect.set_engine_headers(&mut headers, &call);
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -6,7 +6,7 @@
 
 use molespan_daemon::boot_clock::BootClock;
 use molespan_http::h1::{Connection, Presence};
-use molespan_types::{EngineLife, Timestamp};
+use molespan_types::{EngineIncarnation, Timestamp};
 
 /// How long an idle connection is kept if the engine does not state its own keep-alive
 /// time.
@@ -75,9 +75,9 @@
     /// Closes the idle connections to an engine that left, in this and earlier
     /// incarnations.
     pub fn forget_departed(&self, departed: &str) {
-        let departed = EngineLife::of(departed);
+        let departed = EngineIncarnation::of(departed);
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|engine, _| !EngineLife::of(engine).is_bound_by(&departed));
+        idle.retain(|engine, _| !EngineIncarnation::of(engine).departure_applies(&departed));
     }
 
     /// Closes the idle connections to an engine.
--- a/crates/routing/src/dispatch/lives.rs
+++ b/crates/routing/src/dispatch/lives.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
-use molespan_types::{EngineLife, lives_of};
+use molespan_types::{EngineIncarnation, incarnations_of};
 
 /// Most names and departures that are kept; the oldest are evicted first. They keep a late
 /// message from bringing a departed engine back.
@@ -35,34 +35,34 @@
 
     /// Whether an engine announced its departure, in this incarnation or a later one.
     pub fn applies_to(&self, id: &str) -> bool {
-        let incarnation = EngineLife::of(id);
-        let mut departed = lives_of(&self.known, incarnation.name);
-        departed.any(|(id, ())| incarnation.is_bound_by(&EngineLife::of(id)))
+        let incarnation = EngineIncarnation::of(id);
+        let mut departed = incarnations_of(&self.known, incarnation.name);
+        departed.any(|(id, ())| incarnation.departure_applies(&EngineIncarnation::of(id)))
     }
 }
 
 /// Latest start time of each engine that reported one.
 #[derive(Clone, Debug, Default)]
-pub struct LatestLives {
+pub struct LatestIncarnations {
     starts: HashMap<String, u64>,
     order: VecDeque<String>,
 }
 
-impl LatestLives {
+impl LatestIncarnations {
     /// Records the start time of an incarnation.
     pub fn note(&mut self, id: &str) {
-        let EngineLife {
+        let EngineIncarnation {
             name,
-            born: Some(born),
-        } = EngineLife::of(id)
+            started_at_ms: Some(started_at_ms),
+        } = EngineIncarnation::of(id)
         else {
             return;
         };
         if let Some(latest) = self.starts.get_mut(name) {
-            *latest = born.max(*latest);
+            *latest = started_at_ms.max(*latest);
             return;
         }
-        self.starts.insert(name.to_owned(), born);
+        self.starts.insert(name.to_owned(), started_at_ms);
         self.order.push_back(name.to_owned());
         if self.order.len() > MAX_REMEMBERED
             && let Some(oldest) = self.order.pop_front()
@@ -81,8 +81,8 @@
     /// ended.
     #[must_use]
     pub fn has_later(&self, id: &str) -> bool {
-        let incarnation = EngineLife::of(id);
+        let incarnation = EngineIncarnation::of(id);
         let later = self.latest(incarnation.name);
-        later.is_some() && incarnation.born < later
+        later.is_some() && incarnation.started_at_ms < later
     }
 }
--- a/crates/routing/src/dispatch/mod.rs
+++ b/crates/routing/src/dispatch/mod.rs
@@ -28,7 +28,7 @@
 pub use demand::{DemandRelay, ServiceDemand};
 pub(crate) use engine::SHARE_TTL;
 pub use engine::{EngineFacts, Failure, WorkShare};
-pub use lives::LatestLives;
+pub use lives::LatestIncarnations;
 pub use load::{EngineLoad, LoadFault, LoadReport};
 pub use loss::PreemptionCost;
 pub use pace::PaceFigures;
--- a/crates/routing/src/dispatch/table.rs
+++ b/crates/routing/src/dispatch/table.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use molespan_types::{EngineLife, NodeId, Timestamp, ZoneName};
+use molespan_types::{EngineIncarnation, NodeId, Timestamp, ZoneName};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -12,7 +12,7 @@
 use super::candidate::{Candidate, answer_tokens};
 use super::demand::DemandTable;
 use super::engine::{Engine, EngineFacts, Failure, WorkShare};
-use super::lives::{Departures, LatestLives};
+use super::lives::{Departures, LatestIncarnations};
 use super::load::EngineLoad;
 use super::prompt::{PromptCost, PromptHolders, preferred_engine};
 use super::room::{FreedSlots, UnobservedStarts};
@@ -118,7 +118,7 @@
     departures: Departures,
     /// Services whose last engine announced its departure.
     departed_services: BTreeSet<String>,
-    latest: LatestLives,
+    latest: LatestIncarnations,
     holders: PromptHolders,
     /// When another gateway last reported its work.
     last_report: Option<Timestamp>,
@@ -148,7 +148,7 @@
             engines: BTreeMap::new(),
             departures: Departures::default(),
             departed_services: BTreeSet::new(),
-            latest: LatestLives::default(),
+            latest: LatestIncarnations::default(),
             holders: PromptHolders::default(),
             last_report: None,
             last_answer: None,
@@ -173,9 +173,9 @@
             return;
         }
         if !self.engines.contains_key(&facts.id) {
-            let incarnation = EngineLife::of(&facts.id);
+            let incarnation = EngineIncarnation::of(&facts.id);
             self.engines.retain(|id, engine| {
-                let ended = EngineLife::of(id).is_before(&incarnation);
+                let ended = EngineIncarnation::of(id).is_superseded_by(&incarnation);
                 !ended && engine.facts.address != facts.address
             });
             self.latest.note(&facts.id);
@@ -266,14 +266,15 @@
     /// Records that an engine leaves, in this incarnation and earlier ones. Returns whether
     /// that is new.
     pub fn depart(&mut self, id: &str) -> bool {
-        let departed = EngineLife::of(id);
+        let departed = EngineIncarnation::of(id);
         let engines = self.engines.iter();
-        let leaving = engines.filter(|(id, _)| EngineLife::of(id).is_bound_by(&departed));
+        let leaving =
+            engines.filter(|(id, _)| EngineIncarnation::of(id).departure_applies(&departed));
         let services: Vec<String> = leaving
             .map(|(_, engine)| engine.facts.service.clone())
             .collect();
         self.engines
-            .retain(|id, _| !EngineLife::of(id).is_bound_by(&departed));
+            .retain(|id, _| !EngineIncarnation::of(id).departure_applies(&departed));
         for service in services {
             if self.of_service(&service).next().is_none() {
                 self.departed_services.insert(service);
--- a/crates/types/src/engine_life.rs
+++ b/crates/types/src/engine_life.rs
@@ -12,28 +12,28 @@
 /// the key of every table of engines, consists of the name and the start time, or of the
 /// name alone if the engine reported no start time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EngineLife<'a> {
+pub struct EngineIncarnation<'a> {
     /// Name of the engine, the same for all its incarnations.
     pub name: &'a str,
     /// Start time in milliseconds since the Unix epoch (1970), if the engine reported it.
-    pub born: Option<u64>,
+    pub started_at_ms: Option<u64>,
 }
 
-impl<'a> EngineLife<'a> {
+impl<'a> EngineIncarnation<'a> {
     /// Parses an identifier.
     #[must_use]
     pub fn of(id: &'a str) -> Self {
         let parts = id.rsplit_once(SEPARATOR);
-        let life = parts.and_then(|(name, born)| {
-            let born = born.parse().ok()?;
+        let incarnation = parts.and_then(|(name, started_at_ms)| {
+            let started_at_ms = started_at_ms.parse().ok()?;
             Some(Self {
                 name,
-                born: Some(born),
+                started_at_ms: Some(started_at_ms),
             })
         });
-        life.unwrap_or(Self {
+        incarnation.unwrap_or(Self {
             name: id,
-            born: None,
+            started_at_ms: None,
         })
     }
 
@@ -46,7 +46,7 @@
     /// Returns the identifier of the incarnation.
     #[must_use]
     pub fn id(&self) -> String {
-        match self.born {
+        match self.started_at_ms {
             Some(born) => format!("{}{SEPARATOR}{born}", self.name),
             None => self.name.to_owned(),
         }
@@ -55,20 +55,20 @@
     /// Whether this incarnation ended before `other` started, since an engine has only one
     /// incarnation at a time. An incarnation without a start time counts as the earliest.
     #[must_use]
-    pub fn is_before(&self, other: &EngineLife<'_>) -> bool {
-        self.name == other.name && self.born < other.born
+    pub fn is_superseded_by(&self, other: &EngineIncarnation<'_>) -> bool {
+        self.name == other.name && self.started_at_ms < other.started_at_ms
     }
 
     /// Whether the departure of `departed` applies to this incarnation: `departed` is this
     /// incarnation or a later one.
     #[must_use]
-    pub fn is_bound_by(&self, departed: &EngineLife<'_>) -> bool {
-        self.name == departed.name && self.born <= departed.born
+    pub fn departure_applies(&self, departed: &EngineIncarnation<'_>) -> bool {
+        self.name == departed.name && self.started_at_ms <= departed.started_at_ms
     }
 }
 
 /// Returns the entries of all incarnations of one engine in a map keyed by identifier.
-pub fn lives_of<'m, V>(
+pub fn incarnations_of<'m, V>(
     map: &'m BTreeMap<String, V>,
     name: &str,
 ) -> impl Iterator<Item = (&'m String, &'m V)> + use<'m, V> {
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -13,7 +13,7 @@
 mod time;
 
 pub use digest::{Digest, digest_of};
-pub use engine_life::{EngineLife, lives_of};
+pub use engine_life::{EngineIncarnation, incarnations_of};
 pub use identifier::{
     AttemptId, BackendId, ConfigVersion, FencingToken, GroupId, Incarnation, ItemIndex, JobId,
     LeaseId, ModelName, NodeId, ServiceName, TenantId, ZoneName,
