--- a/crates/daemon/src/gateway/engine_client.rs
+++ b/crates/daemon/src/gateway/engine_client.rs
@@ -61,7 +61,7 @@
             &self.control,
             &self.batch_control,
         ] {
-            pool.forget(address);
+            pool.close_idle(address);
         }
     }
 
--- a/crates/daemon/src/replica/outbox.rs
+++ b/crates/daemon/src/replica/outbox.rs
@@ -64,7 +64,7 @@
         let client = clients.entry(node).or_insert_with(|| {
             let limits = ClientLimits {
                 connect_timeout: CONNECT_TIMEOUT,
-                longest_pause: LONGEST_PAUSE,
+                max_backoff: LONGEST_PAUSE,
                 ..ClientLimits::default()
             };
             let seed = self.seed ^ u64::from(node.0);
--- a/crates/daemon/src/replica/service.rs
+++ b/crates/daemon/src/replica/service.rs
@@ -72,7 +72,7 @@
             | Request::OnlineArrival(_)
             | Request::Loads { .. }
             | Request::WatchView(_)
-            | Request::EnginesHeard { .. }
+            | Request::EnginesAnnounced { .. }
             | Request::TakeItems(_)
             | Request::EngineWork { .. } => not_run("a replica does not answer this".to_owned(), 0),
         }
--- a/crates/daemon/tests/processes/control.rs
+++ b/crates/daemon/tests/processes/control.rs
@@ -29,7 +29,7 @@
     pub fn of(cluster: &Cluster) -> Self {
         let replicas = cluster.replicas();
         let limits = ClientLimits {
-            longest_pause: Duration::from_millis(20),
+            max_backoff: Duration::from_millis(20),
             ..ClientLimits::default()
         };
         let clients = replicas.iter().map(|&node| {
--- a/crates/fleet/src/control/hub/answer.rs
+++ b/crates/fleet/src/control/hub/answer.rs
@@ -60,7 +60,7 @@
         if version >= configuration.version {
             return None;
         }
-        if !watch.told_elsewhere {
+        if !watch.other_node_sends_first {
             return Some(self.configuration_since);
         }
         let watcher = self.watchers.get(&watch.node)?;
--- a/crates/fleet/src/control/hub/mod.rs
+++ b/crates/fleet/src/control/hub/mod.rs
@@ -13,7 +13,7 @@
 use molespan_daemon::boot_clock::BootClock;
 use molespan_state::declared::{DeclaredState, Departure};
 use molespan_types::{NodeId, Timestamp, ZoneName};
-use molespan_wire::{Response, ViewMark, WatchView, WatcherKind};
+use molespan_wire::{Response, ViewPosition, WatchView, WatcherKind};
 
 use self::state::State;
 use super::registry::Registry;
@@ -177,7 +177,7 @@
         let mut state = self.lock();
         if state.is_member != is_member {
             state.is_member = is_member;
-            // A mark of the old session does not cover what was withheld from its
+            // A position of the old session does not cover what was withheld from its
             // watcher.
             state.session = rand::random();
             state.mark_changed();
@@ -271,8 +271,8 @@
                 let now = self.now();
                 state.record_watch_request(now);
                 state.record_watcher(watch, now);
-                let since = match watch.mark.session == state.session {
-                    true => watch.mark.revision.min(state.revision),
+                let since = match watch.position.session == state.session {
+                    true => watch.position.revision.min(state.revision),
                     false => 0,
                 };
                 if state.has_changes(watch, since, now) || now >= deadline {
@@ -299,7 +299,7 @@
     fn response(state: &State, watch: &WatchView, since: u64, now: Timestamp) -> Response {
         let update = state.update_after(watch, since, now);
         Response::View {
-            mark: ViewMark {
+            position: ViewPosition {
                 session: state.session,
                 revision: state.revision,
             },
--- a/crates/fleet/src/control/hub/state.rs
+++ b/crates/fleet/src/control/hub/state.rs
@@ -7,7 +7,7 @@
 use molespan_routing::subset::{Breadth, Subsets};
 use molespan_state::declared::{Bar, DeclaredState, Departure, RequestDigest};
 use molespan_types::{EngineIncarnation, NodeId, Timestamp, ZoneName, incarnations_of};
-use molespan_wire::{ViewMark, WatchView, WatcherKind};
+use molespan_wire::{ViewPosition, WatchView, WatcherKind};
 
 use super::{LIVE_TTL, MAX_WATCH_GAP};
 use crate::control::change_log::ChangeLog;
@@ -31,14 +31,14 @@
     pub last_seen: Timestamp,
     /// Since when the watcher has been sending requests with an outdated configuration.
     pub behind_since: Option<Timestamp>,
-    /// Whether its first request to this node had an empty mark, so that it may know no
+    /// Whether its first request to this node had an empty position, so that it may know no
     /// engines yet.
     pub started_empty: bool,
 }
 
 #[derive(Debug)]
 pub struct State {
-    /// Identifies this view in the marks of its watchers.
+    /// Identifies this view in the positions of its watchers.
     pub session: u64,
     pub revision: u64,
     pub registry: Registry,
@@ -132,7 +132,7 @@
             .map_or(0, |current| current.version);
         let is_behind = watch.version.is_some_and(|version| version < newest);
         let before = self.watchers.get(&watch.node);
-        let started_empty = watch.mark == ViewMark::default()
+        let started_empty = watch.position == ViewPosition::default()
             || before.is_some_and(|watcher| watcher.started_empty);
         let before = before.and_then(|watcher| watcher.behind_since);
         let watcher = Watcher {
--- a/crates/fleet/src/control/node.rs
+++ b/crates/fleet/src/control/node.rs
@@ -112,7 +112,7 @@
 
     fn notify(&self, request: Request) {
         match request {
-            Request::EnginesHeard { records } => {
+            Request::EnginesAnnounced { records } => {
                 match molespan_state::decode::<Vec<EngineRecord>>(&records) {
                     Ok(records) => self.hub.record_forwarded(records),
                     Err(error) => {
@@ -287,7 +287,7 @@
             for node in members(&status) {
                 if node != self.own {
                     let records = records.clone().into();
-                    self.wire.send(node, Request::EnginesHeard { records });
+                    self.wire.send(node, Request::EnginesAnnounced { records });
                 }
             }
         }
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -71,7 +71,7 @@
         let limits = ClientLimits {
             connect_timeout: Duration::from_millis(250),
             silence_limit: Duration::from_millis(1_500),
-            longest_pause: Duration::from_millis(250),
+            max_backoff: Duration::from_millis(250),
             ..ClientLimits::default()
         };
         let seed = rand::random();
--- a/crates/fleet/src/watch.rs
+++ b/crates/fleet/src/watch.rs
@@ -10,7 +10,7 @@
 use async_io::Timer;
 use molespan_daemon::cluster::PeerTransport;
 use molespan_types::{NodeId, ZoneName};
-use molespan_wire::{Request, Response, ViewMark, WatchView, WatcherKind};
+use molespan_wire::{Request, Response, ViewPosition, WatchView, WatcherKind};
 use slog::{Logger, debug};
 use std::cell::RefCell;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -116,23 +116,23 @@
     }
 
     async fn watch(self: Rc<Self>, node: NodeId) {
-        let mut mark = ViewMark::default();
+        let mut position = ViewPosition::default();
         loop {
             let request = Request::WatchView(WatchView {
                 node: self.identity.node,
                 kind: self.identity.kind,
-                mark,
+                position,
                 wait_ms: WATCH_WAIT.as_millis() as u32,
                 zone: Some(self.identity.zone.clone()),
                 version: self.sink.version(),
-                told_elsewhere: self.preferred_source() != Some(node),
+                other_node_sends_first: self.preferred_source() != Some(node),
             });
             match self.transport.call(node, request, WATCH_TIMEOUT).await {
                 Ok(Response::View {
-                    mark: new_mark,
+                    position: new_position,
                     update,
                 }) => {
-                    mark = new_mark;
+                    position = new_position;
                     self.apply_update(node, &update);
                 }
                 other => {
--- a/crates/fleet/tests/control.rs
+++ b/crates/fleet/tests/control.rs
@@ -13,7 +13,7 @@
 use molespan_state::control::{ControlCommand, ControlMachine};
 use molespan_state::declared::{Declaration, DeclaredCommand, Departure, ServingModel};
 use molespan_types::{NodeId, Timestamp};
-use molespan_wire::{Response, ViewMark, WatchView, WatcherKind};
+use molespan_wire::{Response, ViewPosition, WatchView, WatcherKind};
 
 const SILENCE: Duration = Duration::from_secs(10);
 
@@ -106,7 +106,7 @@
         skipped.fetch_add(1_000_000, Ordering::Relaxed);
     }
     for hub in &hubs {
-        let (_, update) = watch(hub, WatcherKind::Gateway, ViewMark::default());
+        let (_, update) = watch(hub, WatcherKind::Gateway, ViewPosition::default());
         assert_eq!(ids(&update.engines), Vec::<&str>::new());
     }
 }
@@ -127,20 +127,21 @@
     assert_eq!(ids(&hub.heartbeats_since(Timestamp::ZERO)), ["b"]);
 }
 
-fn watch(hub: &Hub, kind: WatcherKind, mark: ViewMark) -> (ViewMark, ViewUpdate) {
+fn watch(hub: &Hub, kind: WatcherKind, position: ViewPosition) -> (ViewPosition, ViewUpdate) {
     let watch = WatchView {
         node: NodeId(7),
         kind,
-        mark,
+        position,
         wait_ms: 0,
         zone: None,
         version: None,
-        told_elsewhere: false,
+        other_node_sends_first: false,
     };
     match block_on(hub.watch(&watch)) {
-        Response::View { mark, update } => {
-            (mark, molespan_state::decode(&update).expect("an update"))
-        }
+        Response::View { position, update } => (
+            position,
+            molespan_state::decode(&update).expect("an update"),
+        ),
         other => panic!("{other:?}"),
     }
 }
@@ -163,10 +164,10 @@
     hub.apply_declared(machine.declared(), BTreeSet::from([NodeId(1)]), 1);
     hub.record_heartbeat(record("a", "1:1", 1));
     let kind = WatcherKind::Gateway;
-    let (mark, update) = watch(&hub, kind, ViewMark::default());
+    let (position, update) = watch(&hub, kind, ViewPosition::default());
     assert_eq!(update.configuration.map(|current| current.version), Some(3));
     assert_eq!(ids(&update.engines), ["a"]);
-    let (mark, update) = watch(&hub, kind, mark);
+    let (position, update) = watch(&hub, kind, position);
     assert_eq!(update, ViewUpdate::default());
     let engine = "a".to_owned();
     let departure = Departure::Draining;
@@ -175,15 +176,15 @@
         departure,
     }));
     hub.apply_declared(machine.declared(), BTreeSet::from([NodeId(1)]), 1);
-    let (_, update) = watch(&hub, kind, mark);
+    let (_, update) = watch(&hub, kind, position);
     assert_eq!(update.departures, [("a".to_owned(), Departure::Draining)]);
     assert_eq!(update.configuration, None);
     // A delayed heartbeat does not bring the engine back.
     assert!(!hub.record_heartbeat(record("a", "1:1", 9)));
-    // The mark of another session is invalid: everything is sent.
-    let other = ViewMark {
-        session: mark.session.wrapping_add(1),
-        revision: mark.revision,
+    // The position of another session is invalid: everything is sent.
+    let other = ViewPosition {
+        session: position.session.wrapping_add(1),
+        revision: position.revision,
     };
     let (_, update) = watch(&hub, kind, other);
     assert_eq!(update.configuration.map(|current| current.version), Some(3));
@@ -197,18 +198,18 @@
     declared(&mut older, 8);
     hub.apply_declared(newer.declared(), BTreeSet::new(), 1);
     hub.apply_declared(older.declared(), BTreeSet::new(), 1);
-    let (_, update) = watch(&hub, WatcherKind::Gateway, ViewMark::default());
+    let (_, update) = watch(&hub, WatcherKind::Gateway, ViewPosition::default());
     assert_eq!(update.configuration.map(|current| current.version), Some(9));
 }
 
 #[test]
 fn watchers_are_counted_by_role() {
     let hub = Hub::new("a".into(), SILENCE, BootClock::start());
-    watch(&hub, WatcherKind::Store, ViewMark::default());
+    watch(&hub, WatcherKind::Store, ViewPosition::default());
     assert_eq!(hub.live_stores(), BTreeSet::from([NodeId(7)]));
-    watch(&hub, WatcherKind::Gateway, ViewMark::default());
+    watch(&hub, WatcherKind::Gateway, ViewPosition::default());
     hub.expire();
-    let (_, update) = watch(&hub, WatcherKind::Gateway, ViewMark::default());
+    let (_, update) = watch(&hub, WatcherKind::Gateway, ViewPosition::default());
     let topology = update.topology.expect("a changed topology");
     assert_eq!(topology.gateways, BTreeSet::from([NodeId(7)]));
 }
@@ -244,9 +245,9 @@
     let mut view = TopologyView::default();
     for (node, zone) in [(1, "a"), (2, "b"), (3, "a")] {
         let hub = Hub::new(zone.into(), SILENCE, BootClock::start());
-        watch(&hub, WatcherKind::Gateway, ViewMark::default());
+        watch(&hub, WatcherKind::Gateway, ViewPosition::default());
         hub.expire();
-        let (_, update) = watch(&hub, WatcherKind::Gateway, ViewMark::default());
+        let (_, update) = watch(&hub, WatcherKind::Gateway, ViewPosition::default());
         view.record(NodeId(node), update.topology, start);
     }
     // An older version does not report its zone.
@@ -275,12 +276,12 @@
     let skipped = Arc::new(AtomicU64::new(0));
     let hub = Hub::new("a".into(), SILENCE, BootClock::with_offset(skipped.clone()));
     hub.record_heartbeat(record("a", "1:1", 1));
-    watch(&hub, WatcherKind::Store, ViewMark::default());
+    watch(&hub, WatcherKind::Store, ViewPosition::default());
     assert!(!hub.store_list_is_complete(), "it has just started");
     skipped.fetch_add(2_000_000, Ordering::Relaxed);
-    watch(&hub, WatcherKind::Store, ViewMark::default());
+    watch(&hub, WatcherKind::Store, ViewPosition::default());
     skipped.fetch_add(2_000_000, Ordering::Relaxed);
-    watch(&hub, WatcherKind::Store, ViewMark::default());
+    watch(&hub, WatcherKind::Store, ViewPosition::default());
     assert!(hub.store_list_is_complete());
     // Eight seconds that a monotonic clock does not count while suspended.
     skipped.fetch_add(8_000_000, Ordering::Relaxed);
@@ -289,7 +290,7 @@
         !hub.store_list_is_complete(),
         "after a suspension it cannot tell that they are gone"
     );
-    watch(&hub, WatcherKind::Store, ViewMark::default());
+    watch(&hub, WatcherKind::Store, ViewPosition::default());
     assert!(
         !hub.store_list_is_complete(),
         "the other stores have not asked yet"
@@ -325,11 +326,11 @@
         let watch = WatchView {
             node: NodeId(node),
             kind: WatcherKind::Gateway,
-            mark: ViewMark::default(),
+            position: ViewPosition::default(),
             wait_ms: 0,
             zone: zone.map(Into::into),
             version: None,
-            told_elsewhere: false,
+            other_node_sends_first: false,
         };
         block_on(hub.watch(&watch));
     }
--- a/crates/fleet/tests/subsets.rs
+++ b/crates/fleet/tests/subsets.rs
@@ -15,7 +15,7 @@
 use molespan_state::control::{ControlCommand, ControlMachine};
 use molespan_state::declared::{Declaration, DeclaredCommand, Departure, ServingModel};
 use molespan_types::{NodeId, ZoneName};
-use molespan_wire::{Response, ViewMark, WatchView, WatcherKind};
+use molespan_wire::{Response, ViewPosition, WatchView, WatcherKind};
 
 const SILENCE: Duration = Duration::from_secs(10);
 const ZONES: usize = 5;
@@ -24,7 +24,7 @@
 struct Fleet {
     hub: Hub,
     skipped: Arc<AtomicU64>,
-    marks: BTreeMap<NodeId, ViewMark>,
+    positions: BTreeMap<NodeId, ViewPosition>,
     machine: ControlMachine,
 }
 
@@ -61,7 +61,7 @@
         let mut fleet = Self {
             hub: Hub::new("z0".into(), SILENCE, clock),
             skipped,
-            marks: BTreeMap::new(),
+            positions: BTreeMap::new(),
             machine: ControlMachine::new(),
         };
         fleet.send_heartbeats(engines);
@@ -94,20 +94,25 @@
     }
 
     /// Returns the update that a gateway receives now, and its size in bytes.
-    fn watch(&mut self, place: usize, version: u64, told_elsewhere: bool) -> (ViewUpdate, usize) {
+    fn watch(
+        &mut self,
+        place: usize,
+        version: u64,
+        other_node_sends_first: bool,
+    ) -> (ViewUpdate, usize) {
         let gateway = node(place);
         let watch = WatchView {
             node: gateway,
             kind: WatcherKind::Gateway,
-            mark: self.marks.get(&gateway).copied().unwrap_or_default(),
+            position: self.positions.get(&gateway).copied().unwrap_or_default(),
             wait_ms: 0,
             zone: Some(zone(place)),
             version: Some(version),
-            told_elsewhere,
+            other_node_sends_first,
         };
         match block_on(self.hub.watch(&watch)) {
-            Response::View { mark, update } => {
-                self.marks.insert(gateway, mark);
+            Response::View { position, update } => {
+                self.positions.insert(gateway, position);
                 let len = update.len();
                 (molespan_state::decode(&update).expect("an update"), len)
             }
@@ -153,7 +158,7 @@
 fn updates_of_a_gateway_do_not_grow_with_the_fleet() {
     let bytes_at_start = |gateways: usize, engines: usize| {
         let mut fleet = Fleet::settled(gateways, engines);
-        fleet.marks.clear();
+        fleet.positions.clear();
         let updates = fleet.watch_all(gateways);
         let bytes: usize = updates.iter().map(|(_, bytes)| bytes).sum();
         bytes as f64 / gateways as f64
@@ -182,7 +187,7 @@
 fn engines_are_sent_to_some_gateways_and_departures_to_all() {
     let (gateways, engines) = (120, 3_000);
     let mut fleet = Fleet::settled(gateways, engines);
-    fleet.marks.clear();
+    fleet.positions.clear();
     let updates = fleet.watch_all(gateways);
     let mut known: BTreeMap<String, usize> = BTreeMap::new();
     for record in updates.iter().flat_map(|(update, _)| &update.engines) {
@@ -208,11 +213,11 @@
         let watch = WatchView {
             node: gateway,
             kind: WatcherKind::Gateway,
-            mark: fleet.marks[&gateway],
+            position: fleet.positions[&gateway],
             wait_ms: 60_000,
             zone: Some(zone(place)),
             version: Some(0),
-            told_elsewhere: true,
+            other_node_sends_first: true,
         };
         block_on(future::poll_once(fleet.hub.watch(&watch))).is_some()
     });
@@ -320,9 +325,9 @@
     fleet.watch_all(gateways);
     fleet.depart(&engine(7).id);
     assert_eq!(answered_watches(&mut fleet, gateways), gateways);
-    fleet.marks.clear();
+    fleet.positions.clear();
     fleet.advance(6, gateways, 3_000);
-    fleet.marks.clear();
+    fleet.positions.clear();
     for (update, _) in fleet.watch_all(gateways) {
         let listed = update.subsets[0].engines.as_ref().map(Vec::len);
         assert_eq!(listed, Some(update.engines.len()));
@@ -349,8 +354,8 @@
 fn a_configuration_is_sent_once_with_fallback_to_another_node() {
     let mut fleet = Fleet::settled(1, 0);
     fleet.declare(7);
-    let sent_version = |fleet: &mut Fleet, version, told_elsewhere| {
-        let (update, _) = fleet.watch(0, version, told_elsewhere);
+    let sent_version = |fleet: &mut Fleet, version, other_node_sends_first| {
+        let (update, _) = fleet.watch(0, version, other_node_sends_first);
         update.configuration.map(|current| current.version)
     };
     assert_eq!(sent_version(&mut fleet, 0, true), None);
@@ -378,11 +383,11 @@
     let watch = WatchView {
         node: NodeId(50_000),
         kind: WatcherKind::Store,
-        mark: ViewMark::default(),
+        position: ViewPosition::default(),
         wait_ms: 0,
         zone: None,
         version: None,
-        told_elsewhere: false,
+        other_node_sends_first: false,
     };
     let Response::View { update, .. } = block_on(fleet.hub.watch(&watch)) else {
         panic!("no view");
@@ -403,7 +408,7 @@
     let mut fleet = Fleet::settled(2, 100);
     fleet.declare(3);
     fleet.hub.set_member(false);
-    fleet.marks.clear();
+    fleet.positions.clear();
     let (update, _) = fleet.watch(0, 0, false);
     let control = update
         .topology
@@ -434,14 +439,14 @@
             let mut watch = WatchView {
                 node: NodeId(50_000),
                 kind,
-                mark: ViewMark::default(),
+                position: ViewPosition::default(),
                 wait_ms: 0,
                 zone: None,
                 version,
-                told_elsewhere: true,
+                other_node_sends_first: true,
             };
-            if let Response::View { mark, .. } = block_on(fleet.hub.watch(&watch)) {
-                watch.mark = mark;
+            if let Response::View { position, .. } = block_on(fleet.hub.watch(&watch)) {
+                watch.position = position;
             }
             watch.wait_ms = 100;
             let mut polls = 0;
@@ -462,21 +467,21 @@
     let watch = WatchView {
         node: NodeId(70_000),
         kind: WatcherKind::Gateway,
-        mark: ViewMark::default(),
+        position: ViewPosition::default(),
         wait_ms: 0,
         zone: None,
         version: None,
-        told_elsewhere: false,
+        other_node_sends_first: false,
     };
     let _first = block_on(fleet.hub.watch(&watch));
     fleet.hub.expire();
-    let Response::View { update, mark } = block_on(fleet.hub.watch(&watch)) else {
+    let Response::View { update, position } = block_on(fleet.hub.watch(&watch)) else {
         panic!("no view");
     };
     let update: ViewUpdate = molespan_state::decode(&update).expect("an update");
     assert_eq!(update.configuration.map(|current| current.version), Some(3));
     assert!(!update.engines.is_empty());
-    let again = WatchView { mark, ..watch };
+    let again = WatchView { position, ..watch };
     let Response::View { update, .. } = block_on(fleet.hub.watch(&again)) else {
         panic!("no view");
     };
@@ -504,7 +509,7 @@
         [],
         "it keeps the engines known from before"
     );
-    fleet.marks.clear();
+    fleet.positions.clear();
     let mut known: BTreeMap<String, usize> = BTreeMap::new();
     for _ in 0..2 {
         for (update, _) in fleet.watch_all(gateways) {
--- a/crates/http/src/client/pool.rs
+++ b/crates/http/src/client/pool.rs
@@ -172,7 +172,7 @@
     }
 
     /// Closes all idle connections to `address`, for a peer that has left.
-    pub fn forget(&self, address: SocketAddr) {
+    pub fn close_idle(&self, address: SocketAddr) {
         let idle = match self.shared.lock().get_mut(&address) {
             Some(state) => std::mem::take(&mut state.idle),
             None => return,
--- a/crates/http/src/h1/body.rs
+++ b/crates/http/src/h1/body.rs
@@ -73,7 +73,7 @@
 fn declared_framing(headers: &Headers) -> Option<Framing> {
     let length = headers.get("content-length");
     if headers.get("transfer-encoding").is_some() {
-        let chunked = headers.has_word("transfer-encoding", "chunked");
+        let chunked = headers.has_token("transfer-encoding", "chunked");
         return (chunked && length.is_none()).then_some(Framing::Chunked);
     }
     let lengths = headers
--- a/crates/http/src/h1/connection.rs
+++ b/crates/http/src/h1/connection.rs
@@ -36,13 +36,13 @@
 
 /// State of the peer of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Presence {
+pub enum PeerState {
     /// The peer closed or reset the connection.
-    Gone,
+    Closed,
     /// The peer sent bytes that were not read yet.
-    Sent,
+    HasSentBytes,
     /// The peer is connected and sent nothing.
-    Quiet,
+    Idle,
 }
 
 /// A connection with the bytes that were received but not consumed yet.
@@ -174,15 +174,15 @@
     }
 
     /// Returns the current state of the peer, without waiting.
-    pub async fn presence(&self) -> Presence {
+    pub async fn presence(&self) -> PeerState {
         if !self.buffered().is_empty() {
-            return Presence::Sent;
+            return PeerState::HasSentBytes;
         }
         let mut byte = [0; 1];
         match future::poll_once(self.stream.peek(&mut byte)).await {
-            None => Presence::Quiet,
-            Some(Ok(0) | Err(_)) => Presence::Gone,
-            Some(Ok(_)) => Presence::Sent,
+            None => PeerState::Idle,
+            Some(Ok(0) | Err(_)) => PeerState::Closed,
+            Some(Ok(_)) => PeerState::HasSentBytes,
         }
     }
 
--- a/crates/http/src/h1/head.rs
+++ b/crates/http/src/h1/head.rs
@@ -60,16 +60,16 @@
         lines.map(|(name, value)| (name.as_str(), value.as_slice()))
     }
 
-    /// Whether the comma-separated values of the lines with this name include `word`,
+    /// Whether the comma-separated values of the lines with this name include `token`,
     /// ignoring case.
     #[must_use]
-    pub fn has_word(&self, name: &str, word: &str) -> bool {
+    pub fn has_token(&self, name: &str, token: &str) -> bool {
         let lines = self
             .iter()
             .filter(|(known, _)| known.eq_ignore_ascii_case(name));
         lines
             .flat_map(|(_, value)| value.split(|byte| *byte == b','))
-            .any(|part| part.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
+            .any(|part| part.trim_ascii().eq_ignore_ascii_case(token.as_bytes()))
     }
 
     /// Adds the end-to-end headers of `other`, that is, all except hop-by-hop headers
@@ -94,7 +94,7 @@
             "content-length",
         ];
         NAMES.iter().any(|known| known.eq_ignore_ascii_case(name))
-            || self.has_word("connection", name)
+            || self.has_token("connection", name)
     }
 }
 
@@ -141,8 +141,8 @@
     #[must_use]
     pub fn keeps_alive(&self) -> bool {
         match self.minor {
-            0 => self.headers.has_word("connection", "keep-alive"),
-            _ => !self.headers.has_word("connection", "close"),
+            0 => self.headers.has_token("connection", "keep-alive"),
+            _ => !self.headers.has_token("connection", "close"),
         }
     }
 }
@@ -165,8 +165,8 @@
     #[must_use]
     pub fn keeps_alive(&self) -> bool {
         match self.minor {
-            0 => self.headers.has_word("connection", "keep-alive"),
-            _ => !self.headers.has_word("connection", "close"),
+            0 => self.headers.has_token("connection", "keep-alive"),
+            _ => !self.headers.has_token("connection", "close"),
         }
     }
 }
--- a/crates/http/src/h1/mod.rs
+++ b/crates/http/src/h1/mod.rs
@@ -13,7 +13,7 @@
 mod serve;
 
 pub use body::{BodyError, BodyReader, Framing, LAST_CHUNK, chunk};
-pub use connection::{Connection, HeadError, Presence, write};
+pub use connection::{Connection, HeadError, PeerState, write};
 pub use head::{Headers, RequestHead, ResponseHead, encode_request, encode_response};
 pub use net::{SocketOptions, connect, listen, prepare};
 pub use serve::{Answer, Service, serve_listener};
--- a/crates/http/tests/h1.rs
+++ b/crates/http/tests/h1.rs
@@ -10,7 +10,7 @@
 use async_io::Async;
 use futures_lite::future::block_on;
 use molespan_http::h1::{
-    BodyError, BodyReader, Connection, Framing, HeadError, Headers, Presence, RequestHead,
+    BodyError, BodyReader, Connection, Framing, HeadError, Headers, PeerState, RequestHead,
     encode_request, encode_response,
 };
 use proptest::prelude::*;
@@ -203,15 +203,15 @@
     let mut client = TcpStream::connect(listener.local_addr().expect("an address")).expect("one");
     let (stream, _) = listener.accept().expect("a connection");
     let connection = Connection::new(Async::new(stream).expect("a socket"));
-    assert_eq!(block_on(connection.presence()), Presence::Quiet);
+    assert_eq!(block_on(connection.presence()), PeerState::Idle);
     client.write_all(b"x").expect("a write");
     thread::sleep(Duration::from_millis(50));
-    assert_eq!(block_on(connection.presence()), Presence::Sent);
+    assert_eq!(block_on(connection.presence()), PeerState::HasSentBytes);
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let client = TcpStream::connect(listener.local_addr().expect("an address")).expect("one");
     let (stream, _) = listener.accept().expect("a connection");
     let connection = Connection::new(Async::new(stream).expect("a socket"));
     drop(client);
     block_on(connection.gone());
-    assert_eq!(block_on(connection.presence()), Presence::Gone);
+    assert_eq!(block_on(connection.presence()), PeerState::Closed);
 }
--- a/crates/proxy/src/connection.rs
+++ b/crates/proxy/src/connection.rs
@@ -86,7 +86,7 @@
     {
         return Arrival::Refused(refusal);
     }
-    if head.headers.has_word("expect", "100-continue") {
+    if head.headers.has_token("expect", "100-continue") {
         let go_on = b"HTTP/1.1 100 Continue\r\n\r\n";
         if connection.write(go_on).await.is_err() {
             return Arrival::Ended;
--- a/crates/proxy/src/pool.rs
+++ b/crates/proxy/src/pool.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use molespan_daemon::boot_clock::BootClock;
-use molespan_http::h1::{Connection, Presence};
+use molespan_http::h1::{Connection, PeerState};
 use molespan_types::{EngineIncarnation, Timestamp};
 
 /// How long an idle connection is kept if the engine does not state its own keep-alive
@@ -39,7 +39,7 @@
         loop {
             let idle = self.idle.borrow_mut().get_mut(engine)?.pop()?;
             let usable = clock.now() < idle.until;
-            if usable && idle.connection.presence().await == Presence::Quiet {
+            if usable && idle.connection.presence().await == PeerState::Idle {
                 return Some(idle.connection);
             }
         }
--- a/crates/wire/src/backoff.rs
+++ b/crates/wire/src/backoff.rs
@@ -30,7 +30,7 @@
     }
 
     /// Records a failure and returns the delay before the next attempt.
-    pub fn pause(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         const MAX_DOUBLINGS: u32 = 20;
         let factor = 1u32 << self.failures.min(MAX_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
--- a/crates/wire/src/client/mod.rs
+++ b/crates/wire/src/client/mod.rs
@@ -46,9 +46,9 @@
     /// idle timeout.
     pub idle_limit: Duration,
     /// Backoff delay after the first failed connection attempt.
-    pub first_pause: Duration,
+    pub initial_backoff: Duration,
     /// Maximum backoff delay.
-    pub longest_pause: Duration,
+    pub max_backoff: Duration,
 }
 
 impl Default for ClientLimits {
@@ -63,8 +63,8 @@
             write_timeout: Duration::from_secs(5),
             silence_limit: Duration::from_secs(3),
             idle_limit: Duration::from_secs(60),
-            first_pause: Duration::from_millis(20),
-            longest_pause: Duration::from_secs(1),
+            initial_backoff: Duration::from_millis(20),
+            max_backoff: Duration::from_secs(1),
         }
     }
 }
--- a/crates/wire/src/client/task.rs
+++ b/crates/wire/src/client/task.rs
@@ -26,7 +26,7 @@
 /// Connects when there is something to send, and serves the connection.
 async fn serve(shared: &Shared, seed: u64) {
     let limits = &shared.limits;
-    let mut backoff = Backoff::new(limits.first_pause, limits.longest_pause, seed);
+    let mut backoff = Backoff::new(limits.initial_backoff, limits.max_backoff, seed);
     loop {
         shared.outgoing.wait().await;
         let succeeded = match connect(shared).await {
@@ -60,7 +60,7 @@
         .counters
         .dropped
         .fetch_add(dropped, Ordering::Relaxed);
-    Timer::after(backoff.pause()).await;
+    Timer::after(backoff.next_delay()).await;
     shared.outgoing.reopen();
 }
 
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -129,7 +129,7 @@
 
 /// Position of a node in the stream of changes from one control node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Encode, Decode)]
-pub struct ViewMark {
+pub struct ViewPosition {
     /// Random number that the control node draws each time it starts.
     #[n(0)]
     pub session: u64,
@@ -150,7 +150,7 @@
     Store,
 }
 
-/// Waits for changes after a mark.
+/// Waits for changes after a position.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct WatchView {
     /// Node that sends the request.
@@ -161,7 +161,7 @@
     pub kind: WatcherKind,
     /// Last position received from this control node.
     #[n(2)]
-    pub mark: ViewMark,
+    pub position: ViewPosition,
     /// Maximum time to wait for a change, in milliseconds.
     #[n(3)]
     pub wait_ms: u32,
@@ -175,7 +175,7 @@
     /// Whether another control node is the first to send this node a new configuration.
     #[n(6)]
     #[cbor(default)]
-    pub told_elsewhere: bool,
+    pub other_node_sends_first: bool,
 }
 
 /// Requests batch items to run.
@@ -285,7 +285,7 @@
     WatchView(#[n(0)] WatchView),
     /// Engines that announced themselves to another control node; one-way.
     #[n(10)]
-    EnginesHeard {
+    EnginesAnnounced {
         /// Encoded engine records.
         #[n(0)]
         records: ByteVec,
@@ -432,8 +432,8 @@
     View {
         /// Position of the node once it has applied the update.
         #[n(0)]
-        mark: ViewMark,
-        /// Encoded changes since the mark in the request.
+        position: ViewPosition,
+        /// Encoded changes since the position in the request.
         #[n(1)]
         update: ByteVec,
     },
