--- a/crates/cli/src/commands/bars.rs
+++ b/crates/cli/src/commands/bars.rs
@@ -74,7 +74,7 @@
     bars.sort_by_key(|(_, bar)| std::cmp::Reverse(bar.change));
     if console.is_json() {
         for (digest, bar) in bars {
-            let holds_s = bar.holds_for(now_ms).map(|left| left.as_secs());
+            let holds_s = bar.remaining(now_ms).map(|left| left.as_secs());
             let row = json!({
                 "digest": digest.to_string(), "crashes": bar.crashes, "lifted": bar.lifted,
                 "since_ms": bar.since_ms, "holds_s": holds_s,
@@ -87,7 +87,7 @@
     let mut table = Table::new(titles.map(str::to_owned).to_vec());
     for (digest, bar) in bars {
         let since_s = now_ms.saturating_sub(bar.since_ms) / 1_000;
-        let state = match bar.holds_for(now_ms) {
+        let state = match bar.remaining(now_ms) {
             Some(left) => format!("holds for {} s", left.as_secs()),
             None if bar.lifted => "lifted".to_owned(),
             None => "over".to_owned(),
--- a/crates/fleet/src/control/api.rs
+++ b/crates/fleet/src/control/api.rs
@@ -236,7 +236,7 @@
         let Ok(declared) = self.cluster.declared(READ_DEADLINE).await else {
             return ControlOutcome::Unavailable;
         };
-        let store = declared.stores().named(name);
+        let store = declared.stores().by_name(name);
         match store.and_then(|(_, store)| store.retirement) {
             Some(retirement) => ControlOutcome::Retirement(retirement),
             None => ControlOutcome::Unknown,
--- a/crates/fleet/src/store/node.rs
+++ b/crates/fleet/src/store/node.rs
@@ -236,9 +236,9 @@
     /// allows the batch group to be bootstrapped with fewer stores.
     async fn register(&self, status: &ReplicaStatus, waited: Duration) {
         let founded = !self.topology.borrow().founders.is_empty();
-        let patience_over = !founded && waited >= FOUNDING_TIMEOUT;
+        let wait_timed_out = !founded && waited >= FOUNDING_TIMEOUT;
         let known = *self.registered.borrow() == Some(status.incarnation);
-        if known && !patience_over {
+        if known && !wait_timed_out {
             return;
         }
         let command = DeclaredCommand::RegisterStore(RegisterStore {
@@ -247,7 +247,7 @@
             zone: self.options.zone.clone(),
             incarnation: status.incarnation,
             replicas: self.options.replicas(),
-            patience_over,
+            wait_timed_out,
         });
         match self
             .control
@@ -296,16 +296,16 @@
     }
 
     async fn remove_old_jobs(&self) {
-        let ages = self
+        let submission_times = self
             .handler
-            .query(&BatchQuery::Ages, Consistency::Local)
+            .query(&BatchQuery::SubmissionTimes, Consistency::Local)
             .await;
-        let Some(BatchAnswer::Ages(ages)) = ages else {
+        let Some(BatchAnswer::SubmissionTimes(submission_times)) = submission_times else {
             return;
         };
         let keep = self.options.keep_jobs_for.as_millis() as u64;
         let limit = unix_millis().saturating_sub(keep);
-        for (job, submitted_ms) in ages {
+        for (job, submitted_ms) in submission_times {
             if submitted_ms >= limit {
                 continue;
             }
--- a/crates/proxy/src/bars.rs
+++ b/crates/proxy/src/bars.rs
@@ -139,7 +139,7 @@
         if !self.bars.store(request, bar) {
             return;
         }
-        let left = bar.holds_for(unix_millis());
+        let left = bar.remaining(unix_millis());
         info!(self.logger, "bar"; "digest" => %request, "crashes" => bar.crashes,
             "lifted" => bar.lifted, "holds_s" => left.map_or(0, |left| left.as_secs()));
         let mut suspects = self.suspects.borrow_mut();
--- a/crates/proxy/src/batch/api.rs
+++ b/crates/proxy/src/batch/api.rs
@@ -76,7 +76,7 @@
 
 async fn store(state: &GatewayState, command: &BatchCommand) -> BatchOutcome {
     match state.batch.change_batch(command, SUBMIT_TIMEOUT).await {
-        Ok(BatchReply::Kept) => BatchOutcome::Accepted,
+        Ok(BatchReply::Stored) => BatchOutcome::Accepted,
         Ok(BatchReply::QueueFull) => QUEUE_FULL,
         Ok(_) => UNAVAILABLE,
         Err(error) => change_failed(&error),
@@ -153,7 +153,7 @@
 
 fn unpack(result: ListedResult) -> Option<JobResult> {
     let output = match result.outcome {
-        ItemOutcome::Completed { text } => Some(text.unpack()?),
+        ItemOutcome::Completed { text } => Some(text.decompress()?),
         ItemOutcome::DeadLettered => None,
     };
     Some(JobResult {
--- a/crates/proxy/src/batch/runner.rs
+++ b/crates/proxy/src/batch/runner.rs
@@ -8,8 +8,8 @@
 use async_executor::{LocalExecutor, Task};
 use async_io::Timer;
 use molespan_state::batch::{
-    BatchCommand, BatchReply, ItemOutcome, ItemRecord, ItemReference, ItemToRun, Kept, Output,
-    RecordOutcome,
+    BatchCommand, BatchReply, ItemOutcome, ItemRecord, ItemReference, ItemToRun, Output,
+    RecordOutcome, StoredPrefix,
 };
 use molespan_state::declared::{RouteKind, ServingModel};
 use molespan_types::Timestamp;
@@ -322,11 +322,11 @@
         within: Duration,
     ) -> bool {
         let mut items = Vec::new();
-        let mut sent: Vec<(&SharedOutput, Kept)> = Vec::new();
+        let mut sent: Vec<(&SharedOutput, StoredPrefix)> = Vec::new();
         for (item, output) in outputs {
-            if let Some((checkpoint, kept)) = output.borrow().checkpoint(*item) {
+            if let Some((checkpoint, prefix)) = output.borrow().checkpoint(*item) {
                 items.push(checkpoint);
-                sent.push((output, kept));
+                sent.push((output, prefix));
             }
         }
         if items.is_empty() {
@@ -334,9 +334,9 @@
         }
         let command = BatchCommand::Checkpoint { items };
         match self.state.batch.change_batch(&command, within).await {
-            Ok(BatchReply::Progress { kept: marks }) => {
-                for ((output, kept), mark) in sent.into_iter().zip(marks) {
-                    output.borrow_mut().note_kept(kept, mark);
+            Ok(BatchReply::Progress { kept: stored }) => {
+                for ((output, prefix), stored) in sent.into_iter().zip(stored) {
+                    output.borrow_mut().record_stored(prefix, stored);
                 }
                 true
             }
@@ -345,7 +345,7 @@
                     "answer" => ?other.err());
                 // The checkpoint may have been stored or may still be.
                 for (output, _) in sent {
-                    output.borrow_mut().forget_kept();
+                    output.borrow_mut().reset_stored();
                 }
                 false
             }
--- a/crates/replica/src/core.rs
+++ b/crates/replica/src/core.rs
@@ -491,7 +491,7 @@
             incarnation: identity.incarnation,
             boot: identity.boot,
             takes_part: self.fleet.takes_part(),
-            disk_full: self.shared.log.is_low(),
+            disk_full: self.shared.log.is_reserve_spent(),
             log_bytes: self.shared.log.size(),
             log_syncs: self.shared.syncs,
             groups: self.groups.values().map(Group::status).collect(),
--- a/crates/replica/src/group/apply.rs
+++ b/crates/replica/src/group/apply.rs
@@ -14,7 +14,7 @@
 use crate::{Output, ReplicaError, ReplicaEvent};
 
 /// Payload bytes buffered in memory before they are flushed to disk.
-const MAX_WAITING_BYTES: usize = 1 << 20;
+const MAX_BUFFERED_BYTES: usize = 1 << 20;
 
 impl<D: Disk> Group<D> {
     /// Applies committed entries as long as the payload log has disk space, and replies
@@ -23,7 +23,7 @@
         let version = self.configuration_version();
         let revision = self.machine.revision();
         while let Some(entry) = self.to_apply.pop_front() {
-            let buffer_full = self.payloads.waiting_bytes() > MAX_WAITING_BYTES;
+            let buffer_full = self.payloads.buffered_bytes() > MAX_BUFFERED_BYTES;
             if buffer_full && !self.flush_payloads()? {
                 self.to_apply.push_front(entry);
                 break;
--- a/crates/replica/src/group/members.rs
+++ b/crates/replica/src/group/members.rs
@@ -92,7 +92,8 @@
     /// Transfers leadership if this disk is full: a leader without disk space rejects
     /// all proposals, while another voter may have space.
     pub fn transfer_leadership_when_full(&mut self, turn: &Turn<'_, D>) {
-        if !self.leads() || !turn.log.is_low() || turn.now < self.next_full_disk_transfer {
+        if !self.leads() || !turn.log.is_reserve_spent() || turn.now < self.next_full_disk_transfer
+        {
             return;
         }
         self.next_full_disk_transfer = turn.now + FULL_DISK_TRANSFER_INTERVAL;
--- a/crates/replica/src/group/mod.rs
+++ b/crates/replica/src/group/mod.rs
@@ -59,7 +59,7 @@
     /// each replica has a payload log of its own; `None` if the log is the same on all
     /// replicas.
     fn own_payloads(&self, machine: &Machine) -> Option<Range<u64>> {
-        machine.payloads_needed_from(0)?;
+        machine.oldest_needed_payload(0)?;
         // A state machine of an older build needs no payloads.
         let start = self.payload_start.unwrap_or(self.payload_length);
         Some(start..self.payload_length)
@@ -116,7 +116,7 @@
         let payload_start = header.as_ref().and_then(|header| header.payload_start);
         let payload_floor = payload_start.unwrap_or_default();
         let disk_of_payloads = disk.clone();
-        let payloads = match machine.payloads_needed_from(payload_length) {
+        let payloads = match machine.oldest_needed_payload(payload_length) {
             Some(_) => {
                 FilePayloadLog::open_from(disk_of_payloads, id, payload_floor, payload_length)
             }
--- a/crates/replica/src/group/proposals.rs
+++ b/crates/replica/src/group/proposals.rs
@@ -76,7 +76,7 @@
         if !self.leads() {
             return Some(Refusal::NotLeader { leader });
         }
-        if turn.log.is_low() || !self.to_apply.is_empty() {
+        if turn.log.is_reserve_spent() || !self.to_apply.is_empty() {
             return Some(not_run("the disk is full", FULL_RETRY_MS));
         }
         let at_limit = self.proposals.pending.len() >= turn.settings.max_pending_proposals;
--- a/crates/replica/src/group/snapshots.rs
+++ b/crates/replica/src/group/snapshots.rs
@@ -80,10 +80,10 @@
         };
         // The log record of the previous snapshot is durable, so payloads that it does
         // not need are not needed at all.
-        self.payloads.drop_before(self.payload_floor)?;
+        self.payloads.remove_segments_before(self.payload_floor)?;
         self.payloads.sync()?;
         let payload_length = self.payloads.length();
-        let payload_start = self.machine.payloads_needed_from(payload_length);
+        let payload_start = self.machine.oldest_needed_payload(payload_length);
         let header = SnapshotHeader {
             meta: meta.clone(),
             payload_length,
--- a/crates/replica/src/group/transfer.rs
+++ b/crates/replica/src/group/transfer.rs
@@ -113,7 +113,7 @@
                 return;
             }
         }
-        if self.machine.payloads_needed_from(0).is_some() {
+        if self.machine.oldest_needed_payload(0).is_some() {
             // The staged bytes come from another sender's log, or from an earlier part of this
             // sender's log.
             self.staging.needs_reset = true;
@@ -282,7 +282,7 @@
         sender_range: &Range<u64>,
     ) -> Result<bool, StorageError> {
         let start = self.payloads.length();
-        machine.move_payloads(sender_range.start, start);
+        machine.relocate_payloads(sender_range.start, start);
         let header = SnapshotHeader {
             meta: header.meta.clone(),
             payload_length: start + (sender_range.end - sender_range.start),
--- a/crates/replica/src/shared.rs
+++ b/crates/replica/src/shared.rs
@@ -93,11 +93,11 @@
     /// Restores the log's reserved disk space if needed, and reports to operators when
     /// the disk becomes full or has space again.
     pub fn check_disk_space(&mut self, now: Timestamp) -> Result<(), StorageError> {
-        if self.log.is_low() && now >= self.next_reserve && !self.log.has_unsynced() {
+        if self.log.is_reserve_spent() && now >= self.next_reserve && !self.log.has_unsynced() {
             self.next_reserve = now + RESERVE_RETRY;
             self.log.restore_reserve()?;
         }
-        let full = self.log.is_low();
+        let full = self.log.is_reserve_spent();
         if full != self.reported_full {
             self.reported_full = full;
             self.event(ReplicaEvent::DiskFull { full });
--- a/crates/replica/tests/batch_outputs.rs
+++ b/crates/replica/tests/batch_outputs.rs
@@ -8,8 +8,8 @@
 use cluster::{Cluster, node};
 use molespan_replica::{Consistency, Discovery, Input, ReplicaSettings};
 use molespan_state::batch::{
-    BatchAnswer, BatchCommand, BatchItem, BatchQuery, ItemOutcome, ItemRecord, ItemReference,
-    PackedText, RecordOutcome, SubmitJob,
+    BatchAnswer, BatchCommand, BatchItem, BatchQuery, CompressedText, ItemOutcome, ItemRecord,
+    ItemReference, RecordOutcome, SubmitJob,
 };
 use molespan_storage::Disk;
 use molespan_types::{GroupId, NodeId};
@@ -82,7 +82,7 @@
     let record = ItemRecord {
         item: ItemReference { job, place },
         outcome: ItemOutcome::Completed {
-            text: PackedText::pack(&output(job, place)),
+            text: CompressedText::compress(&output(job, place)),
         },
     };
     let records = vec![record];
@@ -112,7 +112,7 @@
         other => panic!("{other:?}"),
     };
     let texts = page.results.into_iter().map(|listed| match listed.outcome {
-        ItemOutcome::Completed { text } => text.unpack().expect("a whole text"),
+        ItemOutcome::Completed { text } => text.decompress().expect("a whole text"),
         other @ ItemOutcome::DeadLettered => panic!("{other:?}"),
     });
     Some(texts.collect())
--- a/crates/replica/tests/cluster/mod.rs
+++ b/crates/replica/tests/cluster/mod.rs
@@ -154,7 +154,7 @@
     /// Kills a node, blanks its disk and starts it again.
     pub fn lose_disk(&mut self, node: NodeId) {
         self.kill(node);
-        self.disks[&node].lose();
+        self.disks[&node].erase();
         self.start(node);
     }
 
--- a/crates/replica/tests/disks.rs
+++ b/crates/replica/tests/disks.rs
@@ -160,7 +160,7 @@
         .files()
         .into_iter()
         .find(|file| file.ends_with(".segment"));
-    assert!(disk.flip(&segment.unwrap(), 40));
+    assert!(disk.corrupt_byte(&segment.unwrap(), 40));
     cluster.start(victim);
     let messages: Vec<String> = cluster
         .errors
--- a/crates/sim/src/apply.rs
+++ b/crates/sim/src/apply.rs
@@ -101,7 +101,7 @@
             FaultKind::LoseDisk(replica) => {
                 self.kill(Address::Replica(*replica));
                 if let Some(replica) = self.replicas.get_mut(replica) {
-                    replica.disk.lose();
+                    replica.disk.erase();
                 }
             }
             FaultKind::RollBackDisk(replica) => {
--- a/crates/state/src/batch/command.rs
+++ b/crates/state/src/batch/command.rs
@@ -3,7 +3,7 @@
 use minicbor::{Decode, Encode};
 
 use super::job::{BatchItem, ItemOutcome};
-use super::packed::PackedText;
+use super::packed::CompressedText;
 
 /// Submits a job. Submitting the same identifier again has no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
@@ -90,7 +90,7 @@
     pub last_event: u64,
     /// Data of the events after `after`, separated by line feeds.
     #[n(3)]
-    pub text: PackedText,
+    pub text: CompressedText,
     /// Run that produced the output.
     #[n(4)]
     #[cbor(default)]
@@ -153,7 +153,7 @@
 pub enum BatchReply {
     /// The job is stored, now or since an earlier submission.
     #[n(0)]
-    Kept,
+    Stored,
     /// The outcomes are recorded, unless earlier ones exist.
     #[n(1)]
     Recorded,
--- a/crates/state/src/batch/job.rs
+++ b/crates/state/src/batch/job.rs
@@ -6,7 +6,7 @@
 use minicbor::{Decode, Encode};
 
 use super::command::{ItemCheckpoint, RunId, StoredProgress};
-use super::packed::PackedText;
+use super::packed::CompressedText;
 use crate::codec::{decode, encode};
 use crate::payload::{PayloadError, PayloadLocation, PayloadLog};
 
@@ -51,7 +51,7 @@
     pub last_event: Option<u64>,
     /// Data of the stored events in pieces; events are separated by line feeds.
     #[n(1)]
-    pub pieces: Vec<PackedText>,
+    pub pieces: Vec<CompressedText>,
     /// Run that produced the last event.
     #[n(2)]
     #[cbor(default)]
@@ -76,7 +76,7 @@
     Completed {
         /// Complete output.
         #[n(0)]
-        text: PackedText,
+        text: CompressedText,
     },
     /// The item was given up without an answer.
     #[n(1)]
@@ -93,7 +93,7 @@
     Completed {
         /// Complete output.
         #[n(0)]
-        text: PackedText,
+        text: CompressedText,
     },
     /// The item was given up without an answer.
     #[n(1)]
@@ -196,7 +196,7 @@
     pub(super) outcomes: Vec<Option<StoredOutcome>>,
     /// Indexes of the items in the order in which their outcomes were recorded.
     #[n(6)]
-    pub listed: Vec<u32>,
+    pub result_order: Vec<u32>,
     /// Whether the caller ended the job.
     #[n(7)]
     pub ended: bool,
@@ -222,7 +222,7 @@
     /// Whether any item still has to run.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        !self.ended && self.listed.len() < self.items.len()
+        !self.ended && self.result_order.len() < self.items.len()
     }
 
     /// Returns the number of tokens of items without an outcome; 0 for an ended job.
@@ -247,7 +247,7 @@
         let item = &mut self.items[place as usize];
         item.headers = Vec::new();
         item.body = Vec::new().into();
-        self.listed.push(place);
+        self.result_order.push(place);
         self.progress.remove(&place);
         match self.ended {
             true => 0,
--- a/crates/state/src/batch/machine.rs
+++ b/crates/state/src/batch/machine.rs
@@ -99,7 +99,7 @@
 
     /// Adjusts output locations after the log of another replica was copied so that offset
     /// `from` became `to`.
-    pub fn move_payloads(&mut self, from: u64, to: u64) {
+    pub fn relocate_payloads(&mut self, from: u64, to: u64) {
         let locations = self.jobs.values_mut().flat_map(BatchJob::locations);
         for location in locations {
             location.offset = location.offset - from + to;
@@ -109,7 +109,7 @@
     fn submit(&mut self, submit: &SubmitJob) -> BatchReply {
         let key = JobKey::new(submit.tenant.as_deref(), &submit.id);
         if self.numbers.contains_key(&key) {
-            return BatchReply::Kept;
+            return BatchReply::Stored;
         }
         if !self.waiting.fits(submit) {
             return BatchReply::QueueFull;
@@ -125,7 +125,7 @@
             tenant: submit.tenant.clone(),
             outcomes: vec![None; submit.items.len()],
             items: submit.items.clone(),
-            listed: Vec::new(),
+            result_order: Vec::new(),
             ended: false,
             progress: BTreeMap::new(),
         };
@@ -133,7 +133,7 @@
         self.numbers.insert(key, self.last);
         self.jobs.insert(self.last, job);
         self.revision += 1;
-        BatchReply::Kept
+        BatchReply::Stored
     }
 
     fn record(&mut self, outcome: &RecordOutcome) -> BatchReply {
@@ -216,12 +216,12 @@
                 let found = items.iter().filter_map(|item| self.item_to_run(*item));
                 BatchAnswer::Items(found.collect())
             }
-            BatchQuery::Ages => {
-                let ages = self
+            BatchQuery::SubmissionTimes => {
+                let times = self
                     .jobs
                     .iter()
                     .map(|(number, job)| (*number, job.submitted_ms));
-                BatchAnswer::Ages(ages.collect())
+                BatchAnswer::SubmissionTimes(times.collect())
             }
         }
     }
@@ -297,7 +297,7 @@
 ) -> Result<ResultPage, PayloadError> {
     let mut results = Vec::new();
     let mut bytes = 0;
-    for place in job.listed.iter().skip(after as usize) {
+    for place in job.result_order.iter().skip(after as usize) {
         let Some(outcome) = &job.outcomes[*place as usize] else {
             break;
         };
--- a/crates/state/src/batch/mod.rs
+++ b/crates/state/src/batch/mod.rs
@@ -18,6 +18,6 @@
 };
 pub use job::{BatchItem, BatchJob, ItemOutcome, ItemProgress};
 pub use machine::BatchMachine;
-pub use output::{Kept, Output};
-pub use packed::PackedText;
+pub use output::{Output, StoredPrefix};
+pub use packed::CompressedText;
 pub use query::{BatchAnswer, BatchQuery, ItemToRun, ListedResult, OpenItem, OpenWork, ResultPage};
--- a/crates/state/src/batch/output.rs
+++ b/crates/state/src/batch/output.rs
@@ -3,7 +3,7 @@
 
 use super::command::{ItemCheckpoint, ItemReference, RunId, StoredProgress};
 use super::job::ItemProgress;
-use super::packed::PackedText;
+use super::packed::CompressedText;
 
 /// The output of an item so far.
 ///
@@ -18,12 +18,12 @@
     /// Data of the events in order. Data restored from the batch group is in pieces of
     /// several events each.
     data: Vec<String>,
-    kept: Kept,
+    prefix: StoredPrefix,
 }
 
 /// The prefix of an output that the batch group has stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Kept {
+pub struct StoredPrefix {
     stored: Option<StoredProgress>,
     pieces: usize,
 }
@@ -36,7 +36,7 @@
             run,
             last_event: None,
             data: Vec::new(),
-            kept: Kept::default(),
+            prefix: StoredPrefix::default(),
         }
     }
 
@@ -44,11 +44,15 @@
     /// empty if the stored data cannot be decoded; the item then runs from the start.
     #[must_use]
     pub fn resume(progress: &ItemProgress, run: RunId) -> Self {
-        let data: Option<Vec<String>> = progress.pieces.iter().map(PackedText::unpack).collect();
+        let data: Option<Vec<String>> = progress
+            .pieces
+            .iter()
+            .map(CompressedText::decompress)
+            .collect();
         let Some(data) = data else {
             return Self::begin(run);
         };
-        let kept = Kept {
+        let prefix = StoredPrefix {
             stored: progress.stored(),
             pieces: data.len(),
         };
@@ -56,7 +60,7 @@
             run,
             last_event: progress.last_event,
             data,
-            kept,
+            prefix,
         }
     }
 
@@ -74,45 +78,45 @@
 
     /// Returns the whole output.
     #[must_use]
-    pub fn text(&self) -> PackedText {
-        PackedText::pack(&self.data.join("\n"))
+    pub fn text(&self) -> CompressedText {
+        CompressedText::compress(&self.data.join("\n"))
     }
 
     /// Returns a checkpoint of the output that the batch group has not stored yet, and the
     /// stored prefix after it is committed; `None` if everything is stored.
     #[must_use]
-    pub fn checkpoint(&self, item: ItemReference) -> Option<(ItemCheckpoint, Kept)> {
+    pub fn checkpoint(&self, item: ItemReference) -> Option<(ItemCheckpoint, StoredPrefix)> {
         let last_event = self.last_event?;
-        let after = self.kept.stored;
-        if after.is_some_and(|kept| kept.last_event >= last_event) {
+        let after = self.prefix.stored;
+        if after.is_some_and(|stored| stored.last_event >= last_event) {
             return None;
         }
         let run = self.run;
         let checkpoint = ItemCheckpoint {
             item,
-            after: after.map(|kept| kept.last_event),
+            after: after.map(|stored| stored.last_event),
             last_event,
-            text: PackedText::pack(&self.data[self.kept.pieces..].join("\n")),
+            text: CompressedText::compress(&self.data[self.prefix.pieces..].join("\n")),
             run,
         };
-        let kept = Kept {
+        let prefix = StoredPrefix {
             stored: Some(StoredProgress { last_event, run }),
             pieces: self.data.len(),
         };
-        Some((checkpoint, kept))
+        Some((checkpoint, prefix))
     }
 
-    /// Records the reply to a checkpoint: `kept` is the expected prefix, `stored` the
+    /// Records the reply to a checkpoint: `prefix` is the expected prefix, `stored` the
     /// progress that the batch group reports.
-    pub fn note_kept(&mut self, kept: Kept, stored: Option<StoredProgress>) {
-        match stored == kept.stored {
-            true => self.kept = kept,
-            false => self.forget_kept(),
+    pub fn record_stored(&mut self, prefix: StoredPrefix, stored: Option<StoredProgress>) {
+        match stored == prefix.stored {
+            true => self.prefix = prefix,
+            false => self.reset_stored(),
         }
     }
 
     /// Resets the stored prefix when it is unknown what the batch group has stored.
-    pub fn forget_kept(&mut self) {
-        self.kept = Kept::default();
+    pub fn reset_stored(&mut self) {
+        self.prefix = StoredPrefix::default();
     }
 }
--- a/crates/state/src/batch/packed.rs
+++ b/crates/state/src/batch/packed.rs
@@ -11,7 +11,7 @@
 
 /// A compressed text.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
-pub struct PackedText {
+pub struct CompressedText {
     /// Length of the uncompressed text in bytes.
     #[n(0)]
     length: u64,
@@ -20,10 +20,10 @@
     deflated: ByteVec,
 }
 
-impl PackedText {
+impl CompressedText {
     /// Compresses a text.
     #[must_use]
-    pub fn pack(text: &str) -> Self {
+    pub fn compress(text: &str) -> Self {
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
         let written = encoder.write_all(text.as_bytes());
         debug_assert!(written.is_ok(), "writing to a vector cannot fail");
@@ -37,7 +37,7 @@
 
     /// Decompresses the text; `None` if the bytes are damaged.
     #[must_use]
-    pub fn unpack(&self) -> Option<String> {
+    pub fn decompress(&self) -> Option<String> {
         let mut text = String::new();
         // Limits the decompressed size, even if damaged bytes decompress to more.
         let mut decoder = DeflateDecoder::new(self.deflated.as_slice()).take(self.length + 1);
--- a/crates/state/src/batch/query.rs
+++ b/crates/state/src/batch/query.rs
@@ -56,7 +56,7 @@
     },
     /// Job numbers with their submission times.
     #[n(4)]
-    Ages,
+    SubmissionTimes,
 }
 
 /// A result in the ordered list of results.
@@ -150,9 +150,9 @@
     /// Answer to [`BatchQuery::Items`]; items that no longer have to run are omitted.
     #[n(3)]
     Items(#[n(0)] Vec<ItemToRun>),
-    /// Answer to [`BatchQuery::Ages`].
+    /// Answer to [`BatchQuery::SubmissionTimes`].
     #[n(4)]
-    Ages(#[n(0)] Vec<(u64, u64)>),
+    SubmissionTimes(#[n(0)] Vec<(u64, u64)>),
     /// The query could not be decoded.
     #[n(5)]
     Malformed,
--- a/crates/state/src/declared/bars.rs
+++ b/crates/state/src/declared/bars.rs
@@ -36,7 +36,7 @@
     /// Returns the remaining duration of the bar at `now_ms`, in milliseconds since 1970,
     /// or `None` if it is lifted or expired.
     #[must_use]
-    pub fn holds_for(&self, now_ms: u64) -> Option<Duration> {
+    pub fn remaining(&self, now_ms: u64) -> Option<Duration> {
         let ends_ms = self.since_ms + BAR_DURATION.as_millis() as u64;
         let left = ends_ms.checked_sub(now_ms).filter(|left| *left > 0)?;
         (!self.lifted).then(|| Duration::from_millis(left))
@@ -68,8 +68,8 @@
     /// Bars a request and returns whether anything changed. Several gateways may request
     /// the same bar; a bar is only renewed if it is expired or lifted.
     pub(super) fn add(&mut self, request: RequestDigest, since_ms: u64, crashes: u32) -> bool {
-        let holds = self.get(&request).and_then(|bar| bar.holds_for(since_ms));
-        if holds.is_some() {
+        let remaining = self.get(&request).and_then(|bar| bar.remaining(since_ms));
+        if remaining.is_some() {
             return false;
         }
         self.changes += 1;
--- a/crates/state/src/declared/command.rs
+++ b/crates/state/src/declared/command.rs
@@ -46,7 +46,7 @@
     /// Whether the group is created with the stores available so far, since the wait for
     /// more has timed out.
     #[n(5)]
-    pub patience_over: bool,
+    pub wait_timed_out: bool,
 }
 
 /// A command on the declared state.
--- a/crates/state/src/declared/stores.rs
+++ b/crates/state/src/declared/stores.rs
@@ -76,7 +76,7 @@
 
     /// Returns the node with this name.
     #[must_use]
-    pub fn named(&self, name: &str) -> Option<(NodeId, &StoreNode)> {
+    pub fn by_name(&self, name: &str) -> Option<(NodeId, &StoreNode)> {
         let mut nodes = self.nodes.iter();
         nodes
             .find(|(_, node)| node.name == name)
@@ -112,7 +112,7 @@
         let chosen = spread_over_zones(&self.nodes, wanted);
         // All stores of one zone may register before those of other zones.
         let enough = chosen.len() == wanted && self.survive_zone_loss(&chosen);
-        if !enough && !register.patience_over {
+        if !enough && !register.wait_timed_out {
             return false;
         }
         self.founders = chosen
@@ -141,7 +141,7 @@
         replicas: u32,
         alive: &BTreeSet<NodeId>,
     ) -> RetireReply {
-        let Some((id, node)) = self.named(name) else {
+        let Some((id, node)) = self.by_name(name) else {
             return RetireReply::Unknown;
         };
         if let Some(retirement) = node.retirement {
--- a/crates/state/src/machine.rs
+++ b/crates/state/src/machine.rs
@@ -116,7 +116,7 @@
     /// to each replica. Returns `None` for other machines, whose logs are identical on
     /// every replica and never truncated.
     #[must_use]
-    pub fn payloads_needed_from(&self, length: u64) -> Option<u64> {
+    pub fn oldest_needed_payload(&self, length: u64) -> Option<u64> {
         match self {
             Self::Control(_) | Self::Job(_) => None,
             Self::Batch(machine) => Some(machine.oldest_payload().unwrap_or(length)),
@@ -125,10 +125,10 @@
 
     /// Adjusts payload locations after the log of another replica was copied so that offset
     /// `from` became `to`.
-    pub fn move_payloads(&mut self, from: u64, to: u64) {
+    pub fn relocate_payloads(&mut self, from: u64, to: u64) {
         match self {
             Self::Control(_) | Self::Job(_) => {}
-            Self::Batch(machine) => machine.move_payloads(from, to),
+            Self::Batch(machine) => machine.relocate_payloads(from, to),
         }
     }
 
--- a/crates/state/tests/bars.rs
+++ b/crates/state/tests/bars.rs
@@ -56,14 +56,14 @@
     );
     assert_eq!(machine.declared().revision(), revision);
     let hours = BAR_DURATION.as_millis() as u64;
-    assert_eq!(first.holds_for(NOW), Some(BAR_DURATION));
-    assert!(first.holds_for(NOW + hours - 1).is_some());
-    assert_eq!(first.holds_for(NOW + hours), None);
+    assert_eq!(first.remaining(NOW), Some(BAR_DURATION));
+    assert!(first.remaining(NOW + hours - 1).is_some());
+    assert_eq!(first.remaining(NOW + hours), None);
     // An expired bar is renewed and gets a higher change number.
     bar_request(&mut machine, 1, NOW + hours);
     let renewed = bar(&machine, 1).expect("a bar");
     assert!(renewed.change > first.change);
-    assert!(renewed.holds_for(NOW + hours).is_some());
+    assert!(renewed.remaining(NOW + hours).is_some());
 }
 
 #[test]
@@ -77,7 +77,7 @@
     }
     let lifted = bar(&machine, 1).expect("the lifted bar is kept in memory");
     assert!(lifted.lifted && lifted.change > held.change);
-    assert_eq!(lifted.holds_for(NOW), None);
+    assert_eq!(lifted.remaining(NOW), None);
     let request = request(9);
     apply(&mut machine, DeclaredCommand::LiftBar { request });
     assert_eq!(bar(&machine, 9), None, "nothing to lift");
--- a/crates/state/tests/batch.rs
+++ b/crates/state/tests/batch.rs
@@ -1,8 +1,8 @@
 //! Ordered batch jobs.
 
 use molespan_state::batch::{
-    BatchAnswer, BatchCommand, BatchItem, BatchMachine, BatchQuery, BatchReply, ItemCheckpoint,
-    ItemOutcome, ItemRecord, ItemReference, PackedText, RecordOutcome, ResultPage, SubmitJob,
+    BatchAnswer, BatchCommand, BatchItem, BatchMachine, BatchQuery, BatchReply, CompressedText,
+    ItemCheckpoint, ItemOutcome, ItemRecord, ItemReference, RecordOutcome, ResultPage, SubmitJob,
 };
 use proptest::prelude::*;
 
@@ -32,7 +32,7 @@
         records: vec![ItemRecord {
             item: ItemReference { job, place },
             outcome: ItemOutcome::Completed {
-                text: PackedText::pack(text),
+                text: CompressedText::compress(text),
             },
         }],
     })
@@ -101,9 +101,9 @@
 #[test]
 fn resubmitted_job_is_unchanged() {
     let mut machine = BatchMachine::new();
-    assert_eq!(machine.apply(&submit("a", 2)), BatchReply::Kept);
+    assert_eq!(machine.apply(&submit("a", 2)), BatchReply::Stored);
     machine.apply(&record(1, 1, "x"));
-    assert_eq!(machine.apply(&submit("a", 5)), BatchReply::Kept);
+    assert_eq!(machine.apply(&submit("a", 5)), BatchReply::Stored);
     let page = page(&machine, "a", 0, 100).expect("a job");
     assert_eq!((page.total, page.results.len()), (2, 1));
 }
@@ -171,7 +171,7 @@
             item,
             after: (after > 0).then_some(after),
             last_event,
-            text: PackedText::pack(&text(after + 1..=last_event)),
+            text: CompressedText::compress(&text(after + 1..=last_event)),
             run: 1,
         }];
         BatchCommand::Checkpoint { items }
@@ -180,7 +180,7 @@
         |machine: &BatchMachine| match machine.query(&BatchQuery::Items { items: vec![item] }) {
             BatchAnswer::Items(items) => items.first().map(|item| {
                 let pieces = item.progress.pieces.iter();
-                let pieces: Option<Vec<String>> = pieces.map(PackedText::unpack).collect();
+                let pieces: Option<Vec<String>> = pieces.map(CompressedText::decompress).collect();
                 let whole = pieces.expect("valid pieces").join("\n");
                 (item.progress.last_event.unwrap_or(0), whole)
             }),
@@ -229,20 +229,21 @@
     /// Decompressing a compressed text returns the original.
     #[test]
     fn packed_text_round_trips(text in "\\PC{0,400}") {
-        let packed = PackedText::pack(&text);
-        prop_assert_eq!(packed.unpack(), Some(text));
+        let compressed = CompressedText::compress(&text);
+        prop_assert_eq!(compressed.decompress(), Some(text));
     }
 }
 
 #[test]
 fn damaged_bytes_do_not_unpack_to_the_text() {
-    let whole = minicbor::to_vec(PackedText::pack("one line, and no other")).expect("a vector");
+    let whole =
+        minicbor::to_vec(CompressedText::compress("one line, and no other")).expect("a vector");
     for place in whole.len() - 8..whole.len() {
         let mut bytes = whole.clone();
         bytes[place] ^= 0x55;
-        let damaged: PackedText = minicbor::decode(&bytes).expect("as many bytes");
+        let damaged: CompressedText = minicbor::decode(&bytes).expect("as many bytes");
         assert_ne!(
-            damaged.unpack().as_deref(),
+            damaged.decompress().as_deref(),
             Some("one line, and no other"),
             "{place}"
         );
--- a/crates/state/tests/batch_output.rs
+++ b/crates/state/tests/batch_output.rs
@@ -3,7 +3,7 @@
 
 use molespan_state::batch::{
     BatchAnswer, BatchCommand, BatchItem, BatchMachine, BatchQuery, BatchReply, ItemCheckpoint,
-    ItemProgress, ItemReference, Kept, Output, StoredProgress, SubmitJob,
+    ItemProgress, ItemReference, Output, StoredPrefix, StoredProgress, SubmitJob,
 };
 use proptest::prelude::*;
 
@@ -62,13 +62,13 @@
         }
     }
 
-    fn checkpoint(&self) -> Option<(ItemCheckpoint, Kept)> {
+    fn checkpoint(&self) -> Option<(ItemCheckpoint, StoredPrefix)> {
         self.output.checkpoint(ITEM)
     }
 }
 
 fn events_of(output: &Output) -> Vec<String> {
-    let text = output.text().unpack().expect("a valid text");
+    let text = output.text().decompress().expect("a valid text");
     text.lines().map(str::to_owned).collect()
 }
 
@@ -130,11 +130,11 @@
     produce_events(&mut output, 3);
     let (checkpoint, _) = output.checkpoint(ITEM).expect("unsaved output");
     commit(&mut machine, checkpoint);
-    output.forget_kept();
+    output.reset_stored();
     produce_events(&mut output, 2);
     let (checkpoint, kept) = output.checkpoint(ITEM).expect("unsaved output");
     let answered = commit(&mut machine, checkpoint);
-    output.note_kept(kept, answered);
+    output.record_stored(kept, answered);
     assert_eq!(progress(&machine).last_event, Some(5));
     // Later checkpoints contain only new events.
     produce_events(&mut output, 1);
@@ -142,7 +142,7 @@
     assert_eq!(checkpoint.after, Some(5));
     commit(&mut machine, checkpoint);
     let resumed = Output::resume(&progress(&machine), 2);
-    assert_eq!(resumed.text().unpack(), Some(text(6)));
+    assert_eq!(resumed.text().decompress(), Some(text(6)));
     assert!(resumed.checkpoint(ITEM).is_none(), "all of it is kept");
 }
 
@@ -157,13 +157,13 @@
     for output in [&mut one, &mut two] {
         let (checkpoint, kept) = output.checkpoint(ITEM).expect("unsaved output");
         let answered = commit(&mut machine, checkpoint);
-        output.note_kept(kept, answered);
+        output.record_stored(kept, answered);
     }
     two.push(Some(2), "two-2".to_owned());
     let (checkpoint, _) = two.checkpoint(ITEM).expect("unsaved output");
     commit(&mut machine, checkpoint);
     let resumed = Output::resume(&progress(&machine), 3);
-    assert_eq!(resumed.text().unpack().as_deref(), Some("two-1\ntwo-2"));
+    assert_eq!(resumed.text().decompress().as_deref(), Some("two-1\ntwo-2"));
 }
 
 fn any_step() -> impl Strategy<Value = Step> {
@@ -210,16 +210,16 @@
                     match delivery {
                         Delivery::Acknowledged => {
                             let kept = commit(&mut machine, checkpoint);
-                            run.output.note_kept(expected, kept);
+                            run.output.record_stored(expected, kept);
                         }
                         Delivery::Unacknowledged => {
                             commit(&mut machine, checkpoint);
-                            run.output.forget_kept();
+                            run.output.reset_stored();
                         }
-                        Delivery::Lost => run.output.forget_kept(),
+                        Delivery::Lost => run.output.reset_stored(),
                         Delivery::Late => {
                             late.push(checkpoint);
-                            run.output.forget_kept();
+                            run.output.reset_stored();
                         }
                     }
                 }
@@ -245,7 +245,7 @@
         for _ in 0..2 {
             if let Some((checkpoint, expected)) = output.checkpoint(ITEM) {
                 let kept = commit(&mut machine, checkpoint);
-                output.note_kept(expected, kept);
+                output.record_stored(expected, kept);
             }
         }
         prop_assert!(progress(&machine).last_event >= output.last_event());
--- a/crates/state/tests/batch_payloads.rs
+++ b/crates/state/tests/batch_payloads.rs
@@ -1,8 +1,8 @@
 //! Outputs of batch items in the payload log of a replica.
 
 use molespan_state::batch::{
-    BatchAnswer, BatchCommand, BatchItem, BatchQuery, ItemOutcome, ItemRecord, ItemReference,
-    PackedText, RecordOutcome, SubmitJob,
+    BatchAnswer, BatchCommand, BatchItem, BatchQuery, CompressedText, ItemOutcome, ItemRecord,
+    ItemReference, RecordOutcome, SubmitJob,
 };
 use molespan_state::{Machine, MemoryPayloadLog, PayloadLog, decode, encode};
 use molespan_types::GroupId;
@@ -46,7 +46,7 @@
         records: vec![ItemRecord {
             item: ItemReference { job, place },
             outcome: ItemOutcome::Completed {
-                text: PackedText::pack(&output(job, place)),
+                text: CompressedText::compress(&output(job, place)),
             },
         }],
     })
@@ -76,7 +76,7 @@
         let ItemOutcome::Completed { text } = &listed.outcome else {
             panic!("{:?}", listed.outcome);
         };
-        assert_eq!(text.unpack(), Some(output(job, place)));
+        assert_eq!(text.decompress(), Some(output(job, place)));
     }
 }
 
@@ -115,14 +115,14 @@
 fn log_is_needed_from_the_oldest_output_of_a_stored_job() {
     let (mut machine, mut payloads) = completed_jobs(3);
     let length = payloads.length();
-    assert_eq!(machine.payloads_needed_from(length), Some(0));
+    assert_eq!(machine.oldest_needed_payload(length), Some(0));
     apply(
         &mut machine,
         &mut payloads,
         &BatchCommand::Forget { job: 1 },
     );
     let second = machine
-        .payloads_needed_from(length)
+        .oldest_needed_payload(length)
         .expect("a log of its own");
     assert!(second > 0 && second < length);
     apply(
@@ -130,13 +130,13 @@
         &mut payloads,
         &BatchCommand::Forget { job: 3 },
     );
-    assert_eq!(machine.payloads_needed_from(length), Some(second));
+    assert_eq!(machine.oldest_needed_payload(length), Some(second));
     apply(
         &mut machine,
         &mut payloads,
         &BatchCommand::Forget { job: 2 },
     );
-    assert_eq!(machine.payloads_needed_from(length), Some(length));
+    assert_eq!(machine.oldest_needed_payload(length), Some(length));
 }
 
 /// An unreadable output must be distinguishable from a missing one.
--- a/crates/state/tests/batch_queue.rs
+++ b/crates/state/tests/batch_queue.rs
@@ -50,17 +50,17 @@
     let mut machine = BatchMachine::new();
     // A command, its reply, and the waiting tokens of the first queue afterwards.
     let cases = [
-        (submit("a", "one", &[30, 30]), BatchReply::Kept, 60),
+        (submit("a", "one", &[30, 30]), BatchReply::Stored, 60),
         (submit("b", "one", &[41]), BatchReply::QueueFull, 60),
-        (submit("c", "one", &[40]), BatchReply::Kept, 100),
+        (submit("c", "one", &[40]), BatchReply::Stored, 100),
         // Another queue has its own limit.
-        (submit("d", "two", &[100]), BatchReply::Kept, 100),
+        (submit("d", "two", &[100]), BatchReply::Stored, 100),
         // Resubmitting a stored job succeeds even if the queue is full.
-        (submit("a", "one", &[30, 30]), BatchReply::Kept, 100),
+        (submit("a", "one", &[30, 30]), BatchReply::Stored, 100),
         (dead_letter(1, 0), BatchReply::Recorded, 70),
         (dead_letter(1, 0), BatchReply::Recorded, 70),
         (submit("b", "one", &[31]), BatchReply::QueueFull, 70),
-        (submit("b", "one", &[30]), BatchReply::Kept, 100),
+        (submit("b", "one", &[30]), BatchReply::Stored, 100),
         (end("c"), BatchReply::Ended, 60),
         (end("c"), BatchReply::Ended, 60),
         // An outcome recorded after the end does not release tokens a second time.
@@ -87,7 +87,7 @@
     submit.max_queued_tokens = None;
     assert_eq!(
         machine.apply(&BatchCommand::Submit(submit)),
-        BatchReply::Kept
+        BatchReply::Stored
     );
     for place in 0..200 {
         machine.apply(&dead_letter(1, place));
--- a/crates/state/tests/declared.rs
+++ b/crates/state/tests/declared.rs
@@ -73,14 +73,14 @@
     }
 }
 
-fn store(node: u32, zone: &str, replicas: u32, patience_over: bool) -> DeclaredCommand {
+fn store(node: u32, zone: &str, replicas: u32, wait_timed_out: bool) -> DeclaredCommand {
     DeclaredCommand::RegisterStore(RegisterStore {
         node: NodeId(node),
         name: format!("store-{node}"),
         zone: zone.into(),
         incarnation: node * 10,
         replicas,
-        patience_over,
+        wait_timed_out,
     })
 }
 
--- a/crates/state/tests/tenants.rs
+++ b/crates/state/tests/tenants.rs
@@ -113,7 +113,7 @@
 fn tenants_with_the_same_identifier_have_separate_jobs() {
     let mut machine = BatchMachine::new();
     for tenant in [None, Some("a"), Some("b")] {
-        assert_eq!(machine.apply(&submit(tenant, "job")), BatchReply::Kept);
+        assert_eq!(machine.apply(&submit(tenant, "job")), BatchReply::Stored);
     }
     let end = |tenant: Option<&str>| BatchCommand::End {
         id: "job".to_owned(),
--- a/crates/storage/src/log/mod.rs
+++ b/crates/storage/src/log/mod.rs
@@ -175,7 +175,7 @@
     /// Whether the disk was full and the reserve is spent. Writes in progress use the space
     /// of the reserve, but no new work should be accepted.
     #[must_use]
-    pub fn is_low(&self) -> bool {
+    pub fn is_reserve_spent(&self) -> bool {
         self.reserve.is_spent()
     }
 
--- a/crates/storage/src/payload.rs
+++ b/crates/storage/src/payload.rs
@@ -167,7 +167,7 @@
     ///
     /// # Errors
     /// Fails if the disk operation fails.
-    pub fn drop_before(&mut self, offset: u64) -> Result<(), StorageError> {
+    pub fn remove_segments_before(&mut self, offset: u64) -> Result<(), StorageError> {
         while self.segments.len() > 1
             && let Some((&first, &segment_length)) = self.segments.first_key_value()
             && first + segment_length <= offset
@@ -180,7 +180,7 @@
 
     /// Returns the number of buffered bytes that [`FilePayloadLog::flush`] will write.
     #[must_use]
-    pub fn waiting_bytes(&self) -> usize {
+    pub fn buffered_bytes(&self) -> usize {
         self.buffered.len()
     }
 
--- a/crates/storage/src/simulated/mod.rs
+++ b/crates/storage/src/simulated/mod.rs
@@ -68,7 +68,7 @@
     }
 
     /// Replaces the disk with an empty one.
-    pub fn lose(&self) {
+    pub fn erase(&self) {
         let mut state = self.state();
         let counters = state.counters;
         *state = State {
@@ -132,7 +132,7 @@
     }
 
     /// Flips bits of one byte durably. Returns whether the byte exists.
-    pub fn flip(&self, file: &str, offset: u64) -> bool {
+    pub fn corrupt_byte(&self, file: &str, offset: u64) -> bool {
         const EVERY_OTHER_BIT: u8 = 0x55;
         let mut state = self.state();
         let Some(content) = state.content_mut(file) else {
--- a/crates/storage/tests/files.rs
+++ b/crates/storage/tests/files.rs
@@ -16,7 +16,7 @@
     let second = DiskIdentity::open(&disk, node, 12).unwrap();
     assert_eq!((first.incarnation, first.boot), (11, 1));
     assert_eq!((second.incarnation, second.boot), (11, 2));
-    disk.lose();
+    disk.erase();
     let third = DiskIdentity::open(&disk, node, 13).unwrap();
     assert_eq!((third.incarnation, third.boot), (13, 1));
     let foreign = DiskIdentity::open(&disk, NodeId(5), 14);
@@ -45,9 +45,9 @@
     store.save(5, b"header", b"machine").unwrap();
     let file = "snapshot/3/00000000000000000005.snapshot";
     for offset in 0..disk.length(file).unwrap().unwrap() {
-        disk.flip(file, offset);
+        disk.corrupt_byte(file, offset);
         assert!(matches!(store.load(5), Err(StorageError::Corrupt { .. })));
-        disk.flip(file, offset);
+        disk.corrupt_byte(file, offset);
     }
     assert!(store.load(5).is_ok());
 }
@@ -108,10 +108,10 @@
     log.sync().unwrap();
     let file = &disk.files()[0];
     for offset in 0..disk.length(file).unwrap().unwrap() {
-        disk.flip(file, offset);
+        disk.corrupt_byte(file, offset);
         let error = log.read(location).unwrap_err();
         assert!(matches!(error, PayloadError::Corrupt { .. }));
-        disk.flip(file, offset);
+        disk.corrupt_byte(file, offset);
     }
 }
 
@@ -123,7 +123,7 @@
         disk.set_free(free);
         let location = log.append(b"a payload that is too long").unwrap();
         assert!(log.flush().unwrap_err().is_full());
-        assert!(log.waiting_bytes() > 0);
+        assert!(log.buffered_bytes() > 0);
         disk.set_full(false);
         log.sync().unwrap();
         assert_eq!(log.read(location).unwrap(), b"a payload that is too long");
@@ -169,7 +169,7 @@
     log.sync().unwrap();
     let before = disk.files().len();
     let needed = locations[11].offset;
-    log.drop_before(needed).unwrap();
+    log.remove_segments_before(needed).unwrap();
     assert!(disk.files().len() < before);
     assert!(log.start() > 0 && log.start() <= needed);
     let length = log.length();
@@ -186,7 +186,7 @@
         assert_eq!(log.length(), length);
         let next = log.append(b"next").unwrap();
         assert_eq!(next.offset, length);
-        log.drop_before(length).unwrap();
+        log.remove_segments_before(length).unwrap();
         assert_eq!(log.read(next).unwrap(), b"next", "the last segment stays");
         log.truncate(length).unwrap();
     }
--- a/crates/storage/tests/write_ahead_log.rs
+++ b/crates/storage/tests/write_ahead_log.rs
@@ -89,7 +89,7 @@
     for offset in 0..ends[1] {
         let copy = SimulatedDisk::new();
         copy.roll_back(&disk.backup());
-        assert!(copy.flip(FIRST_SEGMENT, offset));
+        assert!(copy.corrupt_byte(FIRST_SEGMENT, offset));
         let error = WriteAheadLog::open(copy, settings()).expect_err("opening stops with an error");
         let start = if offset < ends[0] { 0 } else { ends[0] };
         match error {
@@ -194,7 +194,7 @@
     disk.set_full(true);
     log.append_entry(GROUP, 2, &[0; 100]);
     log.sync().expect("the write uses the reserve");
-    assert!(log.is_low());
+    assert!(log.is_reserve_spent());
     assert!(!log.restore_reserve().unwrap());
     log.append_entry(GROUP, 3, &[0; 2_000]);
     let error = log.sync().expect_err("no space is left");
