--- a/crates/daemon/src/bin/molespand.rs
+++ b/crates/daemon/src/bin/molespand.rs
@@ -1,4 +1,4 @@
-//! `molespand`: one node of molespan.
+//! `molespand`: the daemon of one molespan node.
 
 use std::io::{self, Write};
 use std::path::Path;
@@ -16,9 +16,9 @@
 use molespan_telemetry::{Log, part_logger};
 use slog::{Logger, crit, info};
 
-/// Exit status when the settings have findings.
+/// Exit status when the settings are invalid.
 const SETTINGS_STATUS: u8 = 3;
-/// Most threads that serve.
+/// Maximum number of executor threads.
 const MOST_THREADS: usize = 4;
 
 mod flags {
@@ -36,11 +36,11 @@
     }
 }
 
-/// Why the process waits no longer.
+/// Why the main thread stopped waiting.
 enum Wakening {
-    /// It was told to stop.
+    /// A stop signal arrived.
     Signal,
-    /// A role cannot go on.
+    /// A role failed and cannot continue.
     Failure,
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// Reads the settings; prints every finding.
+/// Loads the settings and prints every finding to stderr.
 fn load(path: &Path) -> Result<Settings, ExitCode> {
     Settings::load(path).map_err(|findings| {
         for finding in &findings {
@@ -71,7 +71,7 @@
     })
 }
 
-/// Runs the node until it is told to stop or cannot go on.
+/// Runs the node until a stop signal arrives or a role fails.
 fn run(settings: &Settings, logger: &Logger) -> Result<ExitCode, DaemonError> {
     let executor = Arc::new(Executor::new());
     let mut signals = Signals::new([Signal::Term, Signal::Int]).map_err(DaemonError::Signals)?;
@@ -97,7 +97,7 @@
     available.clamp(1, MOST_THREADS)
 }
 
-/// Tells whoever started the process where it listens.
+/// Prints the listening addresses to stdout for the parent process.
 fn announce(node: &Node) {
     let mut output = io::stdout().lock();
     let line = writeln!(
@@ -106,7 +106,7 @@
         node.http_address(),
         node.internal_address()
     );
-    // Nobody may be reading, and the work does not depend on it.
+    // Ignores write errors: nobody may be reading stdout, and the node does not depend on it.
     let _printed = line.and_then(|()| output.flush());
 }
 
@@ -122,7 +122,7 @@
     future::or(signal, failure).await
 }
 
-/// Stops as planned, or at once when a second signal comes.
+/// Shuts down gracefully, or immediately when a second signal arrives.
 async fn stop(node: Node, signals: &mut Signals, logger: &Logger) -> ExitCode {
     let logger = part_logger(logger, "node");
     let planned = async {
@@ -132,7 +132,7 @@
     };
     let hurried = async {
         signals.next().await;
-        info!(logger, "ended at once by a second signal");
+        info!(logger, "ended immediately by a second signal");
         ExitCode::FAILURE
     };
     future::or(planned, hurried).await
--- a/crates/daemon/src/boot_clock.rs
+++ b/crates/daemon/src/boot_clock.rs
@@ -1,10 +1,9 @@
-//! Time that goes on while the machine is suspended.
+//! A monotonic clock that keeps counting while the machine is suspended.
 //!
-//! `std::time::Instant` reads the steady clock, which stands still while a machine is
-//! suspended: a lease, the age of what others told, or the time that a caller still
-//! has would look as fresh behind eight seconds as before them. This one counts the
-//! time in which the world went on, so that a machine that wakes up finds everything as
-//! old as one that was frozen does.
+//! `std::time::Instant` reads `CLOCK_MONOTONIC`, which stops during a suspension: after
+//! eight seconds of suspension a lease, the age of a peer's report or a caller's
+//! remaining deadline would look as fresh as before. This clock reads `CLOCK_BOOTTIME`,
+//! so a resumed machine sees the same ages as a process that was stopped for as long.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,29 +13,29 @@
 use molespan_types::Timestamp;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Longest wait at a stretch: timers count on the steady clock, so that one that was
-/// set before the machine was suspended fires this much late at the most.
+/// Longest single timer wait. Timers run on the monotonic clock, so a timer that was set
+/// before a suspension fires at most this much late.
 const LONGEST_WAIT: Duration = Duration::from_millis(500);
 
-/// A clock that counts from its start.
+/// A clock that starts at zero when it is created.
 #[derive(Clone, Debug)]
 pub struct BootClock {
     started: Duration,
-    /// Microseconds that have passed beside those of the system's clock.
+    /// Microseconds added to the system clock's elapsed time.
     skipped: Arc<AtomicU64>,
-    /// Whether only those count.
+    /// Whether only `skipped` advances the clock.
     by_hand: bool,
 }
 
 impl BootClock {
-    /// A clock that begins now.
+    /// Creates a clock that starts now.
     #[must_use]
     pub fn start() -> Self {
         Self::skipping(Arc::default())
     }
 
-    /// A clock that begins now, and for which as many microseconds more have passed as
-    /// `skipped` says: to see what a suspension does.
+    /// Creates a clock that starts now and runs ahead by `skipped` microseconds, to
+    /// simulate a suspension.
     #[must_use]
     pub fn skipping(skipped: Arc<AtomicU64>) -> Self {
         Self {
@@ -46,8 +45,8 @@
         }
     }
 
-    /// A clock that only `skipped` moves: what is decided by it does not depend on how
-    /// fast the machine is.
+    /// Creates a clock that only `skipped` advances, so that decisions based on it do not
+    /// depend on the speed of the machine.
     #[must_use]
     pub fn by_hand(skipped: Arc<AtomicU64>) -> Self {
         Self {
@@ -56,7 +55,7 @@
         }
     }
 
-    /// The time now.
+    /// Returns the time since the clock was created.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         let passed = match self.by_hand {
@@ -67,8 +66,8 @@
         Timestamp(passed.as_micros() as u64 + skipped)
     }
 
-    /// Waits until a time; no longer than [`LONGEST_WAIT`] beyond it if the machine was
-    /// suspended meanwhile.
+    /// Waits until `at`; overshoots by at most [`LONGEST_WAIT`] when the machine was
+    /// suspended in the meantime.
     pub async fn wait_until(&self, at: Timestamp) {
         loop {
             let left = at.since(self.now());
--- a/crates/daemon/src/cluster/batch.rs
+++ b/crates/daemon/src/cluster/batch.rs
@@ -1,4 +1,4 @@
-//! Calls on the batch group.
+//! Typed calls to the batch group.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 use super::calls::unexpected;
 use super::{Cluster, ClusterError};
 
-/// Items that the leader handed out.
+/// Items that the batch leader assigned to this node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HandedItems {
     /// Items to run.
     pub items: Vec<ItemToRun>,
-    /// Items that run and should not, as number of the job and place.
+    /// Running items that must be stopped, as pairs of job number and item index.
     pub stop: Vec<(u64, u32)>,
 }
 
@@ -24,7 +24,7 @@
     /// Commits a command of the batch group within `deadline`.
     ///
     /// # Errors
-    /// When no leader took it in time; its fate may be unknown.
+    /// When no leader committed it before the deadline; it may still have taken effect.
     pub async fn change_batch(
         &self,
         command: &BatchCommand,
@@ -33,11 +33,11 @@
         self.propose_within(GroupId::BATCH, command, deadline).await
     }
 
-    /// Results of a job of a tenant from position `after` on; `None` when there is no such
-    /// job.
+    /// Returns one page of a tenant's job results, starting after position `after`; `None`
+    /// when there is no such job.
     ///
     /// # Errors
-    /// When no leader answered in time.
+    /// When no leader answered before the deadline.
     pub async fn batch_results(
         &self,
         tenant: Option<&str>,
@@ -59,10 +59,10 @@
         }
     }
 
-    /// The body of an item of a tenant's job that is not listed; `None` when there is none.
+    /// Returns the body of an unlisted item of a tenant's job; `None` when there is none.
     ///
     /// # Errors
-    /// When no leader answered in time.
+    /// When no leader answered before the deadline.
     pub async fn batch_body(
         &self,
         tenant: Option<&str>,
@@ -82,10 +82,10 @@
         }
     }
 
-    /// Asks the leader for items to run, and renews those that run here.
+    /// Requests items to run from the leader and renews the leases of items running here.
     ///
     /// # Errors
-    /// When no leader answered in time.
+    /// When no leader answered before the deadline.
     pub async fn take_items(
         &self,
         ask: &TakeItems,
--- a/crates/daemon/src/cluster/calls.rs
+++ b/crates/daemon/src/cluster/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to a group's leader, with attempts until the deadline.
+//! Calls to a group's leader, retried until a deadline.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
@@ -11,22 +11,23 @@
 
 use super::{Cluster, ClusterError};
 
-/// One call with its attempts.
+/// The retry state of one call.
 struct Attempts<'a> {
     cluster: &'a Cluster,
     group: GroupId,
     ends: Instant,
     pause: Duration,
-    /// Longest time of the next call, beyond what the leader may hold it for.
+    /// Timeout of the next attempt, not counting `held`.
     timeout: Duration,
-    /// Time for which the leader may hold a call by itself.
+    /// How long the leader may hold the request open before it answers.
     held: Duration,
-    /// Position among the replicas of the next one to ask.
+    /// Index of the next replica to try.
     turn: usize,
-    /// Nodes that failed, until all others were asked or one of those names them: asking
-    /// a silent one again costs what is left of the time, and others may know who leads.
+    /// Nodes whose calls failed. They are skipped until every replica has failed or another
+    /// node names them as leader: retrying a silent node uses up the remaining time while
+    /// others may know the leader.
     failed: BTreeSet<NodeId>,
-    /// Whether an attempt may have taken effect.
+    /// Whether an earlier attempt may have taken effect.
     ambiguous: bool,
     reason: String,
 }
@@ -45,7 +46,7 @@
             .await
     }
 
-    /// Proposes a command; gives up after `deadline`.
+    /// Proposes a command to `group` with the given deadline.
     pub(super) async fn propose_within<C, R>(
         &self,
         group: GroupId,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Reads from `group` what every acknowledged write led to.
+    /// Runs a linearizable query on `group`: it observes every acknowledged write.
     ///
     /// # Errors
     /// When no leader answered before the deadline.
@@ -79,7 +80,7 @@
         self.query_within(group, query, self.limits.deadline).await
     }
 
-    /// Reads; gives up after `deadline`.
+    /// Runs a linearizable query on `group` with the given deadline.
     pub(super) async fn query_within<Q, A>(
         &self,
         group: GroupId,
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Sends a request to the leader of `group`, whoever that is, until it is
-    /// answered or `deadline` passed. The request must be safe to send again.
+    /// Sends a request to the leader of `group`, following leader changes, until it is
+    /// answered or `deadline` has passed. The request must be idempotent.
     pub(super) async fn call_leader(
         &self,
         group: GroupId,
@@ -114,9 +115,9 @@
             .await
     }
 
-    /// The same for a request that the leader may hold for `held` before it
-    /// answers. Without that time a call would be given up, and the leader
-    /// forgotten, each time it has nothing to say.
+    /// Like [`Self::call_leader`], for a request that the leader may hold open for `held`
+    /// before it answers (long poll). Without the extra time, each call with nothing to
+    /// report would time out and the cached leader would be dropped.
     pub(super) async fn call_leader_held(
         &self,
         group: GroupId,
@@ -178,7 +179,7 @@
         }
     }
 
-    /// The known leader, else the replica whose turn it is, but for those that failed.
+    /// Returns the known leader, or else the next replica in turn that has not failed.
     fn target(&mut self) -> Option<NodeId> {
         if let Some(leader) = self.cluster.leaders.get(self.group) {
             return Some(leader);
@@ -250,7 +251,7 @@
     })
 }
 
-/// A reply of the wrong kind.
+/// The error for a reply of an unexpected kind.
 pub(super) fn unexpected(reply: &impl std::fmt::Debug) -> ClusterError {
     ClusterError::Unexpected {
         reason: format!("{reply:?}"),
--- a/crates/daemon/src/cluster/control.rs
+++ b/crates/daemon/src/cluster/control.rs
@@ -1,4 +1,4 @@
-//! Typed calls of the control group.
+//! Typed calls to the control group.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -15,28 +15,28 @@
 use super::calls::unexpected;
 use super::{Cluster, ClusterError};
 
-/// Time beyond the asked wait after which a long poll counts as lost.
+/// Extra time beyond the requested wait before a long poll is treated as lost.
 const WATCH_GRACE: Duration = Duration::from_secs(1);
-/// Longest time for a heartbeat's answer with all attempts.
+/// Deadline of a heartbeat, including all attempts.
 const HEARTBEAT_DEADLINE: Duration = Duration::from_millis(1_500);
 
-/// Answer to a watch.
+/// Reply to a configuration watch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WatchedConfiguration {
-    /// Newest version that a quorum confirmed when this was answered.
+    /// Newest version that a quorum had confirmed when the reply was sent.
     pub current: ConfigVersion,
-    /// What leads to it from the asker's, if it is newer.
+    /// Update from the caller's version to `current`, if `current` is newer.
     pub newer: Option<ConfigurationUpdate>,
 }
 
-/// A live gateway as the control leader knows it.
+/// A live gateway as seen by the control leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LiveNode {
     /// Node.
     pub node: NodeId,
-    /// Its life.
+    /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Whether it is stopping as planned.
+    /// Whether it is draining before a graceful stop.
     pub draining: bool,
 }
 
@@ -52,7 +52,7 @@
         self.query(GroupId::CONTROL, query).await
     }
 
-    /// Puts a planned intent in force.
+    /// Confirms a planned intent, which activates its changes.
     ///
     /// # Errors
     /// When no leader committed it before the deadline.
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Announces a node; gives the reply as it is.
+    /// Registers a node and returns the reply unchanged.
     ///
     /// # Errors
     /// When no leader committed it before the deadline.
@@ -74,7 +74,7 @@
         self.control_command(&node.into()).await
     }
 
-    /// Marks a node as stopping as planned.
+    /// Marks a node as draining before a graceful stop.
     ///
     /// # Errors
     /// When no leader committed it before the deadline.
@@ -87,7 +87,7 @@
             .await
     }
 
-    /// Issues a fenced order; gives the reply as it is.
+    /// Issues a fenced order and returns the reply unchanged.
     ///
     /// # Errors
     /// When no leader committed it before the deadline.
@@ -95,7 +95,7 @@
         self.control_command(&order.into()).await
     }
 
-    /// The configuration that a quorum confirms as the newest.
+    /// Returns the newest configuration that a quorum has confirmed.
     ///
     /// # Errors
     /// When no leader answered before the deadline.
@@ -106,7 +106,7 @@
         }
     }
 
-    /// What an intent would do if it were confirmed now.
+    /// Returns the changes that an intent would make if it were confirmed now.
     ///
     /// # Errors
     /// When no leader answered before the deadline.
@@ -122,7 +122,7 @@
         }
     }
 
-    /// The registered nodes.
+    /// Returns the registered nodes.
     ///
     /// # Errors
     /// When no leader answered before the deadline.
@@ -133,7 +133,7 @@
         }
     }
 
-    /// The latest order of each back end.
+    /// Returns the latest order of each back end.
     ///
     /// # Errors
     /// When no leader answered before the deadline.
@@ -144,10 +144,10 @@
         }
     }
 
-    /// Asks one replica for a configuration newer than the asker's.
+    /// Long-polls one replica for a configuration newer than the caller's.
     ///
     /// # Errors
-    /// When this replica did not answer; ask another one.
+    /// When this replica did not answer; the caller should try another one.
     pub async fn watch(
         &self,
         replica: NodeId,
@@ -176,10 +176,10 @@
         }
     }
 
-    /// Sends a heartbeat to the control leader; gives the live gateways.
+    /// Sends a heartbeat to the control leader and returns the live gateways.
     ///
     /// # Errors
-    /// When no leader answered in time.
+    /// When no leader answered before the deadline.
     pub async fn heartbeat(
         &self,
         request: impl Fn() -> Request,
@@ -198,7 +198,8 @@
         }
     }
 
-    /// Versions in force on each node, merged over the replicas that answer.
+    /// Returns the active configuration version of each node, merged over all replicas that
+    /// answer.
     pub async fn versions_in_force(&self) -> BTreeMap<NodeId, ConfigVersion> {
         let timeout = self.limits.call_timeout;
         let calls: Vec<_> = self
--- a/crates/daemon/src/cluster/declared.rs
+++ b/crates/daemon/src/cluster/declared.rs
@@ -1,4 +1,4 @@
-//! Calls on the declared state of the control group.
+//! Typed calls on the declared state of the control group.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
     /// Commits a command on the declared state within `deadline`.
     ///
     /// # Errors
-    /// When no leader took it in time; its fate may be unknown.
+    /// When no leader committed it before the deadline; it may still have taken effect.
     pub async fn change_declared(
         &self,
         command: DeclaredCommand,
@@ -27,11 +27,10 @@
         }
     }
 
-    /// Reads the declared state, with every change that was acknowledged
-    /// before.
+    /// Returns the declared state, including every change acknowledged before the call.
     ///
     /// # Errors
-    /// When no leader answered in time.
+    /// When no leader answered before the deadline.
     pub async fn declared(&self, deadline: Duration) -> Result<DeclaredState, ClusterError> {
         let answer = self.query_within(GroupId::CONTROL, &ControlQuery::Declared, deadline);
         match answer.await? {
--- a/crates/daemon/src/cluster/error.rs
+++ b/crates/daemon/src/cluster/error.rs
@@ -1,4 +1,4 @@
-//! Why a call to a replica group failed.
+//! Errors of calls to replica groups.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
 /// Why a call to a replica group failed.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum ClusterError {
-    /// No replica carried it out before the deadline.
+    /// No replica carried out the request before the deadline.
     #[display("no replica answered in time: {reason}")]
     Unavailable {
-        /// `NotRun`: it will never take effect. `Unknown`: it may have.
+        /// `NotRun`: the request will never take effect. `Unknown`: it may have taken effect.
         outcome: RunOutcome,
-        /// What the last attempt met.
+        /// Error of the last attempt.
         reason: String,
     },
-    /// A reply of another kind, or one that cannot be read, came.
+    /// The reply had an unexpected kind or could not be decoded.
     #[display("unexpected reply: {reason}")]
     Unexpected {
-        /// What came.
+        /// The reply or the decoding error.
         reason: String,
     },
 }
 
 impl ClusterError {
-    /// When coming back may help.
+    /// Delay that clients are asked to wait before they retry.
     pub const RETRY_AFTER: Duration = Duration::from_secs(1);
 
     /// Whether the call may have taken effect.
--- a/crates/daemon/src/cluster/job.rs
+++ b/crates/daemon/src/cluster/job.rs
@@ -1,4 +1,4 @@
-//! Typed calls of job groups.
+//! Typed calls to job groups.
 
 use molespan_state::job::{
     AppendItems, BeginJob, ClaimReply, ClaimRequest, GrantedLease, ItemRecord, ItemResult,
@@ -9,16 +9,16 @@
 use super::calls::unexpected;
 use super::{Cluster, ClusterError};
 
-/// Results of a job from some item on.
+/// One page of a job's results.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ResultPage {
     /// Results in item order.
     pub results: Vec<ItemRecord>,
-    /// Where to go on; `None` at the end of the job.
+    /// First item of the next page; `None` at the end of the job.
     pub next: Option<ItemIndex>,
 }
 
-/// Which of the renewed leases must be stopped.
+/// The renewed leases whose items must be stopped.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RenewedLeases {
     /// Leases that are no longer held.
@@ -27,17 +27,18 @@
     pub cancelled: Vec<LeaseId>,
 }
 
-/// How many items of a record or return were taken.
+/// How many items of a record or return command were accepted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ItemsTaken {
-    /// Items taken.
+    /// Items accepted.
     pub taken: u32,
-    /// Items that the lease no longer held.
+    /// Items that the lease no longer covered.
     pub dropped: u32,
 }
 
 impl Cluster {
-    /// Any command of a job group, for replies that callers tell apart.
+    /// Runs any command of a job group and returns the raw reply, for callers that
+    /// distinguish its variants.
     ///
     /// # Errors
     /// When no leader committed it before the deadline.
@@ -49,7 +50,7 @@
         self.propose(group, command).await
     }
 
-    /// Opens a job or finds the one under the same key.
+    /// Creates a job or returns the existing one with the same key.
     ///
     /// # Errors
     /// When no leader committed it before the deadline.
@@ -61,7 +62,7 @@
         self.job_command(group, &begin.into()).await
     }
 
-    /// Adds items to a job that is being submitted.
+    /// Appends items to a job that is being submitted.
     ///
     /// # Errors
     /// When no leader committed it before the deadline.
@@ -73,7 +74,7 @@
         self.job_command(group, &append.into()).await
     }
 
-    /// Accepts a job whose items are all there.
+    /// Accepts a job whose items have all been received.
     ///
     /// # Errors
     /// When no leader committed it before the deadline.
@@ -81,7 +82,7 @@
         self.job_command(group, &JobCommand::Accept { job }).await
     }
 
-    /// Stops a job.
+    /// Cancels a job.
     ///
     /// # Errors
     /// When no leader committed it before the deadline.
@@ -89,7 +90,7 @@
         self.job_command(group, &JobCommand::Cancel { job }).await
     }
 
-    /// Asks for items to run.
+    /// Leases items to run.
     ///
     /// # Errors
     /// When no leader committed it before the deadline.
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Keeps leases alive.
+    /// Renews leases.
     ///
     /// # Errors
     /// When no leader committed it before the deadline.
@@ -122,7 +123,7 @@
         }
     }
 
-    /// Records results.
+    /// Records item results.
     ///
     /// # Errors
     /// When no leader committed it before the deadline.
@@ -136,7 +137,7 @@
         items_taken(self.job_command(group, &command).await?)
     }
 
-    /// Gives items back that were not run.
+    /// Returns items that were not run to the group.
     ///
     /// # Errors
     /// When no leader committed it before the deadline.
@@ -165,7 +166,7 @@
         }
     }
 
-    /// Records how a claimed request ended; gives the outcome on record.
+    /// Records the outcome of a claimed request and returns the outcome on record.
     ///
     /// # Errors
     /// When no leader committed it before the deadline.
@@ -197,7 +198,7 @@
         }
     }
 
-    /// Summary of a job; `None` when there is none.
+    /// Returns the summary of a job; `None` when there is no such job.
     ///
     /// # Errors
     /// When no leader answered before the deadline.
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Summaries of a group's jobs, newest first.
+    /// Returns summaries of a group's jobs, newest first.
     ///
     /// # Errors
     /// When no leader answered before the deadline.
@@ -227,7 +228,7 @@
         }
     }
 
-    /// Results of a job in item order.
+    /// Returns results of a job in item order.
     ///
     /// # Errors
     /// When no leader answered before the deadline.
--- a/crates/daemon/src/cluster/leaders.rs
+++ b/crates/daemon/src/cluster/leaders.rs
@@ -1,28 +1,28 @@
-//! Who leads each group, as far as is known.
+//! Cache of each group's last known leader.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use molespan_types::{GroupId, NodeId};
 
-/// Who leads each group, as far as is known.
+/// Cache of each group's last known leader.
 #[derive(Debug, Default)]
 pub(super) struct Leaders {
     known: Mutex<HashMap<GroupId, NodeId>>,
 }
 
 impl Leaders {
-    /// The leader of `group`, if known.
+    /// Returns the leader of `group`, if known.
     pub(super) fn get(&self, group: GroupId) -> Option<NodeId> {
         self.lock().get(&group).copied()
     }
 
-    /// Notes that `node` leads `group`.
+    /// Records that `node` leads `group`.
     pub(super) fn set(&self, group: GroupId, node: NodeId) {
         self.lock().insert(group, node);
     }
 
-    /// Forgets that `node` leads `group`.
+    /// Removes the entry of `group` if it names `node`.
     pub(super) fn forget(&self, group: GroupId, node: NodeId) {
         let mut known = self.lock();
         if known.get(&group) == Some(&node) {
--- a/crates/daemon/src/cluster/mod.rs
+++ b/crates/daemon/src/cluster/mod.rs
@@ -1,10 +1,10 @@
-//! Client of the replica groups: follows leaders and retries what is safe.
+//! Client of the replica groups: follows leader changes and retries idempotent requests.
 //!
 //! Every command of the state crate is idempotent by its own key: a job by its
 //! key, items by their positions, a lease request by its sequence, a result by
 //! its item, a claim by its attempt, an intent by its number and an order by
-//! its expected token. A proposal whose fate is unknown is therefore sent
-//! again until the deadline, and only then reported as unknown.
+//! its expected token. A proposal with an unknown outcome is therefore retried
+//! until the deadline and only then reported as unknown.
 
 mod batch;
 mod calls;
@@ -29,19 +29,19 @@
 
 use leaders::Leaders;
 
-/// Bounds of the calls to replica groups.
+/// Timeouts and backoff of calls to replica groups.
 #[derive(Clone, Debug)]
 pub struct ClusterLimits {
-    /// Longest time of the first call to one replica; doubles with each
-    /// further one. A leader that was cut off in silence costs this much.
+    /// Timeout of the first attempt; doubles with each further attempt. This is the
+    /// delay caused by a leader that is partitioned away without closing its connections.
     pub first_call_timeout: Duration,
-    /// Longest time of any call to one replica.
+    /// Upper bound of an attempt's timeout.
     pub call_timeout: Duration,
-    /// Longest time of a proposal or read with all its attempts.
+    /// Deadline of a proposal or read, including all attempts.
     pub deadline: Duration,
-    /// Pause after the first failed attempt; doubles with each further one.
+    /// Backoff after the first failed attempt; doubles with each further one.
     pub first_pause: Duration,
-    /// Longest pause between attempts.
+    /// Upper bound of the backoff between attempts.
     pub longest_pause: Duration,
 }
 
@@ -61,18 +61,18 @@
 #[derive(Debug)]
 pub struct Cluster {
     transport: Arc<dyn PeerTransport>,
-    /// Nodes that hold replicas, those of the own zone first.
+    /// Nodes that hold replicas, those in the own zone first.
     replicas: Mutex<Vec<NodeId>>,
     leaders: Leaders,
-    /// Position among the replicas of the one to ask where no leader is known: not again
-    /// first the one that a call of before asked in vain.
+    /// Index of the replica to ask when no leader is known. Shared between calls, so that a
+    /// call does not start with a replica that just failed another call.
     turn: AtomicUsize,
     limits: ClusterLimits,
 }
 
 impl Cluster {
-    /// A client of the replicas on `replicas`; those that should be asked
-    /// first, such as the own node and others of its zone, come first.
+    /// Creates a client of the replicas on `replicas`, in order of preference: the
+    /// own node and others of its zone should come first.
     #[must_use]
     pub fn new(
         transport: Arc<dyn PeerTransport>,
@@ -88,19 +88,19 @@
         }
     }
 
-    /// The transport to other nodes.
+    /// Returns the transport to other nodes.
     #[must_use]
     pub fn transport(&self) -> &Arc<dyn PeerTransport> {
         &self.transport
     }
 
-    /// Nodes that hold the groups, the nearest first.
+    /// Returns the nodes that hold replicas, nearest first.
     #[must_use]
     pub fn replicas(&self) -> Vec<NodeId> {
         self.lock_replicas().clone()
     }
 
-    /// Says anew which nodes hold the groups.
+    /// Replaces the nodes that hold replicas.
     pub fn set_replicas(&self, replicas: Vec<NodeId>) {
         *self.lock_replicas() = replicas;
     }
--- a/crates/daemon/src/cluster/transport.rs
+++ b/crates/daemon/src/cluster/transport.rs
@@ -1,4 +1,4 @@
-//! How requests reach other nodes.
+//! Transport of requests to other nodes.
 
 use std::collections::{HashMap, HashSet};
 use std::fmt::Debug;
@@ -12,20 +12,20 @@
 use molespan_types::NodeId;
 use molespan_wire::{CallError, CallFailure, Client, ClientLimits, Request, Response};
 
-/// The pending outcome of a call.
+/// The future result of a call.
 pub type PeerCall = Boxed<Result<Response, CallError>>;
 
-/// Carries requests to other nodes; tests put a local one in its place.
+/// Sends requests to other nodes; tests substitute an in-process implementation.
 pub trait PeerTransport: Debug + Send + Sync + 'static {
     /// Sends `request` to `node` and waits for its response.
     fn call(&self, node: NodeId, request: Request, timeout: Duration) -> PeerCall;
 
-    /// Sends a message that nobody waits for; returns whether it was queued.
+    /// Sends a one-way message; returns whether it was queued.
     fn send(&self, node: NodeId, request: Request) -> bool;
 
-    /// Learns where a node can be reached, from its registration or a hint. The
-    /// address of a node that the settings name stays as it is there: others
-    /// may reach that node in another way.
+    /// Updates the address of a node from its registration or a leader hint. Has no
+    /// effect on nodes whose address is in the settings: other nodes may reach them
+    /// under a different address.
     fn learn(&self, node: NodeId, address: &str);
 }
 
@@ -35,16 +35,16 @@
     executor: Arc<Executor<'static>>,
     limits: ClientLimits,
     seed: u64,
-    /// Nodes whose addresses are in the settings.
+    /// Nodes whose addresses come from the settings.
     configured: HashSet<NodeId>,
-    /// Port of nodes whose numbers are their addresses.
+    /// Port of nodes whose IDs encode their addresses.
     port: Option<u16>,
     clients: Mutex<HashMap<NodeId, Client>>,
 }
 
 impl WireTransport {
-    /// A transport that knows the nodes at `addresses`. The seed feeds the
-    /// jitter of reconnection pauses.
+    /// Creates a transport with the given node addresses. The seed feeds the
+    /// jitter of the reconnection backoff.
     #[must_use]
     pub fn new(
         executor: Arc<Executor<'static>>,
@@ -67,8 +67,8 @@
         transport
     }
 
-    /// A transport between nodes whose numbers are their addresses and that
-    /// all listen on `port` for each other.
+    /// Creates a transport between nodes whose IDs encode their addresses and that
+    /// all listen on `port`.
     #[must_use]
     pub fn between_addresses(
         executor: Arc<Executor<'static>>,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Sets where `node` can be reached.
+    /// Sets the address of `node`.
     pub fn set_address(&self, node: NodeId, address: SocketAddr) {
         let mut clients = self.lock();
         let known = clients.get(&node).map(Client::address);
--- a/crates/daemon/src/event_stream.rs
+++ b/crates/daemon/src/event_stream.rs
@@ -1,4 +1,4 @@
-//! Decisions of this node as they happen, as server-sent events.
+//! Streams this node's decisions as server-sent events.
 
 use std::future::Future;
 use std::pin::pin;
@@ -11,24 +11,24 @@
 
 /// Path of the stream on every node.
 pub(crate) const EVENTS_PATH: &str = "/admin/events";
-/// Events that wait in memory for a slow watcher; the rest waits in the ring.
+/// Events buffered for a slow watcher; further events stay in the ring buffer.
 const PIECES: usize = 16;
-/// Time between two comments that keep a silent stream alive.
+/// Interval between keep-alive comments on an idle stream.
 const KEEP_ALIVE: Duration = Duration::from_secs(5);
-/// A comment, which readers of events skip.
+/// An SSE comment, which clients ignore.
 const COMMENT: &[u8] = b": alive\n\n";
 
-/// What a watcher wants to see.
+/// The events a watcher asked for.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct EventQuery {
     filter: EventFilter,
-    /// Earlier events that come first.
+    /// Number of past events sent first.
     history: usize,
 }
 
 impl EventQuery {
-    /// Reads `?kind=A,B`, `?subject=TEXT` and `?history=N`; the error says in a
-    /// sentence what is wrong.
+    /// Parses `?kind=A,B`, `?subject=TEXT` and `?history=N`; the error is a sentence
+    /// that describes the problem.
     pub fn read(request: &Request) -> Result<Self, String> {
         let mut query = Self::default();
         for (name, value) in request.url().query_pairs() {
@@ -54,8 +54,8 @@
         .map_err(|_| "the query parameter `history` must be a whole number".to_owned())
 }
 
-/// The response that streams the events, and the work that writes it. It ends
-/// when the watcher leaves or the node stops as planned.
+/// Returns the response that streams the events, and the future that writes it. The
+/// future completes when the watcher disconnects or the node shuts down gracefully.
 pub(crate) fn watch(
     buffer: &EventBuffer,
     query: EventQuery,
@@ -66,13 +66,13 @@
     (response, stream(subscription, writer, stopping))
 }
 
-/// What a watcher's stream waits for.
+/// What a watcher's stream handles next.
 enum Next {
-    /// Something happened.
+    /// An event or a gap.
     Watched(Watched),
-    /// Nothing happened for a while.
+    /// The keep-alive interval passed without an event.
     Silence,
-    /// The node stops as planned, which a watcher must not hold up.
+    /// The node shuts down gracefully; an open stream must not delay that.
     Stopping,
 }
 
@@ -107,7 +107,7 @@
     }
 }
 
-/// An event or a gap, as `{"event":…}` or `{"gap":…}`.
+/// Serializes an event as `{"event":…}` or a gap as `{"gap":…}`.
 fn server_event(watched: &Watched) -> ServerEvent {
     let (name, id) = match watched {
         Watched::Event(event) => ("event", event.sequence.to_string()),
@@ -116,7 +116,7 @@
     ServerEvent {
         name: name.to_owned(),
         id,
-        // Plain fields always serialize.
+        // Serializing plain fields cannot fail.
         data: serde_json::to_string(watched).unwrap_or_default(),
     }
 }
--- a/crates/daemon/src/folder_lock.rs
+++ b/crates/daemon/src/folder_lock.rs
@@ -1,4 +1,4 @@
-//! Guards a data folder against a second process.
+//! Prevents a second process from using a data folder.
 
 use std::fs::{File, TryLockError};
 use std::path::Path;
@@ -7,20 +7,20 @@
 
 use crate::DaemonError;
 
-/// File in the data folder that is locked.
+/// Name of the lock file in the data folder.
 const FILE: &str = "lock";
 
-/// Holds the data folder for this process until dropped.
+/// An exclusive lock on the data folder, released on drop.
 #[derive(Debug)]
 pub(crate) struct FolderLock {
     _file: File,
 }
 
 impl FolderLock {
-    /// Takes `folder`, which is created when missing.
+    /// Locks `folder`, creating it if it is missing.
     ///
     /// # Errors
-    /// When another process holds it, or the system refuses.
+    /// When another process holds the lock, or the file system reports an error.
     pub fn take(folder: &Path) -> Result<Self, DaemonError> {
         RealDisk::open(folder)?;
         let path = folder.join(FILE);
--- a/crates/daemon/src/gateway/admin/mod.rs
+++ b/crates/daemon/src/gateway/admin/mod.rs
@@ -1,5 +1,5 @@
-//! Operators' interface: plans and their confirmation, what there is, and the
-//! stream of decisions.
+//! Operator API: plans and their confirmation, views of the state, and the event
+//! stream.
 
 mod plans;
 mod view;
@@ -14,7 +14,7 @@
 use super::error::ApiError;
 use super::state::GatewayState;
 
-/// First part of the path of every operators' call.
+/// Path prefix of the operator API.
 pub(super) const ADMIN_PREFIX: &str = "/admin/";
 
 /// Serves a path below [`ADMIN_PREFIX`].
--- a/crates/daemon/src/gateway/admin/plans.rs
+++ b/crates/daemon/src/gateway/admin/plans.rs
@@ -1,4 +1,4 @@
-//! Intents: what they would do, and their confirmation.
+//! Planning and confirmation of intents.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,21 +13,21 @@
 use super::super::error::ApiError;
 use super::super::state::GatewayState;
 
-/// Plans that this gateway remembers for a confirmation without the intent.
+/// Maximum number of plans kept for confirmations that omit the intent.
 const MOST_PLANS: usize = 256;
 
-/// Body of `POST /admin/plans`, and of a confirmation that carries the intent.
+/// Body of `POST /admin/plans`, and of a confirmation that includes the intent.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Intent {
     number: Option<IntentNumber>,
     operator: String,
-    /// Version that the operator looked at; the newest one when absent.
+    /// Configuration version the operator worked from; the newest one when absent.
     base_version: Option<ConfigVersion>,
     changes: Vec<Change>,
 }
 
-/// Intents that were planned here lately.
+/// Intents recently planned at this gateway.
 #[derive(Debug, Default)]
 pub(in super::super) struct PlanMemory {
     planned: Mutex<BTreeMap<IntentNumber, ConfirmIntent>>,
@@ -51,7 +51,7 @@
     }
 }
 
-/// Says what an intent would do; nothing changes.
+/// Returns the changes an intent would make, without applying them.
 pub(super) async fn plan(state: &Arc<GatewayState>, body: &[u8]) -> Result<Response, ApiError> {
     let intent = read_intent(body)?;
     let number = intent
@@ -82,10 +82,10 @@
     Ok(json_response(StatusCode::Ok, &plan))
 }
 
-/// Puts a planned intent in force. The body carries the intent, so that any
-/// gateway can take it; an empty one means what was planned at this gateway.
+/// Confirms a planned intent. The body carries the intent, so that any gateway can
+/// handle the request; an empty body refers to the intent planned at this gateway.
 /// Every decision of the control group is a successful answer whose `result`
-/// says what was decided.
+/// contains the decision.
 pub(super) async fn confirm(
     state: &Arc<GatewayState>,
     number: &str,
--- a/crates/daemon/src/gateway/admin/view.rs
+++ b/crates/daemon/src/gateway/admin/view.rs
@@ -1,4 +1,4 @@
-//! What there is, by kind.
+//! Read-only views of the cluster, by kind.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 use super::super::error::ApiError;
 use super::super::state::GatewayState;
 
-/// A back end as this gateway sees it.
+/// A back end as seen by this gateway.
 #[derive(Clone, Debug, Serialize)]
 struct BackendView {
     id: BackendId,
@@ -29,13 +29,13 @@
     state: String,
     models: Vec<String>,
     adapters: Vec<String>,
-    /// Gateway that owns its batch work, as far as known here.
+    /// Gateway that owns its batch work, if known here.
     owner: Option<NodeId>,
-    /// Online requests of this gateway there.
+    /// Online requests of this gateway in flight there.
     load: Option<f64>,
 }
 
-/// A registered node and what is in force there.
+/// A registered node and its active configuration version.
 #[derive(Clone, Debug, Serialize)]
 struct NodeView {
     id: NodeId,
@@ -49,7 +49,7 @@
     version_in_force: Option<ConfigVersion>,
 }
 
-/// The version in force on one node.
+/// The active configuration version of one node.
 #[derive(Clone, Debug, Serialize)]
 struct VersionView {
     node: NodeId,
@@ -66,15 +66,15 @@
     action: String,
 }
 
-/// What one engine holds for its service.
+/// The model placement of one engine.
 #[derive(Clone, Debug, Serialize)]
 struct PlacementView {
     service: ServiceName,
     backend: BackendId,
     model: Option<ModelName>,
-    /// Copies that the service wants on all of its engines together.
+    /// Replicas that the service wants over all of its engines.
     wanted: u32,
-    /// `ready`, `without-model`, or the engine's state when it takes no work.
+    /// `ready`, `without-model`, or the engine's state when it accepts no new work.
     state: String,
 }
 
--- a/crates/daemon/src/gateway/admin/watch.rs
+++ b/crates/daemon/src/gateway/admin/watch.rs
@@ -1,4 +1,4 @@
-//! The stream of decisions, for operators.
+//! The event stream of the operator API.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use super::super::state::GatewayState;
 use crate::event_stream::{EventQuery, watch};
 
-/// Streams events as they happen, see [`EventQuery`].
+/// Streams events as they happen; see [`EventQuery`].
 pub(super) fn events(state: &Arc<GatewayState>, request: &Request) -> Result<Response, ApiError> {
     let query =
         EventQuery::read(request).map_err(|message| ApiError::bad_request("bad_query", message))?;
--- a/crates/daemon/src/gateway/admission.rs
+++ b/crates/daemon/src/gateway/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of online requests: drives the core and wakes those who wait.
+//! Admission of online requests: drives the admission core and wakes queued requests.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -14,10 +14,10 @@
 
 use super::state::GatewayState;
 
-/// How the wait of a queued request ended.
+/// Result of a queued request's wait.
 type WaitEnd = Result<(), Refusal>;
 
-/// The admission core and those who wait for it.
+/// The admission core and the requests queued in it.
 #[derive(Debug)]
 pub(super) struct AdmissionDesk {
     desk: Mutex<Desk>,
@@ -37,7 +37,7 @@
                 AdmissionOutput::Refused(ticket, refusal) => (ticket, Err(refusal)),
             };
             if let Some(waiter) = self.waiting.remove(&ticket) {
-                // The channel has room for the one message that is ever sent.
+                // The channel has capacity for the only message that is ever sent.
                 let _sent = waiter.try_send(end);
             }
         }
@@ -47,13 +47,13 @@
 /// Why a request was not admitted.
 #[derive(Debug)]
 pub(super) enum NotAdmitted {
-    /// It is refused for good and did not run.
+    /// The request was rejected and did not run.
     Refused(Refusal),
-    /// Its caller went away while it waited.
+    /// The caller disconnected while the request was queued.
     CallerGone,
 }
 
-/// The right of one request to run. Dropping it gives the place back.
+/// Permission for one request to run. Dropping it releases the concurrency slot.
 #[derive(Debug)]
 pub(super) struct Permit<'a> {
     state: &'a GatewayState,
@@ -62,7 +62,7 @@
 }
 
 impl Permit<'_> {
-    /// Notes that the request reached a back end.
+    /// Records that the request was sent to a back end.
     pub(super) fn note_run(&mut self) {
         self.ran = true;
     }
@@ -95,7 +95,7 @@
 }
 
 impl GatewayState {
-    /// Puts services and tenant policies in force.
+    /// Applies the limits of services and the policies of tenants.
     pub(super) fn configure_admission(
         &self,
         services: BTreeMap<ServiceName, ServiceLimits>,
@@ -106,15 +106,15 @@
         desk.wake(outputs);
     }
 
-    /// Refuses everything that waits.
+    /// Rejects every queued request.
     pub(super) fn refuse_waiting(&self, code: RefusalCode) {
         let mut desk = self.admission.lock();
         let outputs = desk.core.refuse_waiting(code);
         desk.wake(outputs);
     }
 
-    /// Takes capacities over from engine choice and lets time pass. Returns
-    /// whether anything waits.
+    /// Updates capacities from engine selection and advances the queue's clock. Returns
+    /// whether any request is queued.
     pub(super) fn tick_admission(&self) -> bool {
         let now = self.clock.now();
         let capacities = self.pickers.capacities(now);
@@ -127,7 +127,7 @@
         desk.core.waiting() > 0
     }
 
-    /// Admits a request now, after a wait in the queue, or not at all.
+    /// Admits a request immediately or after queueing, or rejects it.
     pub(super) async fn admit(
         &self,
         tenant: &TenantId,
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Offers a request to the core; a receiver comes with one that waits.
+    /// Offers a request to the core; returns a receiver when the request is queued.
     fn offer(
         &self,
         tenant: &TenantId,
@@ -207,8 +207,8 @@
         }
     }
 
-    /// Takes a request whose caller left out of the queue. Its turn may have
-    /// come in the same moment; then its place is given back.
+    /// Removes a request whose caller disconnected from the queue. If it was admitted
+    /// in the meantime, its concurrency slot is released.
     fn abandon(&self, ticket: Ticket, wait: &Receiver<WaitEnd>) {
         let mut desk = self.admission.lock();
         desk.waiting.remove(&ticket);
--- a/crates/daemon/src/gateway/answer.rs
+++ b/crates/daemon/src/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! The answer of one attempt, checked token by token, or why there is none.
+//! The answer stream of one attempt, validated token by token, and its failures.
 
 use std::net::SocketAddr;
 
@@ -7,10 +7,10 @@
 use molespan_routing::retry::{AttemptEnd, AttemptRef, StreamCheck, check_attempt};
 use molespan_types::{AttemptId, BackendId, Incarnation, RunOutcome};
 
-/// Longest error body that is read.
+/// Maximum length of an error body that is read.
 const MAX_ERROR_BYTES: usize = 1024 * 1024;
 
-/// A back end's life and where it is.
+/// One incarnation of a back end and its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Target {
     pub(super) backend: BackendId,
@@ -19,7 +19,7 @@
 }
 
 impl Target {
-    /// This attempt on this back end.
+    /// Returns the reference to `attempt` on this back end.
     pub(super) fn attempt(&self, attempt: AttemptId) -> AttemptRef {
         AttemptRef {
             attempt,
@@ -29,16 +29,16 @@
     }
 }
 
-/// Why an attempt, or a try to resume it, has no whole answer.
+/// Why an attempt, or an attempt to resume it, has no complete answer.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptFailure {
-    /// What is known of its run.
+    /// What is known about its execution.
     pub(super) end: AttemptEnd,
-    /// One sentence for people.
+    /// Human-readable cause, one sentence.
     pub(super) cause: String,
-    /// Whether the back end said nothing for too long.
+    /// Whether the back end stopped sending data for too long.
     pub(super) silent: bool,
-    /// What the back end itself said, if it answered.
+    /// The back end's own error, if it answered.
     pub(super) refusal: Option<BackendRefusal>,
 }
 
@@ -50,19 +50,19 @@
 }
 
 impl BackendRefusal {
-    /// Whether it was refused for the back end's load.
+    /// Whether the back end rejected the request because of overload.
     pub(super) fn is_overload(&self) -> bool {
         matches!(self.status, 429 | 503) && self.detail.outcome == RunOutcome::NotRun
     }
 
-    /// Whether every back end would refuse the request in the same way.
+    /// Whether every back end would reject the request in the same way.
     pub(super) fn is_final(&self) -> bool {
         matches!(self.status, 400 | 413 | 422) && self.detail.outcome == RunOutcome::NotRun
     }
 }
 
 impl AttemptFailure {
-    /// The connection broke or the answer failed its checks.
+    /// The connection broke or the answer failed validation.
     pub(super) fn broken(cause: impl ToString) -> Self {
         Self {
             end: AttemptEnd::Broken,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// The back end said nothing for too long.
+    /// The back end sent no data for too long.
     pub(super) fn silent(cause: impl ToString) -> Self {
         Self {
             silent: true,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The request could not be sent, or its answer did not begin.
+    /// The request could not be sent, or no response arrived.
     pub(super) fn of_send(error: &SendError) -> Self {
         let end = match error.outcome() {
             RunOutcome::NotRun => AttemptEnd::NotSent,
@@ -93,7 +93,7 @@
         }
     }
 
-    /// The answer broke off.
+    /// The answer stream was interrupted.
     fn of_event(error: &EventError) -> Self {
         Self {
             silent: *error == EventError::Body(BodyError::Stalled),
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The request cannot be expressed towards the back end.
+    /// The request cannot be expressed in the back end's protocol.
     pub(super) fn not_sent(cause: impl ToString) -> Self {
         Self {
             end: AttemptEnd::NotSent,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The answer can no longer be had.
+    /// The answer can no longer be obtained.
     pub(super) fn lost(cause: impl ToString) -> Self {
         Self {
             end: AttemptEnd::Lost,
@@ -118,13 +118,13 @@
     }
 }
 
-/// A token of an answer as it came.
+/// One received token of an answer.
 #[derive(Debug)]
 pub(super) struct Token {
     pub(super) chunk: CompletionChunk,
 }
 
-/// The checked answer of one attempt.
+/// The validated answer stream of one attempt.
 #[derive(Debug)]
 pub(super) struct AnswerStream {
     events: EventStream,
@@ -132,7 +132,7 @@
 }
 
 impl AnswerStream {
-    /// The next token; `None` once the answer is whole.
+    /// Returns the next token; `None` once the answer is complete.
     pub(super) async fn next(&mut self) -> Result<Option<Token>, AttemptFailure> {
         let event = self.events.next().await;
         let event = event.map_err(|error| AttemptFailure::of_event(&error))?;
@@ -148,7 +148,7 @@
     }
 }
 
-/// The answer in a response, or what the back end said instead.
+/// Returns the answer stream of a response, or the failure that the back end reported.
 pub(super) async fn answer_stream(
     response: ClientResponse,
     attempt: AttemptId,
@@ -164,7 +164,7 @@
     })
 }
 
-/// The failure that an error response tells of. Its attempt was checked.
+/// Converts an error response to a failure. The caller has checked its attempt header.
 pub(super) async fn failure_of(response: ClientResponse) -> AttemptFailure {
     let status = response.status();
     let Some(refusal) = refusal_of(response).await else {
@@ -181,7 +181,7 @@
     }
 }
 
-/// The typed error in a response.
+/// Parses the typed error of a response.
 pub(super) async fn refusal_of(response: ClientResponse) -> Option<BackendRefusal> {
     let status = u16::from(response.status());
     let body = response.json::<ErrorBody>(MAX_ERROR_BYTES).await.ok()?;
--- a/crates/daemon/src/gateway/application.rs
+++ b/crates/daemon/src/gateway/application.rs
@@ -1,4 +1,4 @@
-//! Application services: any request, passed through as ordinary HTTP.
+//! Application services: requests passed through as plain HTTP.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -18,13 +18,13 @@
 use super::state::GatewayState;
 use super::validation::{Repeatability, repeatability_of, tenant_of};
 
-/// First part of the path of every application service.
+/// Path prefix of application services.
 pub(super) const SERVICES_PREFIX: &str = "/services/";
-/// Longest answer that is held in memory; longer ones are refused.
+/// Maximum length of an answer, which is buffered in memory; longer ones are rejected.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// When to come back while no back end takes work.
+/// Retry delay reported to callers while no back end accepts work.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Headers that concern one connection only, or that the gateway sets itself.
+/// Headers that are hop-by-hop, or that the gateway sets itself.
 const OWN_HEADERS: [&str; 7] = [
     "connection",
     "content-length",
@@ -70,7 +70,7 @@
         })
     }
 
-    /// Digest of everything that makes it the same request.
+    /// Digest that identifies repeated submissions of the same request.
     fn digest(&self) -> Digest {
         let mut content =
             format!("{}\n{}\n{}\n", self.service, self.method, self.path).into_bytes();
@@ -79,7 +79,7 @@
     }
 }
 
-/// Whether a method may be repeated by the rules of HTTP.
+/// Whether a method is idempotent according to HTTP.
 fn is_repeatable(method: Method) -> bool {
     matches!(
         method,
@@ -87,13 +87,13 @@
     )
 }
 
-/// A whole answer of a back end.
+/// A complete answer of a back end.
 struct WholeAnswer {
     head: Response,
     body: Vec<u8>,
 }
 
-/// Passes a request through to a back end of its service.
+/// Forwards a request to a back end of its service.
 pub(super) async fn serve_application(
     state: &Arc<GatewayState>,
     request: &Request,
@@ -141,7 +141,7 @@
     answer.map(|answer| run.response(answer))
 }
 
-/// One request.
+/// The execution of one request.
 struct Run<'a> {
     state: &'a Arc<GatewayState>,
     asked: &'a Asked,
@@ -190,7 +190,7 @@
                     None => return Err(self.failure(RunOutcome::Unknown)),
                 },
                 NextStep::Fail { outcome } => return Err(self.failure(outcome)),
-                // Application back ends keep no answers.
+                // Application back ends do not store answers.
                 NextStep::Resume { .. } | NextStep::AskStatus { .. } => {
                     return Err(self.failure(RunOutcome::Unknown));
                 }
@@ -251,7 +251,7 @@
             .with_budget(service, |budget| steps.ended(now, end, budget))
     }
 
-    /// Sends the request and reads its whole answer.
+    /// Sends the request and reads its complete answer.
     async fn exchange(
         &self,
         in_flight: &mut InFlight,
@@ -342,7 +342,7 @@
     }
 }
 
-/// Whether a back end itself says that it did not run the request.
+/// Whether the back end reports that it did not run the request.
 fn says_not_run(response: &ClientResponse) -> bool {
     response.header(OUTCOME_HEADER) == Some("not-run") && !response.status().is_success()
 }
--- a/crates/daemon/src/gateway/attempts.rs
+++ b/crates/daemon/src/gateway/attempts.rs
@@ -1,5 +1,5 @@
-//! The attempts of one completion: where each is sent, how its answer is
-//! followed, and what is done when it breaks.
+//! The attempts of one completion: back-end selection, reading the answer, and
+//! recovery from failures.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,13 +19,13 @@
 use super::state::GatewayState;
 use super::validation::Repeatability;
 
-/// Time between two looks at whether an engine was given up.
+/// Polling interval for whether an engine was given up.
 const GIVEN_UP_LOOK: Duration = Duration::from_millis(250);
-/// Pause before an engine is asked about an attempt again.
+/// Delay before an engine is asked for the status of an attempt.
 const QUESTION_PAUSE: Duration = Duration::from_millis(50);
 
 impl Run<'_> {
-    /// Sends the request as a new attempt to an engine that is not excluded.
+    /// Sends the request as a new attempt to an engine outside of `exclude`.
     pub(super) async fn dispatch(&mut self, exclude: &[BackendId]) -> Result<NextStep, Ending> {
         let asked = self.asked;
         let wanted = PickRequest {
@@ -67,14 +67,14 @@
         self.follow(started, attempt, 0).await
     }
 
-    /// Takes the rest of an answer up where it broke.
+    /// Resumes an interrupted answer.
     pub(super) async fn resume(
         &mut self,
         attempt: AttemptRef,
         offset: u32,
     ) -> Result<NextStep, Ending> {
-        // The last token comes again, so that there is one also when only the
-        // end of the stream was lost.
+        // Requests the last token again, so that the answer has at least one token even if
+        // only the end of the stream was lost.
         let offset = offset.max(self.sink.tokens()).saturating_sub(1);
         self.state.metrics.resumed();
         self.state.events.record(
@@ -98,7 +98,7 @@
         self.follow(resumed, attempt.attempt, offset).await
     }
 
-    /// Passes the tokens of an answer on to its end.
+    /// Forwards the tokens of an answer until it ends.
     async fn follow(
         &mut self,
         answer: Result<AnswerStream, AttemptFailure>,
@@ -141,8 +141,8 @@
         }
     }
 
-    /// The next token of an answer. A request that may run elsewhere does not
-    /// wait for an engine that was given up meanwhile.
+    /// Returns the next token of an answer. A request that may run elsewhere stops waiting
+    /// when its engine is given up.
     async fn next_token(&self, answer: &mut AnswerStream) -> Result<Option<Token>, AttemptFailure> {
         let given_up = async {
             match self.in_flight.as_ref().filter(|_| self.may_leave()) {
@@ -154,7 +154,7 @@
         future::or(answer.next(), given_up).await
     }
 
-    /// Whether the request may run elsewhere without asking what became of it.
+    /// Whether the request may be retried elsewhere without asking for its status.
     fn may_leave(&self) -> bool {
         let repeatable = self.asked.repeatability == Repeatability::Repeatable;
         repeatable && self.sink.passed() == 0
@@ -170,9 +170,9 @@
         }
     }
 
-    /// The attempt, or a try to resume it, failed.
+    /// Handles the failure of the attempt, or of an attempt to resume it.
     fn failed(&mut self, failure: AttemptFailure) -> Result<NextStep, Ending> {
-        // There is no use in asking an engine that fell silent for the rest.
+        // Asking a silent engine for the rest of the answer would only cost time.
         let end = match failure.end {
             AttemptEnd::Broken if failure.silent && self.may_leave() => AttemptEnd::Lost,
             end => end,
@@ -214,7 +214,7 @@
             .with_budget(&self.asked.service, |budget| steps.ended(now, end, budget))
     }
 
-    /// Asks the engine what became of an attempt.
+    /// Asks the engine for the status of an attempt.
     pub(super) async fn ask(&mut self, attempt: AttemptRef) -> NextStep {
         Timer::after(QUESTION_PAUSE).await;
         let target = self.in_flight.as_ref().map(InFlight::target);
@@ -270,14 +270,14 @@
 }
 
 impl GatewayState {
-    /// Resolves once a back end that a request went to was given up.
+    /// Resolves once the back end of a request has been given up.
     pub(super) async fn until_given_up(&self, target: &Target) {
         while !self.is_given_up(target) {
             Timer::after(GIVEN_UP_LOOK).await;
         }
     }
 
-    /// Stops an attempt whose answer nobody will read.
+    /// Cancels an attempt whose answer is no longer needed.
     pub(super) fn abandon_attempt(self: &Arc<Self>, in_flight: &InFlight) {
         let (target, attempt) = (in_flight.target(), in_flight.attempt);
         let state = self.clone();
--- a/crates/daemon/src/gateway/batch_api.rs
+++ b/crates/daemon/src/gateway/batch_api.rs
@@ -1,4 +1,4 @@
-//! Batch jobs as callers see them: submission, status, results, cancel, list.
+//! HTTP API of batch jobs: status, results, cancellation and listing.
 
 use std::sync::Arc;
 
@@ -15,41 +15,41 @@
 use super::validation::query_number;
 use crate::cluster::ResultPage;
 
-/// Path of batch jobs.
+/// Path of the batch job API.
 pub(super) const BATCHES_PATH: &str = "/v1/batches";
-/// Results read at once.
+/// Results read from the group per page.
 const RESULTS_PER_PAGE: u32 = 500;
-/// Pieces of a result listing that wait for a slow caller.
+/// Result pages buffered for a slow caller.
 const RESULT_PIECES: usize = 4;
-/// Jobs in a listing.
+/// Default number of jobs in a listing.
 const LISTED_JOBS: u32 = 100;
-/// Most jobs in a listing.
+/// Maximum number of jobs in a listing.
 const MOST_LISTED_JOBS: u64 = 10_000;
 
-/// A job as callers see it.
+/// A job as shown to callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
-    /// Identifier, for every other call.
+    /// Identifier used in every other call.
     pub id: String,
     /// `submitting`, `running`, `cancelling`, `cancelled` or `completed`.
     pub state: JobPhase,
-    /// Items that it will have.
+    /// Total number of items.
     pub items: u32,
     /// Items received so far.
     pub received: u32,
-    /// Items with an answer.
+    /// Items that completed with an answer.
     pub completed: u32,
-    /// Items refused for good.
+    /// Items that were permanently rejected.
     pub failed: u32,
-    /// Items that may have run once and whose answer is lost.
+    /// Items that may have run once and whose answer was lost.
     pub unknown: u32,
-    /// Items that engines run now.
+    /// Items currently leased to run on engines.
     pub leased: u32,
-    /// Who submitted it.
+    /// Tenant that submitted the job.
     pub tenant: TenantId,
-    /// Its key.
+    /// The idempotency key of the submission.
     pub key: String,
-    /// Service that runs it.
+    /// Service that runs the job.
     pub service: ServiceName,
     /// Deadline in seconds since the Unix epoch.
     pub deadline_unix_seconds: u64,
@@ -81,7 +81,7 @@
     pub item: u32,
     /// `completed`, `failed` or `unknown`.
     pub outcome: String,
-    /// Generated text, or the reason of a failure.
+    /// Generated text, or the reason for a failure.
     pub text: String,
 }
 
@@ -152,7 +152,7 @@
     }
 }
 
-/// Lists jobs of all groups, newest first within each.
+/// Lists jobs of all groups, newest first within each group.
 pub(super) async fn list(
     state: &Arc<GatewayState>,
     request: &Request,
@@ -164,7 +164,7 @@
 }
 
 impl GatewayState {
-    /// The newest jobs of every group.
+    /// Returns the newest jobs of every group.
     pub(super) async fn list_jobs(&self, limit: u32) -> Result<Vec<JobView>, ApiError> {
         let mut jobs = Vec::new();
         for group in 1..=self.options.job_groups {
@@ -176,7 +176,7 @@
     }
 }
 
-/// Streams results as JSON lines, page by page.
+/// Streams results as JSON lines, one page at a time.
 async fn results(
     state: &Arc<GatewayState>,
     request: &Request,
@@ -188,7 +188,7 @@
     if state.cluster.job_status(group, job).await?.is_none() {
         return Err(unknown_job());
     }
-    // The first page comes before the head, so that a failure has its status.
+    // Reads the first page before sending the head, so that a failure sets the status.
     let limit = RESULTS_PER_PAGE;
     let page = state.cluster.job_results(group, job, from, limit).await?;
     let (writer, mut response) = event_response(RESULT_PIECES);
@@ -201,8 +201,8 @@
 }
 
 impl GatewayState {
-    /// Writes page after page. When a later one cannot be read, the response
-    /// is cut, so that the caller sees that it is not whole.
+    /// Writes all pages. If a later page cannot be read, the response is truncated, so
+    /// that the caller can tell that it is incomplete.
     async fn stream_results(
         &self,
         writer: EventWriter,
@@ -230,7 +230,7 @@
 fn json_lines(records: Vec<ItemRecord>) -> Vec<u8> {
     let mut lines = Vec::new();
     for record in records {
-        // Lines of plain fields always serialize.
+        // Serializing plain fields cannot fail.
         let line = serde_json::to_vec(&ResultLine::from(record)).unwrap_or_default();
         lines.extend_from_slice(&line);
         lines.push(b'\n');
--- a/crates/daemon/src/gateway/batch_driver.rs
+++ b/crates/daemon/src/gateway/batch_driver.rs
@@ -1,7 +1,7 @@
-//! Drives the batch owner: hands inputs in, carries outputs out in order.
+//! Drives the batch owner core: feeds it inputs and executes its outputs in order.
 //!
-//! Outputs are carried out under the core's lock, so that those of two inputs
-//! never cross. None of them waits there: streams and calls run as tasks.
+//! Outputs are executed under the core's lock, so that the outputs of two inputs
+//! never interleave. None of them blocks there: streams and calls run as tasks.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -22,15 +22,15 @@
 use super::options::{GatewayOptions, PreemptionPolicy};
 use super::state::GatewayState;
 
-/// Tail protection until a configuration is in force.
+/// Tail protection until a configuration is active.
 const INITIAL_TAIL_PROTECTION: u8 = 50;
-/// Share of an item lease between two renewals.
+/// Number of renewals per item lease duration.
 const RENEWALS_IN_LEASE: u32 = 5;
-/// Longest and shortest time between two looks at what is due.
+/// Upper and lower bound of the interval between ticks of the batch owner.
 const LONGEST_TICK: Duration = Duration::from_millis(50);
 const SHORTEST_TICK: Duration = Duration::from_millis(1);
 
-/// The batch owner and its streams.
+/// The batch owner core and its streams.
 #[derive(Debug)]
 pub(super) struct BatchDriver {
     inner: Mutex<Inner>,
@@ -42,9 +42,9 @@
 struct Inner {
     owner: BatchOwner,
     streams: HashMap<StreamId, Sender<StreamCommand>>,
-    /// Engines as the owner was told of them.
+    /// The engines last announced to the owner.
     announced: BTreeMap<BackendId, Announced>,
-    /// The gateway, for tasks that outputs start.
+    /// The gateway, used by tasks that outputs start.
     state: Weak<GatewayState>,
 }
 
@@ -80,13 +80,13 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The gateway, while it lives.
+    /// Returns the gateway while it is alive.
     pub(super) fn gateway(&self) -> Option<Arc<GatewayState>> {
         self.lock().state.upgrade()
     }
 
-    /// Leases on items that a planned stop must still hand over; at least one
-    /// until every request to a job group is answered.
+    /// Returns the number of item leases that a graceful stop must still return; at least
+    /// one until every request to a job group has been answered.
     pub(super) fn left_to_return(&self) -> usize {
         if self.drained.load(Ordering::SeqCst) {
             return 0;
@@ -94,7 +94,7 @@
         self.lock().owner.leases_held().max(1)
     }
 
-    /// Whether an input is left out by a baseline without preemption.
+    /// Whether an input is ignored because preemption is disabled.
     fn ignores(&self, input: &BatchInput) -> bool {
         let online = matches!(
             input,
@@ -106,9 +106,9 @@
         online && self.preemption != PreemptionPolicy::OnArrival
     }
 
-    /// The same input with every request taken for batch work, for a baseline
-    /// without preemption. An engine cannot tell them apart for the owner there,
-    /// and one that seems to run none would never be given more.
+    /// Counts every request in a load sample as batch work if preemption is disabled.
+    /// The engine cannot distinguish batch from online requests for the owner then, and
+    /// an engine that appears to run no batch work would never be given more.
     fn adjusted(&self, input: BatchInput) -> BatchInput {
         match input {
             BatchInput::Load(mut sample) if self.preemption != PreemptionPolicy::OnArrival => {
@@ -129,12 +129,12 @@
         self.batch.lock().state = Arc::downgrade(self);
     }
 
-    /// Carries no further output of the batch owner out.
+    /// Stops executing outputs of the batch owner.
     pub(super) fn disconnect_batch(&self) {
         self.batch.lock().state = Weak::new();
     }
 
-    /// Hands an input to the batch owner and carries its outputs out.
+    /// Feeds an input to the batch owner and executes its outputs.
     pub(super) fn batch_input(&self, input: BatchInput) {
         if self.batch.ignores(&input) {
             return;
@@ -153,7 +153,7 @@
         }
     }
 
-    /// Lets time pass for the batch owner until the gateway stops.
+    /// Ticks the batch owner until the gateway stops.
     pub(super) async fn tick_batch(self: Arc<Self>) {
         loop {
             self.batch_input(BatchInput::Tick);
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Tells the batch owner which engines it has and which of them take work.
+    /// Updates the batch owner's engines and which of them accept work.
     pub(super) fn refresh_owned_engines(&self, configuration: &Configuration) {
         let wanted = self.owned_engines(configuration);
         let inputs = {
@@ -196,7 +196,7 @@
     }
 }
 
-/// What the owner must be told.
+/// Returns the inputs that bring the owner from `before` to `after`.
 fn changes(
     before: &BTreeMap<BackendId, Announced>,
     after: &BTreeMap<BackendId, Announced>,
@@ -246,7 +246,7 @@
 
     fn command(&mut self, stream: StreamId, command: StreamCommand) {
         if let Some(commands) = self.streams.get(&stream) {
-            // A stream that ended takes no commands, and that is all right.
+            // A stream that has ended receives no commands; that is not an error.
             let _ended = commands.try_send(command);
         }
     }
--- a/crates/daemon/src/gateway/batch_events.rs
+++ b/crates/daemon/src/gateway/batch_events.rs
@@ -1,4 +1,4 @@
-//! The batch owner's decisions as events.
+//! Records the batch owner's decisions as events.
 
 use molespan_routing::batch::BatchDecision;
 use molespan_telemetry::EventKind;
--- a/crates/daemon/src/gateway/batch_groups.rs
+++ b/crates/daemon/src/gateway/batch_groups.rs
@@ -9,7 +9,7 @@
 use crate::cluster::ClusterError;
 
 impl GatewayState {
-    /// Sends one request of the batch owner and hands the reply to it.
+    /// Sends one request of the batch owner and feeds the reply back to it.
     pub(super) async fn call_group(&self, output: BatchOutput) {
         let (request, reply) = match output {
             BatchOutput::LeaseItems {
--- a/crates/daemon/src/gateway/batch_stream.rs
+++ b/crates/daemon/src/gateway/batch_stream.rs
@@ -1,4 +1,4 @@
-//! One batch item on its way at an engine.
+//! Execution of one batch item on an engine.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,32 +21,32 @@
 use super::state::GatewayState;
 use super::validation::{engine_body, max_tokens_of, parse_fields};
 
-/// Pause between questions about an attempt.
+/// Delay before an engine is asked for the status of an attempt.
 const QUESTION_PAUSE: Duration = Duration::from_millis(50);
-/// Pause before an engine that does not know a stream yet is told again to
-/// hold it back.
+/// Delay before a pause request is repeated to an engine that does not know the stream
+/// yet.
 const HOLD_PAUSE: Duration = Duration::from_millis(3);
-/// The owner hears of every so many tokens of a stream.
+/// Progress is reported to the batch owner once per this many tokens of a stream.
 const TOKENS_PER_REPORT: u32 = 16;
-/// Times that it is told.
+/// Maximum number of pause requests for one command.
 const MOST_HOLDS: u32 = 100;
 
-/// What the batch owner wants of a stream.
+/// A command of the batch owner to a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StreamCommand {
-    /// Hold it back.
+    /// Pause the stream.
     Pause,
-    /// Let it go on.
+    /// Resume the stream.
     Resume,
-    /// Stop it; nothing more is expected of it.
+    /// Cancel the stream; its result is discarded.
     Cancel,
 }
 
-/// A batch item that was handed out to run.
+/// A batch item dispatched to run.
 #[derive(Clone, Debug)]
 pub(super) struct BatchItem {
     pub(super) stream: StreamId,
-    /// Where it runs; `None` when the engine is no longer known.
+    /// The engine to run on; `None` when the engine is no longer known.
     pub(super) target: Option<Target>,
     pub(super) service: ServiceName,
     pub(super) job: JobId,
@@ -55,11 +55,11 @@
     pub(super) input: Vec<u8>,
 }
 
-/// How a stream ended for the owner; `None` after a cancel.
+/// How a stream ended, as reported to the owner; `None` after a cancel.
 type StreamEnd = Option<ItemEnd>;
 
 impl GatewayState {
-    /// Runs an item to its end, unless it is cancelled first.
+    /// Runs an item to completion, unless it is cancelled first.
     pub(super) async fn run_batch_item(
         self: Arc<Self>,
         item: BatchItem,
@@ -69,7 +69,7 @@
             self.metrics.batch_item("cancelled");
             return;
         };
-        // No further command is taken from here on.
+        // The stream accepts no further commands.
         commands.close();
         let label = match &end {
             ItemEnd::Completed(_) => "completed",
@@ -116,8 +116,8 @@
         future::or(running, commanded).await
     }
 
-    /// The model of a service, whether or not this node may take new work:
-    /// leased items are accepted work.
+    /// Returns the model of a service, whether or not this node may accept new work:
+    /// leased items have already been accepted.
     fn batch_model(&self, service: &ServiceName) -> Result<String, ()> {
         let configuration = self.configuration.in_force().ok_or(())?;
         let service = configuration.services.get(service).ok_or(())?;
@@ -125,7 +125,7 @@
         Ok(model.0.clone())
     }
 
-    /// Carries commands out in their order; returns after a cancel.
+    /// Executes commands in order; returns after a cancel.
     async fn obey(
         &self,
         target: Target,
@@ -133,7 +133,7 @@
         commands: &Receiver<StreamCommand>,
         cancelled: &AtomicBool,
     ) {
-        // A stream that the owner forgot is as good as cancelled.
+        // A closed channel means that the owner dropped the stream, which equals a cancel.
         while let Ok(command) = commands.recv().await {
             match command {
                 StreamCommand::Pause => self.hold(target, attempt, true, commands).await,
@@ -146,9 +146,9 @@
         self.engines.cancel(batch, target.address, attempt).await;
     }
 
-    /// Tells the engine to hold a stream back or let it go on. One that the
-    /// engine does not know yet is on its way there, so it is told again,
-    /// unless the owner changes its mind.
+    /// Asks the engine to pause or resume a stream. A pause that answers 404 is retried,
+    /// because the stream is still on its way to the engine, until the owner sends another
+    /// command.
     async fn hold(
         &self,
         target: Target,
@@ -167,12 +167,12 @@
     }
 }
 
-/// One item.
+/// The execution of one batch item.
 struct ItemRun<'a> {
     state: &'a GatewayState,
     item: &'a BatchItem,
-    /// Set before the engine is told to cancel: the stream breaks then, which
-    /// says nothing against the engine.
+    /// Set before the engine is asked to cancel: the stream then breaks, which does not
+    /// count as a failure of the engine.
     cancelled: &'a AtomicBool,
     target: Target,
     attempt: AttemptId,
@@ -187,7 +187,7 @@
             repeatable: self.item.repeatable,
             resumable: true,
         });
-        // Runs elsewhere are the owner's to decide.
+        // Disables retries: only the owner decides to run an item elsewhere.
         let mut budget = RetryBudget::new(RetryBudgetSettings {
             ratio: 0.0,
             reserve_per_second: 0.0,
@@ -197,7 +197,7 @@
         loop {
             let now = self.state.clock.now();
             next = match next {
-                // The lease on the item is the claim on it.
+                // The lease on the item serves as its claim.
                 NextStep::Claim => steps.claim_answered(ClaimAnswer::Granted),
                 NextStep::Dispatch => {
                     let attempt = self.target.attempt(self.attempt);
@@ -252,14 +252,14 @@
 
     async fn resume(&self, attempt: AttemptRef) -> Result<AnswerStream, AttemptFailure> {
         self.state.metrics.resumed();
-        // The last token comes again, so that there is one also when only the
-        // end of the stream was lost.
+        // Requests the last token again, so that the answer has at least one token even if
+        // only the end of the stream was lost.
         let offset = self.tokens.saturating_sub(1);
         let address = self.target.address;
         self.state.engines.resume(address, &attempt, offset).await
     }
 
-    /// Collects the answer; an error is the reason of a final refusal.
+    /// Collects the answer; an error is the reason for a permanent rejection.
     async fn follow(
         &mut self,
         answer: Result<AnswerStream, AttemptFailure>,
@@ -281,7 +281,7 @@
             }
             self.text.push_str(&token.chunk.text);
             self.tokens = token.chunk.offset + 1;
-            // The owner acts on the first token and compares the rest roughly.
+            // The owner needs the first token exactly; for later ones an estimate is enough.
             if self.tokens % TOKENS_PER_REPORT == 1 {
                 self.state.batch_input(BatchInput::Progress {
                     stream: self.item.stream,
@@ -292,8 +292,8 @@
         Ok(())
     }
 
-    /// The output of `work`. An item that may run again does not wait for an
-    /// engine that was given up.
+    /// Awaits `work`. A repeatable item stops waiting when its engine has been given
+    /// up.
     async fn unless_given_up<T>(
         &self,
         work: impl Future<Output = Result<T, AttemptFailure>>,
@@ -319,14 +319,14 @@
         if said.is_none() && !self.cancelled.load(Ordering::Relaxed) {
             self.state.note_batch_failure(&self.target);
         }
-        slog::debug!(self.state.logger, "A batch stream failed.";
+        slog::debug!(self.state.logger, "batch stream failed";
             "job" => %self.item.job, "item" => self.item.item.0, "cause" => failure.cause);
         Ok(failure.end)
     }
 }
 
 impl GatewayState {
-    /// A batch stream broke by no word of the engine.
+    /// Records a batch stream failure that the engine did not report itself.
     fn note_batch_failure(&self, target: &Target) {
         let input = DirectoryInput::Work {
             backend: target.backend,
--- a/crates/daemon/src/gateway/batch_submission.rs
+++ b/crates/daemon/src/gateway/batch_submission.rs
@@ -16,19 +16,19 @@
 use super::validation::{check_item, query_number, query_text, tenant_of};
 use crate::wall_clock::unix_millis;
 
-/// Longest job key in bytes.
+/// Maximum length of a job key in bytes.
 const MAX_KEY_BYTES: usize = 256;
-/// Findings about a submission that are told.
+/// Maximum number of problems reported for one submission.
 const MOST_FINDINGS: usize = 20;
-/// Deadline of a job that names none.
+/// Default deadline of a job.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(24 * 3_600);
-/// Items and bytes in one command of a submission.
+/// Maximum items and bytes in one append command.
 const ITEMS_PER_COMMAND: usize = 2_000;
 const BYTES_PER_COMMAND: usize = 256 * 1024;
-/// When to come back to a submission that could not be finished.
+/// Retry delay reported for a submission that could not be completed.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// What a submission asks for, besides its items.
+/// Parameters of a submission, without its items.
 struct Submission {
     job: JobId,
     group: GroupId,
@@ -96,8 +96,8 @@
         })
 }
 
-/// Takes a job. It is accepted once a quorum synced every item of it; a
-/// resubmission under the same key finds the first one.
+/// Submits a job. It is accepted once a quorum has persisted every item; a
+/// resubmission with the same key returns the first job.
 pub(super) async fn submit(
     state: &Arc<GatewayState>,
     request: &Request,
@@ -127,7 +127,7 @@
     Ok(json_response(StatusCode::Accepted, &JobView::from(status)))
 }
 
-/// The lines of a submission, all checked; findings are told together.
+/// Parses and validates the lines of a submission; reports all problems together.
 fn items_of(body: &[u8], most: usize) -> Result<Vec<&[u8]>, ApiError> {
     let lines = body.split(|byte| *byte == b'\n');
     let mut items = Vec::new();
@@ -159,8 +159,8 @@
 }
 
 impl GatewayState {
-    /// Opens the job, adds what it lacks and accepts it. Each command may be
-    /// sent again, by this gateway or another one.
+    /// Creates the job, appends its missing items and accepts it. Each command is
+    /// idempotent and may be repeated by this gateway or another one.
     async fn submit_job(
         &self,
         submission: &Submission,
@@ -191,7 +191,7 @@
     }
 }
 
-/// As many items as fit into one command; at least one.
+/// Returns as many items as fit into one command, and at least one.
 fn next_inputs(items: &[&[u8]]) -> Vec<minicbor::bytes::ByteVec> {
     let mut inputs = Vec::new();
     let mut bytes = 0;
--- a/crates/daemon/src/gateway/choose.rs
+++ b/crates/daemon/src/gateway/choose.rs
@@ -1,4 +1,4 @@
-//! The choice of a back end for one request, and why.
+//! Selection of a back end for one request, with the reason recorded.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 use super::dispatch::ChosenBackend;
 use super::state::GatewayState;
 
-/// Longest wait for a back end to fall below its limit once admitted.
+/// How long an admitted request waits for a back end below its limit.
 const LIMIT_WAIT: Duration = Duration::from_millis(100);
-/// Pause between looks for such a back end.
+/// Interval between checks for such a back end.
 const LIMIT_PAUSE: Duration = Duration::from_millis(2);
 
 impl GatewayState {
-    /// Chooses a back end and records why. An admitted request waits shortly
-    /// while all are at their limits.
+    /// Selects a back end and records the reason. An admitted request waits up to
+    /// [`LIMIT_WAIT`] while all back ends are at their limits.
     pub(super) async fn choose(
         &self,
         service: &ServiceName,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A back end that was chosen, unless it takes no new work any more.
+    /// Returns a selected back end, unless it no longer accepts new work.
     fn chosen(&self, backend: BackendId) -> Option<ChosenBackend> {
         let directory = self.directory();
         let known = directory.backend(backend)?;
@@ -59,8 +59,8 @@
         })
     }
 
-    /// Whether the life of a back end that a request went to is over, or it
-    /// failed so often that it gets no work. One that is leaving still answers.
+    /// Whether the incarnation of a back end that received a request has ended, or the
+    /// back end was ejected after failures. A back end that is leaving still answers.
     pub(super) fn is_given_up(&self, target: &Target) -> bool {
         let directory = self.directory();
         let Some(known) = directory.backend(target.backend) else {
@@ -70,7 +70,7 @@
         out || known.incarnation != target.incarnation
     }
 
-    /// Records which back end was chosen and why.
+    /// Records which back end was selected and why.
     fn note_pick(&self, service: &ServiceName, tenant: &TenantId, pick: &Pick) {
         let reason = &pick.reason;
         let load = reason.considered.first().map_or(0.0, |one| one.load);
--- a/crates/daemon/src/gateway/claims.rs
+++ b/crates/daemon/src/gateway/claims.rs
@@ -15,25 +15,25 @@
 use super::validation::Repeatability;
 use crate::cluster::ClusterError;
 
-/// When to come back for the answer of a request that another arrival runs.
+/// Retry delay while another submission of the same request is running.
 const HELD_RETRY: Duration = Duration::from_secs(1);
 
-/// A claim that this gateway asked for.
+/// A claim that this gateway requested.
 #[derive(Clone, Debug)]
 struct Claim {
     group: GroupId,
     tenant: TenantId,
     key: String,
-    /// Names the claim's holder; it is never sent to a back end.
+    /// Identifies the claim's holder; never sent to a back end.
     attempt: AttemptId,
 }
 
-/// The claim of one request and what became of it.
+/// The claim of one request and its result.
 #[derive(Debug, Default)]
 pub(super) struct ClaimHold {
-    /// Held by this request until it is settled.
+    /// The claim held by this request until it is settled.
     held: Option<Claim>,
-    /// Answer on record under the key.
+    /// Answer recorded under the key.
     recorded: Vec<u8>,
     /// Why the claim was not granted.
     error: Option<ApiError>,
@@ -45,8 +45,8 @@
         self.held.is_some()
     }
 
-    /// Claims the right to run. A request without a key needs none: no other
-    /// arrival can be told to be the same.
+    /// Claims the right to run. A request without a key needs no claim: duplicates of it
+    /// cannot be recognized.
     pub(super) async fn ask(
         &mut self,
         state: &Arc<GatewayState>,
@@ -81,7 +81,7 @@
                 ClaimAnswer::KeyConflict
             }
             Err(error) => {
-                // Whether it was granted or not, nothing is sent under it.
+                // Whether or not the claim was granted, nothing is sent under it.
                 state.give_claim_back(claim);
                 let error = ApiError::from(error).with_outcome(RunOutcome::NotRun);
                 self.error = Some(error);
@@ -90,12 +90,12 @@
         }
     }
 
-    /// Why the claim was not granted.
+    /// Takes the reason why the claim was not granted.
     pub(super) fn take_error(&mut self) -> Option<ApiError> {
         self.error.take()
     }
 
-    /// The answer on record of a request that ended with `outcome`.
+    /// Takes the recorded answer of a request that ended with `outcome`.
     pub(super) fn take_recorded(&mut self, outcome: RunOutcome) -> Result<Vec<u8>, ApiError> {
         if outcome == RunOutcome::Completed {
             return Ok(std::mem::take(&mut self.recorded));
@@ -105,7 +105,7 @@
         Err(error.with_outcome(outcome))
     }
 
-    /// Records how the request ended, if it holds a claim.
+    /// Records the outcome of the request, if it holds a claim.
     pub(super) async fn settle(
         &mut self,
         state: &GatewayState,
@@ -118,7 +118,7 @@
     }
 }
 
-/// The answer while another arrival of the same request runs.
+/// The error while another submission of the same request is running.
 fn held_elsewhere(attempt: AttemptId) -> ApiError {
     let message = format!("attempt {attempt} holds the claim on this key and has not ended");
     ApiError::not_run(StatusCode::Conflict, "request_in_progress", message)
@@ -132,7 +132,7 @@
 }
 
 impl GatewayState {
-    /// Asks for a claim. Nothing may be sent to a back end before it is
+    /// Requests a claim. Nothing may be sent to a back end before it is
     /// granted.
     async fn ask_claim(&self, claim: &Claim, digest: Digest) -> Result<ClaimReply, ClusterError> {
         let request = ClaimRequest {
@@ -162,7 +162,7 @@
         reply
     }
 
-    /// Frees a claim that may or may not have been granted.
+    /// Releases a claim that may or may not have been granted.
     fn give_claim_back(self: &Arc<Self>, claim: Claim) {
         let state = self.clone();
         self.spawn(async move {
@@ -171,9 +171,9 @@
         });
     }
 
-    /// Records how a claimed request ended. When that fails, the claim stays
-    /// held until the leader settles it as unknown: the request never runs
-    /// again. A settlement behind that changes nothing on record.
+    /// Records the outcome of a claimed request. If that fails, the claim stays held
+    /// until the leader settles it as unknown: the request never runs again. A later
+    /// settlement does not change the recorded outcome.
     async fn settle_claim(&self, claim: &Claim, outcome: RunOutcome, answer: Vec<u8>) {
         let settle = SettleClaim {
             tenant: claim.tenant.clone(),
@@ -184,9 +184,9 @@
         };
         match self.cluster.settle(claim.group, settle).await {
             Ok(on_record) if on_record == outcome => {}
-            Ok(on_record) => warn!(self.logger, "A claim was settled before.";
+            Ok(on_record) => warn!(self.logger, "claim was settled before with another outcome";
                 "key" => &claim.key, "outcome" => %outcome, "on_record" => %on_record),
-            Err(error) => warn!(self.logger, "A claim could not be settled.";
+            Err(error) => warn!(self.logger, "claim could not be settled";
                 "key" => &claim.key, "outcome" => %outcome, "error" => %error),
         }
     }
--- a/crates/daemon/src/gateway/clock.rs
+++ b/crates/daemon/src/gateway/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that decisions see.
+//! The gateway's clock.
 
 use std::time::Duration;
 
@@ -6,26 +6,26 @@
 
 use crate::boot_clock::BootClock;
 
-/// Time of the clock at the gateway's start, so that a time shortly before it can be told.
+/// Clock value at the gateway's start, so that earlier times can be represented.
 const AHEAD: Duration = Duration::from_secs(1);
 
-/// The clock that every decision core of this gateway sees. It goes on while the machine
-/// is suspended: leases that it holds run out elsewhere meanwhile.
+/// The clock of every decision core of this gateway. It keeps counting while the machine
+/// is suspended, because leases held by this node expire elsewhere in the meantime.
 #[derive(Clone, Debug)]
 pub(super) struct Clock {
     boot: BootClock,
-    /// What `boot` said when this one began.
+    /// Value of `boot` when this clock was created.
     began: Timestamp,
 }
 
 impl Clock {
-    /// A clock that starts one second after zero.
+    /// Creates a clock that starts at one second.
     pub(super) fn new(boot: BootClock) -> Self {
         let began = boot.now();
         Self { boot, began }
     }
 
-    /// The time now.
+    /// Returns the current time.
     pub(super) fn now(&self) -> Timestamp {
         let passed = self.boot.now().since(self.began);
         Timestamp::ZERO + AHEAD + passed
--- a/crates/daemon/src/gateway/configuration.rs
+++ b/crates/daemon/src/gateway/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration in force here: fetched by a long poll, never an older one
-//! than before, kept on disk, and confirmed by a quorum again and again.
+//! The active configuration of this node: fetched by long polls, never replaced by an
+//! older version, persisted to disk, and periodically confirmed as current by a quorum.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, PoisonError, RwLock};
@@ -19,19 +19,19 @@
 
 use super::state::GatewayState;
 
-/// Part of the data folder that belongs to the gateway.
+/// Subfolder of the data folder used by the gateway.
 const FOLDER: &str = "gateway";
-/// The last configuration that was in force here.
+/// File with the last active configuration.
 const FILE: &str = "configuration";
-/// A long poll waits for this share of the currency bound at most, so that
-/// several fit into it.
+/// A long poll waits for at most this fraction of the currency bound, so that
+/// several polls fit into it.
 const POLL_SHARE: u32 = 4;
-/// Pause after a replica that did not answer.
+/// Delay after a replica did not answer.
 const FAILURE_PAUSE: Duration = Duration::from_millis(50);
-/// When to come back to a node without a current configuration.
+/// Retry delay reported while this node has no current configuration.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The configuration in force.
+/// Shared access to the active configuration.
 #[derive(Debug)]
 pub(super) struct ConfigurationDesk {
     holder: RwLock<ConfigurationHolder>,
@@ -44,17 +44,17 @@
         }
     }
 
-    /// The configuration in force; `None` before the first.
+    /// Returns the active configuration; `None` before the first one.
     pub(super) fn in_force(&self) -> Option<Arc<Configuration>> {
         self.read(|holder| holder.in_force().cloned())
     }
 
-    /// Version in force; 0 without a configuration.
+    /// Returns the active version; 0 without a configuration.
     pub(super) fn version(&self) -> ConfigVersion {
         self.read(ConfigurationHolder::version)
     }
 
-    /// Whether the node may take new work.
+    /// Returns whether the node may accept new work.
     pub(super) fn readiness(&self, now: Timestamp) -> Readiness {
         self.read(|holder| holder.readiness(now))
     }
@@ -69,7 +69,7 @@
 }
 
 impl GatewayState {
-    /// A service that may take new work now.
+    /// Returns a service that may accept new work now.
     pub(super) fn service_in_force(&self, name: &ServiceName) -> Result<Service, Refusal> {
         if self.configuration.readiness(self.clock.now()) != Readiness::Ready {
             let code = RefusalCode::ConfigurationNotCurrent;
@@ -84,7 +84,7 @@
             .ok_or(Refusal::permanent(RefusalCode::UnknownService))
     }
 
-    /// The model that a completion service runs.
+    /// Returns the model of a completion service.
     pub(super) fn model_of(&self, name: &ServiceName) -> Result<String, Refusal> {
         let service = self.service_in_force(name)?;
         match (service.kind, service.model) {
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Whether an application service may take new work now.
+    /// Checks that an application service may accept new work now.
     pub(super) fn check_application(&self, name: &ServiceName) -> Result<(), Refusal> {
         match self.service_in_force(name)?.kind {
             ServiceKind::Application => Ok(()),
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Puts the configuration on disk in force, if there is one. It counts as
+    /// Activates the configuration on disk, if there is one. It counts as
     /// current only once a quorum confirms it.
     pub(super) async fn restore_configuration(&self) {
         let folder = self.options.data_folder.clone();
@@ -109,14 +109,14 @@
             Ok(Some(configuration)) => self.put_in_force(configuration, "restored from disk"),
             Ok(None) => {}
             Err(error) => {
-                warn!(self.logger, "The stored configuration cannot be read."; "error" => %error);
+                warn!(self.logger, "cannot read the stored configuration"; "error" => %error);
             }
         }
     }
 
     /// Watches for newer configurations until the gateway stops.
     pub(super) async fn watch_configuration(self: Arc<Self>) {
-        // Gateways begin at different replicas, so that these share the work.
+        // Gateways start at different replicas to spread the load.
         let mut turn = self.options.node.0 as usize;
         let mut was = Readiness::NoConfiguration;
         let mut wants_whole = false;
@@ -165,15 +165,15 @@
         }
     }
 
-    /// Tells of a change of readiness; a node that turned unready refuses what
-    /// waits.
+    /// Records a change of readiness; a node that becomes unready rejects queued
+    /// requests.
     pub(super) fn note_readiness(&self, was: &mut Readiness) {
         let is = self.configuration.readiness(self.clock.now());
         if is == *was {
             return;
         }
         *was = is;
-        info!(self.logger, "Readiness changed."; "readiness" => %is);
+        info!(self.logger, "readiness changed"; "readiness" => %is);
         self.events.record(
             EventKind::Configuration,
             format!("node {}", self.options.node),
@@ -185,8 +185,8 @@
         }
     }
 
-    /// Takes a newer configuration over. Returns whether the update fitted the
-    /// configuration in force; else the whole one is needed.
+    /// Applies a configuration update. Returns whether it applied to the active
+    /// configuration; otherwise the complete configuration must be fetched.
     async fn take_update(&self, update: ConfigurationUpdate) -> bool {
         let held = self.configuration.in_force();
         match update.apply_to(held.as_deref()) {
@@ -195,13 +195,13 @@
                 true
             }
             Err(error) => {
-                warn!(self.logger, "An update of the configuration does not fit."; "error" => %error);
+                warn!(self.logger, "configuration update does not apply to the active version"; "error" => %error);
                 false
             }
         }
     }
 
-    /// Keeps a newer configuration on disk, then puts it in force.
+    /// Persists a newer configuration, then activates it.
     async fn take_configuration(&self, newer: Configuration) {
         if newer.version <= self.configuration.version() && newer.version.0 > 0 {
             return;
@@ -210,8 +210,9 @@
         let bytes = encode(&newer);
         let stored = blocking::unblock(move || store(&folder, &bytes)).await;
         if let Err(error) = stored {
-            // It still counts: replicas hold it, only a restart starts older.
-            warn!(self.logger, "The configuration cannot be stored."; "error" => %error);
+            // The configuration is activated anyway: replicas store it, and only a restart
+            // would begin with an older one.
+            warn!(self.logger, "configuration could not be stored"; "error" => %error);
         }
         self.put_in_force(newer, "accepted by a quorum");
     }
@@ -234,7 +235,7 @@
         let tail_protection = knob.unwrap_or(configuration.policy.tail_protection);
         self.batch_input(BatchInput::Policy { tail_protection });
         self.refresh_engines();
-        info!(self.logger, "A configuration is in force."; "version" => to.0);
+        info!(self.logger, "configuration is in force"; "version" => to.0);
         self.events.record(
             EventKind::Configuration,
             format!("version {to}"),
@@ -280,7 +281,7 @@
     let Some(bytes) = read_checked(&disk, FOLDER, FILE)? else {
         return Ok(None);
     };
-    // One of another format is as good as none: replicas have the newest.
+    // Treats a configuration of another format as missing: replicas have the newest one.
     Ok(decode(&bytes).ok())
 }
 
--- a/crates/daemon/src/gateway/directory.rs
+++ b/crates/daemon/src/gateway/directory.rs
@@ -1,5 +1,5 @@
-//! Which back ends there are: the platform list, reports and probes go into
-//! the directory; candidates for requests and batch work come out.
+//! Feeds the back-end directory with the platform list, reports and probes, and
+//! derives the candidates for requests and batch work.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,20 +20,20 @@
 
 use super::state::GatewayState;
 
-/// Time between two ticks of the directory.
+/// Interval between ticks of the directory.
 const TICK: Duration = Duration::from_millis(100);
-/// Pause after candidates were worked out, in multiples of the time it took.
+/// Pause after a candidate update, as a multiple of the time the update took.
 const REFRESH_PAUSE: u32 = 9;
-/// Longest time that a new gateway waits for its back ends' first reports.
+/// Maximum time a new gateway waits for the first reports of its back ends.
 const FIRST_REPORTS: Duration = Duration::from_millis(500);
-/// Time between two looks whether they are there.
+/// Interval between checks whether the first reports have arrived.
 const FIRST_REPORTS_LOOK: Duration = Duration::from_millis(5);
 /// Separates a model's name from its version in an engine's report.
 const VERSION_SEPARATOR: char = '@';
 
 impl GatewayState {
-    /// Reads the platform list until the gateway stops. While it cannot be
-    /// read, what is known stays in force.
+    /// Polls the platform list until the gateway stops. While the list cannot be
+    /// read, the last known one stays in use.
     pub(super) async fn poll_machines(self: Arc<Self>) {
         let mut failing = false;
         loop {
@@ -44,7 +44,7 @@
                 }
                 Err(error) if !failing => {
                     failing = true;
-                    warn!(self.logger, "The platform list cannot be read."; "error" => error);
+                    warn!(self.logger, "cannot read the platform list"; "error" => error);
                 }
                 Err(_) => {}
             }
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Lets time pass for the directory until the gateway stops.
+    /// Ticks the directory until the gateway stops.
     pub(super) async fn tick_directory(self: Arc<Self>) {
         loop {
             self.directory_input(DirectoryInput::Tick);
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Hands an input to the directory and carries the outputs out.
+    /// Feeds an input to the directory and executes its outputs.
     pub(super) fn directory_input(self: &Arc<Self>, input: DirectoryInput) {
         let now = self.clock.now();
         let outputs = self.directory().handle(now, input);
@@ -80,7 +80,7 @@
     }
 
     fn note_change(&self, change: &StateChange) {
-        info!(self.logger, "A back end changed its state.";
+        info!(self.logger, "back end changed state";
             "backend" => change.backend.0, "from" => %change.from, "to" => %change.to,
             "reason" => %change.reason);
         self.events.record(
@@ -121,14 +121,14 @@
         });
     }
 
-    /// Where a back end is.
+    /// Returns the address of a back end.
     pub(super) fn address_of(&self, backend: BackendId) -> Option<SocketAddr> {
         let directory = self.directory();
         directory.backend(backend)?.address.parse().ok()
     }
 
-    /// Brings candidates up to date until the gateway stops. The pause after
-    /// each time bounds what that costs with thousands of back ends.
+    /// Updates the candidates whenever they are stale, until the gateway stops. The pause
+    /// after each update bounds its CPU share with thousands of back ends.
     pub(super) async fn keep_candidates(self: Arc<Self>) {
         loop {
             self.stale_engines().await;
@@ -139,10 +139,9 @@
         }
     }
 
-    /// Waits until every back end that this gateway routes to was heard of, so
-    /// that it does not say that it is ready and then refuse for want of
-    /// engines. Those that stay silent are not waited for any longer than
-    /// [`FIRST_REPORTS`].
+    /// Waits until every back end that this gateway routes to has reported, so that the
+    /// gateway does not become ready and then reject requests for lack of engines. Waits
+    /// at most [`FIRST_REPORTS`] for back ends that stay silent.
     pub(super) async fn wait_for_first_reports(&self) {
         let until = self.clock.now() + FIRST_REPORTS;
         while self.clock.now() < until {
@@ -162,12 +161,12 @@
             .backends()
             .filter(|backend| watched.contains(&backend.id))
             .peekable();
-        // None at all may as well mean that the list was not read yet.
+        // An empty set may also mean that the platform list has not been read yet.
         routed.peek().is_some() && routed.all(has_reported)
     }
 
-    /// Brings candidates for requests and for batch work to what directory,
-    /// configuration and gateway set say now.
+    /// Recomputes the candidates for requests and batch work from the current directory,
+    /// configuration and gateway set.
     fn work_out_candidates(&self) {
         let Some(configuration) = self.configuration.in_force() else {
             return;
@@ -175,13 +174,13 @@
         let subsets = self.subsets(&configuration);
         let candidates = self.candidates(&configuration, &subsets);
         self.pickers.set_candidates(candidates);
-        // Admission must not go by the capacity of the candidates before.
+        // Admission must not use the capacity of the previous candidates.
         let _waits = self.tick_admission();
         self.loads.set_watched(subsets.into_values().flatten());
         self.refresh_owned_engines(&configuration);
     }
 
-    /// The back ends of each service that this gateway routes to.
+    /// Returns the back ends of each service that this gateway routes to.
     fn subsets(&self, configuration: &Configuration) -> BTreeMap<ServiceName, Vec<BackendId>> {
         let gateways = self.gateways().clone();
         let mut by_service: BTreeMap<ServiceName, Vec<SubsetBackend>> = BTreeMap::new();
@@ -208,7 +207,7 @@
             .collect()
     }
 
-    /// Those of the subsets that may get new work.
+    /// Returns the members of the subsets that may receive new work.
     fn candidates(
         &self,
         configuration: &Configuration,
@@ -229,7 +228,7 @@
     }
 }
 
-/// Whether a back end said what it holds, or is not asked for it.
+/// Whether a back end has reported its loaded models, or is not expected to.
 fn has_reported(backend: &Backend) -> bool {
     match backend.state {
         BackendState::Unknown => false,
@@ -240,7 +239,7 @@
     }
 }
 
-/// Whether a back end may get new work of a service.
+/// Whether a back end may receive new work of a service.
 pub(super) fn can_serve(backend: &Backend, service: &Service) -> bool {
     if !backend.state.accepts_new_work() {
         return false;
@@ -255,7 +254,7 @@
     }
 }
 
-/// Whether a back end reported the model as ready, in whatever version.
+/// Whether a back end reported the model as loaded, in any version.
 fn has_model(backend: &Backend, model: &str) -> bool {
     backend.loaded.models.iter().any(|loaded| {
         let name = loaded.split_once(VERSION_SEPARATOR);
--- a/crates/daemon/src/gateway/dispatch.rs
+++ b/crates/daemon/src/gateway/dispatch.rs
@@ -1,4 +1,4 @@
-//! One request on its way at a back end, as the decision cores see it.
+//! Tracking of one request in flight at a back end, for the decision cores.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,15 +13,15 @@
 use super::pick::answered;
 use super::state::GatewayState;
 
-/// A back end as it was chosen for a request.
+/// A back end selected for a request.
 #[derive(Clone, Debug)]
 pub(super) struct ChosenBackend {
     pub(super) target: Target,
     pub(super) zone: ZoneName,
 }
 
-/// A request in flight at a back end. Dropping it ends it as neither answered
-/// nor refused.
+/// A request in flight at a back end. Dropping it records an end that was neither an
+/// answer nor an overload rejection.
 #[derive(Debug)]
 pub(super) struct InFlight {
     state: Arc<GatewayState>,
@@ -34,8 +34,8 @@
 }
 
 impl InFlight {
-    /// Counts a request that is about to be sent, and makes batch work there
-    /// give way before it is.
+    /// Counts a request that is about to be sent, and notifies the batch owner first so
+    /// that batch work on the engine yields before the request arrives.
     pub(super) fn begin(
         state: &Arc<GatewayState>,
         service: &ServiceName,
@@ -62,13 +62,13 @@
         request
     }
 
-    /// The back end.
+    /// Returns the back end.
     pub(super) fn target(&self) -> Target {
         self.chosen.target
     }
 
-    /// The first token or byte of the answer came; returns the time it took,
-    /// the first time only.
+    /// Records the first token or byte of the answer; returns its latency on the first
+    /// call and `None` afterwards.
     pub(super) fn first_byte(&mut self) -> Option<Duration> {
         if self.first_byte.is_some() {
             return None;
@@ -84,13 +84,13 @@
         Some(after)
     }
 
-    /// The whole answer came.
+    /// Records that the answer is complete.
     pub(super) fn answered(mut self) {
         let finish = self.first_byte.map_or(Finish::Other, answered);
         self.end(finish);
     }
 
-    /// The attempt failed.
+    /// Records that the attempt failed.
     pub(super) fn failed(mut self, failure: &AttemptFailure) {
         let refusal = failure.refusal.as_ref();
         let overloaded = refusal.is_some_and(|refusal| refusal.is_overload());
@@ -104,7 +104,7 @@
         });
     }
 
-    /// A try to fetch the answer failed, and others follow.
+    /// Records that an attempt to fetch the answer failed and will be followed by others.
     pub(super) fn note_broken(&self) {
         self.note_work(WorkResult::Failed);
     }
@@ -131,8 +131,8 @@
         self.tell_owner(BatchInput::OnlineFinished { backend }, count, 0);
     }
 
-    /// Tells the owner of the back end's batch work at once: this gateway
-    /// directly, another one by a notice that nobody waits for.
+    /// Notifies the owner of the back end's batch work immediately: this gateway by a
+    /// local call, another one by a one-way message.
     fn tell_owner(&self, local: BatchInput, in_flight: u32, prompt_tokens: u32) {
         let state = &self.state;
         let backend = self.chosen.target.backend;
--- a/crates/daemon/src/gateway/drain.rs
+++ b/crates/daemon/src/gateway/drain.rs
@@ -1,5 +1,5 @@
-//! The planned stop: unready first, then no new connections, then what is in
-//! flight finishes, then leases are handed over.
+//! Graceful stop: reports unready, then refuses new connections, lets requests in
+//! flight finish and hands leases over.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,22 +13,22 @@
 
 use super::state::GatewayState;
 
-/// Time between two looks at what is left.
+/// Interval between checks of the remaining work.
 const LOOK: Duration = Duration::from_millis(20);
-/// Time for which requests on open connections are answered once no new
-/// connections are taken.
+/// How long requests on open connections are still answered after new
+/// connections are refused.
 const IDLE_GRACE: Duration = Duration::from_millis(500);
 
-/// How a planned stop went.
+/// Result of a graceful stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DrainReport {
-    /// Requests that were cut off since the time bound passed.
+    /// Requests that were aborted because the time limit passed.
     pub cut_off: u32,
-    /// Leases that others must wait out.
+    /// Leases that were not handed over and must expire.
     pub left_behind: u32,
 }
 
-/// Carries a planned stop out.
+/// Performs a graceful stop.
 pub(super) async fn drain(state: &Arc<GatewayState>, server: &ServerHandle) -> DrainReport {
     let bounds = &state.options.drain;
     let mut plan = DrainPlan::new(DrainSettings {
@@ -56,8 +56,8 @@
                 DrainOutput::CutOff { in_flight } => report.cut_off = in_flight,
                 DrainOutput::LeftBehind { held } => report.left_behind = held,
                 DrainOutput::Exit => {
-                    // Idle connections are closed; nothing else is left, or
-                    // the bound passed.
+                    // Closes idle connections; either nothing else is left, or the time
+                    // limit passed.
                     server.shutdown(Duration::ZERO, Duration::ZERO).await;
                     return report;
                 }
@@ -72,7 +72,7 @@
     let telling = state.clone();
     state.spawn(async move {
         let (node, incarnation) = (telling.options.node, telling.options.incarnation);
-        // The heartbeats say it too, should this fail.
+        // If this call fails, the heartbeats still report the drain.
         let _unreachable = telling.cluster.drain_node(node, incarnation).await;
         let sent = telling.clock.now();
         let _unreachable = telling.heartbeat(sent).await;
@@ -94,7 +94,7 @@
 }
 
 fn note(state: &GatewayState, output: &DrainOutput, in_flight: u32, held: u32) {
-    info!(state.logger, "The planned stop goes on.";
+    info!(state.logger, "planned stop moved on to its next step";
         "step" => ?output, "in_flight" => in_flight, "leases" => held);
     state.events.record(
         EventKind::Drain,
--- a/crates/daemon/src/gateway/engine_client.rs
+++ b/crates/daemon/src/gateway/engine_client.rs
@@ -1,5 +1,5 @@
-//! Calls to back ends and the platform, over pools of their own for online,
-//! batch and control traffic, so that none of them waits for another.
+//! Calls to back ends and the platform, with separate connection pools for online,
+//! batch and control traffic, so that they do not delay each other.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -19,12 +19,12 @@
 use super::answer::{AnswerStream, AttemptFailure, Target, answer_stream, refusal_of};
 use super::options::BackendTimeouts;
 
-/// Longest error body or report that is read.
+/// Maximum length of an error body or report.
 const MAX_REPORT_BYTES: usize = 1024 * 1024;
-/// Longest platform list that is read.
+/// Maximum length of the platform list.
 const MAX_LIST_BYTES: usize = 32 * 1024 * 1024;
 
-/// Calls to back ends and the platform.
+/// Client of back ends and the platform.
 #[derive(Clone, Debug)]
 pub(super) struct EngineClient {
     online: Pool,
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Closes resting connections to a back end that left.
+    /// Closes idle connections to a back end that has left.
     pub(super) fn forget(&self, address: SocketAddr) {
         for pool in [
             &self.online,
@@ -89,7 +89,7 @@
         answer_stream(response, attempt, 0).await
     }
 
-    /// Fetches the answer of an earlier attempt from token `offset` on.
+    /// Fetches the answer of an earlier attempt, starting at token `offset`.
     pub(super) async fn resume(
         &self,
         address: SocketAddr,
@@ -108,7 +108,7 @@
             return Err(AttemptFailure::lost("another life of the engine answered"));
         }
         let answer = answer_stream(response, attempt.attempt, offset).await;
-        // What an engine says about a try to resume concerns the try alone.
+        // An engine's error for a resume applies to the resume only, not to the attempt.
         answer.map_err(|failure| match failure.refusal {
             Some(_) => AttemptFailure {
                 end: AttemptEnd::Lost,
@@ -118,7 +118,7 @@
         })
     }
 
-    /// Asks what became of an attempt.
+    /// Asks for the status of an attempt.
     pub(super) async fn status(&self, address: SocketAddr, attempt: &AttemptRef) -> StatusAnswer {
         let path = format!("{REQUESTS_PATH}/{}", attempt.attempt);
         let Ok(request) = new_request(Method::Get, address, &path) else {
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Stops an attempt; returns whether the engine said so.
+    /// Cancels an attempt; returns whether the engine confirmed it.
     pub(super) async fn cancel(
         &self,
         priority: Priority,
@@ -162,7 +162,7 @@
         status.is_some_and(|status| status == 200)
     }
 
-    /// Holds a batch attempt back, or lets it go on; gives the status.
+    /// Pauses or resumes a batch attempt; returns the HTTP status.
     pub(super) async fn hold(
         &self,
         address: SocketAddr,
@@ -189,19 +189,19 @@
         let request = new_request(method, address, path).ok()?;
         let response = pool.send(address, request).await.ok()?;
         let status = u16::from(response.status());
-        // Reading the body whole frees the connection for the next call.
+        // Reading the complete body makes the connection reusable.
         let _body = response.bytes(MAX_REPORT_BYTES).await;
         Some(status)
     }
 
-    /// The load report of a back end.
+    /// Fetches the load report of a back end.
     pub(super) async fn load(&self, address: SocketAddr) -> Option<LoadReport> {
         let request = new_request(Method::Get, address, LOAD_PATH).ok()?;
         let response = self.control.send(address, request).await.ok()?;
         response.json(MAX_REPORT_BYTES).await.ok()
     }
 
-    /// Cache events behind sequence number `after`.
+    /// Fetches the cache events after sequence number `after`.
     pub(super) async fn cache_events(
         &self,
         address: SocketAddr,
@@ -213,7 +213,7 @@
         response.json(MAX_REPORT_BYTES).await.ok()
     }
 
-    /// The incarnation that answers a probe; an error when none does.
+    /// Probes a back end and returns the incarnation in its answer; an error if it fails.
     pub(super) async fn probe(&self, address: SocketAddr) -> Result<Option<Incarnation>, String> {
         let request = new_request(Method::Get, address, HEALTH_PATH);
         let request = request.map_err(|error| error.to_string())?;
@@ -243,7 +243,7 @@
         reply.map_err(|error| error.to_string())
     }
 
-    /// The platform list.
+    /// Fetches the platform list.
     pub(super) async fn machines(&self, address: SocketAddr) -> Result<MachineList, String> {
         let request = new_request(Method::Get, address, MACHINES_PATH);
         let request = request.map_err(|error| error.to_string())?;
@@ -253,7 +253,7 @@
         list.map_err(|error| error.to_string())
     }
 
-    /// Passes any request on to an application back end.
+    /// Forwards any request to an application back end.
     pub(super) async fn forward(
         &self,
         target: &Target,
--- a/crates/daemon/src/gateway/error.rs
+++ b/crates/daemon/src/gateway/error.rs
@@ -1,4 +1,4 @@
-//! Errors as callers and operators see them.
+//! Errors returned to callers and operators.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::cluster::ClusterError;
 
-/// An error of the callers' or operators' interface.
+/// An error of the caller or operator API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct ApiError {
     pub(super) status: StatusCode,
@@ -17,12 +17,12 @@
     pub(super) message: String,
     pub(super) outcome: RunOutcome,
     pub(super) retry_after: Option<Duration>,
-    /// The last attempt, for people who look for it in the events.
+    /// The last attempt, as a reference into the events.
     pub(super) attempt: Option<String>,
 }
 
 impl ApiError {
-    /// An error after which nothing ran.
+    /// Creates an error of a request that did not run.
     pub(super) fn not_run(status: StatusCode, code: &str, message: impl Into<String>) -> Self {
         Self {
             status,
@@ -34,29 +34,29 @@
         }
     }
 
-    /// A malformed request.
+    /// Creates an error for a malformed request.
     pub(super) fn bad_request(code: &str, message: impl Into<String>) -> Self {
         Self::not_run(StatusCode::BadRequest, code, message)
     }
 
-    /// Something that does not exist.
+    /// Creates an error for something that does not exist.
     pub(super) fn not_found(code: &str, message: impl Into<String>) -> Self {
         Self::not_run(StatusCode::NotFound, code, message)
     }
 
-    /// The same with another outcome.
+    /// Replaces the outcome.
     pub(super) fn with_outcome(mut self, outcome: RunOutcome) -> Self {
         self.outcome = outcome;
         self
     }
 
-    /// The same with a time to come back.
+    /// Sets the retry delay.
     pub(super) fn with_retry_after(mut self, retry_after: Duration) -> Self {
         self.retry_after = Some(retry_after);
         self
     }
 
-    /// The typed body.
+    /// Returns the typed error body.
     pub(super) fn body(&self) -> ErrorBody {
         ErrorBody {
             error: ErrorDetail {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The response.
+    /// Returns the HTTP response.
     pub(super) fn response(&self) -> Response {
         let mut response = error_response(
             self.status,
--- a/crates/daemon/src/gateway/events.rs
+++ b/crates/daemon/src/gateway/events.rs
@@ -1,4 +1,4 @@
-//! Decisions as events: what, why and from which inputs.
+//! Records decisions as events: what was decided, why, and from which inputs.
 
 use molespan_telemetry::{EventBuffer, EventInput, EventKind, EventValue, inputs};
 
@@ -15,7 +15,7 @@
         Self { buffer }
     }
 
-    /// The buffer that operators watch.
+    /// Returns the buffer that operators subscribe to.
     pub(super) fn buffer(&self) -> &EventBuffer {
         &self.buffer
     }
@@ -31,7 +31,7 @@
         self.record_inputs(kind, subject, reason, inputs(pairs));
     }
 
-    /// Records one decision with inputs of any number.
+    /// Records one decision with a variable number of inputs.
     pub(super) fn record_inputs(
         &self,
         kind: EventKind,
--- a/crates/daemon/src/gateway/heartbeat.rs
+++ b/crates/daemon/src/gateway/heartbeat.rs
@@ -1,5 +1,5 @@
-//! Heartbeats to the control leader: this gateway is alive, and which others
-//! are. From the answer follows whose batch work it owns.
+//! Heartbeats to the control leader, which report this gateway as live and return the
+//! other live gateways. Batch work ownership is derived from the answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 use super::state::GatewayState;
 use crate::cluster::{ClusterError, LiveNode};
 
-/// Pause after a registration that failed.
+/// Delay after a failed registration.
 const REGISTER_PAUSE: Duration = Duration::from_millis(200);
-/// Time between two looks at tenures that begin or run out.
+/// Interval between checks for tenures that begin or expire.
 const OWNERSHIP_TICK: Duration = Duration::from_millis(100);
 
 impl GatewayState {
-    /// Announces this life of the node until the control group has it.
+    /// Registers this incarnation of the node, retrying until the control group accepts it.
     pub(super) async fn register(self: Arc<Self>) {
         loop {
             let node = RegisterNode {
@@ -36,11 +36,11 @@
             };
             match self.cluster.register_node(node).await {
                 Ok(ControlReply::NodeAccepted) => {
-                    info!(self.logger, "The node is registered.");
+                    info!(self.logger, "node registered");
                     return;
                 }
                 Ok(ControlReply::NodeStale { registered }) => {
-                    warn!(self.logger, "A later life of this node is registered.";
+                    warn!(self.logger, "a later incarnation of this node is registered";
                         "registered" => registered.0);
                     return;
                 }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Sends one heartbeat and takes the answer.
+    /// Sends one heartbeat and processes the answer.
     pub(super) async fn heartbeat(&self, sent: Timestamp) -> Result<(), ClusterError> {
         let owned: Vec<BackendId> = self.ownership().owned().collect();
         let request = || Request::Heartbeat {
@@ -78,7 +78,7 @@
         Ok(())
     }
 
-    /// Reads where unknown nodes stand and how they are reached.
+    /// Fetches the zones and addresses of unknown nodes.
     async fn learn_zones(&self, nodes: &[LiveNode]) {
         let unknown = {
             let zones = self.zones();
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Lets tenures begin and run out until the gateway stops.
+    /// Begins and expires tenures until the gateway stops.
     pub(super) async fn tick_ownership(self: Arc<Self>) {
         loop {
             Timer::after(OWNERSHIP_TICK).await;
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Compares tenures with the live gateways and the engines.
+    /// Recomputes tenures from the live gateways and the engines.
     pub(super) fn refresh_ownership(&self) {
         if self.is_draining() {
             return;
@@ -167,7 +167,7 @@
         self.carry_out_ownership(changes);
     }
 
-    /// Gives every tenure up, for a planned stop.
+    /// Releases every tenure, for a graceful stop.
     pub(super) fn release_ownership(&self) {
         let changes = self.ownership().release_all();
         self.carry_out_ownership(changes);
--- a/crates/daemon/src/gateway/loads.rs
+++ b/crates/daemon/src/gateway/loads.rs
@@ -1,5 +1,5 @@
-//! Load reports: the owner of an engine polls it often and passes digests on;
-//! others ask rarely, for what digests do not carry.
+//! Load reports: the owner of an engine polls it frequently and distributes digests;
+//! other gateways poll it rarely, for what digests do not contain.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,22 +17,22 @@
 
 use super::state::GatewayState;
 
-/// Time between two reports of a back end that another gateway owns.
+/// Polling interval of a back end that another gateway owns.
 const FOREIGN_POLL: Duration = Duration::from_secs(1);
-/// Time between two reports of a back end of which nothing is known yet.
+/// Polling interval of a back end that has not reported yet.
 const DISCOVERY_POLL: Duration = Duration::from_millis(100);
-/// Time between two reads of an owned engine's cache events.
+/// Polling interval of an engine's cache events.
 const CACHE_POLL: Duration = Duration::from_millis(250);
-/// Time after which an unanswered poll no longer holds back the next.
+/// Time after which an unanswered poll no longer delays the next one.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Most gateways that an engine's digests go to.
+/// Maximum number of gateways that receive an engine's digests.
 const MOST_LISTENERS: usize = 16;
-/// Steps of the share of KV memory in a digest.
+/// Scale of the KV memory share in a digest.
 const KV_STEPS: f64 = 255.0;
-/// Unit of the step in a digest.
+/// Unit of the step duration in a digest, in microseconds.
 const STEP_MICROS: u64 = 100;
 
-/// When each back end was asked, and what is to be passed on.
+/// Poll state of each back end, and the back ends to poll.
 #[derive(Debug, Default)]
 pub(super) struct LoadDesk {
     polls: Mutex<BTreeMap<BackendId, Poll>>,
@@ -49,13 +49,13 @@
     cache_sequence: u64,
 }
 
-/// A back end to be asked now.
+/// A back end whose poll is due.
 #[derive(Clone, Copy, Debug)]
 struct Due {
     backend: BackendId,
     incarnation: Incarnation,
     address: SocketAddr,
-    /// Sequence behind which cache events are wanted, if they are.
+    /// Sequence number after which cache events are fetched; `None` to fetch none.
     cache_after: Option<u64>,
 }
 
@@ -64,20 +64,20 @@
         self.polls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets which back ends this gateway routes to; no others are asked but
-    /// those that it owns.
+    /// Sets the back ends that this gateway routes to; besides them, only owned back ends
+    /// and engines of the services it places are polled.
     pub(super) fn set_watched(&self, watched: impl Iterator<Item = BackendId>) {
         *self.watched() = watched.collect();
     }
 
-    /// Back ends that this gateway routes to.
+    /// Returns the back ends that this gateway routes to.
     pub(super) fn watched(&self) -> MutexGuard<'_, BTreeSet<BackendId>> {
         self.watched.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl GatewayState {
-    /// Asks back ends for their load until the gateway stops.
+    /// Polls the load of back ends until the gateway stops.
     pub(super) async fn poll_loads(self: Arc<Self>) {
         loop {
             for due in self.polls_due() {
@@ -95,7 +95,7 @@
         let mut asked: BTreeSet<BackendId> = self.loads.watched().union(&owned).copied().collect();
         let directory = self.directory();
         if !placed.is_empty() {
-            // Placement must know what every engine of its services has loaded.
+            // Placement needs the loaded models of every engine of its services.
             let engines = directory.backends();
             let engines = engines.filter(|backend| placed.contains(&backend.service));
             asked.extend(engines.map(|backend| backend.id));
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Takes a direct report that was asked for at `sent`.
+    /// Processes a direct report that was requested at `sent`.
     fn take_report(self: &Arc<Self>, sent: Timestamp, report: &LoadReport) {
         let now = self.clock.now();
         let half_way = now.since(sent) / 2;
@@ -199,8 +199,8 @@
         directory.backend(backend).map(|known| known.loaded.clone())
     }
 
-    /// Sends the digest of an owned engine's report to the gateways that are
-    /// the most likely to route there.
+    /// Sends the digest of an owned engine's report to the gateways most likely to
+    /// route there.
     fn pass_on(&self, report: &LoadReport) {
         let digest = digest_of(report);
         for node in self.listeners(report.backend) {
@@ -223,7 +223,7 @@
         nodes
     }
 
-    /// Takes digests that an owner passed on.
+    /// Processes digests sent by an owner.
     pub(super) fn take_digests(self: &Arc<Self>, digests: Vec<LoadDigest>) {
         let now = self.clock.now();
         for digest in digests {
@@ -257,9 +257,9 @@
     }
 }
 
-/// The sample of a digest. How old it is nobody says; with the owner's polling
-/// interval as its age, own requests sent meanwhile are overrated rather than
-/// missed.
+/// Converts a digest to a sample. A digest does not carry its age, so callers assume the
+/// owner's polling interval: own requests sent in that time may be counted twice, but are
+/// never missed.
 fn sample_of(digest: &LoadDigest, observed: Timestamp) -> LoadSample {
     LoadSample {
         backend: digest.backend,
--- a/crates/daemon/src/gateway/metrics.rs
+++ b/crates/daemon/src/gateway/metrics.rs
@@ -69,7 +69,7 @@
         }
     }
 
-    /// The metrics of the whole process as text.
+    /// Encodes the metrics of the whole process as text.
     pub(super) fn encode(&self) -> String {
         self.registry.encode()
     }
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -1,10 +1,10 @@
-//! The gateway role: takes requests of callers and operators, chooses where
-//! they run, owns the batch work of engines, and places models.
+//! The gateway role: accepts requests of callers and operators, selects back ends,
+//! owns the batch work of engines, and places models.
 //!
-//! A request's way can be followed by the names of the modules: `routes`,
-//! `validation`, `admission`, `pick`, `route`, `dispatch`, `engine_client`,
-//! `stream`. Every decision is made by a core of the crates `routing`,
-//! `membership` and `state`; the modules here hand in what happens and carry
+//! A request passes through these modules in order: `routes`, `validation`, `admission`,
+//! `pick`, `route`, `dispatch`, `engine_client`, `stream`. Every decision is made by a
+//! core of the crates `routing`, `membership` and `state`; the modules here feed
+//! the cores inputs and execute their outputs.
 //! out what is decided.
 
 mod admin;
@@ -66,17 +66,17 @@
 use crate::cluster::Cluster;
 use state::GatewayState;
 
-/// Time between two looks at the admission queues.
+/// Interval between ticks of the admission queues.
 const ADMISSION_TICK: Duration = Duration::from_millis(5);
-/// The same while nothing waits in them.
+/// Interval between ticks while the queues are empty.
 const IDLE_ADMISSION_TICK: Duration = Duration::from_millis(25);
 
-/// What a gateway is made of.
+/// Dependencies of a gateway.
 #[derive(Debug)]
 pub struct GatewayContext {
     /// Options.
     pub options: GatewayOptions,
-    /// Runs its tasks.
+    /// Executor of its tasks.
     pub executor: Arc<Executor<'static>>,
     /// Parent of its logger.
     pub logger: Logger,
@@ -84,17 +84,17 @@
     pub metrics: Metrics,
     /// Client of the replica groups.
     pub cluster: Arc<Cluster>,
-    /// The process's decision events.
+    /// Buffer of the process's decision events.
     pub events: EventBuffer,
 }
 
-/// A gateway. Clones are the same gateway.
+/// A handle to a gateway; clones refer to the same gateway.
 #[derive(Clone, Debug)]
 pub struct Gateway {
     state: Arc<GatewayState>,
 }
 
-/// A gateway that listens and does not serve yet.
+/// A gateway that is bound to its address but does not serve yet.
 #[derive(Debug)]
 pub struct BoundGateway {
     gateway: Gateway,
@@ -102,7 +102,7 @@
 }
 
 impl Gateway {
-    /// Listens on the HTTP address.
+    /// Binds the HTTP address.
     ///
     /// # Errors
     /// When the address cannot be bound.
@@ -119,7 +119,7 @@
         })
     }
 
-    /// Answers a request of another node that concerns gateways.
+    /// Handles a request of another node that is addressed to the gateway role.
     #[must_use]
     pub fn handle_peer(&self, request: Request) -> Response {
         let state = &self.state;
@@ -146,7 +146,7 @@
         }
     }
 
-    /// What this gateway says of itself.
+    /// Returns the status of this gateway.
     #[must_use]
     pub fn status(&self) -> NodeStatus {
         let state = &self.state;
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Whether it takes new work.
+    /// Whether the gateway accepts new work.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         let now = self.state.clock.now();
@@ -171,19 +171,19 @@
 }
 
 impl BoundGateway {
-    /// The gateway.
+    /// Returns the gateway.
     #[must_use]
     pub fn gateway(&self) -> Gateway {
         self.gateway.clone()
     }
 
-    /// The bound address, with the port that the system chose for port 0.
+    /// Returns the bound address, with the port that the system chose for port 0.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.local_address()
     }
 
-    /// Serves until `stop` resolves, then stops as planned.
+    /// Serves until `stop` resolves, then stops gracefully.
     pub async fn serve(self, stop: impl Future<Output = ()>) -> DrainReport {
         let state = self.gateway.state.clone();
         let (batch_thread, stopped) = async_channel::bounded(1);
@@ -192,7 +192,7 @@
             _batch_thread: batch_thread,
         };
         if let Err(error) = state.start_batch_thread(stopped) {
-            slog::error!(state.logger, "Batch work cannot run."; "error" => %error);
+            slog::error!(state.logger, "Batch work cannot run: its thread could not be started"; "error" => %error);
         }
         state.restore_configuration().await;
         start_background(&state);
@@ -213,12 +213,12 @@
     }
 }
 
-/// Ends the background work of a gateway that is not served any more, also
-/// when serving was given up before its planned stop.
+/// Ends the background work of a gateway on drop, also when serving was aborted before
+/// its graceful stop.
 #[derive(Debug)]
 struct StopOnDrop {
     state: Arc<GatewayState>,
-    /// Ends the thread of batch work when dropped.
+    /// Ends the batch thread when dropped.
     _batch_thread: Sender<()>,
 }
 
@@ -229,7 +229,7 @@
     }
 }
 
-/// Starts everything that runs beside requests.
+/// Starts all background tasks.
 fn start_background(state: &Arc<GatewayState>) {
     state.spawn_background(state.clone().register());
     state.spawn_background(state.clone().watch_configuration());
--- a/crates/daemon/src/gateway/options.rs
+++ b/crates/daemon/src/gateway/options.rs
@@ -1,4 +1,4 @@
-//! What a gateway is told at its start.
+//! Options of a gateway.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,14 +12,14 @@
 
 use crate::boot_clock::BootClock;
 
-/// Bounds of a planned stop.
+/// Time limits of a graceful stop.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DrainBounds {
-    /// Time from saying unready until new connections are refused.
+    /// Time from reporting unready until new connections are refused.
     pub unready_wait: Duration,
-    /// Longest time for requests in flight to finish after that.
+    /// Time limit after that for requests in flight to finish.
     pub finish_within: Duration,
-    /// Longest time for leases to be handed over after that.
+    /// Time limit after that for leases to be handed over.
     pub hand_over_within: Duration,
 }
 
@@ -33,41 +33,41 @@
     }
 }
 
-/// How batch work makes way for online work. All but the first are baselines
+/// How batch work yields to online work. All variants but the first are baselines
 /// for measurements.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PreemptionPolicy {
-    /// Batch streams are held back as soon as online work arrives.
+    /// Batch streams are paused as soon as online work arrives.
     #[default]
     OnArrival,
-    /// Nothing is held back; engines are told which work is batch work.
+    /// Nothing is paused; requests to engines carry their batch priority.
     EnginePriorityOnly,
-    /// Nothing is held back, and engines take batch work for online work.
+    /// Nothing is paused, and batch work is sent with online priority.
     None,
 }
 
-/// Ways in which a gateway decides.
+/// Policies of a gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GatewayPolicy {
-    /// How batch work makes way for online work.
+    /// How batch work yields to online work.
     pub preemption: PreemptionPolicy,
-    /// Overrides the knob of the configuration: 0 fills engines with batch
-    /// work, 100 guards the online tail above all.
+    /// Overrides the configuration's tail protection: 0 fills engines with batch
+    /// work, 100 gives the online tail latency priority over everything else.
     pub tail_protection: Option<u8>,
 }
 
-/// Bounds of calls to back ends and the platform.
+/// Timeouts of calls to back ends and the platform.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BackendTimeouts {
-    /// Longest time to connect.
+    /// Connection timeout.
     pub connect: Duration,
-    /// Longest time until the head of an online answer.
+    /// Timeout until the head of an online answer.
     pub response: Duration,
-    /// Longest silence within an online answer.
+    /// Maximum silence within an online answer.
     pub stall: Duration,
-    /// Longest silence within a batch answer, which may be held back.
+    /// Maximum silence within a batch answer, whose stream may be paused.
     pub batch_stall: Duration,
-    /// Longest time of a question about an attempt, a probe or a report.
+    /// Timeout of a status request, a probe or a report.
     pub control: Duration,
 }
 
@@ -83,18 +83,18 @@
     }
 }
 
-/// Bounds of what is taken in.
+/// Limits on incoming requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IntakeBounds {
-    /// Most HTTP connections.
+    /// Maximum number of HTTP connections.
     pub max_connections: usize,
-    /// Longest request body in bytes, except of a job.
+    /// Maximum length of a request body in bytes, except for jobs.
     pub max_body_bytes: usize,
-    /// Longest body of a job in bytes.
+    /// Maximum length of a job's body in bytes.
     pub max_job_bytes: usize,
-    /// Most items of a job.
+    /// Maximum number of items in a job.
     pub max_job_items: usize,
-    /// Bytes of request bodies in memory together.
+    /// Maximum total size in bytes of request bodies in memory.
     pub max_buffered_bytes: usize,
 }
 
@@ -104,64 +104,64 @@
     }
 }
 
-/// What a gateway is told at its start.
+/// Options of a gateway.
 #[derive(Clone, Debug)]
 pub struct GatewayOptions {
     /// This node.
     pub node: NodeId,
-    /// Its life; it rises with every start.
+    /// Its incarnation; it rises with every start.
     pub incarnation: Incarnation,
-    /// Name for people.
+    /// Human-readable name.
     pub name: String,
-    /// Roles of the whole process, as it registers them.
+    /// Roles of the whole process, as registered.
     pub roles: Vec<NodeRole>,
-    /// Where it stands.
+    /// Its zone.
     pub zone: ZoneName,
-    /// Where callers and operators reach it.
+    /// Address for callers and operators.
     pub http_address: SocketAddr,
-    /// Where other nodes reach it.
+    /// Address for other nodes.
     pub internal_address: SocketAddr,
-    /// Folder for what outlives a restart.
+    /// Folder for data that survives a restart.
     pub data_folder: PathBuf,
-    /// Platform list.
+    /// Address of the platform list.
     pub platform_address: SocketAddr,
-    /// Weight store, if there is one.
+    /// Address of the weight store, if there is one.
     pub weight_store: Option<SocketAddr>,
     /// Number of job groups.
     pub job_groups: u32,
-    /// Longest time without confirmation of the configuration.
+    /// Maximum time without a quorum's confirmation of the configuration.
     pub currency_bound: Duration,
-    /// Longest time that a watch of the configuration is held open.
+    /// Maximum time that a configuration watch is held open.
     pub config_watch: Duration,
-    /// Length of a lease on items.
+    /// Duration of a lease on items.
     pub item_lease: Duration,
-    /// Length of a lease on a back end's batch work.
+    /// Duration of a lease on a back end's batch work.
     pub owner_lease: Duration,
-    /// Time between two heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat: Duration,
-    /// Time between two reads of the platform list.
+    /// Polling interval of the platform list.
     pub list_poll: Duration,
-    /// Time between two load reports of an owned engine.
+    /// Polling interval of an owned engine's load report.
     pub load_poll: Duration,
-    /// Bounds of a planned stop.
+    /// Time limits of a graceful stop.
     pub drain: DrainBounds,
-    /// Engine choice.
+    /// Settings of the engine selection.
     pub pick: PickSettings,
-    /// Admission.
+    /// Settings of the admission.
     pub admission: AdmissionSettings,
-    /// Ways in which it decides.
+    /// Policies.
     pub policy: GatewayPolicy,
-    /// Bounds of calls to back ends and the platform.
+    /// Timeouts of calls to back ends and the platform.
     pub timeouts: BackendTimeouts,
-    /// Bounds of what is taken in.
+    /// Limits on incoming requests.
     pub intake: IntakeBounds,
-    /// Clock that it decides by.
+    /// Clock of all decisions.
     pub clock: BootClock,
 }
 
 impl GatewayOptions {
-    /// Options with the defaults for everything that is not an identity, an
-    /// address or a place.
+    /// Creates options with defaults for everything except the identity, zone, folder and
+    /// platform address.
     #[must_use]
     pub fn new(
         node: NodeId,
@@ -202,8 +202,8 @@
 }
 
 impl GatewayOptions {
-    /// The options that `settings` ask for; `None` without a platform list,
-    /// which settings with the gateway role always name.
+    /// Creates the options described by `settings`; `None` without a platform list, which
+    /// settings with the gateway role always contain.
     #[must_use]
     pub fn from_settings(settings: &Settings, incarnation: Incarnation) -> Option<Self> {
         let node = &settings.node;
--- a/crates/daemon/src/gateway/outcome.rs
+++ b/crates/daemon/src/gateway/outcome.rs
@@ -1,4 +1,4 @@
-//! What the caller of a completion is told after the last step.
+//! The error returned to the caller of a completion after its last step.
 
 use std::time::Duration;
 
@@ -9,17 +9,17 @@
 use super::error::ApiError;
 use super::route::Run;
 
-/// When to come back while no engine takes work.
+/// Retry delay reported while no engine accepts work.
 pub(super) const NO_BACKEND_RETRY: Duration = Duration::from_secs(1);
 
 impl Run<'_> {
-    /// Why the last attempt failed.
+    /// Returns why the last attempt failed.
     pub(super) fn cause(&self) -> String {
         let failure = self.last_failure.as_ref();
         failure.map_or_else(|| "no answer".to_owned(), |failure| failure.cause.clone())
     }
 
-    /// A refusal of an engine that every other one would repeat.
+    /// Converts an engine's rejection that every other engine would repeat.
     pub(super) fn passed_on(&self, refusal: &BackendRefusal) -> ApiError {
         let status = StatusCode::try_from(refusal.status).unwrap_or(StatusCode::BadRequest);
         let detail = &refusal.detail;
@@ -27,7 +27,7 @@
         self.named(error)
     }
 
-    /// What the caller is told after the last step.
+    /// Returns the error for the caller after the last step.
     pub(super) fn failure(&mut self, outcome: RunOutcome) -> ApiError {
         if let Some(error) = self.claim.take_error() {
             return error;
--- a/crates/daemon/src/gateway/pick.rs
+++ b/crates/daemon/src/gateway/pick.rs
@@ -1,4 +1,4 @@
-//! Engine choice: one picker a service, fed by the directory and reports.
+//! Engine selection: one picker per service, updated by the directory and reports.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -40,8 +40,8 @@
         self.services.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Replaces the candidates of every service; services that are missing
-    /// are forgotten.
+    /// Replaces the candidates of every service; state of services that are missing
+    /// is dropped.
     pub(super) fn set_candidates(&self, candidates: BTreeMap<ServiceName, Vec<Candidate>>) {
         let mut services = self.lock();
         services.retain(|service, _| candidates.contains_key(service));
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Chooses a back end.
+    /// Selects a back end.
     pub(super) fn pick(
         &self,
         now: Timestamp,
@@ -66,7 +66,7 @@
         pick.picker.pick(now, request)
     }
 
-    /// A request was sent; gives own requests in flight there.
+    /// Records a sent request; returns this gateway's requests in flight there.
     pub(super) fn started(
         &self,
         now: Timestamp,
@@ -82,7 +82,7 @@
         pick.picker.own_in_flight(backend)
     }
 
-    /// A request ended; gives own requests in flight there.
+    /// Records the end of a request; returns this gateway's requests in flight there.
     pub(super) fn finished(
         &self,
         now: Timestamp,
@@ -99,7 +99,7 @@
         pick.picker.own_in_flight(backend)
     }
 
-    /// Works with the retry budget of a service.
+    /// Calls `work` with the retry budget of a service.
     pub(super) fn with_budget<T>(
         &self,
         service: &ServiceName,
@@ -115,21 +115,21 @@
         }
     }
 
-    /// Takes a load report or digest.
+    /// Processes a load report or digest.
     pub(super) fn observe_load(&self, sample: &LoadSample) {
         for pick in self.lock().values_mut() {
             pick.picker.observe_load(sample.clone());
         }
     }
 
-    /// Takes cache events.
+    /// Processes cache events.
     pub(super) fn observe_cache(&self, backend: BackendId, page: &CacheEventPage) {
         for pick in self.lock().values_mut() {
             pick.picker.observe_cache(backend, page);
         }
     }
 
-    /// Load of a back end as a choice made now would see it, in requests.
+    /// Returns the load of a back end, in requests, as a selection made now would see it.
     pub(super) fn load(
         &self,
         now: Timestamp,
@@ -139,7 +139,7 @@
         self.lock().get(service)?.picker.load(now, backend)
     }
 
-    /// Requests that each service's back ends can take from this gateway.
+    /// Returns how many requests each service's back ends can accept from this gateway.
     pub(super) fn capacities(&self, now: Timestamp) -> Vec<(ServiceName, u32)> {
         let services = self.lock();
         services
@@ -149,7 +149,7 @@
     }
 }
 
-/// What the end of an answer says about its engine.
+/// Returns the finish of a completed answer.
 pub(super) fn answered(first_byte: Duration) -> Finish {
     Finish::Answered { first_byte }
 }
--- a/crates/daemon/src/gateway/placement.rs
+++ b/crates/daemon/src/gateway/placement.rs
@@ -1,5 +1,5 @@
-//! Placement: one gateway a service plans which engine should hold what, has
-//! each order fenced by the control group, and sends it to the engine.
+//! Model placement: one gateway per service plans which engine should load what, has
+//! the control group fence each order, and sends it to the engine.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,10 +18,10 @@
 
 use super::state::GatewayState;
 
-/// Time between two looks at what is placed.
+/// Interval between placement rounds.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// The planner of the services that this gateway places.
+/// The placement planner and the services it covers.
 #[derive(Debug)]
 pub(super) struct PlacementDesk {
     planner: Mutex<PlacementPlanner>,
@@ -39,7 +39,7 @@
 }
 
 impl PlacementDesk {
-    /// Services that this gateway places.
+    /// Returns the services that this gateway places.
     pub(super) fn placed(&self) -> BTreeSet<ServiceName> {
         let placed = self.placed.lock();
         placed.unwrap_or_else(PoisonError::into_inner).clone()
@@ -68,7 +68,7 @@
             if mine.services.is_empty() {
                 continue;
             }
-            // Tokens are needed only where something may be ordered.
+            // Fencing tokens are read only if there are services to place.
             let Ok(orders) = self.cluster.orders().await else {
                 continue;
             };
@@ -85,8 +85,8 @@
         }
     }
 
-    /// The configuration with only the services that this gateway places: the
-    /// one with the highest weight for a service's name among the live ones.
+    /// Returns the configuration reduced to the services that this gateway places: among
+    /// the live gateways, the one with the highest weight for a service's name places it.
     fn placed_here(&self, configuration: &Configuration) -> Configuration {
         let gateways = self.gateways();
         let own = self.options.node;
@@ -130,7 +130,7 @@
             .collect()
     }
 
-    /// Has an order fenced and sends it.
+    /// Has the control group fence an order and sends it.
     async fn carry_out_order(&self, decision: PlacementDecision) {
         let backend = decision.order.backend;
         self.events.record(
@@ -148,11 +148,11 @@
                 self.send_order(&decision, token).await;
             }
             Ok(reply) => {
-                info!(self.logger, "An order was not issued.";
+                info!(self.logger, "order was not issued";
                     "engine" => backend.0, "reply" => ?reply);
             }
             Err(error) => {
-                warn!(self.logger, "An order could not be issued.";
+                warn!(self.logger, "order could not be issued";
                     "engine" => backend.0, "error" => %error);
             }
         }
@@ -174,7 +174,7 @@
             Ok(reply) => format!("the engine knows token {}", reply.highest_token),
             Err(error) => error,
         };
-        info!(self.logger, "An order was sent.";
+        info!(self.logger, "order sent";
             "engine" => backend.0, "token" => token.0, "said" => &said);
         self.events.record(
             EventKind::Order,
--- a/crates/daemon/src/gateway/route.rs
+++ b/crates/daemon/src/gateway/route.rs
@@ -1,5 +1,5 @@
-//! An online completion from its arrival to its outcome. The retry core
-//! decides each step; this carries the steps out.
+//! Execution of an online completion. The retry core decides each step; this module
+//! executes the steps.
 
 use std::sync::Arc;
 
@@ -27,7 +27,7 @@
 }
 
 impl Ending {
-    /// Label of the metric.
+    /// Returns the metric label.
     fn label(&self) -> &'static str {
         match self {
             Self::Completed => "completed",
@@ -42,7 +42,7 @@
     }
 }
 
-/// Serves a completion; the response of a streamed one begins with its first
+/// Serves a completion; a streamed response begins with its first
 /// token.
 pub(super) async fn serve_completion(
     state: &Arc<GatewayState>,
@@ -65,7 +65,7 @@
     response.unwrap_or_else(|_| gone().response())
 }
 
-/// What nobody reads: the answer to a caller that left.
+/// The answer to a caller that has disconnected; nobody reads it.
 fn gone() -> ApiError {
     ApiError::not_run(
         StatusCode::ServiceUnavailable,
@@ -75,7 +75,7 @@
     .with_outcome(RunOutcome::Unknown)
 }
 
-/// Runs a completion and ends its answer; a plain one gives its response.
+/// Runs a completion and finishes its answer; returns the response of a plain one.
 async fn run(
     state: &Arc<GatewayState>,
     asked: &CompletionAsked,
@@ -108,7 +108,7 @@
     }
 }
 
-/// One completion.
+/// The execution of one completion.
 pub(super) struct Run<'a> {
     pub(super) state: &'a Arc<GatewayState>,
     pub(super) asked: &'a CompletionAsked,
@@ -116,7 +116,7 @@
     pub(super) sink: AnswerSink,
     pub(super) steps: RequestState,
     pub(super) claim: ClaimHold,
-    /// Name of the model at engines.
+    /// Name under which engines know the model.
     pub(super) model: String,
     pub(super) in_flight: Option<InFlight>,
     pub(super) last_failure: Option<AttemptFailure>,
@@ -125,7 +125,7 @@
 }
 
 impl Run<'_> {
-    /// Checks the service, waits for a place and runs.
+    /// Checks the service, waits for admission and runs the request.
     async fn admitted(&mut self) -> Ending {
         let model = match self.state.model_of(&self.asked.service) {
             Ok(model) => model,
@@ -201,7 +201,7 @@
         self.steps.claim_answered(answer)
     }
 
-    /// The output of `work`, or `None` once the caller is gone and that stops
+    /// Awaits `work`; returns `None` if the caller disconnects first and that stops
     /// the request.
     pub(super) async fn unless_gone<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         let gone = async {
@@ -214,13 +214,13 @@
         futures_lite::future::or(async { Some(work.await) }, gone).await
     }
 
-    /// A request that runs at most once goes on for its record when its caller
-    /// leaves, so that the caller can come back for the answer.
+    /// Whether the request stops when its caller disconnects. A claimed request goes on
+    /// until its outcome is recorded, so that the caller can fetch the answer later.
     pub(super) fn stops_when_gone(&self) -> bool {
         !self.claim.is_held()
     }
 
-    /// Stops the attempt of a caller that left.
+    /// Cancels the attempt of a caller that has disconnected.
     pub(super) fn caller_gone(&mut self) -> Ending {
         if let Some(in_flight) = self.in_flight.take() {
             self.state.metrics.cancelled();
@@ -242,7 +242,7 @@
         }
     }
 
-    /// Records how a claimed request ended.
+    /// Records the outcome of a claimed request.
     async fn settle(&mut self, ending: &Ending) {
         if !self.claim.is_held() {
             return;
--- a/crates/daemon/src/gateway/routes.rs
+++ b/crates/daemon/src/gateway/routes.rs
@@ -1,4 +1,4 @@
-//! Paths of the callers' and operators' interfaces.
+//! Request routing of the caller and operator APIs.
 
 use std::sync::Arc;
 
@@ -18,7 +18,7 @@
 use super::state::GatewayState;
 use super::validation::{CompletionAsked, CompletionForm};
 
-/// Whether a node takes new work, and why not.
+/// Whether a node accepts new work, and why not.
 #[derive(Clone, Debug, Serialize)]
 struct ReadyView {
     ready: bool,
@@ -86,7 +86,7 @@
     }
 }
 
-/// Whether this node should get requests.
+/// Reports whether this node should receive requests.
 fn ready(state: &GatewayState) -> Response {
     let readiness = state.configuration.readiness(state.clock.now());
     let (ready, reason) = if state.is_draining() {
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of one gateway share.
+//! State shared by the modules of one gateway.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -29,12 +29,12 @@
 use super::placement::PlacementDesk;
 use crate::cluster::Cluster;
 
-/// Name of the thread of batch work.
+/// Name of the thread that runs batch work.
 const BATCH_THREAD: &str = "gateway-batch";
-/// Bits of an attempt's node part that carry the life of the node.
+/// Low bits of an attempt ID's node part that carry the node's incarnation.
 const LIFE_BITS: u32 = 48;
 
-/// What the parts of one gateway share.
+/// State shared by the modules of one gateway.
 #[derive(Debug)]
 pub(super) struct GatewayState {
     pub(super) options: GatewayOptions,
@@ -52,18 +52,18 @@
     pub(super) loads: LoadDesk,
     pub(super) placement: PlacementDesk,
     pub(super) plans: PlanMemory,
-    /// Set once a planned stop began.
+    /// Set once a graceful stop has begun.
     draining: AtomicBool,
     /// Closed once new requests are refused.
     stopping: (Sender<()>, Receiver<()>),
-    /// Holds a message while candidates must be worked out anew.
+    /// Contains a message while the candidates are stale.
     stale_engines: (Sender<()>, Receiver<()>),
-    /// Runs batch work, on a thread of its own.
+    /// Executor of batch work, on a dedicated thread.
     batch_executor: Arc<Executor<'static>>,
     directory: Mutex<Directory>,
     gateways: Mutex<GatewaySet>,
     ownership: Mutex<Ownership>,
-    /// Zones of nodes, as they registered.
+    /// Registered zones of the nodes.
     zones: Mutex<BTreeMap<NodeId, ZoneName>>,
     last_attempt: AtomicU64,
     tasks: Mutex<Vec<Task<()>>>,
@@ -108,7 +108,7 @@
         }
     }
 
-    /// An attempt that no node ever named before.
+    /// Returns an attempt ID that no node has used before.
     pub(super) fn next_attempt(&self) -> AttemptId {
         let life = self.options.incarnation.0 & ((1 << LIFE_BITS) - 1);
         AttemptId {
@@ -117,17 +117,17 @@
         }
     }
 
-    /// Whether a planned stop began.
+    /// Whether a graceful stop has begun.
     pub(super) fn is_draining(&self) -> bool {
         self.draining.load(Ordering::SeqCst)
     }
 
-    /// Notes that a planned stop began.
+    /// Marks the beginning of a graceful stop.
     pub(super) fn begin_drain(&self) {
         self.draining.store(true, Ordering::SeqCst);
     }
 
-    /// Notes that new requests are refused from now on.
+    /// Marks that new requests are refused from now on.
     pub(super) fn begin_stopping(&self) {
         self.stopping.0.close();
     }
@@ -137,13 +137,13 @@
         let _closed = self.stopping.1.recv().await;
     }
 
-    /// Asks for candidates to be worked out anew, once for many changes.
+    /// Marks the candidates as stale; many changes cause a single update.
     pub(super) fn refresh_engines(&self) {
-        // A full channel says it already.
+        // A full channel already marks them as stale.
         let _noted = self.stale_engines.0.try_send(());
     }
 
-    /// Resolves once candidates must be worked out anew.
+    /// Resolves once the candidates are stale.
     pub(super) async fn stale_engines(&self) {
         let _noted = self.stale_engines.1.recv().await;
     }
@@ -168,28 +168,28 @@
         self.zones.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Runs `work` until it ends or the gateway stops.
+    /// Runs `work` until it completes or the gateway stops.
     pub(super) fn spawn_background(&self, work: impl Future<Output = ()> + Send + 'static) {
         let task = self.executor.spawn(work);
         let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
         tasks.push(task);
     }
 
-    /// Runs `work` to its end, for what is short and bounded.
+    /// Runs `work` to completion; meant for short, bounded work.
     pub(super) fn spawn(&self, work: impl Future<Output = ()> + Send + 'static) {
         self.executor.spawn(work).detach();
     }
 
-    /// Runs batch work to its end. It has a thread of its own, so that online
-    /// requests wait neither for it nor behind it.
+    /// Runs batch work to completion. It has a dedicated thread, so that online
+    /// requests do not wait for it.
     pub(super) fn spawn_batch(&self, work: impl Future<Output = ()> + Send + 'static) {
         self.batch_executor.spawn(work).detach();
     }
 
-    /// Starts the thread of batch work; it ends once `stopped` is closed.
+    /// Starts the batch thread; it ends once `stopped` is closed.
     ///
     /// # Errors
-    /// When the system refuses a thread.
+    /// When the operating system cannot create a thread.
     pub(super) fn start_batch_thread(&self, stopped: Receiver<()>) -> io::Result<()> {
         let executor = self.batch_executor.clone();
         let run = move || {
@@ -201,14 +201,14 @@
             .map(drop)
     }
 
-    /// Ends every background task.
+    /// Cancels every background task.
     pub(super) async fn stop_background(&self) {
         for task in self.take_background() {
             task.cancel().await;
         }
     }
 
-    /// Takes every background task; dropping one ends it.
+    /// Takes every background task; dropping a task cancels it.
     pub(super) fn take_background(&self) -> Vec<Task<()>> {
         let mut tasks = self.tasks.lock().unwrap_or_else(PoisonError::into_inner);
         std::mem::take(&mut *tasks)
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -1,4 +1,4 @@
-//! Where the tokens of an answer go: into one plain answer, or on to the
+//! Output of an answer's tokens: collected into a plain response, or streamed to the
 //! caller as server-sent events.
 
 use async_channel::Sender;
@@ -15,22 +15,22 @@
 use super::error::ApiError;
 use super::validation::CompletionForm;
 
-/// Events that wait in memory for a slow caller.
+/// Events buffered for a slow caller.
 const STREAM_CAPACITY: usize = 64;
-/// Name of the event that ends a stream early.
+/// Name of the event that ends a stream with an error.
 const ERROR_EVENT: &str = "error";
 
-/// The caller went away.
+/// The caller disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct CallerGone;
 
-/// Where the tokens of an answer go.
+/// The destination of an answer's tokens.
 #[derive(Debug)]
 pub(super) struct AnswerSink {
     form: CompletionForm,
     service: ServiceName,
     attempt: Option<AttemptId>,
-    /// Text so far; kept for plain answers and for claims.
+    /// Text so far; kept for plain answers and for claimed requests.
     text: Option<String>,
     tokens: u32,
     finish_reason: Option<FinishReason>,
@@ -38,16 +38,16 @@
     live: Option<LiveStream>,
 }
 
-/// A caller that reads events as they come.
+/// A caller that receives events as they are generated.
 #[derive(Debug)]
 struct LiveStream {
-    /// Takes the response with its head, once.
+    /// Receives the response once, with its head.
     head: Sender<Response>,
     writer: Option<EventWriter>,
 }
 
 impl AnswerSink {
-    /// Collects one plain answer.
+    /// Creates a sink that collects a plain answer.
     pub(super) fn plain(form: CompletionForm, service: &ServiceName) -> Self {
         Self {
             form,
@@ -61,9 +61,9 @@
         }
     }
 
-    /// Passes tokens on. The response goes to `head` with the first of them,
-    /// so that an earlier failure can still have its own status. The text is
-    /// kept as well if `keep_text`.
+    /// Creates a sink that streams tokens. The response is sent to `head` with the first
+    /// token, so that an earlier failure can set its own status. `keep_text` also collects
+    /// the text.
     pub(super) fn streamed(
         form: CompletionForm,
         service: &ServiceName,
@@ -77,12 +77,12 @@
         }
     }
 
-    /// Tokens that were taken; where a broken answer must go on.
+    /// Number of tokens received; the offset at which an interrupted answer is resumed.
     pub(super) fn tokens(&self) -> u32 {
         self.tokens
     }
 
-    /// Tokens that the caller has seen. A plain answer is seen as a whole.
+    /// Number of tokens passed to the caller. A plain answer is only passed as a whole.
     pub(super) fn passed(&self) -> u32 {
         match self.live {
             Some(_) => self.tokens,
@@ -90,12 +90,12 @@
         }
     }
 
-    /// Names the attempt that answers.
+    /// Sets the attempt that produces the answer.
     pub(super) fn name(&mut self, attempt: AttemptId) {
         self.attempt = Some(attempt);
     }
 
-    /// Forgets what was taken, for an attempt that answers from the start.
+    /// Discards the received tokens, for an attempt that answers from the start.
     pub(super) fn restart(&mut self) {
         self.tokens = 0;
         if let Some(text) = &mut self.text {
@@ -103,7 +103,7 @@
         }
     }
 
-    /// Takes the next token.
+    /// Processes the next token.
     pub(super) async fn token(&mut self, token: Token) -> Result<(), CallerGone> {
         self.note(&token.chunk);
         let Some(live) = &mut self.live else {
@@ -132,7 +132,7 @@
         self.usage = chunk.usage;
     }
 
-    /// The whole answer in its plain form.
+    /// Returns the collected answer in its plain form.
     pub(super) fn plain_answer(&self) -> CompletionResponse {
         let text = self.text.clone().unwrap_or_default();
         let (text, message) = match self.form {
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Ends a whole answer; a plain one gives its response.
+    /// Finishes a complete answer; returns the response of a plain one.
     pub(super) async fn finish(self) -> Option<Response> {
         if self.live.is_none() {
             let response = json_response(StatusCode::Ok, &self.plain_answer());
@@ -165,8 +165,8 @@
         None
     }
 
-    /// Ends with an error: as a response of its own while nothing was passed
-    /// on, else as an event behind which the stream is cut.
+    /// Ends with an error: as an ordinary error response if no token was streamed yet,
+    /// otherwise as an event after which the stream is truncated.
     pub(super) async fn fail(self, error: &ApiError) -> Option<Response> {
         let Some(live) = self.live else {
             return Some(error.response());
@@ -185,7 +185,7 @@
         None
     }
 
-    /// Passes the recorded answer of an earlier arrival on.
+    /// Sends the recorded answer of an earlier submission.
     pub(super) async fn replay(self, recorded: &[u8]) -> Option<Response> {
         let Some(live) = self.live else {
             let mut response = Response::new(StatusCode::Ok);
@@ -204,7 +204,7 @@
     }
 }
 
-/// A recorded plain answer as the one event of a stream.
+/// Converts a recorded plain answer to a single stream event.
 fn replayed_event(form: CompletionForm, recorded: &[u8]) -> Option<ServerEvent> {
     let answer: CompletionResponse = serde_json::from_slice(recorded).ok()?;
     let choice = answer.choices.into_iter().next()?;
@@ -220,8 +220,8 @@
     Some(ServerEvent::data(chunk_data(form, &service, &chunk)))
 }
 
-/// One token as callers get it: the engine's fields, and those of the usual
-/// OpenAI form beside them.
+/// One streamed token: the engine's fields, plus those of the OpenAI
+/// format.
 #[derive(Serialize)]
 struct StreamedChunk<'a> {
     object: &'static str,
@@ -231,7 +231,7 @@
     chunk: &'a CompletionChunk,
 }
 
-/// The choice of a streamed chunk; a chat carries `delta`, others `text`.
+/// The choice of a streamed chunk; chats use `delta`, other forms `text`.
 #[derive(Serialize)]
 struct StreamedChoice<'a> {
     index: u32,
@@ -242,7 +242,7 @@
     finish_reason: Option<FinishReason>,
 }
 
-/// What a chunk adds to the message of a chat.
+/// The addition of a chunk to a chat message.
 #[derive(Serialize)]
 struct StreamedDelta<'a> {
     content: &'a str,
@@ -268,7 +268,7 @@
         }],
         chunk,
     };
-    // Plain fields always serialize.
+    // Serializing plain fields cannot fail.
     serde_json::to_string(&streamed).unwrap_or_default()
 }
 
--- a/crates/daemon/src/gateway/tenant_weights.rs
+++ b/crates/daemon/src/gateway/tenant_weights.rs
@@ -1,5 +1,5 @@
-//! Weights of tenants' jobs: one gateway carries them from the configuration
-//! into the job groups, which share items out by them.
+//! Batch weights of tenants: one gateway copies them from the configuration
+//! to the job groups, which distribute items accordingly.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,19 +11,19 @@
 
 use super::state::GatewayState;
 
-/// Time between two comparisons.
+/// Interval between comparisons with the configuration.
 const INTERVAL: Duration = Duration::from_secs(1);
-/// What the gateways are ranked by for this duty.
+/// Key by which the gateways are ranked for this task.
 const DUTY: &[u8] = b"tenant weights";
 
 impl GatewayState {
-    /// Carries weights into the job groups until the gateway stops.
+    /// Copies weights to the job groups until the gateway stops.
     pub(super) async fn carry_weights(self: Arc<Self>) {
         let mut carried: BTreeMap<TenantId, u32> = BTreeMap::new();
         loop {
             Timer::after(INTERVAL).await;
             if !self.has_weight_duty() {
-                // Whoever has the duty next may set others.
+                // The gateway that takes over may set other weights.
                 carried.clear();
                 continue;
             }
@@ -52,7 +52,7 @@
             .collect()
     }
 
-    /// Sets one weight in every job group; false when one did not take it.
+    /// Sets one weight in every job group; returns false if a group did not accept it.
     async fn carry_weight(&self, tenant: &TenantId, weight: u32) -> bool {
         for group in 1..=self.options.job_groups {
             let set = self
--- a/crates/daemon/src/gateway/validation.rs
+++ b/crates/daemon/src/gateway/validation.rs
@@ -1,4 +1,4 @@
-//! What a caller asked for, checked as far as possible without any state.
+//! Parsing of requests, and validation as far as it needs no state.
 
 use http_types::headers::HeaderName;
 use molespan_engine_api::{
@@ -11,13 +11,13 @@
 
 use super::error::ApiError;
 
-/// Tenant of a request that names none.
+/// Tenant of a request without a tenant header.
 const DEFAULT_TENANT: &str = "default";
-/// Longest tenant name or idempotency key in bytes.
+/// Maximum length of a tenant name or idempotency key in bytes.
 const MAX_NAME_BYTES: usize = 256;
-/// Most tokens that may be asked for.
+/// Maximum number of tokens a request may ask for.
 const MAX_TOKENS: u64 = 1_000_000;
-/// Tokens generated when the request does not say, as engines have it.
+/// Default number of generated tokens, the same as the engines' default.
 const DEFAULT_MAX_TOKENS: u64 = 16;
 
 /// Form of a completion.
@@ -30,7 +30,7 @@
 }
 
 impl CompletionForm {
-    /// Path of the form at engines and callers.
+    /// Path of the form, both at engines and for callers.
     pub(super) fn path(self) -> &'static str {
         match self {
             Self::Text => COMPLETIONS_PATH,
@@ -42,18 +42,18 @@
 /// Whether a request may run more than once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Repeatability {
-    /// It may.
+    /// The request may run repeatedly.
     Repeatable,
-    /// It runs at most once under this key, whoever sends it.
+    /// The request runs at most once under this key, whoever sends it.
     Once {
         /// The caller's key.
         key: String,
     },
-    /// This arrival runs at most once; nothing is known of others.
+    /// This submission runs at most once; other submissions are not recognized.
     OnceHere,
 }
 
-/// A completion that a caller asked for.
+/// A parsed completion request.
 #[derive(Clone, Debug)]
 pub(super) struct CompletionAsked {
     pub(super) form: CompletionForm,
@@ -62,17 +62,17 @@
     pub(super) repeatability: Repeatability,
     /// Whether the caller wants server-sent events.
     pub(super) stream: bool,
-    /// Hashes of the prompt's prefixes, as engines hash them.
+    /// Hashes of the prompt's prefix blocks, computed as engines do.
     pub(super) prefix_hashes: Vec<u64>,
-    /// Tokens of the prompt, as estimated.
+    /// Estimated number of prompt tokens.
     pub(super) prompt_tokens: u32,
-    /// Digest of the body as it came.
+    /// Digest of the body as received.
     pub(super) digest: Digest,
     body: Map<String, Value>,
 }
 
 impl CompletionAsked {
-    /// Checks headers and body of a completion.
+    /// Parses and validates the headers and body of a completion.
     pub(super) fn read(
         form: CompletionForm,
         request: &Request,
@@ -102,22 +102,22 @@
         })
     }
 
-    /// The body for an engine that runs `model`. Answers are always streamed
-    /// between engine and gateway, so that a broken one can be taken up again.
+    /// Returns the body for an engine that runs `model`. The answer between engine and
+    /// gateway is always streamed, so that an interrupted one can be resumed.
     pub(super) fn engine_body(&self, model: &str) -> Vec<u8> {
         engine_body(self.body.clone(), model)
     }
 }
 
-/// The body of one request to an engine.
+/// Returns the body of a request to an engine.
 pub(super) fn engine_body(mut fields: Map<String, Value>, model: &str) -> Vec<u8> {
     fields.insert("model".to_owned(), Value::from(model));
     fields.insert("stream".to_owned(), Value::Bool(true));
-    // Maps with text keys always serialize.
+    // Serializing a map with text keys cannot fail.
     serde_json::to_vec(&fields).unwrap_or_default()
 }
 
-/// The fields of a JSON object.
+/// Parses the fields of a JSON object.
 pub(super) fn parse_fields(body: &[u8]) -> Result<Map<String, Value>, ApiError> {
     serde_json::from_slice(body).map_err(|error| {
         ApiError::bad_request(
@@ -127,7 +127,7 @@
     })
 }
 
-/// Checks the fields of one batch item.
+/// Validates the fields of one batch item.
 pub(super) fn check_item(line: &[u8]) -> Result<(), String> {
     let fields = parse_fields(line).map_err(|error| error.message)?;
     text_field(&fields, "prompt").map_err(|error| error.message)?;
@@ -148,7 +148,7 @@
     }
 }
 
-/// Tokens that an item asks for.
+/// Returns the number of tokens that an item asks for.
 pub(super) fn max_tokens_of(fields: &Map<String, Value>) -> u64 {
     let asked = fields.get("max_tokens").and_then(Value::as_u64);
     asked.unwrap_or(DEFAULT_MAX_TOKENS)
@@ -171,7 +171,7 @@
     }
 }
 
-/// The text that an engine derives from a conversation.
+/// Returns the prompt that an engine derives from a conversation.
 fn chat_prompt(fields: &Map<String, Value>) -> Result<String, ApiError> {
     let messages = fields.get("messages").cloned().unwrap_or_default();
     let messages: Vec<ChatMessage> = serde_json::from_value(messages).map_err(|error| {
@@ -194,7 +194,7 @@
     Ok(prompt)
 }
 
-/// The tenant that a request names.
+/// Returns the tenant of a request.
 pub(super) fn tenant_of(request: &Request) -> Result<TenantId, ApiError> {
     let named = header(request, TENANT_HEADER).unwrap_or_else(|| DEFAULT_TENANT.to_owned());
     if named.is_empty() || named.len() > MAX_NAME_BYTES {
@@ -204,7 +204,7 @@
     Ok(TenantId(named))
 }
 
-/// Whether a request may run more than once; `by_nature` when no header says.
+/// Returns whether a request may run more than once; `by_nature` applies without a header.
 pub(super) fn repeatability_of(
     request: &Request,
     by_nature: bool,
@@ -236,21 +236,21 @@
     }
 }
 
-/// The last value of a header.
+/// Returns the last value of a header.
 pub(super) fn header(request: &Request, name: &str) -> Option<String> {
     let name: HeaderName = name.parse().ok()?;
     let values = request.header(name)?;
     Some(values.last().as_str().to_owned())
 }
 
-/// The value of a query parameter.
+/// Returns the value of a query parameter.
 pub(super) fn query_text(request: &Request, name: &str) -> Option<String> {
     let mut pairs = request.url().query_pairs();
     let found = pairs.find(|(key, _)| key == name);
     found.map(|(_, value)| value.into_owned())
 }
 
-/// The value of a numeric query parameter.
+/// Returns the value of a numeric query parameter.
 pub(super) fn query_number(request: &Request, name: &str) -> Result<Option<u64>, ApiError> {
     let Some(text) = query_text(request, name) else {
         return Ok(None);
--- a/crates/daemon/src/incarnation.rs
+++ b/crates/daemon/src/incarnation.rs
@@ -1,4 +1,4 @@
-//! The number of a node's life, which rises with every start.
+//! The incarnation number of a node, which rises with every start.
 
 use std::path::Path;
 
@@ -10,13 +10,13 @@
 /// File in the data folder.
 const FILE: &str = "incarnation";
 
-/// Begins the next life of the node whose data folder is `folder`, durably.
+/// Starts and persists the next incarnation of the node with data folder `folder`.
 ///
-/// A life's number is higher than that of the one before and not below the
-/// time of day in milliseconds, so that it also rises over a lost folder.
+/// The number is greater than the previous one and at least the current Unix time
+/// in milliseconds, so that it also rises after the folder was lost.
 ///
 /// # Errors
-/// When the disk refuses or the file is damaged.
+/// When the disk reports an error or the file is damaged.
 pub fn begin_life(folder: &Path) -> Result<Incarnation, StorageError> {
     let disk = RealDisk::open(folder)?;
     let previous = read_checked(&disk, "", FILE)?;
--- a/crates/daemon/src/local_transport.rs
+++ b/crates/daemon/src/local_transport.rs
@@ -1,4 +1,4 @@
-//! Reaches the node's own replica without a socket.
+//! A transport that calls the node's own replica without a socket.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use crate::cluster::{PeerCall, PeerTransport};
 use crate::replica::ReplicaRole;
 
-/// Calls the own replica directly and other nodes over the internal protocol.
+/// Calls the own replica in process and other nodes over the internal protocol.
 #[derive(Debug)]
 pub struct LocalTransport {
     /// This node.
     pub own: NodeId,
     /// Its replica.
     pub replica: Arc<ReplicaRole>,
-    /// Reaches the other nodes.
+    /// Transport to the other nodes.
     pub others: Arc<dyn PeerTransport>,
 }
 
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -1,4 +1,4 @@
-//! A node: its roles and interfaces, put together from its settings.
+//! A node: its roles and interfaces, assembled from its settings.
 
 mod starter;
 
@@ -22,12 +22,12 @@
 use crate::status_server::StatusServer;
 use starter::Starter;
 
-/// How a planned stop went; a part is missing without its role.
+/// Result of a graceful stop; `None` for a role that the node does not have.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StopReport {
-    /// What became of the gateway's requests and leases.
+    /// Aborted requests and leases left by the gateway.
     pub gateway: Option<DrainReport>,
-    /// What became of the replica's leaderships.
+    /// Leaderships handed over or kept by the replica.
     pub replica: Option<HandOver>,
 }
 
@@ -44,7 +44,7 @@
     _lock: FolderLock,
 }
 
-/// Who serves the HTTP address.
+/// The server of the HTTP address.
 #[derive(Debug)]
 enum HttpInterface {
     /// The gateway role.
@@ -62,17 +62,17 @@
     }
 }
 
-/// A gateway that serves.
+/// A serving gateway.
 #[derive(Debug)]
 struct RunningGateway {
     address: SocketAddr,
-    /// Closed to begin its planned stop.
+    /// Closed to begin its graceful stop.
     stop: Sender<()>,
     served: Task<DrainReport>,
 }
 
 impl Node {
-    /// Starts the roles that `settings` name. It listens once this returns.
+    /// Starts the roles in `settings`. The node is listening when this returns.
     ///
     /// # Errors
     /// When the data folder is in use or damaged, or an address cannot be bound.
@@ -122,19 +122,19 @@
         })
     }
 
-    /// Where callers and operators reach it.
+    /// Returns the address for callers and operators.
     #[must_use]
     pub fn http_address(&self) -> SocketAddr {
         self.http.address()
     }
 
-    /// Where other nodes reach it.
+    /// Returns the address for other nodes.
     #[must_use]
     pub fn internal_address(&self) -> SocketAddr {
         self.internal_address
     }
 
-    /// Waits until a role cannot go on. A role that was stopped has no error.
+    /// Waits until a role can no longer continue. A role that was stopped has no error.
     pub async fn failed(&self) -> Option<ReplicaError> {
         match &self.replica {
             Some(replica) => replica.ended().await,
@@ -142,10 +142,10 @@
         }
     }
 
-    /// Stops as planned: no request is cut off within the bounds of the
-    /// settings, and what was left at their end is reported.
+    /// Stops gracefully: requests in flight may finish within the time limits of the
+    /// settings, and whatever remains is reported.
     ///
-    /// The gateway goes first, since it returns its leases to the groups.
+    /// The gateway stops first, because it returns its leases to the groups.
     pub async fn stop(self) -> StopReport {
         info!(self.logger, "stopping");
         let gateway = match self.http {
--- a/crates/daemon/src/node/starter.rs
+++ b/crates/daemon/src/node/starter.rs
@@ -1,4 +1,4 @@
-//! Starting the roles of a node.
+//! Start of a node's roles.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,7 +23,7 @@
 /// Folder of the replica's files within the data folder.
 const REPLICA_FOLDER: &str = "replica";
 
-/// What the roles of a node are started with.
+/// Everything needed to start a node's roles.
 pub(super) struct Starter<'a> {
     pub settings: &'a Settings,
     pub executor: &'a Arc<Executor<'static>>,
@@ -50,7 +50,7 @@
         Ok(Some(Arc::new(ReplicaRole::start(context)?)))
     }
 
-    /// Starts whoever serves the HTTP address.
+    /// Starts the server of the HTTP address.
     pub fn start_http(
         &self,
         replica: Option<&Arc<ReplicaRole>>,
@@ -71,7 +71,7 @@
         Ok((HttpInterface::Status(server), None))
     }
 
-    /// Registers a node that is no gateway; a gateway registers itself.
+    /// Registers a node without the gateway role; a gateway registers itself.
     pub fn register(
         &self,
         http: &HttpInterface,
@@ -149,7 +149,7 @@
     }
 }
 
-/// The replicas, with the own one and those of the own zone first.
+/// Returns the replicas in order of preference: the own one, then those of the own zone.
 fn replicas_by_distance(settings: &Settings) -> Vec<Peer> {
     let mut replicas = settings.replicas();
     let own = &settings.node;
--- a/crates/daemon/src/peer_handler.rs
+++ b/crates/daemon/src/peer_handler.rs
@@ -1,4 +1,4 @@
-//! Brings the requests of other processes to the role that answers them.
+//! Dispatches requests of other processes to the role that handles them.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 use crate::gateway::Gateway;
 use crate::replica::ReplicaRole;
 
-/// Brings the requests of other processes to the role that answers them.
+/// Dispatches requests of other processes to the role that handles them.
 #[derive(Debug)]
 pub(crate) struct PeerHandler {
     pub node: NodeId,
@@ -44,7 +44,7 @@
 }
 
 impl PeerHandler {
-    /// What the node says of itself: the gateway's words, and what the replica
+    /// Returns the node's status: that of the gateway, plus the groups that the replica
     /// leads.
     async fn status(&self) -> NodeStatus {
         let mut status = match &self.gateway {
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -1,4 +1,4 @@
-//! Registers a node that is no gateway, so that operators see it.
+//! Registers a node without the gateway role, so that operators can see it.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 
 use crate::cluster::Cluster;
 
-/// Pause after an attempt that failed.
+/// Delay after a failed attempt.
 const PAUSE: Duration = Duration::from_secs(1);
 
-/// Announces the node until the control group has taken it.
+/// Registers the node, retrying until the control group accepts it.
 pub(crate) async fn register(cluster: Arc<Cluster>, node: RegisterNode, logger: Logger) {
     loop {
         match cluster.register_node(node.clone()).await {
@@ -21,7 +21,7 @@
                 return;
             }
             Ok(ControlReply::NodeStale { registered }) => {
-                warn!(logger, "a later life of this node is registered";
+                warn!(logger, "a later incarnation of this node is registered";
                     "registered" => registered.0);
                 return;
             }
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the groups and their disk.
+//! The thread that owns the replicated groups and their disk.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,18 +18,18 @@
 use super::reporter::Reporter;
 use crate::boot_clock::BootClock;
 
-/// Most orders taken in before one round of work.
+/// Maximum number of orders accepted before each poll of the core.
 const ORDERS_A_ROUND: usize = 4_096;
-/// Time between two updates of the metrics.
+/// Interval between updates of the metrics.
 const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the thread reports to.
+/// Receivers of the thread's output.
 #[derive(Debug)]
 pub(super) struct Surroundings {
     pub outbox: Arc<Outbox>,
     pub leaders: Arc<Leaders>,
     pub nudge: Nudge,
-    /// Told when a machine changed what its watchers wait for.
+    /// Notified when a state machine changed something that watchers wait for.
     pub state_changed: Nudge,
     pub metrics: ReplicaMetrics,
     pub reporter: Reporter,
@@ -49,7 +49,7 @@
 }
 
 impl Driver {
-    /// A driver of `core`, and the way to it.
+    /// Creates a driver of `core`, and a handle to it.
     pub fn new(
         core: ReplicaCore<RealDisk>,
         clock: BootClock,
@@ -69,11 +69,11 @@
         (driver, handle)
     }
 
-    /// Works until it is told to stop.
+    /// Runs until a stop order arrives.
     ///
     /// # Errors
-    /// When the disk refuses or the groups contradict what is stored. Requests
-    /// that wait are then answered as unknown.
+    /// When the disk reports an error, or the groups contradict the stored data. Pending
+    /// requests are then answered with an unknown outcome.
     pub fn run(mut self) -> Result<(), ReplicaError> {
         while !self.stopping {
             self.take_orders();
@@ -84,7 +84,7 @@
         Ok(())
     }
 
-    /// Waits for orders or the next deadline, and takes in all that wait.
+    /// Waits for orders or the next deadline, and accepts all queued orders.
     fn take_orders(&mut self) {
         let deadline = self.core.next_deadline();
         let wait = deadline.since(self.clock.now());
--- a/crates/daemon/src/replica/feed.rs
+++ b/crates/daemon/src/replica/feed.rs
@@ -1,7 +1,8 @@
-//! The configuration for those who wait for a newer one.
+//! Serves long polls for a newer configuration.
 //!
-//! However many wait, one read that a quorum confirms serves them all, once in
-//! an interval or as soon as this replica applied a change. They get what
+//! A single quorum-confirmed read serves all watchers; it runs once per interval, or as
+//! soon as this replica has applied a change. Watchers receive the difference from their
+//! version, or the complete configuration when they lag too far behind.
 //! differs from the version that they have, or the whole when they lag far.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,23 +19,23 @@
 use super::orders::{Call, DriverHandle};
 use super::outbox::Outbox;
 
-/// Time between two reads.
+/// Interval between reads.
 const INTERVAL: Duration = Duration::from_millis(250);
-/// Longest wait for the leader's answer to a read.
+/// Timeout of the leader's answer to a read.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
-/// A read that began earlier confirms nothing any more.
+/// Age, from its start, up to which a read confirms a version.
 const CONFIRMED_FOR: Duration = Duration::from_secs(1);
-/// Longest wait of one watcher.
+/// Maximum wait of one watcher.
 const LONGEST_WAIT: Duration = Duration::from_secs(30);
-/// When to come back if no quorum confirms, in milliseconds.
+/// Retry delay reported without a quorum, in milliseconds.
 const RETRY_MS: u32 = 250;
 
-/// Asks for a read at once.
+/// Triggers an immediate read.
 #[derive(Clone, Debug)]
 pub(super) struct Nudge(Sender<()>);
 
 impl Nudge {
-    /// Asks for a read at once.
+    /// Triggers an immediate read.
     pub fn now(&self) {
         let _already_asked = self.0.try_send(());
     }
@@ -42,16 +43,16 @@
 
 #[derive(Debug)]
 struct State {
-    /// When the latest read began; `None` before the first one.
+    /// Start of the latest successful read; `None` before the first one.
     began: Option<Instant>,
-    /// What the reads showed.
+    /// Configurations returned by the reads.
     history: ConfigurationHistory,
-    /// Closes once the next read is done.
+    /// Closed when the next read completes.
     next: Sender<()>,
     next_done: Receiver<()>,
 }
 
-/// The configuration for those who wait for a newer one.
+/// Serves long polls for a newer configuration.
 #[derive(Debug)]
 pub(super) struct ConfigurationFeed {
     driver: DriverHandle,
@@ -61,13 +62,13 @@
 }
 
 impl State {
-    /// Whether the latest read still confirms anything.
+    /// Whether the latest read is recent enough to confirm a version.
     fn is_fresh(&self) -> bool {
         self.began
             .is_some_and(|began| began.elapsed() < CONFIRMED_FOR)
     }
 
-    /// The answer to a watcher that has version `held`, if there is a newer
+    /// Returns the answer to a watcher with version `held`, if there is a newer
     /// one.
     fn newer(&mut self, held: ConfigVersion) -> Option<Response> {
         let configuration = self.history.update_for(held)?;
@@ -78,7 +79,7 @@
     }
 }
 
-/// What drives the reads of a feed.
+/// The task that runs a feed's reads.
 #[derive(Debug)]
 pub(super) struct FeedWork {
     feed: Arc<ConfigurationFeed>,
@@ -86,14 +87,14 @@
     nudged: Receiver<()>,
 }
 
-/// The two ends of a [`Nudge`].
+/// Creates both ends of a [`Nudge`].
 pub(super) fn nudge() -> (Nudge, Receiver<()>) {
     let (sender, nudged) = async_channel::bounded(1);
     (Nudge(sender), nudged)
 }
 
 impl ConfigurationFeed {
-    /// A feed, and the work that must run for it.
+    /// Creates a feed, and the task that must run for it.
     pub fn new(
         driver: DriverHandle,
         outbox: Arc<Outbox>,
@@ -121,8 +122,8 @@
         (feed, work)
     }
 
-    /// Waits for a configuration that is newer than the asker's, at most as
-    /// long as it wants to.
+    /// Waits for a configuration newer than the caller's, at most for the
+    /// requested time.
     pub async fn watch(&self, watch: &WatchConfiguration) -> Response {
         let wait = Duration::from_millis(u64::from(watch.wait_ms)).min(LONGEST_WAIT);
         let deadline = Instant::now() + wait.max(INTERVAL);
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Reads once and tells everybody who waits.
+    /// Reads once and wakes all watchers.
     async fn read(&self) {
         let began = Instant::now();
         let after = self.lock().history.version();
@@ -175,7 +176,7 @@
         state.next_done = next_done;
     }
 
-    /// Asks the leader, which is here or at another replica.
+    /// Queries the leader, which is this replica or another one.
     async fn ask(&self, after: ConfigVersion) -> Option<ControlAnswer> {
         let query = molespan_state::encode(&ControlQuery::ConfigurationAfter { after });
         let own = self.driver.call(Call::Query {
@@ -208,7 +209,7 @@
 }
 
 impl FeedWork {
-    /// Reads while somebody waits.
+    /// Runs reads while there are watchers.
     pub async fn run(self) {
         while self.demanded.recv().await.is_ok() {
             self.feed.read().await;
@@ -223,7 +224,7 @@
     }
 }
 
-/// Waits for the next read; `false` when the deadline came first.
+/// Waits for the next read; returns `false` if the deadline passes first.
 async fn wait_until(deadline: Instant, next_done: &Receiver<()>) -> bool {
     let done = async {
         let _closed = next_done.recv().await;
--- a/crates/daemon/src/replica/heartbeats.rs
+++ b/crates/daemon/src/replica/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Which nodes are alive, as the control leader knows from their heartbeats.
+//! Tracks which nodes are alive from the heartbeats sent to the control leader.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -6,18 +6,18 @@
 
 use molespan_types::{Incarnation, NodeId, ZoneName};
 
-/// Most nodes of one zone in an answer. Every node gets the same list, so that
-/// all agree on who owns what; nodes beyond it own nothing.
+/// Maximum number of nodes per zone in an answer. Every node gets the same list, so that
+/// all agree on the ownership; nodes beyond the limit own nothing.
 const MOST_PER_ZONE: usize = 16;
-/// A node counts as alive for as many heartbeats after its last one.
+/// A node counts as alive for this many heartbeat intervals after its last heartbeat.
 const LIVE_HEARTBEATS: u32 = 3;
-/// A new leader listens for as many heartbeats before it gives a list.
+/// Heartbeat intervals for which a new leader collects heartbeats before it answers.
 const WARM_UP_HEARTBEATS: f64 = 1.5;
-/// The list is made anew so often in the time of one heartbeat, and with each
-/// change.
+/// How often the list is rebuilt per heartbeat interval, in addition to rebuilds after
+/// changes.
 const LISTS_A_HEARTBEAT: u32 = 4;
 
-/// A node that is alive: its number, life and whether it is draining.
+/// A live node: its ID, its incarnation and whether it is draining.
 pub(super) type LiveNode = (NodeId, Incarnation, bool);
 
 /// A heartbeat of a node.
@@ -38,13 +38,13 @@
 #[derive(Debug, Default)]
 struct State {
     heard: HashMap<NodeId, Heard>,
-    /// The list as it was made last; every heartbeat asks for it.
+    /// The last list that was built; every heartbeat returns it.
     live: Vec<LiveNode>,
-    /// When it must be made again.
+    /// When the list must be rebuilt.
     live_until: Option<Instant>,
 }
 
-/// Which nodes are alive.
+/// Tracks which nodes are alive.
 #[derive(Debug)]
 pub(super) struct Heartbeats {
     interval: Duration,
@@ -52,7 +52,7 @@
 }
 
 impl Heartbeats {
-    /// Of nodes that send one in each `interval`.
+    /// Creates a tracker for nodes that send a heartbeat every `interval`.
     pub fn new(interval: Duration) -> Self {
         Self {
             interval,
@@ -60,13 +60,13 @@
         }
     }
 
-    /// How much longer a leader must listen that has led for `led_for`.
+    /// Returns how much longer a leader must collect heartbeats after leading for `led_for`.
     pub fn warm_up_left(&self, led_for: Duration) -> Duration {
         let warm_up = self.interval.mul_f64(WARM_UP_HEARTBEATS);
         warm_up.saturating_sub(led_for)
     }
 
-    /// Notes a heartbeat. One of an earlier life is passed over.
+    /// Records a heartbeat, unless it is of an earlier incarnation.
     pub fn note(&self, heartbeat: NodeHeartbeat) {
         let mut state = self.lock();
         let node = heartbeat.node;
@@ -81,7 +81,7 @@
         state.heard.insert(node, Heard { heartbeat, at });
     }
 
-    /// The nodes that are alive, in the order of their numbers.
+    /// Returns the live nodes, ordered by ID.
     pub fn live(&self) -> Vec<LiveNode> {
         let mut state = self.lock();
         let now = Instant::now();
@@ -99,7 +99,7 @@
     }
 }
 
-/// The first nodes of each zone.
+/// Returns the first nodes of each zone.
 fn list<'a>(heard: impl Iterator<Item = &'a Heard>) -> Vec<LiveNode> {
     let mut zones: BTreeMap<&ZoneName, Vec<LiveNode>> = BTreeMap::new();
     for one in heard {
--- a/crates/daemon/src/replica/leaders.rs
+++ b/crates/daemon/src/replica/leaders.rs
@@ -1,4 +1,4 @@
-//! Who leads each group, as this replica knows it.
+//! The leaders of the groups as known to this replica.
 
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -12,7 +12,7 @@
     since: Instant,
 }
 
-/// Who leads each group, as this replica knows it.
+/// The leaders of the groups as known to this replica.
 #[derive(Debug)]
 pub(super) struct Leaders {
     own: NodeId,
@@ -20,7 +20,7 @@
 }
 
 impl Leaders {
-    /// Of a replica on node `own` that knows of no leader yet.
+    /// Creates an empty table for the replica on node `own`.
     pub fn new(own: NodeId) -> Self {
         Self {
             own,
@@ -28,18 +28,18 @@
         }
     }
 
-    /// Notes a change.
+    /// Records a change.
     pub fn note(&self, group: GroupId, leader: Option<NodeId>) {
         let since = Instant::now();
         self.lock().insert(group, Known { leader, since });
     }
 
-    /// The leader of `group`, when known.
+    /// Returns the leader of `group`, if known.
     pub fn of(&self, group: GroupId) -> Option<NodeId> {
         self.lock().get(&group).and_then(|known| known.leader)
     }
 
-    /// Groups that this replica leads.
+    /// Returns the groups that this replica leads.
     pub fn led(&self) -> Vec<GroupId> {
         let groups = self.lock();
         let led = groups
@@ -48,7 +48,7 @@
         led.map(|(&group, _)| group).collect()
     }
 
-    /// For how long this replica has led `group`, if it does.
+    /// Returns how long this replica has led `group`, if it leads it.
     pub fn led_for(&self, group: GroupId) -> Option<Duration> {
         let groups = self.lock();
         let known = groups.get(&group)?;
--- a/crates/daemon/src/replica/metrics.rs
+++ b/crates/daemon/src/replica/metrics.rs
@@ -18,7 +18,7 @@
 }
 
 impl ReplicaMetrics {
-    /// Registers them.
+    /// Registers the metrics.
     pub fn new(metrics: &Metrics) -> Self {
         let gauge = |name: &str, help: &str| metrics.gauge(name, help);
         Self {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Shows `status`.
+    /// Sets the gauges from `status`.
     pub fn update(&self, status: &ReplicaStatus) {
         let applied: u64 = status.groups.iter().map(|group| group.applied).sum();
         let payload_bytes: u64 = status.groups.iter().map(|group| group.payload_bytes).sum();
