--- a/crates/daemon/src/replica/mod.rs
+++ b/crates/daemon/src/replica/mod.rs
@@ -1,9 +1,9 @@
-//! The replica role: a thread that drives the groups, and the service around
-//! it.
+//! The replica role: a thread that drives the replicated groups, and the service
+//! around it.
 //!
-//! The thread owns the disk and all groups; everything else hands it orders
-//! over a bounded queue. It takes in whatever has queued up and then works
-//! once, so that one sync of the log serves them all.
+//! The thread owns the disk and all groups; other tasks send it orders
+//! over a bounded queue. It accepts all queued orders before each poll of the core,
+//! so that a single sync of the log covers them all.
 
 mod driver;
 mod feed;
--- a/crates/daemon/src/replica/options.rs
+++ b/crates/daemon/src/replica/options.rs
@@ -1,4 +1,4 @@
-//! What a replica role is started with.
+//! Options of the replica role.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,12 +12,12 @@
 use molespan_types::NodeId;
 use slog::Logger;
 
-/// Members that are not listed but found. Their numbers are their addresses.
+/// Discovery of members that are not listed. Their IDs encode their addresses.
 #[derive(Clone, Debug)]
 pub struct DiscoveryOptions {
-    /// Who is looked for.
+    /// The members to discover.
     pub members: Discovery,
-    /// Port that all of them listen on for each other.
+    /// Internal port of all members.
     pub port: u16,
 }
 
@@ -30,7 +30,7 @@
     pub address: SocketAddr,
 }
 
-/// Settings of a replica role.
+/// Options of a replica role.
 #[derive(Clone, Debug)]
 pub struct ReplicaOptions {
     /// This node.
@@ -39,33 +39,33 @@
     pub peers: Vec<ReplicaPeer>,
     /// Folder of the replica's files; nothing else may write there.
     pub data_folder: PathBuf,
-    /// Set where the members are not listed.
+    /// Set when members are discovered instead of listed.
     pub discovery: Option<DiscoveryOptions>,
-    /// Job groups beside the control group.
+    /// Number of job groups, in addition to the control group.
     pub job_groups: u32,
-    /// How long a lease outlives its last renewal.
+    /// Lifetime of a lease after its last renewal.
     pub lease: Duration,
     /// How long a claim may stay open before it is settled as unknown.
     pub claim_timeout: Duration,
-    /// Time between two ticks of consensus.
+    /// Interval between ticks of consensus.
     pub tick: Duration,
-    /// Shortest time without a leader before an election.
+    /// Minimum time without a leader before an election.
     pub election_timeout: Duration,
-    /// Time between two heartbeats of a group's leader.
+    /// Interval between heartbeats of a group's leader.
     pub leader_heartbeat: Duration,
-    /// Time between two heartbeats of a node to the control leader.
+    /// Interval between a node's heartbeats to the control leader.
     pub node_heartbeat: Duration,
-    /// Longest time that handing the leaderships over may take at a stop.
+    /// Time limit for handing over the leaderships at a stop.
     pub hand_over_within: Duration,
-    /// Bytes after which a segment of the log is closed.
+    /// Size in bytes at which a log segment is closed.
     pub segment_bytes: u64,
-    /// A snapshot of a group is taken after as many bytes of applied commands.
-    /// Until then they are in memory, and read again at a start.
+    /// A group's snapshot is taken after this many bytes of applied commands. Commands
+    /// since the last snapshot are kept in memory and replayed at a start.
     pub snapshot_every_bytes: u64,
 }
 
 impl ReplicaOptions {
-    /// Options with the defaults for `node` among `peers`.
+    /// Creates options with defaults for `node` among `peers`.
     #[must_use]
     pub fn new(node: NodeId, peers: Vec<ReplicaPeer>, data_folder: PathBuf) -> Self {
         Self {
@@ -86,13 +86,13 @@
         }
     }
 
-    /// Whole ticks in a time.
+    /// Returns the number of whole ticks in `time`.
     fn ticks(&self, time: Duration) -> u32 {
         let ticks = time.as_micros() / self.tick.as_micros().max(1);
         u32::try_from(ticks).unwrap_or(u32::MAX)
     }
 
-    /// The settings of the replica's core.
+    /// Returns the settings of the replica's core.
     pub(super) fn core_settings(&self, seed: u64) -> ReplicaSettings {
         let nodes = match &self.discovery {
             Some(_) => vec![self.node],
@@ -116,17 +116,17 @@
     }
 }
 
-/// What a replica role works with.
+/// Dependencies of a replica role.
 #[derive(Clone, Debug)]
 pub struct ReplicaContext {
-    /// Settings.
+    /// Options.
     pub options: ReplicaOptions,
-    /// Where its tasks run.
+    /// Executor of its tasks.
     pub executor: Arc<Executor<'static>>,
     /// Parent of its logger.
     pub logger: Logger,
-    /// Where its metrics are registered.
+    /// Registry of its metrics.
     pub metrics: Metrics,
-    /// Where what operators should see is recorded.
+    /// Buffer of the events shown to operators.
     pub events: EventBuffer,
 }
--- a/crates/daemon/src/replica/orders.rs
+++ b/crates/daemon/src/replica/orders.rs
@@ -1,4 +1,4 @@
-//! The queue of the driver's thread.
+//! The order queue of the driver's thread.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,14 +8,14 @@
 use molespan_replica::{Consistency, Input, Refusal, ReplicaStatus, Ticket};
 use molespan_types::{GroupId, NodeId, RunOutcome};
 
-/// Orders that wait for the thread; beyond that requests are refused and
+/// Maximum number of queued orders; beyond it requests are rejected and
 /// messages dropped.
 const QUEUED_ORDERS: usize = 16_384;
-/// Bytes that those orders may hold together.
+/// Maximum total size of the queued orders in bytes.
 const QUEUED_BYTES: usize = 32 << 20;
-/// When to come back after a refusal for want of room, in milliseconds.
+/// Retry delay reported when the queue is full, in milliseconds.
 const BUSY_RETRY_MS: u32 = 50;
-/// When to come back to a replica that has stopped, in milliseconds.
+/// Retry delay reported by a replica that has stopped, in milliseconds.
 const STOPPED_RETRY_MS: u32 = 500;
 
 /// The answer to a request.
@@ -24,7 +24,7 @@
 /// A request to the groups.
 #[derive(Debug)]
 pub(super) enum Call {
-    /// A command to be committed and applied.
+    /// A command to commit and apply.
     Propose { group: GroupId, command: Vec<u8> },
     /// A read.
     Query {
@@ -32,12 +32,12 @@
         consistency: Consistency,
         query: Vec<u8>,
     },
-    /// Hands a leadership over.
+    /// Transfers a group's leadership.
     TransferLeadership { group: GroupId, to: NodeId },
 }
 
 impl Call {
-    /// Bytes that it holds while it waits.
+    /// Returns the number of bytes it occupies in the queue.
     fn bytes(&self) -> usize {
         match self {
             Self::Propose { command, .. } => command.len(),
@@ -46,7 +46,7 @@
         }
     }
 
-    /// As the groups take it, under the name of `ticket`.
+    /// Converts the call to an input of the core that is identified by `ticket`.
     pub fn into_input(self, ticket: Ticket) -> Input {
         match self {
             Self::Propose { group, command } => Input::Propose {
@@ -71,7 +71,7 @@
     }
 }
 
-/// What the thread is asked to do.
+/// An order to the thread.
 #[derive(Debug)]
 pub(super) enum Order {
     Call {
@@ -87,7 +87,7 @@
     Stop,
 }
 
-/// Bytes of an order that waits; given back when it is taken.
+/// Bytes reserved by a queued order; released on drop.
 #[derive(Debug)]
 pub(super) struct Room {
     bytes: usize,
@@ -100,7 +100,7 @@
     }
 }
 
-/// An empty queue.
+/// Creates an empty queue.
 pub(super) fn queue() -> (DriverHandle, Receiver<Order>) {
     let (sender, orders) = sync_channel(QUEUED_ORDERS);
     let handle = DriverHandle {
@@ -110,7 +110,7 @@
     (handle, orders)
 }
 
-/// The way to the thread.
+/// A handle to the thread's queue.
 #[derive(Clone, Debug)]
 pub(super) struct DriverHandle {
     orders: SyncSender<Order>,
@@ -118,7 +118,7 @@
 }
 
 impl DriverHandle {
-    /// Carries a request out.
+    /// Executes a request and returns its answer.
     pub async fn call(&self, call: Call) -> Answer {
         let Some(room) = self.room_for(call.bytes()) else {
             return Err(busy());
@@ -138,14 +138,14 @@
         }
     }
 
-    /// Hands in a message of another replica; it may get lost.
+    /// Queues a message of another replica; it may be dropped.
     pub fn message(&self, from: NodeId, group: GroupId, bytes: Vec<u8>) {
         let length = bytes.len();
         self.input(Input::Message { from, group, bytes }, length);
     }
 
-    /// Hands in what nobody waits for an answer to; dropped when too much
-    /// waits.
+    /// Queues an input that needs no answer; it is dropped when the queue is
+    /// full.
     pub fn input(&self, input: Input, length: usize) {
         if let Some(room) = self.room_for(length) {
             let order = Order::Message { input, _room: room };
@@ -153,20 +153,20 @@
         }
     }
 
-    /// The replica's view of itself; `None` once it has stopped.
+    /// Returns the replica's status; `None` once it has stopped.
     pub async fn status(&self) -> Option<ReplicaStatus> {
         let (reply, status) = async_channel::bounded(1);
         self.orders.try_send(Order::Status(reply)).ok()?;
         status.recv().await.ok()
     }
 
-    /// Ends the thread once it has done what is queued. This may block.
+    /// Ends the thread after it has processed the queue. This may block.
     pub fn stop(&self) {
         let _ended_already = self.orders.send(Order::Stop);
     }
 
-    /// Takes room for `bytes`, if there is any. An order that is larger than
-    /// all room goes through when nothing else waits.
+    /// Reserves `bytes` of the queue, if available. An order larger than the whole
+    /// queue is accepted when the queue is empty.
     fn room_for(&self, bytes: usize) -> Option<Room> {
         let before = self.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
         let used = self.queued_bytes.clone();
--- a/crates/daemon/src/replica/outbox.rs
+++ b/crates/daemon/src/replica/outbox.rs
@@ -1,4 +1,4 @@
-//! Sending to the other replicas.
+//! Outgoing messages to the other replicas.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,21 +11,21 @@
 
 use super::{ReplicaOptions, ReplicaPeer};
 
-/// Bytes of messages in one frame, unless a single message is longer.
+/// Maximum bytes of messages in one frame, unless a single message is longer.
 const FRAME_BYTES: usize = 1 << 20;
-/// Longest pause before a peer that could not be reached is tried again.
+/// Maximum backoff before an unreachable peer is retried.
 const LONGEST_PAUSE: Duration = Duration::from_millis(200);
-/// A peer that is not there yet may leave an attempt to connect unanswered for
-/// seconds, and an election waits for it; replicas are near one another.
+/// Connection timeout. A peer that has not started yet may leave a connection attempt
+/// unanswered for seconds, which would delay an election; replicas are close to each other.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Connections to the other replicas. Consensus repeats what gets lost, so
-/// that messages are dropped when a peer does not keep up.
+/// Connections to the other replicas. Consensus resends lost messages, so
+/// messages are dropped when a peer does not keep up.
 #[derive(Debug)]
 pub(super) struct Outbox {
     own: NodeId,
     peers: Vec<ReplicaPeer>,
-    /// Port of peers that are found rather than listed.
+    /// Port of peers that are discovered rather than listed.
     port: Option<u16>,
     executor: Arc<Executor<'static>>,
     seed: u64,
@@ -33,7 +33,7 @@
 }
 
 impl Outbox {
-    /// Connections are opened once there is something to send.
+    /// Creates an outbox; connections are opened on first use.
     pub fn new(options: &ReplicaOptions, executor: &Arc<Executor<'static>>, seed: u64) -> Self {
         Self {
             own: options.node,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Where a peer listens, if it is listed or its number is its address.
+    /// Returns a peer's address, if it is listed or encoded in its ID.
     fn address(&self, node: NodeId) -> Option<SocketAddr> {
         if let Some(port) = self.port {
             return Some(SocketAddr::from((node.address(), port)));
@@ -54,7 +54,7 @@
         Some(peer.address)
     }
 
-    /// The client of another replica.
+    /// Returns the client of another replica.
     pub fn client(&self, node: NodeId) -> Option<Client> {
         if node == self.own {
             return None;
@@ -73,7 +73,7 @@
         Some(client.clone())
     }
 
-    /// Tells others where a leader is.
+    /// Returns a hint to the address of a leader.
     pub fn hint(&self, node: NodeId) -> Option<LeaderHint> {
         let address = self.address(node)?;
         Some(LeaderHint {
@@ -82,7 +82,7 @@
         })
     }
 
-    /// A bundle for the messages of one round of work.
+    /// Creates a bundle for the messages of one poll of the core.
     pub fn bundle(&self) -> Bundle<'_> {
         Bundle {
             outbox: self,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Messages of one round of work, put together by receiver.
+/// Messages of one poll of the core, grouped by receiver.
 #[derive(Debug)]
 pub(super) struct Bundle<'a> {
     outbox: &'a Outbox,
@@ -105,7 +105,7 @@
 }
 
 impl Bundle<'_> {
-    /// Adds a message.
+    /// Adds a message; sends the receiver's earlier messages if the frame would be too long.
     pub fn push(&mut self, to: NodeId, group: GroupId, bytes: Vec<u8>) {
         let waiting = self.waiting.entry(to).or_default();
         if waiting.bytes + bytes.len() > FRAME_BYTES && !waiting.messages.is_empty() {
@@ -120,7 +120,7 @@
         });
     }
 
-    /// Sends what is left.
+    /// Sends the remaining messages.
     pub fn finish(self) {
         for (to, waiting) in self.waiting {
             self.outbox.send(to, waiting.messages);
--- a/crates/daemon/src/replica/reporter.rs
+++ b/crates/daemon/src/replica/reporter.rs
@@ -1,4 +1,4 @@
-//! What the replica tells people: log lines and events.
+//! Log lines and events of the replica role.
 
 use molespan_replica::ReplicaEvent;
 use molespan_telemetry::{EventBuffer, EventKind};
@@ -7,7 +7,7 @@
 
 use crate::wall_clock::unix_millis;
 
-/// What the replica tells people: log lines and events.
+/// Reports what operators should see, as log lines and events.
 #[derive(Debug)]
 pub(super) struct Reporter {
     logger: Logger,
@@ -15,12 +15,12 @@
 }
 
 impl Reporter {
-    /// Writes to `logger` and `events`.
+    /// Creates a reporter that writes to `logger` and `events`.
     pub fn new(logger: Logger, events: EventBuffer) -> Self {
         Self { logger, events }
     }
 
-    /// Another node leads a group.
+    /// Reports a change of a group's leader.
     pub fn leader(&self, group: GroupId, leader: Option<NodeId>) {
         let message = match leader {
             Some(node) => format!("node {node} leads"),
@@ -30,12 +30,12 @@
         self.record(format!("group {group}"), message);
     }
 
-    /// A newer configuration was applied here.
+    /// Reports that a newer configuration was applied.
     pub fn configuration(&self, version: ConfigVersion) {
         info!(self.logger, "configuration applied"; "version" => version.0);
     }
 
-    /// Something that operators should see.
+    /// Reports an event of the replica's core.
     pub fn event(&self, event: &ReplicaEvent) {
         let worrying = matches!(
             event,
--- a/crates/daemon/src/replica/role.rs
+++ b/crates/daemon/src/replica/role.rs
@@ -1,4 +1,4 @@
-//! Starting and stopping the replica role.
+//! Start and stop of the replica role.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -30,18 +30,18 @@
 use crate::DaemonError;
 use crate::boot_clock::BootClock;
 
-/// Time that a chosen successor gets before another one is asked.
+/// How long a successor may take before another one is asked.
 const SUCCESSOR_PATIENCE: Duration = Duration::from_millis(600);
-/// Time between two looks at whether a leadership has moved.
+/// Interval between checks whether a leadership has moved.
 const HAND_OVER_POLL: Duration = Duration::from_millis(10);
 
-/// What became of the leaderships at a planned stop.
+/// Result of handing over leaderships at a graceful stop.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HandOver {
-    /// Groups that another replica leads now.
+    /// Groups that another replica now leads.
     pub handed_over: Vec<GroupId>,
-    /// Groups still led when the time was up; they elect a leader by
-    /// themselves.
+    /// Groups still led at the end of the time limit; they elect a new leader
+    /// after the stop.
     pub kept: Vec<GroupId>,
 }
 
@@ -53,18 +53,18 @@
     leaders: Arc<Leaders>,
     service: Service,
     logger: Logger,
-    /// Closed once the thread has ended; holds its error, if any.
+    /// Closed once the thread has ended; contains its error, if any.
     ended: Receiver<ReplicaError>,
     changes: Receiver<()>,
     _feed_work: Task<()>,
 }
 
 impl ReplicaRole {
-    /// Opens the data folder and starts the thread. This blocks for the time
-    /// of reading the log back.
+    /// Opens the data folder and starts the thread. Blocks while the log is
+    /// replayed.
     ///
     /// # Errors
-    /// When the settings cannot work, or the disk refuses or is damaged.
+    /// When the settings are invalid, or the disk reports an error or is damaged.
     pub fn start(context: ReplicaContext) -> Result<Self, DaemonError> {
         let ReplicaContext {
             options,
@@ -113,48 +113,48 @@
         })
     }
 
-    /// Answers a request of another process.
+    /// Handles a request of another process.
     pub async fn handle_peer(&self, request: Request) -> Response {
         self.service.handle(request).await
     }
 
-    /// Takes a message that nobody waits for. This does not block.
+    /// Handles a one-way message. This does not block.
     pub fn notify(&self, request: Request) {
         self.service.notify(request);
     }
 
-    /// Waits until a machine changed what its watchers wait for; for good once the replica
-    /// has ended, since who looks again at once would keep its thread from all else.
+    /// Waits until a state machine changed something that watchers wait for. Never resolves
+    /// once the replica has ended: a caller that looped on it would monopolize its thread.
     pub async fn changed(&self) {
         if self.changes.recv().await.is_err() {
             future::pending().await
         }
     }
 
-    /// Says who the first voters are, where members are discovered.
+    /// Sets the first voters, when members are discovered.
     pub fn found(&self, founders: BTreeMap<NodeId, u32>) {
         self.driver.input(Input::Found { founders }, 0);
     }
 
-    /// Says who may be members and who must not stay one, where members are
+    /// Sets which nodes may be members and which must be removed, when members are
     /// discovered.
     pub fn set_members(&self, contacts: BTreeSet<NodeId>, retiring: BTreeSet<NodeId>) {
         self.driver.input(Input::Members { contacts, retiring }, 0);
     }
 
-    /// Who leads a group, as far as this replica knows.
+    /// Returns the leader of a group, as far as this replica knows.
     #[must_use]
     pub fn leader(&self, group: GroupId) -> Option<NodeId> {
         self.leaders.of(group)
     }
 
-    /// The replica's view of itself; `None` once it has stopped.
+    /// Returns the replica's status; `None` once it has stopped.
     pub async fn status(&self) -> Option<ReplicaStatus> {
         self.driver.status().await
     }
 
-    /// Whether the replica votes in each group and knows its leader. One that
-    /// replaces a lost disk is not ready before it bears the loss of another.
+    /// Whether the replica votes in each group and knows its leader. A replica that
+    /// replaces a lost disk is not ready until the group can tolerate another loss.
     pub async fn is_ready(&self) -> bool {
         let Some(status) = self.status().await else {
             return false;
@@ -164,18 +164,18 @@
         status.takes_part && led && votes
     }
 
-    /// Groups that this replica leads.
+    /// Returns the groups that this replica leads.
     #[must_use]
     pub fn leads(&self) -> Vec<GroupId> {
         self.leaders.led()
     }
 
-    /// Waits until the thread has ended; gives the error that ended it.
+    /// Waits until the thread has ended; returns the error that ended it.
     pub async fn ended(&self) -> Option<ReplicaError> {
         self.ended.recv().await.ok()
     }
 
-    /// Hands every leadership over, within the time of the options, and ends
+    /// Hands over every leadership, within the time limit of the options, and ends
     /// the thread.
     pub async fn stop(&self) -> HandOver {
         let hand_over = self.hand_over().await;
@@ -208,8 +208,8 @@
         HandOver { handed_over, kept }
     }
 
-    /// Asks one voter of each led group to take over; a later attempt asks
-    /// another one. Says how many were asked.
+    /// Asks one voter of each led group to take over; later attempts ask
+    /// other voters. Returns how many were asked.
     async fn ask_successors(&self, attempt: usize) -> usize {
         let Some(status) = self.status().await else {
             return 0;
@@ -239,13 +239,13 @@
     }
 }
 
-/// Runs the driver on a thread of its own.
+/// Runs the driver on a dedicated thread.
 fn spawn(driver: Driver, logger: &Logger) -> Result<Receiver<ReplicaError>, DaemonError> {
     let (sender, ended) = async_channel::bounded(1);
     let logger = logger.clone();
     let work = move || {
         if let Err(failure) = driver.run() {
-            error!(logger, "cannot go on"; "error" => %failure);
+            error!(logger, "replica thread stopped on an error"; "error" => %failure);
             let _nobody_waits = sender.try_send(failure);
         }
     };
--- a/crates/daemon/src/replica/service.rs
+++ b/crates/daemon/src/replica/service.rs
@@ -1,4 +1,4 @@
-//! Answering the requests of other processes.
+//! Handling of requests from other processes.
 
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 use super::outbox::Outbox;
 use super::versions::VersionsInForce;
 
-/// Answers the requests of other processes.
+/// Handles requests of other processes.
 #[derive(Debug)]
 pub(super) struct Service {
     pub driver: DriverHandle,
@@ -25,7 +25,7 @@
 }
 
 impl Service {
-    /// Answers a request.
+    /// Handles a request.
     pub async fn handle(&self, request: Request) -> Response {
         match request {
             Request::Consensus { .. } => {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Takes a message that nobody waits for.
+    /// Handles a one-way message.
     pub fn notify(&self, request: Request) {
         if let Request::Consensus { from, messages } = request {
             for GroupMessage { group, message } in messages {
@@ -87,9 +87,9 @@
         }
     }
 
-    /// Notes a node's heartbeat and tells it who else is alive. Only the leader
-    /// of the control group does, and a new one listens for a while first: a
-    /// list with gaps would move ownership to and fro.
+    /// Records a node's heartbeat and returns the live nodes. Only the leader of the control
+    /// group answers, and a new leader collects heartbeats for a while first: an incomplete
+    /// list would move ownership back and forth.
     fn heartbeat(&self, heartbeat: NodeHeartbeat) -> Response {
         let Some(led_for) = self.leaders.led_for(GroupId::CONTROL) else {
             return self.not_leader(self.leaders.of(GroupId::CONTROL));
--- a/crates/daemon/src/replica/versions.rs
+++ b/crates/daemon/src/replica/versions.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force on each node, as the nodes said.
+//! The active configuration version of each node, as reported by the nodes.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,7 +7,7 @@
 use molespan_types::{ConfigVersion, NodeId};
 use molespan_wire::WatchConfiguration;
 
-/// A node that said nothing for longer is forgotten.
+/// Time after which a silent node is removed.
 const REMEMBERED: Duration = Duration::from_secs(60);
 
 #[derive(Debug)]
@@ -16,14 +16,14 @@
     at: Instant,
 }
 
-/// Which configuration is in force on each node, as the nodes said.
+/// The active configuration version of each node, as reported by the nodes.
 #[derive(Debug, Default)]
 pub(super) struct VersionsInForce {
     said: Mutex<HashMap<NodeId, Said>>,
 }
 
 impl VersionsInForce {
-    /// Notes what a node said of itself.
+    /// Records the version that a node reported.
     pub fn note(&self, watch: &WatchConfiguration) {
         let said = Said {
             version: watch.in_force,
@@ -32,7 +32,7 @@
         self.lock().insert(watch.node, said);
     }
 
-    /// Every node that was heard of lately, in the order of their numbers.
+    /// Returns every node that reported recently, ordered by ID.
     pub fn list(&self) -> Vec<(NodeId, ConfigVersion)> {
         let mut said = self.lock();
         said.retain(|_, one| one.at.elapsed() < REMEMBERED);
--- a/crates/daemon/src/status_server.rs
+++ b/crates/daemon/src/status_server.rs
@@ -1,4 +1,4 @@
-//! Health, readiness, metrics and decisions of a node that is no gateway.
+//! Health, readiness, metrics and events of a node without the gateway role.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,19 +16,19 @@
 use crate::event_stream::{EVENTS_PATH, EventQuery, watch};
 use crate::replica::ReplicaRole;
 
-/// When to come back to a node that is not ready.
+/// Retry delay reported while the node is not ready.
 const UNREADY_RETRY: Duration = Duration::from_secs(1);
-/// Longest time for open requests at a stop.
+/// Time limit for open requests at a stop.
 const FINISH_WITHIN: Duration = Duration::from_secs(1);
 
-/// What a status server shows.
+/// Sources of a status server's answers.
 #[derive(Clone, Debug)]
 pub(crate) struct Shown {
     /// The replica role, if the node has it.
     pub replica: Option<Arc<ReplicaRole>>,
     /// Metrics of the process.
     pub metrics: Metrics,
-    /// Its decisions.
+    /// Decision events of the process.
     pub events: EventBuffer,
 }
 
@@ -42,7 +42,7 @@
     _serving: Task<()>,
 }
 
-/// What answers the requests of a status server.
+/// Handles the requests of a status server.
 #[derive(Clone, Debug)]
 struct StatusHandler {
     shown: Shown,
@@ -82,7 +82,7 @@
         })
     }
 
-    /// The bound address.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
--- a/crates/daemon/src/wall_clock.rs
+++ b/crates/daemon/src/wall_clock.rs
@@ -1,9 +1,9 @@
-//! The time of day, for what people see and for job deadlines. Leases and
+//! Wall clock time, for timestamps shown to people and for job deadlines. Leases and
 //! timeouts use monotonic clocks instead.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Milliseconds since 1970 in UTC; zero when the clock stands before that.
+/// Returns the milliseconds since the Unix epoch (1970 in UTC); zero for an earlier clock.
 #[must_use]
 pub fn unix_millis() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
