--- a/crates/daemon/tests/boot_clock.rs
+++ b/crates/daemon/tests/boot_clock.rs
@@ -1,4 +1,4 @@
-//! Time that goes on while the machine is suspended.
+//! A clock that keeps counting while the machine is suspended.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
--- a/crates/daemon/tests/cluster_calls.rs
+++ b/crates/daemon/tests/cluster_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to a leader that may hold them for a while by itself.
+//! Calls to a leader that may hold requests open, and to nodes that do not answer.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -12,8 +12,8 @@
 const LEADER: NodeId = NodeId(1);
 const OTHER: NodeId = NodeId(2);
 
-/// A leader that holds each call for items for as long as the caller allows. No
-/// time passes; a call that is given less time than that is given up.
+/// A leader that holds each `TakeItems` call open for the requested wait. It does not
+/// really wait: a call whose timeout does not exceed the wait fails with a timeout.
 #[derive(Debug, Default)]
 struct HoldingLeader {
     calls: Mutex<Vec<NodeId>>,
@@ -70,7 +70,7 @@
     }
 }
 
-/// Nodes that are cut off in silence, but for the last one, which leads.
+/// Nodes that never answer, except for the last one, which leads.
 #[derive(Debug, Default)]
 struct SilentNodes;
 
@@ -110,7 +110,7 @@
         life: 1,
         number: 1,
     };
-    // Too short for all of them, however slow the machine is.
+    // The deadline is too short to try all nodes in one call, on any machine.
     let calls = (0..=SILENT).map(|_| {
         let taken = cluster.take_items(&ask, Duration::from_millis(60));
         async_io::block_on(taken).is_ok()
@@ -118,7 +118,7 @@
     assert!(calls.into_iter().any(|answered| answered));
 }
 
-/// Three members, of which one leads. It falls silent, and another one leads.
+/// Three members; the leader falls silent and another member takes over.
 #[derive(Debug, Default)]
 struct SilentLeader {
     is_silent: AtomicBool,
@@ -160,8 +160,9 @@
     fn learn(&self, _node: NodeId, _address: &str) {}
 }
 
-/// A call spent the rest of its time on the node that had just been silent, while any other
-/// would have named the leader: engines' departures and callers' jobs were turned away.
+/// Guards against a call that spends its remaining time on the node that has just timed
+/// out, while any other node would name the new leader. Engines could not sign off and
+/// callers' jobs were rejected.
 #[test]
 fn a_node_that_was_silent_is_not_the_next_one_that_is_asked() {
     for nodes in [
--- a/crates/daemon/tests/gateway_batch.rs
+++ b/crates/daemon/tests/gateway_batch.rs
@@ -1,4 +1,4 @@
-//! The callers' interface for batch jobs.
+//! The batch job API.
 
 mod support;
 
--- a/crates/daemon/tests/gateway_claims.rs
+++ b/crates/daemon/tests/gateway_claims.rs
@@ -1,4 +1,4 @@
-//! Claims whose gateways died or are slower than the claim timeout.
+//! Claims whose gateway crashed, or whose request takes longer than the claim timeout.
 
 mod support;
 
@@ -14,7 +14,7 @@
 use support::replica::LocalTransport;
 use support::{World, small_fleet, wait_for};
 
-/// Tokens of an answer that takes longer than a short claim timeout.
+/// Tokens of an answer that takes longer than the shortened claim timeout.
 const SLOW_TOKENS: u32 = 1_000;
 
 fn short_claims(settings: &mut ReplicaSettings) {
@@ -28,12 +28,12 @@
     call(address, "POST", "/v1/completions", &headers, &body)
 }
 
-/// Sends such a request on a thread of its own.
+/// Sends such a request on a separate thread.
 fn begin(address: SocketAddr, prompt: &'static str) -> JoinHandle<Answer> {
     std::thread::spawn(move || once_only(address, prompt))
 }
 
-/// Times that a prompt was started, over all engines.
+/// How often a prompt was started, over all engines.
 fn started(world: &World, prompt: &str) -> u32 {
     let digest = digest_of(prompt.as_bytes());
     let members = world.fleet.members.iter();
@@ -41,7 +41,7 @@
     executions.map(|executions| executions.started).sum()
 }
 
-/// Resends until the request's end is on record, and checks that it is final.
+/// Resends until the request's outcome is recorded, and checks that it is final.
 fn assert_ends_as_unknown(address: SocketAddr, prompt: &str) {
     wait_for("end of the claim", || {
         let again = once_only(address, prompt);
--- a/crates/daemon/tests/gateway_faults.rs
+++ b/crates/daemon/tests/gateway_faults.rs
@@ -1,4 +1,4 @@
-//! What callers see while engines fail, one row a fault.
+//! What callers see while engines fail, one table row per fault.
 
 mod support;
 
@@ -15,7 +15,7 @@
 /// Tokens of an answer in these tests.
 const TOKENS: u32 = 10;
 
-/// One engine, so that nothing can be run elsewhere.
+/// A single engine, so that nothing can run elsewhere.
 fn one_engine() -> FleetSettings {
     FleetSettings {
         engines: 1,
@@ -23,7 +23,7 @@
     }
 }
 
-/// Short bounds, so that a frozen engine is noticed soon.
+/// Short timeouts, so that a frozen engine is detected soon.
 fn impatient(options: &mut GatewayOptions) {
     options.timeouts.response = Duration::from_millis(400);
     options.timeouts.stall = Duration::from_millis(400);
@@ -53,7 +53,7 @@
         self.fleet.members[engine].handle.set_faults(faults);
     }
 
-    /// Times that a prompt was started, over all engines.
+    /// How often a prompt was started, over all engines.
     fn started(&self, prompt: &str) -> u32 {
         let digest = digest_of(prompt.as_bytes());
         let members = self.fleet.members.iter();
@@ -237,8 +237,8 @@
     let world = World::start(&small_fleet());
     let gateway = world.tuned_gateway(11, impatient);
     let other = world.tuned_gateway(12, impatient);
-    // That an engine never saw a request whose connection broke is no proof:
-    // its bytes may still be on their way.
+    // After a broken connection an engine's "never seen" answer is not conclusive: the
+    // request's bytes may still be in transit.
     let table = [
         (AnswerFault::Late { millis: 100 }, 200),
         (AnswerFault::Crossed, 200),
--- a/crates/daemon/tests/gateway_members.rs
+++ b/crates/daemon/tests/gateway_members.rs
@@ -13,7 +13,7 @@
 use support::client::{complete, get, post, stream};
 use support::{RunningGateway, World, small_fleet, wait_for};
 
-/// Requests that are sent at once to a gateway that has just turned ready.
+/// Concurrent requests to a gateway that has just become ready.
 const AT_ONCE: u32 = 24;
 
 fn backend_state(gateway: &RunningGateway, id: u64) -> String {
@@ -41,7 +41,7 @@
         let answer = complete(gateway.address, &format!("after {request}"), 2);
         assert_eq!(answer.status, 200, "{answer:?}");
     }
-    // A list that goes back in time does not bring it back.
+    // An older platform list does not revert the state.
     world.fleet.platform.with_core(|core, now| {
         core.set_state(now, leaving.machine.id, MachineState::Live);
     });
@@ -154,7 +154,7 @@
     wait_for("the version on disk", || {
         get(again.address, "/ready").json_value()["version"] == 7
     });
-    // It is not confirmed, so nothing is served under it yet.
+    // The version is not confirmed, so nothing is served with it yet.
     assert_eq!(get(again.address, "/ready").status, 503);
     world.transport.cut.store(false, Ordering::SeqCst);
     wait_for("a ready gateway", || {
--- a/crates/daemon/tests/gateway_online.rs
+++ b/crates/daemon/tests/gateway_online.rs
@@ -1,4 +1,4 @@
-//! The callers' interface for online requests.
+//! The API for online requests.
 
 mod support;
 
@@ -70,7 +70,7 @@
     let whole = completion("x", 2, false);
     let unknown = whole.replace("caption", "nobody");
     let path = "/v1/completions";
-    // Only the head of the huge one is sent: it is refused before its body.
+    // Sends only the head of the large request, which is rejected before its body.
     let huge = format!("POST {path} HTTP/1.1\r\nhost: test\r\ncontent-length: 5000000\r\n\r\n");
     let huge = exchange(gateway.address, huge.as_bytes()).unwrap();
     let ask = |body: &str| call(gateway.address, "POST", path, &[], body);
--- a/crates/daemon/tests/gateway_suspended.rs
+++ b/crates/daemon/tests/gateway_suspended.rs
@@ -1,5 +1,5 @@
-//! A gateway whose machine is suspended: its steady clock stands still while leases that it
-//! holds run out, and configurations come into force.
+//! A gateway on a suspended machine: its monotonic clock stops while its leases expire
+//! and new configurations become active.
 
 mod support;
 
@@ -12,7 +12,7 @@
 use support::client::{get, post};
 use support::{RunningGateway, World, small_fleet, wait_for};
 
-/// Longer than any lease, and than a gateway goes on without a confirmation.
+/// Longer than any lease, and than the bound for confirming the configuration.
 const SUSPENDED: Duration = Duration::from_secs(60);
 
 fn suspended(world: &World, node: u32) -> (RunningGateway, Arc<AtomicU64>) {
@@ -26,7 +26,8 @@
     skipped.fetch_add(SUSPENDED.as_micros() as u64, Ordering::Relaxed);
 }
 
-/// It went on with items that others ran by then, and two results were made of each.
+/// Guards against a gateway that continues with items whose leases expired during the
+/// suspension: other gateways ran them too, which produced two results for each.
 #[test]
 fn leases_run_out_while_the_machine_is_suspended() {
     let world = World::start(&FleetSettings {
@@ -56,7 +57,7 @@
     });
 }
 
-/// A configuration may have come into force meanwhile.
+/// Another configuration may have become active during the suspension.
 #[test]
 fn a_gateway_that_was_suspended_is_not_ready_before_it_confirmed_its_configuration() {
     let world = World::start(&small_fleet());
--- a/crates/daemon/tests/processes/cluster.rs
+++ b/crates/daemon/tests/processes/cluster.rs
@@ -1,4 +1,4 @@
-//! The nodes of a test.
+//! The node processes of a test.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -19,14 +19,14 @@
 
 /// Threads of the test's own executor.
 const THREADS: usize = 3;
-/// Zones of the nodes, in turn.
+/// Zones assigned to the nodes in turn.
 const ZONES: [&str; 3] = ["hall-1", "hall-2", "hall-3"];
-/// Number of the first gateway.
+/// ID of the first gateway.
 const FIRST_GATEWAY: u32 = 11;
 
-/// Replicas and gateways as processes of their own, one of each in a zone.
+/// Replicas and gateways as separate processes, one of each per zone.
 pub struct Cluster {
-    /// What tests run their own clients on.
+    /// Executor for the test's own clients.
     pub executor: Arc<Executor<'static>>,
     folder: TempDir,
     settings: BTreeMap<NodeId, Settings>,
@@ -34,7 +34,7 @@
 }
 
 impl Cluster {
-    /// Three replicas, none started yet.
+    /// Creates three replicas without starting them.
     pub fn of_replicas() -> Self {
         Self::on(executor())
     }
@@ -53,8 +53,8 @@
         cluster
     }
 
-    /// Three replicas and three gateways before the platform at `platform`,
-    /// none started yet.
+    /// Creates three replicas and three gateways for the platform at `platform`,
+    /// without starting them.
     pub fn with_gateways(executor: Arc<Executor<'static>>, platform: SocketAddr) -> Self {
         let mut cluster = Self::on(executor);
         for (number, zone) in (FIRST_GATEWAY..).zip(ZONES) {
@@ -110,29 +110,29 @@
         self.running.insert(node, daemon);
     }
 
-    /// Starts a second process with the settings of a node that runs, and
-    /// waits for its end.
+    /// Starts a second process with the settings of a running node, and
+    /// waits until it exits.
     pub fn start_twice(&self, node: NodeId) -> std::process::Output {
         Daemon::run(&self.settings[&node], self.folder.path())
     }
 
-    /// The data folder of a node.
+    /// Returns the data folder of a node.
     pub fn data_folder(&self, node: NodeId) -> &Path {
         &self.settings[&node].node.data_folder
     }
 
-    /// Starts a node that is expected to end by itself.
+    /// Starts a node that is expected to exit by itself.
     pub fn start_in_vain(&self, node: NodeId) -> std::process::Output {
         assert!(!self.runs(node), "node {node} still runs");
         Daemon::run(&self.settings[&node], self.folder.path())
     }
 
-    /// Replicas, running or not.
+    /// Returns the replicas, running or not.
     pub fn replicas(&self) -> Vec<NodeId> {
         self.with_role(Role::Replica)
     }
 
-    /// Gateways, running or not.
+    /// Returns the gateways, running or not.
     pub fn gateways(&self) -> Vec<NodeId> {
         self.with_role(Role::Gateway)
     }
@@ -143,17 +143,17 @@
         having.map(|settings| settings.node.id).collect()
     }
 
-    /// Where a node's peers reach it.
+    /// Returns the address of a node for its peers.
     pub fn internal_address(&self, node: NodeId) -> SocketAddr {
         self.settings[&node].node.internal_address
     }
 
-    /// Where callers reach a running node.
+    /// Returns the address of a running node for callers.
     pub fn http_address(&self, node: NodeId) -> SocketAddr {
         self.running[&node].http
     }
 
-    /// Whether a node was started and not ended.
+    /// Whether a node is running.
     pub fn runs(&self, node: NodeId) -> bool {
         self.running.contains_key(&node)
     }
@@ -163,23 +163,23 @@
         self.running[&node].signal(signal);
     }
 
-    /// Ends a node at once.
+    /// Kills a node.
     pub fn kill(&mut self, node: NodeId) {
         self.take(node).kill();
     }
 
-    /// Stops a node as planned.
+    /// Stops a node gracefully.
     pub async fn stop(&mut self, node: NodeId) -> std::process::ExitStatus {
         self.take(node).stop().await
     }
 
-    /// What a node logged over all its lives.
+    /// Returns the log of a node, over all its incarnations.
     pub fn log(&self, node: NodeId) -> String {
         let path = log_file(self.folder.path(), node);
         std::fs::read_to_string(path).unwrap_or_default()
     }
 
-    /// Deletes the data folder of a node that does not run.
+    /// Deletes the data folder of a stopped node.
     pub fn lose_disk(&self, node: NodeId) {
         assert!(!self.runs(node), "node {node} still runs");
         std::fs::remove_dir_all(self.data_folder(node)).unwrap();
@@ -201,7 +201,7 @@
         .await;
     }
 
-    /// Waits until a node says that it is ready.
+    /// Waits until a node reports that it is ready.
     pub async fn wait_until_ready(&self, node: NodeId) {
         let pool = Pool::new(PoolLimits::default());
         let address = self.http_address(node);
@@ -218,7 +218,7 @@
     }
 }
 
-/// An executor whose threads end with the test's process.
+/// Starts an executor whose threads end with the test process.
 pub fn executor() -> Arc<Executor<'static>> {
     let executor = Arc::new(Executor::new());
     for _ in 0..THREADS {
--- a/crates/daemon/tests/processes/control.rs
+++ b/crates/daemon/tests/processes/control.rs
@@ -1,4 +1,4 @@
-//! Talking to the control group over the internal protocol.
+//! A client of the control group over the internal protocol.
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
@@ -14,18 +14,18 @@
 use super::cluster::Cluster;
 use super::eventually;
 
-/// Longest wait for one answer.
+/// Timeout of one call.
 const CALL: Duration = Duration::from_secs(2);
 
 /// A client of the control group.
 pub struct Control {
     clients: BTreeMap<NodeId, Client>,
-    /// Who is taken for the leader.
+    /// The presumed leader.
     leader: Mutex<NodeId>,
 }
 
 impl Control {
-    /// A client of the replicas of `cluster`.
+    /// Creates a client of the replicas of `cluster`.
     pub fn of(cluster: &Cluster) -> Self {
         let replicas = cluster.replicas();
         let limits = ClientLimits {
@@ -49,7 +49,7 @@
         self.clients[&node].call(request, CALL).await.ok()
     }
 
-    /// One attempt at the replica that is taken for the leader.
+    /// Makes one attempt at the presumed leader.
     async fn attempt(&self, request: &Request) -> Option<Response> {
         let asked = self.presumed_leader();
         match self.ask(asked, request.clone()).await {
@@ -80,13 +80,13 @@
         eventually("the control leader answers", || self.attempt(request)).await
     }
 
-    /// The node that leads.
+    /// Returns the control leader.
     pub async fn leader(&self) -> NodeId {
         self.version().await;
         self.presumed_leader()
     }
 
-    /// The replica that says it leads `group`.
+    /// Returns the replica that reports itself as leader of `group`.
     pub async fn leader_of(&self, group: GroupId) -> NodeId {
         eventually("a replica leads the group", async || {
             for &node in self.clients.keys() {
@@ -102,7 +102,7 @@
         .await
     }
 
-    /// The version that a linearizable read shows.
+    /// Returns the version from a linearizable read.
     pub async fn version(&self) -> u64 {
         let query = molespan_state::encode(&ControlQuery::Configuration);
         let request = Request::Query {
@@ -116,8 +116,8 @@
         version_of(&answer)
     }
 
-    /// Confirms an intent that raises the version by one from `base`. Sending
-    /// it again is harmless.
+    /// Confirms an intent that raises the version by one from `base`. The call is
+    /// idempotent.
     pub async fn confirm(&self, base: u64) -> ConfirmReply {
         let change = Change::PutPolicy {
             policy: Policy {
@@ -149,7 +149,7 @@
     }
 }
 
-/// The version in an encoded answer.
+/// Returns the version in an encoded answer.
 pub fn version_of(answer: &[u8]) -> u64 {
     match molespan_state::decode(answer).unwrap() {
         ControlAnswer::Configuration(Some(configuration)) => configuration.version.0,
@@ -157,7 +157,7 @@
     }
 }
 
-/// The reply to a confirmation that took effect.
+/// Returns the reply to a successful confirmation.
 pub fn confirmed(version: u64) -> ConfirmReply {
     ConfirmReply::Confirmed {
         version: ConfigVersion(version),
--- a/crates/daemon/tests/processes/daemon.rs
+++ b/crates/daemon/tests/processes/daemon.rs
@@ -13,16 +13,16 @@
 
 use super::{LIMIT, eventually};
 
-/// What is sent with `kill`.
+/// A signal sent with `kill`.
 #[derive(Clone, Copy, Debug)]
 pub enum Signal {
-    /// Asks for a planned stop.
+    /// Requests a graceful stop.
     Terminate,
-    /// Ends it at once.
+    /// Ends the process immediately.
     Kill,
-    /// Freezes it.
+    /// Suspends the process.
     Stop,
-    /// Lets it go on.
+    /// Resumes the process.
     Continue,
 }
 
@@ -40,7 +40,7 @@
 /// A running process, killed when dropped.
 pub struct Daemon {
     child: Child,
-    /// Where callers reach it.
+    /// Its address for callers.
     pub http: SocketAddr,
     log: PathBuf,
 }
@@ -70,7 +70,7 @@
         daemon
     }
 
-    /// Runs a process that is expected to end by itself.
+    /// Runs a process that is expected to exit by itself.
     pub fn run(settings: &Settings, folder: &Path) -> Output {
         command(settings, folder).output().unwrap()
     }
@@ -79,20 +79,20 @@
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Sends it a signal.
+    /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         let mut kill = Command::new("kill");
         kill.arg(signal.flag()).arg(self.child.id().to_string());
         assert!(kill.status().unwrap().success());
     }
 
-    /// Ends it at once and waits until it is gone.
+    /// Kills the process and waits until it has exited.
     pub fn kill(mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Stops it as planned and waits until it is gone.
+    /// Stops the process gracefully and waits until it has exited.
     pub async fn stop(mut self) -> ExitStatus {
         self.signal(Signal::Terminate);
         let child = &mut self.child;
@@ -106,7 +106,7 @@
 
 impl Drop for Daemon {
     fn drop(&mut self) {
-        // It may be gone already.
+        // The process may have exited already.
         let _gone = self.child.kill();
         let _gone = self.child.wait();
         if thread::panicking() {
@@ -115,12 +115,12 @@
     }
 }
 
-/// Where a node's log is kept.
+/// Returns the path of a node's log.
 pub fn log_file(folder: &Path, node: NodeId) -> PathBuf {
     folder.join(format!("node-{node}.log"))
 }
 
-/// A process with `settings` in a file in `folder`.
+/// Creates a command for a process with `settings`, written to a file in `folder`.
 fn command(settings: &Settings, folder: &Path) -> Command {
     let file = folder.join(format!("node-{}.toml", settings.node.id));
     std::fs::write(&file, settings.to_toml()).unwrap();
@@ -129,11 +129,11 @@
     command
 }
 
-/// The HTTP address in the line that a node prints once it listens.
+/// Reads the HTTP address from the line that a node prints once it listens.
 fn ready_line(child: &mut Child) -> Option<SocketAddr> {
     let output = child.stdout.take()?;
     let (sender, line) = mpsc::channel();
-    // Ends with the process, which closes its output.
+    // The thread ends with the process, which closes its stdout.
     thread::spawn(move || {
         let mut first = String::new();
         if BufReader::new(output).read_line(&mut first).is_ok() {
--- a/crates/daemon/tests/processes/fleet.rs
+++ b/crates/daemon/tests/processes/fleet.rs
@@ -1,4 +1,4 @@
-//! Replicas and gateways as processes before stand-ins in the test's own one.
+//! Replica and gateway processes with emulated back ends in the test process.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,10 +13,10 @@
 use super::cluster::{Cluster, executor};
 use super::wait_for;
 
-/// Tokens of the answer to an item of a job.
+/// Tokens of the answer to a job's item.
 const ITEM_TOKENS: u32 = 3;
 
-/// Everything that serves.
+/// The node processes and the emulated back ends.
 pub struct RunningFleet {
     pub cluster: Cluster,
     pub backends: Fleet,
@@ -24,12 +24,12 @@
 
 impl RunningFleet {
     /// Starts three replicas, three gateways, four engines and one application
-    /// back end, and puts their services in force.
+    /// back end, and configures their services.
     pub fn start() -> Self {
         Self::tuned(|_| {})
     }
 
-    /// The same with other settings of every node.
+    /// Like [`Self::start`], with changed settings of every node.
     pub fn tuned(change: impl Fn(&mut Settings)) -> Self {
         let executor = executor();
         let settings = FleetSettings {
@@ -87,7 +87,7 @@
         });
     }
 
-    /// Waits until a gateway is ready and takes every back end for healthy.
+    /// Waits until a gateway is ready and considers every back end healthy.
     pub fn wait_until_serving(&self, gateway: NodeId) {
         let address = self.address(gateway);
         wait_for("a ready gateway", || {
@@ -108,12 +108,12 @@
         });
     }
 
-    /// Where callers reach a gateway.
+    /// Returns the address of a gateway for callers.
     pub fn address(&self, gateway: NodeId) -> SocketAddr {
         self.cluster.http_address(gateway)
     }
 
-    /// Submits a job until a gateway accepts it; gives its identifier.
+    /// Submits a job until a gateway accepts it; returns its identifier.
     pub fn submit(&self, gateway: NodeId, key: &str, items: u32) -> String {
         let path = format!("/v1/batches?service=caption&key={key}");
         let body: String = (0..items).map(item_line).collect();
@@ -129,19 +129,19 @@
         id
     }
 
-    /// A job as a gateway shows it.
+    /// Returns a job as shown by a gateway.
     pub fn job(&self, gateway: NodeId, id: &str) -> Value {
         get(self.address(gateway), &format!("/v1/batches/{id}")).json_value()
     }
 
-    /// Waits until as many items of a job are completed.
+    /// Waits until at least `count` items of a job are completed.
     pub fn wait_for_items(&self, gateway: NodeId, id: &str, count: u64) {
         wait_for("completed items", || {
             self.job(gateway, id)["completed"].as_u64() >= Some(count)
         });
     }
 
-    /// Waits for a job's end and checks that each item has its own answer once.
+    /// Waits until a job is completed and checks that each item has exactly one answer, its own.
     pub fn check_job(&self, gateway: NodeId, id: &str, items: u32) {
         wait_for("a completed job", || {
             self.job(gateway, id)["state"] == "completed"
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Times that engines began to run a prompt.
+    /// Returns how often engines started a prompt.
     pub fn runs_of(&self, prompt: &str) -> u32 {
         let digest = digest_of(prompt.as_bytes());
         let members = self.backends.members.iter();
@@ -166,13 +166,13 @@
             .sum()
     }
 
-    /// Times that back ends began to run anything.
+    /// Returns how often back ends started any request.
     pub fn runs(&self) -> u64 {
         self.backends.members.iter().map(started).sum()
     }
 }
 
-/// Times that a back end began to run anything.
+/// Returns how often a back end started any request.
 pub fn started(member: &Member) -> u64 {
     let executions = member.handle.executions();
     let attempts = executions.attempts.values();
@@ -196,7 +196,7 @@
     format!("{{\"prompt\":\"{prompt}\",\"max_tokens\":{ITEM_TOKENS}}}\n")
 }
 
-/// Texts by item; an item that comes twice is a fault.
+/// Reads the texts by item; an item that occurs twice fails the test.
 fn read_results(answer: &Answer) -> BTreeMap<u32, String> {
     let mut results = BTreeMap::new();
     for line in answer.body.lines() {
--- a/crates/daemon/tests/processes/mod.rs
+++ b/crates/daemon/tests/processes/mod.rs
@@ -15,14 +15,14 @@
 
 use async_io::Timer;
 
-/// Longest wait for a condition.
+/// Maximum wait for a condition.
 pub const LIMIT: Duration = Duration::from_secs(30);
-/// The same, as the HTTP client calls it.
+/// The same limit under the name that the HTTP client uses.
 pub const PATIENCE: Duration = LIMIT;
-/// Pause between two looks at a condition.
+/// Interval between checks of a condition.
 const PAUSE: Duration = Duration::from_millis(10);
 
-/// Waits until `condition` gives something.
+/// Waits until `condition` returns a value.
 pub async fn eventually<T, F>(what: &str, mut condition: impl FnMut() -> F) -> T
 where
     F: Future<Output = Option<T>>,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Waits until a count stays the same for a while; gives it.
+/// Waits until a count has stopped changing and returns it.
 pub fn settled(mut count: impl FnMut() -> u64) -> u64 {
     const LOOKS: u32 = 30;
     let mut last = count();
--- a/crates/daemon/tests/processes/ports.rs
+++ b/crates/daemon/tests/processes/ports.rs
@@ -1,18 +1,18 @@
-//! Ports for processes that must keep theirs over a restart.
+//! Ports for processes that must keep them over a restart.
 
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// The range lies below the ports that the system gives to connections, which
-/// could otherwise take one while its process is down.
+/// First port of a range below the system's ephemeral ports. An outgoing connection
+/// could otherwise take the port of a process while it is down.
 const FIRST: u16 = 15_000;
 const COUNT: u16 = 16_000;
-/// Ports apart that two test processes begin to search.
+/// Distance between the ports at which two test processes start their search.
 const STRIDE: u32 = 97;
 
 static NEXT: AtomicU16 = AtomicU16::new(0);
 
-/// An address on loopback that nothing listens on.
+/// Returns a loopback address that nothing listens on.
 pub fn free_address() -> SocketAddr {
     let start = std::process::id().wrapping_mul(STRIDE) % u32::from(COUNT);
     loop {
--- a/crates/daemon/tests/processes_path.rs
+++ b/crates/daemon/tests/processes_path.rs
@@ -1,4 +1,4 @@
-//! The whole path through separate processes, and what fails along it.
+//! End-to-end tests over separate processes, with failures of each kind of process.
 
 mod processes;
 
@@ -17,19 +17,19 @@
 use processes::{settled, wait_for};
 use serde_json::{Value, json};
 
-/// Items of a job that something happens to.
+/// Items of a job that is disturbed while it runs.
 const ITEMS: u32 = 1_500;
-/// Completed items after which it happens.
+/// Completed items after which the disturbance begins.
 const UNDER_WAY: u64 = 50;
-/// Job groups of the settings' defaults.
+/// Number of job groups in the default settings.
 const JOB_GROUPS: u32 = 4;
-/// Callers of a gateway that stops.
+/// Concurrent callers of a gateway that stops.
 const CALLERS: u32 = 4;
 /// Tokens of an answer that takes about a second.
 const LONG_ANSWER: u32 = 250;
 /// Longer than the bound within which a gateway must confirm its configuration.
 const PAST_THE_BOUND: Duration = Duration::from_millis(1_500);
-/// Time after which bytes that were sent over loopback have arrived.
+/// Time after which bytes sent over loopback have arrived.
 const SENT: Duration = Duration::from_millis(200);
 
 #[test]
@@ -154,8 +154,8 @@
     fleet.check_job(other, &id, ITEMS);
 }
 
-/// Streams one answer after the other as long as the gateway says that it is
-/// ready. Gives the answers that are not whole.
+/// Streams one answer after another while the gateway reports that it is
+/// ready. Returns the incomplete answers.
 fn call_while_ready(address: SocketAddr, caller: u32) -> Vec<Answer> {
     const TOKENS: u32 = 40;
     let mut cut = Vec::new();
@@ -211,7 +211,7 @@
         &json!([{"change": "delete_service", "name": "albums"}]),
     );
     thread::sleep(PAST_THE_BOUND);
-    // Sent while it is frozen, so that it finds the request first.
+    // Sent while the gateway is frozen, so that it reads the request first when it resumes.
     let answer = thread::scope(|scope| {
         let asked = scope.spawn(|| get(address, "/services/albums/list"));
         thread::sleep(SENT);
@@ -273,7 +273,7 @@
         wait_for("a running request", || fleet.runs_of(prompt) == 1);
         fleet.cluster.kill(killed);
     });
-    // Whoever asks again learns the answer or that its fate is unknown.
+    // A resend gets the answer, or learns that the outcome is unknown.
     let resent = complete_once(fleet.address(other), key, prompt, LONG_ANSWER);
     if resent.status == 200 {
         assert_eq!(resent.text(), expected_answer(prompt, LONG_ANSWER));
@@ -326,7 +326,7 @@
             backends[0]["id"] == id.0 && backends[0]["state"] == "leaving"
         });
     }
-    // What it had taken before may still begin.
+    // Requests accepted earlier may still start.
     let before = settled(|| started(&leaving));
     for turn in 0..30 {
         let gateway = gateways[turn % gateways.len()];
--- a/crates/daemon/tests/processes_replicas.rs
+++ b/crates/daemon/tests/processes_replicas.rs
@@ -1,4 +1,4 @@
-//! Replica processes that are killed, frozen, stopped and that lose disks.
+//! Replica processes that are killed, frozen or stopped, or that lose their disks.
 
 mod processes;
 
@@ -59,7 +59,7 @@
         let frozen = control.leader().await;
         cluster.signal(frozen, Signal::Stop);
         assert_eq!(control.confirm(1).await, confirmed(2));
-        // Asked while it is frozen, so that it finds the question first.
+        // Sent while the leader is frozen, so that it reads the query first when it resumes.
         let query = Request::Query {
             group: GroupId::CONTROL,
             consistency: Consistency::Linearizable,
@@ -149,7 +149,7 @@
             cluster.start(node);
         }
         assert_eq!(control.version().await, 10);
-        // A confirmation that was answered before gets the same answer again.
+        // Repeating an acknowledged confirmation returns the same answer.
         assert_eq!(control.confirm(4).await, confirmed(5));
         assert_eq!(control.confirm(10).await, confirmed(11));
     });
--- a/crates/daemon/tests/replica_role.rs
+++ b/crates/daemon/tests/replica_role.rs
@@ -197,8 +197,8 @@
     assert!(second > first);
 }
 
-/// A store that had been stopped looked for changes without end on the thread that was to
-/// end its process.
+/// Guards against a stopped store that polled for changes in a busy loop, on the thread
+/// that was to end its process.
 #[test]
 fn a_replica_that_has_ended_tells_of_no_changes() {
     let replicas = Replicas::start();
--- a/crates/daemon/tests/replicas/mod.rs
+++ b/crates/daemon/tests/replicas/mod.rs
@@ -22,11 +22,11 @@
 };
 use tempfile::TempDir;
 
-/// Longest wait for a condition.
+/// Maximum wait for a condition.
 pub const LIMIT: Duration = Duration::from_secs(30);
-/// Pause between two looks at a condition.
+/// Interval between checks of a condition.
 const PAUSE: Duration = Duration::from_millis(10);
-/// Decision events that are kept.
+/// Capacity of the decision event buffer.
 const KEPT_EVENTS: usize = 64;
 /// Threads that run the executor.
 const THREADS: usize = 3;
@@ -57,7 +57,7 @@
     running: BTreeMap<NodeId, Running>,
 }
 
-/// Waits until `condition` gives something.
+/// Waits until `condition` returns a value.
 pub async fn eventually<T, F>(what: &str, mut condition: impl FnMut() -> F) -> T
 where
     F: Future<Output = Option<T>>,
@@ -73,12 +73,12 @@
 }
 
 impl Replicas {
-    /// Starts three blank ones.
+    /// Starts three replicas without data.
     pub fn start() -> Self {
         let executor = Arc::new(Executor::new());
         for _ in 0..THREADS {
             let executor = executor.clone();
-            // Ends with the test's process.
+            // The thread ends with the test process.
             thread::spawn(move || async_io::block_on(executor.run(std::future::pending::<()>())));
         }
         let mut servers = Vec::new();
@@ -130,12 +130,12 @@
         self.running.insert(node, running);
     }
 
-    /// Nodes that run.
+    /// Returns the running nodes.
     pub fn nodes(&self) -> Vec<NodeId> {
         self.running.keys().copied().collect()
     }
 
-    /// The role on `node`.
+    /// Returns the role on `node`.
     pub fn role(&self, node: NodeId) -> &ReplicaRole {
         &self.running[&node].role
     }
@@ -146,7 +146,7 @@
         client.call(request, LIMIT).await.ok()
     }
 
-    /// Stops one as planned.
+    /// Stops a replica gracefully.
     pub async fn stop(&mut self, node: NodeId) -> molespan_daemon::replica::HandOver {
         let running = self.running.remove(&node).unwrap();
         let hand_over = running.role.stop().await;
@@ -154,13 +154,13 @@
         hand_over
     }
 
-    /// Deletes the files of one that was stopped.
+    /// Deletes the files of a stopped replica.
     pub fn lose_disk(&self, node: NodeId) {
         let folder = self.folders.path().join(node.to_string());
         std::fs::remove_dir_all(folder).unwrap();
     }
 
-    /// Starts one again that was stopped.
+    /// Restarts a stopped replica.
     pub async fn restart(&mut self, node: NodeId) {
         let peer = self.peers.iter().find(|peer| peer.node == node);
         let address = peer.unwrap().address;
@@ -171,7 +171,7 @@
         self.start_one(node, server);
     }
 
-    /// Sends a request that only the leader answers, beginning at `first`.
+    /// Sends a request that only the leader answers, starting with `first`.
     pub async fn ask_leader(&self, first: NodeId, request: &Request) -> Response {
         let mut next = first;
         eventually("a leader answers", || {
@@ -216,7 +216,7 @@
         }
     }
 
-    /// The version that a linearizable read shows.
+    /// Returns the version from a linearizable read.
     pub async fn read_version(&self, first: NodeId) -> u64 {
         let query = molespan_state::encode(&ControlQuery::Configuration);
         let request = Request::Query {
@@ -234,7 +234,7 @@
         }
     }
 
-    /// The node that leads the control group.
+    /// Returns the node that leads the control group.
     pub async fn control_leader(&self) -> NodeId {
         eventually("somebody leads the control group", || async {
             let leads = |node: &NodeId| self.role(*node).leads().contains(&GroupId::CONTROL);
@@ -244,7 +244,7 @@
     }
 }
 
-/// A node's wait for a configuration after `in_force`.
+/// Returns a node's long poll for a configuration newer than `in_force`.
 pub fn watch(node: u32, in_force: u64, wait: Duration) -> Request {
     Request::Watch(WatchConfiguration {
         node: NodeId(node),
@@ -254,7 +254,7 @@
     })
 }
 
-/// A node's heartbeat.
+/// Returns a node's heartbeat.
 pub fn heartbeat(node: u32, zone: &str) -> Request {
     Request::Heartbeat {
         node: NodeId(node),
--- a/crates/daemon/tests/support/client.rs
+++ b/crates/daemon/tests/support/client.rs
@@ -1,4 +1,4 @@
-//! A raw HTTP client that sees every byte.
+//! A raw HTTP client that exposes every byte of a response.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,16 +7,16 @@
 
 use super::PATIENCE;
 
-/// A response as it arrived.
+/// A response as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Status, or 0 when no whole head came.
+    /// Status code, or 0 if the head was incomplete.
     pub status: u16,
-    /// Head, in lower case.
+    /// Head in lower case.
     pub head: String,
-    /// Body without the marks of its chunks.
+    /// Body without chunk framing.
     pub body: String,
-    /// Whether the body came to its end.
+    /// Whether the body was complete.
     pub whole: bool,
 }
 
@@ -49,17 +49,17 @@
         }
     }
 
-    /// A header.
+    /// Returns the value of a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         head_value(&self.head, name)
     }
 
-    /// The body as JSON; null when it is none.
+    /// Returns the body as JSON; null if it is not JSON.
     pub fn json_value(&self) -> Value {
         serde_json::from_str(&self.body).unwrap_or(Value::Null)
     }
 
-    /// The code of a typed error.
+    /// Returns the code of a typed error.
     pub fn code(&self) -> String {
         let value = self.json_value();
         value["error"]["code"]
@@ -68,7 +68,7 @@
             .to_owned()
     }
 
-    /// The outcome of a typed error.
+    /// Returns the outcome of a typed error.
     pub fn outcome(&self) -> String {
         let value = self.json_value();
         value["error"]["outcome"]
@@ -77,7 +77,7 @@
             .to_owned()
     }
 
-    /// The text of a plain completion.
+    /// Returns the text of a plain completion.
     pub fn text(&self) -> String {
         let value = self.json_value();
         let choice = &value["choices"][0];
@@ -86,7 +86,7 @@
         text.unwrap_or_default().to_owned()
     }
 
-    /// The data of the events in a streamed body.
+    /// Returns the data of the events in a streamed body.
     pub fn events(&self) -> Vec<&str> {
         let lines = self.body.lines();
         lines
@@ -94,7 +94,7 @@
             .collect()
     }
 
-    /// The text of a streamed completion, and whether it ended whole.
+    /// Returns the text of a streamed completion, and whether the stream was complete.
     pub fn streamed_text(&self) -> (String, bool) {
         let mut text = String::new();
         let mut done = false;
@@ -134,7 +134,7 @@
     (joined, false)
 }
 
-/// Text of a request that asks to close the connection afterwards.
+/// Returns the text of a request that asks the server to close the connection afterwards.
 pub fn request_text(method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> String {
     let mut text = format!("{method} {path} HTTP/1.1\r\nhost: test\r\nconnection: close\r\n");
     for (name, value) in headers {
@@ -144,7 +144,7 @@
     text
 }
 
-/// Sends a request and reads until the connection ends in whatever way.
+/// Sends a request and reads until the connection ends, also by an error.
 pub fn call(
     address: SocketAddr,
     method: &str,
@@ -156,12 +156,12 @@
     exchange(address, text.as_bytes()).unwrap_or_else(|_| Answer::parse(b""))
 }
 
-/// Fetches a path.
+/// Sends a GET request.
 pub fn get(address: SocketAddr, path: &str) -> Answer {
     call(address, "GET", path, &[], "")
 }
 
-/// Posts a body.
+/// Sends a POST request.
 pub fn post(address: SocketAddr, path: &str, body: &str) -> Answer {
     call(address, "POST", path, &[], body)
 }
@@ -179,7 +179,7 @@
     Ok(read_to_end(open(address, bytes)?))
 }
 
-/// Reads until the connection ends; a reset ends it as well.
+/// Reads until the connection is closed or reset.
 pub fn read_to_end(mut stream: TcpStream) -> Answer {
     let mut bytes = Vec::new();
     let mut buffer = [0; 16_384];
@@ -192,20 +192,20 @@
     Answer::parse(&bytes)
 }
 
-/// Body of a completion for the archive's service.
+/// Returns the body of a completion for the service `caption`.
 pub fn completion(prompt: &str, max_tokens: u32, stream: bool) -> String {
     format!(
         r#"{{"model":"caption","prompt":"{prompt}","max_tokens":{max_tokens},"stream":{stream}}}"#
     )
 }
 
-/// Completes a prompt plainly.
+/// Requests a plain completion of a prompt.
 pub fn complete(address: SocketAddr, prompt: &str, max_tokens: u32) -> Answer {
     let body = completion(prompt, max_tokens, false);
     post(address, "/v1/completions", &body)
 }
 
-/// Completes a prompt as a stream.
+/// Requests a streamed completion of a prompt.
 pub fn stream(address: SocketAddr, prompt: &str, max_tokens: u32) -> Answer {
     let body = completion(prompt, max_tokens, true);
     post(address, "/v1/completions", &body)
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Gateways in process, over one local replica and a fleet of stand-ins.
+//! In-process gateways with one local replica and a fleet of emulated back ends.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -24,17 +24,17 @@
 
 use replica::{LocalReplica, LocalTransport};
 
-/// Longest wait for something that must happen.
+/// Maximum wait for a condition.
 pub const PATIENCE: Duration = Duration::from_secs(30);
-/// The node that holds the replica.
+/// The node that runs the replica.
 pub const REPLICA: NodeId = NodeId(1);
-/// Threads that run a test's gateways, and as many its stand-ins.
+/// Executor threads of the gateways, and likewise of the emulated back ends.
 const THREADS: usize = 2;
 
 /// Changes the options of a gateway before it starts.
 pub type Tune = fn(&mut GatewayOptions);
 
-/// A fleet, a replica, and gateways that are started one by one.
+/// A fleet, a replica, and gateways that are started individually.
 pub struct World {
     pub executor: Arc<Executor<'static>>,
     pub fleet: Fleet,
@@ -44,7 +44,7 @@
     _threads: Sender<()>,
 }
 
-/// A gateway that serves.
+/// A serving gateway.
 pub struct RunningGateway {
     pub gateway: Gateway,
     pub address: SocketAddr,
@@ -54,7 +54,7 @@
 }
 
 impl RunningGateway {
-    /// The decisions so far, one a line, for messages of tests.
+    /// Returns the decisions so far, one per line.
     pub fn decisions(&self) -> String {
         let mut subscription = self.events.subscribe(EventFilter::default(), usize::MAX);
         let mut lines = String::new();
@@ -73,18 +73,18 @@
         lines
     }
 
-    /// Begins a planned stop.
+    /// Begins a graceful stop.
     pub fn begin_stop(&self) {
         self.stop.close();
     }
 
-    /// Stops as planned and waits for the report.
+    /// Stops gracefully and waits for the report.
     pub fn stop(mut self) -> DrainReport {
         self.stop.close();
         block_on(self.served.take().unwrap())
     }
 
-    /// Dies at once, without any notice.
+    /// Stops immediately, as in a crash.
     pub fn kill(mut self) {
         drop(self.served.take());
     }
@@ -101,12 +101,12 @@
 }
 
 impl World {
-    /// Starts a fleet and a replica, and puts the fleet's services in force.
+    /// Starts a fleet and a replica, and configures the fleet's services.
     pub fn start(settings: &FleetSettings) -> Self {
         Self::tuned(settings, |_| {})
     }
 
-    /// Starts a fleet and a replica with other settings.
+    /// Like [`Self::start`], with changed replica settings.
     pub fn tuned(settings: &FleetSettings, tune: fn(&mut ReplicaSettings)) -> Self {
         let (threads, stopped) = async_channel::bounded::<()>(1);
         let executor = start_threads("gateway", &stopped);
@@ -125,7 +125,7 @@
         world
     }
 
-    /// A client of the replica.
+    /// Creates a client of the replica.
     pub fn cluster(&self) -> Arc<Cluster> {
         let limits = ClusterLimits::default();
         let transport = self.transport.clone();
@@ -151,7 +151,7 @@
         assert!(matches!(reply, ConfirmReply::Confirmed { .. }), "{reply:?}");
     }
 
-    /// Confirms an intent straight at the replica.
+    /// Confirms an intent directly at the replica.
     pub fn confirm(&self, number: u64, base: u64, changes: Vec<Change>) -> ConfirmReply {
         let intent = ConfirmIntent {
             number: IntentNumber(number),
@@ -167,7 +167,7 @@
         self.tuned_gateway(node, |_| {})
     }
 
-    /// Starts a gateway with other options.
+    /// Like [`Self::gateway`], with changed options.
     pub fn tuned_gateway(
         &self,
         node: u32,
@@ -179,7 +179,7 @@
         gateway
     }
 
-    /// Waits until a gateway may use every back end.
+    /// Waits until a gateway considers every back end healthy.
     pub fn wait_until_healthy(&self, gateway: &RunningGateway) {
         let members = self.fleet.members.len();
         wait_for("healthy back ends", || {
@@ -195,7 +195,7 @@
         });
     }
 
-    /// Starts a gateway and does not wait.
+    /// Starts a gateway without waiting until it is ready.
     pub fn unready_gateway(
         &self,
         node: u32,
@@ -247,7 +247,7 @@
     }
 }
 
-/// An executor with threads of that name, until `stopped` is closed.
+/// Starts an executor with threads called `name` that run until `stopped` is closed.
 fn start_threads(name: &str, stopped: &Receiver<()>) -> Arc<Executor<'static>> {
     let executor = Arc::new(Executor::new());
     for _ in 0..THREADS {
@@ -262,7 +262,7 @@
     executor
 }
 
-/// The completion service of a fleet.
+/// Returns the completion service of a fleet.
 pub fn completion_service(settings: &FleetSettings) -> Service {
     Service {
         kind: ServiceKind::Completion,
@@ -276,7 +276,7 @@
     }
 }
 
-/// An application service.
+/// Returns an application service.
 pub fn application_service() -> Service {
     Service {
         kind: ServiceKind::Application,
@@ -290,7 +290,7 @@
     }
 }
 
-/// The name of the archive's completion service.
+/// Returns the name of the completion service.
 pub fn caption() -> ServiceName {
     ServiceName::from("caption")
 }
--- a/crates/daemon/tests/support/replica.rs
+++ b/crates/daemon/tests/support/replica.rs
@@ -1,4 +1,4 @@
-//! One replica in process, and a transport that reaches it and the gateways.
+//! An in-process replica, and a transport to it and to the gateways.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -18,14 +18,14 @@
 use molespan_types::{ConfigVersion, GroupId, Incarnation, NodeId, RunOutcome, Timestamp};
 use molespan_wire::{CallError, CallFailure, Request, Response, WatchConfiguration};
 
-/// Length of a lease on items.
+/// Duration of a lease on items.
 pub const LEASE: Duration = Duration::from_secs(3);
-/// Time between two looks at what is due.
+/// Interval between polls of the core.
 const POLL: Duration = Duration::from_millis(5);
-/// Pause between two looks of a long poll.
+/// Interval between reads of a long poll.
 const WATCH_PAUSE: Duration = Duration::from_millis(10);
 
-/// How a request to the core ended.
+/// Result of a request to the core.
 type Ended = Result<Vec<u8>, Refusal>;
 
 /// A single replica that leads every group.
@@ -43,12 +43,12 @@
 }
 
 impl LocalReplica {
-    /// Starts a replica with that many job groups.
+    /// Starts a replica with `job_groups` job groups.
     pub fn start(node: NodeId, job_groups: u32) -> Arc<Self> {
         Self::tuned(node, job_groups, |_| {})
     }
 
-    /// Starts a replica with other settings.
+    /// Starts a replica with changed settings.
     pub fn tuned(
         node: NodeId,
         job_groups: u32,
@@ -85,7 +85,7 @@
         replica
     }
 
-    /// An incarnation that no gateway had before.
+    /// Returns an incarnation that no gateway has used before.
     pub fn next_incarnation(&self) -> u64 {
         self.last_incarnation.fetch_add(1, Ordering::SeqCst) + 1
     }
@@ -116,7 +116,7 @@
         receiver.recv().await.unwrap()
     }
 
-    /// Answers a request as a replica process would.
+    /// Handles a request as a replica process does.
     pub async fn handle(&self, request: Request) -> Response {
         match request {
             Request::Propose { group, command } => {
@@ -223,22 +223,22 @@
     }
 }
 
-/// Reaches the replica and the gateways of one process. Calls to the replica
-/// can be cut off before or behind it.
+/// Transport to the replica and the gateways of one process. Calls to the replica
+/// can be made to fail before they reach it, or after it has handled them.
 #[derive(Debug)]
 pub struct LocalTransport {
     replica: Arc<LocalReplica>,
     gateways: Mutex<HashMap<NodeId, Gateway>>,
-    /// No call reaches the replica.
+    /// Whether calls fail before they reach the replica.
     pub cut: AtomicBool,
-    /// Calls reach the replica, and their responses are lost.
+    /// Whether calls reach the replica but their responses are lost.
     pub lose_responses: AtomicBool,
-    /// Claims that reached the replica and whose responses were lost.
+    /// Number of claims that reached the replica and whose responses were lost.
     pub lost_claims: Arc<AtomicU64>,
 }
 
 impl LocalTransport {
-    /// A transport that reaches `replica`.
+    /// Creates a transport to `replica`.
     pub fn new(replica: Arc<LocalReplica>) -> Arc<Self> {
         Arc::new(Self {
             replica,
@@ -293,7 +293,7 @@
     fn learn(&self, _node: NodeId, _address: &str) {}
 }
 
-/// Outcome of a refusal, for tests that look at it.
+/// Returns the outcome of a refusal.
 pub fn outcome_of(response: &Response) -> Option<RunOutcome> {
     match response {
         Response::Refused { outcome, .. } => Some(*outcome),
--- a/crates/daemon/tests/wire_transport.rs
+++ b/crates/daemon/tests/wire_transport.rs
@@ -1,4 +1,4 @@
-//! Where the transport reaches other nodes.
+//! The addresses under which the transport reaches other nodes.
 
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use molespan_types::NodeId;
 use molespan_wire::{ClientLimits, Request};
 
-/// Longest wait for a connection that must come.
+/// Maximum wait for an expected connection.
 const PATIENCE: Duration = Duration::from_secs(30);
 
 fn listener() -> (TcpListener, SocketAddr) {
@@ -33,7 +33,7 @@
         let accepting = blocking_accept(expected);
         let call = transport.call(node, request(), PATIENCE);
         let connected = async {
-            // The listener answers nothing: only the connection counts.
+            // The listener does not answer; only the connection is checked.
             future::or(async { accepting.recv().await.is_ok() }, async {
                 call.await.is_ok()
             })
@@ -43,13 +43,13 @@
     }
 }
 
-/// The connection that `listener` accepts, still open: a call on a connection
-/// that closes at once fails before the test sees that there was one.
+/// Returns the connection that `listener` accepts, still open: a call on a connection
+/// that is closed immediately could fail before the test receives the connection.
 fn blocking_accept(listener: TcpListener) -> async_channel::Receiver<TcpStream> {
     let (sender, receiver) = async_channel::bounded(1);
     std::thread::spawn(move || {
         if let Ok((stream, _)) = listener.accept() {
-            // The receiver is gone once the test has failed.
+            // The receiver is dropped if the test has already failed.
             let _ = sender.send_blocking(stream);
         }
     });
