--- a/crates/daemon/examples/gateway_latency.rs
+++ b/crates/daemon/examples/gateway_latency.rs
@@ -1,9 +1,9 @@
-//! Latency that a gateway adds to a completion, and requests a second of one
-//! core.
+//! Measures the latency that a gateway adds to a completion, and the requests per second
+//! of one core.
 //!
 //! Engines, one replica and the gateway run in this process on loopback, on
-//! executors of their own. Direct and routed requests alternate in one run, so
-//! that both see the same machine.
+//! separate executors. Direct and routed requests alternate in one run, so
+//! that both are measured under the same conditions.
 //!
 //! ```text
 //! cargo run --release -p molespan-daemon --example gateway_latency
@@ -22,13 +22,13 @@
 use molespan_emulator::fleet::FleetSettings;
 use support::{World, small_fleet};
 
-/// Requests of each kind in the latency part.
+/// Requests of each kind in the latency measurement.
 const REQUESTS: usize = 3_000;
-/// Requests before the first that counts.
+/// Warm-up requests that are not measured.
 const WARM_UP: usize = 300;
-/// Connections of the throughput part.
+/// Connections of the throughput measurement.
 const CONNECTIONS: usize = 32;
-/// Duration of the throughput part.
+/// Duration of the throughput measurement.
 const DURATION: Duration = Duration::from_secs(5);
 /// Tokens of an answer.
 const TOKENS: u32 = 4;
@@ -54,8 +54,8 @@
     throughput(gateway.address);
 }
 
-/// An engine whose steps cost next to nothing, so that what is measured is the
-/// way there and back.
+/// An engine whose steps cost almost nothing, so that the measurement covers only
+/// the round trip.
 fn instant_engine() -> EngineModel {
     EngineModel {
         step_base_micros: 20,
@@ -66,7 +66,7 @@
     }
 }
 
-/// A keep-alive connection that reads whole answers.
+/// A keep-alive connection that reads complete answers.
 struct Connection {
     stream: BufReader<TcpStream>,
     host: SocketAddr,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Sends one completion; gives the time to the first byte of the body and
+    /// Sends one completion; returns the time to the first byte of the body and
     /// to its end.
     fn complete(&mut self, number: u64, stream: bool) -> (Duration, Duration) {
         let body = format!(
@@ -144,7 +144,7 @@
     }
 }
 
-/// Direct and routed requests one after the other.
+/// Measures direct and routed requests alternately.
 fn latency(engine: SocketAddr, gateway: SocketAddr, stream: bool) {
     let mut direct = Connection::open(engine);
     let mut routed = Connection::open(gateway);
@@ -188,8 +188,8 @@
     duration.as_secs_f64() * 1e6
 }
 
-/// Many connections at once; CPU time is that of the whole process, stand-ins
-/// and client included.
+/// Measures throughput over many connections. CPU time counts only the threads that run
+/// the gateway.
 fn throughput(gateway: SocketAddr) {
     let done = Arc::new(AtomicBool::new(false));
     let count = Arc::new(AtomicU64::new(0));
@@ -226,7 +226,7 @@
     );
 }
 
-/// Seconds of CPU time of the threads that run the gateway.
+/// Returns the CPU seconds used by the threads that run the gateway.
 fn gateway_cpu() -> f64 {
     const TICKS_PER_SECOND: f64 = 100.0;
     let mut ticks = 0;
