--- a/crates/daemon/benches/replica_times.rs
+++ b/crates/daemon/benches/replica_times.rs
@@ -1,4 +1,4 @@
-//! Times that matter when replicas fail, taken from real processes:
+//! Measures recovery times of replicas with real processes:
 //! `cargo bench -p molespan-daemon --bench replica_times`.
 
 #[path = "../tests/processes/mod.rs"]
@@ -16,11 +16,11 @@
 use processes::wait_for;
 use serde_json::json;
 
-/// Runs of the fail-over.
+/// Runs of the fail-over measurement.
 const FAIL_OVERS: u64 = 10;
-/// Changes whose way to the gateways is timed.
+/// Changes whose propagation to the gateways is measured.
 const CONFIGURATIONS: u64 = 20;
-/// Changes before a restart and a replacement.
+/// Changes made before a restart and a replacement.
 const CHANGES: u64 = 1_000;
 
 fn main() {
@@ -32,7 +32,7 @@
     configuration_in_force();
 }
 
-/// From the leader's kill to the next acknowledged write.
+/// Measures the time from killing the leader to the next acknowledged write.
 async fn fail_over() {
     let mut cluster = Cluster::of_replicas();
     cluster.start_all();
@@ -51,7 +51,7 @@
     report("leader killed to first acknowledged write", times);
 }
 
-/// From the planned stop of the leader to the next acknowledged write.
+/// Measures the time from a graceful stop of the leader to the next acknowledged write.
 async fn planned_stop() {
     let mut cluster = Cluster::of_replicas();
     cluster.start_all();
@@ -62,7 +62,7 @@
         let leader = control.leader().await;
         let stopped = Instant::now();
         cluster.signal(leader, Signal::Terminate);
-        // The first write that another leader takes.
+        // Waits for the first write that another leader accepts.
         while control.leader().await == leader {
             assert_eq!(control.confirm(version - 1).await, confirmed(version));
         }
@@ -78,7 +78,7 @@
     );
 }
 
-/// From a change's confirmation to its being in force at every gateway.
+/// Measures the time from a change's confirmation until it is active at every gateway.
 fn configuration_in_force() {
     let fleet = RunningFleet::start();
     let gateways = fleet.cluster.gateways();
@@ -102,8 +102,8 @@
     report("change confirmed to in force at all gateways", times);
 }
 
-/// Restarting a replica, and replacing one whose disk was lost, after many
-/// configuration changes.
+/// Measures the restart of a replica, and the replacement of one whose disk was lost,
+/// after many configuration changes.
 async fn restart_and_replacement() {
     let mut cluster = Cluster::of_replicas();
     cluster.start_all();
