--- a/crates/daemon/src/bin/molespand.rs
+++ b/crates/daemon/src/bin/molespand.rs
@@ -19,7 +19,7 @@
 /// Exit status when the settings are invalid.
 const SETTINGS_STATUS: u8 = 3;
 /// Maximum number of executor threads.
-const MOST_THREADS: usize = 4;
+const MAX_THREADS: usize = 4;
 
 mod flags {
     use std::path::PathBuf;
@@ -94,7 +94,7 @@
 
 fn threads() -> usize {
     let available = thread::available_parallelism().map_or(1, usize::from);
-    available.clamp(1, MOST_THREADS)
+    available.clamp(1, MAX_THREADS)
 }
 
 /// Prints the listening addresses to stdout for the parent process.
--- a/crates/daemon/src/boot_clock.rs
+++ b/crates/daemon/src/boot_clock.rs
@@ -15,7 +15,7 @@
 
 /// Longest single timer wait. Timers run on the monotonic clock, so a timer that was set
 /// before a suspension fires at most this much late.
-const LONGEST_WAIT: Duration = Duration::from_millis(500);
+const MAX_WAIT: Duration = Duration::from_millis(500);
 
 /// A clock that starts at zero when it is created.
 #[derive(Clone, Debug)]
@@ -66,7 +66,7 @@
         Timestamp(passed.as_micros() as u64 + skipped)
     }
 
-    /// Waits until `at`; overshoots by at most [`LONGEST_WAIT`] when the machine was
+    /// Waits until `at`; overshoots by at most [`MAX_WAIT`] when the machine was
     /// suspended in the meantime.
     pub async fn wait_until(&self, at: Timestamp) {
         loop {
@@ -74,7 +74,7 @@
             if left.is_zero() {
                 return;
             }
-            Timer::after(left.min(LONGEST_WAIT)).await;
+            Timer::after(left.min(MAX_WAIT)).await;
         }
     }
 }
--- a/crates/daemon/src/event_stream.rs
+++ b/crates/daemon/src/event_stream.rs
@@ -12,7 +12,7 @@
 /// Path of the stream on every node.
 pub(crate) const EVENTS_PATH: &str = "/admin/events";
 /// Events buffered for a slow watcher; further events stay in the ring buffer.
-const PIECES: usize = 16;
+const STREAM_BUFFER: usize = 16;
 /// Interval between keep-alive comments on an idle stream.
 const KEEP_ALIVE: Duration = Duration::from_secs(5);
 /// An SSE comment, which clients ignore.
@@ -62,7 +62,7 @@
     stopping: impl Future<Output = ()> + Send + 'static,
 ) -> (Response, impl Future<Output = ()> + Send + 'static) {
     let subscription = buffer.subscribe(query.filter, query.history);
-    let (writer, response) = event_response(PIECES);
+    let (writer, response) = event_response(STREAM_BUFFER);
     (response, stream(subscription, writer, stopping))
 }
 
--- a/crates/daemon/src/gateway/admin/plans.rs
+++ b/crates/daemon/src/gateway/admin/plans.rs
@@ -14,7 +14,7 @@
 use super::super::state::GatewayState;
 
 /// Maximum number of plans kept for confirmations that omit the intent.
-const MOST_PLANS: usize = 256;
+const MAX_PLANS: usize = 256;
 
 /// Body of `POST /admin/plans`, and of a confirmation that includes the intent.
 #[derive(Clone, Debug, Deserialize)]
@@ -37,7 +37,7 @@
     fn remember(&self, intent: ConfirmIntent) {
         let mut planned = self.lock();
         planned.insert(intent.number, intent);
-        while planned.len() > MOST_PLANS {
+        while planned.len() > MAX_PLANS {
             planned.pop_first();
         }
     }
--- a/crates/daemon/src/gateway/attempts.rs
+++ b/crates/daemon/src/gateway/attempts.rs
@@ -14,15 +14,15 @@
 
 use super::answer::{AnswerStream, AttemptFailure, Target, Token};
 use super::dispatch::InFlight;
-use super::outcome::NO_BACKEND_RETRY;
+use super::outcome::NO_BACKEND_RETRY_AFTER;
 use super::route::{Ending, Run};
 use super::state::GatewayState;
 use super::validation::Repeatability;
 
 /// Polling interval for whether an engine was given up.
-const GIVEN_UP_LOOK: Duration = Duration::from_millis(250);
+const GIVEN_UP_POLL: Duration = Duration::from_millis(250);
 /// Delay before an engine is asked for the status of an attempt.
-const QUESTION_PAUSE: Duration = Duration::from_millis(50);
+const STATUS_QUERY_DELAY: Duration = Duration::from_millis(50);
 
 impl Run<'_> {
     /// Sends the request as a new attempt to an engine outside of `exclude`.
@@ -216,7 +216,7 @@
 
     /// Asks the engine for the status of an attempt.
     pub(super) async fn ask(&mut self, attempt: AttemptRef) -> NextStep {
-        Timer::after(QUESTION_PAUSE).await;
+        Timer::after(STATUS_QUERY_DELAY).await;
         let target = self.in_flight.as_ref().map(InFlight::target);
         let answer = match target {
             Some(target) => self.state.engines.status(target.address, &attempt).await,
@@ -254,7 +254,7 @@
 
     fn note_no_backend(&mut self, error: PickError) {
         let code = RefusalCode::NoBackend;
-        let refusal = Refusal::after(code, NO_BACKEND_RETRY);
+        let refusal = Refusal::after(code, NO_BACKEND_RETRY_AFTER);
         let asked = self.asked;
         self.state
             .note_refusal(&asked.tenant, &asked.service, &refusal);
@@ -273,7 +273,7 @@
     /// Resolves once the back end of a request has been given up.
     pub(super) async fn until_given_up(&self, target: &Target) {
         while !self.is_given_up(target) {
-            Timer::after(GIVEN_UP_LOOK).await;
+            Timer::after(GIVEN_UP_POLL).await;
         }
     }
 
--- a/crates/daemon/src/gateway/batch_api.rs
+++ b/crates/daemon/src/gateway/batch_api.rs
@@ -20,11 +20,11 @@
 /// Results read from the group per page.
 const RESULTS_PER_PAGE: u32 = 500;
 /// Result pages buffered for a slow caller.
-const RESULT_PIECES: usize = 4;
+const RESULT_BUFFER: usize = 4;
 /// Default number of jobs in a listing.
 const LISTED_JOBS: u32 = 100;
 /// Maximum number of jobs in a listing.
-const MOST_LISTED_JOBS: u64 = 10_000;
+const MAX_LISTED_JOBS: u64 = 10_000;
 
 /// A job as shown to callers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -158,7 +158,7 @@
     request: &Request,
 ) -> Result<Response, ApiError> {
     let limit = query_number(request, "limit")?.unwrap_or(u64::from(LISTED_JOBS));
-    let limit = limit.min(MOST_LISTED_JOBS) as u32;
+    let limit = limit.min(MAX_LISTED_JOBS) as u32;
     let jobs = state.list_jobs(limit).await?;
     Ok(json_response(StatusCode::Ok, &jobs))
 }
@@ -191,7 +191,7 @@
     // Reads the first page before sending the head, so that a failure sets the status.
     let limit = RESULTS_PER_PAGE;
     let page = state.cluster.job_results(group, job, from, limit).await?;
-    let (writer, mut response) = event_response(RESULT_PIECES);
+    let (writer, mut response) = event_response(RESULT_BUFFER);
     response.insert_header("content-type", "application/jsonl");
     let streaming = state.clone();
     state.spawn(async move {
--- a/crates/daemon/src/gateway/batch_driver.rs
+++ b/crates/daemon/src/gateway/batch_driver.rs
@@ -25,10 +25,10 @@
 /// Tail protection until a configuration is active.
 const INITIAL_TAIL_PROTECTION: u8 = 50;
 /// Number of renewals per item lease duration.
-const RENEWALS_IN_LEASE: u32 = 5;
+const RENEWALS_PER_LEASE: u32 = 5;
 /// Upper and lower bound of the interval between ticks of the batch owner.
-const LONGEST_TICK: Duration = Duration::from_millis(50);
-const SHORTEST_TICK: Duration = Duration::from_millis(1);
+const MAX_TICK: Duration = Duration::from_millis(50);
+const MIN_TICK: Duration = Duration::from_millis(1);
 
 /// The batch owner core and its streams.
 #[derive(Debug)]
@@ -59,7 +59,7 @@
         let settings = BatchSettings {
             job_groups: options.job_groups,
             lease: options.item_lease,
-            renew_interval: options.item_lease / RENEWALS_IN_LEASE,
+            renew_interval: options.item_lease / RENEWALS_PER_LEASE,
             ..BatchSettings::default()
         };
         let knob = options.policy.tail_protection;
@@ -159,8 +159,8 @@
             self.batch_input(BatchInput::Tick);
             let now = self.clock.now();
             let next = self.batch.lock().owner.next_wakeup(now);
-            let wait = next.map_or(LONGEST_TICK, |next| next.since(now));
-            Timer::after(wait.clamp(SHORTEST_TICK, LONGEST_TICK)).await;
+            let wait = next.map_or(MAX_TICK, |next| next.since(now));
+            Timer::after(wait.clamp(MIN_TICK, MAX_TICK)).await;
         }
     }
 
--- a/crates/daemon/src/gateway/batch_stream.rs
+++ b/crates/daemon/src/gateway/batch_stream.rs
@@ -22,14 +22,14 @@
 use super::validation::{engine_body, max_tokens_of, parse_fields};
 
 /// Delay before an engine is asked for the status of an attempt.
-const QUESTION_PAUSE: Duration = Duration::from_millis(50);
+const STATUS_QUERY_DELAY: Duration = Duration::from_millis(50);
 /// Delay before a pause request is repeated to an engine that does not know the stream
 /// yet.
-const HOLD_PAUSE: Duration = Duration::from_millis(3);
+const PAUSE_RETRY_DELAY: Duration = Duration::from_millis(3);
 /// Progress is reported to the batch owner once per this many tokens of a stream.
 const TOKENS_PER_REPORT: u32 = 16;
 /// Maximum number of pause requests for one command.
-const MOST_HOLDS: u32 = 100;
+const MAX_PAUSE_ATTEMPTS: u32 = 100;
 
 /// A command of the batch owner to a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -156,13 +156,13 @@
         held: bool,
         commands: &Receiver<StreamCommand>,
     ) {
-        for _ in 0..MOST_HOLDS {
+        for _ in 0..MAX_PAUSE_ATTEMPTS {
             let status = self.engines.hold(target.address, attempt, held).await;
             let settled = status.is_some_and(|status| status != 404);
             if settled || !commands.is_empty() || !held {
                 return;
             }
-            Timer::after(HOLD_PAUSE).await;
+            Timer::after(PAUSE_RETRY_DELAY).await;
         }
     }
 }
@@ -218,7 +218,7 @@
                     }
                 }
                 NextStep::AskStatus { attempt } => {
-                    Timer::after(QUESTION_PAUSE).await;
+                    Timer::after(STATUS_QUERY_DELAY).await;
                     let address = self.target.address;
                     let answer = self.state.engines.status(address, &attempt).await;
                     steps.status(self.state.clock.now(), answer, &mut budget)
--- a/crates/daemon/src/gateway/batch_submission.rs
+++ b/crates/daemon/src/gateway/batch_submission.rs
@@ -19,7 +19,7 @@
 /// Maximum length of a job key in bytes.
 const MAX_KEY_BYTES: usize = 256;
 /// Maximum number of problems reported for one submission.
-const MOST_FINDINGS: usize = 20;
+const MAX_REPORTED_FINDINGS: usize = 20;
 /// Default deadline of a job.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(24 * 3_600);
 /// Maximum items and bytes in one append command.
@@ -139,7 +139,7 @@
         }
         items.push(line);
         if let Err(problem) = check_item(line)
-            && findings.len() < MOST_FINDINGS
+            && findings.len() < MAX_REPORTED_FINDINGS
         {
             findings.push(format!("line {}: {problem}", number + 1));
         }
--- a/crates/daemon/src/gateway/claims.rs
+++ b/crates/daemon/src/gateway/claims.rs
@@ -16,7 +16,7 @@
 use crate::cluster::ClusterError;
 
 /// Retry delay while another submission of the same request is running.
-const HELD_RETRY: Duration = Duration::from_secs(1);
+const HELD_CLAIM_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A claim that this gateway requested.
 #[derive(Clone, Debug)]
@@ -123,7 +123,7 @@
     let message = format!("attempt {attempt} holds the claim on this key and has not ended");
     ApiError::not_run(StatusCode::Conflict, "request_in_progress", message)
         .with_outcome(RunOutcome::Unknown)
-        .with_retry_after(HELD_RETRY)
+        .with_retry_after(HELD_CLAIM_RETRY_AFTER)
 }
 
 fn key_conflict() -> ApiError {
--- a/crates/daemon/src/gateway/clock.rs
+++ b/crates/daemon/src/gateway/clock.rs
@@ -7,7 +7,7 @@
 use crate::boot_clock::BootClock;
 
 /// Clock value at the gateway's start, so that earlier times can be represented.
-const AHEAD: Duration = Duration::from_secs(1);
+const START_TIME: Duration = Duration::from_secs(1);
 
 /// The clock of every decision core of this gateway. It keeps counting while the machine
 /// is suspended, because leases held by this node expire elsewhere in the meantime.
@@ -28,6 +28,6 @@
     /// Returns the current time.
     pub(super) fn now(&self) -> Timestamp {
         let passed = self.boot.now().since(self.began);
-        Timestamp::ZERO + AHEAD + passed
+        Timestamp::ZERO + START_TIME + passed
     }
 }
--- a/crates/daemon/src/gateway/directory.rs
+++ b/crates/daemon/src/gateway/directory.rs
@@ -25,9 +25,9 @@
 /// Pause after a candidate update, as a multiple of the time the update took.
 const REFRESH_PAUSE: u32 = 9;
 /// Maximum time a new gateway waits for the first reports of its back ends.
-const FIRST_REPORTS: Duration = Duration::from_millis(500);
+const FIRST_REPORTS_TIMEOUT: Duration = Duration::from_millis(500);
 /// Interval between checks whether the first reports have arrived.
-const FIRST_REPORTS_LOOK: Duration = Duration::from_millis(5);
+const FIRST_REPORTS_POLL: Duration = Duration::from_millis(5);
 /// Separates a model's name from its version in an engine's report.
 const VERSION_SEPARATOR: char = '@';
 
@@ -141,16 +141,16 @@
 
     /// Waits until every back end that this gateway routes to has reported, so that the
     /// gateway does not become ready and then reject requests for lack of engines. Waits
-    /// at most [`FIRST_REPORTS`] for back ends that stay silent.
+    /// at most [`FIRST_REPORTS_TIMEOUT`] for back ends that stay silent.
     pub(super) async fn wait_for_first_reports(&self) {
-        let until = self.clock.now() + FIRST_REPORTS;
+        let until = self.clock.now() + FIRST_REPORTS_TIMEOUT;
         while self.clock.now() < until {
             let reported = self.has_first_reports();
             self.work_out_candidates();
             if reported {
                 return;
             }
-            Timer::after(FIRST_REPORTS_LOOK).await;
+            Timer::after(FIRST_REPORTS_POLL).await;
         }
     }
 
--- a/crates/daemon/src/gateway/drain.rs
+++ b/crates/daemon/src/gateway/drain.rs
@@ -14,7 +14,7 @@
 use super::state::GatewayState;
 
 /// Interval between checks of the remaining work.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// How long requests on open connections are still answered after new
 /// connections are refused.
 const IDLE_GRACE: Duration = Duration::from_millis(500);
@@ -63,7 +63,7 @@
                 }
             }
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/daemon/src/gateway/loads.rs
+++ b/crates/daemon/src/gateway/loads.rs
@@ -18,7 +18,7 @@
 use super::state::GatewayState;
 
 /// Polling interval of a back end that another gateway owns.
-const FOREIGN_POLL: Duration = Duration::from_secs(1);
+const NON_OWNED_POLL: Duration = Duration::from_secs(1);
 /// Polling interval of a back end that has not reported yet.
 const DISCOVERY_POLL: Duration = Duration::from_millis(100);
 /// Polling interval of an engine's cache events.
@@ -26,7 +26,7 @@
 /// Time after which an unanswered poll no longer delays the next one.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
 /// Maximum number of gateways that receive an engine's digests.
-const MOST_LISTENERS: usize = 16;
+const MAX_DIGEST_RECEIVERS: usize = 16;
 /// Scale of the KV memory share in a digest.
 const KV_STEPS: f64 = 255.0;
 /// Unit of the step duration in a digest, in microseconds.
@@ -121,9 +121,9 @@
             let is_known =
                 backend.kind == MachineKind::Application || !backend.loaded.models.is_empty();
             let interval = match backend.state {
-                BackendState::Unknown | BackendState::Ejected => FOREIGN_POLL,
+                BackendState::Unknown | BackendState::Ejected => NON_OWNED_POLL,
                 _ if is_owned => self.options.load_poll,
-                _ if is_known => FOREIGN_POLL,
+                _ if is_known => NON_OWNED_POLL,
                 _ => DISCOVERY_POLL,
             };
             poll.next = now + interval;
@@ -216,9 +216,9 @@
         let own = self.options.node;
         let gateways = self.gateways();
         let mut nodes: Vec<NodeId> = gateways.nodes().filter(|node| *node != own).collect();
-        if nodes.len() > MOST_LISTENERS {
+        if nodes.len() > MAX_DIGEST_RECEIVERS {
             nodes.sort_by_key(|node| std::cmp::Reverse(weight(*node, backend)));
-            nodes.truncate(MOST_LISTENERS);
+            nodes.truncate(MAX_DIGEST_RECEIVERS);
         }
         nodes
     }
--- a/crates/daemon/src/gateway/outcome.rs
+++ b/crates/daemon/src/gateway/outcome.rs
@@ -10,7 +10,7 @@
 use super::route::Run;
 
 /// Retry delay reported while no engine accepts work.
-pub(super) const NO_BACKEND_RETRY: Duration = Duration::from_secs(1);
+pub(super) const NO_BACKEND_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Run<'_> {
     /// Returns why the last attempt failed.
@@ -56,7 +56,7 @@
             .as_ref()
             .and_then(|last| last.refusal.as_ref());
         let said = refusal.and_then(|refusal| refusal.detail.retry_after_ms);
-        said.map_or(NO_BACKEND_RETRY, Duration::from_millis)
+        said.map_or(NO_BACKEND_RETRY_AFTER, Duration::from_millis)
     }
 
     fn named(&self, error: ApiError) -> ApiError {
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -32,7 +32,7 @@
 /// Name of the thread that runs batch work.
 const BATCH_THREAD: &str = "gateway-batch";
 /// Low bits of an attempt ID's node part that carry the node's incarnation.
-const LIFE_BITS: u32 = 48;
+const INCARNATION_BITS: u32 = 48;
 
 /// State shared by the modules of one gateway.
 #[derive(Debug)]
@@ -110,9 +110,9 @@
 
     /// Returns an attempt ID that no node has used before.
     pub(super) fn next_attempt(&self) -> AttemptId {
-        let life = self.options.incarnation.0 & ((1 << LIFE_BITS) - 1);
+        let life = self.options.incarnation.0 & ((1 << INCARNATION_BITS) - 1);
         AttemptId {
-            node: (u64::from(self.options.node.0) << LIFE_BITS) | life,
+            node: (u64::from(self.options.node.0) << INCARNATION_BITS) | life,
             sequence: self.last_attempt.fetch_add(1, Ordering::Relaxed) + 1,
         }
     }
--- a/crates/daemon/src/gateway/tenant_weights.rs
+++ b/crates/daemon/src/gateway/tenant_weights.rs
@@ -14,7 +14,7 @@
 /// Interval between comparisons with the configuration.
 const INTERVAL: Duration = Duration::from_secs(1);
 /// Key by which the gateways are ranked for this task.
-const DUTY: &[u8] = b"tenant weights";
+const RANKING_KEY: &[u8] = b"tenant weights";
 
 impl GatewayState {
     /// Copies weights to the job groups until the gateway stops.
@@ -39,7 +39,7 @@
     }
 
     fn has_weight_duty(&self) -> bool {
-        let key = BackendId(digest_of(DUTY).0 as u32);
+        let key = BackendId(digest_of(RANKING_KEY).0 as u32);
         let chosen = highest(self.gateways().nodes(), key);
         chosen == Some(self.options.node) && !self.is_draining()
     }
--- a/crates/daemon/src/registration.rs
+++ b/crates/daemon/src/registration.rs
@@ -10,7 +10,7 @@
 use crate::cluster::Cluster;
 
 /// Delay after a failed attempt.
-const PAUSE: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// Registers the node, retrying until the control group accepts it.
 pub(crate) async fn register(cluster: Arc<Cluster>, node: RegisterNode, logger: Logger) {
@@ -26,7 +26,7 @@
                 return;
             }
             Ok(_) | Err(_) => {
-                Timer::after(PAUSE).await;
+                Timer::after(RETRY_DELAY).await;
             }
         }
     }
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -19,7 +19,7 @@
 use crate::boot_clock::BootClock;
 
 /// Maximum number of orders accepted before each poll of the core.
-const ORDERS_A_ROUND: usize = 4_096;
+const MAX_ORDERS_PER_POLL: usize = 4_096;
 /// Interval between updates of the metrics.
 const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
@@ -93,7 +93,7 @@
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => self.stopping = true,
         }
-        for _ in 1..ORDERS_A_ROUND {
+        for _ in 1..MAX_ORDERS_PER_POLL {
             match self.orders.try_recv() {
                 Ok(order) => self.take(order),
                 Err(_) => break,
--- a/crates/daemon/src/replica/feed.rs
+++ b/crates/daemon/src/replica/feed.rs
@@ -20,15 +20,15 @@
 use super::outbox::Outbox;
 
 /// Interval between reads.
-const INTERVAL: Duration = Duration::from_millis(250);
+const READ_INTERVAL: Duration = Duration::from_millis(250);
 /// Timeout of the leader's answer to a read.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
 /// Age, from its start, up to which a read confirms a version.
-const CONFIRMED_FOR: Duration = Duration::from_secs(1);
+const MAX_READ_AGE: Duration = Duration::from_secs(1);
 /// Maximum wait of one watcher.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
+const MAX_WAIT: Duration = Duration::from_secs(30);
 /// Retry delay reported without a quorum, in milliseconds.
-const RETRY_MS: u32 = 250;
+const RETRY_AFTER_MS: u32 = 250;
 
 /// Triggers an immediate read.
 #[derive(Clone, Debug)]
@@ -65,7 +65,7 @@
     /// Whether the latest read is recent enough to confirm a version.
     fn is_fresh(&self) -> bool {
         self.began
-            .is_some_and(|began| began.elapsed() < CONFIRMED_FOR)
+            .is_some_and(|began| began.elapsed() < MAX_READ_AGE)
     }
 
     /// Returns the answer to a watcher with version `held`, if there is a newer
@@ -125,8 +125,8 @@
     /// Waits for a configuration newer than the caller's, at most for the
     /// requested time.
     pub async fn watch(&self, watch: &WatchConfiguration) -> Response {
-        let wait = Duration::from_millis(u64::from(watch.wait_ms)).min(LONGEST_WAIT);
-        let deadline = Instant::now() + wait.max(INTERVAL);
+        let wait = Duration::from_millis(u64::from(watch.wait_ms)).min(MAX_WAIT);
+        let deadline = Instant::now() + wait.max(READ_INTERVAL);
         loop {
             let next_done = {
                 let mut state = self.lock();
@@ -155,7 +155,7 @@
         Response::Refused {
             outcome: RunOutcome::NotRun,
             message: "no quorum confirmed the configuration".to_owned(),
-            retry_after_ms: RETRY_MS,
+            retry_after_ms: RETRY_AFTER_MS,
         }
     }
 
@@ -214,7 +214,7 @@
         while self.demanded.recv().await.is_ok() {
             self.feed.read().await;
             let interval = async {
-                Timer::after(INTERVAL).await;
+                Timer::after(READ_INTERVAL).await;
             };
             let nudged = async {
                 let _ended = self.nudged.recv().await;
--- a/crates/daemon/src/replica/heartbeats.rs
+++ b/crates/daemon/src/replica/heartbeats.rs
@@ -8,14 +8,14 @@
 
 /// Maximum number of nodes per zone in an answer. Every node gets the same list, so that
 /// all agree on the ownership; nodes beyond the limit own nothing.
-const MOST_PER_ZONE: usize = 16;
+const MAX_NODES_PER_ZONE: usize = 16;
 /// A node counts as alive for this many heartbeat intervals after its last heartbeat.
 const LIVE_HEARTBEATS: u32 = 3;
 /// Heartbeat intervals for which a new leader collects heartbeats before it answers.
 const WARM_UP_HEARTBEATS: f64 = 1.5;
 /// How often the list is rebuilt per heartbeat interval, in addition to rebuilds after
 /// changes.
-const LISTS_A_HEARTBEAT: u32 = 4;
+const LIST_REBUILDS_PER_HEARTBEAT: u32 = 4;
 
 /// A live node: its ID, its incarnation and whether it is draining.
 pub(super) type LiveNode = (NodeId, Incarnation, bool);
@@ -89,7 +89,7 @@
             let limit = self.interval * LIVE_HEARTBEATS;
             state.heard.retain(|_, one| one.at.elapsed() < limit);
             state.live = list(state.heard.values());
-            state.live_until = Some(now + self.interval / LISTS_A_HEARTBEAT);
+            state.live_until = Some(now + self.interval / LIST_REBUILDS_PER_HEARTBEAT);
         }
         state.live.clone()
     }
@@ -110,7 +110,7 @@
     let mut live = Vec::new();
     for mut nodes in zones.into_values() {
         nodes.sort_unstable();
-        nodes.truncate(MOST_PER_ZONE);
+        nodes.truncate(MAX_NODES_PER_ZONE);
         live.extend(nodes);
     }
     live.sort_unstable();
--- a/crates/daemon/src/replica/orders.rs
+++ b/crates/daemon/src/replica/orders.rs
@@ -10,13 +10,13 @@
 
 /// Maximum number of queued orders; beyond it requests are rejected and
 /// messages dropped.
-const QUEUED_ORDERS: usize = 16_384;
+const MAX_QUEUED_ORDERS: usize = 16_384;
 /// Maximum total size of the queued orders in bytes.
-const QUEUED_BYTES: usize = 32 << 20;
+const MAX_QUEUED_BYTES: usize = 32 << 20;
 /// Retry delay reported when the queue is full, in milliseconds.
-const BUSY_RETRY_MS: u32 = 50;
+const BUSY_RETRY_AFTER_MS: u32 = 50;
 /// Retry delay reported by a replica that has stopped, in milliseconds.
-const STOPPED_RETRY_MS: u32 = 500;
+const STOPPED_RETRY_AFTER_MS: u32 = 500;
 
 /// The answer to a request.
 pub(super) type Answer = Result<Vec<u8>, Refusal>;
@@ -102,7 +102,7 @@
 
 /// Creates an empty queue.
 pub(super) fn queue() -> (DriverHandle, Receiver<Order>) {
-    let (sender, orders) = sync_channel(QUEUED_ORDERS);
+    let (sender, orders) = sync_channel(MAX_QUEUED_ORDERS);
     let handle = DriverHandle {
         orders: sender,
         queued_bytes: Arc::default(),
@@ -133,7 +133,7 @@
             Ok(()) => answer.recv().await.unwrap_or_else(|_| Err(cut_off())),
             Err(TrySendError::Full(_)) => Err(busy()),
             Err(TrySendError::Disconnected(_)) => {
-                Err(not_run("the replica has stopped", STOPPED_RETRY_MS))
+                Err(not_run("the replica has stopped", STOPPED_RETRY_AFTER_MS))
             }
         }
     }
@@ -171,12 +171,12 @@
         let before = self.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
         let used = self.queued_bytes.clone();
         let room = Room { bytes, used };
-        (before == 0 || before + bytes <= QUEUED_BYTES).then_some(room)
+        (before == 0 || before + bytes <= MAX_QUEUED_BYTES).then_some(room)
     }
 }
 
 fn busy() -> Refusal {
-    not_run("too many requests wait already", BUSY_RETRY_MS)
+    not_run("too many requests wait already", BUSY_RETRY_AFTER_MS)
 }
 
 fn not_run(message: &str, retry_after_ms: u32) -> Refusal {
--- a/crates/daemon/src/replica/outbox.rs
+++ b/crates/daemon/src/replica/outbox.rs
@@ -14,7 +14,7 @@
 /// Maximum bytes of messages in one frame, unless a single message is longer.
 const FRAME_BYTES: usize = 1 << 20;
 /// Maximum backoff before an unreachable peer is retried.
-const LONGEST_PAUSE: Duration = Duration::from_millis(200);
+const MAX_BACKOFF: Duration = Duration::from_millis(200);
 /// Connection timeout. A peer that has not started yet may leave a connection attempt
 /// unanswered for seconds, which would delay an election; replicas are close to each other.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(250);
@@ -64,7 +64,7 @@
         let client = clients.entry(node).or_insert_with(|| {
             let limits = ClientLimits {
                 connect_timeout: CONNECT_TIMEOUT,
-                longest_pause: LONGEST_PAUSE,
+                longest_pause: MAX_BACKOFF,
                 ..ClientLimits::default()
             };
             let seed = self.seed ^ u64::from(node.0);
--- a/crates/daemon/src/replica/role.rs
+++ b/crates/daemon/src/replica/role.rs
@@ -31,7 +31,7 @@
 use crate::boot_clock::BootClock;
 
 /// How long a successor may take before another one is asked.
-const SUCCESSOR_PATIENCE: Duration = Duration::from_millis(600);
+const SUCCESSOR_TIMEOUT: Duration = Duration::from_millis(600);
 /// Interval between checks whether a leadership has moved.
 const HAND_OVER_POLL: Duration = Duration::from_millis(10);
 
@@ -232,7 +232,7 @@
     }
 
     async fn wait_for_successors(&self, deadline: Instant) {
-        let patience = deadline.min(Instant::now() + SUCCESSOR_PATIENCE);
+        let patience = deadline.min(Instant::now() + SUCCESSOR_TIMEOUT);
         while !self.leaders.led().is_empty() && Instant::now() < patience {
             Timer::after(HAND_OVER_POLL).await;
         }
--- a/crates/daemon/src/replica/versions.rs
+++ b/crates/daemon/src/replica/versions.rs
@@ -8,7 +8,7 @@
 use molespan_wire::WatchConfiguration;
 
 /// Time after which a silent node is removed.
-const REMEMBERED: Duration = Duration::from_secs(60);
+const RETENTION: Duration = Duration::from_secs(60);
 
 #[derive(Debug)]
 struct Said {
@@ -35,7 +35,7 @@
     /// Returns every node that reported recently, ordered by ID.
     pub fn list(&self) -> Vec<(NodeId, ConfigVersion)> {
         let mut said = self.lock();
-        said.retain(|_, one| one.at.elapsed() < REMEMBERED);
+        said.retain(|_, one| one.at.elapsed() < RETENTION);
         let mut versions: Vec<_> = said
             .iter()
             .map(|(&node, one)| (node, one.version))
--- a/crates/daemon/src/status_server.rs
+++ b/crates/daemon/src/status_server.rs
@@ -17,9 +17,9 @@
 use crate::replica::ReplicaRole;
 
 /// Retry delay reported while the node is not ready.
-const UNREADY_RETRY: Duration = Duration::from_secs(1);
+const UNREADY_RETRY_AFTER: Duration = Duration::from_secs(1);
 /// Time limit for open requests at a stop.
-const FINISH_WITHIN: Duration = Duration::from_secs(1);
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// Sources of a status server's answers.
 #[derive(Clone, Debug)]
@@ -90,7 +90,7 @@
     /// Stops serving.
     pub async fn stop(&self) {
         self.stop.close();
-        self.handle.shutdown(Duration::ZERO, FINISH_WITHIN).await;
+        self.handle.shutdown(Duration::ZERO, SHUTDOWN_TIMEOUT).await;
     }
 }
 
@@ -142,7 +142,7 @@
     }
     let message = "the replica does not vote in every group yet, or a group has no leader";
     let status = StatusCode::ServiceUnavailable;
-    let retry = Some(UNREADY_RETRY);
+    let retry = Some(UNREADY_RETRY_AFTER);
     error_response(status, "not-ready", message, RunOutcome::NotRun, retry)
 }
 
