--- a/crates/daemon/src/bin/molespand.rs
+++ b/crates/daemon/src/bin/molespand.rs
@@ -37,7 +37,7 @@
 }
 
 /// Why the main thread stopped waiting.
-enum Wakening {
+enum StopCause {
     /// A stop signal arrived.
     Signal,
     /// A role failed and cannot continue.
@@ -85,8 +85,8 @@
     announce(&node);
     let status = block_on(executor.run(async {
         match wait(&node, &mut signals).await {
-            Wakening::Failure => ExitCode::FAILURE,
-            Wakening::Signal => stop(node, &mut signals, logger).await,
+            StopCause::Failure => ExitCode::FAILURE,
+            StopCause::Signal => stop(node, &mut signals, logger).await,
         }
     }));
     Ok(status)
@@ -110,14 +110,14 @@
     let _printed = line.and_then(|()| output.flush());
 }
 
-async fn wait(node: &Node, signals: &mut Signals) -> Wakening {
+async fn wait(node: &Node, signals: &mut Signals) -> StopCause {
     let signal = async {
         signals.next().await;
-        Wakening::Signal
+        StopCause::Signal
     };
     let failure = async {
         node.failed().await;
-        Wakening::Failure
+        StopCause::Failure
     };
     future::or(signal, failure).await
 }
--- a/crates/daemon/src/cluster/batch.rs
+++ b/crates/daemon/src/cluster/batch.rs
@@ -13,7 +13,7 @@
 
 /// Items that the batch leader assigned to this node.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct HandedItems {
+pub struct AssignedItems {
     /// Items to run.
     pub items: Vec<ItemToRun>,
     /// Running items that must be stopped, as pairs of job number and item index.
@@ -90,7 +90,7 @@
         &self,
         ask: &TakeItems,
         deadline: Duration,
-    ) -> Result<HandedItems, ClusterError> {
+    ) -> Result<AssignedItems, ClusterError> {
         let request = || Request::TakeItems(ask.clone());
         let held = Duration::from_millis(u64::from(ask.wait_ms));
         let response = self.call_leader_held(GroupId::BATCH, request, held, deadline);
@@ -100,7 +100,7 @@
                 let items = items.map_err(|error| ClusterError::Unexpected {
                     reason: error.to_string(),
                 })?;
-                Ok(HandedItems { items, stop })
+                Ok(AssignedItems { items, stop })
             }
             other => Err(unexpected(&other)),
         }
--- a/crates/daemon/src/cluster/mod.rs
+++ b/crates/daemon/src/cluster/mod.rs
@@ -21,7 +21,7 @@
 
 use molespan_types::NodeId;
 
-pub use batch::HandedItems;
+pub use batch::AssignedItems;
 pub use control::{LiveNode, WatchedConfiguration};
 pub use error::ClusterError;
 pub use job::{ItemsTaken, RenewedLeases, ResultPage};
--- a/crates/daemon/src/gateway/admin/mod.rs
+++ b/crates/daemon/src/gateway/admin/mod.rs
@@ -9,7 +9,7 @@
 
 use molespan_http::{Method, Request, Response};
 
-pub(super) use plans::PlanMemory;
+pub(super) use plans::RecentPlans;
 
 use super::error::ApiError;
 use super::state::GatewayState;
--- a/crates/daemon/src/gateway/admin/plans.rs
+++ b/crates/daemon/src/gateway/admin/plans.rs
@@ -29,11 +29,11 @@
 
 /// Intents recently planned at this gateway.
 #[derive(Debug, Default)]
-pub(in super::super) struct PlanMemory {
+pub(in super::super) struct RecentPlans {
     planned: Mutex<BTreeMap<IntentNumber, ConfirmIntent>>,
 }
 
-impl PlanMemory {
+impl RecentPlans {
     fn remember(&self, intent: ConfirmIntent) {
         let mut planned = self.lock();
         planned.insert(intent.number, intent);
--- a/crates/daemon/src/gateway/admission.rs
+++ b/crates/daemon/src/gateway/admission.rs
@@ -19,17 +19,17 @@
 
 /// The admission core and the requests queued in it.
 #[derive(Debug)]
-pub(super) struct AdmissionDesk {
-    desk: Mutex<Desk>,
+pub(super) struct AdmissionQueues {
+    inner: Mutex<Inner>,
 }
 
 #[derive(Debug)]
-struct Desk {
+struct Inner {
     core: Admission,
     waiting: HashMap<Ticket, Sender<WaitEnd>>,
 }
 
-impl Desk {
+impl Inner {
     fn wake(&mut self, outputs: Vec<AdmissionOutput>) {
         for output in outputs {
             let (ticket, end) = match output {
@@ -70,27 +70,27 @@
 
 impl Drop for Permit<'_> {
     fn drop(&mut self) {
-        let mut desk = self.state.admission.lock();
-        let outputs = desk
+        let mut inner = self.state.admission.lock();
+        let outputs = inner
             .core
             .release(self.state.clock.now(), self.ticket, self.ran);
-        desk.wake(outputs);
+        inner.wake(outputs);
     }
 }
 
-impl AdmissionDesk {
+impl AdmissionQueues {
     pub(super) fn new(settings: AdmissionSettings) -> Self {
-        let desk = Desk {
+        let inner = Inner {
             core: Admission::new(settings),
             waiting: HashMap::new(),
         };
         Self {
-            desk: Mutex::new(desk),
+            inner: Mutex::new(inner),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Desk> {
-        self.desk.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
@@ -101,16 +101,16 @@
         services: BTreeMap<ServiceName, ServiceLimits>,
         policies: BTreeMap<TenantId, TenantPolicy>,
     ) {
-        let mut desk = self.admission.lock();
-        let outputs = desk.core.configure(self.clock.now(), services, policies);
-        desk.wake(outputs);
+        let mut inner = self.admission.lock();
+        let outputs = inner.core.configure(self.clock.now(), services, policies);
+        inner.wake(outputs);
     }
 
     /// Rejects every queued request.
     pub(super) fn refuse_waiting(&self, code: RefusalCode) {
-        let mut desk = self.admission.lock();
-        let outputs = desk.core.refuse_waiting(code);
-        desk.wake(outputs);
+        let mut inner = self.admission.lock();
+        let outputs = inner.core.refuse_waiting(code);
+        inner.wake(outputs);
     }
 
     /// Updates capacities from engine selection and advances the queue's clock. Returns
@@ -118,13 +118,13 @@
     pub(super) fn tick_admission(&self) -> bool {
         let now = self.clock.now();
         let capacities = self.pickers.capacities(now);
-        let mut desk = self.admission.lock();
+        let mut inner = self.admission.lock();
         for (service, capacity) in capacities {
-            desk.core.set_capacity(&service, capacity);
+            inner.core.set_capacity(&service, capacity);
         }
-        let outputs = desk.core.tick(now);
-        desk.wake(outputs);
-        desk.core.waiting() > 0
+        let outputs = inner.core.tick(now);
+        inner.wake(outputs);
+        inner.core.waiting() > 0
     }
 
     /// Admits a request immediately or after queueing, or rejects it.
@@ -173,8 +173,8 @@
         tenant: &TenantId,
         service: &ServiceName,
     ) -> Result<(Ticket, Option<Receiver<WaitEnd>>), NotAdmitted> {
-        let mut desk = self.admission.lock();
-        match desk.core.offer(self.clock.now(), tenant, service) {
+        let mut inner = self.admission.lock();
+        match inner.core.offer(self.clock.now(), tenant, service) {
             Decision::Admitted(ticket) => Ok((ticket, None)),
             Decision::Queued {
                 ticket,
@@ -182,8 +182,8 @@
                 expected_wait,
             } => {
                 let (sender, receiver) = async_channel::bounded(1);
-                desk.waiting.insert(ticket, sender);
-                drop(desk);
+                inner.waiting.insert(ticket, sender);
+                drop(inner);
                 self.events.record(
                     EventKind::Queue,
                     format!("service {service}"),
@@ -200,7 +200,7 @@
                 Ok((ticket, Some(receiver)))
             }
             Decision::Refused(refusal) => {
-                drop(desk);
+                drop(inner);
                 self.note_refusal(tenant, service, &refusal);
                 Err(NotAdmitted::Refused(refusal))
             }
@@ -210,14 +210,14 @@
     /// Removes a request whose caller disconnected from the queue. If it was admitted
     /// in the meantime, its concurrency slot is released.
     fn abandon(&self, ticket: Ticket, wait: &Receiver<WaitEnd>) {
-        let mut desk = self.admission.lock();
-        desk.waiting.remove(&ticket);
+        let mut inner = self.admission.lock();
+        inner.waiting.remove(&ticket);
         if let Ok(Ok(())) = wait.try_recv() {
-            let outputs = desk.core.release(self.clock.now(), ticket, false);
-            desk.wake(outputs);
+            let outputs = inner.core.release(self.clock.now(), ticket, false);
+            inner.wake(outputs);
             return;
         }
-        desk.core.abandon(ticket);
+        inner.core.abandon(ticket);
     }
 
     pub(super) fn note_refusal(&self, tenant: &TenantId, service: &ServiceName, refusal: &Refusal) {
--- a/crates/daemon/src/gateway/application.rs
+++ b/crates/daemon/src/gateway/application.rs
@@ -12,7 +12,7 @@
 
 use super::admission::NotAdmitted;
 use super::answer::{AttemptFailure, failure_of};
-use super::claims::ClaimHold;
+use super::claims::RequestClaim;
 use super::dispatch::InFlight;
 use super::error::ApiError;
 use super::state::GatewayState;
@@ -37,7 +37,7 @@
 
 /// A request to an application service.
 #[derive(Debug)]
-struct Asked {
+struct ApplicationRequest {
     service: ServiceName,
     tenant: TenantId,
     repeatability: Repeatability,
@@ -48,7 +48,7 @@
     body: Vec<u8>,
 }
 
-impl Asked {
+impl ApplicationRequest {
     fn read(request: &Request, body: Vec<u8>) -> Result<Self, ApiError> {
         let url = request.url();
         let rest = &url.path()[SERVICES_PREFIX.len()..];
@@ -100,11 +100,11 @@
     body: Vec<u8>,
     presence: Option<ClientPresence>,
 ) -> Response {
-    let asked = match Asked::read(request, body) {
-        Ok(asked) => asked,
+    let incoming = match ApplicationRequest::read(request, body) {
+        Ok(incoming) => incoming,
         Err(error) => return error.response(),
     };
-    match admitted(state, &asked, presence).await {
+    match admitted(state, &incoming, presence).await {
         Ok(response) => {
             state.metrics.request_ended("completed");
             response
@@ -118,14 +118,16 @@
 
 async fn admitted(
     state: &Arc<GatewayState>,
-    asked: &Asked,
+    incoming: &ApplicationRequest,
     presence: Option<ClientPresence>,
 ) -> Result<Response, ApiError> {
-    state.check_application(&asked.service).map_err(|refusal| {
-        state.note_refusal(&asked.tenant, &asked.service, &refusal);
-        ApiError::from(refusal)
-    })?;
-    let admitted = state.admit(&asked.tenant, &asked.service, presence.as_ref());
+    state
+        .check_application(&incoming.service)
+        .map_err(|refusal| {
+            state.note_refusal(&incoming.tenant, &incoming.service, &refusal);
+            ApiError::from(refusal)
+        })?;
+    let admitted = state.admit(&incoming.tenant, &incoming.service, presence.as_ref());
     let mut permit = admitted.await.map_err(|refused| match refused {
         NotAdmitted::Refused(refusal) => ApiError::from(refusal),
         NotAdmitted::CallerGone => ApiError::not_run(
@@ -135,7 +137,7 @@
         ),
     })?;
     permit.note_run();
-    let mut run = Run::new(state, asked);
+    let mut run = Run::new(state, incoming);
     let answer = run.steps_until_end().await;
     run.settle(&answer).await;
     answer.map(|answer| run.response(answer))
@@ -144,24 +146,24 @@
 /// The execution of one request.
 struct Run<'a> {
     state: &'a Arc<GatewayState>,
-    asked: &'a Asked,
+    incoming: &'a ApplicationRequest,
     steps: RequestState,
-    claim: ClaimHold,
+    claim: RequestClaim,
     answer: Option<WholeAnswer>,
     last_attempt: Option<AttemptId>,
     cause: String,
 }
 
 impl<'a> Run<'a> {
-    fn new(state: &'a Arc<GatewayState>, asked: &'a Asked) -> Self {
+    fn new(state: &'a Arc<GatewayState>, incoming: &'a ApplicationRequest) -> Self {
         Self {
             state,
-            asked,
+            incoming,
             steps: RequestState::new(RequestKind {
-                repeatable: asked.repeatability == Repeatability::Repeatable,
+                repeatable: incoming.repeatability == Repeatability::Repeatable,
                 resumable: false,
             }),
-            claim: ClaimHold::default(),
+            claim: RequestClaim::default(),
             answer: None,
             last_attempt: None,
             cause: "no back end takes work".to_owned(),
@@ -174,7 +176,7 @@
             next = match next {
                 NextStep::Claim => self.claim().await,
                 NextStep::Dispatch => {
-                    let service = &self.asked.service;
+                    let service = &self.incoming.service;
                     self.state
                         .pickers
                         .with_budget(service, |budget| budget.earn());
@@ -199,12 +201,12 @@
     }
 
     async fn claim(&mut self) -> NextStep {
-        let asked = self.asked;
+        let incoming = self.incoming;
         let answer = self.claim.ask(
             self.state,
-            &asked.tenant,
-            &asked.repeatability,
-            asked.digest(),
+            &incoming.tenant,
+            &incoming.repeatability,
+            incoming.digest(),
         );
         let answer = answer.await;
         self.steps.claim_answered(answer)
@@ -215,8 +217,11 @@
             prefix_hashes: &[],
             exclude,
         };
-        let service = &self.asked.service;
-        let chosen = self.state.choose(service, &self.asked.tenant, wanted).await;
+        let service = &self.incoming.service;
+        let chosen = self
+            .state
+            .choose(service, &self.incoming.tenant, wanted)
+            .await;
         let chosen = match chosen {
             Ok(chosen) => chosen,
             Err(error) => {
@@ -276,13 +281,13 @@
         address: std::net::SocketAddr,
         attempt: AttemptId,
     ) -> Result<Request, AttemptFailure> {
-        let request = new_request(self.asked.method, address, &self.asked.path);
+        let request = new_request(self.incoming.method, address, &self.incoming.path);
         let mut request = request.map_err(AttemptFailure::not_sent)?;
-        request.set_body(Body::from_bytes(self.asked.body.clone()));
-        for (name, value) in &self.asked.headers {
+        request.set_body(Body::from_bytes(self.incoming.body.clone()));
+        for (name, value) in &self.incoming.headers {
             request.insert_header(name.as_str(), value.as_str());
         }
-        request.insert_header(TENANT_HEADER, self.asked.tenant.as_str());
+        request.insert_header(TENANT_HEADER, self.incoming.tenant.as_str());
         request.insert_header(ATTEMPT_HEADER, attempt.to_string());
         Ok(request)
     }
--- a/crates/daemon/src/gateway/attempts.rs
+++ b/crates/daemon/src/gateway/attempts.rs
@@ -15,7 +15,7 @@
 use super::answer::{AnswerStream, AttemptFailure, Target, Token};
 use super::dispatch::InFlight;
 use super::outcome::NO_BACKEND_RETRY_AFTER;
-use super::route::{Ending, Run};
+use super::route::{CompletionEnd, Run};
 use super::state::GatewayState;
 use super::validation::Repeatability;
 
@@ -26,13 +26,18 @@
 
 impl Run<'_> {
     /// Sends the request as a new attempt to an engine outside of `exclude`.
-    pub(super) async fn dispatch(&mut self, exclude: &[BackendId]) -> Result<NextStep, Ending> {
-        let asked = self.asked;
+    pub(super) async fn dispatch(
+        &mut self,
+        exclude: &[BackendId],
+    ) -> Result<NextStep, CompletionEnd> {
+        let completion = self.completion;
         let wanted = PickRequest {
-            prefix_hashes: &asked.prefix_hashes,
+            prefix_hashes: &completion.prefix_hashes,
             exclude,
         };
-        let chosen = self.state.choose(&asked.service, &asked.tenant, wanted);
+        let chosen = self
+            .state
+            .choose(&completion.service, &completion.tenant, wanted);
         let chosen = match chosen.await {
             Ok(chosen) => chosen,
             Err(error) => {
@@ -48,18 +53,21 @@
         self.last_attempt = Some(attempt);
         self.in_flight = Some(InFlight::begin(
             self.state,
-            &asked.service,
+            &completion.service,
             chosen,
             attempt,
-            &asked.prefix_hashes,
-            asked.prompt_tokens,
+            &completion.prefix_hashes,
+            completion.prompt_tokens,
         ));
-        let body = asked.engine_body(&self.model);
+        let body = completion.engine_body(&self.model);
         let state = self.state.clone();
-        let started =
-            state
-                .engines
-                .start(Priority::Online, &target, attempt, asked.form.path(), body);
+        let started = state.engines.start(
+            Priority::Online,
+            &target,
+            attempt,
+            completion.form.path(),
+            body,
+        );
         let started = match self.unless_gone(started).await {
             Some(started) => started,
             None => return Err(self.caller_gone()),
@@ -72,7 +80,7 @@
         &mut self,
         attempt: AttemptRef,
         offset: u32,
-    ) -> Result<NextStep, Ending> {
+    ) -> Result<NextStep, CompletionEnd> {
         // Requests the last token again, so that the answer has at least one token even if
         // only the end of the stream was lost.
         let offset = offset.max(self.sink.tokens()).saturating_sub(1);
@@ -104,7 +112,7 @@
         answer: Result<AnswerStream, AttemptFailure>,
         attempt: AttemptId,
         offset: u32,
-    ) -> Result<NextStep, Ending> {
+    ) -> Result<NextStep, CompletionEnd> {
         let mut answer = match answer {
             Ok(answer) => answer,
             Err(failure) => return self.failed(failure),
@@ -156,7 +164,7 @@
 
     /// Whether the request may be retried elsewhere without asking for its status.
     fn may_leave(&self) -> bool {
-        let repeatable = self.asked.repeatability == Repeatability::Repeatable;
+        let repeatable = self.completion.repeatability == Repeatability::Repeatable;
         repeatable && self.sink.passed() == 0
     }
 
@@ -171,7 +179,7 @@
     }
 
     /// Handles the failure of the attempt, or of an attempt to resume it.
-    fn failed(&mut self, failure: AttemptFailure) -> Result<NextStep, Ending> {
+    fn failed(&mut self, failure: AttemptFailure) -> Result<NextStep, CompletionEnd> {
         // Asking a silent engine for the rest of the answer would only cost time.
         let end = match failure.end {
             AttemptEnd::Broken if failure.silent && self.may_leave() => AttemptEnd::Lost,
@@ -186,7 +194,7 @@
             if let Some(in_flight) = self.in_flight.take() {
                 in_flight.failed(&failure);
             }
-            return Err(Ending::Failed(error));
+            return Err(CompletionEnd::Failed(error));
         }
         self.last_failure = Some(failure);
         let next = self.attempt_ended(end);
@@ -211,7 +219,9 @@
         let steps = &mut self.steps;
         self.state
             .pickers
-            .with_budget(&self.asked.service, |budget| steps.ended(now, end, budget))
+            .with_budget(&self.completion.service, |budget| {
+                steps.ended(now, end, budget)
+            })
     }
 
     /// Asks the engine for the status of an attempt.
@@ -235,7 +245,7 @@
         let steps = &mut self.steps;
         self.state
             .pickers
-            .with_budget(&self.asked.service, |budget| {
+            .with_budget(&self.completion.service, |budget| {
                 steps.status(now, answer, budget)
             })
     }
@@ -255,9 +265,9 @@
     fn note_no_backend(&mut self, error: PickError) {
         let code = RefusalCode::NoBackend;
         let refusal = Refusal::after(code, NO_BACKEND_RETRY_AFTER);
-        let asked = self.asked;
+        let completion = self.completion;
         self.state
-            .note_refusal(&asked.tenant, &asked.service, &refusal);
+            .note_refusal(&completion.tenant, &completion.service, &refusal);
         if self.last_failure.is_none() {
             self.last_failure = Some(AttemptFailure {
                 end: AttemptEnd::NotSent,
--- a/crates/daemon/src/gateway/claims.rs
+++ b/crates/daemon/src/gateway/claims.rs
@@ -30,7 +30,7 @@
 
 /// The claim of one request and its result.
 #[derive(Debug, Default)]
-pub(super) struct ClaimHold {
+pub(super) struct RequestClaim {
     /// The claim held by this request until it is settled.
     held: Option<Claim>,
     /// Answer recorded under the key.
@@ -39,7 +39,7 @@
     error: Option<ApiError>,
 }
 
-impl ClaimHold {
+impl RequestClaim {
     /// Whether this request holds a claim.
     pub(super) fn is_held(&self) -> bool {
         self.held.is_some()
--- a/crates/daemon/src/gateway/configuration.rs
+++ b/crates/daemon/src/gateway/configuration.rs
@@ -33,11 +33,11 @@
 
 /// Shared access to the active configuration.
 #[derive(Debug)]
-pub(super) struct ConfigurationDesk {
+pub(super) struct ActiveConfiguration {
     holder: RwLock<ConfigurationHolder>,
 }
 
-impl ConfigurationDesk {
+impl ActiveConfiguration {
     pub(super) fn new(bound: Duration) -> Self {
         Self {
             holder: RwLock::new(ConfigurationHolder::new(bound)),
--- a/crates/daemon/src/gateway/loads.rs
+++ b/crates/daemon/src/gateway/loads.rs
@@ -34,7 +34,7 @@
 
 /// Poll state of each back end, and the back ends to poll.
 #[derive(Debug, Default)]
-pub(super) struct LoadDesk {
+pub(super) struct LoadPolls {
     polls: Mutex<BTreeMap<BackendId, Poll>>,
     /// Back ends that this gateway routes to.
     watched: Mutex<BTreeSet<BackendId>>,
@@ -59,7 +59,7 @@
     cache_after: Option<u64>,
 }
 
-impl LoadDesk {
+impl LoadPolls {
     fn lock(&self) -> MutexGuard<'_, BTreeMap<BackendId, Poll>> {
         self.polls.lock().unwrap_or_else(PoisonError::into_inner)
     }
--- a/crates/daemon/src/gateway/placement.rs
+++ b/crates/daemon/src/gateway/placement.rs
@@ -23,13 +23,13 @@
 
 /// The placement planner and the services it covers.
 #[derive(Debug)]
-pub(super) struct PlacementDesk {
+pub(super) struct PlacementState {
     planner: Mutex<PlacementPlanner>,
     /// Services that this gateway places.
     placed: Mutex<BTreeSet<ServiceName>>,
 }
 
-impl Default for PlacementDesk {
+impl Default for PlacementState {
     fn default() -> Self {
         Self {
             planner: Mutex::new(PlacementPlanner::new(PlacementSettings::default())),
@@ -38,7 +38,7 @@
     }
 }
 
-impl PlacementDesk {
+impl PlacementState {
     /// Returns the services that this gateway places.
     pub(super) fn placed(&self) -> BTreeSet<ServiceName> {
         let placed = self.placed.lock();
--- a/crates/daemon/src/gateway/route.rs
+++ b/crates/daemon/src/gateway/route.rs
@@ -11,22 +11,22 @@
 
 use super::admission::{NotAdmitted, Permit};
 use super::answer::AttemptFailure;
-use super::claims::ClaimHold;
+use super::claims::RequestClaim;
 use super::dispatch::InFlight;
 use super::error::ApiError;
 use super::state::GatewayState;
 use super::stream::AnswerSink;
-use super::validation::{CompletionAsked, Repeatability};
+use super::validation::{CompletionRequest, Repeatability};
 
 /// How a completion ended.
-pub(super) enum Ending {
+pub(super) enum CompletionEnd {
     Completed,
     Replayed(Vec<u8>),
     Failed(ApiError),
     CallerGone,
 }
 
-impl Ending {
+impl CompletionEnd {
     /// Returns the metric label.
     fn label(&self) -> &'static str {
         match self {
@@ -46,20 +46,20 @@
 /// token.
 pub(super) async fn serve_completion(
     state: &Arc<GatewayState>,
-    asked: CompletionAsked,
+    completion: CompletionRequest,
     presence: Option<ClientPresence>,
 ) -> Response {
-    if !asked.stream {
-        let sink = AnswerSink::plain(asked.form, &asked.service);
-        let response = run(state, &asked, presence, sink).await;
+    if !completion.stream {
+        let sink = AnswerSink::plain(completion.form, &completion.service);
+        let response = run(state, &completion, presence, sink).await;
         return response.unwrap_or_else(|| gone().response());
     }
     let (head, response) = async_channel::bounded(1);
-    let keep_text = asked.repeatability != Repeatability::Repeatable;
-    let sink = AnswerSink::streamed(asked.form, &asked.service, head, keep_text);
+    let keep_text = completion.repeatability != Repeatability::Repeatable;
+    let sink = AnswerSink::streamed(completion.form, &completion.service, head, keep_text);
     let runner = state.clone();
     state.spawn(async move {
-        run(&runner, &asked, presence, sink).await;
+        run(&runner, &completion, presence, sink).await;
     });
     let response = response.recv().await;
     response.unwrap_or_else(|_| gone().response())
@@ -78,20 +78,20 @@
 /// Runs a completion and finishes its answer; returns the response of a plain one.
 async fn run(
     state: &Arc<GatewayState>,
-    asked: &CompletionAsked,
+    completion: &CompletionRequest,
     presence: Option<ClientPresence>,
     sink: AnswerSink,
 ) -> Option<Response> {
     let mut run = Run {
         state,
-        asked,
+        completion,
         presence,
         sink,
         steps: RequestState::new(RequestKind {
-            repeatable: asked.repeatability == Repeatability::Repeatable,
+            repeatable: completion.repeatability == Repeatability::Repeatable,
             resumable: true,
         }),
-        claim: ClaimHold::default(),
+        claim: RequestClaim::default(),
         model: String::new(),
         in_flight: None,
         last_failure: None,
@@ -101,21 +101,21 @@
     let ending = run.admitted().await;
     state.metrics.request_ended(ending.label());
     match ending {
-        Ending::Completed => run.sink.finish().await,
-        Ending::Replayed(recorded) => run.sink.replay(&recorded).await,
-        Ending::Failed(error) => run.sink.fail(&error).await,
-        Ending::CallerGone => None,
+        CompletionEnd::Completed => run.sink.finish().await,
+        CompletionEnd::Replayed(recorded) => run.sink.replay(&recorded).await,
+        CompletionEnd::Failed(error) => run.sink.fail(&error).await,
+        CompletionEnd::CallerGone => None,
     }
 }
 
 /// The execution of one completion.
 pub(super) struct Run<'a> {
     pub(super) state: &'a Arc<GatewayState>,
-    pub(super) asked: &'a CompletionAsked,
+    pub(super) completion: &'a CompletionRequest,
     pub(super) presence: Option<ClientPresence>,
     pub(super) sink: AnswerSink,
     pub(super) steps: RequestState,
-    pub(super) claim: ClaimHold,
+    pub(super) claim: RequestClaim,
     /// Name under which engines know the model.
     pub(super) model: String,
     pub(super) in_flight: Option<InFlight>,
@@ -126,21 +126,21 @@
 
 impl Run<'_> {
     /// Checks the service, waits for admission and runs the request.
-    async fn admitted(&mut self) -> Ending {
-        let model = match self.state.model_of(&self.asked.service) {
+    async fn admitted(&mut self) -> CompletionEnd {
+        let model = match self.state.model_of(&self.completion.service) {
             Ok(model) => model,
             Err(refusal) => {
-                let asked = self.asked;
+                let completion = self.completion;
                 self.state
-                    .note_refusal(&asked.tenant, &asked.service, &refusal);
-                return Ending::Failed(refusal.into());
+                    .note_refusal(&completion.tenant, &completion.service, &refusal);
+                return CompletionEnd::Failed(refusal.into());
             }
         };
         self.model = model;
         let state = self.state.clone();
         let admitted = state.admit(
-            &self.asked.tenant,
-            &self.asked.service,
+            &self.completion.tenant,
+            &self.completion.service,
             self.presence.as_ref(),
         );
         match admitted.await {
@@ -149,18 +149,18 @@
                 self.settle(&ending).await;
                 ending
             }
-            Err(NotAdmitted::Refused(refusal)) => Ending::Failed(refusal.into()),
-            Err(NotAdmitted::CallerGone) => Ending::CallerGone,
+            Err(NotAdmitted::Refused(refusal)) => CompletionEnd::Failed(refusal.into()),
+            Err(NotAdmitted::CallerGone) => CompletionEnd::CallerGone,
         }
     }
 
-    async fn steps_until_end(&mut self, permit: &mut Permit<'_>) -> Ending {
+    async fn steps_until_end(&mut self, permit: &mut Permit<'_>) -> CompletionEnd {
         let mut next = self.steps.begin();
         loop {
             next = match next {
                 NextStep::Claim => self.claim().await,
                 NextStep::Dispatch => {
-                    let service = &self.asked.service;
+                    let service = &self.completion.service;
                     self.state
                         .pickers
                         .with_budget(service, |budget| budget.earn());
@@ -183,19 +183,21 @@
                 },
                 NextStep::AskStatus { attempt } => self.ask(attempt).await,
                 NextStep::Replay { outcome } => return self.replay(outcome),
-                NextStep::Done => return Ending::Completed,
-                NextStep::Fail { outcome } => return Ending::Failed(self.failure(outcome)),
+                NextStep::Done => return CompletionEnd::Completed,
+                NextStep::Fail { outcome } => {
+                    return CompletionEnd::Failed(self.failure(outcome));
+                }
             };
         }
     }
 
     async fn claim(&mut self) -> NextStep {
-        let asked = self.asked;
+        let completion = self.completion;
         let answer = self.claim.ask(
             self.state,
-            &asked.tenant,
-            &asked.repeatability,
-            asked.digest,
+            &completion.tenant,
+            &completion.repeatability,
+            completion.digest,
         );
         let answer = answer.await;
         self.steps.claim_answered(answer)
@@ -221,7 +223,7 @@
     }
 
     /// Cancels the attempt of a caller that has disconnected.
-    pub(super) fn caller_gone(&mut self) -> Ending {
+    pub(super) fn caller_gone(&mut self) -> CompletionEnd {
         if let Some(in_flight) = self.in_flight.take() {
             self.state.metrics.cancelled();
             self.state.events.record(
@@ -232,29 +234,29 @@
             );
             self.state.abandon_attempt(&in_flight);
         }
-        Ending::CallerGone
+        CompletionEnd::CallerGone
     }
 
-    fn replay(&mut self, outcome: RunOutcome) -> Ending {
+    fn replay(&mut self, outcome: RunOutcome) -> CompletionEnd {
         match self.claim.take_recorded(outcome) {
-            Ok(recorded) => Ending::Replayed(recorded),
-            Err(error) => Ending::Failed(error),
+            Ok(recorded) => CompletionEnd::Replayed(recorded),
+            Err(error) => CompletionEnd::Failed(error),
         }
     }
 
     /// Records the outcome of a claimed request.
-    async fn settle(&mut self, ending: &Ending) {
+    async fn settle(&mut self, ending: &CompletionEnd) {
         if !self.claim.is_held() {
             return;
         }
         let (outcome, answer) = match ending {
-            Ending::Completed => {
+            CompletionEnd::Completed => {
                 let answer = serde_json::to_vec(&self.sink.plain_answer());
                 (RunOutcome::Completed, answer.unwrap_or_default())
             }
-            Ending::Failed(error) => (error.outcome, Vec::new()),
-            Ending::Replayed(_) => return,
-            Ending::CallerGone => (self.steps.outcome(), Vec::new()),
+            CompletionEnd::Failed(error) => (error.outcome, Vec::new()),
+            CompletionEnd::Replayed(_) => return,
+            CompletionEnd::CallerGone => (self.steps.outcome(), Vec::new()),
         };
         self.claim.settle(self.state, outcome, answer).await;
     }
--- a/crates/daemon/src/gateway/routes.rs
+++ b/crates/daemon/src/gateway/routes.rs
@@ -16,7 +16,7 @@
 use super::error::ApiError;
 use super::route::serve_completion;
 use super::state::GatewayState;
-use super::validation::{CompletionAsked, CompletionForm};
+use super::validation::{CompletionForm, CompletionRequest};
 
 /// Whether a node accepts new work, and why not.
 #[derive(Clone, Debug, Serialize)]
@@ -68,8 +68,8 @@
     body: &[u8],
     presence: Option<ClientPresence>,
 ) -> Response {
-    match CompletionAsked::read(form, request, body) {
-        Ok(asked) => serve_completion(state, asked, presence).await,
+    match CompletionRequest::read(form, request, body) {
+        Ok(completion) => serve_completion(state, completion, presence).await,
         Err(error) => error.response(),
     }
 }
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -15,18 +15,18 @@
 use slog::Logger;
 
 use super::GatewayContext;
-use super::admin::PlanMemory;
-use super::admission::AdmissionDesk;
+use super::admin::RecentPlans;
+use super::admission::AdmissionQueues;
 use super::batch_driver::BatchDriver;
 use super::clock::Clock;
-use super::configuration::ConfigurationDesk;
+use super::configuration::ActiveConfiguration;
 use super::engine_client::EngineClient;
 use super::events::Events;
-use super::loads::LoadDesk;
+use super::loads::LoadPolls;
 use super::metrics::GatewayMetrics;
 use super::options::GatewayOptions;
 use super::pick::Pickers;
-use super::placement::PlacementDesk;
+use super::placement::PlacementState;
 use crate::cluster::Cluster;
 
 /// Name of the thread that runs batch work.
@@ -45,13 +45,13 @@
     pub(super) events: Events,
     pub(super) metrics: GatewayMetrics,
     pub(super) engines: EngineClient,
-    pub(super) configuration: ConfigurationDesk,
-    pub(super) admission: AdmissionDesk,
+    pub(super) configuration: ActiveConfiguration,
+    pub(super) admission: AdmissionQueues,
     pub(super) pickers: Pickers,
     pub(super) batch: BatchDriver,
-    pub(super) loads: LoadDesk,
-    pub(super) placement: PlacementDesk,
-    pub(super) plans: PlanMemory,
+    pub(super) loads: LoadPolls,
+    pub(super) placement: PlacementState,
+    pub(super) plans: RecentPlans,
     /// Set once a graceful stop has begun.
     draining: AtomicBool,
     /// Closed once new requests are refused.
@@ -83,17 +83,17 @@
             events: Events::new(context.events),
             metrics: GatewayMetrics::new(context.metrics),
             engines: EngineClient::new(&options.timeouts),
-            configuration: ConfigurationDesk::new(options.currency_bound),
-            admission: AdmissionDesk::new(options.admission.clone()),
+            configuration: ActiveConfiguration::new(options.currency_bound),
+            admission: AdmissionQueues::new(options.admission.clone()),
             pickers: Pickers::new(
                 options.pick.clone(),
                 options.zone.clone(),
                 u64::from(options.node.0),
             ),
             batch: BatchDriver::new(&options),
-            loads: LoadDesk::default(),
-            placement: PlacementDesk::default(),
-            plans: PlanMemory::default(),
+            loads: LoadPolls::default(),
+            placement: PlacementState::default(),
+            plans: RecentPlans::default(),
             draining: AtomicBool::new(false),
             stopping: async_channel::bounded(1),
             stale_engines: async_channel::bounded(1),
--- a/crates/daemon/src/gateway/validation.rs
+++ b/crates/daemon/src/gateway/validation.rs
@@ -50,12 +50,12 @@
         key: String,
     },
     /// This submission runs at most once; other submissions are not recognized.
-    OnceHere,
+    OnceUnkeyed,
 }
 
 /// A parsed completion request.
 #[derive(Clone, Debug)]
-pub(super) struct CompletionAsked {
+pub(super) struct CompletionRequest {
     pub(super) form: CompletionForm,
     pub(super) service: ServiceName,
     pub(super) tenant: TenantId,
@@ -71,7 +71,7 @@
     body: Map<String, Value>,
 }
 
-impl CompletionAsked {
+impl CompletionRequest {
     /// Parses and validates the headers and body of a completion.
     pub(super) fn read(
         form: CompletionForm,
@@ -135,11 +135,11 @@
 }
 
 fn check_max_tokens(fields: &Map<String, Value>) -> Result<(), ApiError> {
-    let asked = match fields.get("max_tokens") {
+    let max_tokens = match fields.get("max_tokens") {
         None => return Ok(()),
-        Some(asked) => asked.as_u64(),
+        Some(max_tokens) => max_tokens.as_u64(),
     };
-    match asked {
+    match max_tokens {
         Some(1..=MAX_TOKENS) => Ok(()),
         _ => Err(ApiError::bad_request(
             "bad_max_tokens",
@@ -150,8 +150,8 @@
 
 /// Returns the number of tokens that an item asks for.
 pub(super) fn max_tokens_of(fields: &Map<String, Value>) -> u64 {
-    let asked = fields.get("max_tokens").and_then(Value::as_u64);
-    asked.unwrap_or(DEFAULT_MAX_TOKENS)
+    let max_tokens = fields.get("max_tokens").and_then(Value::as_u64);
+    max_tokens.unwrap_or(DEFAULT_MAX_TOKENS)
 }
 
 fn text_field<'a>(fields: &'a Map<String, Value>, name: &str) -> Result<&'a str, ApiError> {
@@ -204,14 +204,14 @@
     Ok(TenantId(named))
 }
 
-/// Returns whether a request may run more than once; `by_nature` applies without a header.
+/// Returns whether a request may run more than once; `repeatable_by_default` applies without a header.
 pub(super) fn repeatability_of(
     request: &Request,
-    by_nature: bool,
+    repeatable_by_default: bool,
 ) -> Result<Repeatability, ApiError> {
     let repeatable = match header(request, REPEATABLE_HEADER).as_deref() {
-        None if by_nature => return Ok(Repeatability::Repeatable),
-        None => return Ok(Repeatability::OnceHere),
+        None if repeatable_by_default => return Ok(Repeatability::Repeatable),
+        None => return Ok(Repeatability::OnceUnkeyed),
         Some("true") => true,
         Some("false") => false,
         Some(_) => {
--- a/crates/daemon/src/incarnation.rs
+++ b/crates/daemon/src/incarnation.rs
@@ -17,7 +17,7 @@
 ///
 /// # Errors
 /// When the disk reports an error or the file is damaged.
-pub fn begin_life(folder: &Path) -> Result<Incarnation, StorageError> {
+pub fn start_incarnation(folder: &Path) -> Result<Incarnation, StorageError> {
     let disk = RealDisk::open(folder)?;
     let previous = read_checked(&disk, "", FILE)?;
     let previous = previous.and_then(|bytes| <[u8; 8]>::try_from(bytes).ok());
--- a/crates/daemon/src/node/mod.rs
+++ b/crates/daemon/src/node/mod.rs
@@ -16,7 +16,7 @@
 use crate::DaemonError;
 use crate::folder_lock::FolderLock;
 use crate::gateway::DrainReport;
-use crate::incarnation::begin_life;
+use crate::incarnation::start_incarnation;
 use crate::peer_handler::PeerHandler;
 use crate::replica::{HandOver, ReplicaRole};
 use crate::status_server::StatusServer;
@@ -83,7 +83,7 @@
     ) -> Result<Self, DaemonError> {
         let folder = &settings.node.data_folder;
         let lock = FolderLock::take(folder)?;
-        let incarnation = begin_life(folder)?;
+        let incarnation = start_incarnation(folder)?;
         let internal = Server::bind(settings.node.internal_address, ServerLimits::default())?;
         let internal_address = internal.local_address();
         let internal_handle = internal.handle();
--- a/crates/daemon/src/node/starter.rs
+++ b/crates/daemon/src/node/starter.rs
@@ -18,7 +18,7 @@
 use crate::local_transport::LocalTransport;
 use crate::registration::register;
 use crate::replica::{ReplicaContext, ReplicaOptions, ReplicaPeer, ReplicaRole};
-use crate::status_server::{Shown, StatusServer};
+use crate::status_server::{StatusServer, StatusSources};
 
 /// Folder of the replica's files within the data folder.
 const REPLICA_FOLDER: &str = "replica";
@@ -62,12 +62,12 @@
             return Ok((HttpInterface::Gateway(running), Some(gateway)));
         }
         let address = self.settings.node.http_address;
-        let shown = Shown {
+        let sources = StatusSources {
             replica: replica.cloned(),
             metrics: self.metrics.clone(),
             events: self.events.clone(),
         };
-        let server = StatusServer::start(address, self.executor, shown)?;
+        let server = StatusServer::start(address, self.executor, sources)?;
         Ok((HttpInterface::Status(server), None))
     }
 
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -10,7 +10,7 @@
 use molespan_storage::RealDisk;
 use molespan_types::Timestamp;
 
-use super::feed::Nudge;
+use super::feed::Trigger;
 use super::leaders::Leaders;
 use super::metrics::ReplicaMetrics;
 use super::orders::{Answer, DriverHandle, Order, queue};
@@ -25,12 +25,12 @@
 
 /// Receivers of the thread's output.
 #[derive(Debug)]
-pub(super) struct Surroundings {
+pub(super) struct DriverContext {
     pub outbox: Arc<Outbox>,
     pub leaders: Arc<Leaders>,
-    pub nudge: Nudge,
+    pub trigger: Trigger,
     /// Notified when a state machine changed something that watchers wait for.
-    pub state_changed: Nudge,
+    pub state_changed: Trigger,
     pub metrics: ReplicaMetrics,
     pub reporter: Reporter,
 }
@@ -41,7 +41,7 @@
     core: ReplicaCore<RealDisk>,
     clock: BootClock,
     orders: Receiver<Order>,
-    surroundings: Surroundings,
+    context: DriverContext,
     last_ticket: u64,
     waiting: HashMap<Ticket, Sender<Answer>>,
     next_metrics: Timestamp,
@@ -53,14 +53,14 @@
     pub fn new(
         core: ReplicaCore<RealDisk>,
         clock: BootClock,
-        surroundings: Surroundings,
+        context: DriverContext,
     ) -> (Self, DriverHandle) {
         let (handle, orders) = queue();
         let driver = Self {
             core,
             clock,
             orders,
-            surroundings,
+            context,
             last_ticket: 0,
             waiting: HashMap::new(),
             next_metrics: Timestamp::ZERO,
@@ -118,8 +118,8 @@
     }
 
     fn deliver(&mut self, outputs: Vec<Output>) {
-        let surroundings = &self.surroundings;
-        let mut bundle = surroundings.outbox.bundle();
+        let context = &self.context;
+        let mut bundle = context.outbox.bundle();
         for output in outputs {
             match output {
                 Output::Send { to, group, bytes } => bundle.push(to, group, bytes),
@@ -129,15 +129,15 @@
                     }
                 }
                 Output::LeaderChanged { group, leader } => {
-                    surroundings.leaders.note(group, leader);
-                    surroundings.reporter.leader(group, leader);
+                    context.leaders.note(group, leader);
+                    context.reporter.leader(group, leader);
                 }
                 Output::ConfigurationChanged { version } => {
-                    surroundings.reporter.configuration(version);
-                    surroundings.nudge.now();
+                    context.reporter.configuration(version);
+                    context.trigger.fire();
                 }
-                Output::StateChanged { .. } => surroundings.state_changed.now(),
-                Output::Event(event) => surroundings.reporter.event(&event),
+                Output::StateChanged { .. } => context.state_changed.fire(),
+                Output::Event(event) => context.reporter.event(&event),
             }
         }
         bundle.finish();
@@ -147,7 +147,7 @@
         let now = self.clock.now();
         if now >= self.next_metrics {
             self.next_metrics = now + METRICS_INTERVAL;
-            self.surroundings.metrics.update(&self.core.status());
+            self.context.metrics.update(&self.core.status());
         }
     }
 }
--- a/crates/daemon/src/replica/feed.rs
+++ b/crates/daemon/src/replica/feed.rs
@@ -32,11 +32,11 @@
 
 /// Triggers an immediate read.
 #[derive(Clone, Debug)]
-pub(super) struct Nudge(Sender<()>);
+pub(super) struct Trigger(Sender<()>);
 
-impl Nudge {
+impl Trigger {
     /// Triggers an immediate read.
-    pub fn now(&self) {
+    pub fn fire(&self) {
         let _already_asked = self.0.try_send(());
     }
 }
@@ -81,16 +81,16 @@
 
 /// The task that runs a feed's reads.
 #[derive(Debug)]
-pub(super) struct FeedWork {
+pub(super) struct FeedTask {
     feed: Arc<ConfigurationFeed>,
     demanded: Receiver<()>,
-    nudged: Receiver<()>,
+    triggered: Receiver<()>,
 }
 
-/// Creates both ends of a [`Nudge`].
-pub(super) fn nudge() -> (Nudge, Receiver<()>) {
-    let (sender, nudged) = async_channel::bounded(1);
-    (Nudge(sender), nudged)
+/// Creates both ends of a [`Trigger`].
+pub(super) fn trigger() -> (Trigger, Receiver<()>) {
+    let (sender, triggered) = async_channel::bounded(1);
+    (Trigger(sender), triggered)
 }
 
 impl ConfigurationFeed {
@@ -98,8 +98,8 @@
     pub fn new(
         driver: DriverHandle,
         outbox: Arc<Outbox>,
-        nudged: Receiver<()>,
-    ) -> (Arc<Self>, FeedWork) {
+        triggered: Receiver<()>,
+    ) -> (Arc<Self>, FeedTask) {
         let (next, next_done) = async_channel::bounded(1);
         let (demand, demanded) = async_channel::bounded(1);
         let state = State {
@@ -114,10 +114,10 @@
             state: Mutex::new(state),
             demand,
         });
-        let work = FeedWork {
+        let work = FeedTask {
             feed: feed.clone(),
             demanded,
-            nudged,
+            triggered,
         };
         (feed, work)
     }
@@ -138,12 +138,12 @@
             };
             let _already_demanded = self.demand.try_send(());
             if !wait_until(deadline, &next_done).await {
-                return self.after_the_wait(watch.in_force);
+                return self.answer_after_wait(watch.in_force);
             }
         }
     }
 
-    fn after_the_wait(&self, in_force: ConfigVersion) -> Response {
+    fn answer_after_wait(&self, in_force: ConfigVersion) -> Response {
         let mut state = self.lock();
         if state.is_fresh() {
             let current = state.history.version();
@@ -208,7 +208,7 @@
     }
 }
 
-impl FeedWork {
+impl FeedTask {
     /// Runs reads while there are watchers.
     pub async fn run(self) {
         while self.demanded.recv().await.is_ok() {
@@ -216,10 +216,10 @@
             let interval = async {
                 Timer::after(READ_INTERVAL).await;
             };
-            let nudged = async {
-                let _ended = self.nudged.recv().await;
+            let triggered = async {
+                let _ended = self.triggered.recv().await;
             };
-            future::or(interval, nudged).await;
+            future::or(interval, triggered).await;
         }
     }
 }
--- a/crates/daemon/src/replica/heartbeats.rs
+++ b/crates/daemon/src/replica/heartbeats.rs
@@ -30,14 +30,14 @@
 }
 
 #[derive(Debug)]
-struct Heard {
+struct ReceivedHeartbeat {
     heartbeat: NodeHeartbeat,
     at: Instant,
 }
 
 #[derive(Debug, Default)]
 struct State {
-    heard: HashMap<NodeId, Heard>,
+    received: HashMap<NodeId, ReceivedHeartbeat>,
     /// The last list that was built; every heartbeat returns it.
     live: Vec<LiveNode>,
     /// When the list must be rebuilt.
@@ -70,7 +70,7 @@
     pub fn note(&self, heartbeat: NodeHeartbeat) {
         let mut state = self.lock();
         let node = heartbeat.node;
-        let known = state.heard.get(&node).map(|one| &one.heartbeat);
+        let known = state.received.get(&node).map(|one| &one.heartbeat);
         if known.is_some_and(|known| known.incarnation > heartbeat.incarnation) {
             return;
         }
@@ -78,7 +78,9 @@
             state.live_until = None;
         }
         let at = Instant::now();
-        state.heard.insert(node, Heard { heartbeat, at });
+        state
+            .received
+            .insert(node, ReceivedHeartbeat { heartbeat, at });
     }
 
     /// Returns the live nodes, ordered by ID.
@@ -87,8 +89,8 @@
         let now = Instant::now();
         if state.live_until.is_none_or(|until| until <= now) {
             let limit = self.interval * LIVE_HEARTBEATS;
-            state.heard.retain(|_, one| one.at.elapsed() < limit);
-            state.live = list(state.heard.values());
+            state.received.retain(|_, one| one.at.elapsed() < limit);
+            state.live = list(state.received.values());
             state.live_until = Some(now + self.interval / LIST_REBUILDS_PER_HEARTBEAT);
         }
         state.live.clone()
@@ -100,9 +102,9 @@
 }
 
 /// Returns the first nodes of each zone.
-fn list<'a>(heard: impl Iterator<Item = &'a Heard>) -> Vec<LiveNode> {
+fn list<'a>(received: impl Iterator<Item = &'a ReceivedHeartbeat>) -> Vec<LiveNode> {
     let mut zones: BTreeMap<&ZoneName, Vec<LiveNode>> = BTreeMap::new();
-    for one in heard {
+    for one in received {
         let node = &one.heartbeat;
         let entry = (node.node, node.incarnation, node.draining);
         zones.entry(&node.zone).or_default().push(entry);
--- a/crates/daemon/src/replica/orders.rs
+++ b/crates/daemon/src/replica/orders.rs
@@ -77,11 +77,11 @@
     Call {
         call: Call,
         reply: Sender<Answer>,
-        _room: Room,
+        _reservation: QueueReservation,
     },
     Message {
         input: Input,
-        _room: Room,
+        _reservation: QueueReservation,
     },
     Status(Sender<ReplicaStatus>),
     Stop,
@@ -89,12 +89,12 @@
 
 /// Bytes reserved by a queued order; released on drop.
 #[derive(Debug)]
-pub(super) struct Room {
+pub(super) struct QueueReservation {
     bytes: usize,
     used: Arc<AtomicUsize>,
 }
 
-impl Drop for Room {
+impl Drop for QueueReservation {
     fn drop(&mut self) {
         self.used.fetch_sub(self.bytes, Ordering::Relaxed);
     }
@@ -120,14 +120,14 @@
 impl DriverHandle {
     /// Executes a request and returns its answer.
     pub async fn call(&self, call: Call) -> Answer {
-        let Some(room) = self.room_for(call.bytes()) else {
+        let Some(reservation) = self.reserve(call.bytes()) else {
             return Err(busy());
         };
         let (reply, answer) = async_channel::bounded(1);
         let order = Order::Call {
             call,
             reply,
-            _room: room,
+            _reservation: reservation,
         };
         match self.orders.try_send(order) {
             Ok(()) => answer.recv().await.unwrap_or_else(|_| Err(cut_off())),
@@ -147,8 +147,11 @@
     /// Queues an input that needs no answer; it is dropped when the queue is
     /// full.
     pub fn input(&self, input: Input, length: usize) {
-        if let Some(room) = self.room_for(length) {
-            let order = Order::Message { input, _room: room };
+        if let Some(reservation) = self.reserve(length) {
+            let order = Order::Message {
+                input,
+                _reservation: reservation,
+            };
             let _dropped = self.orders.try_send(order);
         }
     }
@@ -167,11 +170,11 @@
 
     /// Reserves `bytes` of the queue, if available. An order larger than the whole
     /// queue is accepted when the queue is empty.
-    fn room_for(&self, bytes: usize) -> Option<Room> {
+    fn reserve(&self, bytes: usize) -> Option<QueueReservation> {
         let before = self.queued_bytes.fetch_add(bytes, Ordering::Relaxed);
         let used = self.queued_bytes.clone();
-        let room = Room { bytes, used };
-        (before == 0 || before + bytes <= MAX_QUEUED_BYTES).then_some(room)
+        let reservation = QueueReservation { bytes, used };
+        (before == 0 || before + bytes <= MAX_QUEUED_BYTES).then_some(reservation)
     }
 }
 
--- a/crates/daemon/src/replica/outbox.rs
+++ b/crates/daemon/src/replica/outbox.rs
@@ -86,7 +86,7 @@
     pub fn bundle(&self) -> Bundle<'_> {
         Bundle {
             outbox: self,
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
         }
     }
 }
@@ -95,11 +95,11 @@
 #[derive(Debug)]
 pub(super) struct Bundle<'a> {
     outbox: &'a Outbox,
-    waiting: BTreeMap<NodeId, Waiting>,
+    pending: BTreeMap<NodeId, PendingMessages>,
 }
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct PendingMessages {
     messages: Vec<GroupMessage>,
     bytes: usize,
 }
@@ -107,14 +107,14 @@
 impl Bundle<'_> {
     /// Adds a message; sends the receiver's earlier messages if the frame would be too long.
     pub fn push(&mut self, to: NodeId, group: GroupId, bytes: Vec<u8>) {
-        let waiting = self.waiting.entry(to).or_default();
-        if waiting.bytes + bytes.len() > FRAME_BYTES && !waiting.messages.is_empty() {
-            let full = std::mem::take(waiting);
+        let pending = self.pending.entry(to).or_default();
+        if pending.bytes + bytes.len() > FRAME_BYTES && !pending.messages.is_empty() {
+            let full = std::mem::take(pending);
             self.outbox.send(to, full.messages);
         }
-        let waiting = self.waiting.entry(to).or_default();
-        waiting.bytes += bytes.len();
-        waiting.messages.push(GroupMessage {
+        let pending = self.pending.entry(to).or_default();
+        pending.bytes += bytes.len();
+        pending.messages.push(GroupMessage {
             group,
             message: bytes.into(),
         });
@@ -122,8 +122,8 @@
 
     /// Sends the remaining messages.
     pub fn finish(self) {
-        for (to, waiting) in self.waiting {
-            self.outbox.send(to, waiting.messages);
+        for (to, pending) in self.pending {
+            self.outbox.send(to, pending.messages);
         }
     }
 }
--- a/crates/daemon/src/replica/role.rs
+++ b/crates/daemon/src/replica/role.rs
@@ -16,8 +16,8 @@
 use molespan_wire::{Request, Response};
 use slog::{Logger, error, info, warn};
 
-use super::driver::{Driver, Surroundings};
-use super::feed::{ConfigurationFeed, nudge};
+use super::driver::{Driver, DriverContext};
+use super::feed::{ConfigurationFeed, trigger};
 use super::heartbeats::Heartbeats;
 use super::leaders::Leaders;
 use super::metrics::ReplicaMetrics;
@@ -56,7 +56,7 @@
     /// Closed once the thread has ended; contains its error, if any.
     ended: Receiver<ReplicaError>,
     changes: Receiver<()>,
-    _feed_work: Task<()>,
+    _feed_task: Task<()>,
 }
 
 impl ReplicaRole {
@@ -80,18 +80,18 @@
         let core = ReplicaCore::open(disk, options.core_settings(seed), clock.now())?;
         let outbox = Arc::new(Outbox::new(&options, &executor, seed));
         let leaders = Arc::new(Leaders::new(options.node));
-        let (state_changed, changes) = nudge();
-        let (nudge, nudged) = nudge();
-        let surroundings = Surroundings {
+        let (state_changed, changes) = trigger();
+        let (trigger, triggered) = trigger();
+        let driver_context = DriverContext {
             outbox: outbox.clone(),
             leaders: leaders.clone(),
-            nudge,
+            trigger,
             state_changed,
             metrics: ReplicaMetrics::new(&metrics),
             reporter: Reporter::new(logger.clone(), events),
         };
-        let (driver, handle) = Driver::new(core, clock, surroundings);
-        let (feed, feed_work) = ConfigurationFeed::new(handle.clone(), outbox.clone(), nudged);
+        let (driver, handle) = Driver::new(core, clock, driver_context);
+        let (feed, feed_task) = ConfigurationFeed::new(handle.clone(), outbox.clone(), triggered);
         let service = Service {
             driver: handle.clone(),
             outbox,
@@ -109,7 +109,7 @@
             logger,
             ended,
             changes,
-            _feed_work: executor.spawn(feed_work.run()),
+            _feed_task: executor.spawn(feed_task.run()),
         })
     }
 
--- a/crates/daemon/src/replica/versions.rs
+++ b/crates/daemon/src/replica/versions.rs
@@ -11,7 +11,7 @@
 const RETENTION: Duration = Duration::from_secs(60);
 
 #[derive(Debug)]
-struct Said {
+struct ReportedVersion {
     version: ConfigVersion,
     at: Instant,
 }
@@ -19,24 +19,24 @@
 /// The active configuration version of each node, as reported by the nodes.
 #[derive(Debug, Default)]
 pub(super) struct VersionsInForce {
-    said: Mutex<HashMap<NodeId, Said>>,
+    reported: Mutex<HashMap<NodeId, ReportedVersion>>,
 }
 
 impl VersionsInForce {
     /// Records the version that a node reported.
     pub fn note(&self, watch: &WatchConfiguration) {
-        let said = Said {
+        let reported = ReportedVersion {
             version: watch.in_force,
             at: Instant::now(),
         };
-        self.lock().insert(watch.node, said);
+        self.lock().insert(watch.node, reported);
     }
 
     /// Returns every node that reported recently, ordered by ID.
     pub fn list(&self) -> Vec<(NodeId, ConfigVersion)> {
-        let mut said = self.lock();
-        said.retain(|_, one| one.at.elapsed() < RETENTION);
-        let mut versions: Vec<_> = said
+        let mut reported = self.lock();
+        reported.retain(|_, one| one.at.elapsed() < RETENTION);
+        let mut versions: Vec<_> = reported
             .iter()
             .map(|(&node, one)| (node, one.version))
             .collect();
@@ -44,7 +44,7 @@
         versions
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<NodeId, Said>> {
-        self.said.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, HashMap<NodeId, ReportedVersion>> {
+        self.reported.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/daemon/src/status_server.rs
+++ b/crates/daemon/src/status_server.rs
@@ -23,7 +23,7 @@
 
 /// Sources of a status server's answers.
 #[derive(Clone, Debug)]
-pub(crate) struct Shown {
+pub(crate) struct StatusSources {
     /// The replica role, if the node has it.
     pub replica: Option<Arc<ReplicaRole>>,
     /// Metrics of the process.
@@ -45,7 +45,7 @@
 /// Handles the requests of a status server.
 #[derive(Clone, Debug)]
 struct StatusHandler {
-    shown: Shown,
+    sources: StatusSources,
     executor: Arc<Executor<'static>>,
     stopping: Receiver<()>,
 }
@@ -58,14 +58,14 @@
     pub fn start(
         address: SocketAddr,
         executor: &Arc<Executor<'static>>,
-        shown: Shown,
+        sources: StatusSources,
     ) -> Result<Self, ServerError> {
         let server = Server::bind(address, ServerLimits::default())?;
         let address = server.local_address();
         let handle = server.handle();
         let (stop, stopping) = async_channel::bounded(1);
         let handler = StatusHandler {
-            shown,
+            sources,
             executor: executor.clone(),
             stopping,
         };
@@ -102,9 +102,9 @@
         }
         match request.url().path() {
             "/health" => text_response(StatusCode::Ok, "alive\n"),
-            "/ready" => ready(self.shown.replica.as_deref()).await,
+            "/ready" => ready(self.sources.replica.as_deref()).await,
             "/metrics" => {
-                let mut response = text_response(StatusCode::Ok, self.shown.metrics.encode());
+                let mut response = text_response(StatusCode::Ok, self.sources.metrics.encode());
                 response.insert_header("content-type", METRICS_CONTENT_TYPE);
                 response
             }
@@ -126,7 +126,7 @@
         let stopping = async move {
             let _closed = stopping.recv().await;
         };
-        let (response, work) = watch(&self.shown.events, query, stopping);
+        let (response, work) = watch(&self.sources.events, query, stopping);
         self.executor.spawn(work).detach();
         response
     }
--- a/crates/daemon/tests/replica_role.rs
+++ b/crates/daemon/tests/replica_role.rs
@@ -6,7 +6,7 @@
 
 use async_io::{Timer, block_on};
 use futures_lite::future;
-use molespan_daemon::incarnation::begin_life;
+use molespan_daemon::incarnation::start_incarnation;
 use molespan_state::control::{ConfigurationUpdate, ConfirmReply};
 use molespan_types::{ConfigVersion, Incarnation, NodeId};
 use molespan_wire::{Request, Response};
@@ -192,8 +192,8 @@
 #[test]
 fn every_life_has_a_higher_number() {
     let folder = tempfile::tempdir().unwrap();
-    let first = begin_life(folder.path()).unwrap();
-    let second = begin_life(folder.path()).unwrap();
+    let first = start_incarnation(folder.path()).unwrap();
+    let second = start_incarnation(folder.path()).unwrap();
     assert!(second > first);
 }
 
