--- a/crates/daemon/src/bin/molespand.rs
+++ b/crates/daemon/src/bin/molespand.rs
@@ -82,7 +82,7 @@
         builder.spawn(serve).map_err(DaemonError::Thread)?;
     }
     let node = Node::start(settings, &executor, logger)?;
-    announce(&node);
+    print_addresses(&node);
     let status = block_on(executor.run(async {
         match wait(&node, &mut signals).await {
             StopCause::Failure => ExitCode::FAILURE,
@@ -98,7 +98,7 @@
 }
 
 /// Prints the listening addresses to stdout for the parent process.
-fn announce(node: &Node) {
+fn print_addresses(node: &Node) {
     let mut output = io::stdout().lock();
     let line = writeln!(
         output,
@@ -125,15 +125,15 @@
 /// Shuts down gracefully, or immediately when a second signal arrives.
 async fn stop(node: Node, signals: &mut Signals, logger: &Logger) -> ExitCode {
     let logger = part_logger(logger, "node");
-    let planned = async {
+    let graceful = async {
         let report = node.stop().await;
         info!(logger, "stopped"; "report" => ?report);
         ExitCode::SUCCESS
     };
-    let hurried = async {
+    let immediate = async {
         signals.next().await;
         info!(logger, "ended immediately by a second signal");
         ExitCode::FAILURE
     };
-    future::or(planned, hurried).await
+    future::or(graceful, immediate).await
 }
--- a/crates/daemon/src/cluster/calls.rs
+++ b/crates/daemon/src/cluster/calls.rs
@@ -22,7 +22,7 @@
     /// How long the leader may hold the request open before it answers.
     held: Duration,
     /// Index of the next replica to try.
-    turn: usize,
+    next_replica: usize,
     /// Nodes whose calls failed. They are skipped until every replica has failed or another
     /// node names them as leader: retrying a silent node uses up the remaining time while
     /// others may know the leader.
@@ -132,7 +132,7 @@
             pause: self.limits.first_pause,
             timeout: self.limits.first_call_timeout,
             held,
-            turn: self.turn.load(Ordering::Relaxed),
+            next_replica: self.next_replica.load(Ordering::Relaxed),
             failed: BTreeSet::new(),
             ambiguous: false,
             reason: "there are no replicas".to_owned(),
@@ -188,23 +188,25 @@
         if replicas.iter().all(|node| self.failed.contains(node)) {
             self.failed.clear();
         }
-        let first = self.turn % replicas.len().max(1);
+        let first = self.next_replica % replicas.len().max(1);
         let (before, from) = replicas.split_at(first);
         let order = from.iter().chain(before);
-        let behind = order.clone().position(|node| !self.failed.contains(node))?;
-        self.turn = self.turn.wrapping_add(behind);
-        order.copied().nth(behind)
+        let skipped = order.clone().position(|node| !self.failed.contains(node))?;
+        self.next_replica = self.next_replica.wrapping_add(skipped);
+        order.copied().nth(skipped)
     }
 
     async fn follow(&mut self, asked: NodeId, leader: Option<LeaderHint>) {
         self.reason = "no leader is known".to_owned();
         match leader {
             Some(hint) if hint.node != asked => {
-                self.cluster.transport.learn(hint.node, &hint.address);
+                self.cluster
+                    .transport
+                    .update_address(hint.node, &hint.address);
                 self.failed.remove(&hint.node);
-                let went_back = self.cluster.leaders.get(self.group) == Some(hint.node);
+                let is_repeated = self.cluster.leaders.get(self.group) == Some(hint.node);
                 self.cluster.leaders.set(self.group, hint.node);
-                if went_back {
+                if is_repeated {
                     self.pause_at_least(Duration::ZERO).await;
                 }
             }
@@ -217,8 +219,10 @@
 
     fn try_next(&mut self, failed: NodeId) {
         self.cluster.leaders.forget(self.group, failed);
-        self.turn = self.turn.wrapping_add(1);
-        self.cluster.turn.store(self.turn, Ordering::Relaxed);
+        self.next_replica = self.next_replica.wrapping_add(1);
+        self.cluster
+            .next_replica
+            .store(self.next_replica, Ordering::Relaxed);
     }
 
     async fn pause_at_least(&mut self, least: Duration) {
--- a/crates/daemon/src/cluster/mod.rs
+++ b/crates/daemon/src/cluster/mod.rs
@@ -66,7 +66,7 @@
     leaders: Leaders,
     /// Index of the replica to ask when no leader is known. Shared between calls, so that a
     /// call does not start with a replica that just failed another call.
-    turn: AtomicUsize,
+    next_replica: AtomicUsize,
     limits: ClusterLimits,
 }
 
@@ -83,7 +83,7 @@
             transport,
             replicas: Mutex::new(replicas),
             leaders: Leaders::default(),
-            turn: AtomicUsize::new(0),
+            next_replica: AtomicUsize::new(0),
             limits,
         }
     }
--- a/crates/daemon/src/cluster/transport.rs
+++ b/crates/daemon/src/cluster/transport.rs
@@ -26,7 +26,7 @@
     /// Updates the address of a node from its registration or a leader hint. Has no
     /// effect on nodes whose address is in the settings: other nodes may reach them
     /// under a different address.
-    fn learn(&self, node: NodeId, address: &str);
+    fn update_address(&self, node: NodeId, address: &str);
 }
 
 /// Calls over the internal protocol.
@@ -124,7 +124,7 @@
         self.client(node).is_some_and(|client| client.send(request))
     }
 
-    fn learn(&self, node: NodeId, address: &str) {
+    fn update_address(&self, node: NodeId, address: &str) {
         if self.configured.contains(&node) {
             return;
         }
--- a/crates/daemon/src/event_stream.rs
+++ b/crates/daemon/src/event_stream.rs
@@ -83,16 +83,16 @@
 ) {
     let mut stopping = pin!(stopping);
     loop {
-        let happened = async { Next::Watched(subscription.next().await) };
+        let event = async { Next::Watched(subscription.next().await) };
         let silence = async {
             Timer::after(KEEP_ALIVE).await;
             Next::Silence
         };
-        let stopped = async {
+        let stop_requested = async {
             stopping.as_mut().await;
             Next::Stopping
         };
-        let next = future::or(happened, future::or(silence, stopped));
+        let next = future::or(event, future::or(silence, stop_requested));
         let sent = match next.await {
             Next::Watched(watched) => writer.send(&server_event(&watched)).await,
             Next::Silence => writer.send_bytes(COMMENT.to_vec()).await,
--- a/crates/daemon/src/gateway/admin/plans.rs
+++ b/crates/daemon/src/gateway/admin/plans.rs
@@ -104,7 +104,7 @@
     state.events.record(
         EventKind::Plan,
         format!("intent {number}"),
-        said(&reply),
+        confirm_reason(&reply),
         [
             ("operator", operator.into()),
             ("base_version", base_version.0.into()),
@@ -156,7 +156,7 @@
     )
 }
 
-fn said(reply: &ConfirmReply) -> String {
+fn confirm_reason(reply: &ConfirmReply) -> String {
     match reply {
         ConfirmReply::Confirmed { version } => format!("confirmed as version {version}"),
         ConfirmReply::NumberTaken { winner, .. } => format!("the number was taken by {winner}"),
--- a/crates/daemon/src/gateway/admission.rs
+++ b/crates/daemon/src/gateway/admission.rs
@@ -63,7 +63,7 @@
 
 impl Permit<'_> {
     /// Records that the request was sent to a back end.
-    pub(super) fn note_run(&mut self) {
+    pub(super) fn record_run(&mut self) {
         self.ran = true;
     }
 }
@@ -145,11 +145,11 @@
             }
             None
         };
-        let turn = async { wait.recv().await.ok() };
-        match futures_lite::future::or(turn, gone).await {
+        let admitted = async { wait.recv().await.ok() };
+        match futures_lite::future::or(admitted, gone).await {
             Some(Ok(())) => Ok(self.permit(ticket)),
             Some(Err(refusal)) => {
-                self.note_refusal(tenant, service, &refusal);
+                self.record_refusal(tenant, service, &refusal);
                 Err(NotAdmitted::Refused(refusal))
             }
             None => {
@@ -201,7 +201,7 @@
             }
             Decision::Refused(refusal) => {
                 drop(inner);
-                self.note_refusal(tenant, service, &refusal);
+                self.record_refusal(tenant, service, &refusal);
                 Err(NotAdmitted::Refused(refusal))
             }
         }
@@ -220,7 +220,12 @@
         inner.core.abandon(ticket);
     }
 
-    pub(super) fn note_refusal(&self, tenant: &TenantId, service: &ServiceName, refusal: &Refusal) {
+    pub(super) fn record_refusal(
+        &self,
+        tenant: &TenantId,
+        service: &ServiceName,
+        refusal: &Refusal,
+    ) {
         self.metrics.refused(&refusal.code.to_string());
         let retry_after = refusal.retry_after.unwrap_or_default();
         self.events.record(
--- a/crates/daemon/src/gateway/answer.rs
+++ b/crates/daemon/src/gateway/answer.rs
@@ -81,7 +81,7 @@
     }
 
     /// The request could not be sent, or no response arrived.
-    pub(super) fn of_send(error: &SendError) -> Self {
+    pub(super) fn from_send_error(error: &SendError) -> Self {
         let end = match error.outcome() {
             RunOutcome::NotRun => AttemptEnd::NotSent,
             _ => AttemptEnd::Broken,
@@ -94,7 +94,7 @@
     }
 
     /// The answer stream was interrupted.
-    fn of_event(error: &EventError) -> Self {
+    fn from_event_error(error: &EventError) -> Self {
         Self {
             silent: *error == EventError::Body(BodyError::Stalled),
             ..Self::broken(error)
@@ -135,7 +135,7 @@
     /// Returns the next token; `None` once the answer is complete.
     pub(super) async fn next(&mut self) -> Result<Option<Token>, AttemptFailure> {
         let event = self.events.next().await;
-        let event = event.map_err(|error| AttemptFailure::of_event(&error))?;
+        let event = event.map_err(|error| AttemptFailure::from_event_error(&error))?;
         let Some(event) = event else {
             self.check.terminator();
             self.check.end().map_err(AttemptFailure::broken)?;
@@ -156,7 +156,7 @@
 ) -> Result<AnswerStream, AttemptFailure> {
     check_attempt(attempt, response.header(ATTEMPT_HEADER)).map_err(AttemptFailure::broken)?;
     if !response.status().is_success() {
-        return Err(failure_of(response).await);
+        return Err(parse_failure(response).await);
     }
     Ok(AnswerStream {
         events: response.events(),
@@ -165,9 +165,9 @@
 }
 
 /// Converts an error response to a failure. The caller has checked its attempt header.
-pub(super) async fn failure_of(response: ClientResponse) -> AttemptFailure {
+pub(super) async fn parse_failure(response: ClientResponse) -> AttemptFailure {
     let status = response.status();
-    let Some(refusal) = refusal_of(response).await else {
+    let Some(refusal) = parse_refusal(response).await else {
         return AttemptFailure::broken(format!("status {status} without a typed error"));
     };
     let end = match refusal.detail.outcome {
@@ -182,7 +182,7 @@
 }
 
 /// Parses the typed error of a response.
-pub(super) async fn refusal_of(response: ClientResponse) -> Option<BackendRefusal> {
+pub(super) async fn parse_refusal(response: ClientResponse) -> Option<BackendRefusal> {
     let status = u16::from(response.status());
     let body = response.json::<ErrorBody>(MAX_ERROR_BYTES).await.ok()?;
     Some(BackendRefusal {
--- a/crates/daemon/src/gateway/application.rs
+++ b/crates/daemon/src/gateway/application.rs
@@ -11,7 +11,7 @@
 use molespan_types::{AttemptId, BackendId, Digest, RunOutcome, ServiceName, TenantId, digest_of};
 
 use super::admission::NotAdmitted;
-use super::answer::{AttemptFailure, failure_of};
+use super::answer::{AttemptFailure, parse_failure};
 use super::claims::RequestClaim;
 use super::dispatch::InFlight;
 use super::error::ApiError;
@@ -124,7 +124,7 @@
     state
         .check_application(&incoming.service)
         .map_err(|refusal| {
-            state.note_refusal(&incoming.tenant, &incoming.service, &refusal);
+            state.record_refusal(&incoming.tenant, &incoming.service, &refusal);
             ApiError::from(refusal)
         })?;
     let admitted = state.admit(&incoming.tenant, &incoming.service, presence.as_ref());
@@ -136,7 +136,7 @@
             "the caller went away",
         ),
     })?;
-    permit.note_run();
+    permit.record_run();
     let mut run = Run::new(state, incoming);
     let answer = run.steps_until_end().await;
     run.settle(&answer).await;
@@ -267,8 +267,8 @@
         let response = self.state.engines.forward(&target, request).await?;
         in_flight.first_byte();
         check_attempt(attempt, response.header(ATTEMPT_HEADER)).map_err(AttemptFailure::broken)?;
-        if says_not_run(&response) {
-            return Err(failure_of(response).await);
+        if reports_not_run(&response) {
+            return Err(parse_failure(response).await);
         }
         let head = response.head().clone();
         let body = response.bytes(MAX_ANSWER_BYTES).await;
@@ -348,6 +348,6 @@
 }
 
 /// Whether the back end reports that it did not run the request.
-fn says_not_run(response: &ClientResponse) -> bool {
+fn reports_not_run(response: &ClientResponse) -> bool {
     response.header(OUTCOME_HEADER) == Some("not-run") && !response.status().is_success()
 }
--- a/crates/daemon/src/gateway/attempts.rs
+++ b/crates/daemon/src/gateway/attempts.rs
@@ -15,7 +15,7 @@
 use super::answer::{AnswerStream, AttemptFailure, Target, Token};
 use super::dispatch::InFlight;
 use super::outcome::NO_BACKEND_RETRY_AFTER;
-use super::route::{CompletionEnd, Run};
+use super::route::{Run, RunEnd};
 use super::state::GatewayState;
 use super::validation::Repeatability;
 
@@ -26,10 +26,7 @@
 
 impl Run<'_> {
     /// Sends the request as a new attempt to an engine outside of `exclude`.
-    pub(super) async fn dispatch(
-        &mut self,
-        exclude: &[BackendId],
-    ) -> Result<NextStep, CompletionEnd> {
+    pub(super) async fn dispatch(&mut self, exclude: &[BackendId]) -> Result<NextStep, RunEnd> {
         let completion = self.completion;
         let wanted = PickRequest {
             prefix_hashes: &completion.prefix_hashes,
@@ -41,7 +38,7 @@
         let chosen = match chosen.await {
             Ok(chosen) => chosen,
             Err(error) => {
-                self.note_no_backend(error);
+                self.record_no_backend(error);
                 return Ok(self.steps.no_backend());
             }
         };
@@ -68,7 +65,7 @@
             completion.form.path(),
             body,
         );
-        let started = match self.unless_gone(started).await {
+        let started = match self.unless_disconnected(started).await {
             Some(started) => started,
             None => return Err(self.caller_gone()),
         };
@@ -80,7 +77,7 @@
         &mut self,
         attempt: AttemptRef,
         offset: u32,
-    ) -> Result<NextStep, CompletionEnd> {
+    ) -> Result<NextStep, RunEnd> {
         // Requests the last token again, so that the answer has at least one token even if
         // only the end of the stream was lost.
         let offset = offset.max(self.sink.tokens()).saturating_sub(1);
@@ -99,7 +96,7 @@
         };
         let state = self.state.clone();
         let resumed = state.engines.resume(target.address, &attempt, offset);
-        let resumed = match self.unless_gone(resumed).await {
+        let resumed = match self.unless_disconnected(resumed).await {
             Some(resumed) => resumed,
             None => return Err(self.caller_gone()),
         };
@@ -112,7 +109,7 @@
         answer: Result<AnswerStream, AttemptFailure>,
         attempt: AttemptId,
         offset: u32,
-    ) -> Result<NextStep, CompletionEnd> {
+    ) -> Result<NextStep, RunEnd> {
         let mut answer = match answer {
             Ok(answer) => answer,
             Err(failure) => return self.failed(failure),
@@ -122,17 +119,17 @@
         }
         self.sink.name(attempt);
         loop {
-            let next = match self.unless_gone(self.next_token(&mut answer)).await {
+            let next = match self.unless_disconnected(self.next_token(&mut answer)).await {
                 Some(next) => next,
                 None => return Err(self.caller_gone()),
             };
             match next {
                 Ok(Some(token)) => {
-                    self.note_first_byte();
+                    self.record_first_byte();
                     if token.chunk.offset < self.sink.tokens() {
                         continue;
                     }
-                    if self.sink.token(token).await.is_err() && self.stops_when_gone() {
+                    if self.sink.token(token).await.is_err() && self.stops_on_disconnect() {
                         return Err(self.caller_gone());
                     }
                     let passed = self.sink.passed();
@@ -168,7 +165,7 @@
         repeatable && self.sink.passed() == 0
     }
 
-    fn note_first_byte(&mut self) {
+    fn record_first_byte(&mut self) {
         let Some(in_flight) = &mut self.in_flight else {
             return;
         };
@@ -179,7 +176,7 @@
     }
 
     /// Handles the failure of the attempt, or of an attempt to resume it.
-    fn failed(&mut self, failure: AttemptFailure) -> Result<NextStep, CompletionEnd> {
+    fn failed(&mut self, failure: AttemptFailure) -> Result<NextStep, RunEnd> {
         // Asking a silent engine for the rest of the answer would only cost time.
         let end = match failure.end {
             AttemptEnd::Broken if failure.silent && self.may_leave() => AttemptEnd::Lost,
@@ -189,19 +186,19 @@
             .refusal
             .as_ref()
             .filter(|refusal| refusal.is_final() && self.sink.tokens() == 0)
-            .map(|refusal| self.passed_on(refusal));
+            .map(|refusal| self.forwarded_refusal(refusal));
         if let Some(error) = final_refusal {
             if let Some(in_flight) = self.in_flight.take() {
                 in_flight.failed(&failure);
             }
-            return Err(CompletionEnd::Failed(error));
+            return Err(RunEnd::Failed(error));
         }
         self.last_failure = Some(failure);
         let next = self.attempt_ended(end);
         let goes_on = matches!(next, NextStep::Resume { .. } | NextStep::AskStatus { .. });
         if goes_on {
             if let Some(in_flight) = &self.in_flight {
-                in_flight.note_broken();
+                in_flight.record_broken();
             }
         } else if let (Some(in_flight), Some(failure)) =
             (self.in_flight.take(), self.last_failure.as_ref())
@@ -250,7 +247,7 @@
             })
     }
 
-    pub(super) fn note_retry(&self, exclude: &[BackendId]) {
+    pub(super) fn record_retry(&self, exclude: &[BackendId]) {
         self.state.metrics.retried();
         let attempt = self.last_attempt.map(|id| id.to_string());
         let excluded: Vec<String> = exclude.iter().map(ToString::to_string).collect();
@@ -262,12 +259,12 @@
         );
     }
 
-    fn note_no_backend(&mut self, error: PickError) {
+    fn record_no_backend(&mut self, error: PickError) {
         let code = RefusalCode::NoBackend;
         let refusal = Refusal::after(code, NO_BACKEND_RETRY_AFTER);
         let completion = self.completion;
         self.state
-            .note_refusal(&completion.tenant, &completion.service, &refusal);
+            .record_refusal(&completion.tenant, &completion.service, &refusal);
         if self.last_failure.is_none() {
             self.last_failure = Some(AttemptFailure {
                 end: AttemptEnd::NotSent,
--- a/crates/daemon/src/gateway/batch_driver.rs
+++ b/crates/daemon/src/gateway/batch_driver.rs
@@ -62,8 +62,11 @@
             renew_interval: options.item_lease / RENEWALS_PER_LEASE,
             ..BatchSettings::default()
         };
-        let knob = options.policy.tail_protection;
-        let owner = BatchOwner::new(settings, knob.unwrap_or(INITIAL_TAIL_PROTECTION));
+        let tail_protection_override = options.policy.tail_protection;
+        let owner = BatchOwner::new(
+            settings,
+            tail_protection_override.unwrap_or(INITIAL_TAIL_PROTECTION),
+        );
         Self {
             inner: Mutex::new(Inner {
                 owner,
@@ -149,7 +152,7 @@
             return;
         };
         for output in outputs {
-            inner.carry_out(&state, output);
+            inner.execute(&state, output);
         }
     }
 
@@ -219,7 +222,7 @@
 }
 
 impl Inner {
-    fn carry_out(&mut self, state: &Arc<GatewayState>, output: BatchOutput) {
+    fn execute(&mut self, state: &Arc<GatewayState>, output: BatchOutput) {
         match output {
             BatchOutput::Pause(stream) => self.command(stream, StreamCommand::Pause),
             BatchOutput::Resume(stream) => self.command(stream, StreamCommand::Resume),
@@ -228,7 +231,7 @@
                 self.streams.remove(&stream);
             }
             BatchOutput::Dispatch { .. } => self.dispatch(state, output),
-            BatchOutput::Decision(decision) => state.note_batch_decision(&decision),
+            BatchOutput::Decision(decision) => state.record_batch_decision(&decision),
             BatchOutput::Drained => {
                 state.batch.drained.store(true, Ordering::SeqCst);
             }
--- a/crates/daemon/src/gateway/batch_events.rs
+++ b/crates/daemon/src/gateway/batch_events.rs
@@ -7,7 +7,7 @@
 
 impl GatewayState {
     /// Records one decision.
-    pub(super) fn note_batch_decision(&self, decision: &BatchDecision) {
+    pub(super) fn record_batch_decision(&self, decision: &BatchDecision) {
         match decision {
             BatchDecision::Preempted(preemption) => {
                 self.metrics
--- a/crates/daemon/src/gateway/batch_groups.rs
+++ b/crates/daemon/src/gateway/batch_groups.rs
@@ -67,7 +67,7 @@
             }
             _ => return,
         };
-        self.replied(request, reply);
+        self.handle_reply(request, reply);
     }
 
     async fn lease(
@@ -92,7 +92,7 @@
         Ok(GroupReply::Leased(granted))
     }
 
-    fn replied(&self, request: RequestNumber, reply: Result<GroupReply, ClusterError>) {
+    fn handle_reply(&self, request: RequestNumber, reply: Result<GroupReply, ClusterError>) {
         let reply = reply.unwrap_or(GroupReply::Failed);
         self.batch_input(BatchInput::Reply { request, reply });
     }
--- a/crates/daemon/src/gateway/batch_stream.rs
+++ b/crates/daemon/src/gateway/batch_stream.rs
@@ -95,7 +95,7 @@
         let Ok(model) = self.batch_model(&item.service) else {
             return Some(ItemEnd::NotRun);
         };
-        let most_tokens = max_tokens_of(&fields);
+        let max_tokens = max_tokens_of(&fields);
         let cancelled = AtomicBool::new(false);
         let mut run = ItemRun {
             state: self,
@@ -104,16 +104,17 @@
             target,
             attempt: self.next_attempt(),
             body: engine_body(fields, &model),
-            text: String::with_capacity(most_tokens.min(4_096) as usize),
+            text: String::with_capacity(max_tokens.min(4_096) as usize),
             tokens: 0,
         };
         let attempt = run.attempt;
         let running = async { Some(run.steps_until_end().await) };
-        let commanded = async {
-            self.obey(target, attempt, commands, &cancelled).await;
+        let cancelled_by_command = async {
+            self.run_commands(target, attempt, commands, &cancelled)
+                .await;
             None
         };
-        future::or(running, commanded).await
+        future::or(running, cancelled_by_command).await
     }
 
     /// Returns the model of a service, whether or not this node may accept new work:
@@ -126,7 +127,7 @@
     }
 
     /// Executes commands in order; returns after a cancel.
-    async fn obey(
+    async fn run_commands(
         &self,
         target: Target,
         attempt: AttemptId,
@@ -136,8 +137,8 @@
         // A closed channel means that the owner dropped the stream, which equals a cancel.
         while let Ok(command) = commands.recv().await {
             match command {
-                StreamCommand::Pause => self.hold(target, attempt, true, commands).await,
-                StreamCommand::Resume => self.hold(target, attempt, false, commands).await,
+                StreamCommand::Pause => self.set_paused(target, attempt, true, commands).await,
+                StreamCommand::Resume => self.set_paused(target, attempt, false, commands).await,
                 StreamCommand::Cancel => break,
             }
         }
@@ -149,17 +150,20 @@
     /// Asks the engine to pause or resume a stream. A pause that answers 404 is retried,
     /// because the stream is still on its way to the engine, until the owner sends another
     /// command.
-    async fn hold(
+    async fn set_paused(
         &self,
         target: Target,
         attempt: AttemptId,
-        held: bool,
+        paused: bool,
         commands: &Receiver<StreamCommand>,
     ) {
         for _ in 0..MAX_PAUSE_ATTEMPTS {
-            let status = self.engines.hold(target.address, attempt, held).await;
+            let status = self
+                .engines
+                .set_paused(target.address, attempt, paused)
+                .await;
             let settled = status.is_some_and(|status| status != 404);
-            if settled || !commands.is_empty() || !held {
+            if settled || !commands.is_empty() || !paused {
                 return;
             }
             Timer::after(PAUSE_RETRY_DELAY).await;
@@ -312,12 +316,12 @@
     }
 
     fn failed(&self, failure: AttemptFailure) -> Result<AttemptEnd, String> {
-        let said = failure.refusal.as_ref();
-        if said.is_some_and(|refusal| refusal.is_final() && self.tokens == 0) {
+        let refusal = failure.refusal.as_ref();
+        if refusal.is_some_and(|refusal| refusal.is_final() && self.tokens == 0) {
             return Err(failure.cause);
         }
-        if said.is_none() && !self.cancelled.load(Ordering::Relaxed) {
-            self.state.note_batch_failure(&self.target);
+        if refusal.is_none() && !self.cancelled.load(Ordering::Relaxed) {
+            self.state.record_batch_failure(&self.target);
         }
         slog::debug!(self.state.logger, "batch stream failed";
             "job" => %self.item.job, "item" => self.item.item.0, "cause" => failure.cause);
@@ -327,7 +331,7 @@
 
 impl GatewayState {
     /// Records a batch stream failure that the engine did not report itself.
-    fn note_batch_failure(&self, target: &Target) {
+    fn record_batch_failure(&self, target: &Target) {
         let input = DirectoryInput::Work {
             backend: target.backend,
             incarnation: target.incarnation,
--- a/crates/daemon/src/gateway/batch_submission.rs
+++ b/crates/daemon/src/gateway/batch_submission.rs
@@ -105,7 +105,7 @@
 ) -> Result<Response, ApiError> {
     let submission = Submission::read(request, body, state.options.job_groups)?;
     let service = state
-        .service_in_force(&submission.service)
+        .active_service(&submission.service)
         .map_err(ApiError::from)?;
     if service.model.is_none() || !service.batch {
         let message = format!("the service {} takes no batch work", submission.service);
--- a/crates/daemon/src/gateway/choose.rs
+++ b/crates/daemon/src/gateway/choose.rs
@@ -31,7 +31,7 @@
             let now = self.clock.now();
             match self.pickers.pick(now, service, request) {
                 Ok(pick) => {
-                    self.note_pick(service, tenant, &pick);
+                    self.record_pick(service, tenant, &pick);
                     return self.chosen(pick.backend).ok_or(PickError::NoEngine);
                 }
                 Err(PickError::AllAtLimit) if now < until => {
@@ -71,7 +71,7 @@
     }
 
     /// Records which back end was selected and why.
-    fn note_pick(&self, service: &ServiceName, tenant: &TenantId, pick: &Pick) {
+    fn record_pick(&self, service: &ServiceName, tenant: &TenantId, pick: &Pick) {
         let reason = &pick.reason;
         let load = reason.considered.first().map_or(0.0, |one| one.load);
         self.events.record(
--- a/crates/daemon/src/gateway/claims.rs
+++ b/crates/daemon/src/gateway/claims.rs
@@ -63,7 +63,7 @@
             key: key.clone(),
             attempt: state.next_attempt(),
         };
-        match state.ask_claim(&claim, digest).await {
+        match state.request_claim(&claim, digest).await {
             Ok(ClaimReply::Granted) => {
                 self.held = Some(claim);
                 ClaimAnswer::Granted
@@ -82,7 +82,7 @@
             }
             Err(error) => {
                 // Whether or not the claim was granted, nothing is sent under it.
-                state.give_claim_back(claim);
+                state.release_claim(claim);
                 let error = ApiError::from(error).with_outcome(RunOutcome::NotRun);
                 self.error = Some(error);
                 ClaimAnswer::Failed
@@ -134,7 +134,11 @@
 impl GatewayState {
     /// Requests a claim. Nothing may be sent to a back end before it is
     /// granted.
-    async fn ask_claim(&self, claim: &Claim, digest: Digest) -> Result<ClaimReply, ClusterError> {
+    async fn request_claim(
+        &self,
+        claim: &Claim,
+        digest: Digest,
+    ) -> Result<ClaimReply, ClusterError> {
         let request = ClaimRequest {
             tenant: claim.tenant.clone(),
             key: claim.key.clone(),
@@ -142,7 +146,7 @@
             attempt: claim.attempt,
         };
         let reply = self.cluster.claim(claim.group, request).await;
-        let said = match &reply {
+        let reason = match &reply {
             Ok(ClaimReply::Granted) => "granted".to_owned(),
             Ok(ClaimReply::Held { attempt }) => format!("held by attempt {attempt}"),
             Ok(ClaimReply::Settled { outcome, .. }) => format!("settled as {outcome}"),
@@ -152,7 +156,7 @@
         self.events.record(
             EventKind::Lease,
             format!("claim {}", claim.key),
-            said,
+            reason,
             [
                 ("tenant", claim.tenant.as_str().into()),
                 ("attempt", claim.attempt.to_string().into()),
@@ -163,7 +167,7 @@
     }
 
     /// Releases a claim that may or may not have been granted.
-    fn give_claim_back(self: &Arc<Self>, claim: Claim) {
+    fn release_claim(self: &Arc<Self>, claim: Claim) {
         let state = self.clone();
         self.spawn(async move {
             let not_run = RunOutcome::NotRun;
--- a/crates/daemon/src/gateway/clock.rs
+++ b/crates/daemon/src/gateway/clock.rs
@@ -15,19 +15,19 @@
 pub(super) struct Clock {
     boot: BootClock,
     /// Value of `boot` when this clock was created.
-    began: Timestamp,
+    started: Timestamp,
 }
 
 impl Clock {
     /// Creates a clock that starts at one second.
     pub(super) fn new(boot: BootClock) -> Self {
-        let began = boot.now();
-        Self { boot, began }
+        let started = boot.now();
+        Self { boot, started }
     }
 
     /// Returns the current time.
     pub(super) fn now(&self) -> Timestamp {
-        let passed = self.boot.now().since(self.began);
+        let passed = self.boot.now().since(self.started);
         Timestamp::ZERO + START_TIME + passed
     }
 }
--- a/crates/daemon/src/gateway/configuration.rs
+++ b/crates/daemon/src/gateway/configuration.rs
@@ -70,7 +70,7 @@
 
 impl GatewayState {
     /// Returns a service that may accept new work now.
-    pub(super) fn service_in_force(&self, name: &ServiceName) -> Result<Service, Refusal> {
+    pub(super) fn active_service(&self, name: &ServiceName) -> Result<Service, Refusal> {
         if self.configuration.readiness(self.clock.now()) != Readiness::Ready {
             let code = RefusalCode::ConfigurationNotCurrent;
             return Err(Refusal::after(code, RETRY_AFTER));
@@ -86,7 +86,7 @@
 
     /// Returns the model of a completion service.
     pub(super) fn model_of(&self, name: &ServiceName) -> Result<String, Refusal> {
-        let service = self.service_in_force(name)?;
+        let service = self.active_service(name)?;
         match (service.kind, service.model) {
             (ServiceKind::Completion, Some(model)) => Ok(model.0),
             _ => Err(Refusal::permanent(RefusalCode::UnknownService)),
@@ -95,7 +95,7 @@
 
     /// Checks that an application service may accept new work now.
     pub(super) fn check_application(&self, name: &ServiceName) -> Result<(), Refusal> {
-        match self.service_in_force(name)?.kind {
+        match self.active_service(name)?.kind {
             ServiceKind::Application => Ok(()),
             ServiceKind::Completion => Err(Refusal::permanent(RefusalCode::UnknownService)),
         }
@@ -106,7 +106,7 @@
     pub(super) async fn restore_configuration(&self) {
         let folder = self.options.data_folder.clone();
         match blocking::unblock(move || load(&folder)).await {
-            Ok(Some(configuration)) => self.put_in_force(configuration, "restored from disk"),
+            Ok(Some(configuration)) => self.activate(configuration, "restored from disk"),
             Ok(None) => {}
             Err(error) => {
                 warn!(self.logger, "cannot read the stored configuration"; "error" => %error);
@@ -117,13 +117,13 @@
     /// Watches for newer configurations until the gateway stops.
     pub(super) async fn watch_configuration(self: Arc<Self>) {
         // Gateways start at different replicas to spread the load.
-        let mut turn = self.options.node.0 as usize;
-        let mut was = Readiness::NoConfiguration;
-        let mut wants_whole = false;
-        let mut knows_engines = false;
+        let mut replica_index = self.options.node.0 as usize;
+        let mut previous = Readiness::NoConfiguration;
+        let mut needs_full_configuration = false;
+        let mut waited_for_reports = false;
         loop {
             let replicas = self.cluster.replicas();
-            let Some(replica) = replicas.get(turn % replicas.len().max(1)).copied() else {
+            let Some(replica) = replicas.get(replica_index % replicas.len().max(1)).copied() else {
                 return;
             };
             let longest = self.options.currency_bound / POLL_SHARE;
@@ -135,7 +135,7 @@
             let watch = WatchConfiguration {
                 node: self.options.node,
                 incarnation: self.options.incarnation,
-                in_force: if wants_whole {
+                in_force: if needs_full_configuration {
                     ConfigVersion::default()
                 } else {
                     self.configuration.version()
@@ -144,35 +144,35 @@
             };
             match self.cluster.watch(replica, watch).await {
                 Ok(watched) => {
-                    wants_whole = match watched.newer {
-                        Some(update) => !self.take_update(update).await,
+                    needs_full_configuration = match watched.newer {
+                        Some(update) => !self.apply_update(update).await,
                         None => false,
                     };
-                    if !knows_engines && self.configuration.in_force().is_some() {
+                    if !waited_for_reports && self.configuration.in_force().is_some() {
                         self.wait_for_first_reports().await;
-                        knows_engines = true;
+                        waited_for_reports = true;
                     }
                     let current = watched.current;
                     self.configuration
                         .write(|holder| holder.confirm(sent, current));
                 }
                 Err(_) => {
-                    turn += 1;
+                    replica_index += 1;
                     Timer::after(FAILURE_PAUSE).await;
                 }
             }
-            self.note_readiness(&mut was);
+            self.record_readiness(&mut previous);
         }
     }
 
     /// Records a change of readiness; a node that becomes unready rejects queued
     /// requests.
-    pub(super) fn note_readiness(&self, was: &mut Readiness) {
+    pub(super) fn record_readiness(&self, previous: &mut Readiness) {
         let is = self.configuration.readiness(self.clock.now());
-        if is == *was {
+        if is == *previous {
             return;
         }
-        *was = is;
+        *previous = is;
         info!(self.logger, "readiness changed"; "readiness" => %is);
         self.events.record(
             EventKind::Configuration,
@@ -187,11 +187,11 @@
 
     /// Applies a configuration update. Returns whether it applied to the active
     /// configuration; otherwise the complete configuration must be fetched.
-    async fn take_update(&self, update: ConfigurationUpdate) -> bool {
+    async fn apply_update(&self, update: ConfigurationUpdate) -> bool {
         let held = self.configuration.in_force();
         match update.apply_to(held.as_deref()) {
             Ok(newer) => {
-                self.take_configuration(newer).await;
+                self.store_and_activate(newer).await;
                 true
             }
             Err(error) => {
@@ -202,7 +202,7 @@
     }
 
     /// Persists a newer configuration, then activates it.
-    async fn take_configuration(&self, newer: Configuration) {
+    async fn store_and_activate(&self, newer: Configuration) {
         if newer.version <= self.configuration.version() && newer.version.0 > 0 {
             return;
         }
@@ -214,10 +214,10 @@
             // would begin with an older one.
             warn!(self.logger, "configuration could not be stored"; "error" => %error);
         }
-        self.put_in_force(newer, "accepted by a quorum");
+        self.activate(newer, "accepted by a quorum");
     }
 
-    fn put_in_force(&self, configuration: Configuration, reason: &str) {
+    fn activate(&self, configuration: Configuration, reason: &str) {
         let change = self
             .configuration
             .write(|holder| holder.offer(configuration));
@@ -231,10 +231,11 @@
             service_limits(&configuration),
             tenant_policies(&configuration, &self.options.admission.default_policy),
         );
-        let knob = self.options.policy.tail_protection;
-        let tail_protection = knob.unwrap_or(configuration.policy.tail_protection);
+        let tail_protection_override = self.options.policy.tail_protection;
+        let tail_protection =
+            tail_protection_override.unwrap_or(configuration.policy.tail_protection);
         self.batch_input(BatchInput::Policy { tail_protection });
-        self.refresh_engines();
+        self.mark_candidates_stale();
         info!(self.logger, "configuration is in force"; "version" => to.0);
         self.events.record(
             EventKind::Configuration,
--- a/crates/daemon/src/gateway/directory.rs
+++ b/crates/daemon/src/gateway/directory.rs
@@ -69,17 +69,17 @@
             match output {
                 DirectoryOutput::Changed(change) => {
                     changed = true;
-                    self.note_change(&change);
+                    self.record_change(&change);
                 }
                 DirectoryOutput::Probe { backend, address } => self.probe(backend, &address),
             }
         }
         if changed {
-            self.refresh_engines();
+            self.mark_candidates_stale();
         }
     }
 
-    fn note_change(&self, change: &StateChange) {
+    fn record_change(&self, change: &StateChange) {
         info!(self.logger, "back end changed state";
             "backend" => change.backend.0, "from" => %change.from, "to" => %change.to,
             "reason" => %change.reason);
@@ -129,11 +129,11 @@
 
     /// Updates the candidates whenever they are stale, until the gateway stops. The pause
     /// after each update bounds its CPU share with thousands of back ends.
-    pub(super) async fn keep_candidates(self: Arc<Self>) {
+    pub(super) async fn refresh_candidates(self: Arc<Self>) {
         loop {
-            self.stale_engines().await;
+            self.candidates_stale().await;
             let began = self.clock.now();
-            self.work_out_candidates();
+            self.recompute_candidates();
             let took = self.clock.now().since(began);
             Timer::after(took * REFRESH_PAUSE).await;
         }
@@ -146,7 +146,7 @@
         let until = self.clock.now() + FIRST_REPORTS_TIMEOUT;
         while self.clock.now() < until {
             let reported = self.has_first_reports();
-            self.work_out_candidates();
+            self.recompute_candidates();
             if reported {
                 return;
             }
@@ -167,7 +167,7 @@
 
     /// Recomputes the candidates for requests and batch work from the current directory,
     /// configuration and gateway set.
-    fn work_out_candidates(&self) {
+    fn recompute_candidates(&self) {
         let Some(configuration) = self.configuration.in_force() else {
             return;
         };
--- a/crates/daemon/src/gateway/dispatch.rs
+++ b/crates/daemon/src/gateway/dispatch.rs
@@ -58,7 +58,7 @@
             first_byte: None,
             ended: false,
         };
-        request.tell_owner(BatchInput::OnlineStarted { backend }, count, prompt_tokens);
+        request.notify_owner(BatchInput::OnlineStarted { backend }, count, prompt_tokens);
         request
     }
 
@@ -80,7 +80,7 @@
             self.state
                 .batch_input(BatchInput::OnlineFirstToken { backend, after });
         }
-        self.note_work(WorkResult::Answered(after));
+        self.record_work(WorkResult::Answered(after));
         Some(after)
     }
 
@@ -95,7 +95,7 @@
         let refusal = failure.refusal.as_ref();
         let overloaded = refusal.is_some_and(|refusal| refusal.is_overload());
         if refusal.is_none() {
-            self.note_work(WorkResult::Failed);
+            self.record_work(WorkResult::Failed);
         }
         self.end(if overloaded {
             Finish::Overloaded
@@ -105,11 +105,11 @@
     }
 
     /// Records that an attempt to fetch the answer failed and will be followed by others.
-    pub(super) fn note_broken(&self) {
-        self.note_work(WorkResult::Failed);
+    pub(super) fn record_broken(&self) {
+        self.record_work(WorkResult::Failed);
     }
 
-    fn note_work(&self, result: WorkResult) {
+    fn record_work(&self, result: WorkResult) {
         let target = self.chosen.target;
         self.state.directory_input(DirectoryInput::Work {
             backend: target.backend,
@@ -128,12 +128,12 @@
             .state
             .pickers
             .finished(now, &self.service, backend, self.started, finish);
-        self.tell_owner(BatchInput::OnlineFinished { backend }, count, 0);
+        self.notify_owner(BatchInput::OnlineFinished { backend }, count, 0);
     }
 
     /// Notifies the owner of the back end's batch work immediately: this gateway by a
     /// local call, another one by a one-way message.
-    fn tell_owner(&self, local: BatchInput, in_flight: u32, prompt_tokens: u32) {
+    fn notify_owner(&self, local: BatchInput, in_flight: u32, prompt_tokens: u32) {
         let state = &self.state;
         let backend = self.chosen.target.backend;
         if state.ownership().owns(backend) {
--- a/crates/daemon/src/gateway/drain.rs
+++ b/crates/daemon/src/gateway/drain.rs
@@ -47,9 +47,9 @@
         outputs.extend(plan.handle(now, input));
         input = DrainInput::Tick;
         for output in outputs {
-            note(state, &output, in_flight, held);
+            record_step(state, &output, in_flight, held);
             match output {
-                DrainOutput::SayUnready => say_unready(state),
+                DrainOutput::SayUnready => announce_unready(state),
                 DrainOutput::ReturnBatchItems => return_batch_items(state),
                 DrainOutput::RefuseNew => refuse_new(state, server),
                 DrainOutput::HandOver => state.release_ownership(),
@@ -67,15 +67,15 @@
     }
 }
 
-fn say_unready(state: &Arc<GatewayState>) {
+fn announce_unready(state: &Arc<GatewayState>) {
     state.begin_drain();
-    let telling = state.clone();
+    let gateway = state.clone();
     state.spawn(async move {
-        let (node, incarnation) = (telling.options.node, telling.options.incarnation);
+        let (node, incarnation) = (gateway.options.node, gateway.options.incarnation);
         // If this call fails, the heartbeats still report the drain.
-        let _unreachable = telling.cluster.drain_node(node, incarnation).await;
-        let sent = telling.clock.now();
-        let _unreachable = telling.heartbeat(sent).await;
+        let _unreachable = gateway.cluster.drain_node(node, incarnation).await;
+        let sent = gateway.clock.now();
+        let _unreachable = gateway.heartbeat(sent).await;
     });
 }
 
@@ -93,7 +93,7 @@
     });
 }
 
-fn note(state: &GatewayState, output: &DrainOutput, in_flight: u32, held: u32) {
+fn record_step(state: &GatewayState, output: &DrainOutput, in_flight: u32, held: u32) {
     info!(state.logger, "planned stop moved on to its next step";
         "step" => ?output, "in_flight" => in_flight, "leases" => held);
     state.events.record(
--- a/crates/daemon/src/gateway/engine_client.rs
+++ b/crates/daemon/src/gateway/engine_client.rs
@@ -16,7 +16,7 @@
 use molespan_routing::retry::{AttemptEnd, AttemptRef, StatusAnswer};
 use molespan_types::{AttemptId, Incarnation, Priority, RunOutcome};
 
-use super::answer::{AnswerStream, AttemptFailure, Target, answer_stream, refusal_of};
+use super::answer::{AnswerStream, AttemptFailure, Target, answer_stream, parse_refusal};
 use super::options::BackendTimeouts;
 
 /// Maximum length of an error body or report.
@@ -75,7 +75,7 @@
         body: Vec<u8>,
     ) -> Result<AnswerStream, AttemptFailure> {
         let request = new_request(Method::Post, target.address, path);
-        let mut request = request.map_err(|error| AttemptFailure::of_send(&error))?;
+        let mut request = request.map_err(|error| AttemptFailure::from_send_error(&error))?;
         request.set_body(Body::from_bytes(body));
         request.insert_header(CONTENT_TYPE, "application/json");
         request.insert_header(ATTEMPT_HEADER, attempt.to_string());
@@ -85,7 +85,7 @@
             Priority::Batch => &self.batch,
         };
         let response = pool.send(target.address, request).await;
-        let response = response.map_err(|error| AttemptFailure::of_send(&error))?;
+        let response = response.map_err(|error| AttemptFailure::from_send_error(&error))?;
         answer_stream(response, attempt, 0).await
     }
 
@@ -102,7 +102,7 @@
         let response = self.resume.send(address, request).await;
         let response = response.map_err(|error| AttemptFailure {
             end: AttemptEnd::Broken,
-            ..AttemptFailure::of_send(&error)
+            ..AttemptFailure::from_send_error(&error)
         })?;
         if named_incarnation(&response).is_some_and(|named| named != attempt.incarnation) {
             return Err(AttemptFailure::lost("another life of the engine answered"));
@@ -132,7 +132,7 @@
         }
         let status = u16::from(response.status());
         if status == 404 {
-            return match refusal_of(response).await {
+            return match parse_refusal(response).await {
                 Some(refusal) if refusal.detail.outcome == RunOutcome::NotRun => {
                     StatusAnswer::NeverSeen
                 }
@@ -163,13 +163,13 @@
     }
 
     /// Pauses or resumes a batch attempt; returns the HTTP status.
-    pub(super) async fn hold(
+    pub(super) async fn set_paused(
         &self,
         address: SocketAddr,
         attempt: AttemptId,
-        held: bool,
+        paused: bool,
     ) -> Option<u16> {
-        let action = if held { "pause" } else { "resume" };
+        let action = if paused { "pause" } else { "resume" };
         let path = format!("{REQUESTS_PATH}/{attempt}/{action}");
         self.act(Priority::Batch, Method::Post, address, &path)
             .await
@@ -260,7 +260,7 @@
         request: Request,
     ) -> Result<ClientResponse, AttemptFailure> {
         let response = self.online.send(target.address, request).await;
-        response.map_err(|error| AttemptFailure::of_send(&error))
+        response.map_err(|error| AttemptFailure::from_send_error(&error))
     }
 }
 
--- a/crates/daemon/src/gateway/heartbeat.rs
+++ b/crates/daemon/src/gateway/heartbeat.rs
@@ -73,13 +73,13 @@
             owned: owned.clone(),
         };
         let nodes = self.cluster.heartbeat(request).await?;
-        self.learn_zones(&nodes).await;
-        self.take_live_nodes(sent, &nodes);
+        self.fetch_zones(&nodes).await;
+        self.handle_live_nodes(sent, &nodes);
         Ok(())
     }
 
     /// Fetches the zones and addresses of unknown nodes.
-    async fn learn_zones(&self, nodes: &[LiveNode]) {
+    async fn fetch_zones(&self, nodes: &[LiveNode]) {
         let unknown = {
             let zones = self.zones();
             nodes.iter().any(|live| !zones.contains_key(&live.node))
@@ -95,7 +95,7 @@
         for record in records {
             let node = record.registration;
             if node.node != self.options.node {
-                transport.learn(node.node, &node.internal_address);
+                transport.update_address(node.node, &node.internal_address);
             }
             if node.roles.contains(&NodeRole::Gateway) {
                 zones.insert(node.node, node.zone);
@@ -103,7 +103,7 @@
         }
     }
 
-    fn take_live_nodes(&self, sent: Timestamp, nodes: &[LiveNode]) {
+    fn handle_live_nodes(&self, sent: Timestamp, nodes: &[LiveNode]) {
         let now = self.clock.now();
         let records = {
             let zones = self.zones();
@@ -132,7 +132,7 @@
                 "the set of live gateways changed",
                 [("gateways", nodes.join(" ").into())],
             );
-            self.refresh_engines();
+            self.mark_candidates_stale();
         }
     }
 
@@ -143,7 +143,7 @@
             let now = self.clock.now();
             self.gateways().expire(now);
             let changes = self.ownership().tick(now);
-            self.carry_out_ownership(changes);
+            self.apply_ownership_changes(changes);
         }
     }
 
@@ -164,16 +164,16 @@
         let gateways = self.gateways().clone();
         let pairs = engines.iter().map(|(backend, zone)| (*backend, zone));
         let changes = self.ownership().refresh(now, &gateways, pairs);
-        self.carry_out_ownership(changes);
+        self.apply_ownership_changes(changes);
     }
 
     /// Releases every tenure, for a graceful stop.
     pub(super) fn release_ownership(&self) {
         let changes = self.ownership().release_all();
-        self.carry_out_ownership(changes);
+        self.apply_ownership_changes(changes);
     }
 
-    fn carry_out_ownership(&self, changes: Vec<OwnershipChange>) {
+    fn apply_ownership_changes(&self, changes: Vec<OwnershipChange>) {
         if changes.is_empty() {
             return;
         }
--- a/crates/daemon/src/gateway/loads.rs
+++ b/crates/daemon/src/gateway/loads.rs
@@ -92,18 +92,18 @@
         let now = self.clock.now();
         let owned: BTreeSet<BackendId> = self.ownership().owned().collect();
         let placed = self.placement.placed();
-        let mut asked: BTreeSet<BackendId> = self.loads.watched().union(&owned).copied().collect();
+        let mut polled: BTreeSet<BackendId> = self.loads.watched().union(&owned).copied().collect();
         let directory = self.directory();
         if !placed.is_empty() {
             // Placement needs the loaded models of every engine of its services.
             let engines = directory.backends();
             let engines = engines.filter(|backend| placed.contains(&backend.service));
-            asked.extend(engines.map(|backend| backend.id));
+            polled.extend(engines.map(|backend| backend.id));
         }
         let mut polls = self.loads.lock();
-        polls.retain(|backend, _| asked.contains(backend));
+        polls.retain(|backend, _| polled.contains(backend));
         let mut due = Vec::new();
-        for backend in asked.iter().filter_map(|id| directory.backend(*id)) {
+        for backend in polled.iter().filter_map(|id| directory.backend(*id)) {
             let Ok(address) = backend.address.parse() else {
                 continue;
             };
@@ -156,7 +156,7 @@
             });
             return;
         };
-        self.take_report(sent, &report);
+        self.handle_report(sent, &report);
         if let Some(after) = due.cache_after {
             self.read_cache_events(due, after).await;
         }
@@ -176,20 +176,20 @@
     }
 
     /// Processes a direct report that was requested at `sent`.
-    fn take_report(self: &Arc<Self>, sent: Timestamp, report: &LoadReport) {
+    fn handle_report(self: &Arc<Self>, sent: Timestamp, report: &LoadReport) {
         let now = self.clock.now();
-        let half_way = now.since(sent) / 2;
-        let age = Duration::from_millis(u64::from(report.age_ms)) + half_way;
+        let half_round_trip = now.since(sent) / 2;
+        let age = Duration::from_millis(u64::from(report.age_ms)) + half_round_trip;
         let observed = Timestamp(now.0.saturating_sub(age.as_micros() as u64));
         let before = self.loaded(report.backend);
         self.directory_input(DirectoryInput::Report(BackendReport::from(report)));
         if before != self.loaded(report.backend) {
-            self.refresh_engines();
+            self.mark_candidates_stale();
         }
         let sample = LoadSample::from_report(report, observed);
         self.pickers.observe_load(&sample);
         if self.ownership().owns(report.backend) {
-            self.pass_on(report);
+            self.send_digest(report);
             self.batch_input(BatchInput::Load(sample));
         }
     }
@@ -201,9 +201,9 @@
 
     /// Sends the digest of an owned engine's report to the gateways most likely to
     /// route there.
-    fn pass_on(&self, report: &LoadReport) {
+    fn send_digest(&self, report: &LoadReport) {
         let digest = digest_of(report);
-        for node in self.listeners(report.backend) {
+        for node in self.digest_receivers(report.backend) {
             let request = Request::Loads {
                 from: self.options.node,
                 digests: vec![digest.clone()],
@@ -212,7 +212,7 @@
         }
     }
 
-    fn listeners(&self, backend: BackendId) -> Vec<NodeId> {
+    fn digest_receivers(&self, backend: BackendId) -> Vec<NodeId> {
         let own = self.options.node;
         let gateways = self.gateways();
         let mut nodes: Vec<NodeId> = gateways.nodes().filter(|node| *node != own).collect();
@@ -224,7 +224,7 @@
     }
 
     /// Processes digests sent by an owner.
-    pub(super) fn take_digests(self: &Arc<Self>, digests: Vec<LoadDigest>) {
+    pub(super) fn handle_digests(self: &Arc<Self>, digests: Vec<LoadDigest>) {
         let now = self.clock.now();
         for digest in digests {
             self.directory_input(DirectoryInput::Report(BackendReport {
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -134,7 +134,7 @@
                 Response::Acknowledged
             }
             Request::Loads { digests, .. } => {
-                state.take_digests(digests);
+                state.handle_digests(digests);
                 Response::Acknowledged
             }
             Request::Status => Response::Status(self.status()),
@@ -235,13 +235,13 @@
     state.spawn_background(state.clone().watch_configuration());
     state.spawn_background(state.clone().poll_machines());
     state.spawn_background(state.clone().tick_directory());
-    state.spawn_background(state.clone().keep_candidates());
+    state.spawn_background(state.clone().refresh_candidates());
     state.spawn_background(state.clone().poll_loads());
     state.spawn_background(state.clone().send_heartbeats());
     state.spawn_background(state.clone().tick_ownership());
     state.spawn_background(state.clone().tick_batch());
     state.spawn_background(state.clone().run_placement());
-    state.spawn_background(state.clone().carry_weights());
+    state.spawn_background(state.clone().sync_weights());
     state.spawn_background(tick_admission(state.clone()));
 }
 
--- a/crates/daemon/src/gateway/outcome.rs
+++ b/crates/daemon/src/gateway/outcome.rs
@@ -20,11 +20,11 @@
     }
 
     /// Converts an engine's rejection that every other engine would repeat.
-    pub(super) fn passed_on(&self, refusal: &BackendRefusal) -> ApiError {
+    pub(super) fn forwarded_refusal(&self, refusal: &BackendRefusal) -> ApiError {
         let status = StatusCode::try_from(refusal.status).unwrap_or(StatusCode::BadRequest);
         let detail = &refusal.detail;
         let error = ApiError::not_run(status, &detail.code, detail.message.clone());
-        self.named(error)
+        self.with_last_attempt(error)
     }
 
     /// Returns the error for the caller after the last step.
@@ -47,7 +47,7 @@
             )
             .with_outcome(outcome),
         };
-        self.named(error)
+        self.with_last_attempt(error)
     }
 
     fn retry_after(&self) -> Duration {
@@ -55,11 +55,11 @@
             .last_failure
             .as_ref()
             .and_then(|last| last.refusal.as_ref());
-        let said = refusal.and_then(|refusal| refusal.detail.retry_after_ms);
-        said.map_or(NO_BACKEND_RETRY_AFTER, Duration::from_millis)
+        let retry_after_ms = refusal.and_then(|refusal| refusal.detail.retry_after_ms);
+        retry_after_ms.map_or(NO_BACKEND_RETRY_AFTER, Duration::from_millis)
     }
 
-    fn named(&self, error: ApiError) -> ApiError {
+    fn with_last_attempt(&self, error: ApiError) -> ApiError {
         ApiError {
             attempt: self.last_attempt.map(|id| id.to_string()),
             ..error
--- a/crates/daemon/src/gateway/placement.rs
+++ b/crates/daemon/src/gateway/placement.rs
@@ -62,25 +62,25 @@
             let Some(configuration) = self.configuration.in_force() else {
                 continue;
             };
-            let mine = self.placed_here(&configuration);
-            let names = mine.services.keys().cloned().collect();
+            let placed_configuration = self.placed_here(&configuration);
+            let names = placed_configuration.services.keys().cloned().collect();
             self.placement.set_placed(names);
-            if mine.services.is_empty() {
+            if placed_configuration.services.is_empty() {
                 continue;
             }
             // Fencing tokens are read only if there are services to place.
             let Ok(orders) = self.cluster.orders().await else {
                 continue;
             };
-            let engines = self.engine_states(&mine, &orders);
+            let engines = self.engine_states(&placed_configuration, &orders);
             let now = self.clock.now();
             let decisions = {
                 let planner = &self.placement.planner;
                 let mut planner = planner.lock().unwrap_or_else(PoisonError::into_inner);
-                planner.plan(now, &mine, &engines)
+                planner.plan(now, &placed_configuration, &engines)
             };
             for decision in decisions {
-                self.carry_out_order(decision).await;
+                self.fence_and_send_order(decision).await;
             }
         }
     }
@@ -90,12 +90,12 @@
     fn placed_here(&self, configuration: &Configuration) -> Configuration {
         let gateways = self.gateways();
         let own = self.options.node;
-        let mut mine = configuration.clone();
-        mine.services.retain(|name, service| {
+        let mut placed_configuration = configuration.clone();
+        placed_configuration.services.retain(|name, service| {
             let key = BackendId(digest_of(name.0.as_bytes()).0 as u32);
             service.model.is_some() && highest(gateways.nodes(), key) == Some(own)
         });
-        mine
+        placed_configuration
     }
 
     fn engine_states(
@@ -131,7 +131,7 @@
     }
 
     /// Has the control group fence an order and sends it.
-    async fn carry_out_order(&self, decision: PlacementDecision) {
+    async fn fence_and_send_order(&self, decision: PlacementDecision) {
         let backend = decision.order.backend;
         self.events.record(
             EventKind::Place,
@@ -169,17 +169,17 @@
             incarnation: decision.order.incarnation,
             action,
         };
-        let said = match self.engines.order(address, &order).await {
+        let result = match self.engines.order(address, &order).await {
             Ok(reply) if reply.accepted => "the engine took it".to_owned(),
             Ok(reply) => format!("the engine knows token {}", reply.highest_token),
             Err(error) => error,
         };
         info!(self.logger, "order sent";
-            "engine" => backend.0, "token" => token.0, "said" => &said);
+            "engine" => backend.0, "token" => token.0, "said" => &result);
         self.events.record(
             EventKind::Order,
             format!("engine {backend}"),
-            said,
+            result,
             [
                 ("token", token.0.into()),
                 ("action", decision.order.action.as_str().into()),
--- a/crates/daemon/src/gateway/route.rs
+++ b/crates/daemon/src/gateway/route.rs
@@ -19,14 +19,14 @@
 use super::validation::{CompletionRequest, Repeatability};
 
 /// How a completion ended.
-pub(super) enum CompletionEnd {
+pub(super) enum RunEnd {
     Completed,
     Replayed(Vec<u8>),
     Failed(ApiError),
     CallerGone,
 }
 
-impl CompletionEnd {
+impl RunEnd {
     /// Returns the metric label.
     fn label(&self) -> &'static str {
         match self {
@@ -101,10 +101,10 @@
     let ending = run.admitted().await;
     state.metrics.request_ended(ending.label());
     match ending {
-        CompletionEnd::Completed => run.sink.finish().await,
-        CompletionEnd::Replayed(recorded) => run.sink.replay(&recorded).await,
-        CompletionEnd::Failed(error) => run.sink.fail(&error).await,
-        CompletionEnd::CallerGone => None,
+        RunEnd::Completed => run.sink.finish().await,
+        RunEnd::Replayed(recorded) => run.sink.replay(&recorded).await,
+        RunEnd::Failed(error) => run.sink.fail(&error).await,
+        RunEnd::CallerGone => None,
     }
 }
 
@@ -126,14 +126,14 @@
 
 impl Run<'_> {
     /// Checks the service, waits for admission and runs the request.
-    async fn admitted(&mut self) -> CompletionEnd {
+    async fn admitted(&mut self) -> RunEnd {
         let model = match self.state.model_of(&self.completion.service) {
             Ok(model) => model,
             Err(refusal) => {
                 let completion = self.completion;
                 self.state
-                    .note_refusal(&completion.tenant, &completion.service, &refusal);
-                return CompletionEnd::Failed(refusal.into());
+                    .record_refusal(&completion.tenant, &completion.service, &refusal);
+                return RunEnd::Failed(refusal.into());
             }
         };
         self.model = model;
@@ -149,12 +149,12 @@
                 self.settle(&ending).await;
                 ending
             }
-            Err(NotAdmitted::Refused(refusal)) => CompletionEnd::Failed(refusal.into()),
-            Err(NotAdmitted::CallerGone) => CompletionEnd::CallerGone,
+            Err(NotAdmitted::Refused(refusal)) => RunEnd::Failed(refusal.into()),
+            Err(NotAdmitted::CallerGone) => RunEnd::CallerGone,
         }
     }
 
-    async fn steps_until_end(&mut self, permit: &mut Permit<'_>) -> CompletionEnd {
+    async fn steps_until_end(&mut self, permit: &mut Permit<'_>) -> RunEnd {
         let mut next = self.steps.begin();
         loop {
             next = match next {
@@ -164,14 +164,14 @@
                     self.state
                         .pickers
                         .with_budget(service, |budget| budget.earn());
-                    permit.note_run();
+                    permit.record_run();
                     match self.dispatch(&[]).await {
                         Ok(next) => next,
                         Err(ending) => return ending,
                     }
                 }
                 NextStep::Retry { exclude } => {
-                    self.note_retry(&exclude);
+                    self.record_retry(&exclude);
                     match self.dispatch(&exclude).await {
                         Ok(next) => next,
                         Err(ending) => return ending,
@@ -183,10 +183,8 @@
                 },
                 NextStep::AskStatus { attempt } => self.ask(attempt).await,
                 NextStep::Replay { outcome } => return self.replay(outcome),
-                NextStep::Done => return CompletionEnd::Completed,
-                NextStep::Fail { outcome } => {
-                    return CompletionEnd::Failed(self.failure(outcome));
-                }
+                NextStep::Done => return RunEnd::Completed,
+                NextStep::Fail { outcome } => return RunEnd::Failed(self.failure(outcome)),
             };
         }
     }
@@ -205,10 +203,10 @@
 
     /// Awaits `work`; returns `None` if the caller disconnects first and that stops
     /// the request.
-    pub(super) async fn unless_gone<T>(&self, work: impl Future<Output = T>) -> Option<T> {
+    pub(super) async fn unless_disconnected<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         let gone = async {
             match &self.presence {
-                Some(presence) if self.stops_when_gone() => presence.gone().await,
+                Some(presence) if self.stops_on_disconnect() => presence.gone().await,
                 _ => futures_lite::future::pending().await,
             }
             None
@@ -218,12 +216,12 @@
 
     /// Whether the request stops when its caller disconnects. A claimed request goes on
     /// until its outcome is recorded, so that the caller can fetch the answer later.
-    pub(super) fn stops_when_gone(&self) -> bool {
+    pub(super) fn stops_on_disconnect(&self) -> bool {
         !self.claim.is_held()
     }
 
     /// Cancels the attempt of a caller that has disconnected.
-    pub(super) fn caller_gone(&mut self) -> CompletionEnd {
+    pub(super) fn caller_gone(&mut self) -> RunEnd {
         if let Some(in_flight) = self.in_flight.take() {
             self.state.metrics.cancelled();
             self.state.events.record(
@@ -234,29 +232,29 @@
             );
             self.state.abandon_attempt(&in_flight);
         }
-        CompletionEnd::CallerGone
+        RunEnd::CallerGone
     }
 
-    fn replay(&mut self, outcome: RunOutcome) -> CompletionEnd {
+    fn replay(&mut self, outcome: RunOutcome) -> RunEnd {
         match self.claim.take_recorded(outcome) {
-            Ok(recorded) => CompletionEnd::Replayed(recorded),
-            Err(error) => CompletionEnd::Failed(error),
+            Ok(recorded) => RunEnd::Replayed(recorded),
+            Err(error) => RunEnd::Failed(error),
         }
     }
 
     /// Records the outcome of a claimed request.
-    async fn settle(&mut self, ending: &CompletionEnd) {
+    async fn settle(&mut self, ending: &RunEnd) {
         if !self.claim.is_held() {
             return;
         }
         let (outcome, answer) = match ending {
-            CompletionEnd::Completed => {
+            RunEnd::Completed => {
                 let answer = serde_json::to_vec(&self.sink.plain_answer());
                 (RunOutcome::Completed, answer.unwrap_or_default())
             }
-            CompletionEnd::Failed(error) => (error.outcome, Vec::new()),
-            CompletionEnd::Replayed(_) => return,
-            CompletionEnd::CallerGone => (self.steps.outcome(), Vec::new()),
+            RunEnd::Failed(error) => (error.outcome, Vec::new()),
+            RunEnd::Replayed(_) => return,
+            RunEnd::CallerGone => (self.steps.outcome(), Vec::new()),
         };
         self.claim.settle(self.state, outcome, answer).await;
     }
--- a/crates/daemon/src/gateway/state.rs
+++ b/crates/daemon/src/gateway/state.rs
@@ -57,7 +57,7 @@
     /// Closed once new requests are refused.
     stopping: (Sender<()>, Receiver<()>),
     /// Contains a message while the candidates are stale.
-    stale_engines: (Sender<()>, Receiver<()>),
+    candidates_stale: (Sender<()>, Receiver<()>),
     /// Executor of batch work, on a dedicated thread.
     batch_executor: Arc<Executor<'static>>,
     directory: Mutex<Directory>,
@@ -96,7 +96,7 @@
             plans: RecentPlans::default(),
             draining: AtomicBool::new(false),
             stopping: async_channel::bounded(1),
-            stale_engines: async_channel::bounded(1),
+            candidates_stale: async_channel::bounded(1),
             batch_executor: Arc::new(Executor::new()),
             directory: Mutex::new(Directory::new(DirectorySettings::default())),
             gateways: Mutex::new(GatewaySet::new(GatewaySetSettings::default())),
@@ -110,9 +110,9 @@
 
     /// Returns an attempt ID that no node has used before.
     pub(super) fn next_attempt(&self) -> AttemptId {
-        let life = self.options.incarnation.0 & ((1 << INCARNATION_BITS) - 1);
+        let incarnation = self.options.incarnation.0 & ((1 << INCARNATION_BITS) - 1);
         AttemptId {
-            node: (u64::from(self.options.node.0) << INCARNATION_BITS) | life,
+            node: (u64::from(self.options.node.0) << INCARNATION_BITS) | incarnation,
             sequence: self.last_attempt.fetch_add(1, Ordering::Relaxed) + 1,
         }
     }
@@ -138,14 +138,14 @@
     }
 
     /// Marks the candidates as stale; many changes cause a single update.
-    pub(super) fn refresh_engines(&self) {
+    pub(super) fn mark_candidates_stale(&self) {
         // A full channel already marks them as stale.
-        let _noted = self.stale_engines.0.try_send(());
+        let _result = self.candidates_stale.0.try_send(());
     }
 
     /// Resolves once the candidates are stale.
-    pub(super) async fn stale_engines(&self) {
-        let _noted = self.stale_engines.1.recv().await;
+    pub(super) async fn candidates_stale(&self) {
+        let _result = self.candidates_stale.1.recv().await;
     }
 
     pub(super) fn directory(&self) -> MutexGuard<'_, Directory> {
--- a/crates/daemon/src/gateway/stream.rs
+++ b/crates/daemon/src/gateway/stream.rs
@@ -105,7 +105,7 @@
 
     /// Processes the next token.
     pub(super) async fn token(&mut self, token: Token) -> Result<(), CallerGone> {
-        self.note(&token.chunk);
+        self.collect(&token.chunk);
         let Some(live) = &mut self.live else {
             return Ok(());
         };
@@ -123,7 +123,7 @@
         writer.send(&event).await.map_err(|_| CallerGone)
     }
 
-    fn note(&mut self, chunk: &CompletionChunk) {
+    fn collect(&mut self, chunk: &CompletionChunk) {
         if let Some(text) = &mut self.text {
             text.push_str(&chunk.text);
         }
--- a/crates/daemon/src/gateway/tenant_weights.rs
+++ b/crates/daemon/src/gateway/tenant_weights.rs
@@ -18,27 +18,27 @@
 
 impl GatewayState {
     /// Copies weights to the job groups until the gateway stops.
-    pub(super) async fn carry_weights(self: Arc<Self>) {
-        let mut carried: BTreeMap<TenantId, u32> = BTreeMap::new();
+    pub(super) async fn sync_weights(self: Arc<Self>) {
+        let mut applied: BTreeMap<TenantId, u32> = BTreeMap::new();
         loop {
             Timer::after(INTERVAL).await;
-            if !self.has_weight_duty() {
+            if !self.syncs_weights() {
                 // The gateway that takes over may set other weights.
-                carried.clear();
+                applied.clear();
                 continue;
             }
             for (tenant, weight) in self.configured_weights() {
-                if carried.get(&tenant) == Some(&weight) {
+                if applied.get(&tenant) == Some(&weight) {
                     continue;
                 }
-                if self.carry_weight(&tenant, weight).await {
-                    carried.insert(tenant, weight);
+                if self.set_weight_everywhere(&tenant, weight).await {
+                    applied.insert(tenant, weight);
                 }
             }
         }
     }
 
-    fn has_weight_duty(&self) -> bool {
+    fn syncs_weights(&self) -> bool {
         let key = BackendId(digest_of(RANKING_KEY).0 as u32);
         let chosen = highest(self.gateways().nodes(), key);
         chosen == Some(self.options.node) && !self.is_draining()
@@ -53,7 +53,7 @@
     }
 
     /// Sets one weight in every job group; returns false if a group did not accept it.
-    async fn carry_weight(&self, tenant: &TenantId, weight: u32) -> bool {
+    async fn set_weight_everywhere(&self, tenant: &TenantId, weight: u32) -> bool {
         for group in 1..=self.options.job_groups {
             let set = self
                 .cluster
--- a/crates/daemon/src/incarnation.rs
+++ b/crates/daemon/src/incarnation.rs
@@ -22,7 +22,7 @@
     let previous = read_checked(&disk, "", FILE)?;
     let previous = previous.and_then(|bytes| <[u8; 8]>::try_from(bytes).ok());
     let successor = previous.map_or(1, |bytes| u64::from_le_bytes(bytes) + 1);
-    let life = successor.max(unix_millis());
-    write_checked(&disk, "", FILE, &[&life.to_le_bytes()])?;
-    Ok(Incarnation(life))
+    let number = successor.max(unix_millis());
+    write_checked(&disk, "", FILE, &[&number.to_le_bytes()])?;
+    Ok(Incarnation(number))
 }
--- a/crates/daemon/src/local_transport.rs
+++ b/crates/daemon/src/local_transport.rs
@@ -40,7 +40,7 @@
         self.others.send(node, request)
     }
 
-    fn learn(&self, node: NodeId, address: &str) {
-        self.others.learn(node, address);
+    fn update_address(&self, node: NodeId, address: &str) {
+        self.others.update_address(node, address);
     }
 }
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -129,7 +129,7 @@
                     }
                 }
                 Output::LeaderChanged { group, leader } => {
-                    context.leaders.note(group, leader);
+                    context.leaders.record(group, leader);
                     context.reporter.leader(group, leader);
                 }
                 Output::ConfigurationChanged { version } => {
--- a/crates/daemon/src/replica/heartbeats.rs
+++ b/crates/daemon/src/replica/heartbeats.rs
@@ -67,7 +67,7 @@
     }
 
     /// Records a heartbeat, unless it is of an earlier incarnation.
-    pub fn note(&self, heartbeat: NodeHeartbeat) {
+    pub fn record(&self, heartbeat: NodeHeartbeat) {
         let mut state = self.lock();
         let node = heartbeat.node;
         let known = state.received.get(&node).map(|one| &one.heartbeat);
--- a/crates/daemon/src/replica/leaders.rs
+++ b/crates/daemon/src/replica/leaders.rs
@@ -29,7 +29,7 @@
     }
 
     /// Records a change.
-    pub fn note(&self, group: GroupId, leader: Option<NodeId>) {
+    pub fn record(&self, group: GroupId, leader: Option<NodeId>) {
         let since = Instant::now();
         self.lock().insert(group, Known { leader, since });
     }
--- a/crates/daemon/src/replica/reporter.rs
+++ b/crates/daemon/src/replica/reporter.rs
@@ -37,11 +37,11 @@
 
     /// Reports an event of the replica's core.
     pub fn event(&self, event: &ReplicaEvent) {
-        let worrying = matches!(
+        let is_warning = matches!(
             event,
             ReplicaEvent::Fault { .. } | ReplicaEvent::DiskFull { full: true }
         );
-        if worrying {
+        if is_warning {
             warn!(self.logger, "{}", event);
         } else {
             info!(self.logger, "{}", event);
--- a/crates/daemon/src/replica/service.rs
+++ b/crates/daemon/src/replica/service.rs
@@ -50,7 +50,7 @@
                 self.answered(self.driver.call(call).await)
             }
             Request::Watch(watch) => {
-                self.versions.note(&watch);
+                self.versions.record(&watch);
                 self.feed.watch(&watch).await
             }
             Request::VersionsInForce => Response::VersionsInForce {
@@ -94,7 +94,7 @@
         let Some(led_for) = self.leaders.led_for(GroupId::CONTROL) else {
             return self.not_leader(self.leaders.of(GroupId::CONTROL));
         };
-        self.heartbeats.note(heartbeat);
+        self.heartbeats.record(heartbeat);
         let left = self.heartbeats.warm_up_left(led_for);
         if left.is_zero() {
             let nodes = self.heartbeats.live();
--- a/crates/daemon/src/replica/versions.rs
+++ b/crates/daemon/src/replica/versions.rs
@@ -24,7 +24,7 @@
 
 impl VersionsInForce {
     /// Records the version that a node reported.
-    pub fn note(&self, watch: &WatchConfiguration) {
+    pub fn record(&self, watch: &WatchConfiguration) {
         let reported = ReportedVersion {
             version: watch.in_force,
             at: Instant::now(),
--- a/crates/daemon/tests/cluster_calls.rs
+++ b/crates/daemon/tests/cluster_calls.rs
@@ -42,7 +42,7 @@
         false
     }
 
-    fn learn(&self, _node: NodeId, _address: &str) {}
+    fn update_address(&self, _node: NodeId, _address: &str) {}
 }
 
 #[test]
@@ -91,7 +91,7 @@
         false
     }
 
-    fn learn(&self, _node: NodeId, _address: &str) {}
+    fn update_address(&self, _node: NodeId, _address: &str) {}
 }
 
 #[test]
@@ -157,7 +157,7 @@
         false
     }
 
-    fn learn(&self, _node: NodeId, _address: &str) {}
+    fn update_address(&self, _node: NodeId, _address: &str) {}
 }
 
 /// Guards against a call that spends its remaining time on the node that has just timed
--- a/crates/daemon/tests/support/replica.rs
+++ b/crates/daemon/tests/support/replica.rs
@@ -290,7 +290,7 @@
         true
     }
 
-    fn learn(&self, _node: NodeId, _address: &str) {}
+    fn update_address(&self, _node: NodeId, _address: &str) {}
 }
 
 /// Returns the outcome of a refusal.
--- a/crates/daemon/tests/wire_transport.rs
+++ b/crates/daemon/tests/wire_transport.rs
@@ -27,8 +27,8 @@
     let addresses = [(NodeId(1), configured_address)];
     let limits = ClientLimits::default();
     let transport = WireTransport::new(executor.clone(), addresses, limits, 1);
-    transport.learn(NodeId(1), &learnt_address.to_string());
-    transport.learn(NodeId(2), &learnt_address.to_string());
+    transport.update_address(NodeId(1), &learnt_address.to_string());
+    transport.update_address(NodeId(2), &learnt_address.to_string());
     for (node, expected) in [(NodeId(1), configured), (NodeId(2), learnt)] {
         let accepting = blocking_accept(expected);
         let call = transport.call(node, request(), PATIENCE);
