--- a/crates/daemon/benches/replica_times.rs
+++ b/crates/daemon/benches/replica_times.rs
@@ -26,7 +26,7 @@
 fn main() {
     block_on(async {
         fail_over().await;
-        planned_stop().await;
+        graceful_stop().await;
         restart_and_replacement().await;
     });
     configuration_in_force();
@@ -34,7 +34,7 @@
 
 /// Measures the time from killing the leader to the next acknowledged write.
 async fn fail_over() {
-    let mut cluster = Cluster::of_replicas();
+    let mut cluster = Cluster::with_replicas();
     cluster.start_all();
     let control = Control::of(&cluster);
     assert_eq!(control.confirm(0).await, confirmed(1));
@@ -52,8 +52,8 @@
 }
 
 /// Measures the time from a graceful stop of the leader to the next acknowledged write.
-async fn planned_stop() {
-    let mut cluster = Cluster::of_replicas();
+async fn graceful_stop() {
+    let mut cluster = Cluster::with_replicas();
     cluster.start_all();
     let control = Control::of(&cluster);
     assert_eq!(control.confirm(0).await, confirmed(1));
@@ -105,7 +105,7 @@
 /// Measures the restart of a replica, and the replacement of one whose disk was lost,
 /// after many configuration changes.
 async fn restart_and_replacement() {
-    let mut cluster = Cluster::of_replicas();
+    let mut cluster = Cluster::with_replicas();
     cluster.start_all();
     let control = Control::of(&cluster);
     let begun = Instant::now();
--- a/crates/daemon/tests/boot_clock.rs
+++ b/crates/daemon/tests/boot_clock.rs
@@ -7,7 +7,7 @@
 use molespan_daemon::boot_clock::BootClock;
 
 #[test]
-fn a_wait_ends_soon_behind_a_suspension_that_it_lay_in() {
+fn a_wait_ends_soon_after_a_suspension() {
     let skipped = Arc::new(AtomicU64::new(0));
     let clock = BootClock::skipping(skipped.clone());
     let at = clock.now() + Duration::from_secs(3_600);
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn without_a_suspension_it_counts_as_the_steady_clock_does() {
+fn without_a_suspension_the_clock_follows_the_monotonic_clock() {
     let clock = BootClock::start();
     let steady = Instant::now();
     std::thread::sleep(Duration::from_millis(30));
--- a/crates/daemon/tests/cluster_calls.rs
+++ b/crates/daemon/tests/cluster_calls.rs
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_call_that_the_leader_holds_is_not_given_up_meanwhile() {
+fn a_long_poll_held_by_the_leader_does_not_time_out() {
     let transport = Arc::new(HoldingLeader::default());
     let limits = ClusterLimits {
         first_call_timeout: Duration::from_millis(300),
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_call_goes_on_behind_the_nodes_that_earlier_ones_asked_in_vain() {
+fn a_call_skips_the_nodes_that_failed_earlier_calls() {
     let limits = ClusterLimits {
         first_call_timeout: Duration::from_millis(20),
         ..ClusterLimits::default()
@@ -164,7 +164,7 @@
 /// out, while any other node would name the new leader. Engines could not sign off and
 /// callers' jobs were rejected.
 #[test]
-fn a_node_that_was_silent_is_not_the_next_one_that_is_asked() {
+fn a_silent_node_is_not_retried_before_others() {
     for nodes in [
         [LEADER, OTHER, SILENT_LEADER],
         [LEADER, SILENT_LEADER, OTHER],
--- a/crates/daemon/tests/gateway_batch.rs
+++ b/crates/daemon/tests/gateway_batch.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_submission_that_cannot_be_taken_is_told_why() {
+fn a_rejected_submission_states_the_reason() {
     let world = World::start(&small_fleet());
     let gateway = world.gateway(11);
     let good = items(1);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn batch_work_makes_way_for_a_request_at_either_gateway() {
+fn batch_work_yields_to_requests_at_either_gateway() {
     let world = World::start(&FleetSettings {
         engines: 1,
         ..small_fleet()
--- a/crates/daemon/tests/gateway_faults.rs
+++ b/crates/daemon/tests/gateway_faults.rs
@@ -24,13 +24,13 @@
 }
 
 /// Short timeouts, so that a frozen engine is detected soon.
-fn impatient(options: &mut GatewayOptions) {
+fn with_short_timeouts(options: &mut GatewayOptions) {
     options.timeouts.response = Duration::from_millis(400);
     options.timeouts.stall = Duration::from_millis(400);
     options.timeouts.control = Duration::from_millis(200);
 }
 
-fn once(fault: AnswerFault) -> FaultSettings {
+fn one_answer_fault(fault: AnswerFault) -> FaultSettings {
     FaultSettings {
         answers: vec![AnswerFaultRule {
             fault,
@@ -89,7 +89,7 @@
         for streamed in [false, true] {
             let prompt = format!("row {row} streamed {streamed}");
             let expected = expected_answer(&prompt, TOKENS);
-            world.set_engine_faults(0, once(fault));
+            world.set_engine_faults(0, one_answer_fault(fault));
             if streamed {
                 let answer = stream(gateway.address, &prompt, TOKENS);
                 assert_eq!(
@@ -113,8 +113,8 @@
     let gateway = world.gateway(11);
     for bytes in [0, 1, 20, 150, 260] {
         let fault = AnswerFault::CutRequest { bytes };
-        world.set_engine_faults(0, once(fault));
-        world.set_engine_faults(1, once(fault));
+        world.set_engine_faults(0, one_answer_fault(fault));
+        world.set_engine_faults(1, one_answer_fault(fault));
         let prompt = format!("cut at {bytes}");
         let answer = complete(gateway.address, &prompt, TOKENS);
         match answer.status {
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn when_every_engine_refuses_the_caller_hears_not_run_at_once() {
+fn when_every_engine_refuses_the_caller_gets_not_run_immediately() {
     let world = World::start(&small_fleet());
     let gateway = world.gateway(11);
     let refuse = engine_fault(EngineFaults {
@@ -168,7 +168,7 @@
 #[test]
 fn a_repeatable_request_leaves_a_frozen_engine() {
     let world = World::start(&small_fleet());
-    let gateway = world.tuned_gateway(11, impatient);
+    let gateway = world.tuned_gateway(11, with_short_timeouts);
     world.set_engine_faults(
         0,
         engine_fault(EngineFaults {
@@ -188,7 +188,10 @@
 fn a_stream_goes_on_after_its_connection_broke() {
     let world = World::start(&one_engine());
     let gateway = world.gateway(11);
-    world.set_engine_faults(0, once(AnswerFault::CutResponse { bytes: 1_500 }));
+    world.set_engine_faults(
+        0,
+        one_answer_fault(AnswerFault::CutResponse { bytes: 1_500 }),
+    );
     let answer = stream(gateway.address, "a long walkthrough", 80);
     let expected = expected_answer("a long walkthrough", 80);
     assert_eq!(answer.streamed_text(), (expected, true), "{answer:?}");
@@ -215,7 +218,7 @@
 }
 
 #[test]
-fn a_stream_whose_engine_crashed_says_that_it_is_not_whole() {
+fn a_stream_whose_engine_crashed_ends_with_an_error() {
     let world = World::start(&one_engine());
     let gateway = world.gateway(11);
     let address = gateway.address;
@@ -235,8 +238,8 @@
 #[test]
 fn a_request_that_may_not_be_repeated_runs_at_most_once() {
     let world = World::start(&small_fleet());
-    let gateway = world.tuned_gateway(11, impatient);
-    let other = world.tuned_gateway(12, impatient);
+    let gateway = world.tuned_gateway(11, with_short_timeouts);
+    let other = world.tuned_gateway(12, with_short_timeouts);
     // After a broken connection an engine's "never seen" answer is not conclusive: the
     // request's bytes may still be in transit.
     let table = [
@@ -253,8 +256,8 @@
     ];
     for (row, (fault, status)) in table.into_iter().enumerate() {
         let (key, prompt) = (format!("key-{row}"), format!("grade {row}"));
-        world.set_engine_faults(0, once(fault));
-        world.set_engine_faults(1, once(fault));
+        world.set_engine_faults(0, one_answer_fault(fault));
+        world.set_engine_faults(1, one_answer_fault(fault));
         let first = once_only(&gateway, &key, &prompt);
         let again = once_only(&other, &key, &prompt);
         assert!(
@@ -279,8 +282,8 @@
 #[test]
 fn after_a_crash_a_request_that_may_not_be_repeated_stays_unknown() {
     let world = World::start(&one_engine());
-    let gateway = world.tuned_gateway(11, impatient);
-    let other = world.tuned_gateway(12, impatient);
+    let gateway = world.tuned_gateway(11, with_short_timeouts);
+    let other = world.tuned_gateway(12, with_short_timeouts);
     let address = gateway.address;
     let asking = std::thread::spawn(move || {
         let headers = [("x-repeatable", "false"), ("idempotency-key", "bill")];
@@ -309,7 +312,7 @@
 #[test]
 fn a_frozen_engine_leaves_a_request_that_may_not_be_repeated_unknown() {
     let world = World::start(&small_fleet());
-    let gateway = world.tuned_gateway(11, impatient);
+    let gateway = world.tuned_gateway(11, with_short_timeouts);
     let frozen = engine_fault(EngineFaults {
         frozen: true,
         ..EngineFaults::default()
@@ -356,7 +359,7 @@
 }
 
 #[test]
-fn a_caller_that_left_a_request_that_runs_once_finds_its_answer() {
+fn a_caller_that_disconnected_from_a_claimed_request_can_fetch_its_answer() {
     let world = World::start(&small_fleet());
     let gateway = world.gateway(11);
     let other = world.gateway(12);
--- a/crates/daemon/tests/gateway_members.rs
+++ b/crates/daemon/tests/gateway_members.rs
@@ -14,7 +14,7 @@
 use support::{RunningGateway, World, small_fleet, wait_for};
 
 /// Concurrent requests to a gateway that has just become ready.
-const AT_ONCE: u32 = 24;
+const CONCURRENT_REQUESTS: u32 = 24;
 
 fn backend_state(gateway: &RunningGateway, id: u64) -> String {
     let backends = get(gateway.address, "/admin/backends").json_value();
@@ -54,14 +54,14 @@
 }
 
 #[test]
-fn a_gateway_that_says_it_is_ready_has_its_engines() {
+fn a_ready_gateway_has_its_engines() {
     let world = World::start(&small_fleet());
     for node in 11..19 {
         let gateway = world.unready_gateway(node, |_| {});
         wait_for("a ready gateway", || gateway.gateway.is_ready());
         let address = gateway.address;
         let ask = |number| move || complete(address, &format!("request {number} of {node}"), 2);
-        let callers: Vec<_> = (0..AT_ONCE)
+        let callers: Vec<_> = (0..CONCURRENT_REQUESTS)
             .map(|number| thread::spawn(ask(number)))
             .collect();
         for caller in callers {
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_planned_stop_cuts_nothing() {
+fn a_graceful_stop_aborts_nothing() {
     let world = World::start(&small_fleet());
     let gateway = world.gateway(11);
     let address = gateway.address;
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_node_without_confirmation_turns_unready_and_refuses() {
+fn a_node_without_confirmation_becomes_unready_and_rejects() {
     let world = World::start(&small_fleet());
     let gateway = world.tuned_gateway(11, |options| {
         options.currency_bound = Duration::from_millis(600);
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn an_operators_request_that_makes_no_sense_is_told_why() {
+fn an_invalid_operator_request_states_the_reason() {
     let world = World::start(&small_fleet());
     let gateway = world.gateway(11);
     let good = intent(2, "almaz", 1, 10);
@@ -281,7 +281,7 @@
 }
 
 #[test]
-fn watchers_see_decisions_and_do_not_hold_up_a_stop() {
+fn watchers_see_decisions_and_do_not_delay_a_stop() {
     let world = World::start(&small_fleet());
     let gateway = world.gateway(11);
     let address = gateway.address;
--- a/crates/daemon/tests/gateway_online.rs
+++ b/crates/daemon/tests/gateway_online.rs
@@ -18,7 +18,7 @@
 use support::{World, caption, completion_service, small_fleet, wait_for};
 
 #[test]
-fn a_plain_and_a_streamed_completion_are_whole() {
+fn plain_and_streamed_completions_are_complete() {
     let world = World::start(&small_fleet());
     let gateway = world.gateway(11);
     let expected = expected_answer("a family at the lake", 12);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn health_readiness_and_metrics_are_there() {
+fn health_readiness_and_metrics_are_served() {
     let world = World::start(&small_fleet());
     let gateway = world.gateway(11);
     complete(gateway.address, "one", 2);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_request_that_cannot_be_understood_is_told_why() {
+fn an_invalid_request_states_the_reason() {
     let world = World::start(&small_fleet());
     let gateway = world.gateway(11);
     let whole = completion("x", 2, false);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_half_sent_request_runs_nothing_and_keeps_nobody_waiting() {
+fn an_incomplete_request_runs_nothing_and_blocks_no_others() {
     let world = World::start(&small_fleet());
     let gateway = world.gateway(11);
     let body = completion("half sent", 2, false);
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn an_application_is_passed_through_whole() {
+fn an_application_request_is_passed_through_unchanged() {
     let world = World::start(&small_fleet());
     let gateway = world.gateway(11);
     let answer = call(
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn an_application_that_fails_is_asked_again_only_where_that_is_safe() {
+fn a_failed_application_request_is_retried_only_where_that_is_safe() {
     let world = World::start(&small_fleet());
     let gateway = world.gateway(11);
     let application = world.fleet.members.last().unwrap();
--- a/crates/daemon/tests/gateway_suspended.rs
+++ b/crates/daemon/tests/gateway_suspended.rs
@@ -29,7 +29,7 @@
 /// Guards against a gateway that continues with items whose leases expired during the
 /// suspension: other gateways ran them too, which produced two results for each.
 #[test]
-fn leases_run_out_while_the_machine_is_suspended() {
+fn leases_expire_while_the_machine_is_suspended() {
     let world = World::start(&FleetSettings {
         engines: 1,
         ..small_fleet()
@@ -59,7 +59,7 @@
 
 /// Another configuration may have become active during the suspension.
 #[test]
-fn a_gateway_that_was_suspended_is_not_ready_before_it_confirmed_its_configuration() {
+fn a_suspended_gateway_is_not_ready_until_it_confirms_its_configuration() {
     let world = World::start(&small_fleet());
     let (gateway, skipped) = suspended(&world, 11);
     assert!(gateway.gateway.is_ready());
--- a/crates/daemon/tests/processes/cluster.rs
+++ b/crates/daemon/tests/processes/cluster.rs
@@ -35,7 +35,7 @@
 
 impl Cluster {
     /// Creates three replicas without starting them.
-    pub fn of_replicas() -> Self {
+    pub fn with_replicas() -> Self {
         Self::on(executor())
     }
 
@@ -49,7 +49,7 @@
         for (number, zone) in (1..).zip(ZONES) {
             cluster.add(NodeId(number), zone, Role::Replica, free_address());
         }
-        cluster.introduce();
+        cluster.set_peers();
         cluster
     }
 
@@ -61,7 +61,7 @@
             let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
             cluster.add(NodeId(number), zone, Role::Gateway, any);
         }
-        cluster.introduce();
+        cluster.set_peers();
         cluster.tune(|settings| {
             settings.platform.list_address = Some(platform);
             settings.timing.drain.unready_wait = Duration::from_millis(200);
@@ -88,7 +88,7 @@
     }
 
     /// Lists the replicas as peers of every node.
-    fn introduce(&mut self) {
+    fn set_peers(&mut self) {
         let all: Vec<_> = self.settings.values().map(Settings::as_peer).collect();
         for (&own, settings) in &mut self.settings {
             let others = all.iter().filter(|peer| peer.id != own);
@@ -112,7 +112,7 @@
 
     /// Starts a second process with the settings of a running node, and
     /// waits until it exits.
-    pub fn start_twice(&self, node: NodeId) -> std::process::Output {
+    pub fn run_second_process(&self, node: NodeId) -> std::process::Output {
         Daemon::run(&self.settings[&node], self.folder.path())
     }
 
@@ -122,7 +122,7 @@
     }
 
     /// Starts a node that is expected to exit by itself.
-    pub fn start_in_vain(&self, node: NodeId) -> std::process::Output {
+    pub fn run_until_exit(&self, node: NodeId) -> std::process::Output {
         assert!(!self.runs(node), "node {node} still runs");
         Daemon::run(&self.settings[&node], self.folder.path())
     }
--- a/crates/daemon/tests/processes/control.rs
+++ b/crates/daemon/tests/processes/control.rs
@@ -53,8 +53,10 @@
     async fn attempt(&self, request: &Request) -> Option<Response> {
         let asked = self.presumed_leader();
         match self.ask(asked, request.clone()).await {
-            Some(Response::NotLeader { leader: Some(hint) }) => self.presume(hint.node),
-            None | Some(Response::NotLeader { leader: None }) => self.presume(self.after(asked)),
+            Some(Response::NotLeader { leader: Some(hint) }) => self.set_presumed_leader(hint.node),
+            None | Some(Response::NotLeader { leader: None }) => {
+                self.set_presumed_leader(self.after(asked))
+            }
             Some(Response::Refused { .. }) => {}
             Some(response) => return Some(response),
         }
@@ -65,7 +67,7 @@
         *self.leader.lock().unwrap()
     }
 
-    fn presume(&self, node: NodeId) {
+    fn set_presumed_leader(&self, node: NodeId) {
         *self.leader.lock().unwrap() = node;
     }
 
--- a/crates/daemon/tests/processes/fleet.rs
+++ b/crates/daemon/tests/processes/fleet.rs
@@ -43,7 +43,7 @@
         cluster.tune(change);
         cluster.start_all();
         let fleet = Self { cluster, backends };
-        fleet.put_in_force(&settings);
+        fleet.configure_services(&settings);
         for gateway in fleet.cluster.gateways() {
             fleet.wait_until_serving(gateway);
         }
@@ -51,7 +51,7 @@
     }
 
     /// Plans and confirms the fleet's services, as an operator does.
-    fn put_in_force(&self, settings: &FleetSettings) {
+    fn configure_services(&self, settings: &FleetSettings) {
         let service = |kind: &str, model: Option<&str>, batch: bool| {
             json!({
                 "kind": kind, "model": model, "max_concurrency": 256, "max_queue": 256,
--- a/crates/daemon/tests/processes/mod.rs
+++ b/crates/daemon/tests/processes/mod.rs
@@ -48,14 +48,14 @@
 
 /// Waits until a count has stopped changing and returns it.
 pub fn settled(mut count: impl FnMut() -> u64) -> u64 {
-    const LOOKS: u32 = 30;
+    const STABLE_CHECKS: u32 = 30;
     let mut last = count();
     let mut same = 0;
     wait_for("a count that stays the same", || {
         let now = count();
         same = if now == last { same + 1 } else { 0 };
         last = now;
-        same >= LOOKS
+        same >= STABLE_CHECKS
     });
     last
 }
--- a/crates/daemon/tests/processes_path.rs
+++ b/crates/daemon/tests/processes_path.rs
@@ -20,7 +20,7 @@
 /// Items of a job that is disturbed while it runs.
 const ITEMS: u32 = 1_500;
 /// Completed items after which the disturbance begins.
-const UNDER_WAY: u64 = 50;
+const ITEMS_BEFORE_DISTURBANCE: u64 = 50;
 /// Number of job groups in the default settings.
 const JOB_GROUPS: u32 = 4;
 /// Concurrent callers of a gateway that stops.
@@ -28,9 +28,9 @@
 /// Tokens of an answer that takes about a second.
 const LONG_ANSWER: u32 = 250;
 /// Longer than the bound within which a gateway must confirm its configuration.
-const PAST_THE_BOUND: Duration = Duration::from_millis(1_500);
+const LONGER_THAN_CURRENCY_BOUND: Duration = Duration::from_millis(1_500);
 /// Time after which bytes sent over loopback have arrived.
-const SENT: Duration = Duration::from_millis(200);
+const DELIVERY_TIME: Duration = Duration::from_millis(200);
 
 #[test]
 fn online_and_batch_work_is_served_end_to_end() {
@@ -69,14 +69,14 @@
     let mut fleet = RunningFleet::start();
     let gateway = fleet.cluster.gateways()[0];
     let id = fleet.submit(gateway, "heap", ITEMS);
-    fleet.wait_for_items(gateway, &id, UNDER_WAY);
+    fleet.wait_for_items(gateway, &id, ITEMS_BEFORE_DISTURBANCE);
     let control = Control::of(&fleet.cluster);
     let group = JobId::parse(&id).unwrap().group(JOB_GROUPS);
     for _ in 0..2 {
         let leader = block_on(control.leader_of(group));
         fleet.cluster.kill(leader);
         let before = fleet.job(gateway, &id)["completed"].as_u64().unwrap();
-        let more = u64::from(ITEMS).min(before + UNDER_WAY);
+        let more = u64::from(ITEMS).min(before + ITEMS_BEFORE_DISTURBANCE);
         fleet.wait_for_items(gateway, &id, more);
         fleet.cluster.start(leader);
         block_on(fleet.cluster.wait_until_ready(leader));
@@ -89,7 +89,7 @@
     let mut fleet = RunningFleet::start();
     let gateway = fleet.cluster.gateways()[0];
     let id = fleet.submit(gateway, "heap", ITEMS);
-    fleet.wait_for_items(gateway, &id, UNDER_WAY);
+    fleet.wait_for_items(gateway, &id, ITEMS_BEFORE_DISTURBANCE);
     let (lost, next) = (NodeId(1), NodeId(3));
     fleet.cluster.kill(lost);
     fleet.cluster.lose_disk(lost);
@@ -106,7 +106,7 @@
         panic!("three gateways");
     };
     let id = fleet.submit(killed, "heap", ITEMS);
-    fleet.wait_for_items(other, &id, UNDER_WAY);
+    fleet.wait_for_items(other, &id, ITEMS_BEFORE_DISTURBANCE);
     fleet.cluster.kill(killed);
     fleet.check_job(other, &id, ITEMS);
     fleet.cluster.start(killed);
@@ -115,11 +115,11 @@
 }
 
 #[test]
-fn a_frozen_leader_holds_nobody_up_for_long() {
+fn a_frozen_leader_delays_requests_only_briefly() {
     let fleet = RunningFleet::start();
     let gateway = fleet.cluster.gateways()[0];
     let id = fleet.submit(gateway, "heap", ITEMS);
-    fleet.wait_for_items(gateway, &id, UNDER_WAY);
+    fleet.wait_for_items(gateway, &id, ITEMS_BEFORE_DISTURBANCE);
     let control = Control::of(&fleet.cluster);
     let frozen = block_on(control.leader());
     fleet.cluster.signal(frozen, Signal::Stop);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_planned_stop_of_a_gateway_cuts_off_nothing() {
+fn a_graceful_stop_of_a_gateway_aborts_nothing() {
     let mut fleet = RunningFleet::start();
     let [stopped, other, _] = fleet.cluster.gateways()[..] else {
         panic!("three gateways");
@@ -142,7 +142,7 @@
         let callers =
             (0..CALLERS).map(|caller| scope.spawn(move || call_while_ready(address, caller)));
         let callers: Vec<_> = callers.collect();
-        fleet.wait_for_items(other, &id, UNDER_WAY);
+        fleet.wait_for_items(other, &id, ITEMS_BEFORE_DISTURBANCE);
         let status = block_on(fleet.cluster.stop(stopped));
         assert!(status.success(), "{status}");
         let answers = callers.into_iter().map(|caller| caller.join().unwrap());
@@ -173,13 +173,13 @@
 }
 
 #[test]
-fn a_planned_stop_of_a_leader_fails_no_request() {
+fn a_graceful_stop_of_a_leader_fails_no_request() {
     let mut fleet = RunningFleet::start();
     let gateway = fleet.cluster.gateways()[0];
     let address = fleet.address(gateway);
     let control = Control::of(&fleet.cluster);
     let id = fleet.submit(gateway, "heap", ITEMS);
-    fleet.wait_for_items(gateway, &id, UNDER_WAY);
+    fleet.wait_for_items(gateway, &id, ITEMS_BEFORE_DISTURBANCE);
     for _ in 0..2 {
         let leader = block_on(control.leader());
         let status = block_on(fleet.cluster.stop(leader));
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_gateway_that_was_frozen_serves_nothing_of_the_past() {
+fn a_frozen_gateway_serves_nothing_stale_after_it_resumes() {
     let fleet = RunningFleet::tuned(|settings| {
         settings.timing.config_watch = Duration::from_millis(300);
         settings.timing.currency_bound = Duration::from_secs(1);
@@ -210,11 +210,11 @@
         2,
         &json!([{"change": "delete_service", "name": "albums"}]),
     );
-    thread::sleep(PAST_THE_BOUND);
+    thread::sleep(LONGER_THAN_CURRENCY_BOUND);
     // Sent while the gateway is frozen, so that it reads the request first when it resumes.
     let answer = thread::scope(|scope| {
         let asked = scope.spawn(|| get(address, "/services/albums/list"));
-        thread::sleep(SENT);
+        thread::sleep(DELIVERY_TIME);
         fleet.cluster.signal(frozen, Signal::Continue);
         asked.join().unwrap()
     });
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn of_two_operators_with_one_number_one_wins_everywhere() {
+fn of_concurrent_operators_with_one_number_one_wins_everywhere() {
     let fleet = RunningFleet::start();
     let gateways = fleet.cluster.gateways();
     let replies: Vec<Value> = thread::scope(|scope| {
@@ -284,14 +284,14 @@
 }
 
 #[test]
-fn a_cancelled_job_stops_whoever_dies() {
+fn a_cancelled_job_stops_even_if_nodes_die() {
     const MANY: u32 = 20_000;
     let mut fleet = RunningFleet::start();
     let [killed, other, _] = fleet.cluster.gateways()[..] else {
         panic!("three gateways");
     };
     let id = fleet.submit(killed, "withdrawn", MANY);
-    fleet.wait_for_items(other, &id, UNDER_WAY);
+    fleet.wait_for_items(other, &id, ITEMS_BEFORE_DISTURBANCE);
     let path = format!("/v1/batches/{id}/cancel");
     let cancelled = post(fleet.address(other), &path, "");
     assert_eq!(cancelled.status, 200, "{cancelled:?}");
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn every_node_tells_its_health() {
+fn every_node_reports_its_health() {
     let fleet = RunningFleet::start();
     let cluster = &fleet.cluster;
     for node in cluster.replicas().into_iter().chain(cluster.gateways()) {
--- a/crates/daemon/tests/processes_replicas.rs
+++ b/crates/daemon/tests/processes_replicas.rs
@@ -14,7 +14,7 @@
 use processes::daemon::Signal;
 
 fn start() -> (Cluster, Control) {
-    let mut cluster = Cluster::of_replicas();
+    let mut cluster = Cluster::with_replicas();
     cluster.start_all();
     let control = Control::of(&cluster);
     (cluster, control)
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_planned_stop_hands_every_leadership_over() {
+fn a_graceful_stop_hands_over_every_leadership() {
     let (mut cluster, control) = start();
     block_on(async {
         assert_eq!(control.confirm(0).await, confirmed(1));
@@ -95,7 +95,7 @@
 #[test]
 fn a_folder_in_use_is_refused() {
     let (cluster, _) = start();
-    let second = cluster.start_twice(NodeId(1));
+    let second = cluster.run_second_process(NodeId(1));
     assert!(!second.status.success());
     let log = String::from_utf8_lossy(&second.stderr).into_owned();
     assert!(log.contains("another process uses"), "{log}");
@@ -111,7 +111,7 @@
         let damaged = NodeId(1);
         cluster.kill(damaged);
         flip_a_byte_in_the_middle(&cluster.data_folder(damaged).join("replica/log"));
-        let ended = cluster.start_in_vain(damaged);
+        let ended = cluster.run_until_exit(damaged);
         assert!(!ended.status.success());
         let log = String::from_utf8_lossy(&ended.stderr).into_owned();
         assert!(log.contains("cannot start"), "{log}");
--- a/crates/daemon/tests/replica_role.rs
+++ b/crates/daemon/tests/replica_role.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn a_replacement_is_ready_once_another_loss_can_be_borne() {
+fn a_replacement_is_ready_once_another_loss_can_be_tolerated() {
     let mut replicas = Replicas::start();
     block_on(async {
         let (lost, next) = (NodeId(2), NodeId(3));
@@ -73,12 +73,12 @@
         })
         .await;
         let status = replicas.role(lost).status().await.expect("it runs");
-        let own_life = (status.node, status.incarnation);
+        let own_incarnation = (status.node, status.incarnation);
         for group in &status.groups {
-            let lives = group.voters.iter().filter(|(node, _)| *node == lost);
+            let incarnations = group.voters.iter().filter(|(node, _)| *node == lost);
             assert_eq!(
-                lives.collect::<Vec<_>>(),
-                [&own_life],
+                incarnations.collect::<Vec<_>>(),
+                [&own_incarnation],
                 "group {}",
                 group.group
             );
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn every_life_has_a_higher_number() {
+fn every_incarnation_is_higher_than_the_last() {
     let folder = tempfile::tempdir().unwrap();
     let first = start_incarnation(folder.path()).unwrap();
     let second = start_incarnation(folder.path()).unwrap();
@@ -200,7 +200,7 @@
 /// Guards against a stopped store that polled for changes in a busy loop, on the thread
 /// that was to end its process.
 #[test]
-fn a_replica_that_has_ended_tells_of_no_changes() {
+fn an_ended_replica_reports_no_changes() {
     let replicas = Replicas::start();
     block_on(async {
         let role = replicas.role(NodeId(1));
--- a/crates/daemon/tests/support/replica.rs
+++ b/crates/daemon/tests/support/replica.rs
@@ -153,7 +153,7 @@
                     .filter(|(_, (_, _, at))| at.elapsed().as_secs() < 1);
                 Response::LiveNodes {
                     nodes: nodes
-                        .map(|(node, (life, draining, _))| (*node, *life, *draining))
+                        .map(|(node, (incarnation, draining, _))| (*node, *incarnation, *draining))
                         .collect(),
                 }
             }
--- a/crates/daemon/tests/wire_transport.rs
+++ b/crates/daemon/tests/wire_transport.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_address_from_the_settings_goes_before_a_learnt_one() {
+fn an_address_from_the_settings_overrides_a_learned_one() {
     let (configured, configured_address) = listener();
     let (learnt, learnt_address) = listener();
     let executor = Arc::new(Executor::new());
