--- a/crates/daemon/src/gateway/batch_driver.rs
+++ b/crates/daemon/src/gateway/batch_driver.rs
@@ -97,7 +97,7 @@
         self.lock().owner.leases_held().max(1)
     }
 
-    /// Whether an input is ignored because preemption is disabled.
+    /// Whether an input is ignored by a baseline without preemption.
     fn ignores(&self, input: &BatchInput) -> bool {
         let online = matches!(
             input,
@@ -109,7 +109,7 @@
         online && self.preemption != PreemptionPolicy::OnArrival
     }
 
-    /// Counts every request in a load sample as batch work if preemption is disabled.
+    /// Counts every request in a load sample as batch work for a baseline without preemption.
     /// The engine cannot distinguish batch from online requests for the owner then, and
     /// an engine that appears to run no batch work would never be given more.
     fn adjusted(&self, input: BatchInput) -> BatchInput {
--- a/crates/daemon/src/gateway/batch_stream.rs
+++ b/crates/daemon/src/gateway/batch_stream.rs
@@ -147,9 +147,9 @@
         self.engines.cancel(batch, target.address, attempt).await;
     }
 
-    /// Asks the engine to pause or resume a stream. A pause that answers 404 is retried,
-    /// because the stream is still on its way to the engine, until the owner sends another
-    /// command.
+    /// Asks the engine to pause or resume a stream. A pause that gets no answer or a 404 is
+    /// retried, because the stream may still be on its way to the engine, until the owner
+    /// sends another command.
     async fn set_paused(
         &self,
         target: Target,
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -5,7 +5,6 @@
 //! `pick`, `route`, `dispatch`, `engine_client`, `stream`. Every decision is made by a
 //! core of the crates `routing`, `membership` and `state`; the modules here feed
 //! the cores inputs and execute their outputs.
-//! out what is decided.
 
 mod admin;
 mod admission;
--- a/crates/daemon/src/gateway/validation.rs
+++ b/crates/daemon/src/gateway/validation.rs
@@ -204,7 +204,8 @@
     Ok(TenantId(named))
 }
 
-/// Returns whether a request may run more than once; `repeatable_by_default` applies without a header.
+/// Returns whether a request may run more than once; `repeatable_by_default` applies
+/// without a header.
 pub(super) fn repeatability_of(
     request: &Request,
     repeatable_by_default: bool,
--- a/crates/daemon/src/replica/feed.rs
+++ b/crates/daemon/src/replica/feed.rs
@@ -3,7 +3,6 @@
 //! A single quorum-confirmed read serves all watchers; it runs once per interval, or as
 //! soon as this replica has applied a change. Watchers receive the difference from their
 //! version, or the complete configuration when they lag too far behind.
-//! differs from the version that they have, or the whole when they lag far.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
