--- a/crates/daemon/src/gateway/drain.rs
+++ b/crates/daemon/src/gateway/drain.rs
@@ -30,11 +30,11 @@
 
 /// Performs a graceful stop.
 pub(super) async fn drain(state: &Arc<GatewayState>, server: &ServerHandle) -> DrainReport {
-    let bounds = &state.options.drain;
+    let limits = &state.options.drain;
     let mut plan = DrainPlan::new(DrainSettings {
-        unready_wait: bounds.unready_wait,
-        finish_within: bounds.finish_within,
-        hand_over_within: bounds.hand_over_within,
+        unready_wait: limits.unready_wait,
+        finish_within: limits.finish_within,
+        hand_over_within: limits.hand_over_within,
     });
     let mut report = DrainReport::default();
     let mut input = DrainInput::Begin;
@@ -86,9 +86,9 @@
 fn refuse_new(state: &Arc<GatewayState>, server: &ServerHandle) {
     state.begin_stopping();
     let server = server.clone();
-    let bounds = state.options.drain.clone();
+    let limits = state.options.drain.clone();
     state.spawn(async move {
-        let deadline = bounds.finish_within + bounds.hand_over_within;
+        let deadline = limits.finish_within + limits.hand_over_within;
         server.shutdown(IDLE_GRACE, deadline).await;
     });
 }
--- a/crates/daemon/src/gateway/mod.rs
+++ b/crates/daemon/src/gateway/mod.rs
@@ -59,7 +59,7 @@
 pub use batch_api::{JobView, ResultLine};
 pub use drain::DrainReport;
 pub use options::{
-    BackendTimeouts, DrainBounds, GatewayOptions, GatewayPolicy, IntakeBounds, PreemptionPolicy,
+    BackendTimeouts, DrainLimits, GatewayOptions, GatewayPolicy, IntakeLimits, PreemptionPolicy,
 };
 
 use crate::cluster::Cluster;
@@ -244,7 +244,7 @@
     state.spawn_background(tick_admission(state.clone()));
 }
 
-fn server_limits(intake: &IntakeBounds) -> ServerLimits {
+fn server_limits(intake: &IntakeLimits) -> ServerLimits {
     ServerLimits {
         max_connections: intake.max_connections,
         max_body_bytes: intake.max_body_bytes,
--- a/crates/daemon/src/gateway/options.rs
+++ b/crates/daemon/src/gateway/options.rs
@@ -14,7 +14,7 @@
 
 /// Time limits of a graceful stop.
 #[derive(Clone, Debug, PartialEq)]
-pub struct DrainBounds {
+pub struct DrainLimits {
     /// Time from reporting unready until new connections are refused.
     pub unready_wait: Duration,
     /// Time limit after that for requests in flight to finish.
@@ -23,7 +23,7 @@
     pub hand_over_within: Duration,
 }
 
-impl Default for DrainBounds {
+impl Default for DrainLimits {
     fn default() -> Self {
         Self {
             unready_wait: Duration::from_secs(2),
@@ -85,7 +85,7 @@
 
 /// Limits on incoming requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct IntakeBounds {
+pub struct IntakeLimits {
     /// Maximum number of HTTP connections.
     pub max_connections: usize,
     /// Maximum length of a request body in bytes, except for jobs.
@@ -98,9 +98,9 @@
     pub max_buffered_bytes: usize,
 }
 
-impl Default for IntakeBounds {
+impl Default for IntakeLimits {
     fn default() -> Self {
-        intake_bounds(&LimitSettings::default())
+        intake_limits(&LimitSettings::default())
     }
 }
 
@@ -144,7 +144,7 @@
     /// Polling interval of an owned engine's load report.
     pub load_poll: Duration,
     /// Time limits of a graceful stop.
-    pub drain: DrainBounds,
+    pub drain: DrainLimits,
     /// Settings of the engine selection.
     pub pick: PickSettings,
     /// Settings of the admission.
@@ -154,7 +154,7 @@
     /// Timeouts of calls to back ends and the platform.
     pub timeouts: BackendTimeouts,
     /// Limits on incoming requests.
-    pub intake: IntakeBounds,
+    pub intake: IntakeLimits,
     /// Clock of all decisions.
     pub clock: BootClock,
 }
@@ -190,12 +190,12 @@
             heartbeat: Duration::from_millis(500),
             list_poll: Duration::from_millis(500),
             load_poll: Duration::from_millis(50),
-            drain: DrainBounds::default(),
+            drain: DrainLimits::default(),
             pick: PickSettings::default(),
             admission: AdmissionSettings::default(),
             policy: GatewayPolicy::default(),
             timeouts: BackendTimeouts::default(),
-            intake: IntakeBounds::default(),
+            intake: IntakeLimits::default(),
             clock: BootClock::start(),
         }
     }
@@ -225,7 +225,7 @@
             heartbeat: timing.heartbeat,
             list_poll: settings.platform.list_poll,
             load_poll: timing.load_poll,
-            drain: DrainBounds {
+            drain: DrainLimits {
                 unready_wait: timing.drain.unready_wait,
                 finish_within: timing.drain.finish_within,
                 hand_over_within: timing.drain.hand_over_within,
@@ -246,7 +246,7 @@
                 batch_stall: timing.batch_stall_timeout,
                 ..BackendTimeouts::default()
             },
-            intake: intake_bounds(limits),
+            intake: intake_limits(limits),
             ..Self::new(node.id, incarnation, zone, folder, platform_address)
         })
     }
@@ -288,8 +288,8 @@
     }
 }
 
-fn intake_bounds(limits: &LimitSettings) -> IntakeBounds {
-    IntakeBounds {
+fn intake_limits(limits: &LimitSettings) -> IntakeLimits {
+    IntakeLimits {
         max_connections: limits.max_connections as usize,
         max_body_bytes: limits.max_body_bytes as usize,
         max_job_bytes: limits.max_job_bytes as usize,
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -13,7 +13,7 @@
 use async_executor::{Executor, Task};
 use futures_lite::future::block_on;
 use molespan_daemon::cluster::{Cluster, ClusterLimits};
-use molespan_daemon::gateway::{DrainBounds, DrainReport, Gateway, GatewayContext, GatewayOptions};
+use molespan_daemon::gateway::{DrainLimits, DrainReport, Gateway, GatewayContext, GatewayOptions};
 use molespan_emulator::fleet::{Fleet, FleetSettings};
 use molespan_replica::ReplicaSettings;
 use molespan_state::control::{
@@ -215,9 +215,9 @@
         options.heartbeat = Duration::from_millis(40);
         options.list_poll = Duration::from_millis(40);
         options.load_poll = Duration::from_millis(20);
-        options.drain = DrainBounds {
+        options.drain = DrainLimits {
             unready_wait: Duration::from_millis(100),
-            ..DrainBounds::default()
+            ..DrainLimits::default()
         };
         tune(&mut options);
         let events = EventBuffer::new(node, 65_536);
