--- a/crates/daemon/src/bin/molespand.rs
+++ b/crates/daemon/src/bin/molespand.rs
@@ -1,4 +1,4 @@
-//! `molespand`: one node of molespan.
+//! `molespand`: the daemon of one molespan node.
 
 use std::io::{self, Write};
 use std::path::Path;
@@ -16,10 +16,10 @@
 use molespan_telemetry::{Log, part_logger};
 use slog::{Logger, crit, info};
 
-/// Exit status when the settings have findings.
+/// Exit status when the settings are invalid.
 const SETTINGS_STATUS: u8 = 3;
-/// Most threads that serve.
-const MOST_THREADS: usize = 4;
+/// Maximum number of executor threads.
+const MAX_THREADS: usize = 4;
 
 mod flags {
     use std::path::PathBuf;
@@ -36,11 +36,11 @@
     }
 }
 
-/// Why the process waits no longer.
-enum Wakening {
-    /// It was told to stop.
+/// Why the main thread stopped waiting.
+enum StopCause {
+    /// A stop signal arrived.
     Signal,
-    /// A role cannot go on.
+    /// A role failed and cannot continue.
     Failure,
 }
 
@@ -60,7 +60,7 @@
     }
 }
 
-/// Reads the settings; prints every finding.
+/// Loads the settings and prints every finding to stderr.
 fn load(path: &Path) -> Result<Settings, ExitCode> {
     Settings::load(path).map_err(|findings| {
         for finding in &findings {
@@ -71,7 +71,7 @@
     })
 }
 
-/// Runs the node until it is told to stop or cannot go on.
+/// Runs the node until a stop signal arrives or a role fails.
 fn run(settings: &Settings, logger: &Logger) -> Result<ExitCode, DaemonError> {
     let executor = Arc::new(Executor::new());
     let mut signals = Signals::new([Signal::Term, Signal::Int]).map_err(DaemonError::Signals)?;
@@ -82,11 +82,11 @@
         builder.spawn(serve).map_err(DaemonError::Thread)?;
     }
     let node = Node::start(settings, &executor, logger)?;
-    announce(&node);
+    print_addresses(&node);
     let status = block_on(executor.run(async {
         match wait(&node, &mut signals).await {
-            Wakening::Failure => ExitCode::FAILURE,
-            Wakening::Signal => stop(node, &mut signals, logger).await,
+            StopCause::Failure => ExitCode::FAILURE,
+            StopCause::Signal => stop(node, &mut signals, logger).await,
         }
     }));
     Ok(status)
@@ -94,11 +94,11 @@
 
 fn threads() -> usize {
     let available = thread::available_parallelism().map_or(1, usize::from);
-    available.clamp(1, MOST_THREADS)
+    available.clamp(1, MAX_THREADS)
 }
 
-/// Tells whoever started the process where it listens.
-fn announce(node: &Node) {
+/// Prints the listening addresses to stdout for the parent process.
+fn print_addresses(node: &Node) {
     let mut output = io::stdout().lock();
     let line = writeln!(
         output,
@@ -106,34 +106,34 @@
         node.http_address(),
         node.internal_address()
     );
-    // Nobody may be reading, and the work does not depend on it.
+    // Ignores write errors: nobody may be reading stdout, and the node does not depend on it.
     let _printed = line.and_then(|()| output.flush());
 }
 
-async fn wait(node: &Node, signals: &mut Signals) -> Wakening {
+async fn wait(node: &Node, signals: &mut Signals) -> StopCause {
     let signal = async {
         signals.next().await;
-        Wakening::Signal
+        StopCause::Signal
     };
     let failure = async {
         node.failed().await;
-        Wakening::Failure
+        StopCause::Failure
     };
     future::or(signal, failure).await
 }
 
-/// Stops as planned, or at once when a second signal comes.
+/// Shuts down gracefully, or immediately when a second signal arrives.
 async fn stop(node: Node, signals: &mut Signals, logger: &Logger) -> ExitCode {
     let logger = part_logger(logger, "node");
-    let planned = async {
+    let graceful = async {
         let report = node.stop().await;
         info!(logger, "stopped"; "report" => ?report);
         ExitCode::SUCCESS
     };
-    let hurried = async {
+    let immediate = async {
         signals.next().await;
-        info!(logger, "ended at once by a second signal");
+        info!(logger, "ended immediately by a second signal");
         ExitCode::FAILURE
     };
-    future::or(planned, hurried).await
+    future::or(graceful, immediate).await
 }
--- a/crates/daemon/src/cluster/calls.rs
+++ b/crates/daemon/src/cluster/calls.rs
@@ -1,4 +1,4 @@
-//! Calls to a group's leader, with attempts until the deadline.
+//! Calls to a group's leader, retried until a deadline.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::Ordering;
@@ -11,22 +11,23 @@
 
 use super::{Cluster, ClusterError};
 
-/// One call with its attempts.
+/// The retry state of one call.
 struct Attempts<'a> {
     cluster: &'a Cluster,
     group: GroupId,
     ends: Instant,
     pause: Duration,
-    /// Longest time of the next call, beyond what the leader may hold it for.
+    /// Timeout of the next attempt, not counting `held`.
     timeout: Duration,
-    /// Time for which the leader may hold a call by itself.
+    /// How long the leader may hold the request open before it answers.
     held: Duration,
-    /// Position among the replicas of the next one to ask.
-    turn: usize,
-    /// Nodes that failed, until all others were asked or one of those names them: asking
-    /// a silent one again costs what is left of the time, and others may know who leads.
+    /// Index of the next replica to try.
+    next_replica: usize,
+    /// Nodes whose calls failed. They are skipped until every replica has failed or another
+    /// node names them as leader: retrying a silent node uses up the remaining time while
+    /// others may know the leader.
     failed: BTreeSet<NodeId>,
-    /// Whether an attempt may have taken effect.
+    /// Whether an earlier attempt may have taken effect.
     ambiguous: bool,
     reason: String,
 }
@@ -45,7 +46,7 @@
             .await
     }
 
-    /// Proposes a command; gives up after `deadline`.
+    /// Proposes a command to `group` with the given deadline.
     pub(super) async fn propose_within<C, R>(
         &self,
         group: GroupId,
@@ -67,7 +68,7 @@
         }
     }
 
-    /// Reads from `group` what every acknowledged write led to.
+    /// Runs a linearizable query on `group`: it observes every acknowledged write.
     ///
     /// # Errors
     /// When no leader answered before the deadline.
@@ -79,7 +80,7 @@
         self.query_within(group, query, self.limits.deadline).await
     }
 
-    /// Reads; gives up after `deadline`.
+    /// Runs a linearizable query on `group` with the given deadline.
     pub(super) async fn query_within<Q, A>(
         &self,
         group: GroupId,
@@ -102,8 +103,8 @@
         }
     }
 
-    /// Sends a request to the leader of `group`, whoever that is, until it is
-    /// answered or `deadline` passed. The request must be safe to send again.
+    /// Sends a request to the leader of `group`, following leader changes, until it is
+    /// answered or `deadline` has passed. The request must be idempotent.
     pub(super) async fn call_leader(
         &self,
         group: GroupId,
@@ -114,9 +115,9 @@
             .await
     }
 
-    /// The same for a request that the leader may hold for `held` before it
-    /// answers. Without that time a call would be given up, and the leader
-    /// forgotten, each time it has nothing to say.
+    /// Like [`Self::call_leader`], for a request that the leader may hold open for `held`
+    /// before it answers (long poll). Without the extra time, each call with nothing to
+    /// report would time out and the cached leader would be dropped.
     pub(super) async fn call_leader_held(
         &self,
         group: GroupId,
@@ -131,7 +132,7 @@
             pause: self.limits.first_pause,
             timeout: self.limits.first_call_timeout,
             held,
-            turn: self.turn.load(Ordering::Relaxed),
+            next_replica: self.next_replica.load(Ordering::Relaxed),
             failed: BTreeSet::new(),
             ambiguous: false,
             reason: "there are no replicas".to_owned(),
@@ -178,7 +179,7 @@
         }
     }
 
-    /// The known leader, else the replica whose turn it is, but for those that failed.
+    /// Returns the known leader, or else the next replica in turn that has not failed.
     fn target(&mut self) -> Option<NodeId> {
         if let Some(leader) = self.cluster.leaders.get(self.group) {
             return Some(leader);
@@ -187,23 +188,25 @@
         if replicas.iter().all(|node| self.failed.contains(node)) {
             self.failed.clear();
         }
-        let first = self.turn % replicas.len().max(1);
+        let first = self.next_replica % replicas.len().max(1);
         let (before, from) = replicas.split_at(first);
         let order = from.iter().chain(before);
-        let behind = order.clone().position(|node| !self.failed.contains(node))?;
-        self.turn = self.turn.wrapping_add(behind);
-        order.copied().nth(behind)
+        let skipped = order.clone().position(|node| !self.failed.contains(node))?;
+        self.next_replica = self.next_replica.wrapping_add(skipped);
+        order.copied().nth(skipped)
     }
 
     async fn follow(&mut self, asked: NodeId, leader: Option<LeaderHint>) {
         self.reason = "no leader is known".to_owned();
         match leader {
             Some(hint) if hint.node != asked => {
-                self.cluster.transport.learn(hint.node, &hint.address);
+                self.cluster
+                    .transport
+                    .update_address(hint.node, &hint.address);
                 self.failed.remove(&hint.node);
-                let went_back = self.cluster.leaders.get(self.group) == Some(hint.node);
+                let is_repeated = self.cluster.leaders.get(self.group) == Some(hint.node);
                 self.cluster.leaders.set(self.group, hint.node);
-                if went_back {
+                if is_repeated {
                     self.pause_at_least(Duration::ZERO).await;
                 }
             }
@@ -216,8 +219,10 @@
 
     fn try_next(&mut self, failed: NodeId) {
         self.cluster.leaders.forget(self.group, failed);
-        self.turn = self.turn.wrapping_add(1);
-        self.cluster.turn.store(self.turn, Ordering::Relaxed);
+        self.next_replica = self.next_replica.wrapping_add(1);
+        self.cluster
+            .next_replica
+            .store(self.next_replica, Ordering::Relaxed);
     }
 
     async fn pause_at_least(&mut self, least: Duration) {
@@ -250,7 +255,7 @@
     })
 }
 
-/// A reply of the wrong kind.
+/// The error for a reply of an unexpected kind.
 pub(super) fn unexpected(reply: &impl std::fmt::Debug) -> ClusterError {
     ClusterError::Unexpected {
         reason: format!("{reply:?}"),
--- a/crates/daemon/src/gateway/admin/mod.rs
+++ b/crates/daemon/src/gateway/admin/mod.rs
@@ -1,5 +1,5 @@
-//! Operators' interface: plans and their confirmation, what there is, and the
-//! stream of decisions.
+//! Operator API: plans and their confirmation, views of the state, and the event
+//! stream.
 
 mod plans;
 mod view;
@@ -9,12 +9,12 @@
 
 use molespan_http::{Method, Request, Response};
 
-pub(super) use plans::PlanMemory;
+pub(super) use plans::RecentPlans;
 
 use super::error::ApiError;
 use super::state::GatewayState;
 
-/// First part of the path of every operators' call.
+/// Path prefix of the operator API.
 pub(super) const ADMIN_PREFIX: &str = "/admin/";
 
 /// Serves a path below [`ADMIN_PREFIX`].
--- a/crates/daemon/src/gateway/admin/plans.rs
+++ b/crates/daemon/src/gateway/admin/plans.rs
@@ -1,4 +1,4 @@
-//! Intents: what they would do, and their confirmation.
+//! Planning and confirmation of intents.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -13,31 +13,31 @@
 use super::super::error::ApiError;
 use super::super::state::GatewayState;
 
-/// Plans that this gateway remembers for a confirmation without the intent.
-const MOST_PLANS: usize = 256;
+/// Maximum number of plans kept for confirmations that omit the intent.
+const MAX_PLANS: usize = 256;
 
-/// Body of `POST /admin/plans`, and of a confirmation that carries the intent.
+/// Body of `POST /admin/plans`, and of a confirmation that includes the intent.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Intent {
     number: Option<IntentNumber>,
     operator: String,
-    /// Version that the operator looked at; the newest one when absent.
+    /// Configuration version the operator worked from; the newest one when absent.
     base_version: Option<ConfigVersion>,
     changes: Vec<Change>,
 }
 
-/// Intents that were planned here lately.
+/// Intents recently planned at this gateway.
 #[derive(Debug, Default)]
-pub(in super::super) struct PlanMemory {
+pub(in super::super) struct RecentPlans {
     planned: Mutex<BTreeMap<IntentNumber, ConfirmIntent>>,
 }
 
-impl PlanMemory {
+impl RecentPlans {
     fn remember(&self, intent: ConfirmIntent) {
         let mut planned = self.lock();
         planned.insert(intent.number, intent);
-        while planned.len() > MOST_PLANS {
+        while planned.len() > MAX_PLANS {
             planned.pop_first();
         }
     }
@@ -51,7 +51,7 @@
     }
 }
 
-/// Says what an intent would do; nothing changes.
+/// Returns the changes an intent would make, without applying them.
 pub(super) async fn plan(state: &Arc<GatewayState>, body: &[u8]) -> Result<Response, ApiError> {
     let intent = read_intent(body)?;
     let number = intent
@@ -82,10 +82,10 @@
     Ok(json_response(StatusCode::Ok, &plan))
 }
 
-/// Puts a planned intent in force. The body carries the intent, so that any
-/// gateway can take it; an empty one means what was planned at this gateway.
+/// Confirms a planned intent. The body carries the intent, so that any gateway can
+/// handle the request; an empty body refers to the intent planned at this gateway.
 /// Every decision of the control group is a successful answer whose `result`
-/// says what was decided.
+/// contains the decision.
 pub(super) async fn confirm(
     state: &Arc<GatewayState>,
     number: &str,
@@ -104,7 +104,7 @@
     state.events.record(
         EventKind::Plan,
         format!("intent {number}"),
-        said(&reply),
+        confirm_reason(&reply),
         [
             ("operator", operator.into()),
             ("base_version", base_version.0.into()),
@@ -156,7 +156,7 @@
     )
 }
 
-fn said(reply: &ConfirmReply) -> String {
+fn confirm_reason(reply: &ConfirmReply) -> String {
     match reply {
         ConfirmReply::Confirmed { version } => format!("confirmed as version {version}"),
         ConfirmReply::NumberTaken { winner, .. } => format!("the number was taken by {winner}"),
--- a/crates/daemon/src/gateway/admission.rs
+++ b/crates/daemon/src/gateway/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of online requests: drives the core and wakes those who wait.
+//! Admission of online requests: drives the admission core and wakes queued requests.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -14,22 +14,22 @@
 
 use super::state::GatewayState;
 
-/// How the wait of a queued request ended.
+/// Result of a queued request's wait.
 type WaitEnd = Result<(), Refusal>;
 
-/// The admission core and those who wait for it.
+/// The admission core and the requests queued in it.
 #[derive(Debug)]
-pub(super) struct AdmissionDesk {
-    desk: Mutex<Desk>,
+pub(super) struct AdmissionQueues {
+    inner: Mutex<Inner>,
 }
 
 #[derive(Debug)]
-struct Desk {
+struct Inner {
     core: Admission,
     waiting: HashMap<Ticket, Sender<WaitEnd>>,
 }
 
-impl Desk {
+impl Inner {
     fn wake(&mut self, outputs: Vec<AdmissionOutput>) {
         for output in outputs {
             let (ticket, end) = match output {
@@ -37,7 +37,7 @@
                 AdmissionOutput::Refused(ticket, refusal) => (ticket, Err(refusal)),
             };
             if let Some(waiter) = self.waiting.remove(&ticket) {
-                // The channel has room for the one message that is ever sent.
+                // The channel has capacity for the only message that is ever sent.
                 let _sent = waiter.try_send(end);
             }
         }
@@ -47,13 +47,13 @@
 /// Why a request was not admitted.
 #[derive(Debug)]
 pub(super) enum NotAdmitted {
-    /// It is refused for good and did not run.
+    /// The request was rejected and did not run.
     Refused(Refusal),
-    /// Its caller went away while it waited.
+    /// The caller disconnected while the request was queued.
     CallerGone,
 }
 
-/// The right of one request to run. Dropping it gives the place back.
+/// Permission for one request to run. Dropping it releases the concurrency slot.
 #[derive(Debug)]
 pub(super) struct Permit<'a> {
     state: &'a GatewayState,
@@ -62,72 +62,72 @@
 }
 
 impl Permit<'_> {
-    /// Notes that the request reached a back end.
-    pub(super) fn note_run(&mut self) {
+    /// Records that the request was sent to a back end.
+    pub(super) fn record_run(&mut self) {
         self.ran = true;
     }
 }
 
 impl Drop for Permit<'_> {
     fn drop(&mut self) {
-        let mut desk = self.state.admission.lock();
-        let outputs = desk
+        let mut inner = self.state.admission.lock();
+        let outputs = inner
             .core
             .release(self.state.clock.now(), self.ticket, self.ran);
-        desk.wake(outputs);
+        inner.wake(outputs);
     }
 }
 
-impl AdmissionDesk {
+impl AdmissionQueues {
     pub(super) fn new(settings: AdmissionSettings) -> Self {
-        let desk = Desk {
+        let inner = Inner {
             core: Admission::new(settings),
             waiting: HashMap::new(),
         };
         Self {
-            desk: Mutex::new(desk),
+            inner: Mutex::new(inner),
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, Desk> {
-        self.desk.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, Inner> {
+        self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl GatewayState {
-    /// Puts services and tenant policies in force.
+    /// Applies the limits of services and the policies of tenants.
     pub(super) fn configure_admission(
         &self,
         services: BTreeMap<ServiceName, ServiceLimits>,
         policies: BTreeMap<TenantId, TenantPolicy>,
     ) {
-        let mut desk = self.admission.lock();
-        let outputs = desk.core.configure(self.clock.now(), services, policies);
-        desk.wake(outputs);
+        let mut inner = self.admission.lock();
+        let outputs = inner.core.configure(self.clock.now(), services, policies);
+        inner.wake(outputs);
     }
 
-    /// Refuses everything that waits.
+    /// Rejects every queued request.
     pub(super) fn refuse_waiting(&self, code: RefusalCode) {
-        let mut desk = self.admission.lock();
-        let outputs = desk.core.refuse_waiting(code);
-        desk.wake(outputs);
+        let mut inner = self.admission.lock();
+        let outputs = inner.core.refuse_waiting(code);
+        inner.wake(outputs);
     }
 
-    /// Takes capacities over from engine choice and lets time pass. Returns
-    /// whether anything waits.
+    /// Updates capacities from engine selection and advances the queue's clock. Returns
+    /// whether any request is queued.
     pub(super) fn tick_admission(&self) -> bool {
         let now = self.clock.now();
         let capacities = self.pickers.capacities(now);
-        let mut desk = self.admission.lock();
+        let mut inner = self.admission.lock();
         for (service, capacity) in capacities {
-            desk.core.set_capacity(&service, capacity);
+            inner.core.set_capacity(&service, capacity);
         }
-        let outputs = desk.core.tick(now);
-        desk.wake(outputs);
-        desk.core.waiting() > 0
+        let outputs = inner.core.tick(now);
+        inner.wake(outputs);
+        inner.core.waiting() > 0
     }
 
-    /// Admits a request now, after a wait in the queue, or not at all.
+    /// Admits a request immediately or after queueing, or rejects it.
     pub(super) async fn admit(
         &self,
         tenant: &TenantId,
@@ -145,11 +145,11 @@
             }
             None
         };
-        let turn = async { wait.recv().await.ok() };
-        match futures_lite::future::or(turn, gone).await {
+        let admitted = async { wait.recv().await.ok() };
+        match futures_lite::future::or(admitted, gone).await {
             Some(Ok(())) => Ok(self.permit(ticket)),
             Some(Err(refusal)) => {
-                self.note_refusal(tenant, service, &refusal);
+                self.record_refusal(tenant, service, &refusal);
                 Err(NotAdmitted::Refused(refusal))
             }
             None => {
@@ -167,14 +167,14 @@
         }
     }
 
-    /// Offers a request to the core; a receiver comes with one that waits.
+    /// Offers a request to the core; returns a receiver when the request is queued.
     fn offer(
         &self,
         tenant: &TenantId,
         service: &ServiceName,
     ) -> Result<(Ticket, Option<Receiver<WaitEnd>>), NotAdmitted> {
-        let mut desk = self.admission.lock();
-        match desk.core.offer(self.clock.now(), tenant, service) {
+        let mut inner = self.admission.lock();
+        match inner.core.offer(self.clock.now(), tenant, service) {
             Decision::Admitted(ticket) => Ok((ticket, None)),
             Decision::Queued {
                 ticket,
@@ -182,8 +182,8 @@
                 expected_wait,
             } => {
                 let (sender, receiver) = async_channel::bounded(1);
-                desk.waiting.insert(ticket, sender);
-                drop(desk);
+                inner.waiting.insert(ticket, sender);
+                drop(inner);
                 self.events.record(
                     EventKind::Queue,
                     format!("service {service}"),
@@ -200,27 +200,32 @@
                 Ok((ticket, Some(receiver)))
             }
             Decision::Refused(refusal) => {
-                drop(desk);
-                self.note_refusal(tenant, service, &refusal);
+                drop(inner);
+                self.record_refusal(tenant, service, &refusal);
                 Err(NotAdmitted::Refused(refusal))
             }
         }
     }
 
-    /// Takes a request whose caller left out of the queue. Its turn may have
-    /// come in the same moment; then its place is given back.
+    /// Removes a request whose caller disconnected from the queue. If it was admitted
+    /// in the meantime, its concurrency slot is released.
     fn abandon(&self, ticket: Ticket, wait: &Receiver<WaitEnd>) {
-        let mut desk = self.admission.lock();
-        desk.waiting.remove(&ticket);
+        let mut inner = self.admission.lock();
+        inner.waiting.remove(&ticket);
         if let Ok(Ok(())) = wait.try_recv() {
-            let outputs = desk.core.release(self.clock.now(), ticket, false);
-            desk.wake(outputs);
+            let outputs = inner.core.release(self.clock.now(), ticket, false);
+            inner.wake(outputs);
             return;
         }
-        desk.core.abandon(ticket);
+        inner.core.abandon(ticket);
     }
 
-    pub(super) fn note_refusal(&self, tenant: &TenantId, service: &ServiceName, refusal: &Refusal) {
+    pub(super) fn record_refusal(
+        &self,
+        tenant: &TenantId,
+        service: &ServiceName,
+        refusal: &Refusal,
+    ) {
         self.metrics.refused(&refusal.code.to_string());
         let retry_after = refusal.retry_after.unwrap_or_default();
         self.events.record(
--- a/crates/daemon/src/gateway/application.rs
+++ b/crates/daemon/src/gateway/application.rs
@@ -1,4 +1,4 @@
-//! Application services: any request, passed through as ordinary HTTP.
+//! Application services: requests passed through as plain HTTP.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,20 +11,20 @@
 use molespan_types::{AttemptId, BackendId, Digest, RunOutcome, ServiceName, TenantId, digest_of};
 
 use super::admission::NotAdmitted;
-use super::answer::{AttemptFailure, failure_of};
-use super::claims::ClaimHold;
+use super::answer::{AttemptFailure, parse_failure};
+use super::claims::RequestClaim;
 use super::dispatch::InFlight;
 use super::error::ApiError;
 use super::state::GatewayState;
 use super::validation::{Repeatability, repeatability_of, tenant_of};
 
-/// First part of the path of every application service.
+/// Path prefix of application services.
 pub(super) const SERVICES_PREFIX: &str = "/services/";
-/// Longest answer that is held in memory; longer ones are refused.
+/// Maximum length of an answer, which is buffered in memory; longer ones are rejected.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// When to come back while no back end takes work.
+/// Retry delay reported to callers while no back end accepts work.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Headers that concern one connection only, or that the gateway sets itself.
+/// Headers that are hop-by-hop, or that the gateway sets itself.
 const OWN_HEADERS: [&str; 7] = [
     "connection",
     "content-length",
@@ -37,7 +37,7 @@
 
 /// A request to an application service.
 #[derive(Debug)]
-struct Asked {
+struct ApplicationRequest {
     service: ServiceName,
     tenant: TenantId,
     repeatability: Repeatability,
@@ -48,7 +48,7 @@
     body: Vec<u8>,
 }
 
-impl Asked {
+impl ApplicationRequest {
     fn read(request: &Request, body: Vec<u8>) -> Result<Self, ApiError> {
         let url = request.url();
         let rest = &url.path()[SERVICES_PREFIX.len()..];
@@ -70,7 +70,7 @@
         })
     }
 
-    /// Digest of everything that makes it the same request.
+    /// Digest that identifies repeated submissions of the same request.
     fn digest(&self) -> Digest {
         let mut content =
             format!("{}\n{}\n{}\n", self.service, self.method, self.path).into_bytes();
@@ -79,7 +79,7 @@
     }
 }
 
-/// Whether a method may be repeated by the rules of HTTP.
+/// Whether a method is idempotent according to HTTP.
 fn is_repeatable(method: Method) -> bool {
     matches!(
         method,
@@ -87,24 +87,24 @@
     )
 }
 
-/// A whole answer of a back end.
+/// A complete answer of a back end.
 struct WholeAnswer {
     head: Response,
     body: Vec<u8>,
 }
 
-/// Passes a request through to a back end of its service.
+/// Forwards a request to a back end of its service.
 pub(super) async fn serve_application(
     state: &Arc<GatewayState>,
     request: &Request,
     body: Vec<u8>,
     presence: Option<ClientPresence>,
 ) -> Response {
-    let asked = match Asked::read(request, body) {
-        Ok(asked) => asked,
+    let incoming = match ApplicationRequest::read(request, body) {
+        Ok(incoming) => incoming,
         Err(error) => return error.response(),
     };
-    match admitted(state, &asked, presence).await {
+    match admitted(state, &incoming, presence).await {
         Ok(response) => {
             state.metrics.request_ended("completed");
             response
@@ -118,14 +118,16 @@
 
 async fn admitted(
     state: &Arc<GatewayState>,
-    asked: &Asked,
+    incoming: &ApplicationRequest,
     presence: Option<ClientPresence>,
 ) -> Result<Response, ApiError> {
-    state.check_application(&asked.service).map_err(|refusal| {
-        state.note_refusal(&asked.tenant, &asked.service, &refusal);
-        ApiError::from(refusal)
-    })?;
-    let admitted = state.admit(&asked.tenant, &asked.service, presence.as_ref());
+    state
+        .check_application(&incoming.service)
+        .map_err(|refusal| {
+            state.record_refusal(&incoming.tenant, &incoming.service, &refusal);
+            ApiError::from(refusal)
+        })?;
+    let admitted = state.admit(&incoming.tenant, &incoming.service, presence.as_ref());
     let mut permit = admitted.await.map_err(|refused| match refused {
         NotAdmitted::Refused(refusal) => ApiError::from(refusal),
         NotAdmitted::CallerGone => ApiError::not_run(
@@ -134,34 +136,34 @@
             "the caller went away",
         ),
     })?;
-    permit.note_run();
-    let mut run = Run::new(state, asked);
+    permit.record_run();
+    let mut run = Run::new(state, incoming);
     let answer = run.steps_until_end().await;
     run.settle(&answer).await;
     answer.map(|answer| run.response(answer))
 }
 
-/// One request.
+/// The execution of one request.
 struct Run<'a> {
     state: &'a Arc<GatewayState>,
-    asked: &'a Asked,
+    incoming: &'a ApplicationRequest,
     steps: RequestState,
-    claim: ClaimHold,
+    claim: RequestClaim,
     answer: Option<WholeAnswer>,
     last_attempt: Option<AttemptId>,
     cause: String,
 }
 
 impl<'a> Run<'a> {
-    fn new(state: &'a Arc<GatewayState>, asked: &'a Asked) -> Self {
+    fn new(state: &'a Arc<GatewayState>, incoming: &'a ApplicationRequest) -> Self {
         Self {
             state,
-            asked,
+            incoming,
             steps: RequestState::new(RequestKind {
-                repeatable: asked.repeatability == Repeatability::Repeatable,
+                repeatable: incoming.repeatability == Repeatability::Repeatable,
                 resumable: false,
             }),
-            claim: ClaimHold::default(),
+            claim: RequestClaim::default(),
             answer: None,
             last_attempt: None,
             cause: "no back end takes work".to_owned(),
@@ -174,7 +176,7 @@
             next = match next {
                 NextStep::Claim => self.claim().await,
                 NextStep::Dispatch => {
-                    let service = &self.asked.service;
+                    let service = &self.incoming.service;
                     self.state
                         .pickers
                         .with_budget(service, |budget| budget.earn());
@@ -190,7 +192,7 @@
                     None => return Err(self.failure(RunOutcome::Unknown)),
                 },
                 NextStep::Fail { outcome } => return Err(self.failure(outcome)),
-                // Application back ends keep no answers.
+                // Application back ends do not store answers.
                 NextStep::Resume { .. } | NextStep::AskStatus { .. } => {
                     return Err(self.failure(RunOutcome::Unknown));
                 }
@@ -199,12 +201,12 @@
     }
 
     async fn claim(&mut self) -> NextStep {
-        let asked = self.asked;
+        let incoming = self.incoming;
         let answer = self.claim.ask(
             self.state,
-            &asked.tenant,
-            &asked.repeatability,
-            asked.digest(),
+            &incoming.tenant,
+            &incoming.repeatability,
+            incoming.digest(),
         );
         let answer = answer.await;
         self.steps.claim_answered(answer)
@@ -215,8 +217,11 @@
             prefix_hashes: &[],
             exclude,
         };
-        let service = &self.asked.service;
-        let chosen = self.state.choose(service, &self.asked.tenant, wanted).await;
+        let service = &self.incoming.service;
+        let chosen = self
+            .state
+            .choose(service, &self.incoming.tenant, wanted)
+            .await;
         let chosen = match chosen {
             Ok(chosen) => chosen,
             Err(error) => {
@@ -251,7 +256,7 @@
             .with_budget(service, |budget| steps.ended(now, end, budget))
     }
 
-    /// Sends the request and reads its whole answer.
+    /// Sends the request and reads its complete answer.
     async fn exchange(
         &self,
         in_flight: &mut InFlight,
@@ -262,8 +267,8 @@
         let response = self.state.engines.forward(&target, request).await?;
         in_flight.first_byte();
         check_attempt(attempt, response.header(ATTEMPT_HEADER)).map_err(AttemptFailure::broken)?;
-        if says_not_run(&response) {
-            return Err(failure_of(response).await);
+        if reports_not_run(&response) {
+            return Err(parse_failure(response).await);
         }
         let head = response.head().clone();
         let body = response.bytes(MAX_ANSWER_BYTES).await;
@@ -276,13 +281,13 @@
         address: std::net::SocketAddr,
         attempt: AttemptId,
     ) -> Result<Request, AttemptFailure> {
-        let request = new_request(self.asked.method, address, &self.asked.path);
+        let request = new_request(self.incoming.method, address, &self.incoming.path);
         let mut request = request.map_err(AttemptFailure::not_sent)?;
-        request.set_body(Body::from_bytes(self.asked.body.clone()));
-        for (name, value) in &self.asked.headers {
+        request.set_body(Body::from_bytes(self.incoming.body.clone()));
+        for (name, value) in &self.incoming.headers {
             request.insert_header(name.as_str(), value.as_str());
         }
-        request.insert_header(TENANT_HEADER, self.asked.tenant.as_str());
+        request.insert_header(TENANT_HEADER, self.incoming.tenant.as_str());
         request.insert_header(ATTEMPT_HEADER, attempt.to_string());
         Ok(request)
     }
@@ -342,7 +347,7 @@
     }
 }
 
-/// Whether a back end itself says that it did not run the request.
-fn says_not_run(response: &ClientResponse) -> bool {
+/// Whether the back end reports that it did not run the request.
+fn reports_not_run(response: &ClientResponse) -> bool {
     response.header(OUTCOME_HEADER) == Some("not-run") && !response.status().is_success()
 }
--- a/crates/daemon/src/gateway/attempts.rs
+++ b/crates/daemon/src/gateway/attempts.rs
@@ -1,5 +1,5 @@
-//! The attempts of one completion: where each is sent, how its answer is
-//! followed, and what is done when it breaks.
+//! The attempts of one completion: back-end selection, reading the answer, and
+//! recovery from failures.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,29 +14,31 @@
 
 use super::answer::{AnswerStream, AttemptFailure, Target, Token};
 use super::dispatch::InFlight;
-use super::outcome::NO_BACKEND_RETRY;
-use super::route::{Ending, Run};
+use super::outcome::NO_BACKEND_RETRY_AFTER;
+use super::route::{Run, RunEnd};
 use super::state::GatewayState;
 use super::validation::Repeatability;
 
-/// Time between two looks at whether an engine was given up.
-const GIVEN_UP_LOOK: Duration = Duration::from_millis(250);
-/// Pause before an engine is asked about an attempt again.
-const QUESTION_PAUSE: Duration = Duration::from_millis(50);
+/// Polling interval for whether an engine was given up.
+const GIVEN_UP_POLL: Duration = Duration::from_millis(250);
+/// Delay before an engine is asked for the status of an attempt.
+const STATUS_QUERY_DELAY: Duration = Duration::from_millis(50);
 
 impl Run<'_> {
-    /// Sends the request as a new attempt to an engine that is not excluded.
-    pub(super) async fn dispatch(&mut self, exclude: &[BackendId]) -> Result<NextStep, Ending> {
-        let asked = self.asked;
+    /// Sends the request as a new attempt to an engine outside of `exclude`.
+    pub(super) async fn dispatch(&mut self, exclude: &[BackendId]) -> Result<NextStep, RunEnd> {
+        let completion = self.completion;
         let wanted = PickRequest {
-            prefix_hashes: &asked.prefix_hashes,
+            prefix_hashes: &completion.prefix_hashes,
             exclude,
         };
-        let chosen = self.state.choose(&asked.service, &asked.tenant, wanted);
+        let chosen = self
+            .state
+            .choose(&completion.service, &completion.tenant, wanted);
         let chosen = match chosen.await {
             Ok(chosen) => chosen,
             Err(error) => {
-                self.note_no_backend(error);
+                self.record_no_backend(error);
                 return Ok(self.steps.no_backend());
             }
         };
@@ -48,33 +50,36 @@
         self.last_attempt = Some(attempt);
         self.in_flight = Some(InFlight::begin(
             self.state,
-            &asked.service,
+            &completion.service,
             chosen,
             attempt,
-            &asked.prefix_hashes,
-            asked.prompt_tokens,
+            &completion.prefix_hashes,
+            completion.prompt_tokens,
         ));
-        let body = asked.engine_body(&self.model);
+        let body = completion.engine_body(&self.model);
         let state = self.state.clone();
-        let started =
-            state
-                .engines
-                .start(Priority::Online, &target, attempt, asked.form.path(), body);
-        let started = match self.unless_gone(started).await {
+        let started = state.engines.start(
+            Priority::Online,
+            &target,
+            attempt,
+            completion.form.path(),
+            body,
+        );
+        let started = match self.unless_disconnected(started).await {
             Some(started) => started,
             None => return Err(self.caller_gone()),
         };
         self.follow(started, attempt, 0).await
     }
 
-    /// Takes the rest of an answer up where it broke.
+    /// Resumes an interrupted answer.
     pub(super) async fn resume(
         &mut self,
         attempt: AttemptRef,
         offset: u32,
-    ) -> Result<NextStep, Ending> {
-        // The last token comes again, so that there is one also when only the
-        // end of the stream was lost.
+    ) -> Result<NextStep, RunEnd> {
+        // Requests the last token again, so that the answer has at least one token even if
+        // only the end of the stream was lost.
         let offset = offset.max(self.sink.tokens()).saturating_sub(1);
         self.state.metrics.resumed();
         self.state.events.record(
@@ -91,20 +96,20 @@
         };
         let state = self.state.clone();
         let resumed = state.engines.resume(target.address, &attempt, offset);
-        let resumed = match self.unless_gone(resumed).await {
+        let resumed = match self.unless_disconnected(resumed).await {
             Some(resumed) => resumed,
             None => return Err(self.caller_gone()),
         };
         self.follow(resumed, attempt.attempt, offset).await
     }
 
-    /// Passes the tokens of an answer on to its end.
+    /// Forwards the tokens of an answer until it ends.
     async fn follow(
         &mut self,
         answer: Result<AnswerStream, AttemptFailure>,
         attempt: AttemptId,
         offset: u32,
-    ) -> Result<NextStep, Ending> {
+    ) -> Result<NextStep, RunEnd> {
         let mut answer = match answer {
             Ok(answer) => answer,
             Err(failure) => return self.failed(failure),
@@ -114,17 +119,17 @@
         }
         self.sink.name(attempt);
         loop {
-            let next = match self.unless_gone(self.next_token(&mut answer)).await {
+            let next = match self.unless_disconnected(self.next_token(&mut answer)).await {
                 Some(next) => next,
                 None => return Err(self.caller_gone()),
             };
             match next {
                 Ok(Some(token)) => {
-                    self.note_first_byte();
+                    self.record_first_byte();
                     if token.chunk.offset < self.sink.tokens() {
                         continue;
                     }
-                    if self.sink.token(token).await.is_err() && self.stops_when_gone() {
+                    if self.sink.token(token).await.is_err() && self.stops_on_disconnect() {
                         return Err(self.caller_gone());
                     }
                     let passed = self.sink.passed();
@@ -141,8 +146,8 @@
         }
     }
 
-    /// The next token of an answer. A request that may run elsewhere does not
-    /// wait for an engine that was given up meanwhile.
+    /// Returns the next token of an answer. A request that may run elsewhere stops waiting
+    /// when its engine is given up.
     async fn next_token(&self, answer: &mut AnswerStream) -> Result<Option<Token>, AttemptFailure> {
         let given_up = async {
             match self.in_flight.as_ref().filter(|_| self.may_leave()) {
@@ -154,13 +159,13 @@
         future::or(answer.next(), given_up).await
     }
 
-    /// Whether the request may run elsewhere without asking what became of it.
+    /// Whether the request may be retried elsewhere without asking for its status.
     fn may_leave(&self) -> bool {
-        let repeatable = self.asked.repeatability == Repeatability::Repeatable;
+        let repeatable = self.completion.repeatability == Repeatability::Repeatable;
         repeatable && self.sink.passed() == 0
     }
 
-    fn note_first_byte(&mut self) {
+    fn record_first_byte(&mut self) {
         let Some(in_flight) = &mut self.in_flight else {
             return;
         };
@@ -170,9 +175,9 @@
         }
     }
 
-    /// The attempt, or a try to resume it, failed.
-    fn failed(&mut self, failure: AttemptFailure) -> Result<NextStep, Ending> {
-        // There is no use in asking an engine that fell silent for the rest.
+    /// Handles the failure of the attempt, or of an attempt to resume it.
+    fn failed(&mut self, failure: AttemptFailure) -> Result<NextStep, RunEnd> {
+        // Asking a silent engine for the rest of the answer would only cost time.
         let end = match failure.end {
             AttemptEnd::Broken if failure.silent && self.may_leave() => AttemptEnd::Lost,
             end => end,
@@ -181,19 +186,19 @@
             .refusal
             .as_ref()
             .filter(|refusal| refusal.is_final() && self.sink.tokens() == 0)
-            .map(|refusal| self.passed_on(refusal));
+            .map(|refusal| self.forwarded_refusal(refusal));
         if let Some(error) = final_refusal {
             if let Some(in_flight) = self.in_flight.take() {
                 in_flight.failed(&failure);
             }
-            return Err(Ending::Failed(error));
+            return Err(RunEnd::Failed(error));
         }
         self.last_failure = Some(failure);
         let next = self.attempt_ended(end);
         let goes_on = matches!(next, NextStep::Resume { .. } | NextStep::AskStatus { .. });
         if goes_on {
             if let Some(in_flight) = &self.in_flight {
-                in_flight.note_broken();
+                in_flight.record_broken();
             }
         } else if let (Some(in_flight), Some(failure)) =
             (self.in_flight.take(), self.last_failure.as_ref())
@@ -211,12 +216,14 @@
         let steps = &mut self.steps;
         self.state
             .pickers
-            .with_budget(&self.asked.service, |budget| steps.ended(now, end, budget))
+            .with_budget(&self.completion.service, |budget| {
+                steps.ended(now, end, budget)
+            })
     }
 
-    /// Asks the engine what became of an attempt.
+    /// Asks the engine for the status of an attempt.
     pub(super) async fn ask(&mut self, attempt: AttemptRef) -> NextStep {
-        Timer::after(QUESTION_PAUSE).await;
+        Timer::after(STATUS_QUERY_DELAY).await;
         let target = self.in_flight.as_ref().map(InFlight::target);
         let answer = match target {
             Some(target) => self.state.engines.status(target.address, &attempt).await,
@@ -235,12 +242,12 @@
         let steps = &mut self.steps;
         self.state
             .pickers
-            .with_budget(&self.asked.service, |budget| {
+            .with_budget(&self.completion.service, |budget| {
                 steps.status(now, answer, budget)
             })
     }
 
-    pub(super) fn note_retry(&self, exclude: &[BackendId]) {
+    pub(super) fn record_retry(&self, exclude: &[BackendId]) {
         self.state.metrics.retried();
         let attempt = self.last_attempt.map(|id| id.to_string());
         let excluded: Vec<String> = exclude.iter().map(ToString::to_string).collect();
@@ -252,12 +259,12 @@
         );
     }
 
-    fn note_no_backend(&mut self, error: PickError) {
+    fn record_no_backend(&mut self, error: PickError) {
         let code = RefusalCode::NoBackend;
-        let refusal = Refusal::after(code, NO_BACKEND_RETRY);
-        let asked = self.asked;
+        let refusal = Refusal::after(code, NO_BACKEND_RETRY_AFTER);
+        let completion = self.completion;
         self.state
-            .note_refusal(&asked.tenant, &asked.service, &refusal);
+            .record_refusal(&completion.tenant, &completion.service, &refusal);
         if self.last_failure.is_none() {
             self.last_failure = Some(AttemptFailure {
                 end: AttemptEnd::NotSent,
@@ -270,14 +277,14 @@
 }
 
 impl GatewayState {
-    /// Resolves once a back end that a request went to was given up.
+    /// Resolves once the back end of a request has been given up.
     pub(super) async fn until_given_up(&self, target: &Target) {
         while !self.is_given_up(target) {
-            Timer::after(GIVEN_UP_LOOK).await;
+            Timer::after(GIVEN_UP_POLL).await;
         }
     }
 
-    /// Stops an attempt whose answer nobody will read.
+    /// Cancels an attempt whose answer is no longer needed.
     pub(super) fn abandon_attempt(self: &Arc<Self>, in_flight: &InFlight) {
         let (target, attempt) = (in_flight.target(), in_flight.attempt);
         let state = self.clone();
--- a/crates/daemon/src/gateway/batch_driver.rs
+++ b/crates/daemon/src/gateway/batch_driver.rs
@@ -1,7 +1,7 @@
-//! Drives the batch owner: hands inputs in, carries outputs out in order.
+//! Drives the batch owner core: feeds it inputs and executes its outputs in order.
 //!
-//! Outputs are carried out under the core's lock, so that those of two inputs
-//! never cross. None of them waits there: streams and calls run as tasks.
+//! Outputs are executed under the core's lock, so that the outputs of two inputs
+//! never interleave. None of them blocks there: streams and calls run as tasks.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -22,15 +22,15 @@
 use super::options::{GatewayOptions, PreemptionPolicy};
 use super::state::GatewayState;
 
-/// Tail protection until a configuration is in force.
+/// Tail protection until a configuration is active.
 const INITIAL_TAIL_PROTECTION: u8 = 50;
-/// Share of an item lease between two renewals.
-const RENEWALS_IN_LEASE: u32 = 5;
-/// Longest and shortest time between two looks at what is due.
-const LONGEST_TICK: Duration = Duration::from_millis(50);
-const SHORTEST_TICK: Duration = Duration::from_millis(1);
+/// Number of renewals per item lease duration.
+const RENEWALS_PER_LEASE: u32 = 5;
+/// Upper and lower bound of the interval between ticks of the batch owner.
+const MAX_TICK: Duration = Duration::from_millis(50);
+const MIN_TICK: Duration = Duration::from_millis(1);
 
-/// The batch owner and its streams.
+/// The batch owner core and its streams.
 #[derive(Debug)]
 pub(super) struct BatchDriver {
     inner: Mutex<Inner>,
@@ -42,9 +42,9 @@
 struct Inner {
     owner: BatchOwner,
     streams: HashMap<StreamId, Sender<StreamCommand>>,
-    /// Engines as the owner was told of them.
+    /// The engines last announced to the owner.
     announced: BTreeMap<BackendId, Announced>,
-    /// The gateway, for tasks that outputs start.
+    /// The gateway, used by tasks that outputs start.
     state: Weak<GatewayState>,
 }
 
@@ -59,11 +59,14 @@
         let settings = BatchSettings {
             job_groups: options.job_groups,
             lease: options.item_lease,
-            renew_interval: options.item_lease / RENEWALS_IN_LEASE,
+            renew_interval: options.item_lease / RENEWALS_PER_LEASE,
             ..BatchSettings::default()
         };
-        let knob = options.policy.tail_protection;
-        let owner = BatchOwner::new(settings, knob.unwrap_or(INITIAL_TAIL_PROTECTION));
+        let tail_protection_override = options.policy.tail_protection;
+        let owner = BatchOwner::new(
+            settings,
+            tail_protection_override.unwrap_or(INITIAL_TAIL_PROTECTION),
+        );
         Self {
             inner: Mutex::new(Inner {
                 owner,
@@ -80,13 +83,13 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The gateway, while it lives.
+    /// Returns the gateway while it is alive.
     pub(super) fn gateway(&self) -> Option<Arc<GatewayState>> {
         self.lock().state.upgrade()
     }
 
-    /// Leases on items that a planned stop must still hand over; at least one
-    /// until every request to a job group is answered.
+    /// Returns the number of item leases that a graceful stop must still return; at least
+    /// one until every request to a job group has been answered.
     pub(super) fn left_to_return(&self) -> usize {
         if self.drained.load(Ordering::SeqCst) {
             return 0;
@@ -94,7 +97,7 @@
         self.lock().owner.leases_held().max(1)
     }
 
-    /// Whether an input is left out by a baseline without preemption.
+    /// Whether an input is ignored by a baseline without preemption.
     fn ignores(&self, input: &BatchInput) -> bool {
         let online = matches!(
             input,
@@ -106,9 +109,9 @@
         online && self.preemption != PreemptionPolicy::OnArrival
     }
 
-    /// The same input with every request taken for batch work, for a baseline
-    /// without preemption. An engine cannot tell them apart for the owner there,
-    /// and one that seems to run none would never be given more.
+    /// Counts every request in a load sample as batch work for a baseline without preemption.
+    /// The engine cannot distinguish batch from online requests for the owner then, and
+    /// an engine that appears to run no batch work would never be given more.
     fn adjusted(&self, input: BatchInput) -> BatchInput {
         match input {
             BatchInput::Load(mut sample) if self.preemption != PreemptionPolicy::OnArrival => {
@@ -129,12 +132,12 @@
         self.batch.lock().state = Arc::downgrade(self);
     }
 
-    /// Carries no further output of the batch owner out.
+    /// Stops executing outputs of the batch owner.
     pub(super) fn disconnect_batch(&self) {
         self.batch.lock().state = Weak::new();
     }
 
-    /// Hands an input to the batch owner and carries its outputs out.
+    /// Feeds an input to the batch owner and executes its outputs.
     pub(super) fn batch_input(&self, input: BatchInput) {
         if self.batch.ignores(&input) {
             return;
@@ -149,22 +152,22 @@
             return;
         };
         for output in outputs {
-            inner.carry_out(&state, output);
+            inner.execute(&state, output);
         }
     }
 
-    /// Lets time pass for the batch owner until the gateway stops.
+    /// Ticks the batch owner until the gateway stops.
     pub(super) async fn tick_batch(self: Arc<Self>) {
         loop {
             self.batch_input(BatchInput::Tick);
             let now = self.clock.now();
             let next = self.batch.lock().owner.next_wakeup(now);
-            let wait = next.map_or(LONGEST_TICK, |next| next.since(now));
-            Timer::after(wait.clamp(SHORTEST_TICK, LONGEST_TICK)).await;
+            let wait = next.map_or(MAX_TICK, |next| next.since(now));
+            Timer::after(wait.clamp(MIN_TICK, MAX_TICK)).await;
         }
     }
 
-    /// Tells the batch owner which engines it has and which of them take work.
+    /// Updates the batch owner's engines and which of them accept work.
     pub(super) fn refresh_owned_engines(&self, configuration: &Configuration) {
         let wanted = self.owned_engines(configuration);
         let inputs = {
@@ -196,7 +199,7 @@
     }
 }
 
-/// What the owner must be told.
+/// Returns the inputs that bring the owner from `before` to `after`.
 fn changes(
     before: &BTreeMap<BackendId, Announced>,
     after: &BTreeMap<BackendId, Announced>,
@@ -219,7 +222,7 @@
 }
 
 impl Inner {
-    fn carry_out(&mut self, state: &Arc<GatewayState>, output: BatchOutput) {
+    fn execute(&mut self, state: &Arc<GatewayState>, output: BatchOutput) {
         match output {
             BatchOutput::Pause(stream) => self.command(stream, StreamCommand::Pause),
             BatchOutput::Resume(stream) => self.command(stream, StreamCommand::Resume),
@@ -228,7 +231,7 @@
                 self.streams.remove(&stream);
             }
             BatchOutput::Dispatch { .. } => self.dispatch(state, output),
-            BatchOutput::Decision(decision) => state.note_batch_decision(&decision),
+            BatchOutput::Decision(decision) => state.record_batch_decision(&decision),
             BatchOutput::Drained => {
                 state.batch.drained.store(true, Ordering::SeqCst);
             }
@@ -246,7 +249,7 @@
 
     fn command(&mut self, stream: StreamId, command: StreamCommand) {
         if let Some(commands) = self.streams.get(&stream) {
-            // A stream that ended takes no commands, and that is all right.
+            // A stream that has ended receives no commands; that is not an error.
             let _ended = commands.try_send(command);
         }
     }
--- a/crates/daemon/src/gateway/batch_events.rs
+++ b/crates/daemon/src/gateway/batch_events.rs
@@ -1,4 +1,4 @@
-//! The batch owner's decisions as events.
+//! Records the batch owner's decisions as events.
 
 use molespan_routing::batch::BatchDecision;
 use molespan_telemetry::EventKind;
@@ -7,7 +7,7 @@
 
 impl GatewayState {
     /// Records one decision.
-    pub(super) fn note_batch_decision(&self, decision: &BatchDecision) {
+    pub(super) fn record_batch_decision(&self, decision: &BatchDecision) {
         match decision {
             BatchDecision::Preempted(preemption) => {
                 self.metrics
--- a/crates/daemon/src/gateway/batch_stream.rs
+++ b/crates/daemon/src/gateway/batch_stream.rs
@@ -1,4 +1,4 @@
-//! One batch item on its way at an engine.
+//! Execution of one batch item on an engine.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -21,32 +21,32 @@
 use super::state::GatewayState;
 use super::validation::{engine_body, max_tokens_of, parse_fields};
 
-/// Pause between questions about an attempt.
-const QUESTION_PAUSE: Duration = Duration::from_millis(50);
-/// Pause before an engine that does not know a stream yet is told again to
-/// hold it back.
-const HOLD_PAUSE: Duration = Duration::from_millis(3);
-/// The owner hears of every so many tokens of a stream.
+/// Delay before an engine is asked for the status of an attempt.
+const STATUS_QUERY_DELAY: Duration = Duration::from_millis(50);
+/// Delay before a pause request is repeated to an engine that does not know the stream
+/// yet.
+const PAUSE_RETRY_DELAY: Duration = Duration::from_millis(3);
+/// Progress is reported to the batch owner once per this many tokens of a stream.
 const TOKENS_PER_REPORT: u32 = 16;
-/// Times that it is told.
-const MOST_HOLDS: u32 = 100;
+/// Maximum number of pause requests for one command.
+const MAX_PAUSE_ATTEMPTS: u32 = 100;
 
-/// What the batch owner wants of a stream.
+/// A command of the batch owner to a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StreamCommand {
-    /// Hold it back.
+    /// Pause the stream.
     Pause,
-    /// Let it go on.
+    /// Resume the stream.
     Resume,
-    /// Stop it; nothing more is expected of it.
+    /// Cancel the stream; its result is discarded.
     Cancel,
 }
 
-/// A batch item that was handed out to run.
+/// A batch item dispatched to run.
 #[derive(Clone, Debug)]
 pub(super) struct BatchItem {
     pub(super) stream: StreamId,
-    /// Where it runs; `None` when the engine is no longer known.
+    /// The engine to run on; `None` when the engine is no longer known.
     pub(super) target: Option<Target>,
     pub(super) service: ServiceName,
     pub(super) job: JobId,
@@ -55,11 +55,11 @@
     pub(super) input: Vec<u8>,
 }
 
-/// How a stream ended for the owner; `None` after a cancel.
+/// How a stream ended, as reported to the owner; `None` after a cancel.
 type StreamEnd = Option<ItemEnd>;
 
 impl GatewayState {
-    /// Runs an item to its end, unless it is cancelled first.
+    /// Runs an item to completion, unless it is cancelled first.
     pub(super) async fn run_batch_item(
         self: Arc<Self>,
         item: BatchItem,
@@ -69,7 +69,7 @@
             self.metrics.batch_item("cancelled");
             return;
         };
-        // No further command is taken from here on.
+        // The stream accepts no further commands.
         commands.close();
         let label = match &end {
             ItemEnd::Completed(_) => "completed",
@@ -95,7 +95,7 @@
         let Ok(model) = self.batch_model(&item.service) else {
             return Some(ItemEnd::NotRun);
         };
-        let most_tokens = max_tokens_of(&fields);
+        let max_tokens = max_tokens_of(&fields);
         let cancelled = AtomicBool::new(false);
         let mut run = ItemRun {
             state: self,
@@ -104,20 +104,21 @@
             target,
             attempt: self.next_attempt(),
             body: engine_body(fields, &model),
-            text: String::with_capacity(most_tokens.min(4_096) as usize),
+            text: String::with_capacity(max_tokens.min(4_096) as usize),
             tokens: 0,
         };
         let attempt = run.attempt;
         let running = async { Some(run.steps_until_end().await) };
-        let commanded = async {
-            self.obey(target, attempt, commands, &cancelled).await;
+        let cancelled_by_command = async {
+            self.run_commands(target, attempt, commands, &cancelled)
+                .await;
             None
         };
-        future::or(running, commanded).await
+        future::or(running, cancelled_by_command).await
     }
 
-    /// The model of a service, whether or not this node may take new work:
-    /// leased items are accepted work.
+    /// Returns the model of a service, whether or not this node may accept new work:
+    /// leased items have already been accepted.
     fn batch_model(&self, service: &ServiceName) -> Result<String, ()> {
         let configuration = self.configuration.in_force().ok_or(())?;
         let service = configuration.services.get(service).ok_or(())?;
@@ -125,19 +126,19 @@
         Ok(model.0.clone())
     }
 
-    /// Carries commands out in their order; returns after a cancel.
-    async fn obey(
+    /// Executes commands in order; returns after a cancel.
+    async fn run_commands(
         &self,
         target: Target,
         attempt: AttemptId,
         commands: &Receiver<StreamCommand>,
         cancelled: &AtomicBool,
     ) {
-        // A stream that the owner forgot is as good as cancelled.
+        // A closed channel means that the owner dropped the stream, which equals a cancel.
         while let Ok(command) = commands.recv().await {
             match command {
-                StreamCommand::Pause => self.hold(target, attempt, true, commands).await,
-                StreamCommand::Resume => self.hold(target, attempt, false, commands).await,
+                StreamCommand::Pause => self.set_paused(target, attempt, true, commands).await,
+                StreamCommand::Resume => self.set_paused(target, attempt, false, commands).await,
                 StreamCommand::Cancel => break,
             }
         }
@@ -146,33 +147,36 @@
         self.engines.cancel(batch, target.address, attempt).await;
     }
 
-    /// Tells the engine to hold a stream back or let it go on. One that the
-    /// engine does not know yet is on its way there, so it is told again,
-    /// unless the owner changes its mind.
-    async fn hold(
+    /// Asks the engine to pause or resume a stream. A pause that gets no answer or a 404 is
+    /// retried, because the stream may still be on its way to the engine, until the owner
+    /// sends another command.
+    async fn set_paused(
         &self,
         target: Target,
         attempt: AttemptId,
-        held: bool,
+        paused: bool,
         commands: &Receiver<StreamCommand>,
     ) {
-        for _ in 0..MOST_HOLDS {
-            let status = self.engines.hold(target.address, attempt, held).await;
+        for _ in 0..MAX_PAUSE_ATTEMPTS {
+            let status = self
+                .engines
+                .set_paused(target.address, attempt, paused)
+                .await;
             let settled = status.is_some_and(|status| status != 404);
-            if settled || !commands.is_empty() || !held {
+            if settled || !commands.is_empty() || !paused {
                 return;
             }
-            Timer::after(HOLD_PAUSE).await;
+            Timer::after(PAUSE_RETRY_DELAY).await;
         }
     }
 }
 
-/// One item.
+/// The execution of one batch item.
 struct ItemRun<'a> {
     state: &'a GatewayState,
     item: &'a BatchItem,
-    /// Set before the engine is told to cancel: the stream breaks then, which
-    /// says nothing against the engine.
+    /// Set before the engine is asked to cancel: the stream then breaks, which does not
+    /// count as a failure of the engine.
     cancelled: &'a AtomicBool,
     target: Target,
     attempt: AttemptId,
@@ -187,7 +191,7 @@
             repeatable: self.item.repeatable,
             resumable: true,
         });
-        // Runs elsewhere are the owner's to decide.
+        // Disables retries: only the owner decides to run an item elsewhere.
         let mut budget = RetryBudget::new(RetryBudgetSettings {
             ratio: 0.0,
             reserve_per_second: 0.0,
@@ -197,7 +201,7 @@
         loop {
             let now = self.state.clock.now();
             next = match next {
-                // The lease on the item is the claim on it.
+                // The lease on the item serves as its claim.
                 NextStep::Claim => steps.claim_answered(ClaimAnswer::Granted),
                 NextStep::Dispatch => {
                     let attempt = self.target.attempt(self.attempt);
@@ -218,7 +222,7 @@
                     }
                 }
                 NextStep::AskStatus { attempt } => {
-                    Timer::after(QUESTION_PAUSE).await;
+                    Timer::after(STATUS_QUERY_DELAY).await;
                     let address = self.target.address;
                     let answer = self.state.engines.status(address, &attempt).await;
                     steps.status(self.state.clock.now(), answer, &mut budget)
@@ -252,14 +256,14 @@
 
     async fn resume(&self, attempt: AttemptRef) -> Result<AnswerStream, AttemptFailure> {
         self.state.metrics.resumed();
-        // The last token comes again, so that there is one also when only the
-        // end of the stream was lost.
+        // Requests the last token again, so that the answer has at least one token even if
+        // only the end of the stream was lost.
         let offset = self.tokens.saturating_sub(1);
         let address = self.target.address;
         self.state.engines.resume(address, &attempt, offset).await
     }
 
-    /// Collects the answer; an error is the reason of a final refusal.
+    /// Collects the answer; an error is the reason for a permanent rejection.
     async fn follow(
         &mut self,
         answer: Result<AnswerStream, AttemptFailure>,
@@ -281,7 +285,7 @@
             }
             self.text.push_str(&token.chunk.text);
             self.tokens = token.chunk.offset + 1;
-            // The owner acts on the first token and compares the rest roughly.
+            // The owner needs the first token exactly; for later ones an estimate is enough.
             if self.tokens % TOKENS_PER_REPORT == 1 {
                 self.state.batch_input(BatchInput::Progress {
                     stream: self.item.stream,
@@ -292,8 +296,8 @@
         Ok(())
     }
 
-    /// The output of `work`. An item that may run again does not wait for an
-    /// engine that was given up.
+    /// Awaits `work`. A repeatable item stops waiting when its engine has been given
+    /// up.
     async fn unless_given_up<T>(
         &self,
         work: impl Future<Output = Result<T, AttemptFailure>>,
@@ -312,22 +316,22 @@
     }
 
     fn failed(&self, failure: AttemptFailure) -> Result<AttemptEnd, String> {
-        let said = failure.refusal.as_ref();
-        if said.is_some_and(|refusal| refusal.is_final() && self.tokens == 0) {
+        let refusal = failure.refusal.as_ref();
+        if refusal.is_some_and(|refusal| refusal.is_final() && self.tokens == 0) {
             return Err(failure.cause);
         }
-        if said.is_none() && !self.cancelled.load(Ordering::Relaxed) {
-            self.state.note_batch_failure(&self.target);
+        if refusal.is_none() && !self.cancelled.load(Ordering::Relaxed) {
+            self.state.record_batch_failure(&self.target);
         }
-        slog::debug!(self.state.logger, "A batch stream failed.";
+        slog::debug!(self.state.logger, "batch stream failed";
             "job" => %self.item.job, "item" => self.item.item.0, "cause" => failure.cause);
         Ok(failure.end)
     }
 }
 
 impl GatewayState {
-    /// A batch stream broke by no word of the engine.
-    fn note_batch_failure(&self, target: &Target) {
+    /// Records a batch stream failure that the engine did not report itself.
+    fn record_batch_failure(&self, target: &Target) {
         let input = DirectoryInput::Work {
             backend: target.backend,
             incarnation: target.incarnation,
--- a/crates/daemon/src/gateway/configuration.rs
+++ b/crates/daemon/src/gateway/configuration.rs
@@ -1,5 +1,5 @@
-//! The configuration in force here: fetched by a long poll, never an older one
-//! than before, kept on disk, and confirmed by a quorum again and again.
+//! The active configuration of this node: fetched by long polls, never replaced by an
+//! older version, persisted to disk, and periodically confirmed as current by a quorum.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, PoisonError, RwLock};
@@ -19,42 +19,42 @@
 
 use super::state::GatewayState;
 
-/// Part of the data folder that belongs to the gateway.
+/// Subfolder of the data folder used by the gateway.
 const FOLDER: &str = "gateway";
-/// The last configuration that was in force here.
+/// File with the last active configuration.
 const FILE: &str = "configuration";
-/// A long poll waits for this share of the currency bound at most, so that
-/// several fit into it.
+/// A long poll waits for at most this fraction of the currency bound, so that
+/// several polls fit into it.
 const POLL_SHARE: u32 = 4;
-/// Pause after a replica that did not answer.
+/// Delay after a replica did not answer.
 const FAILURE_PAUSE: Duration = Duration::from_millis(50);
-/// When to come back to a node without a current configuration.
+/// Retry delay reported while this node has no current configuration.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// The configuration in force.
+/// Shared access to the active configuration.
 #[derive(Debug)]
-pub(super) struct ConfigurationDesk {
+pub(super) struct ActiveConfiguration {
     holder: RwLock<ConfigurationHolder>,
 }
 
-impl ConfigurationDesk {
+impl ActiveConfiguration {
     pub(super) fn new(bound: Duration) -> Self {
         Self {
             holder: RwLock::new(ConfigurationHolder::new(bound)),
         }
     }
 
-    /// The configuration in force; `None` before the first.
+    /// Returns the active configuration; `None` before the first one.
     pub(super) fn in_force(&self) -> Option<Arc<Configuration>> {
         self.read(|holder| holder.in_force().cloned())
     }
 
-    /// Version in force; 0 without a configuration.
+    /// Returns the active version; 0 without a configuration.
     pub(super) fn version(&self) -> ConfigVersion {
         self.read(ConfigurationHolder::version)
     }
 
-    /// Whether the node may take new work.
+    /// Returns whether the node may accept new work.
     pub(super) fn readiness(&self, now: Timestamp) -> Readiness {
         self.read(|holder| holder.readiness(now))
     }
@@ -69,8 +69,8 @@
 }
 
 impl GatewayState {
-    /// A service that may take new work now.
-    pub(super) fn service_in_force(&self, name: &ServiceName) -> Result<Service, Refusal> {
+    /// Returns a service that may accept new work now.
+    pub(super) fn active_service(&self, name: &ServiceName) -> Result<Service, Refusal> {
         if self.configuration.readiness(self.clock.now()) != Readiness::Ready {
             let code = RefusalCode::ConfigurationNotCurrent;
             return Err(Refusal::after(code, RETRY_AFTER));
@@ -84,46 +84,46 @@
             .ok_or(Refusal::permanent(RefusalCode::UnknownService))
     }
 
-    /// The model that a completion service runs.
+    /// Returns the model of a completion service.
     pub(super) fn model_of(&self, name: &ServiceName) -> Result<String, Refusal> {
-        let service = self.service_in_force(name)?;
+        let service = self.active_service(name)?;
         match (service.kind, service.model) {
             (ServiceKind::Completion, Some(model)) => Ok(model.0),
             _ => Err(Refusal::permanent(RefusalCode::UnknownService)),
         }
     }
 
-    /// Whether an application service may take new work now.
+    /// Checks that an application service may accept new work now.
     pub(super) fn check_application(&self, name: &ServiceName) -> Result<(), Refusal> {
-        match self.service_in_force(name)?.kind {
+        match self.active_service(name)?.kind {
             ServiceKind::Application => Ok(()),
             ServiceKind::Completion => Err(Refusal::permanent(RefusalCode::UnknownService)),
         }
     }
 
-    /// Puts the configuration on disk in force, if there is one. It counts as
+    /// Activates the configuration on disk, if there is one. It counts as
     /// current only once a quorum confirms it.
     pub(super) async fn restore_configuration(&self) {
         let folder = self.options.data_folder.clone();
         match blocking::unblock(move || load(&folder)).await {
-            Ok(Some(configuration)) => self.put_in_force(configuration, "restored from disk"),
+            Ok(Some(configuration)) => self.activate(configuration, "restored from disk"),
             Ok(None) => {}
             Err(error) => {
-                warn!(self.logger, "The stored configuration cannot be read."; "error" => %error);
+                warn!(self.logger, "cannot read the stored configuration"; "error" => %error);
             }
         }
     }
 
     /// Watches for newer configurations until the gateway stops.
     pub(super) async fn watch_configuration(self: Arc<Self>) {
-        // Gateways begin at different replicas, so that these share the work.
-        let mut turn = self.options.node.0 as usize;
-        let mut was = Readiness::NoConfiguration;
-        let mut wants_whole = false;
-        let mut knows_engines = false;
+        // Gateways start at different replicas to spread the load.
+        let mut replica_index = self.options.node.0 as usize;
+        let mut previous = Readiness::NoConfiguration;
+        let mut needs_full_configuration = false;
+        let mut waited_for_reports = false;
         loop {
             let replicas = self.cluster.replicas();
-            let Some(replica) = replicas.get(turn % replicas.len().max(1)).copied() else {
+            let Some(replica) = replicas.get(replica_index % replicas.len().max(1)).copied() else {
                 return;
             };
             let longest = self.options.currency_bound / POLL_SHARE;
@@ -135,7 +135,7 @@
             let watch = WatchConfiguration {
                 node: self.options.node,
                 incarnation: self.options.incarnation,
-                in_force: if wants_whole {
+                in_force: if needs_full_configuration {
                     ConfigVersion::default()
                 } else {
                     self.configuration.version()
@@ -144,36 +144,36 @@
             };
             match self.cluster.watch(replica, watch).await {
                 Ok(watched) => {
-                    wants_whole = match watched.newer {
-                        Some(update) => !self.take_update(update).await,
+                    needs_full_configuration = match watched.newer {
+                        Some(update) => !self.apply_update(update).await,
                         None => false,
                     };
-                    if !knows_engines && self.configuration.in_force().is_some() {
+                    if !waited_for_reports && self.configuration.in_force().is_some() {
                         self.wait_for_first_reports().await;
-                        knows_engines = true;
+                        waited_for_reports = true;
                     }
                     let current = watched.current;
                     self.configuration
                         .write(|holder| holder.confirm(sent, current));
                 }
                 Err(_) => {
-                    turn += 1;
+                    replica_index += 1;
                     Timer::after(FAILURE_PAUSE).await;
                 }
             }
-            self.note_readiness(&mut was);
+            self.record_readiness(&mut previous);
         }
     }
 
-    /// Tells of a change of readiness; a node that turned unready refuses what
-    /// waits.
-    pub(super) fn note_readiness(&self, was: &mut Readiness) {
+    /// Records a change of readiness; a node that becomes unready rejects queued
+    /// requests.
+    pub(super) fn record_readiness(&self, previous: &mut Readiness) {
         let is = self.configuration.readiness(self.clock.now());
-        if is == *was {
+        if is == *previous {
             return;
         }
-        *was = is;
-        info!(self.logger, "Readiness changed."; "readiness" => %is);
+        *previous = is;
+        info!(self.logger, "readiness changed"; "readiness" => %is);
         self.events.record(
             EventKind::Configuration,
             format!("node {}", self.options.node),
@@ -185,24 +185,24 @@
         }
     }
 
-    /// Takes a newer configuration over. Returns whether the update fitted the
-    /// configuration in force; else the whole one is needed.
-    async fn take_update(&self, update: ConfigurationUpdate) -> bool {
+    /// Applies a configuration update. Returns whether it applied to the active
+    /// configuration; otherwise the complete configuration must be fetched.
+    async fn apply_update(&self, update: ConfigurationUpdate) -> bool {
         let held = self.configuration.in_force();
         match update.apply_to(held.as_deref()) {
             Ok(newer) => {
-                self.take_configuration(newer).await;
+                self.store_and_activate(newer).await;
                 true
             }
             Err(error) => {
-                warn!(self.logger, "An update of the configuration does not fit."; "error" => %error);
+                warn!(self.logger, "configuration update does not apply to the active version"; "error" => %error);
                 false
             }
         }
     }
 
-    /// Keeps a newer configuration on disk, then puts it in force.
-    async fn take_configuration(&self, newer: Configuration) {
+    /// Persists a newer configuration, then activates it.
+    async fn store_and_activate(&self, newer: Configuration) {
         if newer.version <= self.configuration.version() && newer.version.0 > 0 {
             return;
         }
@@ -210,13 +210,14 @@
         let bytes = encode(&newer);
         let stored = blocking::unblock(move || store(&folder, &bytes)).await;
         if let Err(error) = stored {
-            // It still counts: replicas hold it, only a restart starts older.
-            warn!(self.logger, "The configuration cannot be stored."; "error" => %error);
+            // The configuration is activated anyway: replicas store it, and only a restart
+            // would begin with an older one.
+            warn!(self.logger, "configuration could not be stored"; "error" => %error);
         }
-        self.put_in_force(newer, "accepted by a quorum");
+        self.activate(newer, "accepted by a quorum");
     }
 
-    fn put_in_force(&self, configuration: Configuration, reason: &str) {
+    fn activate(&self, configuration: Configuration, reason: &str) {
         let change = self
             .configuration
             .write(|holder| holder.offer(configuration));
@@ -230,11 +231,12 @@
             service_limits(&configuration),
             tenant_policies(&configuration, &self.options.admission.default_policy),
         );
-        let knob = self.options.policy.tail_protection;
-        let tail_protection = knob.unwrap_or(configuration.policy.tail_protection);
+        let tail_protection_override = self.options.policy.tail_protection;
+        let tail_protection =
+            tail_protection_override.unwrap_or(configuration.policy.tail_protection);
         self.batch_input(BatchInput::Policy { tail_protection });
-        self.refresh_engines();
-        info!(self.logger, "A configuration is in force."; "version" => to.0);
+        self.mark_candidates_stale();
+        info!(self.logger, "configuration is in force"; "version" => to.0);
         self.events.record(
             EventKind::Configuration,
             format!("version {to}"),
@@ -280,7 +282,7 @@
     let Some(bytes) = read_checked(&disk, FOLDER, FILE)? else {
         return Ok(None);
     };
-    // One of another format is as good as none: replicas have the newest.
+    // Treats a configuration of another format as missing: replicas have the newest one.
     Ok(decode(&bytes).ok())
 }
 
--- a/crates/daemon/src/gateway/drain.rs
+++ b/crates/daemon/src/gateway/drain.rs
@@ -1,5 +1,5 @@
-//! The planned stop: unready first, then no new connections, then what is in
-//! flight finishes, then leases are handed over.
+//! Graceful stop: reports unready, then refuses new connections, lets requests in
+//! flight finish and hands leases over.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,28 +13,28 @@
 
 use super::state::GatewayState;
 
-/// Time between two looks at what is left.
-const LOOK: Duration = Duration::from_millis(20);
-/// Time for which requests on open connections are answered once no new
-/// connections are taken.
+/// Interval between checks of the remaining work.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// How long requests on open connections are still answered after new
+/// connections are refused.
 const IDLE_GRACE: Duration = Duration::from_millis(500);
 
-/// How a planned stop went.
+/// Result of a graceful stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DrainReport {
-    /// Requests that were cut off since the time bound passed.
+    /// Requests that were aborted because the time limit passed.
     pub cut_off: u32,
-    /// Leases that others must wait out.
+    /// Leases that were not handed over and must expire.
     pub left_behind: u32,
 }
 
-/// Carries a planned stop out.
+/// Performs a graceful stop.
 pub(super) async fn drain(state: &Arc<GatewayState>, server: &ServerHandle) -> DrainReport {
-    let bounds = &state.options.drain;
+    let limits = &state.options.drain;
     let mut plan = DrainPlan::new(DrainSettings {
-        unready_wait: bounds.unready_wait,
-        finish_within: bounds.finish_within,
-        hand_over_within: bounds.hand_over_within,
+        unready_wait: limits.unready_wait,
+        finish_within: limits.finish_within,
+        hand_over_within: limits.hand_over_within,
     });
     let mut report = DrainReport::default();
     let mut input = DrainInput::Begin;
@@ -47,35 +47,35 @@
         outputs.extend(plan.handle(now, input));
         input = DrainInput::Tick;
         for output in outputs {
-            note(state, &output, in_flight, held);
+            record_step(state, &output, in_flight, held);
             match output {
-                DrainOutput::SayUnready => say_unready(state),
+                DrainOutput::SayUnready => announce_unready(state),
                 DrainOutput::ReturnBatchItems => return_batch_items(state),
                 DrainOutput::RefuseNew => refuse_new(state, server),
                 DrainOutput::HandOver => state.release_ownership(),
                 DrainOutput::CutOff { in_flight } => report.cut_off = in_flight,
                 DrainOutput::LeftBehind { held } => report.left_behind = held,
                 DrainOutput::Exit => {
-                    // Idle connections are closed; nothing else is left, or
-                    // the bound passed.
+                    // Closes idle connections; either nothing else is left, or the time
+                    // limit passed.
                     server.shutdown(Duration::ZERO, Duration::ZERO).await;
                     return report;
                 }
             }
         }
-        Timer::after(LOOK).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
-fn say_unready(state: &Arc<GatewayState>) {
+fn announce_unready(state: &Arc<GatewayState>) {
     state.begin_drain();
-    let telling = state.clone();
+    let gateway = state.clone();
     state.spawn(async move {
-        let (node, incarnation) = (telling.options.node, telling.options.incarnation);
-        // The heartbeats say it too, should this fail.
-        let _unreachable = telling.cluster.drain_node(node, incarnation).await;
-        let sent = telling.clock.now();
-        let _unreachable = telling.heartbeat(sent).await;
+        let (node, incarnation) = (gateway.options.node, gateway.options.incarnation);
+        // If this call fails, the heartbeats still report the drain.
+        let _unreachable = gateway.cluster.drain_node(node, incarnation).await;
+        let sent = gateway.clock.now();
+        let _unreachable = gateway.heartbeat(sent).await;
     });
 }
 
@@ -86,15 +86,15 @@
 fn refuse_new(state: &Arc<GatewayState>, server: &ServerHandle) {
     state.begin_stopping();
     let server = server.clone();
-    let bounds = state.options.drain.clone();
+    let limits = state.options.drain.clone();
     state.spawn(async move {
-        let deadline = bounds.finish_within + bounds.hand_over_within;
+        let deadline = limits.finish_within + limits.hand_over_within;
         server.shutdown(IDLE_GRACE, deadline).await;
     });
 }
 
-fn note(state: &GatewayState, output: &DrainOutput, in_flight: u32, held: u32) {
-    info!(state.logger, "The planned stop goes on.";
+fn record_step(state: &GatewayState, output: &DrainOutput, in_flight: u32, held: u32) {
+    info!(state.logger, "planned stop moved on to its next step";
         "step" => ?output, "in_flight" => in_flight, "leases" => held);
     state.events.record(
         EventKind::Drain,
--- a/crates/daemon/src/gateway/heartbeat.rs
+++ b/crates/daemon/src/gateway/heartbeat.rs
@@ -1,5 +1,5 @@
-//! Heartbeats to the control leader: this gateway is alive, and which others
-//! are. From the answer follows whose batch work it owns.
+//! Heartbeats to the control leader, which report this gateway as live and return the
+//! other live gateways. Batch work ownership is derived from the answers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,13 +16,13 @@
 use super::state::GatewayState;
 use crate::cluster::{ClusterError, LiveNode};
 
-/// Pause after a registration that failed.
+/// Delay after a failed registration.
 const REGISTER_PAUSE: Duration = Duration::from_millis(200);
-/// Time between two looks at tenures that begin or run out.
+/// Interval between checks for tenures that begin or expire.
 const OWNERSHIP_TICK: Duration = Duration::from_millis(100);
 
 impl GatewayState {
-    /// Announces this life of the node until the control group has it.
+    /// Registers this incarnation of the node, retrying until the control group accepts it.
     pub(super) async fn register(self: Arc<Self>) {
         loop {
             let node = RegisterNode {
@@ -36,11 +36,11 @@
             };
             match self.cluster.register_node(node).await {
                 Ok(ControlReply::NodeAccepted) => {
-                    info!(self.logger, "The node is registered.");
+                    info!(self.logger, "node registered");
                     return;
                 }
                 Ok(ControlReply::NodeStale { registered }) => {
-                    warn!(self.logger, "A later life of this node is registered.";
+                    warn!(self.logger, "a later incarnation of this node is registered";
                         "registered" => registered.0);
                     return;
                 }
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Sends one heartbeat and takes the answer.
+    /// Sends one heartbeat and processes the answer.
     pub(super) async fn heartbeat(&self, sent: Timestamp) -> Result<(), ClusterError> {
         let owned: Vec<BackendId> = self.ownership().owned().collect();
         let request = || Request::Heartbeat {
@@ -73,13 +73,13 @@
             owned: owned.clone(),
         };
         let nodes = self.cluster.heartbeat(request).await?;
-        self.learn_zones(&nodes).await;
-        self.take_live_nodes(sent, &nodes);
+        self.fetch_zones(&nodes).await;
+        self.handle_live_nodes(sent, &nodes);
         Ok(())
     }
 
-    /// Reads where unknown nodes stand and how they are reached.
-    async fn learn_zones(&self, nodes: &[LiveNode]) {
+    /// Fetches the zones and addresses of unknown nodes.
+    async fn fetch_zones(&self, nodes: &[LiveNode]) {
         let unknown = {
             let zones = self.zones();
             nodes.iter().any(|live| !zones.contains_key(&live.node))
@@ -95,7 +95,7 @@
         for record in records {
             let node = record.registration;
             if node.node != self.options.node {
-                transport.learn(node.node, &node.internal_address);
+                transport.update_address(node.node, &node.internal_address);
             }
             if node.roles.contains(&NodeRole::Gateway) {
                 zones.insert(node.node, node.zone);
@@ -103,7 +103,7 @@
         }
     }
 
-    fn take_live_nodes(&self, sent: Timestamp, nodes: &[LiveNode]) {
+    fn handle_live_nodes(&self, sent: Timestamp, nodes: &[LiveNode]) {
         let now = self.clock.now();
         let records = {
             let zones = self.zones();
@@ -132,22 +132,22 @@
                 "the set of live gateways changed",
                 [("gateways", nodes.join(" ").into())],
             );
-            self.refresh_engines();
+            self.mark_candidates_stale();
         }
     }
 
-    /// Lets tenures begin and run out until the gateway stops.
+    /// Begins and expires tenures until the gateway stops.
     pub(super) async fn tick_ownership(self: Arc<Self>) {
         loop {
             Timer::after(OWNERSHIP_TICK).await;
             let now = self.clock.now();
             self.gateways().expire(now);
             let changes = self.ownership().tick(now);
-            self.carry_out_ownership(changes);
+            self.apply_ownership_changes(changes);
         }
     }
 
-    /// Compares tenures with the live gateways and the engines.
+    /// Recomputes tenures from the live gateways and the engines.
     pub(super) fn refresh_ownership(&self) {
         if self.is_draining() {
             return;
@@ -164,16 +164,16 @@
         let gateways = self.gateways().clone();
         let pairs = engines.iter().map(|(backend, zone)| (*backend, zone));
         let changes = self.ownership().refresh(now, &gateways, pairs);
-        self.carry_out_ownership(changes);
+        self.apply_ownership_changes(changes);
     }
 
-    /// Gives every tenure up, for a planned stop.
+    /// Releases every tenure, for a graceful stop.
     pub(super) fn release_ownership(&self) {
         let changes = self.ownership().release_all();
-        self.carry_out_ownership(changes);
+        self.apply_ownership_changes(changes);
     }
 
-    fn carry_out_ownership(&self, changes: Vec<OwnershipChange>) {
+    fn apply_ownership_changes(&self, changes: Vec<OwnershipChange>) {
         if changes.is_empty() {
             return;
         }
--- a/crates/daemon/src/gateway/loads.rs
+++ b/crates/daemon/src/gateway/loads.rs
@@ -1,5 +1,5 @@
-//! Load reports: the owner of an engine polls it often and passes digests on;
-//! others ask rarely, for what digests do not carry.
+//! Load reports: the owner of an engine polls it frequently and distributes digests;
+//! other gateways poll it rarely, for what digests do not contain.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -17,24 +17,24 @@
 
 use super::state::GatewayState;
 
-/// Time between two reports of a back end that another gateway owns.
-const FOREIGN_POLL: Duration = Duration::from_secs(1);
-/// Time between two reports of a back end of which nothing is known yet.
+/// Polling interval of a back end that another gateway owns.
+const NON_OWNED_POLL: Duration = Duration::from_secs(1);
+/// Polling interval of a back end that has not reported yet.
 const DISCOVERY_POLL: Duration = Duration::from_millis(100);
-/// Time between two reads of an owned engine's cache events.
+/// Polling interval of an engine's cache events.
 const CACHE_POLL: Duration = Duration::from_millis(250);
-/// Time after which an unanswered poll no longer holds back the next.
+/// Time after which an unanswered poll no longer delays the next one.
 const POLL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Most gateways that an engine's digests go to.
-const MOST_LISTENERS: usize = 16;
-/// Steps of the share of KV memory in a digest.
+/// Maximum number of gateways that receive an engine's digests.
+const MAX_DIGEST_RECEIVERS: usize = 16;
+/// Scale of the KV memory share in a digest.
 const KV_STEPS: f64 = 255.0;
-/// Unit of the step in a digest.
+/// Unit of the step duration in a digest, in microseconds.
 const STEP_MICROS: u64 = 100;
 
-/// When each back end was asked, and what is to be passed on.
+/// Poll state of each back end, and the back ends to poll.
 #[derive(Debug, Default)]
-pub(super) struct LoadDesk {
+pub(super) struct LoadPolls {
     polls: Mutex<BTreeMap<BackendId, Poll>>,
     /// Back ends that this gateway routes to.
     watched: Mutex<BTreeSet<BackendId>>,
@@ -49,35 +49,35 @@
     cache_sequence: u64,
 }
 
-/// A back end to be asked now.
+/// A back end whose poll is due.
 #[derive(Clone, Copy, Debug)]
 struct Due {
     backend: BackendId,
     incarnation: Incarnation,
     address: SocketAddr,
-    /// Sequence behind which cache events are wanted, if they are.
+    /// Sequence number after which cache events are fetched; `None` to fetch none.
     cache_after: Option<u64>,
 }
 
-impl LoadDesk {
+impl LoadPolls {
     fn lock(&self) -> MutexGuard<'_, BTreeMap<BackendId, Poll>> {
         self.polls.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets which back ends this gateway routes to; no others are asked but
-    /// those that it owns.
+    /// Sets the back ends that this gateway routes to; besides them, only owned back ends
+    /// and engines of the services it places are polled.
     pub(super) fn set_watched(&self, watched: impl Iterator<Item = BackendId>) {
         *self.watched() = watched.collect();
     }
 
-    /// Back ends that this gateway routes to.
+    /// Returns the back ends that this gateway routes to.
     pub(super) fn watched(&self) -> MutexGuard<'_, BTreeSet<BackendId>> {
         self.watched.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl GatewayState {
-    /// Asks back ends for their load until the gateway stops.
+    /// Polls the load of back ends until the gateway stops.
     pub(super) async fn poll_loads(self: Arc<Self>) {
         loop {
             for due in self.polls_due() {
@@ -92,18 +92,18 @@
         let now = self.clock.now();
         let owned: BTreeSet<BackendId> = self.ownership().owned().collect();
         let placed = self.placement.placed();
-        let mut asked: BTreeSet<BackendId> = self.loads.watched().union(&owned).copied().collect();
+        let mut polled: BTreeSet<BackendId> = self.loads.watched().union(&owned).copied().collect();
         let directory = self.directory();
         if !placed.is_empty() {
-            // Placement must know what every engine of its services has loaded.
+            // Placement needs the loaded models of every engine of its services.
             let engines = directory.backends();
             let engines = engines.filter(|backend| placed.contains(&backend.service));
-            asked.extend(engines.map(|backend| backend.id));
+            polled.extend(engines.map(|backend| backend.id));
         }
         let mut polls = self.loads.lock();
-        polls.retain(|backend, _| asked.contains(backend));
+        polls.retain(|backend, _| polled.contains(backend));
         let mut due = Vec::new();
-        for backend in asked.iter().filter_map(|id| directory.backend(*id)) {
+        for backend in polled.iter().filter_map(|id| directory.backend(*id)) {
             let Ok(address) = backend.address.parse() else {
                 continue;
             };
@@ -121,9 +121,9 @@
             let is_known =
                 backend.kind == MachineKind::Application || !backend.loaded.models.is_empty();
             let interval = match backend.state {
-                BackendState::Unknown | BackendState::Ejected => FOREIGN_POLL,
+                BackendState::Unknown | BackendState::Ejected => NON_OWNED_POLL,
                 _ if is_owned => self.options.load_poll,
-                _ if is_known => FOREIGN_POLL,
+                _ if is_known => NON_OWNED_POLL,
                 _ => DISCOVERY_POLL,
             };
             poll.next = now + interval;
@@ -156,7 +156,7 @@
             });
             return;
         };
-        self.take_report(sent, &report);
+        self.handle_report(sent, &report);
         if let Some(after) = due.cache_after {
             self.read_cache_events(due, after).await;
         }
@@ -175,21 +175,21 @@
         }
     }
 
-    /// Takes a direct report that was asked for at `sent`.
-    fn take_report(self: &Arc<Self>, sent: Timestamp, report: &LoadReport) {
+    /// Processes a direct report that was requested at `sent`.
+    fn handle_report(self: &Arc<Self>, sent: Timestamp, report: &LoadReport) {
         let now = self.clock.now();
-        let half_way = now.since(sent) / 2;
-        let age = Duration::from_millis(u64::from(report.age_ms)) + half_way;
+        let half_round_trip = now.since(sent) / 2;
+        let age = Duration::from_millis(u64::from(report.age_ms)) + half_round_trip;
         let observed = Timestamp(now.0.saturating_sub(age.as_micros() as u64));
         let before = self.loaded(report.backend);
         self.directory_input(DirectoryInput::Report(BackendReport::from(report)));
         if before != self.loaded(report.backend) {
-            self.refresh_engines();
+            self.mark_candidates_stale();
         }
         let sample = LoadSample::from_report(report, observed);
         self.pickers.observe_load(&sample);
         if self.ownership().owns(report.backend) {
-            self.pass_on(report);
+            self.send_digest(report);
             self.batch_input(BatchInput::Load(sample));
         }
     }
@@ -199,11 +199,11 @@
         directory.backend(backend).map(|known| known.loaded.clone())
     }
 
-    /// Sends the digest of an owned engine's report to the gateways that are
-    /// the most likely to route there.
-    fn pass_on(&self, report: &LoadReport) {
+    /// Sends the digest of an owned engine's report to the gateways most likely to
+    /// route there.
+    fn send_digest(&self, report: &LoadReport) {
         let digest = digest_of(report);
-        for node in self.listeners(report.backend) {
+        for node in self.digest_receivers(report.backend) {
             let request = Request::Loads {
                 from: self.options.node,
                 digests: vec![digest.clone()],
@@ -212,19 +212,19 @@
         }
     }
 
-    fn listeners(&self, backend: BackendId) -> Vec<NodeId> {
+    fn digest_receivers(&self, backend: BackendId) -> Vec<NodeId> {
         let own = self.options.node;
         let gateways = self.gateways();
         let mut nodes: Vec<NodeId> = gateways.nodes().filter(|node| *node != own).collect();
-        if nodes.len() > MOST_LISTENERS {
+        if nodes.len() > MAX_DIGEST_RECEIVERS {
             nodes.sort_by_key(|node| std::cmp::Reverse(weight(*node, backend)));
-            nodes.truncate(MOST_LISTENERS);
+            nodes.truncate(MAX_DIGEST_RECEIVERS);
         }
         nodes
     }
 
-    /// Takes digests that an owner passed on.
-    pub(super) fn take_digests(self: &Arc<Self>, digests: Vec<LoadDigest>) {
+    /// Processes digests sent by an owner.
+    pub(super) fn handle_digests(self: &Arc<Self>, digests: Vec<LoadDigest>) {
         let now = self.clock.now();
         for digest in digests {
             self.directory_input(DirectoryInput::Report(BackendReport {
@@ -257,9 +257,9 @@
     }
 }
 
-/// The sample of a digest. How old it is nobody says; with the owner's polling
-/// interval as its age, own requests sent meanwhile are overrated rather than
-/// missed.
+/// Converts a digest to a sample. A digest does not carry its age, so callers assume the
+/// owner's polling interval: own requests sent in that time may be counted twice, but are
+/// never missed.
 fn sample_of(digest: &LoadDigest, observed: Timestamp) -> LoadSample {
     LoadSample {
         backend: digest.backend,
--- a/crates/daemon/src/gateway/outcome.rs
+++ b/crates/daemon/src/gateway/outcome.rs
@@ -1,4 +1,4 @@
-//! What the caller of a completion is told after the last step.
+//! The error returned to the caller of a completion after its last step.
 
 use std::time::Duration;
 
@@ -9,25 +9,25 @@
 use super::error::ApiError;
 use super::route::Run;
 
-/// When to come back while no engine takes work.
-pub(super) const NO_BACKEND_RETRY: Duration = Duration::from_secs(1);
+/// Retry delay reported while no engine accepts work.
+pub(super) const NO_BACKEND_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Run<'_> {
-    /// Why the last attempt failed.
+    /// Returns why the last attempt failed.
     pub(super) fn cause(&self) -> String {
         let failure = self.last_failure.as_ref();
         failure.map_or_else(|| "no answer".to_owned(), |failure| failure.cause.clone())
     }
 
-    /// A refusal of an engine that every other one would repeat.
-    pub(super) fn passed_on(&self, refusal: &BackendRefusal) -> ApiError {
+    /// Converts an engine's rejection that every other engine would repeat.
+    pub(super) fn forwarded_refusal(&self, refusal: &BackendRefusal) -> ApiError {
         let status = StatusCode::try_from(refusal.status).unwrap_or(StatusCode::BadRequest);
         let detail = &refusal.detail;
         let error = ApiError::not_run(status, &detail.code, detail.message.clone());
-        self.named(error)
+        self.with_last_attempt(error)
     }
 
-    /// What the caller is told after the last step.
+    /// Returns the error for the caller after the last step.
     pub(super) fn failure(&mut self, outcome: RunOutcome) -> ApiError {
         if let Some(error) = self.claim.take_error() {
             return error;
@@ -47,7 +47,7 @@
             )
             .with_outcome(outcome),
         };
-        self.named(error)
+        self.with_last_attempt(error)
     }
 
     fn retry_after(&self) -> Duration {
@@ -55,11 +55,11 @@
             .last_failure
             .as_ref()
             .and_then(|last| last.refusal.as_ref());
-        let said = refusal.and_then(|refusal| refusal.detail.retry_after_ms);
-        said.map_or(NO_BACKEND_RETRY, Duration::from_millis)
+        let retry_after_ms = refusal.and_then(|refusal| refusal.detail.retry_after_ms);
+        retry_after_ms.map_or(NO_BACKEND_RETRY_AFTER, Duration::from_millis)
     }
 
-    fn named(&self, error: ApiError) -> ApiError {
+    fn with_last_attempt(&self, error: ApiError) -> ApiError {
         ApiError {
             attempt: self.last_attempt.map(|id| id.to_string()),
             ..error
--- a/crates/daemon/src/gateway/placement.rs
+++ b/crates/daemon/src/gateway/placement.rs
@@ -1,5 +1,5 @@
-//! Placement: one gateway a service plans which engine should hold what, has
-//! each order fenced by the control group, and sends it to the engine.
+//! Model placement: one gateway per service plans which engine should load what, has
+//! the control group fence each order, and sends it to the engine.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::{Arc, Mutex, PoisonError};
@@ -18,18 +18,18 @@
 
 use super::state::GatewayState;
 
-/// Time between two looks at what is placed.
+/// Interval between placement rounds.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// The planner of the services that this gateway places.
+/// The placement planner and the services it covers.
 #[derive(Debug)]
-pub(super) struct PlacementDesk {
+pub(super) struct PlacementState {
     planner: Mutex<PlacementPlanner>,
     /// Services that this gateway places.
     placed: Mutex<BTreeSet<ServiceName>>,
 }
 
-impl Default for PlacementDesk {
+impl Default for PlacementState {
     fn default() -> Self {
         Self {
             planner: Mutex::new(PlacementPlanner::new(PlacementSettings::default())),
@@ -38,8 +38,8 @@
     }
 }
 
-impl PlacementDesk {
-    /// Services that this gateway places.
+impl PlacementState {
+    /// Returns the services that this gateway places.
     pub(super) fn placed(&self) -> BTreeSet<ServiceName> {
         let placed = self.placed.lock();
         placed.unwrap_or_else(PoisonError::into_inner).clone()
@@ -62,40 +62,40 @@
             let Some(configuration) = self.configuration.in_force() else {
                 continue;
             };
-            let mine = self.placed_here(&configuration);
-            let names = mine.services.keys().cloned().collect();
+            let placed_configuration = self.placed_here(&configuration);
+            let names = placed_configuration.services.keys().cloned().collect();
             self.placement.set_placed(names);
-            if mine.services.is_empty() {
+            if placed_configuration.services.is_empty() {
                 continue;
             }
-            // Tokens are needed only where something may be ordered.
+            // Fencing tokens are read only if there are services to place.
             let Ok(orders) = self.cluster.orders().await else {
                 continue;
             };
-            let engines = self.engine_states(&mine, &orders);
+            let engines = self.engine_states(&placed_configuration, &orders);
             let now = self.clock.now();
             let decisions = {
                 let planner = &self.placement.planner;
                 let mut planner = planner.lock().unwrap_or_else(PoisonError::into_inner);
-                planner.plan(now, &mine, &engines)
+                planner.plan(now, &placed_configuration, &engines)
             };
             for decision in decisions {
-                self.carry_out_order(decision).await;
+                self.fence_and_send_order(decision).await;
             }
         }
     }
 
-    /// The configuration with only the services that this gateway places: the
-    /// one with the highest weight for a service's name among the live ones.
+    /// Returns the configuration reduced to the services that this gateway places: among
+    /// the live gateways, the one with the highest weight for a service's name places it.
     fn placed_here(&self, configuration: &Configuration) -> Configuration {
         let gateways = self.gateways();
         let own = self.options.node;
-        let mut mine = configuration.clone();
-        mine.services.retain(|name, service| {
+        let mut placed_configuration = configuration.clone();
+        placed_configuration.services.retain(|name, service| {
             let key = BackendId(digest_of(name.0.as_bytes()).0 as u32);
             service.model.is_some() && highest(gateways.nodes(), key) == Some(own)
         });
-        mine
+        placed_configuration
     }
 
     fn engine_states(
@@ -130,8 +130,8 @@
             .collect()
     }
 
-    /// Has an order fenced and sends it.
-    async fn carry_out_order(&self, decision: PlacementDecision) {
+    /// Has the control group fence an order and sends it.
+    async fn fence_and_send_order(&self, decision: PlacementDecision) {
         let backend = decision.order.backend;
         self.events.record(
             EventKind::Place,
@@ -148,11 +148,11 @@
                 self.send_order(&decision, token).await;
             }
             Ok(reply) => {
-                info!(self.logger, "An order was not issued.";
+                info!(self.logger, "order was not issued";
                     "engine" => backend.0, "reply" => ?reply);
             }
             Err(error) => {
-                warn!(self.logger, "An order could not be issued.";
+                warn!(self.logger, "order could not be issued";
                     "engine" => backend.0, "error" => %error);
             }
         }
@@ -169,17 +169,17 @@
             incarnation: decision.order.incarnation,
             action,
         };
-        let said = match self.engines.order(address, &order).await {
+        let result = match self.engines.order(address, &order).await {
             Ok(reply) if reply.accepted => "the engine took it".to_owned(),
             Ok(reply) => format!("the engine knows token {}", reply.highest_token),
             Err(error) => error,
         };
-        info!(self.logger, "An order was sent.";
-            "engine" => backend.0, "token" => token.0, "said" => &said);
+        info!(self.logger, "order sent";
+            "engine" => backend.0, "token" => token.0, "said" => &result);
         self.events.record(
             EventKind::Order,
             format!("engine {backend}"),
-            said,
+            result,
             [
                 ("token", token.0.into()),
                 ("action", decision.order.action.as_str().into()),
--- a/crates/daemon/src/gateway/route.rs
+++ b/crates/daemon/src/gateway/route.rs
@@ -1,5 +1,5 @@
-//! An online completion from its arrival to its outcome. The retry core
-//! decides each step; this carries the steps out.
+//! Execution of an online completion. The retry core decides each step; this module
+//! executes the steps.
 
 use std::sync::Arc;
 
@@ -11,23 +11,23 @@
 
 use super::admission::{NotAdmitted, Permit};
 use super::answer::AttemptFailure;
-use super::claims::ClaimHold;
+use super::claims::RequestClaim;
 use super::dispatch::InFlight;
 use super::error::ApiError;
 use super::state::GatewayState;
 use super::stream::AnswerSink;
-use super::validation::{CompletionAsked, Repeatability};
+use super::validation::{CompletionRequest, Repeatability};
 
 /// How a completion ended.
-pub(super) enum Ending {
+pub(super) enum RunEnd {
     Completed,
     Replayed(Vec<u8>),
     Failed(ApiError),
     CallerGone,
 }
 
-impl Ending {
-    /// Label of the metric.
+impl RunEnd {
+    /// Returns the metric label.
     fn label(&self) -> &'static str {
         match self {
             Self::Completed => "completed",
@@ -42,30 +42,30 @@
     }
 }
 
-/// Serves a completion; the response of a streamed one begins with its first
+/// Serves a completion; a streamed response begins with its first
 /// token.
 pub(super) async fn serve_completion(
     state: &Arc<GatewayState>,
-    asked: CompletionAsked,
+    completion: CompletionRequest,
     presence: Option<ClientPresence>,
 ) -> Response {
-    if !asked.stream {
-        let sink = AnswerSink::plain(asked.form, &asked.service);
-        let response = run(state, &asked, presence, sink).await;
+    if !completion.stream {
+        let sink = AnswerSink::plain(completion.form, &completion.service);
+        let response = run(state, &completion, presence, sink).await;
         return response.unwrap_or_else(|| gone().response());
     }
     let (head, response) = async_channel::bounded(1);
-    let keep_text = asked.repeatability != Repeatability::Repeatable;
-    let sink = AnswerSink::streamed(asked.form, &asked.service, head, keep_text);
+    let keep_text = completion.repeatability != Repeatability::Repeatable;
+    let sink = AnswerSink::streamed(completion.form, &completion.service, head, keep_text);
     let runner = state.clone();
     state.spawn(async move {
-        run(&runner, &asked, presence, sink).await;
+        run(&runner, &completion, presence, sink).await;
     });
     let response = response.recv().await;
     response.unwrap_or_else(|_| gone().response())
 }
 
-/// What nobody reads: the answer to a caller that left.
+/// The answer to a caller that has disconnected; nobody reads it.
 fn gone() -> ApiError {
     ApiError::not_run(
         StatusCode::ServiceUnavailable,
@@ -75,23 +75,23 @@
     .with_outcome(RunOutcome::Unknown)
 }
 
-/// Runs a completion and ends its answer; a plain one gives its response.
+/// Runs a completion and finishes its answer; returns the response of a plain one.
 async fn run(
     state: &Arc<GatewayState>,
-    asked: &CompletionAsked,
+    completion: &CompletionRequest,
     presence: Option<ClientPresence>,
     sink: AnswerSink,
 ) -> Option<Response> {
     let mut run = Run {
         state,
-        asked,
+        completion,
         presence,
         sink,
         steps: RequestState::new(RequestKind {
-            repeatable: asked.repeatability == Repeatability::Repeatable,
+            repeatable: completion.repeatability == Repeatability::Repeatable,
             resumable: true,
         }),
-        claim: ClaimHold::default(),
+        claim: RequestClaim::default(),
         model: String::new(),
         in_flight: None,
         last_failure: None,
@@ -101,22 +101,22 @@
     let ending = run.admitted().await;
     state.metrics.request_ended(ending.label());
     match ending {
-        Ending::Completed => run.sink.finish().await,
-        Ending::Replayed(recorded) => run.sink.replay(&recorded).await,
-        Ending::Failed(error) => run.sink.fail(&error).await,
-        Ending::CallerGone => None,
+        RunEnd::Completed => run.sink.finish().await,
+        RunEnd::Replayed(recorded) => run.sink.replay(&recorded).await,
+        RunEnd::Failed(error) => run.sink.fail(&error).await,
+        RunEnd::CallerGone => None,
     }
 }
 
-/// One completion.
+/// The execution of one completion.
 pub(super) struct Run<'a> {
     pub(super) state: &'a Arc<GatewayState>,
-    pub(super) asked: &'a CompletionAsked,
+    pub(super) completion: &'a CompletionRequest,
     pub(super) presence: Option<ClientPresence>,
     pub(super) sink: AnswerSink,
     pub(super) steps: RequestState,
-    pub(super) claim: ClaimHold,
-    /// Name of the model at engines.
+    pub(super) claim: RequestClaim,
+    /// Name under which engines know the model.
     pub(super) model: String,
     pub(super) in_flight: Option<InFlight>,
     pub(super) last_failure: Option<AttemptFailure>,
@@ -125,22 +125,22 @@
 }
 
 impl Run<'_> {
-    /// Checks the service, waits for a place and runs.
-    async fn admitted(&mut self) -> Ending {
-        let model = match self.state.model_of(&self.asked.service) {
+    /// Checks the service, waits for admission and runs the request.
+    async fn admitted(&mut self) -> RunEnd {
+        let model = match self.state.model_of(&self.completion.service) {
             Ok(model) => model,
             Err(refusal) => {
-                let asked = self.asked;
+                let completion = self.completion;
                 self.state
-                    .note_refusal(&asked.tenant, &asked.service, &refusal);
-                return Ending::Failed(refusal.into());
+                    .record_refusal(&completion.tenant, &completion.service, &refusal);
+                return RunEnd::Failed(refusal.into());
             }
         };
         self.model = model;
         let state = self.state.clone();
         let admitted = state.admit(
-            &self.asked.tenant,
-            &self.asked.service,
+            &self.completion.tenant,
+            &self.completion.service,
             self.presence.as_ref(),
         );
         match admitted.await {
@@ -149,29 +149,29 @@
                 self.settle(&ending).await;
                 ending
             }
-            Err(NotAdmitted::Refused(refusal)) => Ending::Failed(refusal.into()),
-            Err(NotAdmitted::CallerGone) => Ending::CallerGone,
+            Err(NotAdmitted::Refused(refusal)) => RunEnd::Failed(refusal.into()),
+            Err(NotAdmitted::CallerGone) => RunEnd::CallerGone,
         }
     }
 
-    async fn steps_until_end(&mut self, permit: &mut Permit<'_>) -> Ending {
+    async fn steps_until_end(&mut self, permit: &mut Permit<'_>) -> RunEnd {
         let mut next = self.steps.begin();
         loop {
             next = match next {
                 NextStep::Claim => self.claim().await,
                 NextStep::Dispatch => {
-                    let service = &self.asked.service;
+                    let service = &self.completion.service;
                     self.state
                         .pickers
                         .with_budget(service, |budget| budget.earn());
-                    permit.note_run();
+                    permit.record_run();
                     match self.dispatch(&[]).await {
                         Ok(next) => next,
                         Err(ending) => return ending,
                     }
                 }
                 NextStep::Retry { exclude } => {
-                    self.note_retry(&exclude);
+                    self.record_retry(&exclude);
                     match self.dispatch(&exclude).await {
                         Ok(next) => next,
                         Err(ending) => return ending,
@@ -183,30 +183,30 @@
                 },
                 NextStep::AskStatus { attempt } => self.ask(attempt).await,
                 NextStep::Replay { outcome } => return self.replay(outcome),
-                NextStep::Done => return Ending::Completed,
-                NextStep::Fail { outcome } => return Ending::Failed(self.failure(outcome)),
+                NextStep::Done => return RunEnd::Completed,
+                NextStep::Fail { outcome } => return RunEnd::Failed(self.failure(outcome)),
             };
         }
     }
 
     async fn claim(&mut self) -> NextStep {
-        let asked = self.asked;
+        let completion = self.completion;
         let answer = self.claim.ask(
             self.state,
-            &asked.tenant,
-            &asked.repeatability,
-            asked.digest,
+            &completion.tenant,
+            &completion.repeatability,
+            completion.digest,
         );
         let answer = answer.await;
         self.steps.claim_answered(answer)
     }
 
-    /// The output of `work`, or `None` once the caller is gone and that stops
+    /// Awaits `work`; returns `None` if the caller disconnects first and that stops
     /// the request.
-    pub(super) async fn unless_gone<T>(&self, work: impl Future<Output = T>) -> Option<T> {
+    pub(super) async fn unless_disconnected<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         let gone = async {
             match &self.presence {
-                Some(presence) if self.stops_when_gone() => presence.gone().await,
+                Some(presence) if self.stops_on_disconnect() => presence.gone().await,
                 _ => futures_lite::future::pending().await,
             }
             None
@@ -214,14 +214,14 @@
         futures_lite::future::or(async { Some(work.await) }, gone).await
     }
 
-    /// A request that runs at most once goes on for its record when its caller
-    /// leaves, so that the caller can come back for the answer.
-    pub(super) fn stops_when_gone(&self) -> bool {
+    /// Whether the request stops when its caller disconnects. A claimed request goes on
+    /// until its outcome is recorded, so that the caller can fetch the answer later.
+    pub(super) fn stops_on_disconnect(&self) -> bool {
         !self.claim.is_held()
     }
 
-    /// Stops the attempt of a caller that left.
-    pub(super) fn caller_gone(&mut self) -> Ending {
+    /// Cancels the attempt of a caller that has disconnected.
+    pub(super) fn caller_gone(&mut self) -> RunEnd {
         if let Some(in_flight) = self.in_flight.take() {
             self.state.metrics.cancelled();
             self.state.events.record(
@@ -232,29 +232,29 @@
             );
             self.state.abandon_attempt(&in_flight);
         }
-        Ending::CallerGone
+        RunEnd::CallerGone
     }
 
-    fn replay(&mut self, outcome: RunOutcome) -> Ending {
+    fn replay(&mut self, outcome: RunOutcome) -> RunEnd {
         match self.claim.take_recorded(outcome) {
-            Ok(recorded) => Ending::Replayed(recorded),
-            Err(error) => Ending::Failed(error),
+            Ok(recorded) => RunEnd::Replayed(recorded),
+            Err(error) => RunEnd::Failed(error),
         }
     }
 
-    /// Records how a claimed request ended.
-    async fn settle(&mut self, ending: &Ending) {
+    /// Records the outcome of a claimed request.
+    async fn settle(&mut self, ending: &RunEnd) {
         if !self.claim.is_held() {
             return;
         }
         let (outcome, answer) = match ending {
-            Ending::Completed => {
+            RunEnd::Completed => {
                 let answer = serde_json::to_vec(&self.sink.plain_answer());
                 (RunOutcome::Completed, answer.unwrap_or_default())
             }
-            Ending::Failed(error) => (error.outcome, Vec::new()),
-            Ending::Replayed(_) => return,
-            Ending::CallerGone => (self.steps.outcome(), Vec::new()),
+            RunEnd::Failed(error) => (error.outcome, Vec::new()),
+            RunEnd::Replayed(_) => return,
+            RunEnd::CallerGone => (self.steps.outcome(), Vec::new()),
         };
         self.claim.settle(self.state, outcome, answer).await;
     }
--- a/crates/daemon/src/gateway/routes.rs
+++ b/crates/daemon/src/gateway/routes.rs
@@ -1,4 +1,4 @@
-//! Paths of the callers' and operators' interfaces.
+//! Request routing of the caller and operator APIs.
 
 use std::sync::Arc;
 
@@ -16,9 +16,9 @@
 use super::error::ApiError;
 use super::route::serve_completion;
 use super::state::GatewayState;
-use super::validation::{CompletionAsked, CompletionForm};
+use super::validation::{CompletionForm, CompletionRequest};
 
-/// Whether a node takes new work, and why not.
+/// Whether a node accepts new work, and why not.
 #[derive(Clone, Debug, Serialize)]
 struct ReadyView {
     ready: bool,
@@ -68,8 +68,8 @@
     body: &[u8],
     presence: Option<ClientPresence>,
 ) -> Response {
-    match CompletionAsked::read(form, request, body) {
-        Ok(asked) => serve_completion(state, asked, presence).await,
+    match CompletionRequest::read(form, request, body) {
+        Ok(completion) => serve_completion(state, completion, presence).await,
         Err(error) => error.response(),
     }
 }
@@ -86,7 +86,7 @@
     }
 }
 
-/// Whether this node should get requests.
+/// Reports whether this node should receive requests.
 fn ready(state: &GatewayState) -> Response {
     let readiness = state.configuration.readiness(state.clock.now());
     let (ready, reason) = if state.is_draining() {
--- a/crates/daemon/src/gateway/tenant_weights.rs
+++ b/crates/daemon/src/gateway/tenant_weights.rs
@@ -1,5 +1,5 @@
-//! Weights of tenants' jobs: one gateway carries them from the configuration
-//! into the job groups, which share items out by them.
+//! Batch weights of tenants: one gateway copies them from the configuration
+//! to the job groups, which distribute items accordingly.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,35 +11,35 @@
 
 use super::state::GatewayState;
 
-/// Time between two comparisons.
+/// Interval between comparisons with the configuration.
 const INTERVAL: Duration = Duration::from_secs(1);
-/// What the gateways are ranked by for this duty.
-const DUTY: &[u8] = b"tenant weights";
+/// Key by which the gateways are ranked for this task.
+const RANKING_KEY: &[u8] = b"tenant weights";
 
 impl GatewayState {
-    /// Carries weights into the job groups until the gateway stops.
-    pub(super) async fn carry_weights(self: Arc<Self>) {
-        let mut carried: BTreeMap<TenantId, u32> = BTreeMap::new();
+    /// Copies weights to the job groups until the gateway stops.
+    pub(super) async fn sync_weights(self: Arc<Self>) {
+        let mut applied: BTreeMap<TenantId, u32> = BTreeMap::new();
         loop {
             Timer::after(INTERVAL).await;
-            if !self.has_weight_duty() {
-                // Whoever has the duty next may set others.
-                carried.clear();
+            if !self.syncs_weights() {
+                // The gateway that takes over may set other weights.
+                applied.clear();
                 continue;
             }
             for (tenant, weight) in self.configured_weights() {
-                if carried.get(&tenant) == Some(&weight) {
+                if applied.get(&tenant) == Some(&weight) {
                     continue;
                 }
-                if self.carry_weight(&tenant, weight).await {
-                    carried.insert(tenant, weight);
+                if self.set_weight_everywhere(&tenant, weight).await {
+                    applied.insert(tenant, weight);
                 }
             }
         }
     }
 
-    fn has_weight_duty(&self) -> bool {
-        let key = BackendId(digest_of(DUTY).0 as u32);
+    fn syncs_weights(&self) -> bool {
+        let key = BackendId(digest_of(RANKING_KEY).0 as u32);
         let chosen = highest(self.gateways().nodes(), key);
         chosen == Some(self.options.node) && !self.is_draining()
     }
@@ -52,8 +52,8 @@
             .collect()
     }
 
-    /// Sets one weight in every job group; false when one did not take it.
-    async fn carry_weight(&self, tenant: &TenantId, weight: u32) -> bool {
+    /// Sets one weight in every job group; returns false if a group did not accept it.
+    async fn set_weight_everywhere(&self, tenant: &TenantId, weight: u32) -> bool {
         for group in 1..=self.options.job_groups {
             let set = self
                 .cluster
--- a/crates/daemon/src/replica/driver.rs
+++ b/crates/daemon/src/replica/driver.rs
@@ -1,4 +1,4 @@
-//! The thread that owns the groups and their disk.
+//! The thread that owns the replicated groups and their disk.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use molespan_storage::RealDisk;
 use molespan_types::Timestamp;
 
-use super::feed::Nudge;
+use super::feed::Trigger;
 use super::leaders::Leaders;
 use super::metrics::ReplicaMetrics;
 use super::orders::{Answer, DriverHandle, Order, queue};
@@ -18,19 +18,19 @@
 use super::reporter::Reporter;
 use crate::boot_clock::BootClock;
 
-/// Most orders taken in before one round of work.
-const ORDERS_A_ROUND: usize = 4_096;
-/// Time between two updates of the metrics.
+/// Maximum number of orders accepted before each poll of the core.
+const MAX_ORDERS_PER_POLL: usize = 4_096;
+/// Interval between updates of the metrics.
 const METRICS_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What the thread reports to.
+/// Receivers of the thread's output.
 #[derive(Debug)]
-pub(super) struct Surroundings {
+pub(super) struct DriverContext {
     pub outbox: Arc<Outbox>,
     pub leaders: Arc<Leaders>,
-    pub nudge: Nudge,
-    /// Told when a machine changed what its watchers wait for.
-    pub state_changed: Nudge,
+    pub trigger: Trigger,
+    /// Notified when a state machine changed something that watchers wait for.
+    pub state_changed: Trigger,
     pub metrics: ReplicaMetrics,
     pub reporter: Reporter,
 }
@@ -41,7 +41,7 @@
     core: ReplicaCore<RealDisk>,
     clock: BootClock,
     orders: Receiver<Order>,
-    surroundings: Surroundings,
+    context: DriverContext,
     last_ticket: u64,
     waiting: HashMap<Ticket, Sender<Answer>>,
     next_metrics: Timestamp,
@@ -49,18 +49,18 @@
 }
 
 impl Driver {
-    /// A driver of `core`, and the way to it.
+    /// Creates a driver of `core`, and a handle to it.
     pub fn new(
         core: ReplicaCore<RealDisk>,
         clock: BootClock,
-        surroundings: Surroundings,
+        context: DriverContext,
     ) -> (Self, DriverHandle) {
         let (handle, orders) = queue();
         let driver = Self {
             core,
             clock,
             orders,
-            surroundings,
+            context,
             last_ticket: 0,
             waiting: HashMap::new(),
             next_metrics: Timestamp::ZERO,
@@ -69,11 +69,11 @@
         (driver, handle)
     }
 
-    /// Works until it is told to stop.
+    /// Runs until a stop order arrives.
     ///
     /// # Errors
-    /// When the disk refuses or the groups contradict what is stored. Requests
-    /// that wait are then answered as unknown.
+    /// When the disk reports an error, or the groups contradict the stored data. Pending
+    /// requests are then answered with an unknown outcome.
     pub fn run(mut self) -> Result<(), ReplicaError> {
         while !self.stopping {
             self.take_orders();
@@ -84,7 +84,7 @@
         Ok(())
     }
 
-    /// Waits for orders or the next deadline, and takes in all that wait.
+    /// Waits for orders or the next deadline, and accepts all queued orders.
     fn take_orders(&mut self) {
         let deadline = self.core.next_deadline();
         let wait = deadline.since(self.clock.now());
@@ -93,7 +93,7 @@
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => self.stopping = true,
         }
-        for _ in 1..ORDERS_A_ROUND {
+        for _ in 1..MAX_ORDERS_PER_POLL {
             match self.orders.try_recv() {
                 Ok(order) => self.take(order),
                 Err(_) => break,
@@ -118,8 +118,8 @@
     }
 
     fn deliver(&mut self, outputs: Vec<Output>) {
-        let surroundings = &self.surroundings;
-        let mut bundle = surroundings.outbox.bundle();
+        let context = &self.context;
+        let mut bundle = context.outbox.bundle();
         for output in outputs {
             match output {
                 Output::Send { to, group, bytes } => bundle.push(to, group, bytes),
@@ -129,15 +129,15 @@
                     }
                 }
                 Output::LeaderChanged { group, leader } => {
-                    surroundings.leaders.note(group, leader);
-                    surroundings.reporter.leader(group, leader);
+                    context.leaders.record(group, leader);
+                    context.reporter.leader(group, leader);
                 }
                 Output::ConfigurationChanged { version } => {
-                    surroundings.reporter.configuration(version);
-                    surroundings.nudge.now();
+                    context.reporter.configuration(version);
+                    context.trigger.fire();
                 }
-                Output::StateChanged { .. } => surroundings.state_changed.now(),
-                Output::Event(event) => surroundings.reporter.event(&event),
+                Output::StateChanged { .. } => context.state_changed.fire(),
+                Output::Event(event) => context.reporter.event(&event),
             }
         }
         bundle.finish();
@@ -147,7 +147,7 @@
         let now = self.clock.now();
         if now >= self.next_metrics {
             self.next_metrics = now + METRICS_INTERVAL;
-            self.surroundings.metrics.update(&self.core.status());
+            self.context.metrics.update(&self.core.status());
         }
     }
 }
--- a/crates/daemon/src/replica/feed.rs
+++ b/crates/daemon/src/replica/feed.rs
@@ -1,8 +1,8 @@
-//! The configuration for those who wait for a newer one.
+//! Serves long polls for a newer configuration.
 //!
-//! However many wait, one read that a quorum confirms serves them all, once in
-//! an interval or as soon as this replica applied a change. They get what
-//! differs from the version that they have, or the whole when they lag far.
+//! A single quorum-confirmed read serves all watchers; it runs once per interval, or as
+//! soon as this replica has applied a change. Watchers receive the difference from their
+//! version, or the complete configuration when they lag too far behind.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -18,40 +18,40 @@
 use super::orders::{Call, DriverHandle};
 use super::outbox::Outbox;
 
-/// Time between two reads.
-const INTERVAL: Duration = Duration::from_millis(250);
-/// Longest wait for the leader's answer to a read.
+/// Interval between reads.
+const READ_INTERVAL: Duration = Duration::from_millis(250);
+/// Timeout of the leader's answer to a read.
 const READ_TIMEOUT: Duration = Duration::from_secs(1);
-/// A read that began earlier confirms nothing any more.
-const CONFIRMED_FOR: Duration = Duration::from_secs(1);
-/// Longest wait of one watcher.
-const LONGEST_WAIT: Duration = Duration::from_secs(30);
-/// When to come back if no quorum confirms, in milliseconds.
-const RETRY_MS: u32 = 250;
-
-/// Asks for a read at once.
+/// Age, from its start, up to which a read confirms a version.
+const MAX_READ_AGE: Duration = Duration::from_secs(1);
+/// Maximum wait of one watcher.
+const MAX_WAIT: Duration = Duration::from_secs(30);
+/// Retry delay reported without a quorum, in milliseconds.
+const RETRY_AFTER_MS: u32 = 250;
+
+/// Triggers an immediate read.
 #[derive(Clone, Debug)]
-pub(super) struct Nudge(Sender<()>);
+pub(super) struct Trigger(Sender<()>);
 
-impl Nudge {
-    /// Asks for a read at once.
-    pub fn now(&self) {
+impl Trigger {
+    /// Triggers an immediate read.
+    pub fn fire(&self) {
         let _already_asked = self.0.try_send(());
     }
 }
 
 #[derive(Debug)]
 struct State {
-    /// When the latest read began; `None` before the first one.
+    /// Start of the latest successful read; `None` before the first one.
     began: Option<Instant>,
-    /// What the reads showed.
+    /// Configurations returned by the reads.
     history: ConfigurationHistory,
-    /// Closes once the next read is done.
+    /// Closed when the next read completes.
     next: Sender<()>,
     next_done: Receiver<()>,
 }
 
-/// The configuration for those who wait for a newer one.
+/// Serves long polls for a newer configuration.
 #[derive(Debug)]
 pub(super) struct ConfigurationFeed {
     driver: DriverHandle,
@@ -61,13 +61,13 @@
 }
 
 impl State {
-    /// Whether the latest read still confirms anything.
+    /// Whether the latest read is recent enough to confirm a version.
     fn is_fresh(&self) -> bool {
         self.began
-            .is_some_and(|began| began.elapsed() < CONFIRMED_FOR)
+            .is_some_and(|began| began.elapsed() < MAX_READ_AGE)
     }
 
-    /// The answer to a watcher that has version `held`, if there is a newer
+    /// Returns the answer to a watcher with version `held`, if there is a newer
     /// one.
     fn newer(&mut self, held: ConfigVersion) -> Option<Response> {
         let configuration = self.history.update_for(held)?;
@@ -78,27 +78,27 @@
     }
 }
 
-/// What drives the reads of a feed.
+/// The task that runs a feed's reads.
 #[derive(Debug)]
-pub(super) struct FeedWork {
+pub(super) struct FeedTask {
     feed: Arc<ConfigurationFeed>,
     demanded: Receiver<()>,
-    nudged: Receiver<()>,
+    triggered: Receiver<()>,
 }
 
-/// The two ends of a [`Nudge`].
-pub(super) fn nudge() -> (Nudge, Receiver<()>) {
-    let (sender, nudged) = async_channel::bounded(1);
-    (Nudge(sender), nudged)
+/// Creates both ends of a [`Trigger`].
+pub(super) fn trigger() -> (Trigger, Receiver<()>) {
+    let (sender, triggered) = async_channel::bounded(1);
+    (Trigger(sender), triggered)
 }
 
 impl ConfigurationFeed {
-    /// A feed, and the work that must run for it.
+    /// Creates a feed, and the task that must run for it.
     pub fn new(
         driver: DriverHandle,
         outbox: Arc<Outbox>,
-        nudged: Receiver<()>,
-    ) -> (Arc<Self>, FeedWork) {
+        triggered: Receiver<()>,
+    ) -> (Arc<Self>, FeedTask) {
         let (next, next_done) = async_channel::bounded(1);
         let (demand, demanded) = async_channel::bounded(1);
         let state = State {
@@ -113,19 +113,19 @@
             state: Mutex::new(state),
             demand,
         });
-        let work = FeedWork {
+        let work = FeedTask {
             feed: feed.clone(),
             demanded,
-            nudged,
+            triggered,
         };
         (feed, work)
     }
 
-    /// Waits for a configuration that is newer than the asker's, at most as
-    /// long as it wants to.
+    /// Waits for a configuration newer than the caller's, at most for the
+    /// requested time.
     pub async fn watch(&self, watch: &WatchConfiguration) -> Response {
-        let wait = Duration::from_millis(u64::from(watch.wait_ms)).min(LONGEST_WAIT);
-        let deadline = Instant::now() + wait.max(INTERVAL);
+        let wait = Duration::from_millis(u64::from(watch.wait_ms)).min(MAX_WAIT);
+        let deadline = Instant::now() + wait.max(READ_INTERVAL);
         loop {
             let next_done = {
                 let mut state = self.lock();
@@ -137,12 +137,12 @@
             };
             let _already_demanded = self.demand.try_send(());
             if !wait_until(deadline, &next_done).await {
-                return self.after_the_wait(watch.in_force);
+                return self.answer_after_wait(watch.in_force);
             }
         }
     }
 
-    fn after_the_wait(&self, in_force: ConfigVersion) -> Response {
+    fn answer_after_wait(&self, in_force: ConfigVersion) -> Response {
         let mut state = self.lock();
         if state.is_fresh() {
             let current = state.history.version();
@@ -154,11 +154,11 @@
         Response::Refused {
             outcome: RunOutcome::NotRun,
             message: "no quorum confirmed the configuration".to_owned(),
-            retry_after_ms: RETRY_MS,
+            retry_after_ms: RETRY_AFTER_MS,
         }
     }
 
-    /// Reads once and tells everybody who waits.
+    /// Reads once and wakes all watchers.
     async fn read(&self) {
         let began = Instant::now();
         let after = self.lock().history.version();
@@ -175,7 +175,7 @@
         state.next_done = next_done;
     }
 
-    /// Asks the leader, which is here or at another replica.
+    /// Queries the leader, which is this replica or another one.
     async fn ask(&self, after: ConfigVersion) -> Option<ControlAnswer> {
         let query = molespan_state::encode(&ControlQuery::ConfigurationAfter { after });
         let own = self.driver.call(Call::Query {
@@ -207,23 +207,23 @@
     }
 }
 
-impl FeedWork {
-    /// Reads while somebody waits.
+impl FeedTask {
+    /// Runs reads while there are watchers.
     pub async fn run(self) {
         while self.demanded.recv().await.is_ok() {
             self.feed.read().await;
             let interval = async {
-                Timer::after(INTERVAL).await;
+                Timer::after(READ_INTERVAL).await;
             };
-            let nudged = async {
-                let _ended = self.nudged.recv().await;
+            let triggered = async {
+                let _ended = self.triggered.recv().await;
             };
-            future::or(interval, nudged).await;
+            future::or(interval, triggered).await;
         }
     }
 }
 
-/// Waits for the next read; `false` when the deadline came first.
+/// Waits for the next read; returns `false` if the deadline passes first.
 async fn wait_until(deadline: Instant, next_done: &Receiver<()>) -> bool {
     let done = async {
         let _closed = next_done.recv().await;
--- a/crates/daemon/src/replica/versions.rs
+++ b/crates/daemon/src/replica/versions.rs
@@ -1,4 +1,4 @@
-//! Which configuration is in force on each node, as the nodes said.
+//! The active configuration version of each node, as reported by the nodes.
 
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -7,36 +7,36 @@
 use molespan_types::{ConfigVersion, NodeId};
 use molespan_wire::WatchConfiguration;
 
-/// A node that said nothing for longer is forgotten.
-const REMEMBERED: Duration = Duration::from_secs(60);
+/// Time after which a silent node is removed.
+const RETENTION: Duration = Duration::from_secs(60);
 
 #[derive(Debug)]
-struct Said {
+struct ReportedVersion {
     version: ConfigVersion,
     at: Instant,
 }
 
-/// Which configuration is in force on each node, as the nodes said.
+/// The active configuration version of each node, as reported by the nodes.
 #[derive(Debug, Default)]
 pub(super) struct VersionsInForce {
-    said: Mutex<HashMap<NodeId, Said>>,
+    reported: Mutex<HashMap<NodeId, ReportedVersion>>,
 }
 
 impl VersionsInForce {
-    /// Notes what a node said of itself.
-    pub fn note(&self, watch: &WatchConfiguration) {
-        let said = Said {
+    /// Records the version that a node reported.
+    pub fn record(&self, watch: &WatchConfiguration) {
+        let reported = ReportedVersion {
             version: watch.in_force,
             at: Instant::now(),
         };
-        self.lock().insert(watch.node, said);
+        self.lock().insert(watch.node, reported);
     }
 
-    /// Every node that was heard of lately, in the order of their numbers.
+    /// Returns every node that reported recently, ordered by ID.
     pub fn list(&self) -> Vec<(NodeId, ConfigVersion)> {
-        let mut said = self.lock();
-        said.retain(|_, one| one.at.elapsed() < REMEMBERED);
-        let mut versions: Vec<_> = said
+        let mut reported = self.lock();
+        reported.retain(|_, one| one.at.elapsed() < RETENTION);
+        let mut versions: Vec<_> = reported
             .iter()
             .map(|(&node, one)| (node, one.version))
             .collect();
@@ -44,7 +44,7 @@
         versions
     }
 
-    fn lock(&self) -> MutexGuard<'_, HashMap<NodeId, Said>> {
-        self.said.lock().unwrap_or_else(PoisonError::into_inner)
+    fn lock(&self) -> MutexGuard<'_, HashMap<NodeId, ReportedVersion>> {
+        self.reported.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/daemon/src/status_server.rs
+++ b/crates/daemon/src/status_server.rs
@@ -1,4 +1,4 @@
-//! Health, readiness, metrics and decisions of a node that is no gateway.
+//! Health, readiness, metrics and events of a node without the gateway role.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -16,19 +16,19 @@
 use crate::event_stream::{EVENTS_PATH, EventQuery, watch};
 use crate::replica::ReplicaRole;
 
-/// When to come back to a node that is not ready.
-const UNREADY_RETRY: Duration = Duration::from_secs(1);
-/// Longest time for open requests at a stop.
-const FINISH_WITHIN: Duration = Duration::from_secs(1);
+/// Retry delay reported while the node is not ready.
+const UNREADY_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Time limit for open requests at a stop.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What a status server shows.
+/// Sources of a status server's answers.
 #[derive(Clone, Debug)]
-pub(crate) struct Shown {
+pub(crate) struct StatusSources {
     /// The replica role, if the node has it.
     pub replica: Option<Arc<ReplicaRole>>,
     /// Metrics of the process.
     pub metrics: Metrics,
-    /// Its decisions.
+    /// Decision events of the process.
     pub events: EventBuffer,
 }
 
@@ -42,10 +42,10 @@
     _serving: Task<()>,
 }
 
-/// What answers the requests of a status server.
+/// Handles the requests of a status server.
 #[derive(Clone, Debug)]
 struct StatusHandler {
-    shown: Shown,
+    sources: StatusSources,
     executor: Arc<Executor<'static>>,
     stopping: Receiver<()>,
 }
@@ -58,14 +58,14 @@
     pub fn start(
         address: SocketAddr,
         executor: &Arc<Executor<'static>>,
-        shown: Shown,
+        sources: StatusSources,
     ) -> Result<Self, ServerError> {
         let server = Server::bind(address, ServerLimits::default())?;
         let address = server.local_address();
         let handle = server.handle();
         let (stop, stopping) = async_channel::bounded(1);
         let handler = StatusHandler {
-            shown,
+            sources,
             executor: executor.clone(),
             stopping,
         };
@@ -82,7 +82,7 @@
         })
     }
 
-    /// The bound address.
+    /// Returns the bound address.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -90,7 +90,7 @@
     /// Stops serving.
     pub async fn stop(&self) {
         self.stop.close();
-        self.handle.shutdown(Duration::ZERO, FINISH_WITHIN).await;
+        self.handle.shutdown(Duration::ZERO, SHUTDOWN_TIMEOUT).await;
     }
 }
 
@@ -102,9 +102,9 @@
         }
         match request.url().path() {
             "/health" => text_response(StatusCode::Ok, "alive\n"),
-            "/ready" => ready(self.shown.replica.as_deref()).await,
+            "/ready" => ready(self.sources.replica.as_deref()).await,
             "/metrics" => {
-                let mut response = text_response(StatusCode::Ok, self.shown.metrics.encode());
+                let mut response = text_response(StatusCode::Ok, self.sources.metrics.encode());
                 response.insert_header("content-type", METRICS_CONTENT_TYPE);
                 response
             }
@@ -126,7 +126,7 @@
         let stopping = async move {
             let _closed = stopping.recv().await;
         };
-        let (response, work) = watch(&self.shown.events, query, stopping);
+        let (response, work) = watch(&self.sources.events, query, stopping);
         self.executor.spawn(work).detach();
         response
     }
@@ -142,7 +142,7 @@
     }
     let message = "the replica does not vote in every group yet, or a group has no leader";
     let status = StatusCode::ServiceUnavailable;
-    let retry = Some(UNREADY_RETRY);
+    let retry = Some(UNREADY_RETRY_AFTER);
     error_response(status, "not-ready", message, RunOutcome::NotRun, retry)
 }
 
