--- a/crates/emulator/src/application.rs
+++ b/crates/emulator/src/application.rs
@@ -1,5 +1,5 @@
-//! An emulated application back end: any path, an answer that can be checked,
-//! and a load that is reported.
+//! An emulated application back end: it answers any path with a verifiable echo
+//! of the request and reports its load.
 
 use std::io;
 use std::net::SocketAddr;
@@ -26,37 +26,37 @@
 };
 use crate::switch_api::{Switched, route_switch};
 
-/// How an application back end is started.
+/// Settings of an emulated application back end.
 #[derive(Clone, Debug)]
 pub struct ApplicationSettings {
-    /// Number in the platform's list.
+    /// Identifier in the platform's machine list.
     pub backend: BackendId,
-    /// First life.
+    /// Incarnation at start; each crash increments it.
     pub incarnation: Incarnation,
-    /// Where it listens.
+    /// Listen address.
     pub listen: SocketAddr,
-    /// Requests that it works on at a time; others wait.
+    /// Concurrency limit; further requests wait.
     pub capacity: u32,
-    /// Time that each request takes.
+    /// Processing time of each request, without the wait for a slot.
     pub service_time: Duration,
-    /// Interval between two observations for the load report.
+    /// Sampling interval of the load report.
     pub load_interval: Duration,
-    /// Least age of an observation when it is served.
+    /// Minimum age of a load sample when it is served.
     pub load_delay: Duration,
-    /// Seed of its random choices.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Time that each request spends on the network, both ways.
+    /// Emulated network round-trip time, added to each request.
     pub round_trip: Duration,
-    /// Faults in force from the start.
+    /// Faults active from the start.
     pub faults: FaultSettings,
 }
 
-/// Answer of an application back end to any path.
+/// Response body of an application back end for any path.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EchoBody {
-    /// Attempt that this answers.
+    /// Attempt identifier of the request.
     pub attempt: String,
-    /// Who answered.
+    /// Back end that answered.
     pub backend: BackendId,
     /// Method of the request.
     pub method: String,
@@ -66,7 +66,7 @@
     pub digest: Digest,
 }
 
-/// Digest of a request, for checkers to compare with the answer.
+/// Returns the digest of a request, which checkers compare with the response.
 #[must_use]
 pub fn echo_digest(method: &str, path: &str, body: &[u8]) -> Digest {
     let mut content = format!("{method}\n{path}\n").into_bytes();
@@ -74,14 +74,14 @@
     digest_of(&content)
 }
 
-/// Requests under way and what was observed of them.
+/// Load samples, execution counts and the latest response.
 struct Work {
     monitor: LoadMonitor,
     executions: ExecutionLog,
     last_echo: Option<EchoBody>,
 }
 
-/// An application back end that serves.
+/// A running application back end.
 pub struct Application {
     settings: ApplicationSettings,
     switches: Arc<Switches>,
@@ -97,7 +97,7 @@
     /// Starts an application back end on `executor`.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub fn start(
         executor: &Arc<Executor<'static>>,
         settings: ApplicationSettings,
@@ -141,7 +141,8 @@
         }
     }
 
-    /// Answers an ordinary request.
+    /// Processes an application request, that is, neither a probe nor a control
+    /// request.
     async fn work_on(
         &self,
         mut request: Request,
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Waits for a slot, then for the time that the work takes.
+    /// Waits for a concurrency slot, then for the processing time.
     async fn run(&self, echo: &EchoBody, slow_factor: f64) {
         let attempt = echo.attempt.as_str().into();
         self.observe();
@@ -232,7 +233,8 @@
         }
     }
 
-    /// Records what held until now; call it before the counts change.
+    /// Records a load sample if one is due. Must be called before the counts
+    /// change, since the sample describes the time up to now.
     fn observe(&self) {
         let now = self.now();
         let counts = Counts {
@@ -294,7 +296,8 @@
     }
 
     fn crash(&self, down: Duration) {
-        // Connections end first, so that none of them sees the next life.
+        // Connections are closed first, so that none of them observes the next
+        // incarnation.
         self.switches.crash(down);
         self.incarnation.fetch_add(1, Ordering::Relaxed);
     }
@@ -319,8 +322,8 @@
     }
 }
 
-/// Counts one request for as long as it lives, also when it is dropped because
-/// its connection broke.
+/// Counts one request while the guard exists. The count is also decremented
+/// when the request is dropped because its connection broke.
 struct Gauge<'a>(&'a AtomicU32);
 
 impl<'a> Gauge<'a> {
@@ -341,7 +344,7 @@
     error_reply(503, "refusing", message, RunOutcome::NotRun, Some(1_000))
 }
 
-/// Closes the connection without an answer.
+/// Returns the error that closes the connection without a response.
 fn broken() -> http_types::Error {
     http_types::Error::from_str(StatusCode::InternalServerError, "connection broken")
 }
--- a/crates/emulator/src/commands.rs
+++ b/crates/emulator/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command starts.
+//! Implementation of the commands of `molespan-emulator`.
 
 use std::io::{self, Write};
 use std::net::{AddrParseError, SocketAddr};
@@ -23,46 +23,46 @@
 
 use crate::flags::{self, MolespanEmulator, MolespanEmulatorCmd};
 
-/// Address that is listened on when none is given.
+/// Default listen address: a free port on loopback.
 const ANY_PORT: &str = "127.0.0.1:0";
-/// Profile when none is given.
+/// Default profile.
 const DEFAULT_PROFILE: &str = "archive";
-/// Threads that serve a fleet when not given.
+/// Default number of threads that serve a fleet.
 const FLEET_THREADS: usize = 2;
-/// Lag of the machine list when not given, in milliseconds.
+/// Default propagation delay of the machine list, in milliseconds.
 const PLATFORM_LAG_MS: u64 = 1_500;
 
-/// Why a stand-in cannot start.
+/// Reasons why an emulated service cannot start.
 #[derive(Debug, Display, Error, From)]
 pub enum CommandError {
-    /// A socket or file.
+    /// A socket or file operation failed.
     #[display("{_0}")]
     Io(io::Error),
-    /// An address.
-    #[display("not an address with a port: {_0}")]
+    /// An address flag is not `IP:PORT`.
+    #[display("invalid socket address: {_0}")]
     Address(AddrParseError),
-    /// JSON from a flag or a file.
-    #[display("not the expected JSON: {_0}")]
+    /// JSON from a flag or a file is invalid.
+    #[display("invalid JSON: {_0}")]
     Json(serde_json::Error),
-    /// A settings file.
-    #[display("the settings cannot be read: {_0}")]
+    /// The settings file is invalid.
+    #[display("invalid settings file: {_0}")]
     Settings(toml::de::Error),
-    /// A profile.
+    /// No profile has the given name.
     #[display("there is no profile {name}; use archive or lab")]
     #[from(skip)]
     UnknownProfile {
-        /// As given.
+        /// Name from the command line.
         name: String,
     },
 }
 
-/// What is printed once a single stand-in listens.
+/// Line printed once a single emulated service listens.
 #[derive(Serialize)]
 struct Ready {
     address: SocketAddr,
 }
 
-/// What is printed once a fleet listens.
+/// Line printed once a fleet listens.
 #[derive(Serialize)]
 struct FleetReady {
     platform: SocketAddr,
@@ -70,10 +70,10 @@
     machines: Vec<Machine>,
 }
 
-/// Runs a command until it is told to end.
+/// Runs a command until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// When the stand-in cannot start.
+/// If the emulated service cannot start.
 pub fn run(flags: MolespanEmulator) -> Result<(), CommandError> {
     let executor = Arc::new(Executor::new());
     match flags.subcommand {
--- a/crates/emulator/src/engine/cache.rs
+++ b/crates/emulator/src/engine/cache.rs
@@ -1,20 +1,21 @@
-//! KV memory: blocks of cached prompt prefixes and blocks of running sequences.
+//! KV memory: shared blocks of cached prompt prefixes and private blocks of
+//! sequences.
 
 use std::collections::{BTreeMap, HashMap};
 
 /// A cached block.
 #[derive(Clone, Debug)]
 struct CachedBlock {
-    /// Block before it in the prompt.
+    /// Preceding block of the prompt.
     parent: Option<u64>,
-    /// Sequences that use it; it can be evicted at 0.
+    /// Number of sequences that use the block; it is evictable at 0.
     users: u32,
-    /// Position in the eviction order.
+    /// Key in the eviction order; lower values are evicted first.
     used_at: u64,
 }
 
-/// Blocks in limited memory. Cached blocks without users are evicted, the
-/// least recently used first, when a sequence needs room.
+/// Block allocator with a fixed capacity. When a sequence needs space, cached
+/// blocks without users are evicted in LRU order.
 #[derive(Clone, Debug)]
 pub struct KvMemory {
     capacity: u32,
@@ -26,7 +27,7 @@
 }
 
 impl KvMemory {
-    /// Empty memory of `capacity` blocks.
+    /// Creates an empty memory of `capacity` blocks.
     #[must_use]
     pub fn new(capacity: u32) -> Self {
         Self {
@@ -39,19 +40,19 @@
         }
     }
 
-    /// Blocks in use, cached ones included.
+    /// Returns the number of blocks in use, including cached ones.
     #[must_use]
     pub fn used(&self) -> u32 {
         self.private + self.blocks.len() as u32
     }
 
-    /// Blocks that some sequence holds; eviction cannot free them.
+    /// Returns the number of blocks held by sequences, which cannot be evicted.
     #[must_use]
     pub fn held(&self) -> u32 {
         self.used() - self.evictable.len() as u32
     }
 
-    /// All blocks.
+    /// Returns the total number of blocks.
     #[must_use]
     pub fn capacity(&self) -> u32 {
         self.capacity
@@ -63,14 +64,14 @@
         self.blocks.contains_key(&hash)
     }
 
-    /// Whether `count` more blocks fit once everything evictable is gone.
+    /// Whether `count` more blocks fit after evicting all evictable blocks.
     #[must_use]
     pub fn has_room(&self, count: u32) -> bool {
         self.held() + count <= self.capacity
     }
 
-    /// Takes `count` blocks for a sequence, evicting as needed. Returns false,
-    /// and takes none, when they do not fit.
+    /// Allocates `count` private blocks, evicting cached blocks as needed.
+    /// Returns `false` and allocates nothing if they do not fit.
     pub fn allocate(&mut self, count: u32) -> bool {
         if !self.has_room(count) {
             return false;
@@ -82,12 +83,13 @@
         true
     }
 
-    /// Gives back `count` blocks of a sequence.
+    /// Frees `count` private blocks.
     pub fn free(&mut self, count: u32) {
         self.private = self.private.saturating_sub(count);
     }
 
-    /// Uses the longest cached run at the start of `hashes`; returns its length.
+    /// Acquires the longest cached prefix of `hashes` and returns its length in
+    /// blocks.
     pub fn acquire_prefix(&mut self, hashes: &[u64]) -> u32 {
         let mut found = 0;
         for &hash in hashes {
@@ -99,16 +101,18 @@
         found
     }
 
-    /// Ends the use of `hashes`. They stay cached until evicted.
+    /// Releases the cached blocks `hashes`. They stay cached until evicted.
     pub fn release(&mut self, hashes: &[u64]) {
-        // The end of a prompt is released first, so that it is evicted first.
+        // Blocks are released in reverse order, so that the end of a prompt is
+        // evicted first.
         for &hash in hashes.iter().rev() {
             self.release_one(hash);
         }
     }
 
-    /// Turns one block of a sequence into the cached block `hash`, which that
-    /// sequence then uses. Returns whether it is new in the cache.
+    /// Converts one private block of a sequence into the cached block `hash`,
+    /// with the sequence as a user. Returns whether the block is new in the
+    /// cache.
     pub fn publish(&mut self, hash: u64, parent: Option<u64>) -> bool {
         self.free(1);
         if self.acquire(hash) {
@@ -123,7 +127,8 @@
         true
     }
 
-    /// Puts an imported block in the cache. Returns whether it is new and fits.
+    /// Caches an imported block. Returns `false` if it is already cached or does
+    /// not fit.
     pub fn import(&mut self, hash: u64, parent: Option<u64>) -> bool {
         if self.contains(hash) || !self.allocate(1) {
             return false;
@@ -133,14 +138,15 @@
         stored
     }
 
-    /// The cached blocks of the prefix that ends in `hash`, shortest first.
+    /// Returns the cached blocks of the prefix that ends in `hash`, in prompt
+    /// order; empty if any of them is missing.
     #[must_use]
     pub fn chain(&self, hash: u64) -> Vec<u64> {
         let mut chain = Vec::new();
         let mut next = Some(hash);
         while let Some(current) = next {
             let Some(block) = self.blocks.get(&current) else {
-                // A hole: what lies behind it cannot be used.
+                // A missing block makes the rest of the prefix unusable.
                 chain.clear();
                 break;
             };
@@ -151,7 +157,7 @@
         chain
     }
 
-    /// Takes the list of blocks evicted since the last call.
+    /// Returns the blocks evicted since the last call.
     pub fn take_evicted(&mut self) -> Vec<u64> {
         std::mem::take(&mut self.evicted)
     }
--- a/crates/emulator/src/engine/cache_events.rs
+++ b/crates/emulator/src/engine/cache_events.rs
@@ -1,4 +1,4 @@
-//! Publication of cache changes, late and with gaps.
+//! Log of cache changes, published with a delay and random loss.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,12 +8,13 @@
 use rand::Rng;
 use rand_chacha::ChaCha8Rng;
 
-/// Most events kept for readers; older ones become a gap.
+/// Maximum number of retained events. Older events are dropped, which readers
+/// observe as a gap in the sequence numbers.
 const KEPT_EVENTS: usize = 8_192;
-/// Most events in one answer.
+/// Maximum number of events per response.
 const PAGE_EVENTS: usize = 1_024;
 
-/// Events that readers may see, each from its own time on.
+/// Cache events with the time from which each is visible to readers.
 #[derive(Clone, Debug)]
 pub struct CacheEventLog {
     delay: Duration,
@@ -23,7 +24,8 @@
 }
 
 impl CacheEventLog {
-    /// An empty log. `loss` is the share of events that are never published.
+    /// Creates an empty log. `loss` is the fraction of events that are never
+    /// published, 0.0 to 1.0.
     #[must_use]
     pub fn new(delay: Duration, loss: f64) -> Self {
         Self {
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Records a change that happened at `now`.
+    /// Records a change that occurred at `now`.
     pub fn record(
         &mut self,
         now: Timestamp,
@@ -57,7 +59,8 @@
         }
     }
 
-    /// The events behind sequence number `after` that are visible at `now`.
+    /// Returns the events after sequence number `after` that are visible at
+    /// `now`.
     #[must_use]
     pub fn after(&self, now: Timestamp, after: u64) -> Vec<CacheEvent> {
         let start = self
--- a/crates/emulator/src/engine/core.rs
+++ b/crates/emulator/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! The calls that an engine takes.
+//! The engine core and its operations.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -18,20 +18,20 @@
 };
 use crate::faults::EngineFaults;
 
-/// Who an engine is and how it behaves.
+/// Identity and behaviour of an emulated engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSettings {
-    /// Number in the platform's list.
+    /// Identifier in the platform's machine list.
     pub backend: BackendId,
-    /// First life.
+    /// Incarnation at start; each crash increments it.
     pub incarnation: Incarnation,
     /// Costs and limits.
     pub model: EngineModel,
-    /// Models ready at the start of each life, in version 1.
+    /// Models loaded at the start of each incarnation, in version 1.
     pub models: Vec<String>,
 }
 
-/// One emulated engine.
+/// An emulated engine.
 #[derive(Clone, Debug)]
 pub struct EngineCore {
     pub(super) settings: EngineSettings,
@@ -51,7 +51,8 @@
 }
 
 impl EngineCore {
-    /// An idle engine that starts at `now`. Random choices depend on `seed`.
+    /// Creates an idle engine that starts at `now`. `seed` determines its random
+    /// choices.
     #[must_use]
     pub fn new(settings: EngineSettings, seed: u64, now: Timestamp) -> Self {
         let model = &settings.model;
@@ -74,55 +75,56 @@
         }
     }
 
-    /// The life that this is.
+    /// Returns the current incarnation.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The model it was built with.
+    /// Returns the costs and limits.
     #[must_use]
     pub fn model(&self) -> &EngineModel {
         &self.settings.model
     }
 
-    /// What is loaded, the role, and whether it is leaving.
+    /// Returns what is loaded, the role and whether the engine is leaving.
     #[must_use]
     pub fn loaded(&self) -> &Loaded {
         self.orders.loaded()
     }
 
-    /// Executions so far, those of earlier lives included.
+    /// Returns the execution counts, including those of earlier incarnations.
     #[must_use]
     pub fn executions(&self) -> &ExecutionLog {
         &self.executions
     }
 
-    /// Faults in force.
+    /// Returns the active faults.
     #[must_use]
     pub fn faults(&self) -> &EngineFaults {
         &self.faults
     }
 
-    /// Sequences by class and state at this moment, without the report's lag.
+    /// Returns the current number of sequences by class and state, without the
+    /// delay of the load report.
     #[must_use]
     pub fn counts(&self) -> super::Counts {
         self.scheduler.counts()
     }
 
-    /// KV memory at this moment.
+    /// Returns the KV memory.
     #[must_use]
     pub fn memory(&self) -> &super::KvMemory {
         self.scheduler.memory()
     }
 
-    /// Whether nothing waits, runs or is paused.
+    /// Whether no sequence is waiting, running or paused.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.scheduler.is_empty()
     }
 
-    /// Where an attempt stands.
+    /// Returns the status of an attempt.
     ///
     /// # Errors
     /// [`Refusal::NeverSeen`] or [`Refusal::Forgotten`].
@@ -143,8 +145,8 @@
         })
     }
 
-    /// The text of an attempt and its status, to resume a stream or to fetch
-    /// the answer. The text is valid up to `status.generated` tokens.
+    /// Returns the answer of an attempt and its status, to resume a stream or to
+    /// fetch the answer. The text is valid up to `status.generated` tokens.
     ///
     /// # Errors
     /// [`Refusal::NeverSeen`] or [`Refusal::Forgotten`].
@@ -165,7 +167,7 @@
         })
     }
 
-    /// The record of an ended attempt, if its answer is still there.
+    /// Returns the record of an ended attempt while it is retained.
     ///
     /// # Errors
     /// [`Refusal::NeverSeen`] or [`Refusal::Forgotten`].
@@ -173,14 +175,15 @@
         self.recall(attempt)
     }
 
-    /// Announces each further token of an attempt, as for a streamed one.
+    /// Reports each further token of an attempt, as if it had been submitted as
+    /// streamed.
     pub fn announce_tokens(&mut self, attempt: &str) {
         if let Some(id) = self.live.get(attempt) {
             self.scheduler.set_stream(*id);
         }
     }
 
-    /// Holds an attempt back.
+    /// Pauses an attempt.
     ///
     /// # Errors
     /// [`Refusal::NeverSeen`] or [`Refusal::Forgotten`].
@@ -192,7 +195,7 @@
         self.status(now, attempt)
     }
 
-    /// Lets a paused attempt go on.
+    /// Resumes a paused attempt.
     ///
     /// # Errors
     /// [`Refusal::NeverSeen`] or [`Refusal::Forgotten`].
@@ -205,8 +208,8 @@
         self.status(now, attempt)
     }
 
-    /// Stops an attempt: it generates no further token. One that has ended
-    /// already stays as it ended.
+    /// Cancels an attempt: no further tokens are generated. An attempt that has
+    /// already ended keeps its state.
     ///
     /// # Errors
     /// [`Refusal::NeverSeen`] or [`Refusal::Forgotten`].
@@ -220,7 +223,7 @@
         self.status(now, attempt)
     }
 
-    /// The load report, as old as the model says.
+    /// Returns the load report, delayed as the engine model specifies.
     pub fn load_report(&mut self, now: Timestamp) -> LoadReport {
         self.observe_load(now);
         let (seen, age, sequence) = self.load.serve(now);
@@ -246,7 +249,7 @@
         }
     }
 
-    /// Cache events behind sequence number `after`.
+    /// Returns the visible cache events after sequence number `after`.
     #[must_use]
     pub fn cache_events(&self, now: Timestamp, after: u64) -> CacheEventPage {
         CacheEventPage {
@@ -255,7 +258,7 @@
         }
     }
 
-    /// Takes or refuses an order.
+    /// Accepts or rejects an order.
     pub fn order(&mut self, order: Order) -> OrderReply {
         let (reply, needed) = self.orders.take(order);
         if let Some(weights) = needed {
@@ -264,18 +267,19 @@
         reply
     }
 
-    /// Weights that were asked for are there.
+    /// Loads requested weights that were fetched.
     pub fn weights_arrived(&mut self, weights: &WeightsNeeded) {
         self.orders.weights_arrived(weights);
     }
 
-    /// Whether weights are still wanted, so that a fetch may stop.
+    /// Whether weights are still required; otherwise a fetch may stop.
     #[must_use]
     pub fn wants_weights(&self, weights: &WeightsNeeded) -> bool {
         self.orders.wants(weights)
     }
 
-    /// Puts faults in force. A thawed engine goes on where it stood.
+    /// Replaces the active faults. An unfrozen engine continues with its
+    /// sequences; the interrupted step is planned anew.
     pub fn set_faults(&mut self, now: Timestamp, faults: EngineFaults) {
         let thawed = self.faults.frozen && !faults.frozen;
         self.faults = faults;
@@ -291,8 +295,8 @@
         self.scheduler.set_priority(on);
     }
 
-    /// Dies and starts its next life at `now`: attempts, cache and orders are
-    /// lost. The count of executions stays, for checkers.
+    /// Crashes and starts the next incarnation at `now`. Attempts, cache and
+    /// orders are lost; the execution counts are kept for checkers.
     pub fn crash(&mut self, now: Timestamp) {
         let model = &self.settings.model;
         self.incarnation = self.incarnation.next();
--- a/crates/emulator/src/engine/executions.rs
+++ b/crates/emulator/src/engine/executions.rs
@@ -1,4 +1,4 @@
-//! Count of executions, for checkers. Unlike the engine it survives a crash.
+//! Execution counts for checkers. Unlike the engine's state, they survive a crash.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,26 +7,26 @@
 
 use super::AttemptKey;
 
-/// Attempts and prompts counted; older ones are forgotten.
+/// Maximum number of counted starts; the counts of older ones are dropped.
 const COUNTED: usize = 200_000;
 
-/// How often something ran.
+/// Number of executions of one attempt or prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutionCount {
-    /// Times it entered a running batch, once for each submission.
+    /// Number of times it entered a running batch, at most once per submission.
     pub started: u32,
-    /// Times it ended with a whole answer.
+    /// Number of times it completed with a whole answer.
     pub completed: u32,
 }
 
-/// Counts by attempt and by digest of the prompt or body.
+/// Execution counts by attempt and by digest of the prompt or request.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExecutionLog {
-    /// By attempt.
+    /// Counts by attempt.
     pub attempts: BTreeMap<String, ExecutionCount>,
-    /// By digest of the prompt.
+    /// Counts by digest of the prompt or request.
     pub prompts: BTreeMap<Digest, ExecutionCount>,
-    /// Counts that were forgotten to bound memory.
+    /// Number of starts whose counts were dropped to bound memory.
     pub forgotten: u64,
     #[serde(skip)]
     order: VecDeque<(AttemptKey, Digest)>,
@@ -42,7 +42,7 @@
         self.forget_oldest();
     }
 
-    /// Counts an end with a whole answer.
+    /// Counts a completion with a whole answer.
     pub fn completed(&mut self, attempt: &AttemptKey, prompt: Digest) {
         if let Some(count) = self.attempts.get_mut(&**attempt) {
             count.completed += 1;
@@ -52,13 +52,13 @@
         }
     }
 
-    /// Counts of one attempt.
+    /// Returns the counts of an attempt; zero if it is not counted.
     #[must_use]
     pub fn of_attempt(&self, attempt: &str) -> ExecutionCount {
         self.attempts.get(attempt).copied().unwrap_or_default()
     }
 
-    /// Counts of one prompt.
+    /// Returns the counts of a prompt; zero if it is not counted.
     #[must_use]
     pub fn of_prompt(&self, prompt: Digest) -> ExecutionCount {
         self.prompts.get(&prompt).copied().unwrap_or_default()
--- a/crates/emulator/src/engine/finished.rs
+++ b/crates/emulator/src/engine/finished.rs
@@ -1,4 +1,5 @@
-//! Ended attempts: remembered for a while, then only known to have existed.
+//! Records of ended attempts. A record expires after the retention time; after
+//! that, only the existence of the attempt is known.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::Duration;
@@ -8,34 +9,35 @@
 
 use super::{AnswerText, AttemptKey};
 
-/// Attempts known to have existed after their answers are forgotten.
+/// Maximum number of attempts whose existence is tracked after their records
+/// expired.
 const KNOWN_ATTEMPTS: usize = 262_144;
 
-/// An attempt that ended.
+/// Record of an ended attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinishedAttempt {
     /// `Completed` or `Cancelled`.
     pub state: RequestState,
-    /// Source of the answer's text.
+    /// Generator of the answer's text.
     pub text: AnswerText,
-    /// Tokens that were asked for.
+    /// Number of tokens requested.
     pub max_tokens: u32,
     /// Token counts.
     pub usage: Usage,
 }
 
-/// What is known of an attempt that is not live.
+/// Result of looking up an attempt that is not live.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Recollection {
-    /// It ended and its answer is still there.
+    /// The attempt ended and its record is still retained.
     Finished(FinishedAttempt),
-    /// It ended, or may have; nothing else is known.
+    /// The attempt ended, or may have ended; no record is left.
     Forgotten,
-    /// It was never seen.
+    /// The attempt was never submitted.
     NeverSeen,
 }
 
-/// Bounded memory of ended attempts.
+/// Bounded store of ended attempts.
 #[derive(Clone, Debug)]
 pub struct FinishedAttempts {
     retention: Duration,
@@ -48,7 +50,7 @@
 }
 
 impl FinishedAttempts {
-    /// Remembers at most `limit` answers, each for `retention`.
+    /// Creates a store of at most `limit` records, each kept for `retention`.
     #[must_use]
     pub fn new(retention: Duration, limit: usize) -> Self {
         Self {
@@ -62,35 +64,36 @@
         }
     }
 
-    /// Remembers an attempt that ended at `now`.
+    /// Records an attempt that ended at `now`.
     pub fn insert(&mut self, now: Timestamp, attempt: AttemptKey, finished: FinishedAttempt) {
         self.attempts.insert(attempt.clone(), finished);
         self.order.push_back((now, attempt));
         self.forget_old(now);
     }
 
-    /// What is known of `attempt`.
+    /// Looks up `attempt`.
     #[must_use]
     pub fn recall(&self, attempt: &str) -> Recollection {
         if let Some(finished) = self.attempts.get(attempt) {
             return Recollection::Finished(*finished);
         }
-        // Invariant: `NeverSeen` is said only when it is certain, since a
-        // client takes it for "not run".
+        // Invariant: `NeverSeen` is returned only when it is certain, since
+        // clients interpret it as "not run".
         if self.overflowed || self.known.contains(&digest_of(attempt.as_bytes()).0) {
             return Recollection::Forgotten;
         }
         Recollection::NeverSeen
     }
 
-    /// Whether the attempt itself, and not only the limit of this memory, is
-    /// the reason for [`Recollection::Forgotten`].
+    /// Whether the attempt is known to have existed. When this is `false`,
+    /// [`Recollection::Forgotten`] only means that older attempts are no longer
+    /// tracked.
     #[must_use]
     pub fn knows(&self, attempt: &str) -> bool {
         self.known.contains(&digest_of(attempt.as_bytes()).0)
     }
 
-    /// Forgets the answers that are too old or too many.
+    /// Drops the records that exceed the retention time or the limit.
     pub fn forget_old(&mut self, now: Timestamp) {
         while let Some((ended_at, _)) = self.order.front() {
             let expired = now.since(*ended_at) > self.retention;
--- a/crates/emulator/src/engine/intake.rs
+++ b/crates/emulator/src/engine/intake.rs
@@ -1,14 +1,14 @@
-//! Taking a completion in, or refusing it.
+//! Admission of completions.
 
 use molespan_types::Timestamp;
 
 use super::{EngineCore, Refusal, Sequence, Submission};
 
 impl EngineCore {
-    /// Takes a completion.
+    /// Submits a completion.
     ///
     /// # Errors
-    /// A [`Refusal`]; its outcome says whether the request ran.
+    /// A [`Refusal`]; its outcome states whether the request ran.
     pub fn submit(&mut self, now: Timestamp, submission: Submission) -> Result<(), Refusal> {
         self.observe_load(now);
         self.check_unseen(now, &submission.attempt)?;
@@ -22,7 +22,8 @@
         Ok(())
     }
 
-    /// Invariant: one attempt identifier runs at most once in a life.
+    /// Rejects an attempt that was submitted before. Invariant: an attempt
+    /// identifier runs at most once per incarnation.
     fn check_unseen(&mut self, now: Timestamp, attempt: &str) -> Result<(), Refusal> {
         match self.status(now, attempt) {
             Ok(status) => Err(Refusal::Duplicate {
--- a/crates/emulator/src/engine/kv_transfer.rs
+++ b/crates/emulator/src/engine/kv_transfer.rs
@@ -1,4 +1,4 @@
-//! KV blocks that leave for other engines or come from them.
+//! Export and import of KV blocks between engines.
 
 use molespan_engine_api::{BLOCK_TOKENS, CacheEventKind, KvBlockExport};
 use molespan_types::Timestamp;
@@ -6,7 +6,7 @@
 use super::EngineCore;
 
 impl EngineCore {
-    /// The cached blocks along the prefix that ends in `prefix_hash`.
+    /// Exports the cached blocks of the prefix that ends in `prefix_hash`.
     #[must_use]
     pub fn kv_export(&self, prefix_hash: u64) -> KvBlockExport {
         KvBlockExport {
@@ -15,7 +15,8 @@
         }
     }
 
-    /// Puts exported blocks into the cache. Returns how many are new.
+    /// Caches blocks exported by another engine. Returns the number of blocks
+    /// that were not cached before.
     pub fn kv_import(&mut self, now: Timestamp, blocks: &KvBlockExport) -> u32 {
         if blocks.block_tokens != BLOCK_TOKENS {
             return 0;
--- a/crates/emulator/src/engine/load_monitor.rs
+++ b/crates/emulator/src/engine/load_monitor.rs
@@ -1,4 +1,4 @@
-//! Load observations, taken at intervals and served late.
+//! Load samples, taken at intervals and served with a delay.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -7,20 +7,20 @@
 
 use super::Counts;
 
-/// What an engine observed of itself.
+/// Load sample of an engine or application back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Observation {
-    /// When.
+    /// Time of the sample.
     pub at: Timestamp,
-    /// Sequences.
+    /// Number of sequences by class and state.
     pub counts: Counts,
-    /// Share of KV memory held, 0.0 to 1.0.
+    /// Fraction of KV memory held, 0.0 to 1.0.
     pub kv_used: f64,
-    /// Mean duration of the latest steps, in microseconds.
+    /// Moving average of the step duration, in microseconds.
     pub step_micros: u32,
 }
 
-/// Observations on a grid of times.
+/// Load samples at fixed intervals.
 #[derive(Clone, Debug)]
 pub struct LoadMonitor {
     interval: Duration,
@@ -31,7 +31,8 @@
 }
 
 impl LoadMonitor {
-    /// Observes every `interval` and serves an observation after `delay`.
+    /// Creates a monitor that samples every `interval` and serves a sample after
+    /// `delay`.
     #[must_use]
     pub fn new(interval: Duration, delay: Duration, start: Timestamp) -> Self {
         let first = Observation {
@@ -47,14 +48,16 @@
         }
     }
 
-    /// Whether an observation is due. Call `record` before the state changes.
+    /// Whether a sample is due. If so, `record` must be called before the state
+    /// changes.
     #[must_use]
     pub fn is_due(&self, now: Timestamp) -> bool {
         now >= self.next_at
     }
 
-    /// Records the state that has held since the last change. It stands for
-    /// every grid time up to `now`; only the last of these matters.
+    /// Records the state that has held since the last change, as the sample of
+    /// every sampling time up to `now`. Only the first and the last of these are
+    /// stored, since the state was the same in between.
     pub fn record(&mut self, now: Timestamp, mut observation: Observation) {
         let interval = self.interval.as_micros() as u64;
         let passed = now.since(self.next_at).as_micros() as u64 / interval;
@@ -70,8 +73,8 @@
         self.drop_outdated(now);
     }
 
-    /// The newest observation that may be served, its age and a number that
-    /// rises with every call.
+    /// Returns the newest sample that is old enough to be served, its age, and a
+    /// sequence number that increases with every call.
     pub fn serve(&mut self, now: Timestamp) -> (Observation, Duration, u64) {
         self.drop_outdated(now);
         self.served += 1;
--- a/crates/emulator/src/engine/message.rs
+++ b/crates/emulator/src/engine/message.rs
@@ -1,4 +1,4 @@
-//! What goes into an engine core and what comes out.
+//! Inputs and outputs of the engine core.
 
 use std::sync::Arc;
 
@@ -8,7 +8,7 @@
 
 use super::AnswerText;
 
-/// Attempt identifier as the protocol carries it.
+/// Attempt identifier, as transmitted in the request header.
 pub type AttemptKey = Arc<str>;
 
 /// A completion to run.
@@ -16,37 +16,37 @@
 pub struct Submission {
     /// Attempt identifier.
     pub attempt: AttemptKey,
-    /// Class.
+    /// Priority class.
     pub priority: Priority,
-    /// Model asked for.
+    /// Requested model.
     pub model: String,
-    /// Adapter asked for.
+    /// Requested adapter.
     pub adapter: Option<String>,
     /// Prompt.
     pub prompt: String,
-    /// Tokens to generate; 0 counts as 1.
+    /// Number of tokens to generate; 0 is treated as 1.
     pub max_tokens: u32,
-    /// Whether each token is announced by [`Output::Token`].
+    /// Whether each token is reported by [`Output::Token`].
     pub stream: bool,
 }
 
-/// Something that happened in a step.
+/// Event or request for action emitted by the engine core.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
     /// A token of a streamed attempt was generated.
     Token {
         /// Attempt.
         attempt: AttemptKey,
-        /// Position of the token, from 0.
+        /// Zero-based position of the token.
         offset: u32,
-        /// Source of its text.
+        /// Generator of the token's text.
         text: AnswerText,
     },
-    /// An attempt ended with its whole answer.
+    /// An attempt completed with its whole answer.
     Completed {
         /// Attempt.
         attempt: AttemptKey,
-        /// Source of the answer's text; it has `usage.completion_tokens` tokens.
+        /// Generator of the answer's text of `usage.completion_tokens` tokens.
         text: AnswerText,
         /// Token counts.
         usage: Usage,
@@ -55,27 +55,27 @@
     Cancelled {
         /// Attempt.
         attempt: AttemptKey,
-        /// `not-run` when it never entered the running batch.
+        /// `not-run` if the attempt never entered the running batch.
         outcome: RunOutcome,
     },
-    /// Weights must be fetched; answer with `weights_arrived`.
+    /// Weights must be fetched; the caller then calls `weights_arrived`.
     FetchWeights(WeightsNeeded),
 }
 
-/// What is known of the answer of an attempt.
+/// Answer of an attempt, possibly incomplete.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Answer {
-    /// Source of its text.
+    /// Generator of the answer's text.
     pub text: AnswerText,
-    /// Where the attempt stands.
+    /// Current status of the attempt.
     pub status: RequestStatus,
-    /// Tokens it has when it is whole.
+    /// Number of tokens of the whole answer.
     pub max_tokens: u32,
     /// Token counts so far.
     pub usage: Usage,
 }
 
-/// Weights that an order asked for.
+/// Weights required by an order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WeightsNeeded {
     /// A model.
@@ -93,7 +93,7 @@
 }
 
 impl WeightsNeeded {
-    /// Name under which the weight store keeps them.
+    /// Returns the name of the weights in the weight store.
     #[must_use]
     pub fn name(&self) -> &str {
         match self {
@@ -103,16 +103,16 @@
     }
 }
 
-/// Why an engine did not take a request or cannot tell about an attempt.
+/// Reasons why an engine rejects a request or has no record of an attempt.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum Refusal {
-    /// The switch `refuse` is on.
+    /// The fault `refuse` is active.
     #[display("the engine refuses work")]
     Refusing,
-    /// It was told to leave.
+    /// The engine was ordered to leave.
     #[display("the engine is leaving")]
     Leaving,
-    /// Too many requests wait.
+    /// The waiting queue is full.
     #[display("too many requests wait")]
     QueueFull,
     /// The model is not loaded.
@@ -127,30 +127,30 @@
         /// Name.
         adapter: String,
     },
-    /// Prompt and answer need more memory than there is.
+    /// Prompt and answer exceed the KV memory.
     #[display("prompt and answer need {needed} blocks of KV memory, {capacity} exist")]
     TooLarge {
         /// Blocks needed.
         needed: u32,
-        /// Blocks that exist.
+        /// Total blocks of the engine.
         capacity: u32,
     },
     /// The attempt was submitted before.
     #[display("the attempt was submitted before")]
     Duplicate {
-        /// Where the earlier submission stands.
+        /// State of the earlier submission.
         state: RequestState,
     },
-    /// The attempt was never seen in this incarnation.
+    /// The attempt was never submitted in this incarnation.
     #[display("the attempt is not known here")]
     NeverSeen,
-    /// The attempt was seen, or may have been, and is no longer remembered.
+    /// The attempt was, or may have been, submitted, but its record expired.
     #[display("the attempt is no longer remembered")]
     Forgotten,
 }
 
 impl Refusal {
-    /// Whether the request ran.
+    /// Returns whether the request ran.
     #[must_use]
     pub fn outcome(&self) -> RunOutcome {
         match self {
@@ -162,7 +162,7 @@
         }
     }
 
-    /// Stable code of the error body.
+    /// Returns the stable code for the error body.
     #[must_use]
     pub fn code(&self) -> &'static str {
         match self {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// HTTP status.
+    /// Returns the HTTP status.
     #[must_use]
     pub fn status(&self) -> u16 {
         match self {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// When coming back helps, in milliseconds.
+    /// Returns the suggested retry delay in milliseconds, if a retry may succeed.
     #[must_use]
     pub fn retry_after_ms(&self) -> Option<u64> {
         match self {
--- a/crates/emulator/src/engine/mod.rs
+++ b/crates/emulator/src/engine/mod.rs
@@ -1,8 +1,8 @@
 //! The emulated engine as a sans-IO core.
 //!
-//! [`EngineCore`] takes calls with the time of the caller's clock and announces
-//! what happened through [`Output`]s. Processes and the simulator drive it
-//! alike. It keeps no clock, socket, thread or unseeded random number.
+//! [`EngineCore`] receives the current time with each call and reports events as
+//! [`Output`]s. Both server processes and the simulator drive it. It uses no
+//! clock, socket, thread or unseeded randomness of its own.
 
 mod cache;
 mod cache_events;
--- a/crates/emulator/src/engine/model.rs
+++ b/crates/emulator/src/engine/model.rs
@@ -1,40 +1,41 @@
-//! How fast an emulated engine is and how much it holds.
+//! Performance and capacity model of an emulated engine.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Costs and limits of an emulated engine. Times are in microseconds.
+/// Costs and limits of an emulated engine. All times are in microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineModel {
-    /// Cost of every step.
+    /// Fixed cost of each step.
     pub step_base_micros: u64,
-    /// Cost of each sequence that generates a token in a step.
+    /// Additional cost of a step for each sequence that generates a token.
     pub step_per_sequence_micros: u64,
-    /// Cost of a thousand prompt tokens processed in a step.
+    /// Additional cost of a step for each thousand prompt tokens processed.
     pub prefill_per_thousand_micros: u64,
-    /// Most prompt tokens processed in one step.
+    /// Maximum number of prompt tokens processed per step.
     pub prefill_chunk_tokens: u32,
-    /// Most sequences in the running batch.
+    /// Maximum number of sequences in the running batch.
     pub max_running: u32,
-    /// Most sequences that wait; more are refused.
+    /// Maximum number of waiting sequences; further ones are rejected.
     pub max_waiting: u32,
-    /// KV memory in blocks of [`BLOCK_TOKENS`](molespan_engine_api::BLOCK_TOKENS).
+    /// KV memory in blocks of [`BLOCK_TOKENS`](molespan_engine_api::BLOCK_TOKENS)
+    /// tokens.
     pub kv_blocks: u32,
-    /// Whether online sequences enter first and preempt batch sequences.
+    /// Whether online sequences are admitted first and preempt batch sequences.
     pub priority: bool,
-    /// Interval between two observations for the load report.
+    /// Sampling interval of the load report.
     pub load_interval_micros: u64,
-    /// Least age of an observation when it is served.
+    /// Minimum age of a load sample when it is served.
     pub load_delay_micros: u64,
-    /// Delay before a cache event can be read.
+    /// Delay before a cache event becomes visible.
     pub cache_event_delay_micros: u64,
-    /// Share of cache events that are never published, 0.0 to 1.0.
+    /// Fraction of cache events that are never published, 0.0 to 1.0.
     pub cache_event_loss: f64,
-    /// How long an ended attempt can be asked about.
+    /// Retention time of the records of ended attempts.
     pub retention_micros: u64,
-    /// Most ended attempts that can be asked about.
+    /// Maximum number of retained records of ended attempts.
     pub retention_attempts: usize,
 }
 
@@ -45,7 +46,7 @@
 }
 
 impl EngineModel {
-    /// Engines of the archive: large batches, longer steps.
+    /// Returns the model of the archive's engines: larger batches, longer steps.
     #[must_use]
     pub fn archive() -> Self {
         Self {
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Engines of the lab library: smaller batches, shorter steps.
+    /// Returns the model of the lab library's engines: smaller batches, shorter
+    /// steps.
     #[must_use]
     pub fn lab() -> Self {
         Self {
@@ -80,7 +82,7 @@
         }
     }
 
-    /// The model of that name: `archive` or `lab`.
+    /// Returns the model named `name`: `archive` or `lab`.
     #[must_use]
     pub fn named(name: &str) -> Option<Self> {
         match name {
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Duration of a step at normal speed.
+    /// Returns the duration of a step without the slow-down fault.
     #[must_use]
     pub fn step_duration(&self, generating: usize, prefill_tokens: u32) -> Duration {
         let sequences = self.step_per_sequence_micros * generating as u64;
--- a/crates/emulator/src/engine/order_book.rs
+++ b/crates/emulator/src/engine/order_book.rs
@@ -1,4 +1,4 @@
-//! Fenced orders: which are taken, and what is loaded because of them.
+//! Fenced orders from the control nodes and the state that results from them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,23 +7,23 @@
 
 use super::WeightsNeeded;
 
-/// Orders remembered so that a resend is recognised.
+/// Number of accepted orders kept to recognise resends.
 const REMEMBERED_ORDERS: usize = 64;
 
-/// What the engine holds ready.
+/// Loaded models and adapters, and role of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Loaded {
-    /// Models and their versions.
+    /// Loaded models with their versions.
     pub models: BTreeMap<String, u32>,
-    /// Adapters.
+    /// Loaded adapters.
     pub adapters: BTreeSet<String>,
-    /// Role in force.
+    /// Current role.
     pub role: EngineRole,
-    /// Whether it was told to leave.
+    /// Whether the engine was ordered to leave.
     pub leaving: bool,
 }
 
-/// The orders of one incarnation and their effects.
+/// Orders accepted in one incarnation and their effects.
 #[derive(Clone, Debug)]
 pub struct OrderBook {
     incarnation: Incarnation,
@@ -35,7 +35,7 @@
 }
 
 impl OrderBook {
-    /// An engine life that starts with `models` ready, in version 1.
+    /// Creates the state of a new incarnation, with `models` loaded in version 1.
     #[must_use]
     pub fn new(incarnation: Incarnation, models: &[String]) -> Self {
         let loaded = Loaded {
@@ -52,18 +52,20 @@
         }
     }
 
-    /// What is ready now.
+    /// Returns what is currently loaded.
     #[must_use]
     pub fn loaded(&self) -> &Loaded {
         &self.loaded
     }
 
-    /// Takes or refuses an order. The second value names weights to fetch.
+    /// Accepts or rejects an order. Also returns the weights that must be
+    /// fetched for it, if any.
     pub fn take(&mut self, order: Order) -> (OrderReply, Option<WeightsNeeded>) {
         if self.taken.contains(&order) {
             return (self.reply(true), None);
         }
-        // Invariant: tokens that take effect strictly rise within one life.
+        // Invariant: the tokens of accepted orders strictly increase within an
+        // incarnation.
         if order.incarnation != self.incarnation || order.token <= self.highest {
             return (self.reply(false), None);
         }
@@ -76,7 +78,7 @@
         (self.reply(true), needed)
     }
 
-    /// Weights arrived. They are dropped when an order has overtaken them.
+    /// Loads fetched weights, unless a later order made them obsolete.
     pub fn weights_arrived(&mut self, weights: &WeightsNeeded) {
         match weights {
             WeightsNeeded::Model { model, version } => {
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Whether `weights` are still wanted.
+    /// Whether `weights` are still required by the latest orders.
     #[must_use]
     pub fn wants(&self, weights: &WeightsNeeded) -> bool {
         match weights {
--- a/crates/emulator/src/engine/scheduler.rs
+++ b/crates/emulator/src/engine/scheduler.rs
@@ -1,4 +1,4 @@
-//! Which sequences run: admission, preemption and the division of a step.
+//! Scheduling of sequences: admission, preemption and planning of steps.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -8,17 +8,17 @@
 use super::sequence::{Sequence, SequenceId};
 use super::{EngineModel, KvMemory};
 
-/// What one step processes.
+/// Work of one step.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StepPlan {
-    /// Prompt tokens to process, by sequence.
+    /// Number of tokens to prefill per sequence.
     pub prefill: Vec<(SequenceId, u32)>,
     /// Sequences that generate one token.
     pub decode: Vec<SequenceId>,
 }
 
 impl StepPlan {
-    /// Prompt tokens processed in all.
+    /// Returns the total number of prefill tokens.
     #[must_use]
     pub fn prefill_tokens(&self) -> u32 {
         self.prefill.iter().map(|(_, tokens)| tokens).sum()
@@ -31,20 +31,20 @@
     }
 }
 
-/// Numbers of sequences by class and state.
+/// Number of sequences by class and state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Online, running.
+    /// Running online sequences.
     pub online_running: u32,
-    /// Online, waiting or paused.
+    /// Waiting or paused online sequences.
     pub online_waiting: u32,
-    /// Batch, running.
+    /// Running batch sequences.
     pub batch_running: u32,
-    /// Batch, waiting or paused.
+    /// Waiting or paused batch sequences.
     pub batch_waiting: u32,
 }
 
-/// The sequences that have not ended, and their memory.
+/// Scheduler of all live sequences, with the KV memory.
 #[derive(Clone, Debug)]
 pub struct Scheduler {
     max_running: usize,
@@ -60,7 +60,7 @@
 }
 
 impl Scheduler {
-    /// Nothing runs.
+    /// Creates a scheduler without sequences.
     #[must_use]
     pub fn new(model: &EngineModel) -> Self {
         Self {
@@ -77,13 +77,13 @@
         }
     }
 
-    /// KV memory.
+    /// Returns the KV memory.
     #[must_use]
     pub fn memory(&self) -> &KvMemory {
         &self.memory
     }
 
-    /// KV memory, to import blocks.
+    /// Returns the KV memory for modification.
     pub fn memory_mut(&mut self) -> &mut KvMemory {
         &mut self.memory
     }
@@ -93,20 +93,20 @@
         self.priority = on;
     }
 
-    /// The sequence, unless it ended.
+    /// Returns a sequence, unless it ended.
     #[must_use]
     pub fn sequence(&self, id: SequenceId) -> Option<&Sequence> {
         self.sequences.get(&id)
     }
 
-    /// Announces each further token of a sequence.
+    /// Enables the reporting of each further token of a sequence.
     pub fn set_stream(&mut self, id: SequenceId) {
         if let Some(sequence) = self.sequences.get_mut(&id) {
             sequence.stream = true;
         }
     }
 
-    /// Sequences that wait, paused ones not counted.
+    /// Returns the number of waiting sequences, without paused ones.
     #[must_use]
     pub fn waiting(&self) -> usize {
         self.waiting_online.len() + self.waiting_batch.len()
@@ -118,7 +118,7 @@
         self.sequences.is_empty()
     }
 
-    /// Numbers by class and state.
+    /// Returns the number of sequences by class and state.
     #[must_use]
     pub fn counts(&self) -> Counts {
         let mut counts = Counts {
@@ -141,7 +141,7 @@
         counts
     }
 
-    /// Queues a sequence.
+    /// Appends a sequence to the waiting queue of its class.
     pub fn add(&mut self, sequence: Sequence) -> SequenceId {
         let id = self.next_id;
         self.next_id += 1;
@@ -150,7 +150,7 @@
         id
     }
 
-    /// Ends a sequence and frees its memory.
+    /// Removes a sequence and frees its memory.
     pub fn remove(&mut self, id: SequenceId) -> Option<Sequence> {
         self.unlist(id);
         let mut sequence = self.sequences.remove(&id)?;
@@ -158,7 +158,7 @@
         Some(sequence)
     }
 
-    /// Holds a sequence back. It keeps its memory until others need it.
+    /// Pauses a sequence. It keeps its memory until other sequences need it.
     pub fn pause(&mut self, id: SequenceId) {
         if !self.sequences.contains_key(&id) {
             return;
@@ -168,7 +168,8 @@
         self.set_state(id, RequestState::Paused);
     }
 
-    /// Lets a paused sequence go on: it is the next of its class to enter.
+    /// Resumes a paused sequence: it moves to the front of the waiting queue of
+    /// its class.
     pub fn resume(&mut self, id: SequenceId) {
         let Some(position) = self.paused.iter().position(|paused| *paused == id) else {
             return;
@@ -177,7 +178,7 @@
         self.requeue(id);
     }
 
-    /// Admits what fits and divides the next step. The second value lists the
+    /// Admits the sequences that fit and plans the next step. Also returns the
     /// sequences that entered the running batch for the first time.
     pub fn plan(&mut self) -> (StepPlan, Vec<SequenceId>) {
         let started = self.admit();
@@ -196,8 +197,8 @@
         (plan, started)
     }
 
-    /// Counts prompt tokens as processed. Returns the blocks newly cached and
-    /// whether the sequence now generates a token.
+    /// Counts tokens as processed. Returns the newly cached blocks and whether
+    /// the sequence now generates a token.
     pub fn finish_prefill(&mut self, id: SequenceId, tokens: u32) -> (Vec<u64>, bool) {
         match self.running_sequence(id) {
             Some((sequence, memory)) => {
@@ -211,8 +212,8 @@
         }
     }
 
-    /// Generates one token of a running sequence. Returns its offset, or
-    /// `None` when the sequence left the running batch meanwhile.
+    /// Generates one token of a running sequence. Returns its offset, or `None`
+    /// if the sequence left the running batch since the step was planned.
     pub fn generate(&mut self, id: SequenceId) -> Option<u32> {
         let (sequence, _) = self.running_sequence(id)?;
         let offset = sequence.generated;
@@ -220,8 +221,8 @@
         Some(offset)
     }
 
-    /// Makes room for the next token of `id`, preempting others, or itself
-    /// when nothing else gives way.
+    /// Makes memory available for the next token of `id` by reclaiming memory of
+    /// paused sequences and preempting running ones, if necessary `id` itself.
     pub fn ensure_growth(&mut self, id: SequenceId) {
         while let Some((sequence, memory)) = self.running_sequence(id) {
             if sequence.grow(memory) {
@@ -239,7 +240,8 @@
         (sequence.state == RequestState::Running).then_some((sequence, &mut self.memory))
     }
 
-    /// Online before batch under engine priority, else as admitted.
+    /// Returns the running sequences in admission order; under engine priority,
+    /// online sequences come first.
     fn service_order(&self) -> Vec<SequenceId> {
         let mut order = self.running.clone();
         if self.priority {
@@ -250,8 +252,8 @@
 
     fn admit(&mut self) -> Vec<SequenceId> {
         let mut started = Vec::new();
-        // Invariant under engine priority: batch enters only while no online
-        // sequence waits, and none runs while one waits.
+        // Invariant under engine priority: while an online sequence waits, no
+        // batch sequence is admitted, and none runs.
         while let Some(id) = self.next_waiting() {
             if !self.make_slot(id) || !self.make_memory(id) {
                 break;
@@ -307,7 +309,7 @@
         }
     }
 
-    /// Takes the memory of a paused sequence, of batch ones first.
+    /// Releases the memory of one paused sequence, batch sequences first.
     fn reclaim_paused(&mut self) -> bool {
         let victim = self
             .paused
@@ -318,7 +320,8 @@
         self.take_memory(victim)
     }
 
-    /// Takes the memory of a resumed sequence that waits behind `id`.
+    /// Releases the memory of one resumed sequence that waits, other than `id`;
+    /// batch sequences first.
     fn reclaim_waiting(&mut self, id: SequenceId) -> bool {
         let victim = self
             .waiting_batch
@@ -345,7 +348,7 @@
         }
     }
 
-    /// Preempts the sequence admitted last, of one class or of any.
+    /// Preempts the most recently admitted sequence, of `class` if given.
     fn preempt_latest(&mut self, class: Option<Priority>) -> bool {
         let victim = self
             .running
@@ -381,7 +384,7 @@
         }
     }
 
-    /// Takes a sequence off the list of its state.
+    /// Removes a sequence from the list or queue of its state.
     fn unlist(&mut self, id: SequenceId) {
         let Some(sequence) = self.sequences.get(&id) else {
             return;
--- a/crates/emulator/src/engine/sequence.rs
+++ b/crates/emulator/src/engine/sequence.rs
@@ -1,35 +1,35 @@
-//! One attempt while it is waiting, running or paused.
+//! State of an attempt that is waiting, running or paused.
 
 use molespan_engine_api::{BLOCK_TOKENS, RequestState, Usage, block_hashes, token_ends};
 use molespan_types::Priority;
 
 use super::{AnswerText, AttemptKey, KvMemory, Submission};
 
-/// Number of a sequence in the order of arrival.
+/// Sequence identifier; assigned in order of arrival.
 pub type SequenceId = u64;
 
-/// Blocks that hold `tokens` tokens.
+/// Returns the number of blocks needed for `tokens` tokens.
 #[must_use]
 pub fn blocks_for(tokens: u32) -> u32 {
     tokens.div_ceil(BLOCK_TOKENS)
 }
 
-/// State of a sequence and the memory it holds.
+/// State of a sequence and the KV memory it holds.
 #[derive(Clone, Debug)]
 pub struct Sequence {
-    /// Attempt.
+    /// Attempt identifier.
     pub attempt: AttemptKey,
-    /// Class.
+    /// Priority class.
     pub priority: Priority,
-    /// Source of the generated text.
+    /// Generator of the answer's text.
     pub text: AnswerText,
-    /// Whether tokens are announced.
+    /// Whether each token is reported.
     pub stream: bool,
     /// `Waiting`, `Running` or `Paused`.
     pub state: RequestState,
-    /// Whether it ever entered the running batch.
+    /// Whether the sequence ever entered the running batch.
     pub started: bool,
-    /// Tokens generated.
+    /// Number of tokens generated.
     pub generated: u32,
     max_tokens: u32,
     prompt_tokens: u32,
@@ -41,7 +41,7 @@
 }
 
 impl Sequence {
-    /// A sequence that waits.
+    /// Creates a waiting sequence.
     #[must_use]
     pub fn new(submission: Submission) -> Self {
         let ends = token_ends(&submission.prompt);
@@ -63,25 +63,26 @@
         }
     }
 
-    /// Tokens to generate.
+    /// Returns the number of tokens to generate.
     #[must_use]
     pub fn max_tokens(&self) -> u32 {
         self.max_tokens
     }
 
-    /// Blocks needed when the last token is generated.
+    /// Returns the number of blocks needed for the prompt and the whole answer.
     #[must_use]
     pub fn most_blocks(&self) -> u32 {
         blocks_for(self.prompt_tokens.saturating_add(self.max_tokens))
     }
 
-    /// Tokens still to be processed before the next one can be generated.
+    /// Returns the number of tokens to process before the next token can be
+    /// generated.
     #[must_use]
     pub fn prefill_left(&self) -> u32 {
         (self.prompt_tokens + self.generated).saturating_sub(self.computed)
     }
 
-    /// Whether it holds memory.
+    /// Whether the sequence holds KV memory.
     #[must_use]
     pub fn holds_memory(&self) -> bool {
         self.shared_blocks + self.private_blocks > 0
@@ -93,7 +94,7 @@
         self.generated >= self.max_tokens
     }
 
-    /// Token counts so far.
+    /// Returns the token counts so far.
     #[must_use]
     pub fn usage(&self) -> Usage {
         Usage {
@@ -103,12 +104,12 @@
         }
     }
 
-    /// Takes memory for everything known so far and one more token, sharing
-    /// the cached prefix. On failure it holds nothing and the blocks that are
-    /// missing are returned.
+    /// Allocates memory for the prompt, the tokens generated so far and the next
+    /// token, sharing the cached prefix. On failure, the sequence holds no
+    /// memory.
     ///
     /// # Errors
-    /// The number of private blocks that must be free.
+    /// The number of private blocks that the sequence needs.
     pub fn reserve(&mut self, memory: &mut KvMemory) -> Result<(), u32> {
         let context = self.prompt_tokens + self.generated;
         let shared = memory.acquire_prefix(&self.hashes);
@@ -119,7 +120,7 @@
         }
         self.shared_blocks = shared;
         self.private_blocks = private;
-        // At least one token is processed to generate the next.
+        // At least one token must be processed to generate the next.
         self.computed = (shared * BLOCK_TOKENS).min(context - 1);
         if !self.started {
             self.cached_tokens = self.computed;
@@ -127,7 +128,7 @@
         Ok(())
     }
 
-    /// Gives all memory back; what was processed must be processed again.
+    /// Releases all memory. All tokens must be processed again afterwards.
     pub fn release(&mut self, memory: &mut KvMemory) {
         memory.release(&self.hashes[..self.shared_blocks as usize]);
         memory.free(self.private_blocks);
@@ -141,7 +142,8 @@
         self.computed += tokens;
     }
 
-    /// Puts the whole blocks of the prompt into the cache. Returns the new ones.
+    /// Publishes the complete blocks of the prompt to the cache. Returns the
+    /// blocks that were not cached before.
     pub fn publish_prompt(&mut self, memory: &mut KvMemory) -> Vec<u64> {
         let mut stored = Vec::new();
         while (self.shared_blocks as usize) < self.hashes.len() {
@@ -163,8 +165,8 @@
         self.generated += 1;
     }
 
-    /// Takes memory for one more token, if it does not fit the blocks held.
-    /// Returns false when there is no room.
+    /// Allocates memory for the next token if it does not fit into the blocks
+    /// held. Returns `false` if there is not enough memory.
     pub fn grow(&mut self, memory: &mut KvMemory) -> bool {
         let needed = blocks_for(self.prompt_tokens + self.generated + 1);
         let held = self.shared_blocks + self.private_blocks;
--- a/crates/emulator/src/engine/step.rs
+++ b/crates/emulator/src/engine/step.rs
@@ -1,4 +1,4 @@
-//! Steps of continuous batching.
+//! Execution of continuous-batching steps.
 
 use std::time::Duration;
 
@@ -7,13 +7,15 @@
 
 use super::{EngineCore, FinishedAttempt, Output, SequenceId, StepPlan};
 
-/// A caller that is later than this does not make up for the time lost.
+/// If the caller is late by more than this, the next step starts at the current
+/// time instead of at the end of the previous step.
 const LARGEST_CATCH_UP: Duration = Duration::from_millis(50);
-/// Weight of the latest step in the mean duration, as a divisor.
+/// Divisor of the moving average of the step duration: the latest step has a
+/// weight of one eighth.
 const MEAN_WEIGHT: i64 = 8;
 
-/// A step that has begun. It is finished as planned, except for sequences that
-/// are paused or cancelled meanwhile.
+/// A step in progress. It finishes as planned, except for sequences that are
+/// paused or cancelled in the meantime.
 #[derive(Clone, Debug)]
 pub(super) struct StepInProgress {
     plan: StepPlan,
@@ -21,8 +23,8 @@
 }
 
 impl EngineCore {
-    /// When [`step`](Self::step) has something to do; `None` while idle or
-    /// frozen.
+    /// Returns when [`step`](Self::step) must be called next; `None` while idle
+    /// or frozen.
     #[must_use]
     pub fn next_step_at(&self) -> Option<Timestamp> {
         if self.faults.frozen {
@@ -31,14 +33,14 @@
         self.step.as_ref().map(|step| step.ends_at)
     }
 
-    /// Whether a call left something for [`step`](Self::step) to return.
+    /// Whether there are outputs for [`step`](Self::step) to return.
     #[must_use]
     pub fn has_outputs(&self) -> bool {
         !self.outputs.is_empty()
     }
 
-    /// Finishes the steps that end by `now` and begins the next. Returns all
-    /// that happened since the last call, also through other calls.
+    /// Finishes the steps that end by `now` and begins the next one. Returns all
+    /// outputs since the last call, including those of other calls.
     pub fn step(&mut self, now: Timestamp) -> Vec<Output> {
         while let Some(ends_at) = self.next_step_at() {
             if ends_at > now {
@@ -51,7 +53,8 @@
         std::mem::take(&mut self.outputs)
     }
 
-    /// Begins a step, unless one is in progress or there is nothing to do.
+    /// Begins a step unless the engine is frozen, a step is in progress or there
+    /// is nothing to do.
     pub(super) fn start_step(&mut self, now: Timestamp) {
         if self.step.is_some() || self.faults.frozen {
             return;
--- a/crates/emulator/src/engine/text.rs
+++ b/crates/emulator/src/engine/text.rs
@@ -1,4 +1,4 @@
-//! Generated text, derived from the prompt so that a checker can verify it.
+//! Generated text, derived from the prompt so that checkers can verify it.
 
 use std::fmt::Write;
 
@@ -6,21 +6,21 @@
 use molespan_types::{Digest, digest_of};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Bytes of one generated token: six hexadecimal digits and a space.
+/// Length of a generated token in bytes: six hexadecimal digits and a space.
 const TOKEN_BYTES: usize = 7;
 
-/// Identifies the text that an engine generates for a prompt.
+/// Deterministic generator of the text that an engine answers to a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct AnswerText(Digest);
 
 impl AnswerText {
-    /// The text that answers `prompt`.
+    /// Returns the generator of the answer to `prompt`.
     #[must_use]
     pub fn of_prompt(prompt: &str) -> Self {
         Self(digest_of(prompt.as_bytes()))
     }
 
-    /// Digest of the prompt.
+    /// Returns the digest of the prompt.
     #[must_use]
     pub fn prompt_digest(self) -> Digest {
         self.0
@@ -33,7 +33,7 @@
         let _ = write!(text, "{:06x} ", hash & 0xff_ffff);
     }
 
-    /// The token at `offset`.
+    /// Returns the token at `offset`.
     #[must_use]
     pub fn token(self, offset: u32) -> String {
         let mut text = String::with_capacity(TOKEN_BYTES);
@@ -41,7 +41,7 @@
         text
     }
 
-    /// The first `tokens` tokens.
+    /// Returns the text of the first `tokens` tokens.
     #[must_use]
     pub fn first(self, tokens: u32) -> String {
         let mut text = String::with_capacity(TOKEN_BYTES * tokens as usize);
@@ -52,13 +52,13 @@
     }
 }
 
-/// The whole answer of any emulated engine to `prompt`.
+/// Returns the whole answer of any emulated engine to `prompt`.
 #[must_use]
 pub fn expected_answer(prompt: &str, max_tokens: u32) -> String {
     AnswerText::of_prompt(prompt).first(max_tokens.max(1))
 }
 
-/// The prompt that an engine derives from a conversation.
+/// Returns the prompt that an engine derives from chat messages.
 #[must_use]
 pub fn chat_prompt(messages: &[ChatMessage]) -> String {
     let mut prompt = String::new();
--- a/crates/emulator/src/engine_server/answers.rs
+++ b/crates/emulator/src/engine_server/answers.rs
@@ -1,4 +1,4 @@
-//! Completions: taken, waited for and answered.
+//! Submission of completions and their responses.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -19,10 +19,10 @@
     EventBody, StreamEnd, StreamEvent, StreamFaults, error_reply, header, json_reply, read_json,
 };
 
-/// Numbers attempts that come without an identifier.
+/// Counter for naming attempts without an identifier.
 static ANONYMOUS: AtomicU64 = AtomicU64::new(0);
 
-/// Form of an answer.
+/// Response format of a completion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerForm {
     /// Text completion.
@@ -31,7 +31,7 @@
     Chat,
 }
 
-/// A completion as it was asked for.
+/// A parsed completion request.
 struct Asked {
     submission: Submission,
     form: AnswerForm,
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Streams the answer of an earlier attempt from `offset` on.
+    /// Streams the answer of an earlier attempt, starting at token `offset`.
     pub(super) fn resume_stream(
         &self,
         attempt: &str,
@@ -97,7 +97,7 @@
         Ok(self.event_reply(&answer, offset, events, faults))
     }
 
-    /// A refusal as a typed error.
+    /// Returns the error response for a refusal.
     pub(super) fn refuse(&self, refusal: &Refusal, attempt: &str) -> Response {
         let reply = error_reply(
             refusal.status(),
@@ -109,7 +109,7 @@
         self.stamp(reply, attempt)
     }
 
-    /// Adds the headers that every response carries.
+    /// Adds the headers common to all responses.
     pub(super) fn stamp(&self, mut response: Response, attempt: &str) -> Response {
         let Incarnation(life) = self.lock().core.incarnation();
         response.insert_header(INCARNATION_HEADER, life.to_string());
@@ -197,7 +197,7 @@
     }
 }
 
-/// Faults that concern the events of a stream of `tokens` tokens.
+/// Returns the faults that affect the events of a stream of `tokens` tokens.
 fn stream_faults(fault: Option<AnswerFault>, tokens: u32) -> StreamFaults {
     let middle = tokens / 2;
     StreamFaults {
@@ -289,7 +289,7 @@
     })
 }
 
-/// Closes the connection without an answer.
+/// Returns the error that closes the connection without a response.
 fn broken() -> http_types::Error {
     http_types::Error::from_str(StatusCode::InternalServerError, "connection broken")
 }
--- a/crates/emulator/src/engine_server/driver.rs
+++ b/crates/emulator/src/engine_server/driver.rs
@@ -1,4 +1,4 @@
-//! Steps the core when it asks for it; an idle engine costs nothing.
+//! Task that steps the core when a step is due; an idle engine uses no CPU time.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 
 use super::{EngineServer, weights};
 
-/// Drives the core until the stand-in is stopped.
+/// Drives the core until the engine is stopped.
 pub async fn drive(
     server: Arc<EngineServer>,
     executor: Arc<Executor<'static>>,
@@ -25,7 +25,8 @@
     driving.or(switches.until_stopped()).await;
 }
 
-/// Advances the core. Returns when to come back, or `None` when stopped.
+/// Advances the core. Returns what to wait for next, or `None` if the engine was
+/// stopped.
 fn advance(server: &Arc<EngineServer>, executor: &Arc<Executor<'static>>) -> Option<Wait> {
     if server.switches.is_stopped() {
         return None;
@@ -46,17 +47,18 @@
     })
 }
 
-/// What the driver waits for.
+/// Condition for the next call of [`advance`].
 enum Wait {
-    /// A time, or a call that changes the next step.
+    /// The given time, or an earlier call that changes the next step.
     Until(Instant),
-    /// A call.
+    /// A call that changes the next step.
     ForCall,
 }
 
 async fn wait(next: Wait, woken: &Receiver<()>) {
     let called = async {
-        // The sender lives as long as the server.
+        // The channel is not closed while the server exists, since the server
+        // owns the sender.
         let _ = woken.recv().await;
     };
     match next {
--- a/crates/emulator/src/engine_server/mod.rs
+++ b/crates/emulator/src/engine_server/mod.rs
@@ -1,4 +1,4 @@
-//! An emulated engine as an HTTP server around the engine core.
+//! An emulated engine: an HTTP server around the engine core.
 
 mod answers;
 mod driver;
@@ -22,26 +22,26 @@
 use crate::switch_api::Switched;
 use state::EngineState;
 
-/// How an engine process is started.
+/// Settings of an emulated engine server.
 #[derive(Clone, Debug)]
 pub struct EngineServerSettings {
-    /// The engine.
+    /// Settings of the engine core.
     pub engine: EngineSettings,
-    /// Where it listens.
+    /// Listen address.
     pub listen: SocketAddr,
-    /// Where the weight store is; without one, weights arrive at once.
+    /// Address of the weight store; without it, weights load immediately.
     pub weights: Option<SocketAddr>,
     /// Rate at which weights are loaded, in bytes per second.
     pub load_bytes_per_second: u64,
-    /// Seed of its random choices.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Time that each request spends on the network, both ways.
+    /// Emulated network round-trip time, added to each request.
     pub round_trip: Duration,
-    /// Faults in force from the start.
+    /// Faults active from the start.
     pub faults: FaultSettings,
 }
 
-/// An engine that serves.
+/// A running emulated engine.
 pub struct EngineServer {
     state: Mutex<EngineState>,
     switches: Arc<Switches>,
@@ -56,7 +56,7 @@
     /// Starts an engine on `executor`.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub fn start(
         executor: &Arc<Executor<'static>>,
         settings: EngineServerSettings,
@@ -79,7 +79,8 @@
         Ok((server, running))
     }
 
-    /// Calls the core and lets the driver see to what follows.
+    /// Calls the core. Wakes the driver if the call changed the next step or
+    /// produced outputs.
     pub fn with_core<T>(&self, call: impl FnOnce(&mut EngineCore, Timestamp) -> T) -> T {
         let mut state = self.lock();
         let before = state.core.next_step_at();
@@ -87,7 +88,7 @@
         let changed = before != state.core.next_step_at() || state.core.has_outputs();
         drop(state);
         if changed {
-            // A wake-up that is pending already is enough.
+            // If the channel is full, a wake-up is already pending.
             let _ = self.wake.try_send(());
         }
         result
@@ -119,7 +120,8 @@
     }
 
     fn crash(&self, down: Duration) {
-        // Connections end first, so that none of them sees the next life.
+        // Connections are closed first, so that none of them observes the next
+        // incarnation.
         self.switches.crash(down);
         let now = self.now();
         self.lock().crash(now);
--- a/crates/emulator/src/engine_server/routes.rs
+++ b/crates/emulator/src/engine_server/routes.rs
@@ -1,4 +1,4 @@
-//! Paths of an engine.
+//! HTTP routes of an engine.
 
 use std::sync::Arc;
 
@@ -19,21 +19,21 @@
 use crate::server::{Service, error_reply, json_reply, not_found, query_number, read_json};
 use crate::switch_api::{self, route_switch};
 
-/// Answer of `POST /kv/import`.
+/// Response body of `POST /kv/import`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvImportReply {
-    /// Blocks that were not cached before.
+    /// Number of blocks that were not cached before.
     pub stored: u32,
 }
 
 /// Body of `POST /emulator/priority`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PriorityRequest {
-    /// Whether the engine honours priorities.
+    /// Whether engine priority is on.
     pub on: bool,
 }
 
-/// A call of the core on one attempt.
+/// An operation of the core on one attempt.
 type AttemptCall =
     fn(&mut EngineCore, Timestamp, &str) -> Result<molespan_engine_api::RequestStatus, Refusal>;
 
--- a/crates/emulator/src/engine_server/state.rs
+++ b/crates/emulator/src/engine_server/state.rs
@@ -1,4 +1,4 @@
-//! The engine core and those who wait for its outputs.
+//! The engine core and the subscribers to its outputs.
 
 use std::collections::{HashMap, VecDeque};
 
@@ -9,21 +9,21 @@
 use crate::engine::{Answer, AnswerText, AttemptKey, EngineCore, Output, Refusal, WeightsNeeded};
 use crate::server::{StreamEnd, StreamEvent};
 
-/// Answers kept to be given to the wrong request.
+/// Number of recent answers kept for the `crossed` fault.
 const RECENT_ANSWERS: usize = 8;
-/// Attempt named by a crossed answer when no other attempt has ended yet.
+/// Attempt identifier in a crossed answer when no other attempt has completed yet.
 const OTHER_ATTEMPT: &str = "0-0";
 
-/// What a lock guards.
+/// Mutable state of an engine server.
 pub struct EngineState {
-    /// The core.
+    /// The engine core.
     pub core: EngineCore,
     listeners: HashMap<AttemptKey, Vec<Sender<StreamEvent>>>,
     recent: VecDeque<Answer>,
 }
 
 impl EngineState {
-    /// Nobody waits.
+    /// Creates a state without subscribers.
     pub fn new(core: EngineCore) -> Self {
         Self {
             core,
@@ -32,13 +32,14 @@
         }
     }
 
-    /// Loses everything, as the core does.
+    /// Crashes the core and drops all subscribers.
     pub fn crash(&mut self, now: Timestamp) {
         self.core.crash(now);
         self.listeners.clear();
     }
 
-    /// Advances the core and tells those who wait. Returns weights to fetch.
+    /// Advances the core and notifies the subscribers. Returns the weights to
+    /// fetch.
     pub fn advance(&mut self, now: Timestamp) -> Vec<WeightsNeeded> {
         let mut weights = Vec::new();
         for output in self.core.step(now) {
@@ -59,7 +60,7 @@
         weights
     }
 
-    /// Events of an attempt that was just submitted.
+    /// Subscribes to the events of an attempt that was just submitted.
     pub fn listen(&mut self, attempt: &AttemptKey) -> Receiver<StreamEvent> {
         let (sender, receiver) = async_channel::unbounded();
         let listeners = self.listeners.entry(attempt.clone()).or_default();
@@ -67,10 +68,11 @@
         receiver
     }
 
-    /// Events of an attempt that may have ended.
+    /// Returns the answer of an attempt and subscribes to its further events.
+    /// The attempt may have ended.
     ///
     /// # Errors
-    /// When the attempt is not known.
+    /// If there is no record of the attempt.
     pub fn listen_again(
         &mut self,
         now: Timestamp,
@@ -89,7 +91,8 @@
         Ok((answer, events))
     }
 
-    /// The whole answer of an attempt other than `attempt`.
+    /// Returns the whole answer of an attempt other than `attempt`: the most
+    /// recent one, or a made-up answer if there is none.
     pub fn other_answer(&self, attempt: &str) -> Answer {
         let other = self
             .recent
@@ -130,7 +133,7 @@
 
     fn tell(&mut self, attempt: &AttemptKey, event: StreamEvent) {
         if let Some(listeners) = self.listeners.get_mut(attempt) {
-            // One that has gone away takes no more events.
+            // Drops the subscribers whose receiver was dropped.
             listeners.retain(|listener| listener.try_send(event.clone()).is_ok());
         }
     }
@@ -142,7 +145,7 @@
     }
 }
 
-/// How an attempt ended, if it did.
+/// Returns how an attempt ended, if it has ended.
 fn end_of(answer: &Answer) -> Option<StreamEnd> {
     match answer.status.state {
         RequestState::Completed => Some(StreamEnd::Completed(answer.usage)),
@@ -151,7 +154,7 @@
     }
 }
 
-/// Events that consist of the end alone.
+/// Returns an event stream that consists of `end` only.
 pub fn ended_events(end: StreamEnd) -> Receiver<StreamEvent> {
     let (sender, receiver) = async_channel::bounded(1);
     let _ = sender.try_send(StreamEvent::Ended(end));
--- a/crates/emulator/src/engine_server/weights.rs
+++ b/crates/emulator/src/engine_server/weights.rs
@@ -1,4 +1,4 @@
-//! Fetches weights from the weight store.
+//! Fetching of weights from the weight store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,12 +12,13 @@
 use super::EngineServer;
 use crate::engine::WeightsNeeded;
 
-/// Pause before another try when the store does not say.
+/// Retry delay when the store does not send a `retry-after` header.
 const RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// Largest manifest.
+/// Maximum size of a manifest, in bytes.
 const LARGEST_MANIFEST: usize = 64 * 1024;
 
-/// Fetches `needed` and tells the core, unless an order overtakes it.
+/// Fetches `needed` and reports it to the core. Stops retrying when a later order
+/// makes the weights obsolete.
 pub async fn fetch(server: Arc<EngineServer>, needed: WeightsNeeded) {
     while server.with_core(|core, _| core.wants_weights(&needed)) {
         let Some(store) = server.weights else {
@@ -40,7 +41,7 @@
     server.with_core(|core, _| core.weights_arrived(&needed));
 }
 
-/// Asks the store once; the error is the pause before the next try.
+/// Requests the manifest once. The error is the delay before the next attempt.
 async fn manifest(
     server: &EngineServer,
     store: SocketAddr,
--- a/crates/emulator/src/faults.rs
+++ b/crates/emulator/src/faults.rs
@@ -1,20 +1,20 @@
-//! The faults that a stand-in can show, as switches.
+//! Faults that can be injected into an emulated service.
 
 use rand::{Rng, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use serde::{Deserialize, Serialize};
 
-/// Faults of an engine itself, apart from its connections.
+/// Faults of the emulated process, as opposed to those of its responses.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// Accepts connections and answers nothing.
+    /// Accepts connections but does not answer any request.
     pub frozen: bool,
-    /// Every step takes this many times as long.
+    /// Factor on the duration of each engine step or application request.
     pub slow_factor: f64,
-    /// Refuses new work as not run.
+    /// Rejects new work with the outcome `not-run`.
     pub refuse: bool,
-    /// Numbers in load reports are multiplied by this.
+    /// Factor on the reported load.
     pub load_scale: f64,
 }
 
@@ -29,48 +29,50 @@
     }
 }
 
-/// What happens to an answer, or to the connection that should carry it.
+/// Fault of a response or of its connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum AnswerFault {
-    /// It comes this much later.
+    /// The response is delayed.
     Late {
         /// Delay in milliseconds.
         millis: u64,
     },
-    /// It is the whole answer of another attempt, under that attempt's id.
+    /// The response is the whole answer of another attempt, with that attempt's
+    /// identifier.
     Crossed,
-    /// It is cut in the middle and the connection is closed.
+    /// The response is cut in the middle and the connection is closed.
     Truncated,
-    /// The middle event of a stream comes twice.
+    /// The middle event of a stream is sent twice.
     DuplicatedEvent,
-    /// The whole response comes twice on the connection.
+    /// The whole response is sent twice on the connection.
     DuplicatedAnswer,
-    /// The connection is closed after this many bytes of the request. Nothing
-    /// of it runs.
+    /// The connection is closed after `bytes` bytes of the request. The request
+    /// does not run.
     CutRequest {
         /// Bytes read before the cut.
         bytes: u64,
     },
-    /// The connection is closed after this many bytes of the response.
+    /// The connection is closed after `bytes` bytes of the response.
     CutResponse {
         /// Bytes written before the cut.
         bytes: u64,
     },
-    /// The request is taken and runs; the connection is closed without answer.
+    /// The request is accepted and runs, but the connection is closed without a
+    /// response.
     AcceptThenDie,
 }
 
-/// A fault with its frequency.
+/// A fault with its probability and limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct AnswerFaultRule {
-    /// The fault.
+    /// Injected fault.
     pub fault: AnswerFault,
-    /// Share of the requests that it hits, 0.0 to 1.0.
+    /// Probability per request, 0.0 to 1.0. Defaults to 1.0.
     #[serde(default = "always")]
     pub probability: f64,
-    /// Times it may still happen; unlimited when absent.
+    /// Remaining number of occurrences; unlimited if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub remaining: Option<u32>,
 }
@@ -79,14 +81,15 @@
     1.0
 }
 
-/// Everything that can be switched on one stand-in. It is the body of
-/// `POST /emulator/faults` and replaces what was in force.
+/// All active faults of an emulated service. As the body of
+/// `POST /emulator/faults`, it replaces the previous faults.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FaultSettings {
     /// Faults of the process.
     pub engine: EngineFaults,
-    /// Faults of its answers; the first that applies to a request hits it.
+    /// Faults of the responses. The first rule that applies to a request
+    /// determines its fault.
     pub answers: Vec<AnswerFaultRule>,
 }
 
@@ -98,7 +101,7 @@
 }
 
 impl FaultPlan {
-    /// No fault; choices depend on `seed`.
+    /// Creates a plan without faults; `seed` determines the choices.
     #[must_use]
     pub fn new(seed: u64) -> Self {
         Self {
@@ -112,7 +115,7 @@
         self.rules = rules;
     }
 
-    /// The fault of the next request, if any.
+    /// Returns the fault of the next request, if any.
     pub fn choose(&mut self) -> Option<AnswerFault> {
         for rule in &mut self.rules {
             if rule.remaining == Some(0) {
--- a/crates/emulator/src/flags.rs
+++ b/crates/emulator/src/flags.rs
@@ -3,74 +3,74 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Stand-ins for the systems that molespan serves.
+    /// Emulated versions of the systems that molespan works with.
     ///
-    /// Each prints one line of JSON with its addresses once it listens, and
-    /// ends on SIGTERM.
+    /// Each command prints one line of JSON with its addresses once it
+    /// listens, and exits on SIGTERM or SIGINT.
     cmd molespan-emulator {
-        /// Run one engine.
+        /// Run an engine.
         cmd engine {
-            /// Address to listen on; port 0 takes a free one.
+            /// Listen address; port 0 selects a free port.
             optional --listen listen: String
-            /// Number in the platform's list.
+            /// Identifier in the platform list.
             optional --backend backend: u32
-            /// Life of this process; raise it with every restart.
+            /// Incarnation of this process; increase it with every restart.
             optional --incarnation incarnation: u64
-            /// Costs and limits: archive or lab.
+            /// Profile with the costs and limits: archive or lab.
             optional --profile profile: String
-            /// Model that is ready from the start; may be repeated.
+            /// Model loaded from the start; may be repeated.
             repeated --model model: String
-            /// Address of the weight store; without one, weights arrive at once.
+            /// Address of the weight store; without it, weights load immediately.
             optional --weights weights: String
-            /// Network delay, one way, in microseconds.
+            /// One-way network delay, in microseconds.
             optional --one-way-micros one_way_micros: u64
-            /// Seed of random choices.
+            /// Seed of the random choices.
             optional --seed seed: u64
-            /// Faults in force from the start, as JSON.
+            /// Faults active from the start, as JSON.
             optional --faults faults: String
         }
-        /// Run one application back end.
+        /// Run an application back end.
         cmd application {
-            /// Address to listen on; port 0 takes a free one.
+            /// Listen address; port 0 selects a free port.
             optional --listen listen: String
-            /// Number in the platform's list.
+            /// Identifier in the platform list.
             optional --backend backend: u32
-            /// Life of this process; raise it with every restart.
+            /// Incarnation of this process; increase it with every restart.
             optional --incarnation incarnation: u64
-            /// Capacity and service time: archive or lab.
+            /// Profile with the capacity and service time: archive or lab.
             optional --profile profile: String
-            /// Network delay, one way, in microseconds.
+            /// One-way network delay, in microseconds.
             optional --one-way-micros one_way_micros: u64
-            /// Seed of random choices.
+            /// Seed of the random choices.
             optional --seed seed: u64
-            /// Faults in force from the start, as JSON.
+            /// Faults active from the start, as JSON.
             optional --faults faults: String
         }
-        /// Run the platform list.
+        /// Run the platform's machine list.
         cmd platform {
-            /// Address to listen on; port 0 takes a free one.
+            /// Listen address; port 0 selects a free port.
             optional --listen listen: String
-            /// Delay before a change is visible, in milliseconds.
+            /// Delay before a change becomes visible, in milliseconds.
             optional --lag-ms lag_ms: u64
-            /// File with the list of machines at the start, as JSON.
+            /// JSON file with the initial list of machines.
             optional --machines machines: PathBuf
         }
         /// Run the weight store.
         cmd weights {
-            /// Address to listen on; port 0 takes a free one.
+            /// Listen address; port 0 selects a free port.
             optional --listen listen: String
-            /// What it holds: archive or lab.
+            /// Profile with the weights: archive or lab.
             optional --profile profile: String
         }
-        /// Run all stand-ins of a fleet in one process.
+        /// Run all emulated services of a fleet in one process.
         cmd fleet {
-            /// Fleet of today: archive or lab.
+            /// Fleet profile: archive or lab.
             optional --profile profile: String
-            /// Settings file in TOML, in place of a profile.
+            /// TOML settings file, instead of a profile.
             optional --settings settings: PathBuf
-            /// First port, in place of the one in the settings.
+            /// First port; overrides the settings.
             optional --first-port first_port: u16
-            /// Threads that serve.
+            /// Number of server threads.
             optional --threads threads: usize
         }
     }
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! All stand-ins of a fleet in one process.
+//! All emulated services of a fleet in one process.
 
 mod settings;
 
@@ -22,10 +22,10 @@
 
 pub use settings::FleetSettings;
 
-/// First life of every machine.
+/// Initial incarnation of every machine.
 const FIRST_LIFE: Incarnation = Incarnation(1);
 
-/// Control over one back end.
+/// Handle for controlling one back end.
 #[derive(Clone)]
 pub enum BackendHandle {
     /// An engine.
@@ -35,17 +35,17 @@
 }
 
 impl BackendHandle {
-    /// Puts faults in force, in place of those before.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: FaultSettings) {
         self.switched().set_faults(faults);
     }
 
-    /// Dies and starts its next life after `down`.
+    /// Crashes the back end and starts its next incarnation after `down`.
     pub fn crash(&self, down: Duration) {
         self.switched().crash(down);
     }
 
-    /// The count of executions.
+    /// Returns the execution counts.
     #[must_use]
     pub fn executions(&self) -> ExecutionLog {
         self.switched().executions()
@@ -62,34 +62,34 @@
 /// One back end of a fleet.
 #[derive(Clone)]
 pub struct Member {
-    /// As it stood in the platform list at the start.
+    /// Initial entry in the platform list.
     pub machine: Machine,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// Control over it.
+    /// Control handle.
     pub handle: BackendHandle,
 }
 
-/// A fleet that serves until it is dropped.
+/// A running fleet; it stops when dropped.
 pub struct Fleet {
-    /// Engines, then application back ends, in the order of their numbers.
+    /// Engines, then application back ends, ordered by identifier.
     pub members: Vec<Member>,
-    /// Where the platform list is.
+    /// Address of the platform list.
     pub platform_address: SocketAddr,
-    /// Control over the platform list.
+    /// Control handle of the platform list.
     pub platform: Arc<Platform>,
-    /// Where the weight store is.
+    /// Address of the weight store.
     pub weights_address: SocketAddr,
-    /// Control over the weight store.
+    /// Control handle of the weight store.
     pub weights: Arc<WeightStore>,
     switches: Vec<Arc<Switches>>,
 }
 
 impl Fleet {
-    /// Starts every stand-in on `executor`.
+    /// Starts every emulated service on `executor`.
     ///
     /// # Errors
-    /// When an address cannot be bound.
+    /// If an address cannot be bound.
     pub fn start(executor: &Arc<Executor<'static>>, settings: &FleetSettings) -> io::Result<Self> {
         let mut starter = Starter {
             executor,
@@ -132,7 +132,7 @@
         })
     }
 
-    /// The back ends as they stood in the platform list at the start.
+    /// Returns the initial platform list of the back ends.
     #[must_use]
     pub fn machines(&self) -> Vec<Machine> {
         self.members
@@ -141,13 +141,13 @@
             .collect()
     }
 
-    /// The back end of that number.
+    /// Returns the back end with identifier `id`.
     #[must_use]
     pub fn member(&self, id: BackendId) -> Option<&Member> {
         self.members.iter().find(|member| member.machine.id == id)
     }
 
-    /// Ends every stand-in.
+    /// Stops every emulated service.
     pub fn stop(&self) {
         for switches in &self.switches {
             switches.stop();
@@ -161,7 +161,7 @@
     }
 }
 
-/// Starts back ends one after the other.
+/// Assigns addresses and identifiers to back ends and starts them.
 struct Starter<'a> {
     executor: &'a Arc<Executor<'static>>,
     settings: &'a FleetSettings,
@@ -182,7 +182,8 @@
         Ok(())
     }
 
-    /// The next address: of the range, or a free one.
+    /// Returns the next address of the port range, or one with port 0 if the
+    /// ports are chosen by the system.
     fn address(&mut self) -> SocketAddr {
         let port = self.next_port;
         if port != 0 {
@@ -297,7 +298,7 @@
     }
 }
 
-/// Weights of a model, as the store keeps them.
+/// Returns the weight store's manifest of a model or adapter.
 #[must_use]
 pub fn model_weights(name: &str, version: u32, bytes: u64) -> WeightManifest {
     WeightManifest {
--- a/crates/emulator/src/fleet/settings.rs
+++ b/crates/emulator/src/fleet/settings.rs
@@ -1,4 +1,4 @@
-//! What a fleet consists of.
+//! Settings of an emulated fleet.
 
 use molespan_engine_api::WeightManifest;
 use molespan_types::{ServiceName, ZoneName};
@@ -7,45 +7,46 @@
 use super::model_weights;
 use crate::engine::EngineModel;
 
-/// Size of a model's weights in the profiles.
+/// Size of a model's weights in the profiles, in bytes.
 const MODEL_BYTES: u64 = 400_000_000;
-/// Size of an adapter's weights in the profiles.
+/// Size of an adapter's weights in the profiles, in bytes.
 const ADAPTER_BYTES: u64 = 20_000_000;
 
-/// What a fleet consists of; missing keys are those of the archive.
+/// Settings of an emulated fleet; missing keys default to the archive profile.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct FleetSettings {
-    /// Zones; the back ends of a kind stand in them in turn.
+    /// Zones; back ends of each kind are assigned to them round-robin.
     pub zones: Vec<ZoneName>,
     /// Number of engines.
     pub engines: u32,
-    /// Service that the engines are meant for.
+    /// Service of the engines.
     pub service: ServiceName,
-    /// Model that every engine has ready from the start.
+    /// Model that every engine has loaded from the start.
     pub model: String,
-    /// Costs and limits of an engine.
+    /// Costs and limits of each engine.
     pub engine: EngineModel,
     /// Number of application back ends.
     pub applications: u32,
-    /// Service that they are meant for.
+    /// Service of the application back ends.
     pub application_service: ServiceName,
-    /// Requests that an application back end works on at a time.
+    /// Concurrency limit of each application back end.
     pub application_capacity: u32,
-    /// Time that a request takes there, in microseconds.
+    /// Processing time of a request at an application back end, in microseconds.
     pub application_micros: u64,
-    /// First port: the platform list, then the weight store, engines and
-    /// application back ends. 0 takes free ones.
+    /// First port of a consecutive range for the platform list, the weight
+    /// store, the engines and the application back ends. 0 selects free ports.
     pub first_port: u16,
-    /// Network delay of a back end, one way, in microseconds.
+    /// One-way network delay of the back ends, in microseconds.
     pub one_way_micros: u64,
-    /// Delay before a change of the machine list is visible, in milliseconds.
+    /// Delay before a change of the machine list becomes visible, in
+    /// milliseconds.
     pub platform_lag_ms: u64,
-    /// What the weight store holds.
+    /// Contents of the weight store.
     pub weights: Vec<WeightManifest>,
-    /// Rate limit of the weight store.
+    /// Rate limit of the weight store, in bytes per second.
     pub store_bytes_per_second: u64,
-    /// Bytes that the weight store grants at once after a rest.
+    /// Burst size of the weight store's rate limit, in bytes.
     pub store_burst_bytes: u64,
     /// Rate at which an engine loads weights, in bytes per second.
     pub load_bytes_per_second: u64,
@@ -60,7 +61,8 @@
 }
 
 impl FleetSettings {
-    /// The archive's fleet of today: 8 engines and 3 application back ends.
+    /// Returns the archive's current fleet: 8 engines and 3 application back
+    /// ends.
     #[must_use]
     pub fn archive() -> Self {
         Self {
@@ -88,7 +90,8 @@
         }
     }
 
-    /// The lab library's fleet of today: 13 engines and 3 application back ends.
+    /// Returns the lab library's current fleet: 13 engines and 3 application
+    /// back ends.
     #[must_use]
     pub fn lab() -> Self {
         Self {
@@ -109,7 +112,7 @@
         }
     }
 
-    /// The fleet of that name: `archive` or `lab`.
+    /// Returns the profile named `name`: `archive` or `lab`.
     #[must_use]
     pub fn named(name: &str) -> Option<Self> {
         match name {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,8 +1,8 @@
-//! Stand-ins for engines, application back ends, the platform list and the
-//! weight store, with a switch for every failure they can show.
+//! Emulated engines, application back ends, platform list and weight store, with
+//! fault injection for every failure they can exhibit.
 //!
-//! The engine is a sans-IO core in [`engine`], which the simulator drives as
-//! well. [`fleet`] starts all stand-ins of a fleet within one process.
+//! The engine is a sans-IO core in [`engine`], which the simulator also drives.
+//! [`fleet`] starts all emulated services of a fleet in one process.
 
 pub mod application;
 pub mod engine;
@@ -17,5 +17,5 @@
 pub use engine::expected_answer;
 pub use fleet::{Fleet, FleetSettings};
 
-/// Prefix of the switches and checks of every stand-in.
+/// Path prefix of the control and inspection endpoints of every emulated service.
 pub const EMULATOR_PATH: &str = "/emulator/";
--- a/crates/emulator/src/main.rs
+++ b/crates/emulator/src/main.rs
@@ -1,4 +1,4 @@
-//! `molespan-emulator`: the stand-ins as processes.
+//! `molespan-emulator`: runs the emulated services as processes.
 
 mod commands;
 mod flags;
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -1,4 +1,5 @@
-//! The emulated platform list: late, and able to go back in time.
+//! The emulated platform list: it serves changes with a delay and can return to
+//! an earlier revision.
 
 use std::collections::VecDeque;
 use std::io;
@@ -18,18 +19,18 @@
 use crate::server::{Running, Service, Switches, json_reply, not_found, read_json, start};
 use crate::switch_api;
 
-/// Revisions that the list can go back to.
+/// Maximum number of revisions kept in the history.
 const KEPT_REVISIONS: usize = 256;
-/// `POST` a machine to add or replace it.
+/// `POST` a [`Machine`] to add or replace it.
 pub const SET_MACHINE_PATH: &str = "/emulator/machine";
-/// `POST` a [`StateChange`].
+/// `POST` a [`StateChange`] to set the state of a machine.
 pub const SET_STATE_PATH: &str = "/emulator/machine/state";
-/// `POST` a [`Removal`].
+/// `POST` a [`Removal`] to remove a machine.
 pub const REMOVE_MACHINE_PATH: &str = "/emulator/machine/remove";
-/// `POST` a [`Rewind`].
+/// `POST` a [`Rewind`] to serve an earlier revision temporarily.
 pub const REWIND_PATH: &str = "/emulator/rewind";
 
-/// Changes the state of a machine.
+/// Request body that changes the state of a machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StateChange {
     /// Machine.
@@ -38,23 +39,24 @@
     pub state: MachineState,
 }
 
-/// Takes a machine off the list.
+/// Request body that removes a machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Removal {
     /// Machine.
     pub id: BackendId,
 }
 
-/// Makes the list go back in time for a while.
+/// Request body that makes the list return to an earlier revision for a limited
+/// time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Rewind {
-    /// Revisions to go back.
+    /// Number of revisions to go back.
     pub revisions: u64,
-    /// For how long, in milliseconds.
+    /// Duration of the rewind, in milliseconds.
     pub for_ms: u64,
 }
 
-/// The list and its past, without a clock.
+/// The machine list and its history, without a clock.
 #[derive(Clone, Debug)]
 pub struct PlatformCore {
     lag: Duration,
@@ -63,8 +65,8 @@
 }
 
 impl PlatformCore {
-    /// A list that shows each change after `lag`. `machines` are visible from
-    /// the start.
+    /// Creates a list in which each change becomes visible after `lag`.
+    /// `machines` are visible from the start.
     #[must_use]
     pub fn new(lag: Duration, machines: Vec<Machine>) -> Self {
         let list = MachineList {
@@ -78,14 +80,14 @@
         }
     }
 
-    /// The list as it is, without lag.
+    /// Returns the newest revision of the list, without lag.
     #[must_use]
     pub fn current(&self) -> MachineList {
         let newest = self.history.back();
         newest.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
-    /// The list as it is served at `now`.
+    /// Returns the list as served at `now`, with the lag and any rewind applied.
     #[must_use]
     pub fn served(&self, now: Timestamp) -> MachineList {
         let visible = self
@@ -120,12 +122,12 @@
         });
     }
 
-    /// Takes a machine off the list.
+    /// Removes a machine.
     pub fn remove(&mut self, now: Timestamp, id: BackendId) {
         self.change(now, |machines| machines.retain(|machine| machine.id != id));
     }
 
-    /// Goes back by `revisions` until `until`.
+    /// Serves an earlier list, by `revisions` revisions, until `until`.
     pub fn rewind(&mut self, until: Timestamp, revisions: u64) {
         self.rewind = Some((until, revisions));
     }
@@ -141,18 +143,18 @@
     }
 }
 
-/// How a platform list is started.
+/// Settings of an emulated platform list.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Where it listens.
+    /// Listen address.
     pub listen: SocketAddr,
-    /// Delay before a change is visible.
+    /// Delay before a change becomes visible.
     pub lag: Duration,
-    /// Machines at the start.
+    /// Initial machines.
     pub machines: Vec<Machine>,
 }
 
-/// A platform list that serves.
+/// A running platform list.
 pub struct Platform {
     core: Mutex<PlatformCore>,
     switches: Arc<Switches>,
@@ -163,7 +165,7 @@
     /// Starts a platform list on `executor`.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub fn start(
         executor: &Arc<Executor<'static>>,
         settings: PlatformSettings,
@@ -178,14 +180,14 @@
         Ok((platform, running))
     }
 
-    /// Calls the core with the present time.
+    /// Calls the core with the current time.
     pub fn with_core<T>(&self, call: impl FnOnce(&mut PlatformCore, Timestamp) -> T) -> T {
         let now = Timestamp(self.clock_start.elapsed().as_micros() as u64);
         let mut core = self.core.lock().unwrap_or_else(PoisonError::into_inner);
         call(&mut core, now)
     }
 
-    /// Puts faults in force; only `frozen` concerns the list.
+    /// Replaces the active faults; only `frozen` affects the list.
     pub fn set_faults(&self, faults: FaultSettings) {
         self.switches.set(faults);
     }
@@ -235,7 +237,7 @@
         }
     }
 
-    /// Changes the list and answers with it as it is now, without lag.
+    /// Changes the list and responds with its newest revision, without lag.
     async fn edit<T: serde::de::DeserializeOwned>(
         &self,
         mut request: Request,
--- a/crates/emulator/src/server/connection.rs
+++ b/crates/emulator/src/server/connection.rs
@@ -1,4 +1,5 @@
-//! A connection that can break or repeat what it carries.
+//! A connection with fault injection: it can cut a request or response short,
+//! or send a response twice.
 
 use std::io;
 use std::net::TcpStream;
@@ -13,24 +14,25 @@
 use super::{Service, Switches};
 use crate::faults::AnswerFault;
 
-/// End of a response head.
+/// Bytes that terminate a response head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Progress of the request and response that are under way.
+/// Progress of the current request and response.
 #[derive(Default)]
 struct Exchange {
-    /// Set once the first bytes of the request are there.
+    /// Whether the first bytes of the request have been read.
     begun: bool,
     fault: Option<AnswerFault>,
     read: u64,
     written: u64,
-    /// Bytes of the response that may still be written, when it is cut.
+    /// Total number of response bytes to write before the connection is cut;
+    /// `None` when the response is not cut.
     write_limit: Option<u64>,
-    /// What was written, when it is to be repeated.
+    /// Response bytes written so far; `None` unless the response is sent twice.
     copy: Option<Vec<u8>>,
 }
 
-/// A stream that shows the fault chosen for the request that it carries.
+/// A TCP stream that injects the fault chosen for its current request.
 #[derive(Clone)]
 pub(super) struct FaultyStream {
     stream: Arc<Async<TcpStream>>,
@@ -61,7 +63,8 @@
         *self.lock() = Exchange::default();
     }
 
-    /// Chooses the fault of a request from its first bytes.
+    /// Counts bytes read. Chooses a fault when the first bytes of a request
+    /// arrive.
     fn note_read(&self, bytes: &[u8]) {
         let mut exchange = self.lock();
         if !exchange.begun && !bytes.is_empty() {
@@ -84,7 +87,8 @@
         }
     }
 
-    /// Bytes of the request that may still be read, when it is cut.
+    /// Returns how many bytes of the request may still be read; `None` when the
+    /// request is not cut.
     fn read_left(&self) -> Option<u64> {
         match self.fault {
             Some(AnswerFault::CutRequest { bytes }) => Some(bytes.saturating_sub(self.read)),
@@ -92,7 +96,9 @@
         }
     }
 
-    /// Cuts a plain response in the middle of its body, known from its head.
+    /// Sets the write limit of a truncated response to the middle of its body,
+    /// according to the `content-length` in its head. Streamed responses have
+    /// none and are truncated by their body.
     fn limit_truncated(&mut self, bytes: &[u8]) {
         let truncated = self.fault == Some(AnswerFault::Truncated);
         if !truncated || self.write_limit.is_some() || self.written > 0 {
@@ -107,7 +113,7 @@
         }
     }
 
-    /// How many of `length` bytes may be written now.
+    /// Returns how many of the next `length` bytes may be written.
     fn writable(&self, length: usize) -> usize {
         match self.write_limit {
             Some(limit) => length.min(limit.saturating_sub(self.written) as usize),
@@ -130,7 +136,8 @@
     line.trim().parse().ok()
 }
 
-/// Path of a request that starts with `bytes`; empty when it is cut off.
+/// Returns the path of a request that starts with `bytes`; empty if `bytes`
+/// does not reach the path.
 fn request_path(bytes: &[u8]) -> &str {
     let mut parts = bytes.split(|byte| *byte == b' ');
     let path = parts.nth(1).unwrap_or_default();
@@ -198,7 +205,7 @@
     }
 }
 
-/// Serves requests until the connection ends or breaks.
+/// Serves requests until the connection is closed or fails.
 pub(super) async fn serve(stream: FaultyStream, service: Arc<dyn Service>) {
     let endpoint = |request| {
         let service = service.clone();
@@ -237,7 +244,7 @@
     Ok(())
 }
 
-/// Whether `path` belongs to the switches, which also a frozen stand-in obeys.
+/// Whether `path` is a control endpoint. A frozen service still answers these.
 fn is_switch(path: &str) -> bool {
     path.starts_with(crate::EMULATOR_PATH)
 }
--- a/crates/emulator/src/server/event_body.rs
+++ b/crates/emulator/src/server/event_body.rs
@@ -1,4 +1,4 @@
-//! The body of a streamed answer, as server-sent events.
+//! The body of a streamed response, as server-sent events.
 
 use std::io;
 use std::pin::Pin;
@@ -11,37 +11,37 @@
 
 use crate::engine::{Answer, AnswerText};
 
-/// Last line of a stream.
+/// Final event of a stream.
 const DONE: &[u8] = b"data: [DONE]\n\n";
 
-/// Progress of an attempt, for one reader.
+/// Progress of an attempt, as reported to one subscriber.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum StreamEvent {
-    /// So many tokens are generated.
+    /// Total number of tokens generated so far.
     Generated(u32),
-    /// It ended.
+    /// The attempt ended.
     Ended(StreamEnd),
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamEnd {
-    /// With its whole answer.
+    /// The whole answer was generated.
     Completed(Usage),
-    /// It was cancelled; the stream breaks off.
+    /// The attempt was cancelled; the stream is aborted.
     Cancelled(RunOutcome),
 }
 
-/// Faults of a stream.
+/// Faults injected into a stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StreamFaults {
-    /// Break off before this offset.
+    /// Reset the connection before the event at this token offset.
     pub break_before: Option<u32>,
-    /// Send the event at this offset twice.
+    /// Send the event at this token offset twice.
     pub repeat: Option<u32>,
 }
 
-/// Writes each token as an event once it is generated.
+/// Response body that sends each token as an event once it is generated.
 pub struct EventBody {
     attempt: String,
     text: AnswerText,
@@ -57,7 +57,7 @@
 }
 
 impl EventBody {
-    /// Streams `answer` from `offset` on.
+    /// Creates a body that streams `answer`, starting at token `offset`.
     #[must_use]
     pub fn new(
         answer: &Answer,
@@ -80,8 +80,9 @@
         }
     }
 
-    /// Puts the events that are due into the buffer. The last token waits for
-    /// the end of the attempt, which the engine tells in the same step.
+    /// Writes the pending events to the buffer. The last token is held until the
+    /// attempt ends, since its event carries the usage; the engine reports both
+    /// in the same step.
     fn fill(&mut self) -> io::Result<()> {
         self.buffer.clear();
         self.position = 0;
@@ -136,7 +137,7 @@
                 }
                 self.end = Some(end);
             }
-            // The engine is gone.
+            // The sender was dropped because the engine crashed.
             None => return Poll::Ready(Err(io::Error::from(io::ErrorKind::ConnectionReset))),
         }
         if let Some(StreamEnd::Cancelled(_)) = self.end {
--- a/crates/emulator/src/server/mod.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -1,7 +1,7 @@
-//! Listening sockets of the stand-ins, with faults of their connections.
+//! Listening sockets of the emulated services, with connection faults.
 //!
-//! The accept loop is not the one of `molespan-http`, since a stand-in must be
-//! able to break every byte of a connection.
+//! The accept loop of `molespan-http` is not used, since an emulated service must
+//! be able to break a connection at any byte.
 
 mod connection;
 mod event_body;
@@ -28,17 +28,17 @@
 use switches::Signal;
 pub use switches::Switches;
 
-/// Pause before another try to bind or accept.
+/// Delay before retrying to bind or accept.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Answers the requests of one stand-in.
+/// Request handler of one emulated service.
 pub trait Service: Send + Sync + 'static {
-    /// Whether a request on `path` is work that answer faults may hit, rather
-    /// than a probe or a switch.
+    /// Whether answer faults may affect requests to `path`. Probes and control
+    /// requests are exempt.
     fn is_work(&self, path: &str) -> bool;
 
-    /// Answers one request, showing `fault` as far as it concerns the answer.
-    /// An error closes the connection without an answer.
+    /// Handles one request and applies `fault` if it concerns the content of the
+    /// response. An error closes the connection without a response.
     fn call(
         self: Arc<Self>,
         request: Request,
@@ -46,19 +46,19 @@
     ) -> Boxed<http_types::Result<Response>>;
 }
 
-/// A stand-in that serves.
+/// A running emulated service.
 pub struct Running {
-    /// Where it listens.
+    /// Bound listen address.
     pub address: SocketAddr,
-    /// Its switches.
+    /// Fault and lifecycle controls.
     pub switches: Arc<Switches>,
 }
 
-/// Starts to serve on `address`; port 0 takes a free one. It ends with
-/// [`Switches::stop`].
+/// Starts serving on `address` until [`Switches::stop`] is called. Port 0 selects
+/// a free port.
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// If the address cannot be bound.
 pub fn start(
     executor: &Arc<Executor<'static>>,
     address: SocketAddr,
@@ -85,7 +85,7 @@
 }
 
 impl Acceptor {
-    /// Serves one life after the other.
+    /// Serves one incarnation after the other until the service is stopped.
     async fn run(self, first: Async<TcpListener>) {
         let mut listener = first;
         loop {
@@ -103,7 +103,8 @@
         loop {
             match listener.accept().await {
                 Ok((stream, _)) => self.spawn_connection(stream, life.clone()),
-                // For example too many open files: others may close.
+                // A temporary error such as too many open files, which may
+                // resolve when other connections close.
                 Err(_) => {
                     Timer::after(RETRY_PAUSE).await;
                 }
@@ -122,9 +123,10 @@
         }
     }
 
-    /// Serves `stream` for as long as the life that accepted it.
+    /// Serves `stream` until it is closed or the incarnation that accepted it ends.
     fn spawn_connection(&self, stream: Async<TcpStream>, life: Signal) {
-        // Small writes follow each other; without this they wait for acks.
+        // Responses consist of several small writes; with Nagle's algorithm they
+        // would wait for acknowledgements.
         let _ = stream.get_ref().set_nodelay(true);
         let connection = FaultyStream::new(stream, self.switches.clone(), self.service.clone());
         let served = connection::serve(connection, self.service.clone());
--- a/crates/emulator/src/server/reply.rs
+++ b/crates/emulator/src/server/reply.rs
@@ -1,4 +1,4 @@
-//! Requests and replies in JSON.
+//! Helpers for reading requests and building JSON responses.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// Largest request body that a stand-in takes.
+/// Maximum size of a request body, in bytes.
 const LARGEST_BODY: usize = 8 * 1024 * 1024;
 
-/// A reply that carries `value`.
+/// Returns a response with `value` as its JSON body.
 #[must_use]
 pub fn json_reply(status: u16, value: &impl Serialize) -> Response {
     json_response(status_code(status), value)
 }
 
-/// A typed error.
+/// Returns a response with a typed error body.
 #[must_use]
 pub fn error_reply(
     status: u16,
@@ -30,14 +30,14 @@
     error_response(status_code(status), code, message, outcome, retry_after)
 }
 
-/// The reply to a path that the stand-in does not have.
+/// Returns the response for an unknown path.
 #[must_use]
 pub fn not_found() -> Response {
     let message = "there is no such path here";
     error_reply(404, "not_found", message, RunOutcome::NotRun, None)
 }
 
-/// A header of the request, if present.
+/// Returns a request header, if present.
 #[must_use]
 pub fn header(request: &Request, name: &str) -> Option<String> {
     request
@@ -45,7 +45,7 @@
         .map(|values| values.as_str().to_owned())
 }
 
-/// A query parameter.
+/// Returns a query parameter, if present.
 #[must_use]
 pub fn query_text(request: &Request, name: &str) -> Option<String> {
     let mut pairs = request.url().query_pairs();
@@ -54,17 +54,17 @@
         .map(|(_, value)| value.into_owned())
 }
 
-/// A query parameter that is a number.
+/// Returns a numeric query parameter; `None` if it is missing or not a number.
 #[must_use]
 pub fn query_number(request: &Request, name: &str) -> Option<u64> {
     query_text(request, name)?.parse().ok()
 }
 
-/// The whole body of a request.
+/// Reads the whole body of a request.
 ///
 /// # Errors
-/// A broken connection, also when the body ends early. The connection must
-/// then be closed and nothing may run.
+/// If the connection fails, or the body is too large or ends early. The caller
+/// must then close the connection without running the request.
 pub async fn read_body(request: &mut Request) -> http_types::Result<Vec<u8>> {
     let expected = request.len();
     if expected.is_some_and(|length| length > LARGEST_BODY) {
@@ -77,11 +77,11 @@
     Ok(bytes)
 }
 
-/// The body of a request as JSON; the inner error is the reply for one that
-/// cannot be read.
+/// Reads the body of a request as JSON. The inner error is the response for
+/// malformed JSON.
 ///
 /// # Errors
-/// As [`read_body`].
+/// Same as [`read_body`].
 pub async fn read_json<T: DeserializeOwned>(
     request: &mut Request,
 ) -> http_types::Result<Result<T, Response>> {
--- a/crates/emulator/src/server/switches.rs
+++ b/crates/emulator/src/server/switches.rs
@@ -1,4 +1,4 @@
-//! Switches of one stand-in: its faults and its lives.
+//! Controls of one emulated service: injected faults, crashes and restarts.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -8,19 +8,19 @@
 
 use crate::faults::{AnswerFault, EngineFaults, FaultPlan, FaultSettings};
 
-/// Ends when a stand-in crashes or thaws.
+/// Future event, such as the end of an incarnation, that tasks can wait for.
 #[derive(Clone)]
 pub struct Signal(Receiver<()>);
 
 impl Signal {
-    /// Waits for it.
+    /// Waits until the event occurs.
     pub async fn ended(self) {
-        // Nothing is ever sent; the channel closes with its sender.
+        // Nothing is ever sent; the channel is closed when its sender is dropped.
         let _ = self.0.recv().await;
     }
 }
 
-/// A signal and the sender that ends it when dropped.
+/// A signal and its sender; dropping the sender triggers the signal.
 struct SignalSource {
     _sender: Sender<()>,
     receiver: Receiver<()>,
@@ -50,14 +50,15 @@
     network_delay: Duration,
 }
 
-/// Switches of one stand-in.
+/// Fault and lifecycle controls of one emulated service.
 pub struct Switches {
     state: Mutex<State>,
 }
 
 impl Switches {
-    /// No fault. The choice among answer faults depends on `seed`. Each request
-    /// takes `round_trip` longer, as over a network.
+    /// Creates controls without active faults. `seed` determines the choice of
+    /// answer faults. Each request is delayed by `round_trip` to emulate the
+    /// network.
     #[must_use]
     pub fn new(seed: u64, round_trip: Duration) -> Self {
         let state = State {
@@ -74,19 +75,19 @@
         }
     }
 
-    /// Faults in force.
+    /// Returns the active faults.
     #[must_use]
     pub fn faults(&self) -> FaultSettings {
         self.lock().settings.clone()
     }
 
-    /// Faults of the process in force.
+    /// Returns the active faults of the process.
     #[must_use]
     pub fn engine_faults(&self) -> EngineFaults {
         self.lock().settings.engine.clone()
     }
 
-    /// Replaces the faults in force.
+    /// Replaces the active faults.
     pub fn set(&self, settings: FaultSettings) {
         let mut state = self.lock();
         state.plan.set(settings.answers.clone());
@@ -98,27 +99,27 @@
         state.settings = settings;
     }
 
-    /// Drops every connection and stops listening for `down`.
+    /// Drops every connection and stops listening for the duration `down`.
     pub fn crash(&self, down: Duration) {
         let mut state = self.lock();
         state.restart_at = Some(Instant::now() + down);
         state.life = SignalSource::new();
     }
 
-    /// Ends the stand-in for good.
+    /// Stops the service permanently.
     pub fn stop(&self) {
         let mut state = self.lock();
         state.running = None;
         state.life = SignalSource::new();
     }
 
-    /// Whether it was ended for good.
+    /// Whether the service was stopped permanently.
     #[must_use]
     pub fn is_stopped(&self) -> bool {
         self.lock().running.is_none()
     }
 
-    /// Ends when the stand-in is ended for good.
+    /// Waits until the service is stopped permanently.
     pub async fn until_stopped(&self) {
         let running = self.lock().running.as_ref().map(SignalSource::signal);
         if let Some(signal) = running {
@@ -126,14 +127,14 @@
         }
     }
 
-    /// Ends with the present life.
+    /// Returns a signal that triggers when the current incarnation ends.
     #[must_use]
     pub fn life(&self) -> Signal {
         self.lock().life.signal()
     }
 
-    /// Waits until the process that crashed is started again. Returns false
-    /// when it was stopped for good.
+    /// Waits until the crashed service restarts. Returns `false` if it was
+    /// stopped permanently.
     pub async fn until_restart(&self) -> bool {
         let restart_at = self.lock().restart_at.take();
         if let Some(at) = restart_at {
@@ -142,7 +143,7 @@
         !self.is_stopped()
     }
 
-    /// Waits while frozen, then for the network.
+    /// Waits while the service is frozen, then for the emulated network delay.
     pub async fn before_request(&self) {
         loop {
             let frozen = self.lock().frozen.as_ref().map(SignalSource::signal);
@@ -157,7 +158,7 @@
         }
     }
 
-    /// The fault of the next request.
+    /// Chooses the fault of the next request.
     #[must_use]
     pub fn choose_fault(&self) -> Option<AnswerFault> {
         self.lock().plan.choose()
--- a/crates/emulator/src/switch_api.rs
+++ b/crates/emulator/src/switch_api.rs
@@ -1,4 +1,4 @@
-//! Switches and checks that every stand-in has, under `/emulator/`.
+//! Control and inspection endpoints of the emulated services, under `/emulator/`.
 
 use std::time::Duration;
 
@@ -10,43 +10,43 @@
 use crate::faults::FaultSettings;
 use crate::server::{error_reply, json_reply, not_found, query_text, read_json};
 
-/// `GET` for the faults in force, `POST` to replace them.
+/// `GET` returns the active faults, `POST` replaces them.
 pub const FAULTS_PATH: &str = "/emulator/faults";
-/// `POST` to crash; the answer may be lost with the connection.
+/// `POST` crashes the service; the response may be lost with the connection.
 pub const CRASH_PATH: &str = "/emulator/crash";
-/// `POST` to turn engine priority on or off.
+/// `POST` turns engine priority on or off.
 pub const PRIORITY_PATH: &str = "/emulator/priority";
-/// `GET` for the count of executions: all, or `?attempt=ID`, or
-/// `?prompt=DIGEST` with 16 hexadecimal digits.
+/// `GET` returns execution counts: all of them, those of `?attempt=ID`, or those
+/// of `?prompt=DIGEST`, a digest of 16 hexadecimal digits.
 pub const EXECUTIONS_PATH: &str = "/emulator/executions";
 
 /// Body of `POST /emulator/crash`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashRequest {
-    /// Time until it is started again, in milliseconds.
+    /// Time until the restart, in milliseconds.
     #[serde(default)]
     pub down_ms: u64,
 }
 
-/// A back end whose switches are reached over HTTP.
+/// A back end that can be controlled over HTTP.
 pub trait Switched {
-    /// Faults in force.
+    /// Returns the active faults.
     fn faults(&self) -> FaultSettings;
 
-    /// Puts faults in force, in place of those before.
+    /// Replaces the active faults.
     fn set_faults(&self, faults: FaultSettings);
 
-    /// Dies and starts its next life after `down`.
+    /// Crashes and starts the next incarnation after `down`.
     fn crash(&self, down: Duration);
 
-    /// The count of executions.
+    /// Returns the execution counts.
     fn executions(&self) -> ExecutionLog;
 }
 
-/// Answers a request on one of the paths that every back end has.
+/// Handles a request to one of the control endpoints that every back end has.
 ///
 /// # Errors
-/// When the request cannot be read.
+/// If the request cannot be read.
 pub async fn route_switch(
     backend: &impl Switched,
     request: &mut Request,
@@ -75,7 +75,7 @@
     }
 }
 
-/// The counts that a query asks for.
+/// Returns the execution counts selected by the query parameters.
 fn executions_reply(log: &ExecutionLog, request: &Request) -> Response {
     if let Some(attempt) = query_text(request, "attempt") {
         return json_reply(200, &log.of_attempt(&attempt));
--- a/crates/emulator/src/weight_store.rs
+++ b/crates/emulator/src/weight_store.rs
@@ -1,4 +1,4 @@
-//! The emulated weight store, limited in its rate.
+//! The emulated, rate-limited weight store.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -22,30 +22,31 @@
 /// `POST` a [`WeightManifest`] to add or replace it.
 pub const SET_WEIGHTS_PATH: &str = "/emulator/weights";
 
-/// The answer to one fetch.
+/// Result of a fetch.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fetch {
-    /// Granted.
+    /// The fetch is granted.
     Granted(WeightManifest),
-    /// The rate limit is reached; come back after this time.
+    /// The rate limit is reached; retry after this time.
     Limited(Duration),
-    /// There are no weights of that name.
+    /// There are no weights with the given name.
     Unknown,
 }
 
-/// The store without a clock: a budget of bytes that refills at a rate.
+/// The store without a clock, with a token bucket of bytes as its rate limit.
 #[derive(Clone, Debug)]
 pub struct WeightStoreCore {
     weights: BTreeMap<String, WeightManifest>,
     bytes_per_second: u64,
     burst_bytes: u64,
-    /// Budget; a fetch may take it below zero, then others wait.
+    /// Bytes available. A fetch may overdraw the budget; further fetches are
+    /// limited until it is positive again.
     budget: f64,
     refilled_at: Timestamp,
 }
 
 impl WeightStoreCore {
-    /// A store with a full budget of `burst_bytes`.
+    /// Creates a store with a full budget of `burst_bytes`.
     #[must_use]
     pub fn new(weights: Vec<WeightManifest>, bytes_per_second: u64, burst_bytes: u64) -> Self {
         let by_name = weights.into_iter().map(|entry| (entry.name.clone(), entry));
@@ -63,7 +64,7 @@
         self.weights.insert(manifest.name.clone(), manifest);
     }
 
-    /// Fetches weights, if the budget allows.
+    /// Fetches weights if the budget is positive.
     pub fn fetch(&mut self, now: Timestamp, name: &str) -> Fetch {
         self.refill(now);
         let Some(manifest) = self.weights.get(name) else {
@@ -85,20 +86,20 @@
     }
 }
 
-/// How a weight store is started.
+/// Settings of an emulated weight store.
 #[derive(Clone, Debug)]
 pub struct WeightStoreSettings {
-    /// Where it listens.
+    /// Listen address.
     pub listen: SocketAddr,
-    /// What it holds.
+    /// Initial contents.
     pub weights: Vec<WeightManifest>,
-    /// Rate limit.
+    /// Rate limit, in bytes per second.
     pub bytes_per_second: u64,
-    /// Bytes granted at once after a rest.
+    /// Burst size of the rate limit, in bytes.
     pub burst_bytes: u64,
 }
 
-/// A weight store that serves.
+/// A running weight store.
 pub struct WeightStore {
     core: Mutex<WeightStoreCore>,
     switches: Arc<Switches>,
@@ -109,7 +110,7 @@
     /// Starts a weight store on `executor`.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub fn start(
         executor: &Arc<Executor<'static>>,
         settings: WeightStoreSettings,
