--- a/crates/emulator/tests/engine_contract.rs
+++ b/crates/emulator/tests/engine_contract.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP interface and each fault that it can show.
+//! The engine's HTTP interface and each of its faults.
 
 #[allow(dead_code)]
 mod support;
@@ -137,7 +137,7 @@
     assert_eq!(later.generated, cancelled.generated);
 }
 
-/// A request that is refused, the status and the error expected.
+/// A request that is rejected, with the expected status and error.
 struct Refused {
     name: &'static str,
     path: &'static str,
@@ -217,7 +217,7 @@
     let fleet = TestFleet::start(&settings);
     let load = r#""action":"load_model","model":"summary","version":1"#;
     let leave = r#""action":"leave""#;
-    // token, incarnation, action, status, highest token afterwards
+    // Columns: token, incarnation, action, status, highest token afterwards.
     let cases = [
         (5, 1, load, 200, 5),
         (5, 1, load, 200, 5),
@@ -274,11 +274,11 @@
     assert!(warm.json::<CompletionResponse>().usage.cached_tokens > 0);
 }
 
-/// What a client sees of one answer fault.
+/// An answer fault and its effect on the client.
 struct FaultCase {
     fault: AnswerFault,
     stream: bool,
-    /// Whether the request runs.
+    /// Whether the engine runs the request.
     runs: bool,
     check: fn(&RawResponse),
 }
@@ -497,7 +497,7 @@
     assert_eq!(
         executions(&fleet, "lost").started,
         1,
-        "checkers still see it"
+        "execution counts survive a crash"
     );
 }
 
--- a/crates/emulator/tests/engine_core.rs
+++ b/crates/emulator/tests/engine_core.rs
@@ -1,4 +1,5 @@
-//! The engine core: what each call promises, and invariants under random use.
+//! The engine core: the contract of each operation, and invariants under random
+//! sequences of operations.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -55,7 +56,7 @@
     (0..count).map(|word| format!("w{salt}x{word} ")).collect()
 }
 
-/// Steps until nothing is left to do; returns the outputs and the end.
+/// Steps until the engine is idle; returns the outputs and the end time.
 fn run_until_idle(engine: &mut EngineCore) -> (Vec<Output>, Timestamp) {
     let mut outputs = Vec::new();
     let mut now = Timestamp::ZERO;
@@ -77,7 +78,7 @@
             }
         }
     }
-    panic!("{attempt} generated nothing");
+    panic!("{attempt} generated no token");
 }
 
 #[test]
@@ -218,7 +219,10 @@
     let online = submission("o", Priority::Online, "hint", 1);
     engine.submit(Timestamp::from_millis(1), online).unwrap();
     let at = first_token_at(&mut engine, "o");
-    assert!(at > Timestamp::ZERO + chunk, "waits for the chunk");
+    assert!(
+        at > Timestamp::ZERO + chunk,
+        "runs after the chunk in progress"
+    );
     assert!(at < Timestamp::ZERO + chunk * 2 + Duration::from_millis(1));
 }
 
@@ -245,7 +249,10 @@
         .map(|event| event.prefix_hash)
         .collect();
     assert_eq!(stored, hashes);
-    assert!(engine.cache_events(now, 0).events.is_empty(), "late");
+    assert!(
+        engine.cache_events(now, 0).events.is_empty(),
+        "events are delayed"
+    );
 }
 
 #[test]
@@ -279,7 +286,10 @@
     assert_eq!(paused.state, RequestState::Paused);
     let (outputs, _) = run_until_idle(&mut engine);
     assert_eq!(outputs, vec![], "a paused attempt generates nothing");
-    assert!(engine.memory().held() > 0, "and keeps its memory");
+    assert!(
+        engine.memory().held() > 0,
+        "a paused attempt keeps its memory"
+    );
     engine.resume(at, "a").unwrap();
     let next = engine.next_step_at().unwrap();
     engine.step(next);
@@ -362,7 +372,7 @@
     assert_eq!(outputs.len(), 2);
 }
 
-/// A random use of the engine.
+/// A random operation on the engine.
 #[derive(Clone, Debug)]
 enum Action {
     Submit {
@@ -393,7 +403,7 @@
     ]
 }
 
-/// What the test knows about the engine it drives.
+/// An engine with the state that the test expects of it.
 struct Driven {
     engine: EngineCore,
     now: Timestamp,
@@ -517,7 +527,10 @@
             action: OrderAction::Leave,
             ..order
         };
-        assert!(!self.engine.order(other).accepted, "fenced");
+        assert!(
+            !self.engine.order(other).accepted,
+            "a stale token is rejected"
+        );
     }
 
     fn check(&self) {
@@ -541,7 +554,7 @@
         for attempt in &attempts {
             assert_eq!(self.ends.get(attempt), Some(&1), "{attempt} ends once");
         }
-        assert_eq!(self.engine.memory().held(), 0, "all memory is given back");
+        assert_eq!(self.engine.memory().held(), 0, "all memory is released");
     }
 }
 
@@ -586,7 +599,8 @@
         if counts.online_waiting == 0 || counts.batch_running == 0 {
             return;
         }
-        // It arrived in the middle of a step; at its end batch gives way.
+        // The online sequence arrived during a step; at the end of that step,
+        // batch sequences are preempted.
         let at = engine.next_step_at().unwrap();
         assert!(at <= driven.now + longest);
         engine.step(at);
@@ -595,7 +609,8 @@
     });
 }
 
-/// Online attempts that are paused; the counts list them as waiting.
+/// Returns the number of paused online attempts, which the counts include as
+/// waiting.
 fn paused_online(driven: &Driven) -> u32 {
     let mut engine = driven.engine.clone();
     let mut paused = 0;
--- a/crates/emulator/tests/other_contracts.rs
+++ b/crates/emulator/tests/other_contracts.rs
@@ -1,5 +1,5 @@
-//! The interfaces of application back ends, the platform list and the weight
-//! store, with their faults.
+//! HTTP interfaces and faults of application back ends, the platform list and the
+//! weight store.
 
 #[allow(dead_code)]
 mod support;
@@ -51,7 +51,7 @@
     assert_eq!(application_executions(&fleet, "a-1").completed, 1);
 }
 
-/// What a client sees of one answer fault of an application back end.
+/// An answer fault of an application back end and its effect on the client.
 struct FaultCase {
     fault: AnswerFault,
     started: u32,
@@ -154,7 +154,7 @@
     let at = Timestamp::from_millis;
     core.set_state(at(100), BackendId(1), MachineState::Leaving);
     core.set_machine(at(200), machine(2));
-    // time, revision, state of machine 1, machines
+    // Columns: time in ms, revision, state of machine 1, number of machines.
     let cases = [
         (50, 1, MachineState::Live, 1),
         (1_099, 1, MachineState::Live, 1),
@@ -217,7 +217,7 @@
     assert_eq!(store.fetch(at(0), "m"), granted);
     assert_eq!(store.fetch(at(0), "m"), granted);
     let Fetch::Limited(pause) = store.fetch(at(0), "m") else {
-        panic!("the budget is spent");
+        panic!("a fetch with an exhausted budget must be limited");
     };
     assert!(matches!(store.fetch(at(400), "m"), Fetch::Limited(_)));
     assert_eq!(store.fetch(Timestamp::ZERO + pause, "m"), granted);
--- a/crates/emulator/tests/support/mod.rs
+++ b/crates/emulator/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A fleet on loopback and a raw client that sees every byte.
+//! Test support: a fleet on loopback and a raw TCP client that exposes every byte
+//! of a response.
 
 use std::io::{self, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,17 +10,17 @@
 use molespan_emulator::fleet::{Fleet, FleetSettings};
 use serde::de::DeserializeOwned;
 
-/// Longest wait for an event that must come.
+/// Maximum wait for an expected event.
 const PATIENCE: Duration = Duration::from_secs(20);
 
-/// A fleet served by a thread of its own.
+/// A fleet that is served by a dedicated thread.
 pub struct TestFleet {
     /// The fleet.
     pub fleet: Fleet,
     _stop: async_channel::Sender<()>,
 }
 
-/// A small fleet: one engine, one application back end.
+/// Returns the settings of a fleet of one engine and one application back end.
 pub fn small_settings() -> FleetSettings {
     FleetSettings {
         engines: 1,
@@ -39,25 +40,25 @@
         Self { fleet, _stop: stop }
     }
 
-    /// Address of the engine.
+    /// Returns the address of the first engine.
     pub fn engine(&self) -> SocketAddr {
         self.fleet.members[0].address
     }
 
-    /// Address of the application back end.
+    /// Returns the address of the last application back end.
     pub fn application(&self) -> SocketAddr {
         self.fleet.members.last().unwrap().address
     }
 }
 
-/// A response as it arrived.
+/// A response as received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RawResponse {
-    /// Status, or 0 when no whole head came.
+    /// Status, or 0 if no complete head was received.
     pub status: u16,
     /// Head, in lower case.
     pub head: String,
-    /// Everything behind the head, chunk marks included.
+    /// All bytes after the head, including chunk framing.
     pub body: String,
 }
 
@@ -79,19 +80,19 @@
         }
     }
 
-    /// A header.
+    /// Returns a header.
     pub fn header(&self, name: &str) -> Option<&str> {
         let prefix = format!("{name}: ");
         let mut lines = self.head.lines();
         lines.find_map(|line| line.strip_prefix(&prefix))
     }
 
-    /// The body as JSON.
+    /// Parses the body as JSON.
     pub fn json<T: DeserializeOwned>(&self) -> T {
         serde_json::from_str(&self.body).unwrap_or_else(|error| panic!("{error} in {self:?}"))
     }
 
-    /// The data of the events in a streamed body.
+    /// Returns the data of the events in a streamed body.
     pub fn events(&self) -> Vec<&str> {
         let lines = self.body.lines();
         lines
@@ -99,7 +100,8 @@
             .collect()
     }
 
-    /// Whether the body is as long as the head says, or ends in a last chunk.
+    /// Whether the body has the length given in the head, or ends with the final
+    /// chunk.
     pub fn is_whole(&self) -> bool {
         match self.header("content-length") {
             Some(length) => length.parse() == Ok(self.body.len()),
@@ -108,7 +110,7 @@
     }
 }
 
-/// Text of a request that asks to close the connection afterwards.
+/// Returns the text of a request with `connection: close`.
 pub fn request_text(method: &str, path: &str, headers: &[(&str, &str)], body: &str) -> String {
     let mut text = format!("{method} {path} HTTP/1.1\r\nhost: test\r\nconnection: close\r\n");
     for (name, value) in headers {
@@ -118,7 +120,7 @@
     text
 }
 
-/// Sends a request and reads until the connection ends in whatever way.
+/// Sends a request and reads until the connection is closed or fails.
 pub fn call(
     address: SocketAddr,
     method: &str,
@@ -130,17 +132,17 @@
     exchange(address, &text).unwrap_or_else(|_| RawResponse::parse(b""))
 }
 
-/// Sends `text` and reads until the connection ends.
+/// Sends `text` and reads until the connection is closed or fails.
 ///
 /// # Errors
-/// When the connection cannot be made or written to.
+/// If connecting or writing fails.
 pub fn exchange(address: SocketAddr, text: &str) -> io::Result<RawResponse> {
     let mut stream = TcpStream::connect(address)?;
     stream.set_read_timeout(Some(PATIENCE))?;
     stream.write_all(text.as_bytes())?;
     let mut bytes = Vec::new();
     let mut buffer = [0; 4_096];
-    // A reset connection ends the response as its end does.
+    // A connection reset ends the response, as a regular close does.
     while let Ok(count) = stream.read(&mut buffer) {
         if count == 0 {
             break;
@@ -150,21 +152,24 @@
     Ok(RawResponse::parse(&bytes))
 }
 
-/// Body of a completion for the archive's model.
+/// Returns the body of a completion request for the archive's model.
 pub fn completion(prompt: &str, max_tokens: u32, stream: bool) -> String {
     format!(
         r#"{{"model":"caption","prompt":"{prompt}","max_tokens":{max_tokens},"stream":{stream}}}"#
     )
 }
 
-/// Repeats `check` until it gives a value.
+/// Repeats `check` until it returns a value; panics after the maximum wait.
 pub fn wait_for<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
     let deadline = std::time::Instant::now() + PATIENCE;
     loop {
         if let Some(value) = check() {
             return value;
         }
-        assert!(std::time::Instant::now() < deadline, "no {what}");
+        assert!(
+            std::time::Instant::now() < deadline,
+            "timed out waiting for {what}"
+        );
         std::thread::sleep(Duration::from_millis(5));
     }
 }
