--- a/crates/emulator/src/application.rs
+++ b/crates/emulator/src/application.rs
@@ -22,9 +22,9 @@
 use crate::engine::{Counts, ExecutionLog, LoadMonitor, Observation};
 use crate::faults::{AnswerFault, FaultSettings};
 use crate::server::{
-    Running, Service, Switches, error_reply, header, json_reply, read_body, start,
+    Running, Service, ServiceControls, error_reply, header, json_reply, read_body, start,
 };
-use crate::switch_api::{Switched, route_switch};
+use crate::switch_api::{ControlledBackend, route_control};
 
 /// Settings of an emulated application back end.
 #[derive(Clone, Debug)]
@@ -84,7 +84,7 @@
 /// A running application back end.
 pub struct Application {
     settings: ApplicationSettings,
-    switches: Arc<Switches>,
+    controls: Arc<ServiceControls>,
     slots: Semaphore,
     work: Mutex<Work>,
     running: AtomicU32,
@@ -102,8 +102,8 @@
         executor: &Arc<Executor<'static>>,
         settings: ApplicationSettings,
     ) -> io::Result<(Arc<Self>, Running)> {
-        let switches = Arc::new(Switches::new(settings.seed, settings.round_trip));
-        switches.set(settings.faults.clone());
+        let controls = Arc::new(ServiceControls::new(settings.seed, settings.round_trip));
+        controls.set(settings.faults.clone());
         let (interval, delay) = (settings.load_interval, settings.load_delay);
         let work = Work {
             monitor: LoadMonitor::new(interval, delay, Timestamp::ZERO),
@@ -111,7 +111,7 @@
             last_echo: None,
         };
         let application = Arc::new(Self {
-            switches: switches.clone(),
+            controls: controls.clone(),
             slots: Semaphore::new(settings.capacity.max(1) as usize),
             work: Mutex::new(work),
             running: AtomicU32::new(0),
@@ -121,7 +121,7 @@
             settings,
         });
         let listen = application.settings.listen;
-        let running = start(executor, listen, switches, application.clone())?;
+        let running = start(executor, listen, controls, application.clone())?;
         Ok((application, running))
     }
 
@@ -135,7 +135,7 @@
             (Method::Get, LOAD_PATH) => Ok(self.stamp(json_reply(200, &self.load_report()))),
             (Method::Get, HEALTH_PATH) => Ok(self.stamp(json_reply(200, &"ok"))),
             (_, path) if path.starts_with(crate::EMULATOR_PATH) => {
-                route_switch(self.as_ref(), &mut request).await
+                route_control(self.as_ref(), &mut request).await
             }
             _ => self.work_on(request, fault).await,
         }
@@ -150,7 +150,7 @@
     ) -> http_types::Result<Response> {
         let body = read_body(&mut request).await?;
         let attempt = header(&request, ATTEMPT_HEADER).unwrap_or_default();
-        let faults = self.switches.engine_faults();
+        let faults = self.controls.engine_faults();
         if faults.refuse {
             return Ok(self.stamp_attempt(refusal(), &attempt));
         }
@@ -212,7 +212,7 @@
         self.observe();
         let now = self.now();
         let (seen, age, sequence) = self.with_work(|work| work.monitor.serve(now));
-        let scale = self.switches.engine_faults().load_scale;
+        let scale = self.controls.engine_faults().load_scale;
         let scaled = |count: u32| (f64::from(count) * scale) as u32;
         LoadReport {
             backend: self.settings.backend,
@@ -264,7 +264,7 @@
     fn stamp(&self, mut response: Response) -> Response {
         let running = self.running.load(Ordering::Relaxed);
         let waiting = self.waiting.load(Ordering::Relaxed);
-        let scale = self.switches.engine_faults().load_scale;
+        let scale = self.controls.engine_faults().load_scale;
         let load = f64::from(running + waiting) / f64::from(self.settings.capacity.max(1));
         let load = (load * scale).clamp(0.0, 1.0);
         response.insert_header(LOAD_HEADER, format!("{load:.3}"));
@@ -286,19 +286,19 @@
     }
 }
 
-impl Switched for Application {
+impl ControlledBackend for Application {
     fn faults(&self) -> FaultSettings {
-        self.switches.faults()
+        self.controls.faults()
     }
 
     fn set_faults(&self, faults: FaultSettings) {
-        self.switches.set(faults);
+        self.controls.set(faults);
     }
 
     fn crash(&self, down: Duration) {
         // Connections are closed first, so that none of them observes the next
         // incarnation.
-        self.switches.crash(down);
+        self.controls.crash(down);
         self.incarnation.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -308,7 +308,7 @@
 }
 
 impl Service for Application {
-    fn is_work(&self, path: &str) -> bool {
+    fn accepts_answer_faults(&self, path: &str) -> bool {
         let probe = path == LOAD_PATH || path == HEALTH_PATH;
         !probe && !path.starts_with(crate::EMULATOR_PATH)
     }
--- a/crates/emulator/src/engine_server/driver.rs
+++ b/crates/emulator/src/engine_server/driver.rs
@@ -16,19 +16,19 @@
     executor: Arc<Executor<'static>>,
     woken: Receiver<()>,
 ) {
-    let switches = server.switches.clone();
+    let controls = server.controls.clone();
     let driving = async {
         while let Some(next) = advance(&server, &executor) {
             wait(next, &woken).await;
         }
     };
-    driving.or(switches.until_stopped()).await;
+    driving.or(controls.wait_until_stopped()).await;
 }
 
 /// Advances the core. Returns what to wait for next, or `None` if the engine was
 /// stopped.
 fn advance(server: &Arc<EngineServer>, executor: &Arc<Executor<'static>>) -> Option<Wait> {
-    if server.switches.is_stopped() {
+    if server.controls.is_stopped() {
         return None;
     }
     let now = server.now();
--- a/crates/emulator/src/engine_server/mod.rs
+++ b/crates/emulator/src/engine_server/mod.rs
@@ -18,8 +18,8 @@
 
 use crate::engine::{EngineCore, EngineSettings, ExecutionLog};
 use crate::faults::FaultSettings;
-use crate::server::{Running, Switches, start};
-use crate::switch_api::Switched;
+use crate::server::{Running, ServiceControls, start};
+use crate::switch_api::ControlledBackend;
 use state::EngineState;
 
 /// Settings of an emulated engine server.
@@ -44,7 +44,7 @@
 /// A running emulated engine.
 pub struct EngineServer {
     state: Mutex<EngineState>,
-    switches: Arc<Switches>,
+    controls: Arc<ServiceControls>,
     wake: Sender<()>,
     clock_start: Instant,
     weights: Option<SocketAddr>,
@@ -61,12 +61,12 @@
         executor: &Arc<Executor<'static>>,
         settings: EngineServerSettings,
     ) -> io::Result<(Arc<Self>, Running)> {
-        let switches = Arc::new(Switches::new(settings.seed, settings.round_trip));
+        let controls = Arc::new(ServiceControls::new(settings.seed, settings.round_trip));
         let core = EngineCore::new(settings.engine, settings.seed, Timestamp::ZERO);
         let (wake, woken) = async_channel::bounded(1);
         let server = Arc::new(Self {
             state: Mutex::new(EngineState::new(core)),
-            switches: switches.clone(),
+            controls: controls.clone(),
             wake,
             clock_start: Instant::now(),
             weights: settings.weights,
@@ -74,7 +74,7 @@
             pool: Pool::new(PoolLimits::default()),
         });
         server.set_faults(settings.faults);
-        let running = start(executor, settings.listen, switches, server.clone())?;
+        let running = start(executor, settings.listen, controls, server.clone())?;
         server.spawn_driver(executor, woken);
         Ok((server, running))
     }
@@ -108,21 +108,21 @@
     }
 }
 
-impl Switched for EngineServer {
+impl ControlledBackend for EngineServer {
     fn faults(&self) -> FaultSettings {
-        self.switches.faults()
+        self.controls.faults()
     }
 
     fn set_faults(&self, faults: FaultSettings) {
         let engine = faults.engine.clone();
-        self.switches.set(faults);
+        self.controls.set(faults);
         self.with_core(|core, now| core.set_faults(now, engine));
     }
 
     fn crash(&self, down: Duration) {
         // Connections are closed first, so that none of them observes the next
         // incarnation.
-        self.switches.crash(down);
+        self.controls.crash(down);
         let now = self.now();
         self.lock().crash(now);
     }
--- a/crates/emulator/src/engine_server/routes.rs
+++ b/crates/emulator/src/engine_server/routes.rs
@@ -17,7 +17,7 @@
 use crate::engine::{EngineCore, Refusal};
 use crate::faults::AnswerFault;
 use crate::server::{Service, error_reply, json_reply, not_found, query_number, read_json};
-use crate::switch_api::{self, route_switch};
+use crate::switch_api::{self, route_control};
 
 /// Response body of `POST /kv/import`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -38,7 +38,7 @@
     fn(&mut EngineCore, Timestamp, &str) -> Result<molespan_engine_api::RequestStatus, Refusal>;
 
 impl Service for EngineServer {
-    fn is_work(&self, path: &str) -> bool {
+    fn accepts_answer_faults(&self, path: &str) -> bool {
         let streamed = path.starts_with(REQUESTS_PATH) && path.contains("/stream");
         streamed || path == COMPLETIONS_PATH || path == CHAT_COMPLETIONS_PATH
     }
@@ -76,7 +76,7 @@
                 self.route_attempt(&request, path, fault)
             }
             (_, path) if path.starts_with(crate::EMULATOR_PATH) => {
-                self.route_switch(request, path).await
+                self.route_control(request, path).await
             }
             _ => Ok(not_found()),
         }
@@ -150,7 +150,11 @@
         Ok(self.stamp(json_reply(200, &KvImportReply { stored }), ""))
     }
 
-    async fn route_switch(&self, mut request: Request, path: &str) -> http_types::Result<Response> {
+    async fn route_control(
+        &self,
+        mut request: Request,
+        path: &str,
+    ) -> http_types::Result<Response> {
         match (request.method(), path) {
             (Method::Post, switch_api::PRIORITY_PATH) => {
                 let priority: PriorityRequest = match read_json(&mut request).await? {
@@ -160,7 +164,7 @@
                 self.with_core(|core, _| core.set_priority(priority.on));
                 Ok(json_reply(200, &priority))
             }
-            _ => route_switch(self, &mut request).await,
+            _ => route_control(self, &mut request).await,
         }
     }
 }
--- a/crates/emulator/src/engine_server/weights.rs
+++ b/crates/emulator/src/engine_server/weights.rs
@@ -13,7 +13,7 @@
 use crate::engine::WeightsNeeded;
 
 /// Retry delay when the store does not send a `retry-after` header.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Maximum size of a manifest, in bytes.
 const LARGEST_MANIFEST: usize = 64 * 1024;
 
@@ -34,7 +34,7 @@
                 Timer::after(pause).await;
             }
         }
-        if server.switches.is_stopped() {
+        if server.controls.is_stopped() {
             return;
         }
     }
@@ -48,21 +48,21 @@
     needed: &WeightsNeeded,
 ) -> Result<WeightManifest, Duration> {
     let path = format!("{WEIGHTS_PATH}/{}", needed.name());
-    let request = new_request(Method::Get, store, &path).map_err(|_| RETRY_PAUSE)?;
+    let request = new_request(Method::Get, store, &path).map_err(|_| RETRY_DELAY)?;
     let response = server.pool.send(store, request).await;
-    let response = response.map_err(|_| RETRY_PAUSE)?;
+    let response = response.map_err(|_| RETRY_DELAY)?;
     if !response.status().is_success() {
         let seconds = response
             .header("retry-after")
             .and_then(|text| text.parse().ok());
-        return Err(seconds.map_or(RETRY_PAUSE, Duration::from_secs));
+        return Err(seconds.map_or(RETRY_DELAY, Duration::from_secs));
     }
     let manifest: WeightManifest = response
         .json(LARGEST_MANIFEST)
         .await
-        .map_err(|_| RETRY_PAUSE)?;
+        .map_err(|_| RETRY_DELAY)?;
     match needed {
-        WeightsNeeded::Model { version, .. } if manifest.version < *version => Err(RETRY_PAUSE),
+        WeightsNeeded::Model { version, .. } if manifest.version < *version => Err(RETRY_DELAY),
         _ => Ok(manifest),
     }
 }
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -16,8 +16,8 @@
 use crate::engine_server::{EngineServer, EngineServerSettings};
 use crate::faults::FaultSettings;
 use crate::platform::{Platform, PlatformSettings};
-use crate::server::{Running, Switches};
-use crate::switch_api::Switched;
+use crate::server::{Running, ServiceControls};
+use crate::switch_api::ControlledBackend;
 use crate::weight_store::{WeightStore, WeightStoreSettings};
 
 pub use settings::FleetSettings;
@@ -37,21 +37,21 @@
 impl BackendHandle {
     /// Replaces the active faults.
     pub fn set_faults(&self, faults: FaultSettings) {
-        self.switched().set_faults(faults);
+        self.controlled().set_faults(faults);
     }
 
     /// Crashes the back end and starts its next incarnation after `down`.
     pub fn crash(&self, down: Duration) {
-        self.switched().crash(down);
+        self.controlled().crash(down);
     }
 
     /// Returns the execution counts.
     #[must_use]
     pub fn executions(&self) -> ExecutionLog {
-        self.switched().executions()
+        self.controlled().executions()
     }
 
-    fn switched(&self) -> &dyn Switched {
+    fn controlled(&self) -> &dyn ControlledBackend {
         match self {
             Self::Engine(engine) => engine.as_ref(),
             Self::Application(application) => application.as_ref(),
@@ -82,7 +82,7 @@
     pub weights_address: SocketAddr,
     /// Control handle of the weight store.
     pub weights: Arc<WeightStore>,
-    switches: Vec<Arc<Switches>>,
+    controls: Vec<Arc<ServiceControls>>,
 }
 
 impl Fleet {
@@ -96,7 +96,7 @@
             settings,
             next_port: settings.first_port,
             next_backend: 1,
-            switches: Vec::new(),
+            controls: Vec::new(),
             members: Vec::new(),
         };
         let (platform_listen, weights_listen) = (starter.address(), starter.address());
@@ -116,19 +116,19 @@
         };
         let (platform, platform_running) = Platform::start(executor, platform)?;
         let Starter {
-            mut switches,
+            mut controls,
             members,
             ..
         } = starter;
-        switches.push(weights_running.switches);
-        switches.push(platform_running.switches);
+        controls.push(weights_running.controls);
+        controls.push(platform_running.controls);
         Ok(Self {
             members,
             platform_address: platform_running.address,
             platform,
             weights_address: weights_running.address,
             weights,
-            switches,
+            controls,
         })
     }
 
@@ -149,8 +149,8 @@
 
     /// Stops every emulated service.
     pub fn stop(&self) {
-        for switches in &self.switches {
-            switches.stop();
+        for controls in &self.controls {
+            controls.stop();
         }
     }
 }
@@ -167,7 +167,7 @@
     settings: &'a FleetSettings,
     next_port: u16,
     next_backend: u32,
-    switches: Vec<Arc<Switches>>,
+    controls: Vec<Arc<ServiceControls>>,
     members: Vec<Member>,
 }
 
@@ -282,7 +282,7 @@
             service,
             state: MachineState::Live,
         };
-        self.switches.push(running.switches);
+        self.controls.push(running.controls);
         self.members.push(Member {
             machine,
             address: running.address,
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -16,7 +16,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::faults::{AnswerFault, FaultSettings};
-use crate::server::{Running, Service, Switches, json_reply, not_found, read_json, start};
+use crate::server::{Running, Service, ServiceControls, json_reply, not_found, read_json, start};
 use crate::switch_api;
 
 /// Maximum number of revisions kept in the history.
@@ -157,7 +157,7 @@
 /// A running platform list.
 pub struct Platform {
     core: Mutex<PlatformCore>,
-    switches: Arc<Switches>,
+    controls: Arc<ServiceControls>,
     clock_start: Instant,
 }
 
@@ -170,13 +170,13 @@
         executor: &Arc<Executor<'static>>,
         settings: PlatformSettings,
     ) -> io::Result<(Arc<Self>, Running)> {
-        let switches = Arc::new(Switches::new(0, Duration::ZERO));
+        let controls = Arc::new(ServiceControls::new(0, Duration::ZERO));
         let platform = Arc::new(Self {
             core: Mutex::new(PlatformCore::new(settings.lag, settings.machines)),
-            switches: switches.clone(),
+            controls: controls.clone(),
             clock_start: Instant::now(),
         });
-        let running = start(executor, settings.listen, switches, platform.clone())?;
+        let running = start(executor, settings.listen, controls, platform.clone())?;
         Ok((platform, running))
     }
 
@@ -189,7 +189,7 @@
 
     /// Replaces the active faults; only `frozen` affects the list.
     pub fn set_faults(&self, faults: FaultSettings) {
-        self.switches.set(faults);
+        self.controls.set(faults);
     }
 
     async fn route(self: Arc<Self>, mut request: Request) -> http_types::Result<Response> {
@@ -256,7 +256,7 @@
 }
 
 impl Service for Platform {
-    fn is_work(&self, _path: &str) -> bool {
+    fn accepts_answer_faults(&self, _path: &str) -> bool {
         false
     }
 
--- a/crates/emulator/src/server/connection.rs
+++ b/crates/emulator/src/server/connection.rs
@@ -11,7 +11,7 @@
 use async_io::Async;
 use futures_lite::{AsyncRead, AsyncWrite, AsyncWriteExt, ready};
 
-use super::{Service, Switches};
+use super::{Service, ServiceControls};
 use crate::faults::AnswerFault;
 
 /// Bytes that terminate a response head.
@@ -21,7 +21,7 @@
 #[derive(Default)]
 struct Exchange {
     /// Whether the first bytes of the request have been read.
-    begun: bool,
+    started: bool,
     fault: Option<AnswerFault>,
     read: u64,
     written: u64,
@@ -37,20 +37,20 @@
 pub(super) struct FaultyStream {
     stream: Arc<Async<TcpStream>>,
     exchange: Arc<Mutex<Exchange>>,
-    switches: Arc<Switches>,
+    controls: Arc<ServiceControls>,
     service: Arc<dyn Service>,
 }
 
 impl FaultyStream {
     pub(super) fn new(
         stream: Async<TcpStream>,
-        switches: Arc<Switches>,
+        controls: Arc<ServiceControls>,
         service: Arc<dyn Service>,
     ) -> Self {
         Self {
             stream: Arc::new(stream),
             exchange: Arc::default(),
-            switches,
+            controls,
             service,
         }
     }
@@ -65,12 +65,12 @@
 
     /// Counts bytes read. Chooses a fault when the first bytes of a request
     /// arrive.
-    fn note_read(&self, bytes: &[u8]) {
+    fn record_read(&self, bytes: &[u8]) {
         let mut exchange = self.lock();
-        if !exchange.begun && !bytes.is_empty() {
-            exchange.begun = true;
-            if self.service.is_work(request_path(bytes)) {
-                exchange.fault = self.switches.choose_fault();
+        if !exchange.started && !bytes.is_empty() {
+            exchange.started = true;
+            if self.service.accepts_answer_faults(request_path(bytes)) {
+                exchange.fault = self.controls.choose_fault();
                 exchange.prepare();
             }
         }
@@ -99,7 +99,7 @@
     /// Sets the write limit of a truncated response to the middle of its body,
     /// according to the `content-length` in its head. Streamed responses have
     /// none and are truncated by their body.
-    fn limit_truncated(&mut self, bytes: &[u8]) {
+    fn limit_truncated_response(&mut self, bytes: &[u8]) {
         let truncated = self.fault == Some(AnswerFault::Truncated);
         if !truncated || self.write_limit.is_some() || self.written > 0 {
             return;
@@ -144,7 +144,7 @@
     std::str::from_utf8(path).unwrap_or_default()
 }
 
-fn broken() -> io::Error {
+fn connection_reset() -> io::Error {
     io::Error::from(io::ErrorKind::ConnectionReset)
 }
 
@@ -155,17 +155,17 @@
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         if self.lock().read_left() == Some(0) {
-            return Poll::Ready(Err(broken()));
+            return Poll::Ready(Err(connection_reset()));
         }
         let mut stream = &*self.stream;
         let count = ready!(Pin::new(&mut stream).poll_read(context, buffer))?;
         let before = self.lock().read;
-        self.note_read(&buffer[..count]);
+        self.record_read(&buffer[..count]);
         let exchange = self.lock();
         if let Some(AnswerFault::CutRequest { bytes }) = exchange.fault {
             let visible = bytes.saturating_sub(before) as usize;
             if visible == 0 && count > 0 {
-                return Poll::Ready(Err(broken()));
+                return Poll::Ready(Err(connection_reset()));
             }
             return Poll::Ready(Ok(count.min(visible)));
         }
@@ -180,10 +180,10 @@
         buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
         let mut exchange = self.lock();
-        exchange.limit_truncated(buffer);
+        exchange.limit_truncated_response(buffer);
         let writable = exchange.writable(buffer.len());
         if writable == 0 && !buffer.is_empty() {
-            return Poll::Ready(Err(broken()));
+            return Poll::Ready(Err(connection_reset()));
         }
         let mut stream = &*self.stream;
         let count = ready!(Pin::new(&mut stream).poll_write(context, &buffer[..writable]))?;
@@ -209,12 +209,12 @@
 pub(super) async fn serve(stream: FaultyStream, service: Arc<dyn Service>) {
     let endpoint = |request| {
         let service = service.clone();
-        let switches = stream.switches.clone();
+        let controls = stream.controls.clone();
         let fault = stream.lock().fault;
         async move {
             let path = http_types::Request::url(&request).path().to_owned();
-            if !is_switch(&path) {
-                switches.before_request().await;
+            if !is_control_path(&path) {
+                controls.delay_request().await;
             }
             if let Some(AnswerFault::Late { millis }) = fault {
                 let response = service.call(request, fault).await;
@@ -245,6 +245,6 @@
 }
 
 /// Whether `path` is a control endpoint. A frozen service still answers these.
-fn is_switch(path: &str) -> bool {
+fn is_control_path(path: &str) -> bool {
     path.starts_with(crate::EMULATOR_PATH)
 }
--- a/crates/emulator/src/server/mod.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -25,17 +25,17 @@
 pub use reply::{
     error_reply, header, json_reply, not_found, query_number, query_text, read_body, read_json,
 };
+pub use switches::ServiceControls;
 use switches::Signal;
-pub use switches::Switches;
 
 /// Delay before retrying to bind or accept.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Request handler of one emulated service.
 pub trait Service: Send + Sync + 'static {
     /// Whether answer faults may affect requests to `path`. Probes and control
     /// requests are exempt.
-    fn is_work(&self, path: &str) -> bool;
+    fn accepts_answer_faults(&self, path: &str) -> bool;
 
     /// Handles one request and applies `fault` if it concerns the content of the
     /// response. An error closes the connection without a response.
@@ -51,10 +51,10 @@
     /// Bound listen address.
     pub address: SocketAddr,
     /// Fault and lifecycle controls.
-    pub switches: Arc<Switches>,
+    pub controls: Arc<ServiceControls>,
 }
 
-/// Starts serving on `address` until [`Switches::stop`] is called. Port 0 selects
+/// Starts serving on `address` until [`ServiceControls::stop`] is called. Port 0 selects
 /// a free port.
 ///
 /// # Errors
@@ -62,7 +62,7 @@
 pub fn start(
     executor: &Arc<Executor<'static>>,
     address: SocketAddr,
-    switches: Arc<Switches>,
+    controls: Arc<ServiceControls>,
     service: Arc<dyn Service>,
 ) -> io::Result<Running> {
     let listener = Async::<TcpListener>::bind(address)?;
@@ -70,17 +70,17 @@
     let acceptor = Acceptor {
         executor: executor.clone(),
         address,
-        switches: switches.clone(),
+        controls: controls.clone(),
         service,
     };
     executor.spawn(acceptor.run(listener)).detach();
-    Ok(Running { address, switches })
+    Ok(Running { address, controls })
 }
 
 struct Acceptor {
     executor: Arc<Executor<'static>>,
     address: SocketAddr,
-    switches: Arc<Switches>,
+    controls: Arc<ServiceControls>,
     service: Arc<dyn Service>,
 }
 
@@ -89,47 +89,53 @@
     async fn run(self, first: Async<TcpListener>) {
         let mut listener = first;
         loop {
-            let life = self.switches.life();
-            life.clone().ended().or(self.accept(&listener, &life)).await;
+            let incarnation_end = self.controls.incarnation_end();
+            incarnation_end
+                .clone()
+                .wait()
+                .or(self.accept(&listener, &incarnation_end))
+                .await;
             drop(listener);
-            if !self.switches.until_restart().await {
+            if !self.controls.wait_for_restart().await {
                 return;
             }
-            listener = self.bind_again().await;
+            listener = self.rebind().await;
         }
     }
 
-    async fn accept(&self, listener: &Async<TcpListener>, life: &Signal) {
+    async fn accept(&self, listener: &Async<TcpListener>, incarnation_end: &Signal) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => self.spawn_connection(stream, life.clone()),
+                Ok((stream, _)) => self.spawn_connection(stream, incarnation_end.clone()),
                 // A temporary error such as too many open files, which may
                 // resolve when other connections close.
                 Err(_) => {
-                    Timer::after(RETRY_PAUSE).await;
+                    Timer::after(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    async fn bind_again(&self) -> Async<TcpListener> {
+    async fn rebind(&self) -> Async<TcpListener> {
         loop {
             match Async::<TcpListener>::bind(self.address) {
                 Ok(listener) => return listener,
                 Err(_) => {
-                    Timer::after(RETRY_PAUSE).await;
+                    Timer::after(RETRY_DELAY).await;
                 }
             }
         }
     }
 
     /// Serves `stream` until it is closed or the incarnation that accepted it ends.
-    fn spawn_connection(&self, stream: Async<TcpStream>, life: Signal) {
+    fn spawn_connection(&self, stream: Async<TcpStream>, incarnation_end: Signal) {
         // Responses consist of several small writes; with Nagle's algorithm they
         // would wait for acknowledgements.
         let _ = stream.get_ref().set_nodelay(true);
-        let connection = FaultyStream::new(stream, self.switches.clone(), self.service.clone());
+        let connection = FaultyStream::new(stream, self.controls.clone(), self.service.clone());
         let served = connection::serve(connection, self.service.clone());
-        self.executor.spawn(life.ended().or(served)).detach();
+        self.executor
+            .spawn(incarnation_end.wait().or(served))
+            .detach();
     }
 }
--- a/crates/emulator/src/server/reply.rs
+++ b/crates/emulator/src/server/reply.rs
@@ -9,7 +9,7 @@
 use serde::de::DeserializeOwned;
 
 /// Maximum size of a request body, in bytes.
-const LARGEST_BODY: usize = 8 * 1024 * 1024;
+const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
 
 /// Returns a response with `value` as its JSON body.
 #[must_use]
@@ -67,12 +67,12 @@
 /// must then close the connection without running the request.
 pub async fn read_body(request: &mut Request) -> http_types::Result<Vec<u8>> {
     let expected = request.len();
-    if expected.is_some_and(|length| length > LARGEST_BODY) {
-        return Err(bad_body("the request body is too large"));
+    if expected.is_some_and(|length| length > MAX_BODY_BYTES) {
+        return Err(body_error("the request body is too large"));
     }
     let bytes = request.body_bytes().await?;
     if expected.is_some_and(|length| length != bytes.len()) {
-        return Err(bad_body("the request body is not whole"));
+        return Err(body_error("the request body is not whole"));
     }
     Ok(bytes)
 }
@@ -93,7 +93,7 @@
     Ok(value)
 }
 
-fn bad_body(message: &'static str) -> http_types::Error {
+fn body_error(message: &'static str) -> http_types::Error {
     http_types::Error::from_str(StatusCode::BadRequest, message)
 }
 
--- a/crates/emulator/src/server/switches.rs
+++ b/crates/emulator/src/server/switches.rs
@@ -14,7 +14,7 @@
 
 impl Signal {
     /// Waits until the event occurs.
-    pub async fn ended(self) {
+    pub async fn wait(self) {
         // Nothing is ever sent; the channel is closed when its sender is dropped.
         let _ = self.0.recv().await;
     }
@@ -43,7 +43,7 @@
 struct State {
     settings: FaultSettings,
     plan: FaultPlan,
-    life: SignalSource,
+    incarnation_end: SignalSource,
     frozen: Option<SignalSource>,
     running: Option<SignalSource>,
     restart_at: Option<Instant>,
@@ -51,11 +51,11 @@
 }
 
 /// Fault and lifecycle controls of one emulated service.
-pub struct Switches {
+pub struct ServiceControls {
     state: Mutex<State>,
 }
 
-impl Switches {
+impl ServiceControls {
     /// Creates controls without active faults. `seed` determines the choice of
     /// answer faults. Each request is delayed by `round_trip` to emulate the
     /// network.
@@ -64,7 +64,7 @@
         let state = State {
             settings: FaultSettings::default(),
             plan: FaultPlan::new(seed),
-            life: SignalSource::new(),
+            incarnation_end: SignalSource::new(),
             frozen: None,
             running: Some(SignalSource::new()),
             restart_at: None,
@@ -103,14 +103,14 @@
     pub fn crash(&self, down: Duration) {
         let mut state = self.lock();
         state.restart_at = Some(Instant::now() + down);
-        state.life = SignalSource::new();
+        state.incarnation_end = SignalSource::new();
     }
 
     /// Stops the service permanently.
     pub fn stop(&self) {
         let mut state = self.lock();
         state.running = None;
-        state.life = SignalSource::new();
+        state.incarnation_end = SignalSource::new();
     }
 
     /// Whether the service was stopped permanently.
@@ -120,22 +120,22 @@
     }
 
     /// Waits until the service is stopped permanently.
-    pub async fn until_stopped(&self) {
+    pub async fn wait_until_stopped(&self) {
         let running = self.lock().running.as_ref().map(SignalSource::signal);
         if let Some(signal) = running {
-            signal.ended().await;
+            signal.wait().await;
         }
     }
 
     /// Returns a signal that triggers when the current incarnation ends.
     #[must_use]
-    pub fn life(&self) -> Signal {
-        self.lock().life.signal()
+    pub fn incarnation_end(&self) -> Signal {
+        self.lock().incarnation_end.signal()
     }
 
     /// Waits until the crashed service restarts. Returns `false` if it was
     /// stopped permanently.
-    pub async fn until_restart(&self) -> bool {
+    pub async fn wait_for_restart(&self) -> bool {
         let restart_at = self.lock().restart_at.take();
         if let Some(at) = restart_at {
             Timer::at(at).await;
@@ -144,11 +144,11 @@
     }
 
     /// Waits while the service is frozen, then for the emulated network delay.
-    pub async fn before_request(&self) {
+    pub async fn delay_request(&self) {
         loop {
             let frozen = self.lock().frozen.as_ref().map(SignalSource::signal);
             match frozen {
-                Some(thawed) => thawed.ended().await,
+                Some(unfrozen) => unfrozen.wait().await,
                 None => break,
             }
         }
--- a/crates/emulator/src/switch_api.rs
+++ b/crates/emulator/src/switch_api.rs
@@ -29,7 +29,7 @@
 }
 
 /// A back end that can be controlled over HTTP.
-pub trait Switched {
+pub trait ControlledBackend {
     /// Returns the active faults.
     fn faults(&self) -> FaultSettings;
 
@@ -47,8 +47,8 @@
 ///
 /// # Errors
 /// If the request cannot be read.
-pub async fn route_switch(
-    backend: &impl Switched,
+pub async fn route_control(
+    backend: &impl ControlledBackend,
     request: &mut Request,
 ) -> http_types::Result<Response> {
     let path = request.url().path().to_owned();
--- a/crates/emulator/src/weight_store.rs
+++ b/crates/emulator/src/weight_store.rs
@@ -15,7 +15,7 @@
 
 use crate::faults::{AnswerFault, FaultSettings};
 use crate::server::{
-    Running, Service, Switches, error_reply, json_reply, not_found, read_json, start,
+    Running, Service, ServiceControls, error_reply, json_reply, not_found, read_json, start,
 };
 use crate::switch_api;
 
@@ -102,7 +102,7 @@
 /// A running weight store.
 pub struct WeightStore {
     core: Mutex<WeightStoreCore>,
-    switches: Arc<Switches>,
+    controls: Arc<ServiceControls>,
     clock_start: Instant,
 }
 
@@ -115,14 +115,14 @@
         executor: &Arc<Executor<'static>>,
         settings: WeightStoreSettings,
     ) -> io::Result<(Arc<Self>, Running)> {
-        let switches = Arc::new(Switches::new(0, Duration::ZERO));
+        let controls = Arc::new(ServiceControls::new(0, Duration::ZERO));
         let (rate, burst) = (settings.bytes_per_second, settings.burst_bytes);
         let store = Arc::new(Self {
             core: Mutex::new(WeightStoreCore::new(settings.weights, rate, burst)),
-            switches: switches.clone(),
+            controls: controls.clone(),
             clock_start: Instant::now(),
         });
-        let running = start(executor, settings.listen, switches, store.clone())?;
+        let running = start(executor, settings.listen, controls, store.clone())?;
         Ok((store, running))
     }
 
@@ -154,7 +154,7 @@
                     Ok(faults) => faults,
                     Err(reply) => return Ok(reply),
                 };
-                self.switches.set(faults.clone());
+                self.controls.set(faults.clone());
                 Ok(json_reply(200, &faults))
             }
             _ => Ok(not_found()),
@@ -169,7 +169,7 @@
 }
 
 impl Service for WeightStore {
-    fn is_work(&self, _path: &str) -> bool {
+    fn accepts_answer_faults(&self, _path: &str) -> bool {
         false
     }
 
