--- a/crates/emulator/src/engine/cache.rs
+++ b/crates/emulator/src/engine/cache.rs
@@ -11,7 +11,7 @@
     /// Number of sequences that use the block; it is evictable at 0.
     users: u32,
     /// Key in the eviction order; lower values are evicted first.
-    used_at: u64,
+    released_at: u64,
 }
 
 /// Block allocator with a fixed capacity. When a sequence needs space, cached
@@ -22,7 +22,7 @@
     private: u32,
     blocks: HashMap<u64, CachedBlock>,
     evictable: BTreeMap<u64, u64>,
-    uses: u64,
+    release_counter: u64,
     evicted: Vec<u64>,
 }
 
@@ -35,7 +35,7 @@
             private: 0,
             blocks: HashMap::new(),
             evictable: BTreeMap::new(),
-            uses: 0,
+            release_counter: 0,
             evicted: Vec::new(),
         }
     }
@@ -121,7 +121,7 @@
         let block = CachedBlock {
             parent,
             users: 1,
-            used_at: 0,
+            released_at: 0,
         };
         self.blocks.insert(hash, block);
         true
@@ -167,7 +167,7 @@
             return false;
         };
         if block.users == 0 {
-            self.evictable.remove(&block.used_at);
+            self.evictable.remove(&block.released_at);
         }
         block.users += 1;
         true
@@ -179,9 +179,9 @@
         };
         block.users = block.users.saturating_sub(1);
         if block.users == 0 {
-            self.uses += 1;
-            block.used_at = self.uses;
-            self.evictable.insert(self.uses, hash);
+            self.release_counter += 1;
+            block.released_at = self.release_counter;
+            self.evictable.insert(self.release_counter, hash);
         }
     }
 
--- a/crates/emulator/src/engine/cache_events.rs
+++ b/crates/emulator/src/engine/cache_events.rs
@@ -10,9 +10,9 @@
 
 /// Maximum number of retained events. Older events are dropped, which readers
 /// observe as a gap in the sequence numbers.
-const KEPT_EVENTS: usize = 8_192;
+const MAX_RETAINED_EVENTS: usize = 8_192;
 /// Maximum number of events per response.
-const PAGE_EVENTS: usize = 1_024;
+const MAX_PAGE_EVENTS: usize = 1_024;
 
 /// Cache events with the time from which each is visible to readers.
 #[derive(Clone, Debug)]
@@ -54,7 +54,7 @@
             prefix_hash,
         };
         self.events.push_back((now + self.delay, event));
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_RETAINED_EVENTS {
             self.events.pop_front();
         }
     }
@@ -69,7 +69,7 @@
         self.events
             .range(start..)
             .take_while(|(visible_at, _)| *visible_at <= now)
-            .take(PAGE_EVENTS)
+            .take(MAX_PAGE_EVENTS)
             .map(|(_, event)| event.clone())
             .collect()
     }
--- a/crates/emulator/src/engine/core.rs
+++ b/crates/emulator/src/engine/core.rs
@@ -12,9 +12,9 @@
 
 use super::step::StepInProgress;
 use super::{
-    Answer, AttemptKey, CacheEventLog, EngineModel, ExecutionLog, FinishedAttempt,
-    FinishedAttempts, LoadMonitor, Loaded, Observation, OrderBook, Output, Recollection, Refusal,
-    Scheduler, Sequence, SequenceId, WeightsNeeded,
+    Answer, AttemptKey, AttemptLookup, CacheEventLog, EngineModel, ExecutionLog, FinishedAttempt,
+    FinishedAttempts, LoadMonitor, Loaded, Observation, OrderBook, Output, Refusal, Scheduler,
+    Sequence, SequenceId, WeightsNeeded,
 };
 use crate::faults::EngineFaults;
 
@@ -129,11 +129,11 @@
     /// # Errors
     /// [`Refusal::NeverSeen`] or [`Refusal::Forgotten`].
     pub fn status(&mut self, now: Timestamp, attempt: &str) -> Result<RequestStatus, Refusal> {
-        self.finished.forget_old(now);
+        self.finished.drop_expired(now);
         let (state, generated) = match self.live_sequence(attempt) {
             Some(sequence) => (sequence.state, sequence.generated),
             None => {
-                let finished = self.recall(attempt)?;
+                let finished = self.lookup(attempt)?;
                 (finished.state, finished.usage.completion_tokens)
             }
         };
@@ -155,7 +155,7 @@
         let (text, max_tokens, usage) = match self.live_sequence(attempt) {
             Some(sequence) => (sequence.text, sequence.max_tokens(), sequence.usage()),
             None => {
-                let finished = self.recall(attempt)?;
+                let finished = self.lookup(attempt)?;
                 (finished.text, finished.max_tokens, finished.usage)
             }
         };
@@ -172,7 +172,7 @@
     /// # Errors
     /// [`Refusal::NeverSeen`] or [`Refusal::Forgotten`].
     pub fn finished(&self, attempt: &str) -> Result<FinishedAttempt, Refusal> {
-        self.recall(attempt)
+        self.lookup(attempt)
     }
 
     /// Reports each further token of an attempt, as if it had been submitted as
@@ -226,7 +226,7 @@
     /// Returns the load report, delayed as the engine model specifies.
     pub fn load_report(&mut self, now: Timestamp) -> LoadReport {
         self.observe_load(now);
-        let (seen, age, sequence) = self.load.serve(now);
+        let (sample, age, sequence) = self.load.serve(now);
         let loaded = self.orders.loaded();
         let scale = self.faults.load_scale;
         let scaled = |count: u32| (f64::from(count) * scale) as u32;
@@ -235,13 +235,13 @@
             incarnation: self.incarnation,
             sequence,
             age_ms: age.as_millis() as u32,
-            online_running: scaled(seen.counts.online_running),
-            online_waiting: scaled(seen.counts.online_waiting),
-            batch_running: scaled(seen.counts.batch_running),
-            batch_waiting: scaled(seen.counts.batch_waiting),
+            online_running: scaled(sample.counts.online_running),
+            online_waiting: scaled(sample.counts.online_waiting),
+            batch_running: scaled(sample.counts.batch_running),
+            batch_waiting: scaled(sample.counts.batch_waiting),
             max_running: self.settings.model.max_running,
-            kv_used: (seen.kv_used * scale).min(1.0),
-            step_micros: seen.step_micros,
+            kv_used: (sample.kv_used * scale).min(1.0),
+            step_micros: sample.step_micros,
             models: loaded.models.keys().cloned().collect(),
             adapters: loaded.adapters.iter().cloned().collect(),
             role: loaded.role,
@@ -260,7 +260,7 @@
 
     /// Accepts or rejects an order.
     pub fn order(&mut self, order: Order) -> OrderReply {
-        let (reply, needed) = self.orders.take(order);
+        let (reply, needed) = self.orders.handle(order);
         if let Some(weights) = needed {
             self.outputs.push(Output::FetchWeights(weights));
         }
@@ -338,11 +338,11 @@
         self.scheduler.sequence(*id)
     }
 
-    fn recall(&self, attempt: &str) -> Result<FinishedAttempt, Refusal> {
-        match self.finished.recall(attempt) {
-            Recollection::Finished(finished) => Ok(finished),
-            Recollection::Forgotten => Err(Refusal::Forgotten),
-            Recollection::NeverSeen => Err(Refusal::NeverSeen),
+    fn lookup(&self, attempt: &str) -> Result<FinishedAttempt, Refusal> {
+        match self.finished.lookup(attempt) {
+            AttemptLookup::Finished(finished) => Ok(finished),
+            AttemptLookup::Forgotten => Err(Refusal::Forgotten),
+            AttemptLookup::NeverSeen => Err(Refusal::NeverSeen),
         }
     }
 
--- a/crates/emulator/src/engine/executions.rs
+++ b/crates/emulator/src/engine/executions.rs
@@ -8,7 +8,7 @@
 use super::AttemptKey;
 
 /// Maximum number of counted starts; the counts of older ones are dropped.
-const COUNTED: usize = 200_000;
+const MAX_COUNTED_STARTS: usize = 200_000;
 
 /// Number of executions of one attempt or prompt.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -39,7 +39,7 @@
         self.attempts.entry(key).or_default().started += 1;
         self.prompts.entry(prompt).or_default().started += 1;
         self.order.push_back((attempt.clone(), prompt));
-        self.forget_oldest();
+        self.drop_oldest();
     }
 
     /// Counts a completion with a whole answer.
@@ -64,8 +64,8 @@
         self.prompts.get(&prompt).copied().unwrap_or_default()
     }
 
-    fn forget_oldest(&mut self) {
-        if self.order.len() <= COUNTED {
+    fn drop_oldest(&mut self) {
+        if self.order.len() <= MAX_COUNTED_STARTS {
             return;
         }
         if let Some((attempt, prompt)) = self.order.pop_front() {
--- a/crates/emulator/src/engine/finished.rs
+++ b/crates/emulator/src/engine/finished.rs
@@ -11,7 +11,7 @@
 
 /// Maximum number of attempts whose existence is tracked after their records
 /// expired.
-const KNOWN_ATTEMPTS: usize = 262_144;
+const MAX_TRACKED_ATTEMPTS: usize = 262_144;
 
 /// Record of an ended attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
 
 /// Result of looking up an attempt that is not live.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recollection {
+pub enum AttemptLookup {
     /// The attempt ended and its record is still retained.
     Finished(FinishedAttempt),
     /// The attempt ended, or may have ended; no record is left.
@@ -46,7 +46,7 @@
     order: VecDeque<(Timestamp, AttemptKey)>,
     known: HashSet<u64>,
     known_order: VecDeque<u64>,
-    overflowed: bool,
+    tracking_overflowed: bool,
 }
 
 impl FinishedAttempts {
@@ -60,7 +60,7 @@
             order: VecDeque::new(),
             known: HashSet::new(),
             known_order: VecDeque::new(),
-            overflowed: false,
+            tracking_overflowed: false,
         }
     }
 
@@ -68,33 +68,33 @@
     pub fn insert(&mut self, now: Timestamp, attempt: AttemptKey, finished: FinishedAttempt) {
         self.attempts.insert(attempt.clone(), finished);
         self.order.push_back((now, attempt));
-        self.forget_old(now);
+        self.drop_expired(now);
     }
 
     /// Looks up `attempt`.
     #[must_use]
-    pub fn recall(&self, attempt: &str) -> Recollection {
+    pub fn lookup(&self, attempt: &str) -> AttemptLookup {
         if let Some(finished) = self.attempts.get(attempt) {
-            return Recollection::Finished(*finished);
+            return AttemptLookup::Finished(*finished);
         }
         // Invariant: `NeverSeen` is returned only when it is certain, since
         // clients interpret it as "not run".
-        if self.overflowed || self.known.contains(&digest_of(attempt.as_bytes()).0) {
-            return Recollection::Forgotten;
+        if self.tracking_overflowed || self.known.contains(&digest_of(attempt.as_bytes()).0) {
+            return AttemptLookup::Forgotten;
         }
-        Recollection::NeverSeen
+        AttemptLookup::NeverSeen
     }
 
     /// Whether the attempt is known to have existed. When this is `false`,
-    /// [`Recollection::Forgotten`] only means that older attempts are no longer
+    /// [`AttemptLookup::Forgotten`] only means that older attempts are no longer
     /// tracked.
     #[must_use]
-    pub fn knows(&self, attempt: &str) -> bool {
+    pub fn has_existed(&self, attempt: &str) -> bool {
         self.known.contains(&digest_of(attempt.as_bytes()).0)
     }
 
     /// Drops the records that exceed the retention time or the limit.
-    pub fn forget_old(&mut self, now: Timestamp) {
+    pub fn drop_expired(&mut self, now: Timestamp) {
         while let Some((ended_at, _)) = self.order.front() {
             let expired = now.since(*ended_at) > self.retention;
             if !expired && self.order.len() <= self.limit {
@@ -102,18 +102,18 @@
             }
             if let Some((_, attempt)) = self.order.pop_front() {
                 self.attempts.remove(&attempt);
-                self.remember_existence(&attempt);
+                self.track_existence(&attempt);
             }
         }
     }
 
-    fn remember_existence(&mut self, attempt: &str) {
+    fn track_existence(&mut self, attempt: &str) {
         let digest = digest_of(attempt.as_bytes()).0;
         if self.known.insert(digest) {
             self.known_order.push_back(digest);
         }
-        if self.known_order.len() > KNOWN_ATTEMPTS {
-            self.overflowed = true;
+        if self.known_order.len() > MAX_TRACKED_ATTEMPTS {
+            self.tracking_overflowed = true;
             if let Some(oldest) = self.known_order.pop_front() {
                 self.known.remove(&oldest);
             }
--- a/crates/emulator/src/engine/intake.rs
+++ b/crates/emulator/src/engine/intake.rs
@@ -11,7 +11,7 @@
     /// A [`Refusal`]; its outcome states whether the request ran.
     pub fn submit(&mut self, now: Timestamp, submission: Submission) -> Result<(), Refusal> {
         self.observe_load(now);
-        self.check_unseen(now, &submission.attempt)?;
+        self.check_not_submitted(now, &submission.attempt)?;
         self.check_admissible(&submission)?;
         let attempt = submission.attempt.clone();
         let sequence = Sequence::new(submission);
@@ -24,12 +24,14 @@
 
     /// Rejects an attempt that was submitted before. Invariant: an attempt
     /// identifier runs at most once per incarnation.
-    fn check_unseen(&mut self, now: Timestamp, attempt: &str) -> Result<(), Refusal> {
+    fn check_not_submitted(&mut self, now: Timestamp, attempt: &str) -> Result<(), Refusal> {
         match self.status(now, attempt) {
             Ok(status) => Err(Refusal::Duplicate {
                 state: status.state,
             }),
-            Err(Refusal::Forgotten) if self.finished.knows(attempt) => Err(Refusal::Forgotten),
+            Err(Refusal::Forgotten) if self.finished.has_existed(attempt) => {
+                Err(Refusal::Forgotten)
+            }
             Err(_) => Ok(()),
         }
     }
@@ -61,7 +63,7 @@
     }
 
     fn check_size(&self, sequence: &Sequence) -> Result<(), Refusal> {
-        let needed = sequence.most_blocks();
+        let needed = sequence.max_blocks();
         let capacity = self.scheduler.memory().capacity();
         if needed > capacity {
             return Err(Refusal::TooLarge { needed, capacity });
--- a/crates/emulator/src/engine/mod.rs
+++ b/crates/emulator/src/engine/mod.rs
@@ -31,7 +31,7 @@
 pub use text::{AnswerText, chat_prompt, expected_answer};
 
 use cache_events::CacheEventLog;
-use finished::{FinishedAttempts, Recollection};
+use finished::{AttemptLookup, FinishedAttempts};
 pub use load_monitor::{LoadMonitor, Observation};
 use order_book::OrderBook;
 use scheduler::{Scheduler, StepPlan};
--- a/crates/emulator/src/engine/order_book.rs
+++ b/crates/emulator/src/engine/order_book.rs
@@ -8,7 +8,7 @@
 use super::WeightsNeeded;
 
 /// Number of accepted orders kept to recognise resends.
-const REMEMBERED_ORDERS: usize = 64;
+const MAX_ACCEPTED_ORDERS: usize = 64;
 
 /// Loaded models and adapters, and role of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -27,8 +27,8 @@
 #[derive(Clone, Debug)]
 pub struct OrderBook {
     incarnation: Incarnation,
-    highest: FencingToken,
-    taken: VecDeque<Order>,
+    highest_token: FencingToken,
+    accepted_orders: VecDeque<Order>,
     wanted_models: BTreeMap<String, u32>,
     wanted_adapters: BTreeSet<String>,
     loaded: Loaded,
@@ -44,8 +44,8 @@
         };
         Self {
             incarnation,
-            highest: FencingToken(0),
-            taken: VecDeque::new(),
+            highest_token: FencingToken(0),
+            accepted_orders: VecDeque::new(),
             wanted_models: loaded.models.clone(),
             wanted_adapters: BTreeSet::new(),
             loaded,
@@ -60,20 +60,20 @@
 
     /// Accepts or rejects an order. Also returns the weights that must be
     /// fetched for it, if any.
-    pub fn take(&mut self, order: Order) -> (OrderReply, Option<WeightsNeeded>) {
-        if self.taken.contains(&order) {
+    pub fn handle(&mut self, order: Order) -> (OrderReply, Option<WeightsNeeded>) {
+        if self.accepted_orders.contains(&order) {
             return (self.reply(true), None);
         }
         // Invariant: the tokens of accepted orders strictly increase within an
         // incarnation.
-        if order.incarnation != self.incarnation || order.token <= self.highest {
+        if order.incarnation != self.incarnation || order.token <= self.highest_token {
             return (self.reply(false), None);
         }
-        self.highest = order.token;
+        self.highest_token = order.token;
         let needed = self.apply(&order.action);
-        self.taken.push_back(order);
-        if self.taken.len() > REMEMBERED_ORDERS {
-            self.taken.pop_front();
+        self.accepted_orders.push_back(order);
+        if self.accepted_orders.len() > MAX_ACCEPTED_ORDERS {
+            self.accepted_orders.pop_front();
         }
         (self.reply(true), needed)
     }
@@ -108,7 +108,7 @@
     fn reply(&self, accepted: bool) -> OrderReply {
         OrderReply {
             accepted,
-            highest_token: self.highest,
+            highest_token: self.highest_token,
         }
     }
 
--- a/crates/emulator/src/engine/scheduler.rs
+++ b/crates/emulator/src/engine/scheduler.rs
@@ -152,7 +152,7 @@
 
     /// Removes a sequence and frees its memory.
     pub fn remove(&mut self, id: SequenceId) -> Option<Sequence> {
-        self.unlist(id);
+        self.detach(id);
         let mut sequence = self.sequences.remove(&id)?;
         sequence.release(&mut self.memory);
         Some(sequence)
@@ -163,7 +163,7 @@
         if !self.sequences.contains_key(&id) {
             return;
         }
-        self.unlist(id);
+        self.detach(id);
         self.paused.push(id);
         self.set_state(id, RequestState::Paused);
     }
@@ -255,10 +255,10 @@
         // Invariant under engine priority: while an online sequence waits, no
         // batch sequence is admitted, and none runs.
         while let Some(id) = self.next_waiting() {
-            if !self.make_slot(id) || !self.make_memory(id) {
+            if !self.ensure_slot(id) || !self.ensure_memory(id) {
                 break;
             }
-            self.unlist(id);
+            self.detach(id);
             self.running.push(id);
             self.set_state(id, RequestState::Running);
             if let Some(sequence) = self.sequences.get_mut(&id)
@@ -285,14 +285,14 @@
         self.priority && self.sequences[&id].priority == Priority::Online
     }
 
-    fn make_slot(&mut self, id: SequenceId) -> bool {
+    fn ensure_slot(&mut self, id: SequenceId) -> bool {
         if self.running.len() < self.max_running {
             return true;
         }
         self.may_preempt(id) && self.preempt_latest(Some(Priority::Batch))
     }
 
-    fn make_memory(&mut self, id: SequenceId) -> bool {
+    fn ensure_memory(&mut self, id: SequenceId) -> bool {
         loop {
             let Some(sequence) = self.sequences.get_mut(&id) else {
                 return false;
@@ -317,7 +317,7 @@
             .copied()
             .filter(|id| self.sequences[id].holds_memory())
             .min_by_key(|id| self.sequences[id].priority);
-        self.take_memory(victim)
+        self.release_memory(victim)
     }
 
     /// Releases the memory of one resumed sequence that waits, other than `id`;
@@ -329,10 +329,10 @@
             .chain(&self.waiting_online)
             .copied()
             .find(|other| *other != id && self.sequences[other].holds_memory());
-        self.take_memory(victim)
+        self.release_memory(victim)
     }
 
-    fn take_memory(&mut self, victim: Option<SequenceId>) -> bool {
+    fn release_memory(&mut self, victim: Option<SequenceId>) -> bool {
         let Some(sequence) = victim.and_then(|id| self.sequences.get_mut(&id)) else {
             return false;
         };
@@ -340,8 +340,8 @@
         true
     }
 
-    fn preempt_for_growth(&mut self, grower: Priority) {
-        let batch_first = self.priority || grower == Priority::Batch;
+    fn preempt_for_growth(&mut self, growing_priority: Priority) {
+        let batch_first = self.priority || growing_priority == Priority::Batch;
         let preempted = batch_first && self.preempt_latest(Some(Priority::Batch));
         if !preempted {
             self.preempt_latest(None);
@@ -359,8 +359,8 @@
         let Some(id) = victim else {
             return false;
         };
-        self.take_memory(Some(id));
-        self.unlist(id);
+        self.release_memory(Some(id));
+        self.detach(id);
         self.requeue(id);
         true
     }
@@ -385,7 +385,7 @@
     }
 
     /// Removes a sequence from the list or queue of its state.
-    fn unlist(&mut self, id: SequenceId) {
+    fn detach(&mut self, id: SequenceId) {
         let Some(sequence) = self.sequences.get(&id) else {
             return;
         };
--- a/crates/emulator/src/engine/sequence.rs
+++ b/crates/emulator/src/engine/sequence.rs
@@ -71,7 +71,7 @@
 
     /// Returns the number of blocks needed for the prompt and the whole answer.
     #[must_use]
-    pub fn most_blocks(&self) -> u32 {
+    pub fn max_blocks(&self) -> u32 {
         blocks_for(self.prompt_tokens.saturating_add(self.max_tokens))
     }
 
--- a/crates/emulator/src/engine/step.rs
+++ b/crates/emulator/src/engine/step.rs
@@ -9,10 +9,10 @@
 
 /// If the caller is late by more than this, the next step starts at the current
 /// time instead of at the end of the previous step.
-const LARGEST_CATCH_UP: Duration = Duration::from_millis(50);
+const MAX_CATCH_UP: Duration = Duration::from_millis(50);
 /// Divisor of the moving average of the step duration: the latest step has a
 /// weight of one eighth.
-const MEAN_WEIGHT: i64 = 8;
+const STEP_AVERAGE_DIVISOR: i64 = 8;
 
 /// A step in progress. It finishes as planned, except for sequences that are
 /// paused or cancelled in the meantime.
@@ -47,7 +47,7 @@
                 break;
             }
             self.finish_step(ends_at);
-            let late = now.since(ends_at) > LARGEST_CATCH_UP;
+            let late = now.since(ends_at) > MAX_CATCH_UP;
             self.start_step(if late { now } else { ends_at });
         }
         std::mem::take(&mut self.outputs)
@@ -66,7 +66,7 @@
             return;
         }
         let duration = self.step_duration(&plan);
-        self.average_step(duration);
+        self.update_step_average(duration);
         self.step = Some(StepInProgress {
             plan,
             ends_at: now + duration,
@@ -79,11 +79,11 @@
         normal.mul_f64(self.faults.slow_factor.clamp(0.01, 10_000.0))
     }
 
-    fn average_step(&mut self, duration: Duration) {
+    fn update_step_average(&mut self, duration: Duration) {
         let latest = duration.as_micros() as i64;
         let mean = match self.step_micros {
             0 => latest,
-            mean => i64::from(mean) + (latest - i64::from(mean)) / MEAN_WEIGHT,
+            mean => i64::from(mean) + (latest - i64::from(mean)) / STEP_AVERAGE_DIVISOR,
         };
         self.step_micros = u32::try_from(mean).unwrap_or(u32::MAX);
     }
