--- a/crates/emulator/src/application.rs
+++ b/crates/emulator/src/application.rs
@@ -132,18 +132,18 @@
     ) -> http_types::Result<Response> {
         let path = request.url().path().to_owned();
         match (request.method(), path.as_str()) {
-            (Method::Get, LOAD_PATH) => Ok(self.stamp(json_reply(200, &self.load_report()))),
-            (Method::Get, HEALTH_PATH) => Ok(self.stamp(json_reply(200, &"ok"))),
+            (Method::Get, LOAD_PATH) => Ok(self.add_headers(json_reply(200, &self.load_report()))),
+            (Method::Get, HEALTH_PATH) => Ok(self.add_headers(json_reply(200, &"ok"))),
             (_, path) if path.starts_with(crate::EMULATOR_PATH) => {
                 route_control(self.as_ref(), &mut request).await
             }
-            _ => self.work_on(request, fault).await,
+            _ => self.process(request, fault).await,
         }
     }
 
     /// Processes an application request, that is, neither a probe nor a control
     /// request.
-    async fn work_on(
+    async fn process(
         &self,
         mut request: Request,
         fault: Option<AnswerFault>,
@@ -152,16 +152,16 @@
         let attempt = header(&request, ATTEMPT_HEADER).unwrap_or_default();
         let faults = self.controls.engine_faults();
         if faults.refuse {
-            return Ok(self.stamp_attempt(refusal(), &attempt));
+            return Ok(self.add_attempt_header(refusal(), &attempt));
         }
         let echo = self.echo(&request, attempt, &body);
         if fault == Some(AnswerFault::AcceptThenDie) {
             self.run(&echo, faults.slow_factor).await;
-            return Err(broken());
+            return Err(closed_connection());
         }
         self.run(&echo, faults.slow_factor).await;
         let answer = self.choose_answer(echo, fault);
-        Ok(self.stamp_attempt(json_reply(200, &answer), &answer.attempt))
+        Ok(self.add_attempt_header(json_reply(200, &answer), &answer.attempt))
     }
 
     fn echo(&self, request: &Request, attempt: String, body: &[u8]) -> EchoBody {
@@ -184,11 +184,11 @@
     async fn run(&self, echo: &EchoBody, slow_factor: f64) {
         let attempt = echo.attempt.as_str().into();
         self.observe();
-        let waiting = Gauge::enter(&self.waiting);
+        let waiting = CountGuard::enter(&self.waiting);
         let _slot = self.slots.acquire().await;
         drop(waiting);
         self.observe();
-        let _running = Gauge::enter(&self.running);
+        let _running = CountGuard::enter(&self.running);
         self.with_work(|work| work.executions.started(&attempt, echo.digest));
         let factor = slow_factor.clamp(0.01, 10_000.0);
         Timer::after(self.settings.service_time.mul_f64(factor)).await;
@@ -211,7 +211,7 @@
     fn load_report(&self) -> LoadReport {
         self.observe();
         let now = self.now();
-        let (seen, age, sequence) = self.with_work(|work| work.monitor.serve(now));
+        let (sample, age, sequence) = self.with_work(|work| work.monitor.serve(now));
         let scale = self.controls.engine_faults().load_scale;
         let scaled = |count: u32| (f64::from(count) * scale) as u32;
         LoadReport {
@@ -219,8 +219,8 @@
             incarnation: self.incarnation(),
             sequence,
             age_ms: age.as_millis() as u32,
-            online_running: scaled(seen.counts.online_running),
-            online_waiting: scaled(seen.counts.online_waiting),
+            online_running: scaled(sample.counts.online_running),
+            online_waiting: scaled(sample.counts.online_waiting),
             batch_running: 0,
             batch_waiting: 0,
             max_running: self.settings.capacity,
@@ -253,15 +253,15 @@
         });
     }
 
-    fn stamp_attempt(&self, response: Response, attempt: &str) -> Response {
-        let mut response = self.stamp(response);
+    fn add_attempt_header(&self, response: Response, attempt: &str) -> Response {
+        let mut response = self.add_headers(response);
         if !attempt.is_empty() {
             response.insert_header(ATTEMPT_HEADER, attempt);
         }
         response
     }
 
-    fn stamp(&self, mut response: Response) -> Response {
+    fn add_headers(&self, mut response: Response) -> Response {
         let running = self.running.load(Ordering::Relaxed);
         let waiting = self.waiting.load(Ordering::Relaxed);
         let scale = self.controls.engine_faults().load_scale;
@@ -324,16 +324,16 @@
 
 /// Counts one request while the guard exists. The count is also decremented
 /// when the request is dropped because its connection broke.
-struct Gauge<'a>(&'a AtomicU32);
+struct CountGuard<'a>(&'a AtomicU32);
 
-impl<'a> Gauge<'a> {
+impl<'a> CountGuard<'a> {
     fn enter(count: &'a AtomicU32) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for Gauge<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -345,6 +345,6 @@
 }
 
 /// Returns the error that closes the connection without a response.
-fn broken() -> http_types::Error {
+fn closed_connection() -> http_types::Error {
     http_types::Error::from_str(StatusCode::InternalServerError, "connection broken")
 }
--- a/crates/emulator/src/commands.rs
+++ b/crates/emulator/src/commands.rs
@@ -79,28 +79,28 @@
     match flags.subcommand {
         MolespanEmulatorCmd::Engine(flags) => {
             let (_, running) = EngineServer::start(&executor, engine_settings(flags)?)?;
-            announce(&Ready {
+            print_ready(&Ready {
                 address: running.address,
             })?;
             serve(&executor, 1)
         }
         MolespanEmulatorCmd::Application(flags) => {
             let (_, running) = Application::start(&executor, application_settings(flags)?)?;
-            announce(&Ready {
+            print_ready(&Ready {
                 address: running.address,
             })?;
             serve(&executor, 1)
         }
         MolespanEmulatorCmd::Platform(flags) => {
             let (_, running) = Platform::start(&executor, platform_settings(&flags)?)?;
-            announce(&Ready {
+            print_ready(&Ready {
                 address: running.address,
             })?;
             serve(&executor, 1)
         }
         MolespanEmulatorCmd::Weights(flags) => {
             let (_, running) = WeightStore::start(&executor, store_settings(&flags)?)?;
-            announce(&Ready {
+            print_ready(&Ready {
                 address: running.address,
             })?;
             serve(&executor, 1)
@@ -111,7 +111,7 @@
 
 fn run_fleet(executor: &Arc<Executor<'static>>, flags: &flags::Fleet) -> Result<(), CommandError> {
     let fleet = Fleet::start(executor, &fleet_settings(flags)?)?;
-    announce(&FleetReady {
+    print_ready(&FleetReady {
         platform: fleet.platform_address,
         weights: fleet.weights_address,
         machines: fleet.machines(),
@@ -119,7 +119,7 @@
     serve(executor, flags.threads.unwrap_or(FLEET_THREADS))
 }
 
-fn announce(ready: &impl Serialize) -> Result<(), CommandError> {
+fn print_ready(ready: &impl Serialize) -> Result<(), CommandError> {
     let line = serde_json::to_string(ready)?;
     let mut output = io::stdout().lock();
     writeln!(output, "{line}")?;
--- a/crates/emulator/src/engine_server/answers.rs
+++ b/crates/emulator/src/engine_server/answers.rs
@@ -20,7 +20,7 @@
 };
 
 /// Counter for naming attempts without an identifier.
-static ANONYMOUS: AtomicU64 = AtomicU64::new(0);
+static ANONYMOUS_ATTEMPTS: AtomicU64 = AtomicU64::new(0);
 
 /// Response format of a completion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,7 +32,7 @@
 }
 
 /// A parsed completion request.
-struct Asked {
+struct ParsedCompletion {
     submission: Submission,
     form: AnswerForm,
     model: String,
@@ -47,28 +47,28 @@
         fault: Option<AnswerFault>,
     ) -> http_types::Result<Response> {
         let attempt = attempt_of(&request);
-        let asked = match read_asked(&mut request, form, &attempt).await? {
-            Ok(asked) => asked,
-            Err(reply) => return Ok(self.stamp(reply, &attempt)),
+        let parsed = match read_completion(&mut request, form, &attempt).await? {
+            Ok(parsed) => parsed,
+            Err(reply) => return Ok(self.add_headers(reply, &attempt)),
         };
-        let stream = asked.submission.stream;
-        let max_tokens = asked.submission.max_tokens.max(1);
-        let model = asked.model.clone();
-        let events = match self.submit(asked.submission) {
+        let stream = parsed.submission.stream;
+        let max_tokens = parsed.submission.max_tokens.max(1);
+        let model = parsed.model.clone();
+        let events = match self.submit(parsed.submission) {
             Ok(events) => events,
-            Err(refusal) => return Ok(self.refuse(&refusal, &attempt)),
+            Err(refusal) => return Ok(self.refusal_reply(&refusal, &attempt)),
         };
         if fault == Some(AnswerFault::AcceptThenDie) {
-            return Err(broken());
+            return Err(closed_connection());
         }
         if stream {
             return self.stream_answer(&attempt, events, fault, max_tokens);
         }
         match wait_for_end(&events).await {
-            Some(StreamEnd::Completed(_)) => self.plain_answer(&attempt, model, asked.form, fault),
+            Some(StreamEnd::Completed(_)) => self.plain_answer(&attempt, model, parsed.form, fault),
             Some(StreamEnd::Cancelled(outcome)) => Ok(self.cancelled(&attempt, outcome)),
             // The engine crashed.
-            None => Err(broken()),
+            None => Err(closed_connection()),
         }
     }
 
@@ -80,10 +80,10 @@
         fault: Option<AnswerFault>,
     ) -> http_types::Result<Response> {
         let now = self.now();
-        let listened = self.lock().listen_again(now, attempt);
-        let (answer, events) = match listened {
-            Ok(listened) => listened,
-            Err(refusal) => return Ok(self.refuse(&refusal, attempt)),
+        let resubscribed = self.lock().resubscribe(now, attempt);
+        let (answer, events) = match resubscribed {
+            Ok(resubscribed) => resubscribed,
+            Err(refusal) => return Ok(self.refusal_reply(&refusal, attempt)),
         };
         if answer.status.state == molespan_engine_api::RequestState::Cancelled {
             return Ok(self.cancelled(attempt, RunOutcome::Unknown));
@@ -91,14 +91,14 @@
         if offset >= answer.max_tokens {
             let message = "the offset lies behind the end of the answer";
             let reply = error_reply(400, "bad_offset", message, RunOutcome::Unknown, None);
-            return Ok(self.stamp(reply, attempt));
+            return Ok(self.add_headers(reply, attempt));
         }
         let faults = stream_faults(fault, answer.max_tokens);
         Ok(self.event_reply(&answer, offset, events, faults))
     }
 
     /// Returns the error response for a refusal.
-    pub(super) fn refuse(&self, refusal: &Refusal, attempt: &str) -> Response {
+    pub(super) fn refusal_reply(&self, refusal: &Refusal, attempt: &str) -> Response {
         let reply = error_reply(
             refusal.status(),
             refusal.code(),
@@ -106,13 +106,13 @@
             refusal.outcome(),
             refusal.retry_after_ms(),
         );
-        self.stamp(reply, attempt)
+        self.add_headers(reply, attempt)
     }
 
     /// Adds the headers common to all responses.
-    pub(super) fn stamp(&self, mut response: Response, attempt: &str) -> Response {
-        let Incarnation(life) = self.lock().core.incarnation();
-        response.insert_header(INCARNATION_HEADER, life.to_string());
+    pub(super) fn add_headers(&self, mut response: Response, attempt: &str) -> Response {
+        let Incarnation(incarnation) = self.lock().core.incarnation();
+        response.insert_header(INCARNATION_HEADER, incarnation.to_string());
         if !attempt.is_empty() {
             response.insert_header(ATTEMPT_HEADER, attempt);
         }
@@ -124,7 +124,7 @@
         let mut state = self.lock();
         let before = state.core.next_step_at();
         state.core.submit(self.now(), submission)?;
-        let events = state.listen(&attempt);
+        let events = state.subscribe(&attempt);
         let changed = before != state.core.next_step_at();
         drop(state);
         if changed {
@@ -143,8 +143,11 @@
         let now = self.now();
         let mut state = self.lock();
         let answer = match fault {
-            Some(AnswerFault::Crossed) => state.other_answer(attempt),
-            _ => state.core.answer(now, attempt).map_err(|_| broken())?,
+            Some(AnswerFault::Crossed) => state.crossed_answer(attempt),
+            _ => state
+                .core
+                .answer(now, attempt)
+                .map_err(|_| closed_connection())?,
         };
         drop(state);
         let body = CompletionResponse {
@@ -153,7 +156,7 @@
             choices: vec![choice(&answer, form)],
             usage: answer.usage,
         };
-        Ok(self.stamp(json_reply(200, &body), &answer.status.id))
+        Ok(self.add_headers(json_reply(200, &body), &answer.status.id))
     }
 
     fn stream_answer(
@@ -164,13 +167,13 @@
         max_tokens: u32,
     ) -> http_types::Result<Response> {
         if fault == Some(AnswerFault::Crossed) {
-            let other = self.lock().other_answer(attempt);
+            let other = self.lock().crossed_answer(attempt);
             let end = ended_events(StreamEnd::Completed(other.usage));
             return Ok(self.event_reply(&other, 0, end, StreamFaults::default()));
         }
         let now = self.now();
         let answer = self.lock().core.answer(now, attempt);
-        let answer = answer.map_err(|_| broken())?;
+        let answer = answer.map_err(|_| closed_connection())?;
         let faults = stream_faults(fault, max_tokens);
         Ok(self.event_reply(&answer, 0, events, faults))
     }
@@ -187,13 +190,13 @@
         response.set_body(Body::from_reader(body, None));
         response.insert_header("content-type", "text/event-stream");
         response.insert_header(RESUME_OFFSET_HEADER, offset.to_string());
-        self.stamp(response, &answer.status.id)
+        self.add_headers(response, &answer.status.id)
     }
 
     fn cancelled(&self, attempt: &str, outcome: RunOutcome) -> Response {
         let message = "the attempt was cancelled";
         let reply = error_reply(409, "cancelled", message, outcome, None);
-        self.stamp(reply, attempt)
+        self.add_headers(reply, attempt)
     }
 }
 
@@ -237,11 +240,11 @@
     }
 }
 
-async fn read_asked(
+async fn read_completion(
     request: &mut Request,
     form: AnswerForm,
     attempt: &str,
-) -> http_types::Result<Result<Asked, Response>> {
+) -> http_types::Result<Result<ParsedCompletion, Response>> {
     let priority = match header(request, PRIORITY_HEADER).as_deref() {
         Some("batch") => Priority::Batch,
         _ => Priority::Online,
@@ -253,7 +256,7 @@
             chat.map(completion_of_chat)
         }
     };
-    Ok(body.map(|body| Asked {
+    Ok(body.map(|body| ParsedCompletion {
         model: body.model.clone(),
         form,
         submission: submission(body, priority, attempt.into()),
@@ -284,12 +287,12 @@
 
 fn attempt_of(request: &Request) -> String {
     header(request, ATTEMPT_HEADER).unwrap_or_else(|| {
-        let number = ANONYMOUS.fetch_add(1, Ordering::Relaxed);
+        let number = ANONYMOUS_ATTEMPTS.fetch_add(1, Ordering::Relaxed);
         format!("anonymous-{number}")
     })
 }
 
 /// Returns the error that closes the connection without a response.
-fn broken() -> http_types::Error {
+fn closed_connection() -> http_types::Error {
     http_types::Error::from_str(StatusCode::InternalServerError, "connection broken")
 }
--- a/crates/emulator/src/engine_server/driver.rs
+++ b/crates/emulator/src/engine_server/driver.rs
@@ -14,12 +14,12 @@
 pub async fn drive(
     server: Arc<EngineServer>,
     executor: Arc<Executor<'static>>,
-    woken: Receiver<()>,
+    wake_receiver: Receiver<()>,
 ) {
     let controls = server.controls.clone();
     let driving = async {
         while let Some(next) = advance(&server, &executor) {
-            wait(next, &woken).await;
+            wait(next, &wake_receiver).await;
         }
     };
     driving.or(controls.wait_until_stopped()).await;
@@ -55,11 +55,11 @@
     ForCall,
 }
 
-async fn wait(next: Wait, woken: &Receiver<()>) {
+async fn wait(next: Wait, wake_receiver: &Receiver<()>) {
     let called = async {
         // The channel is not closed while the server exists, since the server
         // owns the sender.
-        let _ = woken.recv().await;
+        let _ = wake_receiver.recv().await;
     };
     match next {
         Wait::Until(at) => {
--- a/crates/emulator/src/engine_server/mod.rs
+++ b/crates/emulator/src/engine_server/mod.rs
@@ -63,7 +63,7 @@
     ) -> io::Result<(Arc<Self>, Running)> {
         let controls = Arc::new(ServiceControls::new(settings.seed, settings.round_trip));
         let core = EngineCore::new(settings.engine, settings.seed, Timestamp::ZERO);
-        let (wake, woken) = async_channel::bounded(1);
+        let (wake, wake_receiver) = async_channel::bounded(1);
         let server = Arc::new(Self {
             state: Mutex::new(EngineState::new(core)),
             controls: controls.clone(),
@@ -75,7 +75,7 @@
         });
         server.set_faults(settings.faults);
         let running = start(executor, settings.listen, controls, server.clone())?;
-        server.spawn_driver(executor, woken);
+        server.spawn_driver(executor, wake_receiver);
         Ok((server, running))
     }
 
@@ -94,8 +94,12 @@
         result
     }
 
-    fn spawn_driver(self: &Arc<Self>, executor: &Arc<Executor<'static>>, woken: Receiver<()>) {
-        let driver = driver::drive(self.clone(), executor.clone(), woken);
+    fn spawn_driver(
+        self: &Arc<Self>,
+        executor: &Arc<Executor<'static>>,
+        wake_receiver: Receiver<()>,
+    ) {
+        let driver = driver::drive(self.clone(), executor.clone(), wake_receiver);
         executor.spawn(driver).detach();
     }
 
--- a/crates/emulator/src/engine_server/routes.rs
+++ b/crates/emulator/src/engine_server/routes.rs
@@ -67,7 +67,7 @@
                 self.complete(request, AnswerForm::Chat, fault).await
             }
             (Method::Get, LOAD_PATH) => Ok(self.load()),
-            (Method::Get, HEALTH_PATH) => Ok(self.stamp(json_reply(200, &"ok"), "")),
+            (Method::Get, HEALTH_PATH) => Ok(self.add_headers(json_reply(200, &"ok"), "")),
             (Method::Get, CACHE_EVENTS_PATH) => Ok(self.cache_events(&request)),
             (Method::Post, ORDERS_PATH) => self.take_order(request).await,
             (Method::Get, KV_EXPORT_PATH) => Ok(self.export(&request)),
@@ -106,20 +106,20 @@
 
     fn on_attempt(&self, attempt: &str, call: AttemptCall) -> Response {
         match self.with_core(|core, now| call(core, now, attempt)) {
-            Ok(status) => self.stamp(json_reply(200, &status), attempt),
-            Err(refusal) => self.refuse(&refusal, attempt),
+            Ok(status) => self.add_headers(json_reply(200, &status), attempt),
+            Err(refusal) => self.refusal_reply(&refusal, attempt),
         }
     }
 
     fn load(&self) -> Response {
         let report = self.with_core(EngineCore::load_report);
-        self.stamp(json_reply(200, &report), "")
+        self.add_headers(json_reply(200, &report), "")
     }
 
     fn cache_events(&self, request: &Request) -> Response {
         let after = query_number(request, "after").unwrap_or(0);
         let page = self.with_core(|core, now| core.cache_events(now, after));
-        self.stamp(json_reply(200, &page), "")
+        self.add_headers(json_reply(200, &page), "")
     }
 
     async fn take_order(&self, mut request: Request) -> http_types::Result<Response> {
@@ -129,7 +129,7 @@
         };
         let reply = self.with_core(|core, _| core.order(order));
         let status = if reply.accepted { 200 } else { 409 };
-        Ok(self.stamp(json_reply(status, &reply), ""))
+        Ok(self.add_headers(json_reply(status, &reply), ""))
     }
 
     fn export(&self, request: &Request) -> Response {
@@ -138,7 +138,7 @@
             return error_reply(400, "malformed", message, RunOutcome::NotRun, None);
         };
         let export = self.with_core(|core, _| core.kv_export(prefix));
-        self.stamp(json_reply(200, &export), "")
+        self.add_headers(json_reply(200, &export), "")
     }
 
     async fn import(&self, mut request: Request) -> http_types::Result<Response> {
@@ -147,7 +147,7 @@
             Err(reply) => return Ok(reply),
         };
         let stored = self.with_core(|core, now| core.kv_import(now, &blocks));
-        Ok(self.stamp(json_reply(200, &KvImportReply { stored }), ""))
+        Ok(self.add_headers(json_reply(200, &KvImportReply { stored }), ""))
     }
 
     async fn route_control(
--- a/crates/emulator/src/engine_server/state.rs
+++ b/crates/emulator/src/engine_server/state.rs
@@ -10,15 +10,15 @@
 use crate::server::{StreamEnd, StreamEvent};
 
 /// Number of recent answers kept for the `crossed` fault.
-const RECENT_ANSWERS: usize = 8;
+const MAX_RECENT_ANSWERS: usize = 8;
 /// Attempt identifier in a crossed answer when no other attempt has completed yet.
-const OTHER_ATTEMPT: &str = "0-0";
+const PLACEHOLDER_ATTEMPT: &str = "0-0";
 
 /// Mutable state of an engine server.
 pub struct EngineState {
     /// The engine core.
     pub core: EngineCore,
-    listeners: HashMap<AttemptKey, Vec<Sender<StreamEvent>>>,
+    subscribers: HashMap<AttemptKey, Vec<Sender<StreamEvent>>>,
     recent: VecDeque<Answer>,
 }
 
@@ -27,7 +27,7 @@
     pub fn new(core: EngineCore) -> Self {
         Self {
             core,
-            listeners: HashMap::new(),
+            subscribers: HashMap::new(),
             recent: VecDeque::new(),
         }
     }
@@ -35,7 +35,7 @@
     /// Crashes the core and drops all subscribers.
     pub fn crash(&mut self, now: Timestamp) {
         self.core.crash(now);
-        self.listeners.clear();
+        self.subscribers.clear();
     }
 
     /// Advances the core and notifies the subscribers. Returns the weights to
@@ -46,13 +46,13 @@
             match output {
                 Output::Token {
                     attempt, offset, ..
-                } => self.tell(&attempt, StreamEvent::Generated(offset + 1)),
+                } => self.notify(&attempt, StreamEvent::Generated(offset + 1)),
                 Output::Completed { attempt, usage, .. } => {
-                    self.remember(now, &attempt);
-                    self.tell_end(&attempt, StreamEnd::Completed(usage));
+                    self.retain_recent(now, &attempt);
+                    self.notify_end(&attempt, StreamEnd::Completed(usage));
                 }
                 Output::Cancelled { attempt, outcome } => {
-                    self.tell_end(&attempt, StreamEnd::Cancelled(outcome));
+                    self.notify_end(&attempt, StreamEnd::Cancelled(outcome));
                 }
                 Output::FetchWeights(needed) => weights.push(needed),
             }
@@ -61,10 +61,10 @@
     }
 
     /// Subscribes to the events of an attempt that was just submitted.
-    pub fn listen(&mut self, attempt: &AttemptKey) -> Receiver<StreamEvent> {
+    pub fn subscribe(&mut self, attempt: &AttemptKey) -> Receiver<StreamEvent> {
         let (sender, receiver) = async_channel::unbounded();
-        let listeners = self.listeners.entry(attempt.clone()).or_default();
-        listeners.push(sender);
+        let subscribers = self.subscribers.entry(attempt.clone()).or_default();
+        subscribers.push(sender);
         receiver
     }
 
@@ -73,19 +73,19 @@
     ///
     /// # Errors
     /// If there is no record of the attempt.
-    pub fn listen_again(
+    pub fn resubscribe(
         &mut self,
         now: Timestamp,
         attempt: &str,
     ) -> Result<(Answer, Receiver<StreamEvent>), Refusal> {
         let answer = self.core.answer(now, attempt)?;
         let attempt: AttemptKey = attempt.into();
-        if let Some(end) = end_of(&answer) {
+        if let Some(end) = stream_end(&answer) {
             return Ok((answer, ended_events(end)));
         }
         self.core.announce_tokens(&attempt);
-        let events = self.listen(&attempt);
-        if let Some(sender) = self.listeners.get(&attempt).and_then(|list| list.last()) {
+        let events = self.subscribe(&attempt);
+        if let Some(sender) = self.subscribers.get(&attempt).and_then(|list| list.last()) {
             let _ = sender.try_send(StreamEvent::Generated(answer.status.generated));
         }
         Ok((answer, events))
@@ -93,25 +93,25 @@
 
     /// Returns the whole answer of an attempt other than `attempt`: the most
     /// recent one, or a made-up answer if there is none.
-    pub fn other_answer(&self, attempt: &str) -> Answer {
+    pub fn crossed_answer(&self, attempt: &str) -> Answer {
         let other = self
             .recent
             .iter()
             .rev()
             .find(|answer| answer.status.id != attempt);
-        other.cloned().unwrap_or_else(|| self.invented_answer())
+        other.cloned().unwrap_or_else(|| self.placeholder_answer())
     }
 
-    fn invented_answer(&self) -> Answer {
+    fn placeholder_answer(&self) -> Answer {
         let usage = Usage {
             prompt_tokens: 1,
             completion_tokens: 4,
             cached_tokens: 0,
         };
         Answer {
-            text: AnswerText::of_prompt(OTHER_ATTEMPT),
+            text: AnswerText::of_prompt(PLACEHOLDER_ATTEMPT),
             status: RequestStatus {
-                id: OTHER_ATTEMPT.to_owned(),
+                id: PLACEHOLDER_ATTEMPT.to_owned(),
                 state: RequestState::Completed,
                 generated: usage.completion_tokens,
                 incarnation: self.core.incarnation(),
@@ -121,32 +121,32 @@
         }
     }
 
-    fn remember(&mut self, now: Timestamp, attempt: &str) {
+    fn retain_recent(&mut self, now: Timestamp, attempt: &str) {
         let Ok(answer) = self.core.answer(now, attempt) else {
             return;
         };
         self.recent.push_back(answer);
-        if self.recent.len() > RECENT_ANSWERS {
+        if self.recent.len() > MAX_RECENT_ANSWERS {
             self.recent.pop_front();
         }
     }
 
-    fn tell(&mut self, attempt: &AttemptKey, event: StreamEvent) {
-        if let Some(listeners) = self.listeners.get_mut(attempt) {
+    fn notify(&mut self, attempt: &AttemptKey, event: StreamEvent) {
+        if let Some(subscribers) = self.subscribers.get_mut(attempt) {
             // Drops the subscribers whose receiver was dropped.
-            listeners.retain(|listener| listener.try_send(event.clone()).is_ok());
+            subscribers.retain(|subscriber| subscriber.try_send(event.clone()).is_ok());
         }
     }
 
-    fn tell_end(&mut self, attempt: &AttemptKey, end: StreamEnd) {
-        for listener in self.listeners.remove(attempt).unwrap_or_default() {
-            let _ = listener.try_send(StreamEvent::Ended(end));
+    fn notify_end(&mut self, attempt: &AttemptKey, end: StreamEnd) {
+        for subscriber in self.subscribers.remove(attempt).unwrap_or_default() {
+            let _ = subscriber.try_send(StreamEvent::Ended(end));
         }
     }
 }
 
 /// Returns how an attempt ended, if it has ended.
-fn end_of(answer: &Answer) -> Option<StreamEnd> {
+fn stream_end(answer: &Answer) -> Option<StreamEnd> {
     match answer.status.state {
         RequestState::Completed => Some(StreamEnd::Completed(answer.usage)),
         RequestState::Cancelled => Some(StreamEnd::Cancelled(RunOutcome::Unknown)),
--- a/crates/emulator/src/engine_server/weights.rs
+++ b/crates/emulator/src/engine_server/weights.rs
@@ -15,7 +15,7 @@
 /// Retry delay when the store does not send a `retry-after` header.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Maximum size of a manifest, in bytes.
-const LARGEST_MANIFEST: usize = 64 * 1024;
+const MAX_MANIFEST_BYTES: usize = 64 * 1024;
 
 /// Fetches `needed` and reports it to the core. Stops retrying when a later order
 /// makes the weights obsolete.
@@ -58,7 +58,7 @@
         return Err(seconds.map_or(RETRY_DELAY, Duration::from_secs));
     }
     let manifest: WeightManifest = response
-        .json(LARGEST_MANIFEST)
+        .json(MAX_MANIFEST_BYTES)
         .await
         .map_err(|_| RETRY_DELAY)?;
     match needed {
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -23,7 +23,7 @@
 pub use settings::FleetSettings;
 
 /// Initial incarnation of every machine.
-const FIRST_LIFE: Incarnation = Incarnation(1);
+const FIRST_INCARNATION: Incarnation = Incarnation(1);
 
 /// Handle for controlling one back end.
 #[derive(Clone)]
@@ -99,7 +99,7 @@
             controls: Vec::new(),
             members: Vec::new(),
         };
-        let (platform_listen, weights_listen) = (starter.address(), starter.address());
+        let (platform_listen, weights_listen) = (starter.next_address(), starter.next_address());
         let weights = WeightStoreSettings {
             listen: weights_listen,
             weights: settings.weights.clone(),
@@ -184,7 +184,7 @@
 
     /// Returns the next address of the port range, or one with port 0 if the
     /// ports are chosen by the system.
-    fn address(&mut self) -> SocketAddr {
+    fn next_address(&mut self) -> SocketAddr {
         let port = self.next_port;
         if port != 0 {
             self.next_port = port.saturating_add(1);
@@ -192,7 +192,7 @@
         SocketAddr::from(([127, 0, 0, 1], port))
     }
 
-    fn backend(&mut self) -> BackendId {
+    fn next_backend_id(&mut self) -> BackendId {
         let id = BackendId(self.next_backend);
         self.next_backend += 1;
         id
@@ -209,15 +209,15 @@
     }
 
     fn start_engine(&mut self, position: u32, weights: SocketAddr) -> io::Result<()> {
-        let backend = self.backend();
+        let backend = self.next_backend_id();
         let settings = EngineServerSettings {
             engine: EngineSettings {
                 backend,
-                incarnation: FIRST_LIFE,
+                incarnation: FIRST_INCARNATION,
                 model: self.settings.engine.clone(),
                 models: vec![self.settings.model.clone()],
             },
-            listen: self.address(),
+            listen: self.next_address(),
             weights: Some(weights),
             load_bytes_per_second: self.settings.load_bytes_per_second,
             seed: self.seed(backend),
@@ -239,11 +239,11 @@
     }
 
     fn start_application(&mut self, position: u32) -> io::Result<()> {
-        let backend = self.backend();
+        let backend = self.next_backend_id();
         let settings = ApplicationSettings {
             backend,
-            incarnation: FIRST_LIFE,
-            listen: self.address(),
+            incarnation: FIRST_INCARNATION,
+            listen: self.next_address(),
             capacity: self.settings.application_capacity,
             service_time: Duration::from_micros(self.settings.application_micros),
             load_interval: Duration::from_micros(self.settings.engine.load_interval_micros),
@@ -275,7 +275,7 @@
     ) {
         let machine = Machine {
             id,
-            incarnation: FIRST_LIFE,
+            incarnation: FIRST_INCARNATION,
             kind,
             address: running.address.to_string(),
             zone: self.zone(position),
--- a/crates/emulator/src/platform.rs
+++ b/crates/emulator/src/platform.rs
@@ -20,7 +20,7 @@
 use crate::switch_api;
 
 /// Maximum number of revisions kept in the history.
-const KEPT_REVISIONS: usize = 256;
+const MAX_REVISIONS: usize = 256;
 /// `POST` a [`Machine`] to add or replace it.
 pub const SET_MACHINE_PATH: &str = "/emulator/machine";
 /// `POST` a [`StateChange`] to set the state of a machine.
@@ -137,7 +137,7 @@
         edit(&mut list.machines);
         list.revision += 1;
         self.history.push_back((now, list));
-        if self.history.len() > KEPT_REVISIONS {
+        if self.history.len() > MAX_REVISIONS {
             self.history.pop_front();
         }
     }
