--- a/crates/emulator/tests/engine_core.rs
+++ b/crates/emulator/tests/engine_core.rs
@@ -249,10 +249,7 @@
         .map(|event| event.prefix_hash)
         .collect();
     assert_eq!(stored, hashes);
-    assert!(
-        engine.cache_events(now, 0).events.is_empty(),
-        "events are delayed"
-    );
+    assert!(engine.cache_events(now, 0).events.is_empty(), "late");
 }
 
 #[test]
@@ -554,7 +551,7 @@
         for attempt in &attempts {
             assert_eq!(self.ends.get(attempt), Some(&1), "{attempt} ends once");
         }
-        assert_eq!(self.engine.memory().held(), 0, "all memory is released");
+        assert_eq!(self.engine.memory().held(), 0, "all memory is given back");
     }
 }
 
