--- a/crates/emulator/tests/engine_contract.rs
+++ b/crates/emulator/tests/engine_contract.rs
@@ -444,7 +444,7 @@
 }
 
 #[test]
-fn a_frozen_engine_answers_after_the_thaw() {
+fn a_frozen_engine_answers_once_unfrozen() {
     let fleet = TestFleet::start(&small_settings());
     let frozen = FaultSettings {
         engine: EngineFaults {
@@ -471,7 +471,7 @@
 }
 
 #[test]
-fn a_crash_ends_connections_and_starts_a_new_life() {
+fn a_crash_closes_connections_and_starts_a_new_incarnation() {
     let fleet = TestFleet::start(&small_settings());
     let address = fleet.engine();
     let waiting = std::thread::spawn(move || {
@@ -502,10 +502,10 @@
 }
 
 #[test]
-fn load_reports_can_lie() {
+fn load_reports_can_be_scaled() {
     let fleet = TestFleet::start(&small_settings());
     let address = fleet.engine();
-    let lie = FaultSettings {
+    let scaled_load = FaultSettings {
         engine: EngineFaults {
             load_scale: 0.0,
             ..EngineFaults::default()
@@ -519,6 +519,6 @@
         report.online_running
     };
     wait_for("load", || (running() == 1).then_some(()));
-    set_faults(&fleet, &lie);
+    set_faults(&fleet, &scaled_load);
     assert_eq!(running(), 0);
 }
--- a/crates/emulator/tests/engine_core.rs
+++ b/crates/emulator/tests/engine_core.rs
@@ -17,7 +17,7 @@
 use proptest::test_runner::{RngAlgorithm, TestRng, TestRunner};
 
 const MODEL: &str = "caption";
-const LIFE: Incarnation = Incarnation(1);
+const INCARNATION: Incarnation = Incarnation(1);
 
 fn small_model() -> EngineModel {
     EngineModel {
@@ -33,7 +33,7 @@
 fn engine(model: EngineModel) -> EngineCore {
     let settings = EngineSettings {
         backend: BackendId(1),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         model,
         models: vec![MODEL.to_owned()],
     };
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn an_answer_is_whole_and_belongs_to_its_prompt() {
+fn an_answer_is_complete_and_matches_its_prompt() {
     let mut engine = engine(small_model());
     let request = submission("a", Priority::Online, "a red barn", 5);
     engine.submit(Timestamp::ZERO, request).unwrap();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn only_an_attempt_never_seen_is_called_so() {
+fn never_seen_is_reported_only_for_unknown_attempts() {
     let mut engine = engine(small_model());
     let request = submission("a", Priority::Online, "prompt", 1);
     engine.submit(Timestamp::ZERO, request).unwrap();
@@ -135,14 +135,14 @@
 }
 
 #[test]
-fn refusals_say_not_run_and_run_nothing() {
+fn refusals_report_not_run_and_start_nothing() {
     let refuse = EngineFaults {
         refuse: true,
         ..EngineFaults::default()
     };
     let leave = Order {
         token: FencingToken(1),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         action: OrderAction::Leave,
     };
     type Prepare = Box<dyn Fn(&mut EngineCore, &mut Submission)>;
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn a_chunk_that_began_delays_an_online_first_token() {
+fn a_prefill_chunk_in_progress_delays_the_first_online_token() {
     let model = EngineModel {
         prefill_chunk_tokens: 512,
         kv_blocks: 1_000,
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn exported_blocks_are_a_cached_prefix_elsewhere() {
+fn imported_blocks_serve_as_a_cached_prefix() {
     let mut source = engine(small_model());
     let prompt = words(20, 3);
     let request = submission("a", Priority::Online, &prompt, 1);
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn a_load_report_is_late() {
+fn load_reports_are_delayed() {
     let mut engine = engine(small_model());
     let request = submission("a", Priority::Online, "prompt", 1_00);
     engine.submit(Timestamp::ZERO, request).unwrap();
@@ -311,11 +311,11 @@
 }
 
 #[test]
-fn models_load_when_their_weights_arrive_unless_overtaken() {
+fn models_load_when_weights_arrive_unless_superseded() {
     let mut engine = engine(small_model());
     let order = |token, action| Order {
         token: FencingToken(token),
-        incarnation: LIFE,
+        incarnation: INCARNATION,
         action,
     };
     let load = |version| OrderAction::LoadModel {
@@ -339,19 +339,19 @@
 }
 
 #[test]
-fn a_crash_loses_everything_but_the_count_of_executions() {
+fn a_crash_keeps_only_the_execution_counts() {
     let mut engine = engine(small_model());
     let request = submission("a", Priority::Online, "prompt", 5);
     engine.submit(Timestamp::ZERO, request).unwrap();
     engine.crash(Timestamp::from_millis(1));
     assert_eq!(engine.next_step_at(), None);
-    assert_eq!(engine.incarnation(), LIFE.next());
+    assert_eq!(engine.incarnation(), INCARNATION.next());
     assert_eq!(engine.status(Timestamp::ZERO, "a"), Err(Refusal::NeverSeen));
     assert_eq!(engine.executions().of_attempt("a").started, 1);
 }
 
 #[test]
-fn a_frozen_engine_does_nothing_until_thawed() {
+fn a_frozen_engine_does_nothing_until_unfrozen() {
     let mut engine = engine(small_model());
     let request = submission("a", Priority::Online, "prompt", 1);
     engine.submit(Timestamp::ZERO, request).unwrap();
@@ -362,9 +362,9 @@
     engine.set_faults(Timestamp::ZERO, frozen);
     assert_eq!(engine.next_step_at(), None);
     assert_eq!(engine.step(Timestamp::from_millis(1_000)), vec![]);
-    let thawed = Timestamp::from_millis(2_000);
-    engine.set_faults(thawed, EngineFaults::default());
-    assert!(engine.next_step_at().unwrap() > thawed);
+    let unfrozen_at = Timestamp::from_millis(2_000);
+    engine.set_faults(unfrozen_at, EngineFaults::default());
+    assert!(engine.next_step_at().unwrap() > unfrozen_at);
     let (outputs, _) = run_until_idle(&mut engine);
     assert_eq!(outputs.len(), 2);
 }
@@ -401,7 +401,7 @@
 }
 
 /// An engine with the state that the test expects of it.
-struct Driven {
+struct TestedEngine {
     engine: EngineCore,
     now: Timestamp,
     submitted: BTreeMap<String, (String, u32)>,
@@ -411,7 +411,7 @@
     highest_token: u64,
 }
 
-impl Driven {
+impl TestedEngine {
     fn new(priority: bool) -> Self {
         let model = EngineModel {
             priority,
@@ -428,7 +428,7 @@
         }
     }
 
-    fn act(&mut self, action: &Action) {
+    fn apply(&mut self, action: &Action) {
         match action {
             Action::Submit {
                 online,
@@ -508,7 +508,7 @@
     fn order(&mut self, token: u64) {
         let order = Order {
             token: FencingToken(token),
-            incarnation: LIFE,
+            incarnation: INCARNATION,
             action: OrderAction::LoadAdapter {
                 adapter: format!("adapter-{token}"),
             },
@@ -555,7 +555,7 @@
     }
 }
 
-fn run_property(priority: bool, check: impl Fn(&Driven)) {
+fn run_property(priority: bool, check: impl Fn(&TestedEngine)) {
     let config = ProptestConfig {
         cases: 200,
         failure_persistence: None,
@@ -565,12 +565,12 @@
     let mut runner = TestRunner::new_with_rng(config, random);
     let actions = proptest::collection::vec(action(), 1..120);
     let result = runner.run(&actions, |actions| {
-        let mut driven = Driven::new(priority);
+        let mut tested = TestedEngine::new(priority);
         for action in &actions {
-            driven.act(action);
-            check(&driven);
+            tested.apply(action);
+            check(&tested);
         }
-        driven.finish();
+        tested.finish();
         Ok(())
     });
     result.unwrap();
@@ -590,32 +590,32 @@
 fn no_batch_runs_in_a_step_that_begins_while_online_waits() {
     let model = small_model();
     let longest = model.step_duration(model.max_running as usize, model.prefill_chunk_tokens);
-    run_property(true, |driven| {
-        let counts = driven.engine.counts();
-        let mut engine = driven.engine.clone();
+    run_property(true, |tested| {
+        let counts = tested.engine.counts();
+        let mut engine = tested.engine.clone();
         if counts.online_waiting == 0 || counts.batch_running == 0 {
             return;
         }
         // The online sequence arrived during a step; at the end of that step,
         // batch sequences are preempted.
         let at = engine.next_step_at().unwrap();
-        assert!(at <= driven.now + longest);
+        assert!(at <= tested.now + longest);
         engine.step(at);
-        let waiting = engine.counts().online_waiting - paused_online(driven);
+        let waiting = engine.counts().online_waiting - paused_online(tested);
         assert!(waiting == 0 || engine.counts().batch_running == 0);
     });
 }
 
 /// Returns the number of paused online attempts, which the counts include as
 /// waiting.
-fn paused_online(driven: &Driven) -> u32 {
-    let mut engine = driven.engine.clone();
+fn paused_online(tested: &TestedEngine) -> u32 {
+    let mut engine = tested.engine.clone();
     let mut paused = 0;
-    for attempt in driven.submitted.keys() {
-        let status = engine.status(driven.now, attempt).unwrap();
+    for attempt in tested.submitted.keys() {
+        let status = engine.status(tested.now, attempt).unwrap();
         if status.state == RequestState::Paused {
             let before = engine.counts().online_waiting;
-            engine.cancel(driven.now, attempt).unwrap();
+            engine.cancel(tested.now, attempt).unwrap();
             paused += before - engine.counts().online_waiting;
         }
     }
--- a/crates/emulator/tests/other_contracts.rs
+++ b/crates/emulator/tests/other_contracts.rs
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn the_list_lags_and_can_go_back_in_time() {
+fn the_platform_list_lags_and_can_be_rewound() {
     let mut core = PlatformCore::new(Duration::from_secs(1), vec![machine(1)]);
     let at = Timestamp::from_millis;
     core.set_state(at(100), BackendId(1), MachineState::Leaving);
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn the_list_over_http() {
+fn the_platform_list_over_http() {
     let fleet = TestFleet::start(&small_settings());
     let address = fleet.fleet.platform_address;
     let list = || -> MachineList { call(address, "GET", "/machines", &[], "").json() };
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn the_store_limits_its_rate() {
+fn the_weight_store_limits_its_rate() {
     let weights = vec![model_weights("m", 1, 1_000)];
     let mut store = WeightStoreCore::new(weights, 1_000, 1_500);
     let granted = Fetch::Granted(model_weights("m", 1, 1_000));
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn the_store_over_http() {
+fn the_weight_store_over_http() {
     let settings = FleetSettings {
         store_bytes_per_second: 1,
         store_burst_bytes: 1,
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn an_order_loads_a_model_through_the_store() {
+fn an_order_loads_a_model_from_the_weight_store() {
     let fleet = TestFleet::start(&FleetSettings {
         load_bytes_per_second: u64::MAX,
         ..small_settings()
--- a/crates/emulator/tests/support/mod.rs
+++ b/crates/emulator/tests/support/mod.rs
@@ -11,7 +11,7 @@
 use serde::de::DeserializeOwned;
 
 /// Maximum wait for an expected event.
-const PATIENCE: Duration = Duration::from_secs(20);
+const MAX_WAIT: Duration = Duration::from_secs(20);
 
 /// A fleet that is served by a dedicated thread.
 pub struct TestFleet {
@@ -138,7 +138,7 @@
 /// If connecting or writing fails.
 pub fn exchange(address: SocketAddr, text: &str) -> io::Result<RawResponse> {
     let mut stream = TcpStream::connect(address)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
+    stream.set_read_timeout(Some(MAX_WAIT))?;
     stream.write_all(text.as_bytes())?;
     let mut bytes = Vec::new();
     let mut buffer = [0; 4_096];
@@ -161,7 +161,7 @@
 
 /// Repeats `check` until it returns a value; panics after the maximum wait.
 pub fn wait_for<T>(what: &str, mut check: impl FnMut() -> Option<T>) -> T {
-    let deadline = std::time::Instant::now() + PATIENCE;
+    let deadline = std::time::Instant::now() + MAX_WAIT;
     loop {
         if let Some(value) = check() {
             return value;
