--- a/crates/emulator/src/engine/core.rs
+++ b/crates/emulator/src/engine/core.rs
@@ -281,9 +281,9 @@
     /// Replaces the active faults. An unfrozen engine continues with its
     /// sequences; the interrupted step is planned anew.
     pub fn set_faults(&mut self, now: Timestamp, faults: EngineFaults) {
-        let thawed = self.faults.frozen && !faults.frozen;
+        let unfrozen = self.faults.frozen && !faults.frozen;
         self.faults = faults;
-        if thawed {
+        if unfrozen {
             self.step = None;
             self.start_step(now);
         }
