--- a/crates/emulator/src/application.rs
+++ b/crates/emulator/src/application.rs
@@ -1,5 +1,5 @@
-//! An emulated application back end: any path, an answer that can be checked,
-//! and a load that is reported.
+//! An emulated application back end: it answers any path with a verifiable echo
+//! of the request and reports its load.
 
 use std::io;
 use std::net::SocketAddr;
@@ -22,41 +22,41 @@
 use crate::engine::{Counts, ExecutionLog, LoadMonitor, Observation};
 use crate::faults::{AnswerFault, FaultSettings};
 use crate::server::{
-    Running, Service, Switches, error_reply, header, json_reply, read_body, start,
+    Running, Service, ServiceControls, error_reply, header, json_reply, read_body, start,
 };
-use crate::switch_api::{Switched, route_switch};
+use crate::switch_api::{ControlledBackend, route_control};
 
-/// How an application back end is started.
+/// Settings of an emulated application back end.
 #[derive(Clone, Debug)]
 pub struct ApplicationSettings {
-    /// Number in the platform's list.
+    /// Identifier in the platform's machine list.
     pub backend: BackendId,
-    /// First life.
+    /// Incarnation at start; each crash increments it.
     pub incarnation: Incarnation,
-    /// Where it listens.
+    /// Listen address.
     pub listen: SocketAddr,
-    /// Requests that it works on at a time; others wait.
+    /// Concurrency limit; further requests wait.
     pub capacity: u32,
-    /// Time that each request takes.
+    /// Processing time of each request, without the wait for a slot.
     pub service_time: Duration,
-    /// Interval between two observations for the load report.
+    /// Sampling interval of the load report.
     pub load_interval: Duration,
-    /// Least age of an observation when it is served.
+    /// Minimum age of a load sample when it is served.
     pub load_delay: Duration,
-    /// Seed of its random choices.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Time that each request spends on the network, both ways.
+    /// Emulated network round-trip time, added to each request.
     pub round_trip: Duration,
-    /// Faults in force from the start.
+    /// Faults active from the start.
     pub faults: FaultSettings,
 }
 
-/// Answer of an application back end to any path.
+/// Response body of an application back end for any path.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EchoBody {
-    /// Attempt that this answers.
+    /// Attempt identifier of the request.
     pub attempt: String,
-    /// Who answered.
+    /// Back end that answered.
     pub backend: BackendId,
     /// Method of the request.
     pub method: String,
@@ -66,7 +66,7 @@
     pub digest: Digest,
 }
 
-/// Digest of a request, for checkers to compare with the answer.
+/// Returns the digest of a request, which checkers compare with the response.
 #[must_use]
 pub fn echo_digest(method: &str, path: &str, body: &[u8]) -> Digest {
     let mut content = format!("{method}\n{path}\n").into_bytes();
@@ -74,17 +74,17 @@
     digest_of(&content)
 }
 
-/// Requests under way and what was observed of them.
+/// Load samples, execution counts and the latest response.
 struct Work {
     monitor: LoadMonitor,
     executions: ExecutionLog,
     last_echo: Option<EchoBody>,
 }
 
-/// An application back end that serves.
+/// A running application back end.
 pub struct Application {
     settings: ApplicationSettings,
-    switches: Arc<Switches>,
+    controls: Arc<ServiceControls>,
     slots: Semaphore,
     work: Mutex<Work>,
     running: AtomicU32,
@@ -97,13 +97,13 @@
     /// Starts an application back end on `executor`.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub fn start(
         executor: &Arc<Executor<'static>>,
         settings: ApplicationSettings,
     ) -> io::Result<(Arc<Self>, Running)> {
-        let switches = Arc::new(Switches::new(settings.seed, settings.round_trip));
-        switches.set(settings.faults.clone());
+        let controls = Arc::new(ServiceControls::new(settings.seed, settings.round_trip));
+        controls.set(settings.faults.clone());
         let (interval, delay) = (settings.load_interval, settings.load_delay);
         let work = Work {
             monitor: LoadMonitor::new(interval, delay, Timestamp::ZERO),
@@ -111,7 +111,7 @@
             last_echo: None,
         };
         let application = Arc::new(Self {
-            switches: switches.clone(),
+            controls: controls.clone(),
             slots: Semaphore::new(settings.capacity.max(1) as usize),
             work: Mutex::new(work),
             running: AtomicU32::new(0),
@@ -121,7 +121,7 @@
             settings,
         });
         let listen = application.settings.listen;
-        let running = start(executor, listen, switches, application.clone())?;
+        let running = start(executor, listen, controls, application.clone())?;
         Ok((application, running))
     }
 
@@ -132,35 +132,36 @@
     ) -> http_types::Result<Response> {
         let path = request.url().path().to_owned();
         match (request.method(), path.as_str()) {
-            (Method::Get, LOAD_PATH) => Ok(self.stamp(json_reply(200, &self.load_report()))),
-            (Method::Get, HEALTH_PATH) => Ok(self.stamp(json_reply(200, &"ok"))),
+            (Method::Get, LOAD_PATH) => Ok(self.add_headers(json_reply(200, &self.load_report()))),
+            (Method::Get, HEALTH_PATH) => Ok(self.add_headers(json_reply(200, &"ok"))),
             (_, path) if path.starts_with(crate::EMULATOR_PATH) => {
-                route_switch(self.as_ref(), &mut request).await
+                route_control(self.as_ref(), &mut request).await
             }
-            _ => self.work_on(request, fault).await,
+            _ => self.process(request, fault).await,
         }
     }
 
-    /// Answers an ordinary request.
-    async fn work_on(
+    /// Processes an application request, that is, neither a probe nor a control
+    /// request.
+    async fn process(
         &self,
         mut request: Request,
         fault: Option<AnswerFault>,
     ) -> http_types::Result<Response> {
         let body = read_body(&mut request).await?;
         let attempt = header(&request, ATTEMPT_HEADER).unwrap_or_default();
-        let faults = self.switches.engine_faults();
+        let faults = self.controls.engine_faults();
         if faults.refuse {
-            return Ok(self.stamp_attempt(refusal(), &attempt));
+            return Ok(self.add_attempt_header(refusal(), &attempt));
         }
         let echo = self.echo(&request, attempt, &body);
         if fault == Some(AnswerFault::AcceptThenDie) {
             self.run(&echo, faults.slow_factor).await;
-            return Err(broken());
+            return Err(closed_connection());
         }
         self.run(&echo, faults.slow_factor).await;
         let answer = self.choose_answer(echo, fault);
-        Ok(self.stamp_attempt(json_reply(200, &answer), &answer.attempt))
+        Ok(self.add_attempt_header(json_reply(200, &answer), &answer.attempt))
     }
 
     fn echo(&self, request: &Request, attempt: String, body: &[u8]) -> EchoBody {
@@ -179,15 +180,15 @@
         }
     }
 
-    /// Waits for a slot, then for the time that the work takes.
+    /// Waits for a concurrency slot, then for the processing time.
     async fn run(&self, echo: &EchoBody, slow_factor: f64) {
         let attempt = echo.attempt.as_str().into();
         self.observe();
-        let waiting = Gauge::enter(&self.waiting);
+        let waiting = CountGuard::enter(&self.waiting);
         let _slot = self.slots.acquire().await;
         drop(waiting);
         self.observe();
-        let _running = Gauge::enter(&self.running);
+        let _running = CountGuard::enter(&self.running);
         self.with_work(|work| work.executions.started(&attempt, echo.digest));
         let factor = slow_factor.clamp(0.01, 10_000.0);
         Timer::after(self.settings.service_time.mul_f64(factor)).await;
@@ -210,16 +211,16 @@
     fn load_report(&self) -> LoadReport {
         self.observe();
         let now = self.now();
-        let (seen, age, sequence) = self.with_work(|work| work.monitor.serve(now));
-        let scale = self.switches.engine_faults().load_scale;
+        let (sample, age, sequence) = self.with_work(|work| work.monitor.serve(now));
+        let scale = self.controls.engine_faults().load_scale;
         let scaled = |count: u32| (f64::from(count) * scale) as u32;
         LoadReport {
             backend: self.settings.backend,
             incarnation: self.incarnation(),
             sequence,
             age_ms: age.as_millis() as u32,
-            online_running: scaled(seen.counts.online_running),
-            online_waiting: scaled(seen.counts.online_waiting),
+            online_running: scaled(sample.counts.online_running),
+            online_waiting: scaled(sample.counts.online_waiting),
             batch_running: 0,
             batch_waiting: 0,
             max_running: self.settings.capacity,
@@ -232,7 +233,8 @@
         }
     }
 
-    /// Records what held until now; call it before the counts change.
+    /// Records a load sample if one is due. Must be called before the counts
+    /// change, since the sample describes the time up to now.
     fn observe(&self) {
         let now = self.now();
         let counts = Counts {
@@ -251,18 +253,18 @@
         });
     }
 
-    fn stamp_attempt(&self, response: Response, attempt: &str) -> Response {
-        let mut response = self.stamp(response);
+    fn add_attempt_header(&self, response: Response, attempt: &str) -> Response {
+        let mut response = self.add_headers(response);
         if !attempt.is_empty() {
             response.insert_header(ATTEMPT_HEADER, attempt);
         }
         response
     }
 
-    fn stamp(&self, mut response: Response) -> Response {
+    fn add_headers(&self, mut response: Response) -> Response {
         let running = self.running.load(Ordering::Relaxed);
         let waiting = self.waiting.load(Ordering::Relaxed);
-        let scale = self.switches.engine_faults().load_scale;
+        let scale = self.controls.engine_faults().load_scale;
         let load = f64::from(running + waiting) / f64::from(self.settings.capacity.max(1));
         let load = (load * scale).clamp(0.0, 1.0);
         response.insert_header(LOAD_HEADER, format!("{load:.3}"));
@@ -284,18 +286,19 @@
     }
 }
 
-impl Switched for Application {
+impl ControlledBackend for Application {
     fn faults(&self) -> FaultSettings {
-        self.switches.faults()
+        self.controls.faults()
     }
 
     fn set_faults(&self, faults: FaultSettings) {
-        self.switches.set(faults);
+        self.controls.set(faults);
     }
 
     fn crash(&self, down: Duration) {
-        // Connections end first, so that none of them sees the next life.
-        self.switches.crash(down);
+        // Connections are closed first, so that none of them observes the next
+        // incarnation.
+        self.controls.crash(down);
         self.incarnation.fetch_add(1, Ordering::Relaxed);
     }
 
@@ -305,7 +308,7 @@
 }
 
 impl Service for Application {
-    fn is_work(&self, path: &str) -> bool {
+    fn accepts_answer_faults(&self, path: &str) -> bool {
         let probe = path == LOAD_PATH || path == HEALTH_PATH;
         !probe && !path.starts_with(crate::EMULATOR_PATH)
     }
@@ -319,18 +322,18 @@
     }
 }
 
-/// Counts one request for as long as it lives, also when it is dropped because
-/// its connection broke.
-struct Gauge<'a>(&'a AtomicU32);
+/// Counts one request while the guard exists. The count is also decremented
+/// when the request is dropped because its connection broke.
+struct CountGuard<'a>(&'a AtomicU32);
 
-impl<'a> Gauge<'a> {
+impl<'a> CountGuard<'a> {
     fn enter(count: &'a AtomicU32) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for Gauge<'_> {
+impl Drop for CountGuard<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
@@ -341,7 +344,7 @@
     error_reply(503, "refusing", message, RunOutcome::NotRun, Some(1_000))
 }
 
-/// Closes the connection without an answer.
-fn broken() -> http_types::Error {
+/// Returns the error that closes the connection without a response.
+fn closed_connection() -> http_types::Error {
     http_types::Error::from_str(StatusCode::InternalServerError, "connection broken")
 }
--- a/crates/emulator/src/engine/core.rs
+++ b/crates/emulator/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! The calls that an engine takes.
+//! The engine core and its operations.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -12,26 +12,26 @@
 
 use super::step::StepInProgress;
 use super::{
-    Answer, AttemptKey, CacheEventLog, EngineModel, ExecutionLog, FinishedAttempt,
-    FinishedAttempts, LoadMonitor, Loaded, Observation, OrderBook, Output, Recollection, Refusal,
-    Scheduler, Sequence, SequenceId, WeightsNeeded,
+    Answer, AttemptKey, AttemptLookup, CacheEventLog, EngineModel, ExecutionLog, FinishedAttempt,
+    FinishedAttempts, LoadMonitor, Loaded, Observation, OrderBook, Output, Refusal, Scheduler,
+    Sequence, SequenceId, WeightsNeeded,
 };
 use crate::faults::EngineFaults;
 
-/// Who an engine is and how it behaves.
+/// Identity and behaviour of an emulated engine.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EngineSettings {
-    /// Number in the platform's list.
+    /// Identifier in the platform's machine list.
     pub backend: BackendId,
-    /// First life.
+    /// Incarnation at start; each crash increments it.
     pub incarnation: Incarnation,
     /// Costs and limits.
     pub model: EngineModel,
-    /// Models ready at the start of each life, in version 1.
+    /// Models loaded at the start of each incarnation, in version 1.
     pub models: Vec<String>,
 }
 
-/// One emulated engine.
+/// An emulated engine.
 #[derive(Clone, Debug)]
 pub struct EngineCore {
     pub(super) settings: EngineSettings,
@@ -51,7 +51,8 @@
 }
 
 impl EngineCore {
-    /// An idle engine that starts at `now`. Random choices depend on `seed`.
+    /// Creates an idle engine that starts at `now`. `seed` determines its random
+    /// choices.
     #[must_use]
     pub fn new(settings: EngineSettings, seed: u64, now: Timestamp) -> Self {
         let model = &settings.model;
@@ -74,64 +75,65 @@
         }
     }
 
-    /// The life that this is.
+    /// Returns the current incarnation.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.incarnation
     }
 
-    /// The model it was built with.
+    /// Returns the costs and limits.
     #[must_use]
     pub fn model(&self) -> &EngineModel {
         &self.settings.model
     }
 
-    /// What is loaded, the role, and whether it is leaving.
+    /// Returns what is loaded, the role and whether the engine is leaving.
     #[must_use]
     pub fn loaded(&self) -> &Loaded {
         self.orders.loaded()
     }
 
-    /// Executions so far, those of earlier lives included.
+    /// Returns the execution counts, including those of earlier incarnations.
     #[must_use]
     pub fn executions(&self) -> &ExecutionLog {
         &self.executions
     }
 
-    /// Faults in force.
+    /// Returns the active faults.
     #[must_use]
     pub fn faults(&self) -> &EngineFaults {
         &self.faults
     }
 
-    /// Sequences by class and state at this moment, without the report's lag.
+    /// Returns the current number of sequences by class and state, without the
+    /// delay of the load report.
     #[must_use]
     pub fn counts(&self) -> super::Counts {
         self.scheduler.counts()
     }
 
-    /// KV memory at this moment.
+    /// Returns the KV memory.
     #[must_use]
     pub fn memory(&self) -> &super::KvMemory {
         self.scheduler.memory()
     }
 
-    /// Whether nothing waits, runs or is paused.
+    /// Whether no sequence is waiting, running or paused.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.scheduler.is_empty()
     }
 
-    /// Where an attempt stands.
+    /// Returns the status of an attempt.
     ///
     /// # Errors
     /// [`Refusal::NeverSeen`] or [`Refusal::Forgotten`].
     pub fn status(&mut self, now: Timestamp, attempt: &str) -> Result<RequestStatus, Refusal> {
-        self.finished.forget_old(now);
+        self.finished.drop_expired(now);
         let (state, generated) = match self.live_sequence(attempt) {
             Some(sequence) => (sequence.state, sequence.generated),
             None => {
-                let finished = self.recall(attempt)?;
+                let finished = self.lookup(attempt)?;
                 (finished.state, finished.usage.completion_tokens)
             }
         };
@@ -143,8 +145,8 @@
         })
     }
 
-    /// The text of an attempt and its status, to resume a stream or to fetch
-    /// the answer. The text is valid up to `status.generated` tokens.
+    /// Returns the answer of an attempt and its status, to resume a stream or to
+    /// fetch the answer. The text is valid up to `status.generated` tokens.
     ///
     /// # Errors
     /// [`Refusal::NeverSeen`] or [`Refusal::Forgotten`].
@@ -153,7 +155,7 @@
         let (text, max_tokens, usage) = match self.live_sequence(attempt) {
             Some(sequence) => (sequence.text, sequence.max_tokens(), sequence.usage()),
             None => {
-                let finished = self.recall(attempt)?;
+                let finished = self.lookup(attempt)?;
                 (finished.text, finished.max_tokens, finished.usage)
             }
         };
@@ -165,22 +167,23 @@
         })
     }
 
-    /// The record of an ended attempt, if its answer is still there.
+    /// Returns the record of an ended attempt while it is retained.
     ///
     /// # Errors
     /// [`Refusal::NeverSeen`] or [`Refusal::Forgotten`].
     pub fn finished(&self, attempt: &str) -> Result<FinishedAttempt, Refusal> {
-        self.recall(attempt)
+        self.lookup(attempt)
     }
 
-    /// Announces each further token of an attempt, as for a streamed one.
+    /// Reports each further token of an attempt, as if it had been submitted as
+    /// streamed.
     pub fn announce_tokens(&mut self, attempt: &str) {
         if let Some(id) = self.live.get(attempt) {
             self.scheduler.set_stream(*id);
         }
     }
 
-    /// Holds an attempt back.
+    /// Pauses an attempt.
     ///
     /// # Errors
     /// [`Refusal::NeverSeen`] or [`Refusal::Forgotten`].
@@ -192,7 +195,7 @@
         self.status(now, attempt)
     }
 
-    /// Lets a paused attempt go on.
+    /// Resumes a paused attempt.
     ///
     /// # Errors
     /// [`Refusal::NeverSeen`] or [`Refusal::Forgotten`].
@@ -205,8 +208,8 @@
         self.status(now, attempt)
     }
 
-    /// Stops an attempt: it generates no further token. One that has ended
-    /// already stays as it ended.
+    /// Cancels an attempt: no further tokens are generated. An attempt that has
+    /// already ended keeps its state.
     ///
     /// # Errors
     /// [`Refusal::NeverSeen`] or [`Refusal::Forgotten`].
@@ -220,10 +223,10 @@
         self.status(now, attempt)
     }
 
-    /// The load report, as old as the model says.
+    /// Returns the load report, delayed as the engine model specifies.
     pub fn load_report(&mut self, now: Timestamp) -> LoadReport {
         self.observe_load(now);
-        let (seen, age, sequence) = self.load.serve(now);
+        let (sample, age, sequence) = self.load.serve(now);
         let loaded = self.orders.loaded();
         let scale = self.faults.load_scale;
         let scaled = |count: u32| (f64::from(count) * scale) as u32;
@@ -232,13 +235,13 @@
             incarnation: self.incarnation,
             sequence,
             age_ms: age.as_millis() as u32,
-            online_running: scaled(seen.counts.online_running),
-            online_waiting: scaled(seen.counts.online_waiting),
-            batch_running: scaled(seen.counts.batch_running),
-            batch_waiting: scaled(seen.counts.batch_waiting),
+            online_running: scaled(sample.counts.online_running),
+            online_waiting: scaled(sample.counts.online_waiting),
+            batch_running: scaled(sample.counts.batch_running),
+            batch_waiting: scaled(sample.counts.batch_waiting),
             max_running: self.settings.model.max_running,
-            kv_used: (seen.kv_used * scale).min(1.0),
-            step_micros: seen.step_micros,
+            kv_used: (sample.kv_used * scale).min(1.0),
+            step_micros: sample.step_micros,
             models: loaded.models.keys().cloned().collect(),
             adapters: loaded.adapters.iter().cloned().collect(),
             role: loaded.role,
@@ -246,7 +249,7 @@
         }
     }
 
-    /// Cache events behind sequence number `after`.
+    /// Returns the visible cache events after sequence number `after`.
     #[must_use]
     pub fn cache_events(&self, now: Timestamp, after: u64) -> CacheEventPage {
         CacheEventPage {
@@ -255,31 +258,32 @@
         }
     }
 
-    /// Takes or refuses an order.
+    /// Accepts or rejects an order.
     pub fn order(&mut self, order: Order) -> OrderReply {
-        let (reply, needed) = self.orders.take(order);
+        let (reply, needed) = self.orders.handle(order);
         if let Some(weights) = needed {
             self.outputs.push(Output::FetchWeights(weights));
         }
         reply
     }
 
-    /// Weights that were asked for are there.
+    /// Loads requested weights that were fetched.
     pub fn weights_arrived(&mut self, weights: &WeightsNeeded) {
         self.orders.weights_arrived(weights);
     }
 
-    /// Whether weights are still wanted, so that a fetch may stop.
+    /// Whether weights are still required; otherwise a fetch may stop.
     #[must_use]
     pub fn wants_weights(&self, weights: &WeightsNeeded) -> bool {
         self.orders.wants(weights)
     }
 
-    /// Puts faults in force. A thawed engine goes on where it stood.
+    /// Replaces the active faults. An unfrozen engine continues with its
+    /// sequences; the interrupted step is planned anew.
     pub fn set_faults(&mut self, now: Timestamp, faults: EngineFaults) {
-        let thawed = self.faults.frozen && !faults.frozen;
+        let unfrozen = self.faults.frozen && !faults.frozen;
         self.faults = faults;
-        if thawed {
+        if unfrozen {
             self.step = None;
             self.start_step(now);
         }
@@ -291,8 +295,8 @@
         self.scheduler.set_priority(on);
     }
 
-    /// Dies and starts its next life at `now`: attempts, cache and orders are
-    /// lost. The count of executions stays, for checkers.
+    /// Crashes and starts the next incarnation at `now`. Attempts, cache and
+    /// orders are lost; the execution counts are kept for checkers.
     pub fn crash(&mut self, now: Timestamp) {
         let model = &self.settings.model;
         self.incarnation = self.incarnation.next();
@@ -334,11 +338,11 @@
         self.scheduler.sequence(*id)
     }
 
-    fn recall(&self, attempt: &str) -> Result<FinishedAttempt, Refusal> {
-        match self.finished.recall(attempt) {
-            Recollection::Finished(finished) => Ok(finished),
-            Recollection::Forgotten => Err(Refusal::Forgotten),
-            Recollection::NeverSeen => Err(Refusal::NeverSeen),
+    fn lookup(&self, attempt: &str) -> Result<FinishedAttempt, Refusal> {
+        match self.finished.lookup(attempt) {
+            AttemptLookup::Finished(finished) => Ok(finished),
+            AttemptLookup::Forgotten => Err(Refusal::Forgotten),
+            AttemptLookup::NeverSeen => Err(Refusal::NeverSeen),
         }
     }
 
--- a/crates/emulator/src/engine/finished.rs
+++ b/crates/emulator/src/engine/finished.rs
@@ -1,4 +1,5 @@
-//! Ended attempts: remembered for a while, then only known to have existed.
+//! Records of ended attempts. A record expires after the retention time; after
+//! that, only the existence of the attempt is known.
 
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::Duration;
@@ -8,34 +9,35 @@
 
 use super::{AnswerText, AttemptKey};
 
-/// Attempts known to have existed after their answers are forgotten.
-const KNOWN_ATTEMPTS: usize = 262_144;
+/// Maximum number of attempts whose existence is tracked after their records
+/// expired.
+const MAX_TRACKED_ATTEMPTS: usize = 262_144;
 
-/// An attempt that ended.
+/// Record of an ended attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FinishedAttempt {
     /// `Completed` or `Cancelled`.
     pub state: RequestState,
-    /// Source of the answer's text.
+    /// Generator of the answer's text.
     pub text: AnswerText,
-    /// Tokens that were asked for.
+    /// Number of tokens requested.
     pub max_tokens: u32,
     /// Token counts.
     pub usage: Usage,
 }
 
-/// What is known of an attempt that is not live.
+/// Result of looking up an attempt that is not live.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Recollection {
-    /// It ended and its answer is still there.
+pub enum AttemptLookup {
+    /// The attempt ended and its record is still retained.
     Finished(FinishedAttempt),
-    /// It ended, or may have; nothing else is known.
+    /// The attempt ended, or may have ended; no record is left.
     Forgotten,
-    /// It was never seen.
+    /// The attempt was never submitted.
     NeverSeen,
 }
 
-/// Bounded memory of ended attempts.
+/// Bounded store of ended attempts.
 #[derive(Clone, Debug)]
 pub struct FinishedAttempts {
     retention: Duration,
@@ -44,11 +46,11 @@
     order: VecDeque<(Timestamp, AttemptKey)>,
     known: HashSet<u64>,
     known_order: VecDeque<u64>,
-    overflowed: bool,
+    tracking_overflowed: bool,
 }
 
 impl FinishedAttempts {
-    /// Remembers at most `limit` answers, each for `retention`.
+    /// Creates a store of at most `limit` records, each kept for `retention`.
     #[must_use]
     pub fn new(retention: Duration, limit: usize) -> Self {
         Self {
@@ -58,40 +60,41 @@
             order: VecDeque::new(),
             known: HashSet::new(),
             known_order: VecDeque::new(),
-            overflowed: false,
+            tracking_overflowed: false,
         }
     }
 
-    /// Remembers an attempt that ended at `now`.
+    /// Records an attempt that ended at `now`.
     pub fn insert(&mut self, now: Timestamp, attempt: AttemptKey, finished: FinishedAttempt) {
         self.attempts.insert(attempt.clone(), finished);
         self.order.push_back((now, attempt));
-        self.forget_old(now);
+        self.drop_expired(now);
     }
 
-    /// What is known of `attempt`.
+    /// Looks up `attempt`.
     #[must_use]
-    pub fn recall(&self, attempt: &str) -> Recollection {
+    pub fn lookup(&self, attempt: &str) -> AttemptLookup {
         if let Some(finished) = self.attempts.get(attempt) {
-            return Recollection::Finished(*finished);
+            return AttemptLookup::Finished(*finished);
         }
-        // Invariant: `NeverSeen` is said only when it is certain, since a
-        // client takes it for "not run".
-        if self.overflowed || self.known.contains(&digest_of(attempt.as_bytes()).0) {
-            return Recollection::Forgotten;
+        // Invariant: `NeverSeen` is returned only when it is certain, since
+        // clients interpret it as "not run".
+        if self.tracking_overflowed || self.known.contains(&digest_of(attempt.as_bytes()).0) {
+            return AttemptLookup::Forgotten;
         }
-        Recollection::NeverSeen
+        AttemptLookup::NeverSeen
     }
 
-    /// Whether the attempt itself, and not only the limit of this memory, is
-    /// the reason for [`Recollection::Forgotten`].
+    /// Whether the attempt is known to have existed. When this is `false`,
+    /// [`AttemptLookup::Forgotten`] only means that older attempts are no longer
+    /// tracked.
     #[must_use]
-    pub fn knows(&self, attempt: &str) -> bool {
+    pub fn has_existed(&self, attempt: &str) -> bool {
         self.known.contains(&digest_of(attempt.as_bytes()).0)
     }
 
-    /// Forgets the answers that are too old or too many.
-    pub fn forget_old(&mut self, now: Timestamp) {
+    /// Drops the records that exceed the retention time or the limit.
+    pub fn drop_expired(&mut self, now: Timestamp) {
         while let Some((ended_at, _)) = self.order.front() {
             let expired = now.since(*ended_at) > self.retention;
             if !expired && self.order.len() <= self.limit {
@@ -99,18 +102,18 @@
             }
             if let Some((_, attempt)) = self.order.pop_front() {
                 self.attempts.remove(&attempt);
-                self.remember_existence(&attempt);
+                self.track_existence(&attempt);
             }
         }
     }
 
-    fn remember_existence(&mut self, attempt: &str) {
+    fn track_existence(&mut self, attempt: &str) {
         let digest = digest_of(attempt.as_bytes()).0;
         if self.known.insert(digest) {
             self.known_order.push_back(digest);
         }
-        if self.known_order.len() > KNOWN_ATTEMPTS {
-            self.overflowed = true;
+        if self.known_order.len() > MAX_TRACKED_ATTEMPTS {
+            self.tracking_overflowed = true;
             if let Some(oldest) = self.known_order.pop_front() {
                 self.known.remove(&oldest);
             }
--- a/crates/emulator/src/engine/order_book.rs
+++ b/crates/emulator/src/engine/order_book.rs
@@ -1,4 +1,4 @@
-//! Fenced orders: which are taken, and what is loaded because of them.
+//! Fenced orders from the control nodes and the state that results from them.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -7,35 +7,35 @@
 
 use super::WeightsNeeded;
 
-/// Orders remembered so that a resend is recognised.
-const REMEMBERED_ORDERS: usize = 64;
+/// Number of accepted orders kept to recognise resends.
+const MAX_ACCEPTED_ORDERS: usize = 64;
 
-/// What the engine holds ready.
+/// Loaded models and adapters, and role of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Loaded {
-    /// Models and their versions.
+    /// Loaded models with their versions.
     pub models: BTreeMap<String, u32>,
-    /// Adapters.
+    /// Loaded adapters.
     pub adapters: BTreeSet<String>,
-    /// Role in force.
+    /// Current role.
     pub role: EngineRole,
-    /// Whether it was told to leave.
+    /// Whether the engine was ordered to leave.
     pub leaving: bool,
 }
 
-/// The orders of one incarnation and their effects.
+/// Orders accepted in one incarnation and their effects.
 #[derive(Clone, Debug)]
 pub struct OrderBook {
     incarnation: Incarnation,
-    highest: FencingToken,
-    taken: VecDeque<Order>,
+    highest_token: FencingToken,
+    accepted_orders: VecDeque<Order>,
     wanted_models: BTreeMap<String, u32>,
     wanted_adapters: BTreeSet<String>,
     loaded: Loaded,
 }
 
 impl OrderBook {
-    /// An engine life that starts with `models` ready, in version 1.
+    /// Creates the state of a new incarnation, with `models` loaded in version 1.
     #[must_use]
     pub fn new(incarnation: Incarnation, models: &[String]) -> Self {
         let loaded = Loaded {
@@ -44,39 +44,41 @@
         };
         Self {
             incarnation,
-            highest: FencingToken(0),
-            taken: VecDeque::new(),
+            highest_token: FencingToken(0),
+            accepted_orders: VecDeque::new(),
             wanted_models: loaded.models.clone(),
             wanted_adapters: BTreeSet::new(),
             loaded,
         }
     }
 
-    /// What is ready now.
+    /// Returns what is currently loaded.
     #[must_use]
     pub fn loaded(&self) -> &Loaded {
         &self.loaded
     }
 
-    /// Takes or refuses an order. The second value names weights to fetch.
-    pub fn take(&mut self, order: Order) -> (OrderReply, Option<WeightsNeeded>) {
-        if self.taken.contains(&order) {
+    /// Accepts or rejects an order. Also returns the weights that must be
+    /// fetched for it, if any.
+    pub fn handle(&mut self, order: Order) -> (OrderReply, Option<WeightsNeeded>) {
+        if self.accepted_orders.contains(&order) {
             return (self.reply(true), None);
         }
-        // Invariant: tokens that take effect strictly rise within one life.
-        if order.incarnation != self.incarnation || order.token <= self.highest {
+        // Invariant: the tokens of accepted orders strictly increase within an
+        // incarnation.
+        if order.incarnation != self.incarnation || order.token <= self.highest_token {
             return (self.reply(false), None);
         }
-        self.highest = order.token;
+        self.highest_token = order.token;
         let needed = self.apply(&order.action);
-        self.taken.push_back(order);
-        if self.taken.len() > REMEMBERED_ORDERS {
-            self.taken.pop_front();
+        self.accepted_orders.push_back(order);
+        if self.accepted_orders.len() > MAX_ACCEPTED_ORDERS {
+            self.accepted_orders.pop_front();
         }
         (self.reply(true), needed)
     }
 
-    /// Weights arrived. They are dropped when an order has overtaken them.
+    /// Loads fetched weights, unless a later order made them obsolete.
     pub fn weights_arrived(&mut self, weights: &WeightsNeeded) {
         match weights {
             WeightsNeeded::Model { model, version } => {
@@ -92,7 +94,7 @@
         }
     }
 
-    /// Whether `weights` are still wanted.
+    /// Whether `weights` are still required by the latest orders.
     #[must_use]
     pub fn wants(&self, weights: &WeightsNeeded) -> bool {
         match weights {
@@ -106,7 +108,7 @@
     fn reply(&self, accepted: bool) -> OrderReply {
         OrderReply {
             accepted,
-            highest_token: self.highest,
+            highest_token: self.highest_token,
         }
     }
 
--- a/crates/emulator/src/engine_server/driver.rs
+++ b/crates/emulator/src/engine_server/driver.rs
@@ -1,4 +1,4 @@
-//! Steps the core when it asks for it; an idle engine costs nothing.
+//! Task that steps the core when a step is due; an idle engine uses no CPU time.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,24 +10,25 @@
 
 use super::{EngineServer, weights};
 
-/// Drives the core until the stand-in is stopped.
+/// Drives the core until the engine is stopped.
 pub async fn drive(
     server: Arc<EngineServer>,
     executor: Arc<Executor<'static>>,
-    woken: Receiver<()>,
+    wake_receiver: Receiver<()>,
 ) {
-    let switches = server.switches.clone();
+    let controls = server.controls.clone();
     let driving = async {
         while let Some(next) = advance(&server, &executor) {
-            wait(next, &woken).await;
+            wait(next, &wake_receiver).await;
         }
     };
-    driving.or(switches.until_stopped()).await;
+    driving.or(controls.wait_until_stopped()).await;
 }
 
-/// Advances the core. Returns when to come back, or `None` when stopped.
+/// Advances the core. Returns what to wait for next, or `None` if the engine was
+/// stopped.
 fn advance(server: &Arc<EngineServer>, executor: &Arc<Executor<'static>>) -> Option<Wait> {
-    if server.switches.is_stopped() {
+    if server.controls.is_stopped() {
         return None;
     }
     let now = server.now();
@@ -46,18 +47,19 @@
     })
 }
 
-/// What the driver waits for.
+/// Condition for the next call of [`advance`].
 enum Wait {
-    /// A time, or a call that changes the next step.
+    /// The given time, or an earlier call that changes the next step.
     Until(Instant),
-    /// A call.
+    /// A call that changes the next step.
     ForCall,
 }
 
-async fn wait(next: Wait, woken: &Receiver<()>) {
+async fn wait(next: Wait, wake_receiver: &Receiver<()>) {
     let called = async {
-        // The sender lives as long as the server.
-        let _ = woken.recv().await;
+        // The channel is not closed while the server exists, since the server
+        // owns the sender.
+        let _ = wake_receiver.recv().await;
     };
     match next {
         Wait::Until(at) => {
--- a/crates/emulator/src/engine_server/mod.rs
+++ b/crates/emulator/src/engine_server/mod.rs
@@ -1,4 +1,4 @@
-//! An emulated engine as an HTTP server around the engine core.
+//! An emulated engine: an HTTP server around the engine core.
 
 mod answers;
 mod driver;
@@ -18,33 +18,33 @@
 
 use crate::engine::{EngineCore, EngineSettings, ExecutionLog};
 use crate::faults::FaultSettings;
-use crate::server::{Running, Switches, start};
-use crate::switch_api::Switched;
+use crate::server::{Running, ServiceControls, start};
+use crate::switch_api::ControlledBackend;
 use state::EngineState;
 
-/// How an engine process is started.
+/// Settings of an emulated engine server.
 #[derive(Clone, Debug)]
 pub struct EngineServerSettings {
-    /// The engine.
+    /// Settings of the engine core.
     pub engine: EngineSettings,
-    /// Where it listens.
+    /// Listen address.
     pub listen: SocketAddr,
-    /// Where the weight store is; without one, weights arrive at once.
+    /// Address of the weight store; without it, weights load immediately.
     pub weights: Option<SocketAddr>,
     /// Rate at which weights are loaded, in bytes per second.
     pub load_bytes_per_second: u64,
-    /// Seed of its random choices.
+    /// Seed of the random choices.
     pub seed: u64,
-    /// Time that each request spends on the network, both ways.
+    /// Emulated network round-trip time, added to each request.
     pub round_trip: Duration,
-    /// Faults in force from the start.
+    /// Faults active from the start.
     pub faults: FaultSettings,
 }
 
-/// An engine that serves.
+/// A running emulated engine.
 pub struct EngineServer {
     state: Mutex<EngineState>,
-    switches: Arc<Switches>,
+    controls: Arc<ServiceControls>,
     wake: Sender<()>,
     clock_start: Instant,
     weights: Option<SocketAddr>,
@@ -56,17 +56,17 @@
     /// Starts an engine on `executor`.
     ///
     /// # Errors
-    /// When the address cannot be bound.
+    /// If the address cannot be bound.
     pub fn start(
         executor: &Arc<Executor<'static>>,
         settings: EngineServerSettings,
     ) -> io::Result<(Arc<Self>, Running)> {
-        let switches = Arc::new(Switches::new(settings.seed, settings.round_trip));
+        let controls = Arc::new(ServiceControls::new(settings.seed, settings.round_trip));
         let core = EngineCore::new(settings.engine, settings.seed, Timestamp::ZERO);
-        let (wake, woken) = async_channel::bounded(1);
+        let (wake, wake_receiver) = async_channel::bounded(1);
         let server = Arc::new(Self {
             state: Mutex::new(EngineState::new(core)),
-            switches: switches.clone(),
+            controls: controls.clone(),
             wake,
             clock_start: Instant::now(),
             weights: settings.weights,
@@ -74,12 +74,13 @@
             pool: Pool::new(PoolLimits::default()),
         });
         server.set_faults(settings.faults);
-        let running = start(executor, settings.listen, switches, server.clone())?;
-        server.spawn_driver(executor, woken);
+        let running = start(executor, settings.listen, controls, server.clone())?;
+        server.spawn_driver(executor, wake_receiver);
         Ok((server, running))
     }
 
-    /// Calls the core and lets the driver see to what follows.
+    /// Calls the core. Wakes the driver if the call changed the next step or
+    /// produced outputs.
     pub fn with_core<T>(&self, call: impl FnOnce(&mut EngineCore, Timestamp) -> T) -> T {
         let mut state = self.lock();
         let before = state.core.next_step_at();
@@ -87,14 +88,18 @@
         let changed = before != state.core.next_step_at() || state.core.has_outputs();
         drop(state);
         if changed {
-            // A wake-up that is pending already is enough.
+            // If the channel is full, a wake-up is already pending.
             let _ = self.wake.try_send(());
         }
         result
     }
 
-    fn spawn_driver(self: &Arc<Self>, executor: &Arc<Executor<'static>>, woken: Receiver<()>) {
-        let driver = driver::drive(self.clone(), executor.clone(), woken);
+    fn spawn_driver(
+        self: &Arc<Self>,
+        executor: &Arc<Executor<'static>>,
+        wake_receiver: Receiver<()>,
+    ) {
+        let driver = driver::drive(self.clone(), executor.clone(), wake_receiver);
         executor.spawn(driver).detach();
     }
 
@@ -107,20 +112,21 @@
     }
 }
 
-impl Switched for EngineServer {
+impl ControlledBackend for EngineServer {
     fn faults(&self) -> FaultSettings {
-        self.switches.faults()
+        self.controls.faults()
     }
 
     fn set_faults(&self, faults: FaultSettings) {
         let engine = faults.engine.clone();
-        self.switches.set(faults);
+        self.controls.set(faults);
         self.with_core(|core, now| core.set_faults(now, engine));
     }
 
     fn crash(&self, down: Duration) {
-        // Connections end first, so that none of them sees the next life.
-        self.switches.crash(down);
+        // Connections are closed first, so that none of them observes the next
+        // incarnation.
+        self.controls.crash(down);
         let now = self.now();
         self.lock().crash(now);
     }
--- a/crates/emulator/src/engine_server/routes.rs
+++ b/crates/emulator/src/engine_server/routes.rs
@@ -1,4 +1,4 @@
-//! Paths of an engine.
+//! HTTP routes of an engine.
 
 use std::sync::Arc;
 
@@ -17,28 +17,28 @@
 use crate::engine::{EngineCore, Refusal};
 use crate::faults::AnswerFault;
 use crate::server::{Service, error_reply, json_reply, not_found, query_number, read_json};
-use crate::switch_api::{self, route_switch};
+use crate::switch_api::{self, route_control};
 
-/// Answer of `POST /kv/import`.
+/// Response body of `POST /kv/import`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct KvImportReply {
-    /// Blocks that were not cached before.
+    /// Number of blocks that were not cached before.
     pub stored: u32,
 }
 
 /// Body of `POST /emulator/priority`.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PriorityRequest {
-    /// Whether the engine honours priorities.
+    /// Whether engine priority is on.
     pub on: bool,
 }
 
-/// A call of the core on one attempt.
+/// An operation of the core on one attempt.
 type AttemptCall =
     fn(&mut EngineCore, Timestamp, &str) -> Result<molespan_engine_api::RequestStatus, Refusal>;
 
 impl Service for EngineServer {
-    fn is_work(&self, path: &str) -> bool {
+    fn accepts_answer_faults(&self, path: &str) -> bool {
         let streamed = path.starts_with(REQUESTS_PATH) && path.contains("/stream");
         streamed || path == COMPLETIONS_PATH || path == CHAT_COMPLETIONS_PATH
     }
@@ -67,7 +67,7 @@
                 self.complete(request, AnswerForm::Chat, fault).await
             }
             (Method::Get, LOAD_PATH) => Ok(self.load()),
-            (Method::Get, HEALTH_PATH) => Ok(self.stamp(json_reply(200, &"ok"), "")),
+            (Method::Get, HEALTH_PATH) => Ok(self.add_headers(json_reply(200, &"ok"), "")),
             (Method::Get, CACHE_EVENTS_PATH) => Ok(self.cache_events(&request)),
             (Method::Post, ORDERS_PATH) => self.take_order(request).await,
             (Method::Get, KV_EXPORT_PATH) => Ok(self.export(&request)),
@@ -76,7 +76,7 @@
                 self.route_attempt(&request, path, fault)
             }
             (_, path) if path.starts_with(crate::EMULATOR_PATH) => {
-                self.route_switch(request, path).await
+                self.route_control(request, path).await
             }
             _ => Ok(not_found()),
         }
@@ -106,20 +106,20 @@
 
     fn on_attempt(&self, attempt: &str, call: AttemptCall) -> Response {
         match self.with_core(|core, now| call(core, now, attempt)) {
-            Ok(status) => self.stamp(json_reply(200, &status), attempt),
-            Err(refusal) => self.refuse(&refusal, attempt),
+            Ok(status) => self.add_headers(json_reply(200, &status), attempt),
+            Err(refusal) => self.refusal_reply(&refusal, attempt),
         }
     }
 
     fn load(&self) -> Response {
         let report = self.with_core(EngineCore::load_report);
-        self.stamp(json_reply(200, &report), "")
+        self.add_headers(json_reply(200, &report), "")
     }
 
     fn cache_events(&self, request: &Request) -> Response {
         let after = query_number(request, "after").unwrap_or(0);
         let page = self.with_core(|core, now| core.cache_events(now, after));
-        self.stamp(json_reply(200, &page), "")
+        self.add_headers(json_reply(200, &page), "")
     }
 
     async fn take_order(&self, mut request: Request) -> http_types::Result<Response> {
@@ -129,7 +129,7 @@
         };
         let reply = self.with_core(|core, _| core.order(order));
         let status = if reply.accepted { 200 } else { 409 };
-        Ok(self.stamp(json_reply(status, &reply), ""))
+        Ok(self.add_headers(json_reply(status, &reply), ""))
     }
 
     fn export(&self, request: &Request) -> Response {
@@ -138,7 +138,7 @@
             return error_reply(400, "malformed", message, RunOutcome::NotRun, None);
         };
         let export = self.with_core(|core, _| core.kv_export(prefix));
-        self.stamp(json_reply(200, &export), "")
+        self.add_headers(json_reply(200, &export), "")
     }
 
     async fn import(&self, mut request: Request) -> http_types::Result<Response> {
@@ -147,10 +147,14 @@
             Err(reply) => return Ok(reply),
         };
         let stored = self.with_core(|core, now| core.kv_import(now, &blocks));
-        Ok(self.stamp(json_reply(200, &KvImportReply { stored }), ""))
+        Ok(self.add_headers(json_reply(200, &KvImportReply { stored }), ""))
     }
 
-    async fn route_switch(&self, mut request: Request, path: &str) -> http_types::Result<Response> {
+    async fn route_control(
+        &self,
+        mut request: Request,
+        path: &str,
+    ) -> http_types::Result<Response> {
         match (request.method(), path) {
             (Method::Post, switch_api::PRIORITY_PATH) => {
                 let priority: PriorityRequest = match read_json(&mut request).await? {
@@ -160,7 +164,7 @@
                 self.with_core(|core, _| core.set_priority(priority.on));
                 Ok(json_reply(200, &priority))
             }
-            _ => route_switch(self, &mut request).await,
+            _ => route_control(self, &mut request).await,
         }
     }
 }
--- a/crates/emulator/src/engine_server/weights.rs
+++ b/crates/emulator/src/engine_server/weights.rs
@@ -1,4 +1,4 @@
-//! Fetches weights from the weight store.
+//! Fetching of weights from the weight store.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,12 +12,13 @@
 use super::EngineServer;
 use crate::engine::WeightsNeeded;
 
-/// Pause before another try when the store does not say.
-const RETRY_PAUSE: Duration = Duration::from_secs(1);
-/// Largest manifest.
-const LARGEST_MANIFEST: usize = 64 * 1024;
+/// Retry delay when the store does not send a `retry-after` header.
+const RETRY_DELAY: Duration = Duration::from_secs(1);
+/// Maximum size of a manifest, in bytes.
+const MAX_MANIFEST_BYTES: usize = 64 * 1024;
 
-/// Fetches `needed` and tells the core, unless an order overtakes it.
+/// Fetches `needed` and reports it to the core. Stops retrying when a later order
+/// makes the weights obsolete.
 pub async fn fetch(server: Arc<EngineServer>, needed: WeightsNeeded) {
     while server.with_core(|core, _| core.wants_weights(&needed)) {
         let Some(store) = server.weights else {
@@ -33,35 +34,35 @@
                 Timer::after(pause).await;
             }
         }
-        if server.switches.is_stopped() {
+        if server.controls.is_stopped() {
             return;
         }
     }
     server.with_core(|core, _| core.weights_arrived(&needed));
 }
 
-/// Asks the store once; the error is the pause before the next try.
+/// Requests the manifest once. The error is the delay before the next attempt.
 async fn manifest(
     server: &EngineServer,
     store: SocketAddr,
     needed: &WeightsNeeded,
 ) -> Result<WeightManifest, Duration> {
     let path = format!("{WEIGHTS_PATH}/{}", needed.name());
-    let request = new_request(Method::Get, store, &path).map_err(|_| RETRY_PAUSE)?;
+    let request = new_request(Method::Get, store, &path).map_err(|_| RETRY_DELAY)?;
     let response = server.pool.send(store, request).await;
-    let response = response.map_err(|_| RETRY_PAUSE)?;
+    let response = response.map_err(|_| RETRY_DELAY)?;
     if !response.status().is_success() {
         let seconds = response
             .header("retry-after")
             .and_then(|text| text.parse().ok());
-        return Err(seconds.map_or(RETRY_PAUSE, Duration::from_secs));
+        return Err(seconds.map_or(RETRY_DELAY, Duration::from_secs));
     }
     let manifest: WeightManifest = response
-        .json(LARGEST_MANIFEST)
+        .json(MAX_MANIFEST_BYTES)
         .await
-        .map_err(|_| RETRY_PAUSE)?;
+        .map_err(|_| RETRY_DELAY)?;
     match needed {
-        WeightsNeeded::Model { version, .. } if manifest.version < *version => Err(RETRY_PAUSE),
+        WeightsNeeded::Model { version, .. } if manifest.version < *version => Err(RETRY_DELAY),
         _ => Ok(manifest),
     }
 }
--- a/crates/emulator/src/fleet/mod.rs
+++ b/crates/emulator/src/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! All stand-ins of a fleet in one process.
+//! All emulated services of a fleet in one process.
 
 mod settings;
 
@@ -16,16 +16,16 @@
 use crate::engine_server::{EngineServer, EngineServerSettings};
 use crate::faults::FaultSettings;
 use crate::platform::{Platform, PlatformSettings};
-use crate::server::{Running, Switches};
-use crate::switch_api::Switched;
+use crate::server::{Running, ServiceControls};
+use crate::switch_api::ControlledBackend;
 use crate::weight_store::{WeightStore, WeightStoreSettings};
 
 pub use settings::FleetSettings;
 
-/// First life of every machine.
-const FIRST_LIFE: Incarnation = Incarnation(1);
+/// Initial incarnation of every machine.
+const FIRST_INCARNATION: Incarnation = Incarnation(1);
 
-/// Control over one back end.
+/// Handle for controlling one back end.
 #[derive(Clone)]
 pub enum BackendHandle {
     /// An engine.
@@ -35,23 +35,23 @@
 }
 
 impl BackendHandle {
-    /// Puts faults in force, in place of those before.
+    /// Replaces the active faults.
     pub fn set_faults(&self, faults: FaultSettings) {
-        self.switched().set_faults(faults);
+        self.controlled().set_faults(faults);
     }
 
-    /// Dies and starts its next life after `down`.
+    /// Crashes the back end and starts its next incarnation after `down`.
     pub fn crash(&self, down: Duration) {
-        self.switched().crash(down);
+        self.controlled().crash(down);
     }
 
-    /// The count of executions.
+    /// Returns the execution counts.
     #[must_use]
     pub fn executions(&self) -> ExecutionLog {
-        self.switched().executions()
+        self.controlled().executions()
     }
 
-    fn switched(&self) -> &dyn Switched {
+    fn controlled(&self) -> &dyn ControlledBackend {
         match self {
             Self::Engine(engine) => engine.as_ref(),
             Self::Application(application) => application.as_ref(),
@@ -62,44 +62,44 @@
 /// One back end of a fleet.
 #[derive(Clone)]
 pub struct Member {
-    /// As it stood in the platform list at the start.
+    /// Initial entry in the platform list.
     pub machine: Machine,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// Control over it.
+    /// Control handle.
     pub handle: BackendHandle,
 }
 
-/// A fleet that serves until it is dropped.
+/// A running fleet; it stops when dropped.
 pub struct Fleet {
-    /// Engines, then application back ends, in the order of their numbers.
+    /// Engines, then application back ends, ordered by identifier.
     pub members: Vec<Member>,
-    /// Where the platform list is.
+    /// Address of the platform list.
     pub platform_address: SocketAddr,
-    /// Control over the platform list.
+    /// Control handle of the platform list.
     pub platform: Arc<Platform>,
-    /// Where the weight store is.
+    /// Address of the weight store.
     pub weights_address: SocketAddr,
-    /// Control over the weight store.
+    /// Control handle of the weight store.
     pub weights: Arc<WeightStore>,
-    switches: Vec<Arc<Switches>>,
+    controls: Vec<Arc<ServiceControls>>,
 }
 
 impl Fleet {
-    /// Starts every stand-in on `executor`.
+    /// Starts every emulated service on `executor`.
     ///
     /// # Errors
-    /// When an address cannot be bound.
+    /// If an address cannot be bound.
     pub fn start(executor: &Arc<Executor<'static>>, settings: &FleetSettings) -> io::Result<Self> {
         let mut starter = Starter {
             executor,
             settings,
             next_port: settings.first_port,
             next_backend: 1,
-            switches: Vec::new(),
+            controls: Vec::new(),
             members: Vec::new(),
         };
-        let (platform_listen, weights_listen) = (starter.address(), starter.address());
+        let (platform_listen, weights_listen) = (starter.next_address(), starter.next_address());
         let weights = WeightStoreSettings {
             listen: weights_listen,
             weights: settings.weights.clone(),
@@ -116,23 +116,23 @@
         };
         let (platform, platform_running) = Platform::start(executor, platform)?;
         let Starter {
-            mut switches,
+            mut controls,
             members,
             ..
         } = starter;
-        switches.push(weights_running.switches);
-        switches.push(platform_running.switches);
+        controls.push(weights_running.controls);
+        controls.push(platform_running.controls);
         Ok(Self {
             members,
             platform_address: platform_running.address,
             platform,
             weights_address: weights_running.address,
             weights,
-            switches,
+            controls,
         })
     }
 
-    /// The back ends as they stood in the platform list at the start.
+    /// Returns the initial platform list of the back ends.
     #[must_use]
     pub fn machines(&self) -> Vec<Machine> {
         self.members
@@ -141,16 +141,16 @@
             .collect()
     }
 
-    /// The back end of that number.
+    /// Returns the back end with identifier `id`.
     #[must_use]
     pub fn member(&self, id: BackendId) -> Option<&Member> {
         self.members.iter().find(|member| member.machine.id == id)
     }
 
-    /// Ends every stand-in.
+    /// Stops every emulated service.
     pub fn stop(&self) {
-        for switches in &self.switches {
-            switches.stop();
+        for controls in &self.controls {
+            controls.stop();
         }
     }
 }
@@ -161,13 +161,13 @@
     }
 }
 
-/// Starts back ends one after the other.
+/// Assigns addresses and identifiers to back ends and starts them.
 struct Starter<'a> {
     executor: &'a Arc<Executor<'static>>,
     settings: &'a FleetSettings,
     next_port: u16,
     next_backend: u32,
-    switches: Vec<Arc<Switches>>,
+    controls: Vec<Arc<ServiceControls>>,
     members: Vec<Member>,
 }
 
@@ -182,8 +182,9 @@
         Ok(())
     }
 
-    /// The next address: of the range, or a free one.
-    fn address(&mut self) -> SocketAddr {
+    /// Returns the next address of the port range, or one with port 0 if the
+    /// ports are chosen by the system.
+    fn next_address(&mut self) -> SocketAddr {
         let port = self.next_port;
         if port != 0 {
             self.next_port = port.saturating_add(1);
@@ -191,7 +192,7 @@
         SocketAddr::from(([127, 0, 0, 1], port))
     }
 
-    fn backend(&mut self) -> BackendId {
+    fn next_backend_id(&mut self) -> BackendId {
         let id = BackendId(self.next_backend);
         self.next_backend += 1;
         id
@@ -208,15 +209,15 @@
     }
 
     fn start_engine(&mut self, position: u32, weights: SocketAddr) -> io::Result<()> {
-        let backend = self.backend();
+        let backend = self.next_backend_id();
         let settings = EngineServerSettings {
             engine: EngineSettings {
                 backend,
-                incarnation: FIRST_LIFE,
+                incarnation: FIRST_INCARNATION,
                 model: self.settings.engine.clone(),
                 models: vec![self.settings.model.clone()],
             },
-            listen: self.address(),
+            listen: self.next_address(),
             weights: Some(weights),
             load_bytes_per_second: self.settings.load_bytes_per_second,
             seed: self.seed(backend),
@@ -238,11 +239,11 @@
     }
 
     fn start_application(&mut self, position: u32) -> io::Result<()> {
-        let backend = self.backend();
+        let backend = self.next_backend_id();
         let settings = ApplicationSettings {
             backend,
-            incarnation: FIRST_LIFE,
-            listen: self.address(),
+            incarnation: FIRST_INCARNATION,
+            listen: self.next_address(),
             capacity: self.settings.application_capacity,
             service_time: Duration::from_micros(self.settings.application_micros),
             load_interval: Duration::from_micros(self.settings.engine.load_interval_micros),
@@ -274,14 +275,14 @@
     ) {
         let machine = Machine {
             id,
-            incarnation: FIRST_LIFE,
+            incarnation: FIRST_INCARNATION,
             kind,
             address: running.address.to_string(),
             zone: self.zone(position),
             service,
             state: MachineState::Live,
         };
-        self.switches.push(running.switches);
+        self.controls.push(running.controls);
         self.members.push(Member {
             machine,
             address: running.address,
@@ -297,7 +298,7 @@
     }
 }
 
-/// Weights of a model, as the store keeps them.
+/// Returns the weight store's manifest of a model or adapter.
 #[must_use]
 pub fn model_weights(name: &str, version: u32, bytes: u64) -> WeightManifest {
     WeightManifest {
--- a/crates/emulator/src/server/connection.rs
+++ b/crates/emulator/src/server/connection.rs
@@ -1,4 +1,5 @@
-//! A connection that can break or repeat what it carries.
+//! A connection with fault injection: it can cut a request or response short,
+//! or send a response twice.
 
 use std::io;
 use std::net::TcpStream;
@@ -10,45 +11,46 @@
 use async_io::Async;
 use futures_lite::{AsyncRead, AsyncWrite, AsyncWriteExt, ready};
 
-use super::{Service, Switches};
+use super::{Service, ServiceControls};
 use crate::faults::AnswerFault;
 
-/// End of a response head.
+/// Bytes that terminate a response head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// Progress of the request and response that are under way.
+/// Progress of the current request and response.
 #[derive(Default)]
 struct Exchange {
-    /// Set once the first bytes of the request are there.
-    begun: bool,
+    /// Whether the first bytes of the request have been read.
+    started: bool,
     fault: Option<AnswerFault>,
     read: u64,
     written: u64,
-    /// Bytes of the response that may still be written, when it is cut.
+    /// Total number of response bytes to write before the connection is cut;
+    /// `None` when the response is not cut.
     write_limit: Option<u64>,
-    /// What was written, when it is to be repeated.
+    /// Response bytes written so far; `None` unless the response is sent twice.
     copy: Option<Vec<u8>>,
 }
 
-/// A stream that shows the fault chosen for the request that it carries.
+/// A TCP stream that injects the fault chosen for its current request.
 #[derive(Clone)]
 pub(super) struct FaultyStream {
     stream: Arc<Async<TcpStream>>,
     exchange: Arc<Mutex<Exchange>>,
-    switches: Arc<Switches>,
+    controls: Arc<ServiceControls>,
     service: Arc<dyn Service>,
 }
 
 impl FaultyStream {
     pub(super) fn new(
         stream: Async<TcpStream>,
-        switches: Arc<Switches>,
+        controls: Arc<ServiceControls>,
         service: Arc<dyn Service>,
     ) -> Self {
         Self {
             stream: Arc::new(stream),
             exchange: Arc::default(),
-            switches,
+            controls,
             service,
         }
     }
@@ -61,13 +63,14 @@
         *self.lock() = Exchange::default();
     }
 
-    /// Chooses the fault of a request from its first bytes.
-    fn note_read(&self, bytes: &[u8]) {
+    /// Counts bytes read. Chooses a fault when the first bytes of a request
+    /// arrive.
+    fn record_read(&self, bytes: &[u8]) {
         let mut exchange = self.lock();
-        if !exchange.begun && !bytes.is_empty() {
-            exchange.begun = true;
-            if self.service.is_work(request_path(bytes)) {
-                exchange.fault = self.switches.choose_fault();
+        if !exchange.started && !bytes.is_empty() {
+            exchange.started = true;
+            if self.service.accepts_answer_faults(request_path(bytes)) {
+                exchange.fault = self.controls.choose_fault();
                 exchange.prepare();
             }
         }
@@ -84,7 +87,8 @@
         }
     }
 
-    /// Bytes of the request that may still be read, when it is cut.
+    /// Returns how many bytes of the request may still be read; `None` when the
+    /// request is not cut.
     fn read_left(&self) -> Option<u64> {
         match self.fault {
             Some(AnswerFault::CutRequest { bytes }) => Some(bytes.saturating_sub(self.read)),
@@ -92,8 +96,10 @@
         }
     }
 
-    /// Cuts a plain response in the middle of its body, known from its head.
-    fn limit_truncated(&mut self, bytes: &[u8]) {
+    /// Sets the write limit of a truncated response to the middle of its body,
+    /// according to the `content-length` in its head. Streamed responses have
+    /// none and are truncated by their body.
+    fn limit_truncated_response(&mut self, bytes: &[u8]) {
         let truncated = self.fault == Some(AnswerFault::Truncated);
         if !truncated || self.write_limit.is_some() || self.written > 0 {
             return;
@@ -107,7 +113,7 @@
         }
     }
 
-    /// How many of `length` bytes may be written now.
+    /// Returns how many of the next `length` bytes may be written.
     fn writable(&self, length: usize) -> usize {
         match self.write_limit {
             Some(limit) => length.min(limit.saturating_sub(self.written) as usize),
@@ -130,14 +136,15 @@
     line.trim().parse().ok()
 }
 
-/// Path of a request that starts with `bytes`; empty when it is cut off.
+/// Returns the path of a request that starts with `bytes`; empty if `bytes`
+/// does not reach the path.
 fn request_path(bytes: &[u8]) -> &str {
     let mut parts = bytes.split(|byte| *byte == b' ');
     let path = parts.nth(1).unwrap_or_default();
     std::str::from_utf8(path).unwrap_or_default()
 }
 
-fn broken() -> io::Error {
+fn connection_reset() -> io::Error {
     io::Error::from(io::ErrorKind::ConnectionReset)
 }
 
@@ -148,17 +155,17 @@
         buffer: &mut [u8],
     ) -> Poll<io::Result<usize>> {
         if self.lock().read_left() == Some(0) {
-            return Poll::Ready(Err(broken()));
+            return Poll::Ready(Err(connection_reset()));
         }
         let mut stream = &*self.stream;
         let count = ready!(Pin::new(&mut stream).poll_read(context, buffer))?;
         let before = self.lock().read;
-        self.note_read(&buffer[..count]);
+        self.record_read(&buffer[..count]);
         let exchange = self.lock();
         if let Some(AnswerFault::CutRequest { bytes }) = exchange.fault {
             let visible = bytes.saturating_sub(before) as usize;
             if visible == 0 && count > 0 {
-                return Poll::Ready(Err(broken()));
+                return Poll::Ready(Err(connection_reset()));
             }
             return Poll::Ready(Ok(count.min(visible)));
         }
@@ -173,10 +180,10 @@
         buffer: &[u8],
     ) -> Poll<io::Result<usize>> {
         let mut exchange = self.lock();
-        exchange.limit_truncated(buffer);
+        exchange.limit_truncated_response(buffer);
         let writable = exchange.writable(buffer.len());
         if writable == 0 && !buffer.is_empty() {
-            return Poll::Ready(Err(broken()));
+            return Poll::Ready(Err(connection_reset()));
         }
         let mut stream = &*self.stream;
         let count = ready!(Pin::new(&mut stream).poll_write(context, &buffer[..writable]))?;
@@ -198,16 +205,16 @@
     }
 }
 
-/// Serves requests until the connection ends or breaks.
+/// Serves requests until the connection is closed or fails.
 pub(super) async fn serve(stream: FaultyStream, service: Arc<dyn Service>) {
     let endpoint = |request| {
         let service = service.clone();
-        let switches = stream.switches.clone();
+        let controls = stream.controls.clone();
         let fault = stream.lock().fault;
         async move {
             let path = http_types::Request::url(&request).path().to_owned();
-            if !is_switch(&path) {
-                switches.before_request().await;
+            if !is_control_path(&path) {
+                controls.delay_request().await;
             }
             if let Some(AnswerFault::Late { millis }) = fault {
                 let response = service.call(request, fault).await;
@@ -237,7 +244,7 @@
     Ok(())
 }
 
-/// Whether `path` belongs to the switches, which also a frozen stand-in obeys.
-fn is_switch(path: &str) -> bool {
+/// Whether `path` is a control endpoint. A frozen service still answers these.
+fn is_control_path(path: &str) -> bool {
     path.starts_with(crate::EMULATOR_PATH)
 }
--- a/crates/emulator/src/server/mod.rs
+++ b/crates/emulator/src/server/mod.rs
@@ -1,7 +1,7 @@
-//! Listening sockets of the stand-ins, with faults of their connections.
+//! Listening sockets of the emulated services, with connection faults.
 //!
-//! The accept loop is not the one of `molespan-http`, since a stand-in must be
-//! able to break every byte of a connection.
+//! The accept loop of `molespan-http` is not used, since an emulated service must
+//! be able to break a connection at any byte.
 
 mod connection;
 mod event_body;
@@ -25,20 +25,20 @@
 pub use reply::{
     error_reply, header, json_reply, not_found, query_number, query_text, read_body, read_json,
 };
+pub use switches::ServiceControls;
 use switches::Signal;
-pub use switches::Switches;
 
-/// Pause before another try to bind or accept.
-const RETRY_PAUSE: Duration = Duration::from_millis(20);
+/// Delay before retrying to bind or accept.
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Answers the requests of one stand-in.
+/// Request handler of one emulated service.
 pub trait Service: Send + Sync + 'static {
-    /// Whether a request on `path` is work that answer faults may hit, rather
-    /// than a probe or a switch.
-    fn is_work(&self, path: &str) -> bool;
+    /// Whether answer faults may affect requests to `path`. Probes and control
+    /// requests are exempt.
+    fn accepts_answer_faults(&self, path: &str) -> bool;
 
-    /// Answers one request, showing `fault` as far as it concerns the answer.
-    /// An error closes the connection without an answer.
+    /// Handles one request and applies `fault` if it concerns the content of the
+    /// response. An error closes the connection without a response.
     fn call(
         self: Arc<Self>,
         request: Request,
@@ -46,23 +46,23 @@
     ) -> Boxed<http_types::Result<Response>>;
 }
 
-/// A stand-in that serves.
+/// A running emulated service.
 pub struct Running {
-    /// Where it listens.
+    /// Bound listen address.
     pub address: SocketAddr,
-    /// Its switches.
-    pub switches: Arc<Switches>,
+    /// Fault and lifecycle controls.
+    pub controls: Arc<ServiceControls>,
 }
 
-/// Starts to serve on `address`; port 0 takes a free one. It ends with
-/// [`Switches::stop`].
+/// Starts serving on `address` until [`ServiceControls::stop`] is called. Port 0 selects
+/// a free port.
 ///
 /// # Errors
-/// When the address cannot be bound.
+/// If the address cannot be bound.
 pub fn start(
     executor: &Arc<Executor<'static>>,
     address: SocketAddr,
-    switches: Arc<Switches>,
+    controls: Arc<ServiceControls>,
     service: Arc<dyn Service>,
 ) -> io::Result<Running> {
     let listener = Async::<TcpListener>::bind(address)?;
@@ -70,64 +70,72 @@
     let acceptor = Acceptor {
         executor: executor.clone(),
         address,
-        switches: switches.clone(),
+        controls: controls.clone(),
         service,
     };
     executor.spawn(acceptor.run(listener)).detach();
-    Ok(Running { address, switches })
+    Ok(Running { address, controls })
 }
 
 struct Acceptor {
     executor: Arc<Executor<'static>>,
     address: SocketAddr,
-    switches: Arc<Switches>,
+    controls: Arc<ServiceControls>,
     service: Arc<dyn Service>,
 }
 
 impl Acceptor {
-    /// Serves one life after the other.
+    /// Serves one incarnation after the other until the service is stopped.
     async fn run(self, first: Async<TcpListener>) {
         let mut listener = first;
         loop {
-            let life = self.switches.life();
-            life.clone().ended().or(self.accept(&listener, &life)).await;
+            let incarnation_end = self.controls.incarnation_end();
+            incarnation_end
+                .clone()
+                .wait()
+                .or(self.accept(&listener, &incarnation_end))
+                .await;
             drop(listener);
-            if !self.switches.until_restart().await {
+            if !self.controls.wait_for_restart().await {
                 return;
             }
-            listener = self.bind_again().await;
+            listener = self.rebind().await;
         }
     }
 
-    async fn accept(&self, listener: &Async<TcpListener>, life: &Signal) {
+    async fn accept(&self, listener: &Async<TcpListener>, incarnation_end: &Signal) {
         loop {
             match listener.accept().await {
-                Ok((stream, _)) => self.spawn_connection(stream, life.clone()),
-                // For example too many open files: others may close.
+                Ok((stream, _)) => self.spawn_connection(stream, incarnation_end.clone()),
+                // A temporary error such as too many open files, which may
+                // resolve when other connections close.
                 Err(_) => {
-                    Timer::after(RETRY_PAUSE).await;
+                    Timer::after(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    async fn bind_again(&self) -> Async<TcpListener> {
+    async fn rebind(&self) -> Async<TcpListener> {
         loop {
             match Async::<TcpListener>::bind(self.address) {
                 Ok(listener) => return listener,
                 Err(_) => {
-                    Timer::after(RETRY_PAUSE).await;
+                    Timer::after(RETRY_DELAY).await;
                 }
             }
         }
     }
 
-    /// Serves `stream` for as long as the life that accepted it.
-    fn spawn_connection(&self, stream: Async<TcpStream>, life: Signal) {
-        // Small writes follow each other; without this they wait for acks.
+    /// Serves `stream` until it is closed or the incarnation that accepted it ends.
+    fn spawn_connection(&self, stream: Async<TcpStream>, incarnation_end: Signal) {
+        // Responses consist of several small writes; with Nagle's algorithm they
+        // would wait for acknowledgements.
         let _ = stream.get_ref().set_nodelay(true);
-        let connection = FaultyStream::new(stream, self.switches.clone(), self.service.clone());
+        let connection = FaultyStream::new(stream, self.controls.clone(), self.service.clone());
         let served = connection::serve(connection, self.service.clone());
-        self.executor.spawn(life.ended().or(served)).detach();
+        self.executor
+            .spawn(incarnation_end.wait().or(served))
+            .detach();
     }
 }
--- a/crates/emulator/tests/engine_contract.rs
+++ b/crates/emulator/tests/engine_contract.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP interface and each fault that it can show.
+//! The engine's HTTP interface and each of its faults.
 
 #[allow(dead_code)]
 mod support;
@@ -137,7 +137,7 @@
     assert_eq!(later.generated, cancelled.generated);
 }
 
-/// A request that is refused, the status and the error expected.
+/// A request that is rejected, with the expected status and error.
 struct Refused {
     name: &'static str,
     path: &'static str,
@@ -217,7 +217,7 @@
     let fleet = TestFleet::start(&settings);
     let load = r#""action":"load_model","model":"summary","version":1"#;
     let leave = r#""action":"leave""#;
-    // token, incarnation, action, status, highest token afterwards
+    // Columns: token, incarnation, action, status, highest token afterwards.
     let cases = [
         (5, 1, load, 200, 5),
         (5, 1, load, 200, 5),
@@ -274,11 +274,11 @@
     assert!(warm.json::<CompletionResponse>().usage.cached_tokens > 0);
 }
 
-/// What a client sees of one answer fault.
+/// An answer fault and its effect on the client.
 struct FaultCase {
     fault: AnswerFault,
     stream: bool,
-    /// Whether the request runs.
+    /// Whether the engine runs the request.
     runs: bool,
     check: fn(&RawResponse),
 }
@@ -444,7 +444,7 @@
 }
 
 #[test]
-fn a_frozen_engine_answers_after_the_thaw() {
+fn a_frozen_engine_answers_once_unfrozen() {
     let fleet = TestFleet::start(&small_settings());
     let frozen = FaultSettings {
         engine: EngineFaults {
@@ -471,7 +471,7 @@
 }
 
 #[test]
-fn a_crash_ends_connections_and_starts_a_new_life() {
+fn a_crash_closes_connections_and_starts_a_new_incarnation() {
     let fleet = TestFleet::start(&small_settings());
     let address = fleet.engine();
     let waiting = std::thread::spawn(move || {
@@ -497,15 +497,15 @@
     assert_eq!(
         executions(&fleet, "lost").started,
         1,
-        "checkers still see it"
+        "execution counts survive a crash"
     );
 }
 
 #[test]
-fn load_reports_can_lie() {
+fn load_reports_can_be_scaled() {
     let fleet = TestFleet::start(&small_settings());
     let address = fleet.engine();
-    let lie = FaultSettings {
+    let scaled_load = FaultSettings {
         engine: EngineFaults {
             load_scale: 0.0,
             ..EngineFaults::default()
@@ -519,6 +519,6 @@
         report.online_running
     };
     wait_for("load", || (running() == 1).then_some(()));
-    set_faults(&fleet, &lie);
+    set_faults(&fleet, &scaled_load);
     assert_eq!(running(), 0);
 }
--- a/crates/emulator/tests/other_contracts.rs
+++ b/crates/emulator/tests/other_contracts.rs
@@ -1,5 +1,5 @@
-//! The interfaces of application back ends, the platform list and the weight
-//! store, with their faults.
+//! HTTP interfaces and faults of application back ends, the platform list and the
+//! weight store.
 
 #[allow(dead_code)]
 mod support;
@@ -51,7 +51,7 @@
     assert_eq!(application_executions(&fleet, "a-1").completed, 1);
 }
 
-/// What a client sees of one answer fault of an application back end.
+/// An answer fault of an application back end and its effect on the client.
 struct FaultCase {
     fault: AnswerFault,
     started: u32,
@@ -149,12 +149,12 @@
 }
 
 #[test]
-fn the_list_lags_and_can_go_back_in_time() {
+fn the_platform_list_lags_and_can_be_rewound() {
     let mut core = PlatformCore::new(Duration::from_secs(1), vec![machine(1)]);
     let at = Timestamp::from_millis;
     core.set_state(at(100), BackendId(1), MachineState::Leaving);
     core.set_machine(at(200), machine(2));
-    // time, revision, state of machine 1, machines
+    // Columns: time in ms, revision, state of machine 1, number of machines.
     let cases = [
         (50, 1, MachineState::Live, 1),
         (1_099, 1, MachineState::Live, 1),
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn the_list_over_http() {
+fn the_platform_list_over_http() {
     let fleet = TestFleet::start(&small_settings());
     let address = fleet.fleet.platform_address;
     let list = || -> MachineList { call(address, "GET", "/machines", &[], "").json() };
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn the_store_limits_its_rate() {
+fn the_weight_store_limits_its_rate() {
     let weights = vec![model_weights("m", 1, 1_000)];
     let mut store = WeightStoreCore::new(weights, 1_000, 1_500);
     let granted = Fetch::Granted(model_weights("m", 1, 1_000));
@@ -217,14 +217,14 @@
     assert_eq!(store.fetch(at(0), "m"), granted);
     assert_eq!(store.fetch(at(0), "m"), granted);
     let Fetch::Limited(pause) = store.fetch(at(0), "m") else {
-        panic!("the budget is spent");
+        panic!("a fetch with an exhausted budget must be limited");
     };
     assert!(matches!(store.fetch(at(400), "m"), Fetch::Limited(_)));
     assert_eq!(store.fetch(Timestamp::ZERO + pause, "m"), granted);
 }
 
 #[test]
-fn the_store_over_http() {
+fn the_weight_store_over_http() {
     let settings = FleetSettings {
         store_bytes_per_second: 1,
         store_burst_bytes: 1,
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn an_order_loads_a_model_through_the_store() {
+fn an_order_loads_a_model_from_the_weight_store() {
     let fleet = TestFleet::start(&FleetSettings {
         load_bytes_per_second: u64::MAX,
         ..small_settings()
