--- a/crates/consensus/src/replica/output.rs
+++ b/crates/consensus/src/replica/output.rs
@@ -121,7 +121,7 @@
     }
 
     /// Returns the hard state if the term or vote changed, or if the commit index
-    /// changed and `entries` says that entries are written as well. The commit index
+    /// changed and `entries` indicates that entries are written as well. The commit index
     /// alone does not cause a sync.
     fn take_hard_state(&mut self, entries: bool) -> Option<HardState> {
         let commit = self.log.commit();
--- a/crates/replica/src/group/snapshots.rs
+++ b/crates/replica/src/group/snapshots.rs
@@ -52,7 +52,7 @@
 }
 
 impl<D: Disk> Group<D> {
-    /// Takes a snapshot if one is due, or if `lagging` says that this group retains
+    /// Takes a snapshot if one is due, or if `lagging` indicates that this group retains
     /// old segments of the log. Returns whether it took one.
     pub fn snapshot_if_due(
         &mut self,
