--- a/crates/replica/examples/figures/fleet.rs
+++ b/crates/replica/examples/figures/fleet.rs
@@ -104,8 +104,12 @@
             let groups = self.status(node).map(|status| status.groups);
             groups.is_some_and(|groups| {
                 groups.iter().all(|group| {
-                    let lives: Vec<u32> = group.voters.iter().map(|(_, life)| *life).collect();
-                    lives == incarnations
+                    let voter_incarnations: Vec<u32> = group
+                        .voters
+                        .iter()
+                        .map(|(_, incarnation)| *incarnation)
+                        .collect();
+                    voter_incarnations == incarnations
                 })
             })
         })
--- a/crates/replica/src/fleet.rs
+++ b/crates/replica/src/fleet.rs
@@ -541,8 +541,10 @@
         if !self.discovers || !blank || founders.is_empty() {
             return Ok(());
         }
-        let lives = founders.iter().map(|(&node, &life)| replica_id(node, life));
-        let founders = lives.collect();
+        let replicas = founders
+            .iter()
+            .map(|(&node, &incarnation)| replica_id(node, incarnation));
+        let founders = replicas.collect();
         let own = self.identity.node;
         self.set_founders(founders, changes)?;
         let nodes = self.record.founders.iter().map(|&founder| node_of(founder));
--- a/crates/replica/src/group/apply.rs
+++ b/crates/replica/src/group/apply.rs
@@ -80,14 +80,14 @@
     pub(super) fn record_membership(&mut self, turn: &mut Turn<'_, D>, membership: &Membership) {
         let present = membership.members();
         let before = self.membership.all_voters();
-        let gone: BTreeSet<ReplicaId> = before.difference(&present).copied().collect();
-        for &replica in &gone {
+        let removed: BTreeSet<ReplicaId> = before.difference(&present).copied().collect();
+        for &replica in &removed {
             turn.event(ReplicaEvent::ReplicaReplaced {
                 group: self.id,
                 node: node_of(replica),
             });
         }
-        turn.replaced.extend(gone);
+        turn.replaced.extend(removed);
         self.membership.clone_from(membership);
         self.membership_index = self.applied;
     }
--- a/crates/replica/src/group/members.rs
+++ b/crates/replica/src/group/members.rs
@@ -47,8 +47,8 @@
             return Some(MembershipChange::Replace { lost, replacement });
         }
         let mut learners = membership.learners.iter().copied();
-        let other_life = learners.find(|&learner| node_of(learner) == node_of(replacement));
-        Some(match other_life {
+        let other_incarnation = learners.find(|&learner| node_of(learner) == node_of(replacement));
+        Some(match other_incarnation {
             Some(learner) => MembershipChange::RemoveLearner(learner),
             None => MembershipChange::AddLearner(replacement),
         })
--- a/crates/replica/src/group/mod.rs
+++ b/crates/replica/src/group/mod.rs
@@ -194,11 +194,12 @@
 
     pub fn status(&self) -> GroupStatus {
         let status = self.replica.status();
-        let lives = |members: &mut dyn Iterator<Item = molespan_consensus::ReplicaId>| {
-            members
-                .map(|id| (node_of(id), incarnation_of(id)))
-                .collect()
-        };
+        let with_incarnations =
+            |members: &mut dyn Iterator<Item = molespan_consensus::ReplicaId>| {
+                members
+                    .map(|id| (node_of(id), incarnation_of(id)))
+                    .collect()
+            };
         GroupStatus {
             group: self.id,
             leads: self.leads(),
@@ -208,8 +209,8 @@
             applied: self.applied.0,
             snapshot: self.policy.snapshot_index().0,
             payload_bytes: self.payloads.length(),
-            voters: lives(&mut status.membership.all_voters().into_iter()),
-            learners: lives(&mut status.membership.learners.into_iter()),
+            voters: with_incarnations(&mut status.membership.all_voters().into_iter()),
+            learners: with_incarnations(&mut status.membership.learners.into_iter()),
         }
     }
 }
--- a/crates/replica/src/status.rs
+++ b/crates/replica/src/status.rs
@@ -65,8 +65,8 @@
     pub fn votes_in(&self) -> impl Iterator<Item = GroupId> {
         let own = (self.node, self.incarnation);
         let votes = move |group: &&GroupStatus| {
-            let mut lives = group.voters.iter().filter(|(node, _)| *node == own.0);
-            lives.next() == Some(&own) && lives.next().is_none()
+            let mut own_voters = group.voters.iter().filter(|(node, _)| *node == own.0);
+            own_voters.next() == Some(&own) && own_voters.next().is_none()
         };
         self.groups.iter().filter(votes).map(|group| group.group)
     }
--- a/crates/replica/tests/batch_outputs.rs
+++ b/crates/replica/tests/batch_outputs.rs
@@ -124,10 +124,10 @@
         let groups = statuses.iter().filter_map(|status| status.groups.first());
         let applied: BTreeSet<u64> = groups.clone().map(|group| group.applied).collect();
         let own = statuses.iter().all(|status| {
-            let life = (status.node, status.incarnation);
+            let member = (status.node, status.incarnation);
             let group = status.groups.first();
-            let votes =
-                group.is_some_and(|group| group.voters.len() == 3 && group.voters.contains(&life));
+            let votes = group
+                .is_some_and(|group| group.voters.len() == 3 && group.voters.contains(&member));
             votes && status.takes_part
         });
         groups.count() == NODES.len() && applied.len() == 1 && own
--- a/crates/replica/tests/claims.rs
+++ b/crates/replica/tests/claims.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn claim_that_stays_open_ends_as_unknown_also_after_a_leader_change() {
+fn open_claim_is_settled_as_unknown_even_after_a_leader_change() {
     let mut cluster = Cluster::with_settings(3, 5, short_claims);
     cluster.run_until_leaders();
     assert_eq!(claim(&mut cluster, "bill", 1), ClaimReply::Granted);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn claim_that_is_settled_or_granted_anew_in_time_is_left_alone() {
+fn claim_that_is_settled_or_granted_again_in_time_does_not_expire_early() {
     let mut cluster = Cluster::with_settings(3, 6, short_claims);
     cluster.run_until_leaders();
     claim(&mut cluster, "paid", 1);
--- a/crates/replica/tests/cluster/mod.rs
+++ b/crates/replica/tests/cluster/mod.rs
@@ -425,17 +425,17 @@
 
     /// Whether the voters of each group are exactly the current incarnations of all nodes.
     pub fn all_nodes_vote(&self) -> bool {
-        let lives: BTreeSet<(NodeId, u32)> = self
+        let members: BTreeSet<(NodeId, u32)> = self
             .statuses()
             .iter()
             .map(|status| (status.node, status.incarnation))
             .collect();
-        lives.len() == self.disks.len()
+        members.len() == self.disks.len()
             && self.statuses().iter().all(|status| {
                 status
                     .groups
                     .iter()
-                    .all(|group| group.voters.iter().copied().collect::<BTreeSet<_>>() == lives)
+                    .all(|group| group.voters.iter().copied().collect::<BTreeSet<_>>() == members)
             })
     }
 }
--- a/crates/replica/tests/crash_points.rs
+++ b/crates/replica/tests/crash_points.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn life_that_ends_is_emptied_when_power_fails_at_each_change() {
+fn ended_incarnation_is_wiped_when_power_fails_at_each_change() {
     for point in 0..40 {
         let mut cluster = Cluster::with_settings(3, point, small_limits);
         cluster.run_until_leaders();
--- a/crates/replica/tests/discovery.rs
+++ b/crates/replica/tests/discovery.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_blank_disk_at_the_old_address_gets_its_place_back() {
+fn a_blank_disk_at_the_old_address_becomes_a_voter_again() {
     for seed in 0..6 {
         let mut cluster = founded_cluster(3, seed, discover);
         cluster.confirm_many(20);
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn a_retiring_node_gives_its_place_away_and_gets_none_back() {
+fn a_retiring_node_is_replaced_and_does_not_become_a_voter_again() {
     for (seed, leaving) in [(11, 1), (12, 2), (13, 3)] {
         let mut cluster = founded_cluster(4, seed, discover);
         cluster.confirm_many(10);
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn all_killed_or_without_power_return_with_everything() {
+fn all_nodes_recover_everything_after_being_killed() {
     for seed in 20..26 {
         let mut cluster = founded_cluster(3, seed, discover);
         cluster.confirm_many(15);
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn founders_that_are_told_later_found_once() {
+fn founders_that_are_announced_later_found_once() {
     fn without_founders(settings: &mut ReplicaSettings) {
         discover(settings);
         if let Some(discovery) = &mut settings.discovery {
--- a/crates/replica/tests/disks.rs
+++ b/crates/replica/tests/disks.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn five_nodes_bear_two_disks_lost_at_once() {
+fn five_nodes_survive_two_disks_lost_at_once() {
     let mut cluster = Cluster::new(5, 1);
     cluster.run_until_leaders();
     cluster.confirm_many(20);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn rolled_back_disk_starts_a_new_life() {
+fn rolled_back_disk_starts_a_new_incarnation() {
     for seed in 0..8 {
         let mut cluster = Cluster::new(3, seed);
         cluster.run_until_leaders();
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn damage_in_the_middle_of_the_log_stops_the_replica() {
+fn corruption_in_the_middle_of_the_log_stops_the_replica() {
     let mut cluster = Cluster::new(3, 2);
     let leader = cluster.run_until_leaders();
     cluster.confirm_many(10);
--- a/crates/replica/tests/judgement.rs
+++ b/crates/replica/tests/judgement.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn hello_that_its_own_start_overtook_condemns_nobody() {
+fn hello_overtaken_by_messages_of_its_session_does_not_mark_a_disk_as_outdated() {
     let mut cluster = Cluster::new(3, SEED);
     cluster.run_until_leaders();
     cluster.run_until("all voters", Cluster::all_nodes_vote);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn roll_back_is_told_by_a_node_that_started_after_the_lost_writes() {
+fn rollback_is_detected_by_a_node_that_started_after_the_lost_writes() {
     let mut cluster = Cluster::new(3, SEED);
     cluster.run_until_leaders();
     cluster.run_until("all voters", Cluster::all_nodes_vote);
--- a/crates/replica/tests/proposals.rs
+++ b/crates/replica/tests/proposals.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn proposal_that_another_leader_overwrote_is_not_said_to_have_run() {
+fn overwritten_proposal_is_not_reported_as_completed() {
     let mut cluster = Cluster::new(3, 9);
     let old = cluster.run_until_leaders();
     cluster.confirm_many(3);
--- a/crates/replica/tests/replication.rs
+++ b/crates/replica/tests/replication.rs
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn lossy_network_only_slows_it_down() {
+fn cluster_makes_progress_on_a_lossy_network() {
     for seed in 0..5 {
         let mut cluster = Cluster::new(3, seed);
         cluster.loss = 0.1;
--- a/crates/replica/tests/submissions.rs
+++ b/crates/replica/tests/submissions.rs
@@ -10,7 +10,7 @@
 use molespan_types::GroupId;
 
 #[test]
-fn submission_that_stands_still_is_dropped_also_after_a_leader_change() {
+fn stalled_submission_is_dropped_even_after_a_leader_change() {
     let mut cluster = Cluster::with_settings(3, 5, |settings| {
         settings.submission_timeout = Duration::from_secs(20);
     });
