--- a/crates/sim/src/address.rs
+++ b/crates/sim/src/address.rs
@@ -1,10 +1,10 @@
-//! Who takes part in a simulation.
+//! Participants of a simulation and their addresses.
 
 use derive_more::Display;
 use molespan_types::{BackendId, NodeId};
 
-/// Added to a gateway's number to get its node, so that nodes differ from
-/// those of replicas.
+/// Offset of a gateway's node identifier, which keeps it distinct from the node
+/// identifiers of replicas.
 const FIRST_GATEWAY_NODE: u32 = 100;
 
 /// A participant.
@@ -19,10 +19,10 @@
     /// A model engine.
     #[display("engine {_0}")]
     Engine(u32),
-    /// The platform with its machine list.
+    /// The platform, which serves the machine list.
     #[display("platform")]
     Platform,
-    /// A caller with one piece of work.
+    /// A caller with one job or online request.
     #[display("client {_0}")]
     Client(u32),
     /// An operator with one intent or order.
@@ -31,7 +31,7 @@
 }
 
 impl Address {
-    /// The address of a node.
+    /// Returns the address of a node.
     #[must_use]
     pub fn of_node(node: NodeId) -> Self {
         match node.0.checked_sub(FIRST_GATEWAY_NODE) {
@@ -40,20 +40,20 @@
         }
     }
 
-    /// The address of a back end.
+    /// Returns the address of a back end.
     #[must_use]
     pub fn of_backend(backend: BackendId) -> Self {
         Self::Engine(backend.0)
     }
 }
 
-/// The node of a replica.
+/// Returns the node identifier of a replica.
 #[must_use]
 pub fn replica_node(replica: u32) -> NodeId {
     NodeId(replica)
 }
 
-/// The node of a gateway.
+/// Returns the node identifier of a gateway.
 #[must_use]
 pub fn gateway_node(gateway: u32) -> NodeId {
     NodeId(FIRST_GATEWAY_NODE + gateway)
--- a/crates/sim/src/apply.rs
+++ b/crates/sim/src/apply.rs
@@ -1,4 +1,4 @@
-//! Making faults of the schedule begin and end in the world.
+//! Begins and ends the faults of the schedule in the simulated world.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,13 +12,14 @@
 use crate::history::LeavingRecord;
 use crate::world::World;
 
-/// Time after which a disk fault that has to wait is tried again.
+/// Delay before a postponed disk fault is attempted again.
 const TRY_AGAIN_AFTER: Duration = Duration::from_millis(100);
 
-/// Time after which a rolled back disk was told by the others, at two hellos.
+/// Time by which the other replicas have detected a disk rollback: two hello
+/// intervals.
 const ROLL_BACK_NOTICED_WITHIN: Duration = Duration::from_secs(6);
 
-/// Whether a fault keeps replicas from hearing or remembering each other.
+/// Whether a fault prevents replicas from communicating or removes their state.
 fn touches_replicas(kind: &FaultKind) -> bool {
     match kind {
         FaultKind::Kill(addresses) => addresses
@@ -54,10 +55,11 @@
         self.apply(position, &fault);
     }
 
-    /// Whether a fault has to wait. Before a disk is taken away, every replica
-    /// must vote with its present disk, since what a majority of disks lost
-    /// cannot be kept. And a disk that was rolled back is told by processes that
-    /// heard of what it lost: until they had time to say so, none is harmed.
+    /// Whether a fault must be postponed. Before a disk is lost, every replica must vote
+    /// with its current disk, since state lost with a majority of disks cannot be
+    /// recovered. A disk rollback is detected only by processes that received messages
+    /// about the lost state; until they had time to report it, faults must not affect any
+    /// replica.
     fn must_wait(&self, fault: &Fault) -> bool {
         if self.context.now < self.roll_back_noticed_by && touches_replicas(&fault.kind) {
             return true;
@@ -65,7 +67,7 @@
         matches!(fault.kind, FaultKind::LoseDisk(_)) && !self.replicas_are_whole()
     }
 
-    /// Whether every replica runs and votes with its present life.
+    /// Whether every replica runs and votes with its current incarnation.
     pub(crate) fn replicas_are_whole(&self) -> bool {
         let statuses: Vec<_> = self.replicas.values().map(|one| one.status()).collect();
         let running: Vec<_> = statuses.iter().flatten().collect();
@@ -190,7 +192,7 @@
         }
     }
 
-    /// Asks a gateway to stop as planned.
+    /// Requests a graceful shutdown of a gateway.
     pub(crate) fn stop(&mut self, address: Address) {
         if let Address::Gateway(number) = address
             && let Some(gateway) = self.gateways.get_mut(&number)
@@ -225,7 +227,8 @@
         }
     }
 
-    /// Ends what kept a process down, and starts it unless something else does.
+    /// Removes one cause that keeps a process down, and starts the process unless another
+    /// cause remains.
     fn bring_up(&mut self, address: Address) {
         let holders = self.down.entry(address).or_default();
         *holders = holders.saturating_sub(1);
@@ -236,8 +239,8 @@
         let Some((taken, backup)) = self.backups.remove(&position) else {
             return;
         };
-        // A rolled back disk is a lost one, and bound by the same rule. It can
-        // be told only by others that heard of what it lost.
+        // A rolled back disk counts as a lost one and the same rule applies. The rollback
+        // can be detected only by processes that received messages about the lost state.
         let heard = self.replica_starts.values().all(|start| *start < taken);
         let silent = self.context.network.has_cuts() || !self.frozen.is_empty();
         if !heard || silent || !self.replicas_are_whole() {
--- a/crates/sim/src/checkers/cancel.rs
+++ b/crates/sim/src/checkers/cancel.rs
@@ -1,7 +1,7 @@
-//! A cancelled job stops.
+//! Checks that a cancelled job stops.
 //!
-//! What an engine accepted before may still start there when its gateway can
-//! no longer reach it; what counts is what gateways send out.
+//! Items that an engine accepted earlier may still start there when the gateway can
+//! no longer reach it, so the check covers what gateways send.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -13,8 +13,8 @@
 use crate::scenario::LEASE;
 use crate::world::World;
 
-/// Time after the acknowledgement within which every owner has stopped: a
-/// lease by the slowest clock.
+/// Time after the acknowledgement within which every owner has stopped: one lease,
+/// as measured by the slowest clock.
 const STOPS_WITHIN: Duration = LEASE.saturating_mul(5).checked_div(4).expect("not zero");
 
 pub(super) fn check(world: &World, findings: &mut Findings) {
--- a/crates/sim/src/checkers/configuration.rs
+++ b/crates/sim/src/checkers/configuration.rs
@@ -1,4 +1,5 @@
-//! Configuration: never back, current within its bound, never lost.
+//! Checks that the configuration never reverts, stays within its currency bound and
+//! is never lost.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,14 +12,15 @@
 use crate::scenario::CURRENCY_BOUND;
 use crate::world::World;
 
-/// Lag allowed where work is taken in: the bound by the slowest clock.
+/// Allowed lag of a gateway that admits work: the currency bound, as measured by
+/// the slowest clock.
 const LAG: Duration = CURRENCY_BOUND
     .saturating_mul(5)
     .checked_div(4)
     .expect("not zero");
 
-/// The version in force never goes back on a node, and lags by no more than
-/// the bound where work is taken in.
+/// Checks that the version in force never decreases on a gateway, and that it lags
+/// by no more than the bound when work is admitted.
 pub(super) fn check(world: &World, findings: &mut Findings) {
     let history = &world.context.history;
     let mut latest: BTreeMap<u32, ConfigVersion> = BTreeMap::new();
@@ -26,7 +28,7 @@
         let before = latest.insert(record.gateway, record.version);
         if let Some(before) = before.filter(|before| *before > record.version) {
             let message = format!(
-                "gateway {} went from version {before} back to {}",
+                "gateway {} went back from version {before} to {}",
                 record.gateway, record.version
             );
             findings.add(record.at, message);
@@ -38,7 +40,7 @@
         let due = newest(&confirmed, at);
         if admission.version < due {
             let message = format!(
-                "gateway {} took work in under version {} long after {due} was confirmed",
+                "gateway {} admitted work under version {} long after {due} was confirmed",
                 admission.gateway, admission.version
             );
             findings.add(admission.at, message);
@@ -46,7 +48,8 @@
     }
 }
 
-/// Confirmed versions and when their operators knew.
+/// Returns the confirmed versions and when their operators received the
+/// confirmation.
 fn confirmed(confirms: &[ConfirmRecord]) -> Vec<(Timestamp, ConfigVersion)> {
     let known = confirms.iter().filter_map(|record| match record.reply {
         ConfirmReply::Confirmed { version } => Some((record.answered, version)),
@@ -57,14 +60,15 @@
     known
 }
 
-/// The newest version that was known to be confirmed before `time`.
+/// Returns the newest version that was known to be confirmed before `time`.
 fn newest(confirmed: &[(Timestamp, ConfigVersion)], time: Timestamp) -> ConfigVersion {
     let earlier = confirmed.iter().take_while(|(at, _)| *at < time);
     let versions = earlier.map(|(_, version)| *version);
     versions.max().unwrap_or_default()
 }
 
-/// What was confirmed stays so, and every later read sees it.
+/// Checks that confirmed versions stay confirmed and that every later read observes
+/// them.
 pub(super) fn check_committed(world: &World, findings: &mut Findings) {
     let history = &world.context.history;
     check_winners(&history.confirms, findings);
@@ -87,7 +91,7 @@
     }
 }
 
-/// One number has one winner, whose answer never changes.
+/// Checks that each intent number has one winner, whose answer never changes.
 fn check_winners(confirms: &[ConfirmRecord], findings: &mut Findings) {
     let mut winners: BTreeMap<u64, (&str, ConfigVersion)> = BTreeMap::new();
     let mut numbers: BTreeMap<ConfigVersion, u64> = BTreeMap::new();
--- a/crates/sim/src/checkers/exactly_once.rs
+++ b/crates/sim/src/checkers/exactly_once.rs
@@ -1,4 +1,4 @@
-//! Every accepted item has one whole result that stays readable.
+//! Checks that every accepted item has one complete result that stays readable.
 
 use molespan_state::job::{ItemOutcome, ItemRecord, JobPhase};
 
@@ -17,7 +17,7 @@
     }
 }
 
-/// How far a job has come.
+/// Returns a number that orders the phases of a job.
 fn progress(phase: JobPhase) -> u8 {
     match phase {
         JobPhase::Submitting => 0,
@@ -27,8 +27,8 @@
     }
 }
 
-/// A job never goes back. Only reports compare of which one was asked for
-/// after the other had come.
+/// Checks that a job never reverts to an earlier phase. Two reports are comparable
+/// only if one was requested after the other was answered.
 fn check_phases(record: &JobRecord, findings: &mut Findings) {
     let mut furthest: Option<&PhaseRecord> = None;
     let mut by_answer: Vec<&PhaseRecord> = record.phases.iter().collect();
@@ -49,7 +49,7 @@
         let both_final = progress(earlier.phase) == 3 && earlier.phase != later.phase;
         if progress(later.phase) < progress(earlier.phase) || both_final {
             let message = format!(
-                "{} went from {} back to {}",
+                "{} went back from {} to {}",
                 record.plan.key, earlier.phase, later.phase
             );
             findings.add(later.answered, message);
@@ -76,20 +76,23 @@
 fn problem(plan: &JobPlan, item: u32, record: &ItemRecord) -> Option<&'static str> {
     match record.outcome {
         ItemOutcome::Completed if *record.payload != *plan.answer(item).into_bytes() => {
-            Some("has another answer than its own")
+            Some("has an answer other than its own")
         }
         ItemOutcome::Completed => None,
         ItemOutcome::Unknown if !plan.repeatable => None,
         ItemOutcome::Unknown => Some("may run again but was left unknown"),
-        ItemOutcome::Failed => Some("was refused for good"),
+        ItemOutcome::Failed => Some("was refused permanently"),
     }
 }
 
-/// What was read once reads the same for ever.
+/// Checks that the results of a job are the same in every reading.
 fn check_stable(record: &JobRecord, findings: &mut Findings) {
     for pair in record.readings.windows(2) {
         if pair[0].results != pair[1].results {
-            let message = format!("{} has other results than before", record.plan.key);
+            let message = format!(
+                "{} has results that differ from those read before",
+                record.plan.key
+            );
             findings.add(pair[1].at, message);
         }
     }
--- a/crates/sim/src/checkers/fencing.rs
+++ b/crates/sim/src/checkers/fencing.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine have rising tokens and never go back.
+//! Checks that orders to an engine have increasing tokens and are never reverted.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -35,7 +35,8 @@
     check_taken(&history.orders_taken, findings);
 }
 
-/// An engine takes rising tokens; a resend of what it took is answered again.
+/// Checks that an engine accepts increasing tokens; a resent order that it accepted
+/// before is answered again.
 fn check_taken(orders: &[OrderTakenRecord], findings: &mut Findings) {
     let mut taken: BTreeMap<(BackendId, Incarnation), BTreeSet<FencingToken>> = BTreeMap::new();
     for order in orders {
@@ -45,7 +46,7 @@
         let fresh = earlier.insert(order.token);
         if fresh && order.token <= highest {
             let message = format!(
-                "engine {} took token {} after {highest}",
+                "engine {} accepted token {} after {highest}",
                 order.backend, order.token
             );
             findings.add(order.at, message);
--- a/crates/sim/src/checkers/leaving.rs
+++ b/crates/sim/src/checkers/leaving.rs
@@ -1,4 +1,4 @@
-//! A leaving engine gets nothing new after its bound.
+//! Checks that a leaving engine gets no new work once its bound has passed.
 
 use std::time::Duration;
 
@@ -7,11 +7,11 @@
 use crate::scenario::Scenario;
 use crate::world::World;
 
-/// Time after which everyone should know: the greatest lag of the list, the
-/// time between two questions for it, and some for lost messages.
+/// Time after which every gateway should know: the maximum lag of the list, the
+/// interval between two list requests, and a margin for lost messages.
 const KNOWN_WITHIN: Duration = Duration::from_secs(4);
-/// Time for which nothing may have gone wrong before a dispatch is judged
-/// without regard to what its gateway heard.
+/// Time without faults that is required before a dispatch is judged regardless of
+/// what its gateway was told.
 const CALM_FOR: Duration = Duration::from_secs(5);
 
 pub(super) fn check(world: &World, findings: &mut Findings) {
@@ -32,7 +32,7 @@
                     if knew {
                         "it knew to be leaving"
                     } else {
-                        "has been leaving for long"
+                        "has been leaving for a long time"
                     }
                 );
                 findings.add(dispatch.at, message);
@@ -41,7 +41,7 @@
     }
 }
 
-/// Whether the gateway had heard that the engine is leaving.
+/// Whether the gateway had been told that the engine is leaving.
 fn knew(history: &History, leaving: &LeavingRecord, dispatch: &DispatchRecord) -> bool {
     history.told.iter().any(|told| {
         (told.gateway, told.gateway_life) == (dispatch.gateway, dispatch.gateway_life)
@@ -50,8 +50,8 @@
     })
 }
 
-/// Whether no fault lay close before the dispatch, but for machines that
-/// leave and lists that go back.
+/// Whether no fault was active shortly before the dispatch, except leaving machines
+/// and stale lists.
 fn is_calm(scenario: &Scenario, dispatch: &DispatchRecord) -> bool {
     scenario.faults.iter().flatten().all(|fault| {
         let harmless = matches!(
--- a/crates/sim/src/checkers/liveness.rs
+++ b/crates/sim/src/checkers/liveness.rs
@@ -1,4 +1,5 @@
-//! After the faults everything accepted finishes, and every machine is used.
+//! Checks that after the faults all accepted work finishes and every machine is
+//! used.
 
 use molespan_types::BackendId;
 
@@ -28,7 +29,7 @@
     }
     for operator in world.operators.values() {
         if !operator.is_done() {
-            let message = format!("an operator never got an answer: {:?}", operator.goal());
+            let message = format!("an operator got no answer: {:?}", operator.goal());
             findings.add(now, message);
         }
     }
@@ -55,13 +56,17 @@
     }
 }
 
-/// Every arrival is answered somehow while its gateway lives.
+/// Checks that no caller gives up on an arrival sent after the faults: a live
+/// gateway answers every arrival in some way.
 fn check_answers(world: &World, findings: &mut Findings) {
     let calm = world.scenario.faults_end();
     for arrival in world.context.history.arrivals.values() {
         let given_up = matches!(&arrival.end, Some((_, ArrivalEnd::GivenUp)));
         if given_up && arrival.sent > calm {
-            let message = format!("{} was not answered in calm times", arrival.plan.prompt);
+            let message = format!(
+                "{} was not answered in the calm phase after the faults",
+                arrival.plan.prompt
+            );
             findings.add(arrival.sent, message);
         }
     }
--- a/crates/sim/src/checkers/mod.rs
+++ b/crates/sim/src/checkers/mod.rs
@@ -1,4 +1,5 @@
-//! Checkers: what must hold in every run, judged from outside the cores.
+//! Checkers of the guarantees that must hold in every run, based on observations
+//! from outside the cores.
 
 mod cancel;
 mod configuration;
@@ -19,13 +20,13 @@
 pub struct Checker {
     /// Name.
     pub name: &'static str,
-    /// What must hold, in one sentence.
+    /// The guarantee, in one sentence.
     pub promise: &'static str,
-    /// Looks at a finished run; `None` when it watches while the run goes on.
+    /// Checks a finished run; `None` if the checker runs during the simulation.
     pub check: Option<fn(&World, &mut Findings)>,
 }
 
-/// Where a checker puts what it finds.
+/// Collects the violations that a checker finds.
 #[derive(Debug, Default)]
 pub struct Findings {
     name: &'static str,
@@ -33,7 +34,7 @@
 }
 
 impl Findings {
-    /// Adds a violation that was seen at `at`.
+    /// Adds a violation observed at `at`.
     pub fn add(&mut self, at: molespan_types::Timestamp, message: String) {
         let checker = self.name;
         self.found.push(Violation {
@@ -48,7 +49,7 @@
 pub const CHECKERS: &[Checker] = &[
     Checker {
         name: "exactly-once",
-        promise: "every accepted item has one whole result that stays readable",
+        promise: "every accepted item has one complete result that stays readable",
         check: Some(exactly_once::check),
     },
     Checker {
@@ -69,24 +70,24 @@
     },
     Checker {
         name: "whole-answer",
-        promise: "an answer is the whole answer to its own request",
+        promise: "an answer is the complete answer to its own request",
         check: Some(truth::check_answers),
     },
     Checker {
         name: "configuration",
-        promise: "the configuration in force never goes back and lags by no more than the \
-                  currency bound where work is taken in",
+        promise: "the configuration in force never goes back to an older version and lags by no more than the \
+                  currency bound where work is admitted",
         check: Some(configuration::check),
     },
     Checker {
         name: "committed",
-        promise: "what was confirmed stays confirmed, by one winner for each number, and \
-                  every later read sees it",
+        promise: "what was confirmed stays confirmed, with one winner per intent number, and \
+                  every later read observes it",
         check: Some(configuration::check_committed),
     },
     Checker {
         name: SINGLE_LEADER,
-        promise: "a group has one leader a term",
+        promise: "a group has one leader per term",
         check: None,
     },
     Checker {
@@ -96,12 +97,12 @@
     },
     Checker {
         name: "fencing",
-        promise: "orders to an engine have rising tokens and never go back",
+        promise: "orders to an engine have increasing tokens and never go back",
         check: Some(fencing::check),
     },
     Checker {
         name: "leaving",
-        promise: "a leaving engine gets nothing new from who knows, and from nobody in calm \
+        promise: "a leaving engine gets no new work from a gateway that was told, and from none in calm \
                   times, after its bound",
         check: Some(leaving::check),
     },
@@ -117,12 +118,12 @@
     },
     Checker {
         name: "liveness",
-        promise: "after the faults everything accepted finishes and every machine is used again",
+        promise: "after the faults all accepted work finishes and every machine is used again",
         check: Some(liveness::check),
     },
 ];
 
-/// Every violation in a finished run, the earliest first.
+/// Returns every violation in a finished run, earliest first.
 #[must_use]
 pub fn check_all(world: &World) -> Vec<Violation> {
     let mut findings = Findings {
--- a/crates/sim/src/checkers/once.rs
+++ b/crates/sim/src/checkers/once.rs
@@ -1,4 +1,4 @@
-//! A non-repeatable request or item runs at most once.
+//! Checks that a non-repeatable request or item runs at most once.
 
 use molespan_types::{Digest, Timestamp, digest_of};
 
@@ -28,7 +28,7 @@
     }
 }
 
-/// Times that a prompt entered a running batch, on any engine.
+/// Returns how many times a prompt entered a running batch, on any engine.
 pub(super) fn runs(world: &World, prompt: Digest) -> u32 {
     world
         .engines
@@ -37,7 +37,7 @@
         .sum()
 }
 
-/// When a prompt was last seen to enter a running batch.
+/// Returns when a prompt last entered a running batch.
 pub(super) fn last_start(world: &World, prompt: Digest) -> Timestamp {
     let starts = world.context.history.starts.iter();
     let starts = starts.filter(|start| start.prompt == prompt);
--- a/crates/sim/src/checkers/online_latency.rs
+++ b/crates/sim/src/checkers/online_latency.rs
@@ -1,4 +1,4 @@
-//! In calm times an online request does not wait behind batch work.
+//! Checks that without faults an online request does not wait behind batch work.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 use crate::scenario::CALM_BURST_AFTER;
 use crate::world::World;
 
-/// Longest time to the first token: the way there and back, a step that cannot
-/// be interrupted, and the prompt's own. A batch item alone takes 2 s.
+/// Longest time to the first token: the network round trip, one uninterruptible
+/// engine step, and the step of the prompt itself. A batch item alone takes 2 s.
 const FIRST_TOKEN_WITHIN: Duration = Duration::from_millis(100);
 
 pub(super) fn check(world: &World, findings: &mut Findings) {
--- a/crates/sim/src/checkers/stops.rs
+++ b/crates/sim/src/checkers/stops.rs
@@ -1,4 +1,5 @@
-//! A planned stop cuts off no request without reporting it.
+//! Checks that a graceful shutdown does not cut off requests without reporting
+//! them.
 
 use super::Findings;
 use crate::history::ArrivalEnd;
--- a/crates/sim/src/checkers/truth.rs
+++ b/crates/sim/src/checkers/truth.rs
@@ -1,4 +1,4 @@
-//! What callers are told is true.
+//! Checks that the replies to callers are correct.
 
 use std::collections::BTreeMap;
 
@@ -10,8 +10,8 @@
 use crate::history::{ArrivalEnd, ArrivalRecord};
 use crate::world::World;
 
-/// What is refused as not run never runs. Sendings of one non-repeatable
-/// request share a prompt, so that only all of them together can be judged.
+/// Checks that a request refused as not run never runs. All submissions of one
+/// non-repeatable request share a prompt, so they can only be judged together.
 pub(super) fn check_not_run(world: &World, findings: &mut Findings) {
     let mut by_prompt: BTreeMap<&str, Vec<&ArrivalRecord>> = BTreeMap::new();
     for arrival in world.context.history.arrivals.values() {
@@ -31,7 +31,7 @@
     }
 }
 
-/// An answer is the whole answer to its own request.
+/// Checks that an answer is the complete answer to its own request.
 pub(super) fn check_answers(world: &World, findings: &mut Findings) {
     for arrival in world.context.history.arrivals.values() {
         let Some((at, ArrivalEnd::Answered(text))) = &arrival.end else {
@@ -39,7 +39,10 @@
         };
         let plan = &arrival.plan;
         if *text != expected_answer(&plan.prompt, plan.tokens) {
-            let message = format!("{} got another answer than its whole own", plan.prompt);
+            let message = format!(
+                "{} got a wrong or incomplete answer instead of its own",
+                plan.prompt
+            );
             findings.add(*at, message);
         }
     }
--- a/crates/sim/src/client/job.rs
+++ b/crates/sim/src/client/job.rs
@@ -14,11 +14,11 @@
 use crate::node::Node;
 use crate::workload::JobPlan;
 
-/// Time for an answer, after which the request is sent elsewhere.
+/// Timeout of a request, after which it is sent to a random gateway again.
 const ANSWER_WITHIN: Duration = Duration::from_secs(6);
-/// Wait after a failure.
+/// Delay before a retry after a failure.
 const AGAIN_AFTER: Duration = Duration::from_millis(150);
-/// Time between two questions about the job.
+/// Interval between two status queries about the job.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,11 +30,11 @@
     Done,
 }
 
-/// A request that is out.
+/// A request in flight.
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     sent: Timestamp,
-    /// Whether it is a resubmission, whose failure matters to nobody.
+    /// Whether this is a concurrent resubmission, whose failure is ignored.
     extra: bool,
 }
 
@@ -55,7 +55,7 @@
 }
 
 impl JobClient {
-    /// A caller that has not begun.
+    /// Creates a caller that has not started.
     #[must_use]
     pub fn new(number: u32, gateways: u32, plan: Arc<JobPlan>) -> Self {
         Self {
@@ -73,13 +73,13 @@
         }
     }
 
-    /// Whether the job came to its end and its results were read.
+    /// Whether the job was cancelled, or completed and its results were read.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.step == Step::Done
     }
 
-    /// Begins.
+    /// Starts the job.
     pub fn begin(&mut self, context: &mut Context) {
         self.begun = context.now;
         let after = |wait: &Duration| context.now + *wait;
@@ -98,7 +98,7 @@
         self.act(context);
     }
 
-    /// Asks for the job and its results once more.
+    /// Reads the state of the job and its results once more.
     pub fn audit(&mut self, context: &mut Context) {
         if self.step == Step::Done {
             self.step = Step::Follow;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Sends what the present step asks for.
+    /// Sends the request of the current step.
     fn act(&mut self, context: &mut Context) {
         let job = self.plan.id();
         let due = self.cancel_at.is_some_and(|at| at <= context.now);
--- a/crates/sim/src/client/mod.rs
+++ b/crates/sim/src/client/mod.rs
@@ -1,5 +1,5 @@
-//! Callers, each with one job or one online request. They wait only so long,
-//! and send again through any gateway.
+//! Callers, each with one job or one online request. They time out and retry
+//! through any gateway.
 
 mod job;
 mod online;
@@ -13,7 +13,8 @@
 use crate::context::Context;
 use crate::message::{ClientRequest, Message};
 
-/// Sends a request to any gateway. Returns the arrival and the gateway.
+/// Sends a request to a random gateway. Returns the arrival identifier and the
+/// gateway.
 fn send(context: &mut Context, client: u32, gateways: u32, request: ClientRequest) -> (u64, u32) {
     let arrival = context.fresh();
     let gateway = context.random.random_range(1..=gateways);
--- a/crates/sim/src/client/online.rs
+++ b/crates/sim/src/client/online.rs
@@ -13,11 +13,12 @@
 use crate::node::Node;
 use crate::workload::OnlinePlan;
 
-/// Time for an answer, after which the request is sent elsewhere.
+/// Timeout of a request, after which it is sent to a random gateway again.
 const ANSWER_WITHIN: Duration = Duration::from_secs(15);
-/// Wait after a failure.
+/// Delay before a retry after a failure.
 const AGAIN_AFTER: Duration = Duration::from_millis(200);
-/// Unknown outcomes of a non-repeatable request that are taken as final.
+/// Number of unknown outcomes after which a non-repeatable request counts as
+/// finished.
 const UNKNOWN_IS_FINAL: u32 = 3;
 
 /// A caller with an online request.
@@ -30,13 +31,13 @@
     unknown: u32,
     arrivals: u32,
     next: Option<Timestamp>,
-    /// Text that came so far, by arrival, and when it was sent.
+    /// Time of sending and text received so far, by arrival.
     waiting: BTreeMap<u64, (Timestamp, String)>,
     impatient_at: Option<Timestamp>,
 }
 
 impl OnlineClient {
-    /// A caller that has not begun.
+    /// Creates a caller that has not started.
     #[must_use]
     pub fn new(number: u32, gateways: u32, plan: Arc<OnlinePlan>) -> Self {
         Self {
@@ -52,13 +53,13 @@
         }
     }
 
-    /// Whether it has an answer, or knows that none can be had.
+    /// Whether the request has a final outcome and none of its arrivals is open.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.done && self.waiting.is_empty()
     }
 
-    /// Begins.
+    /// Sends the first request.
     pub fn begin(&mut self, context: &mut Context) {
         let resend_after = self.plan.resend_after;
         self.impatient_at = resend_after.map(|after| context.now + after);
@@ -70,8 +71,8 @@
         self.arrivals += 1;
         let mut plan = (*self.plan).clone();
         if plan.key.is_none() {
-            // Each sending of a repeatable request has a prompt of its own, so
-            // that what engines ran tells the sendings apart.
+            // Each submission of a repeatable request gets its own prompt, so that engine
+            // executions can be attributed to a submission.
             plan.prompt = format!("{} sending {}", plan.prompt, self.arrivals);
         }
         let plan = Arc::new(plan);
@@ -142,7 +143,8 @@
                 self.ended(context, arrival, ArrivalEnd::Refused(outcome));
             }
             ClientReply::ConnectionRefused => {
-                // Nobody took it, which is as good as said by the other side.
+                // No gateway accepted the request, which is equivalent to a refusal as not
+                // run.
                 self.ended(context, arrival, ArrivalEnd::Refused(RunOutcome::NotRun));
             }
             ClientReply::Broken { planned_stop } => {
--- a/crates/sim/src/clock.rs
+++ b/crates/sim/src/clock.rs
@@ -1,22 +1,22 @@
-//! Clocks of nodes, which start at different times and run at different rates.
+//! Clocks of nodes, which start at different offsets and run at different rates.
 
 use molespan_types::Timestamp;
 
-/// A rate of exactly one.
+/// Rate of a clock without drift.
 pub const TRUE_RATE: u64 = 1_000;
 
 /// The monotonic clock of one node.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeClock {
-    /// What it showed when the simulation began, in microseconds.
+    /// Reading at the start of the simulation, in microseconds.
     offset: u64,
-    /// Its microseconds for each thousand of the simulation.
+    /// Local microseconds per 1000 microseconds of simulation time.
     rate: u64,
 }
 
 impl NodeClock {
-    /// A clock that showed `offset` microseconds at the start and counts
-    /// `rate` microseconds for each thousand.
+    /// Creates a clock that reads `offset` microseconds at the start and advances by `rate`
+    /// microseconds per 1000 microseconds of simulation time.
     #[must_use]
     pub fn new(offset: u64, rate: u64) -> Self {
         Self {
@@ -25,13 +25,13 @@
         }
     }
 
-    /// What it shows at simulation time `world`.
+    /// Returns the reading at simulation time `world`.
     #[must_use]
     pub fn local(&self, world: Timestamp) -> Timestamp {
         Timestamp(self.offset + world.0 * self.rate / TRUE_RATE)
     }
 
-    /// The first simulation time at which it shows `local` or later.
+    /// Returns the first simulation time at which the clock reads `local` or later.
     #[must_use]
     pub fn world(&self, local: Timestamp) -> Timestamp {
         let passed = local.0.saturating_sub(self.offset);
--- a/crates/sim/src/commands.rs
+++ b/crates/sim/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Implementation of the commands.
 
 use std::fmt::Write as _;
 use std::io::{self, Write};
@@ -16,49 +16,49 @@
 use crate::explorations::explore_all;
 use crate::flags::{Explore, MolespanSim, MolespanSimCmd, Mutants, Run};
 
-/// Seeds when not given.
+/// Default number of seeds.
 const SEEDS: u64 = 200;
-/// Seeds tried for each mechanism when not given.
+/// Default number of seeds per mechanism.
 const MUTANT_SEEDS: u64 = 2_000;
-/// States of each explored model when not given.
+/// Default limit on the states of each explored model.
 const STATES: usize = 1_000_000;
 
-/// Why a command cannot be carried out.
+/// An error that prevents a command from running.
 #[derive(Debug, Display, Error, From)]
 pub enum CommandError {
-    /// Standard output.
+    /// Writing to standard output failed.
     #[display("{_0}")]
     Io(io::Error),
-    /// A class of faults.
+    /// The fault class does not exist.
     #[display("there is no class of faults {name}; see molespan-sim list")]
     #[from(skip)]
     UnknownClass {
-        /// As given.
+        /// The given name.
         name: String,
     },
-    /// A mechanism.
+    /// The mechanism does not exist.
     #[display("there is no mechanism {name}; see molespan-sim list")]
     #[from(skip)]
     UnknownMechanism {
-        /// As given.
+        /// The given name.
         name: String,
     },
-    /// A number.
+    /// The text is not a list of numbers.
     #[display("not a list of numbers: {text}")]
     #[from(skip)]
     NotNumbers {
-        /// As given.
+        /// The given text.
         text: String,
     },
-    /// A build without the feature.
-    #[display("this build cannot switch mechanisms off; build it with --features mutants")]
+    /// The build lacks the `mutants` feature.
+    #[display("this build cannot disable mechanisms; build with --features mutants")]
     NoMutants,
 }
 
-/// Carries a command out. Returns whether everything passed.
+/// Runs a command. Returns whether everything passed.
 ///
 /// # Errors
-/// When the command line makes no sense or nothing can be printed.
+/// Returns an error when the command line is invalid or output cannot be written.
 pub fn run(flags: MolespanSim) -> Result<bool, CommandError> {
     match flags.subcommand {
         MolespanSimCmd::Run(flags) if flags.list => list(),
@@ -219,8 +219,8 @@
     Ok(failed == 0)
 }
 
-/// The first seed that passes with every mechanism on, and without `mechanism`
-/// breaks a promise that rests on it.
+/// Returns the first seed that passes with every mechanism enabled, and violates a
+/// guarantee of `mechanism` without it.
 fn find_violation(mechanism: Mechanism, seeds: u64, threads: usize) -> Option<(u64, Violation)> {
     let mut found = None;
     let work = |task: usize| {
--- a/crates/sim/src/context.rs
+++ b/crates/sim/src/context.rs
@@ -1,4 +1,4 @@
-//! What every participant works with: time, chance, network and records.
+//! State shared by all participants: time, randomness, network and records.
 
 use std::collections::BTreeMap;
 
@@ -12,25 +12,25 @@
 use crate::message::Message;
 use crate::network::Network;
 
-/// What every participant works with.
+/// State shared by all participants.
 #[derive(Debug)]
 pub struct Context {
-    /// Time of the simulation.
+    /// Simulation time.
     pub now: Timestamp,
-    /// Decides everything random.
+    /// Source of all randomness.
     pub random: ChaCha8Rng,
-    /// What is going to happen.
+    /// Scheduled events.
     pub queue: EventQueue,
     /// Links and their faults.
     pub network: Network,
-    /// What participants saw, for the checkers.
+    /// Observations of the participants, for the checkers.
     pub history: History,
-    /// The present life of each engine, as operators see it.
+    /// Current incarnation of each engine, as operators see it.
     pub engine_lives: BTreeMap<u32, Incarnation>,
 }
 
 impl Context {
-    /// The start of a simulation.
+    /// Creates the context at the start of a simulation.
     #[must_use]
     pub fn new(seed: u64, network: Network) -> Self {
         Self {
@@ -56,13 +56,13 @@
         }
     }
 
-    /// The present life of an engine.
+    /// Returns the current incarnation of an engine.
     #[must_use]
     pub fn engine_life(&self, engine: u32) -> Incarnation {
         self.engine_lives.get(&engine).copied().unwrap_or_default()
     }
 
-    /// A number that no other call returned, for identifiers and seeds.
+    /// Returns a random number for identifiers and seeds, unique in practice.
     pub fn fresh(&mut self) -> u64 {
         self.random.random()
     }
--- a/crates/sim/src/engine_node.rs
+++ b/crates/sim/src/engine_node.rs
@@ -19,14 +19,14 @@
 use crate::node::Node;
 use crate::scenario::MODEL;
 
-/// Time that the weight store takes.
+/// Time that the weight store needs to deliver weights.
 const WEIGHTS_AFTER: Duration = Duration::from_millis(300);
-/// How much slower steps are under [`AnswerFault::Slow`].
+/// Slowdown of steps under [`AnswerFault::Slow`].
 const SLOW_FACTOR: f64 = 12.0;
-/// Life of every engine at the start.
+/// Incarnation of every engine at the start.
 const FIRST_LIFE: Incarnation = Incarnation(1);
 
-/// A connection on which an answer is awaited.
+/// A connection that waits for an answer.
 #[derive(Clone, Debug)]
 struct Listener {
     connection: ConnectionId,
@@ -45,7 +45,7 @@
     started: bool,
 }
 
-/// A fault of its answers while it is in force.
+/// An active fault in the answers of an engine.
 #[derive(Clone, Copy, Debug)]
 struct Spoiling {
     fault: AnswerFault,
@@ -60,20 +60,21 @@
     alive: bool,
     attempts: BTreeMap<String, Attempt>,
     spoiling: BTreeMap<usize, Spoiling>,
-    /// Whether it knows that it is leaving, and reports it.
+    /// Whether the engine reports that it is leaving.
     leaving: bool,
     weights: Vec<(Timestamp, molespan_emulator::engine::WeightsNeeded)>,
 }
 
 impl EngineNode {
-    /// An idle engine.
+    /// Creates an idle engine.
     #[must_use]
     pub fn new(number: u32, seed: u64, context: &mut Context) -> Self {
         let model = EngineModel {
             step_base_micros: 5_000,
             max_running: 6,
             max_waiting: 32,
-            // The owner's preemption must do without the engine's help.
+            // Disabled so that the owner's preemption is tested without help from the
+            // engine.
             priority: false,
             ..EngineModel::lab()
         };
@@ -99,25 +100,25 @@
         Address::Engine(self.number)
     }
 
-    /// Its present life.
+    /// Returns the current incarnation.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.core.incarnation()
     }
 
-    /// Whether it runs.
+    /// Whether the process runs.
     #[must_use]
     pub fn is_alive(&self) -> bool {
         self.alive
     }
 
-    /// Begins to spoil answers.
+    /// Starts injecting a fault into answers.
     pub fn spoil(&mut self, context: &mut Context, id: usize, fault: AnswerFault, percent: u32) {
         self.spoiling.insert(id, Spoiling { fault, percent });
         self.set_speed(context);
     }
 
-    /// Stops spoiling answers.
+    /// Stops injecting a fault into answers.
     pub fn spare(&mut self, context: &mut Context, id: usize) {
         self.spoiling.remove(&id);
         self.set_speed(context);
@@ -133,12 +134,12 @@
         self.core.set_faults(context.now, faults);
     }
 
-    /// Learns that it has to leave.
+    /// Makes the engine report that it is leaving.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Kills the process: its connections break.
+    /// Kills the process, which breaks its connections.
     pub fn kill(&mut self, context: &mut Context) {
         if !self.alive {
             return;
@@ -152,7 +153,7 @@
         self.weights.clear();
     }
 
-    /// Starts its next life.
+    /// Starts the process with its next incarnation.
     pub fn start(&mut self, context: &mut Context) {
         if self.alive {
             return;
@@ -314,8 +315,8 @@
         }
     }
 
-    /// Sends the tokens from the listener's next one up to the first of
-    /// `(generated, tokens)`.
+    /// Sends the tokens from the listener's next one up to `generated`; the second field is
+    /// the total number of tokens.
     fn send_tokens(
         &self,
         context: &mut Context,
@@ -467,15 +468,16 @@
         }
     }
 
-    /// How often a prompt entered the running batch here, in every life.
+    /// Returns how many times a prompt entered the running batch of this engine, over all
+    /// incarnations.
     #[must_use]
     pub fn started(&self, prompt: Digest) -> u32 {
         self.core.executions().of_prompt(prompt).started
     }
 }
 
-/// The attempt and text that an answer names, crossed with another one when
-/// that fault hits it.
+/// Returns the attempt identifier and text of an answer, replaced by those of
+/// another request under [`AnswerFault::Crossed`].
 fn spoil_identity(listener: &Listener, attempt: &str, text: AnswerText) -> (String, AnswerText) {
     if listener.fault == Some(AnswerFault::Crossed) {
         let other = format!("{attempt}0");
--- a/crates/sim/src/event.rs
+++ b/crates/sim/src/event.rs
@@ -1,4 +1,4 @@
-//! The queue of what is going to happen.
+//! The queue of scheduled events.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 use crate::address::Address;
 use crate::message::Message;
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 pub struct Envelope {
     /// Sender.
@@ -18,12 +18,12 @@
     pub message: Message,
 }
 
-/// Something that happens at a point in time.
+/// An event scheduled for a point in time.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// A message arrives.
     Deliver(Envelope),
-    /// A participant's timer runs out.
+    /// A participant's timer expires.
     Wake(Address),
     /// A fault of the schedule begins.
     FaultBegins(usize),
@@ -31,11 +31,11 @@
     FaultEnds(usize),
     /// A piece of work of the schedule begins.
     WorkBegins(usize),
-    /// A process that stopped by itself is started again.
+    /// A process that exited by itself is restarted.
     Restart(Address),
 }
 
-/// Events by time; those of one time in the order they were added.
+/// Events ordered by time, and by insertion at equal times.
 #[derive(Debug, Default)]
 pub struct EventQueue {
     events: BTreeMap<(Timestamp, u64), Event>,
@@ -49,7 +49,7 @@
         self.events.insert((at, self.added), event);
     }
 
-    /// Takes the next event that happens by `end`.
+    /// Removes and returns the next event due by `end`.
     pub fn pop(&mut self, end: Timestamp) -> Option<(Timestamp, Event)> {
         let entry = self.events.first_entry()?;
         let (at, _) = *entry.key();
--- a/crates/sim/src/explorations.rs
+++ b/crates/sim/src/explorations.rs
@@ -6,15 +6,15 @@
 use molespan_sim::run::in_order;
 use molespan_state::explore::{ClaimModel, LeaseModel, Model, explore as explore_machine};
 
-/// What a search found.
+/// Result of a search.
 pub struct Explored {
-    /// One or more lines.
+    /// Report of one or more lines.
     pub text: String,
-    /// Whether nothing was broken.
+    /// Whether every invariant held.
     pub holds: bool,
 }
 
-/// A search by its name.
+/// A named search.
 struct Exploration {
     name: &'static str,
     search: fn(states: usize) -> Explored,
@@ -78,11 +78,11 @@
     },
 ];
 
-/// Longest path that is tried in a group.
+/// Longest explored path of a group.
 const GROUP_DEPTH: u32 = 11;
 
-/// Carries every search out, `states` states at most each, and hands over what
-/// it found in a fixed order.
+/// Runs every search with at most `states` states each, and passes the results to
+/// `take` in a fixed order.
 pub fn explore_all(states: usize, threads: usize, mut take: impl FnMut(Explored)) {
     let work = |task: usize| {
         let exploration = &EXPLORATIONS[task];
--- a/crates/sim/src/fault/combination.rs
+++ b/crates/sim/src/fault/combination.rs
@@ -1,4 +1,4 @@
-//! Faults that are dangerous together, drawn as one.
+//! Combinations of faults that are dangerous together.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 use crate::address::Address;
 use crate::network::{Cut, Disturbance, Endpoint};
 
-/// Time that the longest combination takes.
+/// Duration of the longest combination.
 const LONGEST: Duration = Duration::from_secs(9);
 
-/// A combination and the classes of faults that it is made of.
+/// A combination and the fault classes that it requires.
 struct Combination {
     classes: &'static [FaultClass],
     draw: fn(&mut Draw<'_>),
@@ -39,7 +39,7 @@
     },
 ];
 
-/// Draws one of the combinations whose classes are all asked for.
+/// Draws one of the combinations whose classes are all enabled.
 #[must_use]
 pub(super) fn combination(
     random: &mut ChaCha8Rng,
@@ -73,7 +73,7 @@
 struct Draw<'a> {
     random: &'a mut ChaCha8Rng,
     topology: &'a Topology,
-    /// Every replica, in any order.
+    /// Every replica, in random order.
     replicas: Vec<Address>,
     begin: Timestamp,
     faults: Vec<Fault>,
@@ -95,8 +95,8 @@
     FaultKind::Cut(vec![cut(one, other), cut(other, one)])
 }
 
-/// A gateway that runs long items loses the replicas for longer than a lease,
-/// but not its engines.
+/// Cuts a gateway that runs long items off from the replicas, but not from its
+/// engines, for longer than a lease.
 fn cut_owner(draw: &mut Draw<'_>) {
     let gateway = draw.random.random_range(1..=draw.topology.gateways);
     let gateway = Endpoint::One(Address::Gateway(gateway));
@@ -105,8 +105,8 @@
     draw.add(begin, length, both_ways(gateway, Endpoint::Replicas));
 }
 
-/// Two replicas that cannot hear each other ask for the vote of a third, which
-/// restarts again and again while their requests are on the way.
+/// Two replicas that cannot reach each other request the vote of a third, which
+/// restarts repeatedly while their requests are in transit.
 fn restart_voter(draw: &mut Draw<'_>) {
     let (one, other, voter) = (draw.replicas[0], draw.replicas[1], draw.replicas[2]);
     let length = draw.millis(4_000..7_000);
@@ -128,8 +128,8 @@
     }
 }
 
-/// While one replica lags, another loses its disk, and then the only one with
-/// everything is cut off.
+/// While one replica lags, another loses its disk; then the only replica with the
+/// complete data is cut off.
 fn lose_voter(draw: &mut Draw<'_>) {
     let (lags, loses, whole) = (draw.replicas[0], draw.replicas[1], draw.replicas[2]);
     let begin = draw.begin;
@@ -152,8 +152,8 @@
     );
 }
 
-/// An engine leaves for long while the platform serves old lists, which still
-/// call it live.
+/// An engine leaves for a long time while the platform serves stale lists that
+/// still report it as live.
 fn leave_under_old_lists(draw: &mut Draw<'_>) {
     let engine = draw.random.random_range(1..=draw.topology.engines);
     let length = draw.millis(6_000..8_500);
--- a/crates/sim/src/fault/mod.rs
+++ b/crates/sim/src/fault/mod.rs
@@ -1,4 +1,4 @@
-//! Faults: their classes, and what each does.
+//! Fault classes and the effect of each fault.
 
 mod combination;
 mod schedule;
@@ -17,16 +17,16 @@
 /// A class of faults, as named on the command line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Display)]
 pub enum FaultClass {
-    /// Messages are lost, late, doubled and overtake each other.
+    /// Messages are lost, delayed, duplicated and reordered.
     #[display("network")]
     Network,
     /// One-way cuts, isolated machines and zones.
     #[display("cuts")]
     Cuts,
-    /// Processes are killed and restarted, several at once too.
+    /// Processes are killed and restarted, sometimes several at once.
     #[display("kills")]
     Kills,
-    /// Processes stand still and go on.
+    /// Processes freeze and resume later.
     #[display("freezes")]
     Freezes,
     /// Disks are lost, rolled back, full, or fail to sync.
@@ -35,13 +35,13 @@
     /// Clocks run at different rates.
     #[display("clocks")]
     Clocks,
-    /// Engines answer late, crossed, cut off, doubled or not at all.
+    /// Engine answers are late, crossed, truncated, duplicated or missing.
     #[display("answers")]
     Answers,
-    /// Machines leave and return, and the platform list lags and goes back.
+    /// Machines leave and return; the platform list lags and reverts to older states.
     #[display("platform")]
     Platform,
-    /// Gateways are stopped as planned.
+    /// Gateways shut down gracefully.
     #[display("stops")]
     Stops,
 }
@@ -60,7 +60,7 @@
         FaultClass::Stops,
     ];
 
-    /// The class of that name.
+    /// Returns the class with this name.
     #[must_use]
     pub fn parse(name: &str) -> Option<Self> {
         Self::ALL
@@ -69,24 +69,26 @@
             .find(|class| class.to_string() == name)
     }
 
-    /// What it does, in one sentence.
+    /// Describes the effect of the class in one line.
     #[must_use]
     pub fn description(self) -> &'static str {
         match self {
-            Self::Network => "messages are lost, late, doubled and overtake each other",
+            Self::Network => "messages are lost, late, duplicated and reordered",
             Self::Cuts => "one-way cuts, isolated machines and zones",
-            Self::Kills => "processes are killed and restarted, several at once too",
-            Self::Freezes => "processes stand still and go on later",
+            Self::Kills => "processes are killed and restarted, sometimes several at once",
+            Self::Freezes => "processes freeze and go on later",
             Self::Disks => "disks are lost, rolled back, full, or fail to sync",
             Self::Clocks => "clocks run at different rates",
-            Self::Answers => "engines answer late, crossed, cut off, doubled or not at all",
-            Self::Platform => "machines leave and return, the list lags and goes back in time",
+            Self::Answers => "engines answer late, crossed, truncated, duplicated or not at all",
+            Self::Platform => {
+                "machines leave and return, the list lags and goes back to older states"
+            }
             Self::Stops => "gateways are stopped as planned under load",
         }
     }
 }
 
-/// What an engine does to its answers.
+/// A fault in an engine's answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub enum AnswerFault {
     /// Sends the answer of another attempt.
@@ -101,7 +103,7 @@
     /// Runs the request and breaks the connection.
     #[display("runs, then breaks the connection")]
     AcceptThenBreak,
-    /// Breaks the connection before it takes the request.
+    /// Breaks the connection before accepting the request.
     #[display("breaks the connection before running")]
     BreakBefore,
     /// Refuses new work.
@@ -112,10 +114,10 @@
     Slow,
 }
 
-/// What a fault does.
+/// The effect of a fault.
 #[derive(Clone, Debug, PartialEq, Display)]
 pub enum FaultKind {
-    /// Links work badly.
+    /// Links lose, duplicate and delay messages.
     #[display(
         "{:.0} % lost, {:.0} % doubled, up to {} ms late at {}",
         _0.loss * 100.0,
@@ -127,42 +129,42 @@
     /// Links are cut.
     #[display("cut {}", Cuts(_0))]
     Cut(Vec<Cut>),
-    /// Processes are killed at once and restarted at the end.
+    /// Processes are killed at the beginning and restarted at the end.
     #[display("kill {}", Addresses(_0))]
     Kill(Vec<Address>),
-    /// A process stands still until the end.
+    /// A process is frozen until the end.
     #[display("freeze {_0}")]
     Freeze(Address),
-    /// A replica's machine is replaced with a blank disk. It waits until every
-    /// replica is back, since losing a majority of disks cannot be survived.
+    /// A replica's machine is replaced with a blank disk. The fault waits until every
+    /// replica is back, since the loss of a majority of disks cannot be survived.
     #[display("lose the disk of replica {_0}")]
     LoseDisk(u32),
-    /// A replica's disk is put back to its state at the beginning of the fault.
+    /// A replica's disk is restored at the end to its state at the beginning of the fault.
     #[display("roll back the disk of replica {_0}")]
     RollBackDisk(u32),
-    /// A replica's disk has no room until the end.
+    /// A replica's disk is full until the end.
     #[display("fill the disk of replica {_0}")]
     FillDisk(u32),
     /// A replica's next sync fails.
     #[display("fail a sync of replica {_0}")]
     FailSync(u32),
-    /// An engine spoils this share of its answers.
+    /// An engine injects a fault into this share of its answers.
     #[display("engine {engine}: {fault}, {} %", *percent)]
     Answers {
         /// Engine.
         engine: u32,
-        /// What happens.
+        /// Injected fault.
         fault: AnswerFault,
-        /// Share of requests hit, in percent.
+        /// Share of affected requests, in percent.
         percent: u32,
     },
     /// An engine leaves, and returns as a new incarnation at the end.
     #[display("engine {_0} leaves and returns as a new incarnation")]
     Leave(u32),
-    /// The platform serves old lists now and then.
+    /// The platform sometimes serves stale lists.
     #[display("the machine list goes back in time")]
     OldLists,
-    /// A gateway is stopped as planned and started again at the end.
+    /// A gateway shuts down gracefully and is restarted at the end.
     #[display("planned stop of gateway {_0}")]
     PlannedStop(u32),
 }
@@ -191,7 +193,7 @@
     }
 }
 
-/// A fault and when it happens.
+/// A fault and its time span.
 #[derive(Clone, Debug, PartialEq, Display)]
 #[display("{} to {} ms: {kind}", begins.0 / 1_000, ends.0 / 1_000)]
 pub struct Fault {
@@ -199,12 +201,12 @@
     pub begins: Timestamp,
     /// When it ends.
     pub ends: Timestamp,
-    /// What happens.
+    /// Effect.
     pub kind: FaultKind,
 }
 
 impl Fault {
-    /// How long it lasts.
+    /// Returns the duration of the fault.
     #[must_use]
     pub fn duration(&self) -> Duration {
         self.ends.since(self.begins)
--- a/crates/sim/src/fault/schedule.rs
+++ b/crates/sim/src/fault/schedule.rs
@@ -1,4 +1,4 @@
-//! Drawing a schedule of faults from a seed.
+//! Draws the fault schedule of a seed.
 
 use std::ops::Range;
 use std::time::Duration;
@@ -13,18 +13,19 @@
 use crate::address::Address;
 use crate::network::{Cut, Disturbance, Endpoint};
 
-/// Faults in one run.
+/// Number of faults in one run.
 const FAULTS: Range<usize> = 5..14;
-/// Length of a fault, in milliseconds.
+/// Duration of a fault, in milliseconds.
 const LENGTH_MS: Range<u64> = 200..7_000;
-/// Time for which a killed process stays down, in milliseconds.
+/// Downtime of a killed process, in milliseconds.
 const DOWN_MS: Range<u64> = 5..2_500;
-/// Share of faults that begin right at or after an earlier one.
+/// Share of faults that begin at or shortly after the start or end of an earlier
+/// fault.
 const FOLLOWS_ANOTHER: f64 = 0.35;
-/// Longest time after the earlier one, in milliseconds.
+/// Longest delay after the earlier fault, in milliseconds.
 const FOLLOWS_WITHIN_MS: u64 = 400;
 
-/// How many participants there are, and the times of a run.
+/// The number of participants and the times of a run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Topology {
     /// Replicas, numbered from 1.
@@ -35,18 +36,18 @@
     pub engines: u32,
     /// Zones, numbered from 0.
     pub zones: u32,
-    /// First fault at the earliest.
+    /// Earliest start of a fault.
     pub faults_begin: Timestamp,
-    /// When a job with long items is submitted, which is cancelled later.
+    /// When a job with long items is submitted; it is cancelled later.
     pub long_items_at: Timestamp,
-    /// Every fault has ended by then.
+    /// Time by which every fault has ended.
     pub faults_end: Timestamp,
 }
 
-/// Share of runs with a combination of faults that is dangerous as a whole.
+/// Share of runs that include a combination of faults that is dangerous as a whole.
 const WITH_COMBINATION: f64 = 0.9;
 
-/// Draws faults of `classes`, sorted by their beginning.
+/// Draws faults of `classes`, sorted by start time.
 #[must_use]
 pub fn schedule(
     random: &mut ChaCha8Rng,
@@ -168,7 +169,8 @@
             }]
         }
         2 | 3 => {
-            // From the replicas only: it still reaches engines and callers.
+            // Cuts only the links to replicas: the gateway still reaches engines and
+            // callers.
             let gateway = Address::Gateway(number(random, topology.gateways));
             both(Endpoint::One(gateway), Endpoint::Replicas)
         }
--- a/crates/sim/src/flags.rs
+++ b/crates/sim/src/flags.rs
@@ -9,35 +9,35 @@
             optional --seeds count: u64
             /// First seed.
             optional --seed seed: u64
-            /// Classes of faults, by commas; `all` or `none`.
+            /// Fault classes, comma-separated; `all` or `none`.
             optional --faults classes: String
-            /// Mechanism to switch off.
+            /// Mechanism to disable.
             optional --without mechanism: String
-            /// Numbers of the faults to keep, by commas; `none` for none.
+            /// Indexes of the faults to keep, comma-separated; `none` for none.
             optional --keep-faults numbers: String
-            /// Numbers of the pieces of work to keep, by commas.
+            /// Indexes of the pieces of work to keep, comma-separated.
             optional --keep-work numbers: String
-            /// Threads.
+            /// Number of threads.
             optional --threads count: usize
-            /// Does not look for a smaller scenario when a seed fails.
+            /// Does not shrink failing scenarios.
             optional --no-shrink
-            /// Names classes of faults and checkers instead.
+            /// Lists fault classes, checkers and mechanisms instead.
             optional --list
         }
-        /// Names classes of faults, checkers and mechanisms.
+        /// Lists fault classes, checkers and mechanisms.
         cmd list {}
         /// Explores small state machines exhaustively.
         cmd explore {
-            /// Most states of each model.
+            /// Maximum number of states per model.
             optional --states count: usize
         }
-        /// Switches each mechanism off and shows that a checker notices.
+        /// Disables each mechanism and verifies that a checker detects it.
         cmd mutants {
-            /// Most seeds tried for each mechanism.
+            /// Maximum number of seeds per mechanism.
             optional --seeds count: u64
-            /// Only this mechanism.
+            /// Tests only this mechanism.
             optional --only mechanism: String
-            /// Threads.
+            /// Number of threads.
             optional --threads count: usize
         }
     }
--- a/crates/sim/src/gateway/answers.rs
+++ b/crates/sim/src/gateway/answers.rs
@@ -1,4 +1,4 @@
-//! Answers of engines to online requests, and silence.
+//! Engine answers to online requests, and timeouts.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -17,9 +17,9 @@
 use crate::context::Context;
 use crate::message::{ClientReply, ConnectionId, EngineAnswer};
 
-/// Silence of an attempt after which its connection is given up.
+/// Idle time after which the connection of an attempt is abandoned.
 const SILENCE: Duration = Duration::from_millis(1_500);
-/// Time for a question about an attempt.
+/// Timeout of a status query about an attempt.
 const QUESTION_WITHIN: Duration = Duration::from_millis(500);
 
 impl Process {
@@ -51,8 +51,8 @@
         }
     }
 
-    /// Takes an answer on the connection of an attempt. Returns how the
-    /// attempt ended, if it did.
+    /// Handles an answer on the connection of an attempt. Returns how the attempt ended, if
+    /// it did.
     fn attempt_answered(
         &mut self,
         context: &mut Context,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Notes the first part of an answer.
+    /// Records the first part of an answer.
     fn first_answer(&mut self, context: &mut Context, id: OnlineId) {
         let now = self.now(context);
         let Some(online) = self.online.get_mut(&id) else {
@@ -156,7 +156,7 @@
         self.go_on(context, id, step);
     }
 
-    /// The request no longer counts as in flight on its engine.
+    /// Stops counting the request as in flight on its engine.
     fn leave_engine(&mut self, context: &mut Context, id: OnlineId) {
         let now = self.now(context);
         let Some(online) = self.online.get_mut(&id) else {
@@ -217,7 +217,7 @@
     }
 }
 
-/// How a stream that the engine closed ended.
+/// Returns how a stream ended that the engine closed.
 fn stream_end(exchange: &Exchange) -> AttemptEnd {
     match exchange.check.end() {
         Ok(()) => AttemptEnd::Completed,
@@ -225,7 +225,8 @@
     }
 }
 
-/// What an engine's answer says about an attempt that was sent to one life.
+/// Interprets an engine's answer to a status query about an attempt that was sent
+/// to one incarnation.
 fn status_answer(attempt: AttemptRef, answer: &EngineAnswer) -> StatusAnswer {
     match answer {
         EngineAnswer::Status { incarnation, .. } if *incarnation != attempt.incarnation => {
--- a/crates/sim/src/gateway/batch.rs
+++ b/crates/sim/src/gateway/batch.rs
@@ -19,14 +19,14 @@
 use crate::scenario::MODEL;
 use crate::workload::read_input;
 
-/// Time for one request to a job group.
+/// Timeout of one request to a job group.
 const REQUEST_WITHIN: Duration = Duration::from_millis(1_500);
-/// Silence of a stream after which its answer is fetched anew.
+/// Idle time of a stream after which its answer is fetched again.
 const SILENCE: Duration = Duration::from_secs(3);
-/// Times that the answer of a stream is fetched.
+/// Maximum number of fetches of the answer of a stream.
 const MOST_FETCHES: u32 = 6;
 
-/// A batch stream that is out.
+/// A batch stream in flight.
 #[derive(Debug)]
 pub(super) struct BatchStream {
     attempt: AttemptRef,
@@ -37,7 +37,7 @@
 }
 
 impl Process {
-    /// Gives the batch owner an input and carries its outputs out.
+    /// Passes an input to the batch owner and executes its outputs.
     pub(super) fn batch_input(&mut self, context: &mut Context, input: BatchInput) {
         let now = self.now(context);
         let outputs = self.batch.handle(now, input);
@@ -50,8 +50,8 @@
     pub(super) fn tick_batch(&mut self, context: &mut Context) {
         let changes = self.ownership.tick(self.now(context));
         self.ownership_changed(context, changes);
-        // Only when it asked for it: that it acts on what arrives must not be
-        // hidden by a tick that comes soon anyway.
+        // The owner is ticked only when its own timer is due: a periodic tick would hide a
+        // failure to act on inputs as they arrive.
         if self
             .timers
             .batch
@@ -273,7 +273,8 @@
             } => {
                 let end = match outcome {
                     _ if permanent => ItemEnd::Refused(b"refused".to_vec().into()),
-                    // Said of a first sending, this is the engine's own word.
+                    // In reply to the first submission, the engine itself vouches that the
+                    // attempt did not run.
                     RunOutcome::NotRun if first_fetch && unknown_to.is_none() => ItemEnd::NotRun,
                     _ => ItemEnd::Unknown,
                 };
@@ -302,7 +303,7 @@
         self.batch_input(context, BatchInput::Ended { stream: id, end });
     }
 
-    /// Fetches the answer of a stream whose connection broke.
+    /// Fetches the answer of a stream whose connection broke or stayed silent.
     fn fetch_stream(&mut self, context: &mut Context, id: StreamId) {
         let Some(stream) = self.streams.get(&id) else {
             return;
--- a/crates/sim/src/gateway/configuration.rs
+++ b/crates/sim/src/gateway/configuration.rs
@@ -1,4 +1,4 @@
-//! Watching the configuration, and being ready or not.
+//! Watches the configuration and decides readiness.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,14 +14,14 @@
 use crate::history::{AdmissionRecord, InForceRecord, ReadRecord};
 use crate::message::Operation;
 
-/// Time between two rounds of reads.
+/// Interval between two rounds of reads.
 const WATCH_INTERVAL: Duration = Duration::from_millis(250);
-/// Time for one read.
+/// Timeout of one read.
 const READ_WITHIN: Duration = Duration::from_secs(2);
 
 impl Process {
-    /// Asks for the configuration: any replica for its content, and the leader
-    /// for whether it is the newest.
+    /// Requests the configuration: its content from any replica, and from the leader
+    /// whether a newer version exists.
     pub(super) fn poll_configuration(&mut self, context: &mut Context) {
         let now = self.now(context);
         if self.timers.watch > now {
@@ -45,7 +45,7 @@
     pub(super) fn configuration_seen(&mut self, context: &mut Context, answer: Option<&[u8]>) {
         if let Some(Ok(ControlAnswer::Configuration(Some(configuration)))) =
             answer.map(molespan_state::decode)
-            // A replica that has not applied anything yet knows no service.
+            // A replica that has not applied any entry yet has no services.
             && configuration.version > ConfigVersion(0)
         {
             let change = self.holder.offer(configuration);
@@ -102,7 +102,7 @@
         self.batch_input(context, BatchInput::Policy { tail_protection });
     }
 
-    /// Whether new work may be taken in now; notes it when it is.
+    /// Whether the gateway accepts new work now; records the admission if so.
     pub(super) fn takes_new_work(&self, context: &mut Context) -> bool {
         let ready = self.holder.readiness(self.now(context)) == Readiness::Ready;
         if !ready || self.refuses_new {
@@ -116,13 +116,13 @@
         true
     }
 
-    /// Version in force.
+    /// Returns the version in force.
     #[must_use]
     pub fn version(&self) -> ConfigVersion {
         self.holder.version()
     }
 
-    /// Whether it would take new work at simulation time `world`.
+    /// Whether the gateway would accept new work at simulation time `world`.
     #[must_use]
     pub fn is_ready(&self, world: Timestamp) -> bool {
         let now = self.identity.clock.local(world);
@@ -130,7 +130,7 @@
     }
 }
 
-/// A query of the control group.
+/// Encodes a query for the control group.
 fn query(consistency: Consistency, query: &ControlQuery) -> Operation {
     Operation::Query(consistency, molespan_state::encode(query).into())
 }
--- a/crates/sim/src/gateway/drain.rs
+++ b/crates/sim/src/gateway/drain.rs
@@ -1,4 +1,4 @@
-//! The planned stop.
+//! The graceful shutdown of a gateway.
 
 use molespan_membership::{DrainInput, DrainOutput, DrainPhase};
 use molespan_routing::admission::RefusalCode;
@@ -8,7 +8,7 @@
 use crate::context::Context;
 
 impl Process {
-    /// An operator asked for the stop.
+    /// Starts the graceful shutdown that an operator requested.
     pub(super) fn begin_stop(&mut self, context: &mut Context) {
         self.report_load(context);
         self.drain_input(context, DrainInput::Begin);
@@ -22,7 +22,7 @@
         self.drain_input(context, DrainInput::Tick);
     }
 
-    /// Tells the stop what is in flight and held.
+    /// Reports the requests in flight, and the leases and engines held, to the drain plan.
     fn report_load(&mut self, context: &mut Context) {
         let jobs = self.groups.open();
         let jobs = jobs.filter(|tag| matches!(tag, Tag::Job(_) | Tag::Settle));
--- a/crates/sim/src/gateway/jobs.rs
+++ b/crates/sim/src/gateway/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as callers submit, follow, read and cancel them.
+//! Submission, status, results and cancellation of jobs for callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 use crate::replica_node::JOB_GROUPS;
 use crate::workload::JobPlan;
 
-/// Time for each call of a group.
+/// Timeout of each call to a group.
 const CALL_WITHIN: Duration = Duration::from_secs(4);
-/// Items of one append.
+/// Items per append.
 const ITEMS_AT_ONCE: u32 = 50;
-/// Results of one page.
+/// Results per page.
 const RESULTS_AT_ONCE: u32 = 64;
 
-/// What a caller waits for.
+/// The step of a job request that a caller waits for.
 #[derive(Clone, Debug)]
 pub(super) enum JobStep {
     Begin(Arc<JobPlan>),
@@ -34,7 +34,7 @@
     Cancel,
 }
 
-/// A call of a group on behalf of a caller.
+/// A call to a group on behalf of a caller.
 #[derive(Clone, Debug)]
 pub(super) struct JobCall {
     pub client: Address,
@@ -153,7 +153,7 @@
         match molespan_state::decode(answer) {
             Ok(JobReply::Job(status)) => self.job_stands(context, call, status),
             Ok(JobReply::WrongPhase { received, .. }) => {
-                // Another gateway submits the same job at the same time.
+                // Another gateway is submitting the same job concurrently.
                 self.append(context, call, received);
             }
             Ok(JobReply::KeyConflict { .. }) => {
@@ -183,8 +183,7 @@
         }
     }
 
-    /// Sends the items from `received` on, or accepts the job when all are
-    /// there.
+    /// Appends the items from `received` on, or accepts the job once all items are present.
     fn append(&mut self, context: &mut Context, call: JobCall, received: u32) {
         let (JobStep::Begin(plan) | JobStep::Append(plan) | JobStep::Accept(plan)) = &call.step
         else {
--- a/crates/sim/src/gateway/machines.rs
+++ b/crates/sim/src/gateway/machines.rs
@@ -1,4 +1,4 @@
-//! The machine list, load reports, heartbeats and who owns which engine.
+//! The machine list, load reports, heartbeats and engine ownership.
 
 use std::time::Duration;
 
@@ -18,17 +18,17 @@
 use crate::message::Message;
 use crate::platform_node::zone_name;
 
-/// Time between two heartbeats.
+/// Interval between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// Time between two requests for load.
+/// Interval between two load requests.
 const LOAD_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two requests for the list.
+/// Interval between two requests for the machine list.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two ticks of the directory.
+/// Interval between two ticks of the directory.
 const DIRECTORY_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Process {
-    /// Asks for what is due and lets time pass in the directory.
+    /// Sends the requests that are due and ticks the directory.
     pub(super) fn poll_machines(&mut self, context: &mut Context) {
         let now = self.now(context);
         let own = self.identity.address();
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Lets batch work use an owned engine, if it may get new work.
+    /// Lets batch work use an owned engine if the engine accepts new work.
     fn open_engine(&mut self, context: &mut Context, backend: BackendId) {
         let Some(found) = self.directory.backend(backend) else {
             return;
@@ -178,13 +178,13 @@
         self.batch_input(context, BatchInput::Load(sample));
     }
 
-    /// Gives the directory an input and acts on what changed.
+    /// Passes an input to the directory and applies the resulting changes.
     pub(super) fn directory_input(&mut self, context: &mut Context, input: DirectoryInput) {
         let now = self.now(context);
         let mut changed = false;
         for output in self.directory.handle(now, input) {
             let DirectoryOutput::Changed(change) = output else {
-                // Load requests go to every engine anyway, as its probes.
+                // Load requests are sent to every engine anyway and serve as its probes.
                 continue;
             };
             changed = true;
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Notes how work on an engine went.
+    /// Reports the result of work on an engine to the directory.
     pub(super) fn worked(
         &mut self,
         context: &mut Context,
@@ -229,7 +229,7 @@
         self.directory_input(context, input);
     }
 
-    /// Whether it sends new work to an engine of this life.
+    /// Whether the gateway sends new work to this incarnation of an engine.
     #[must_use]
     pub fn uses(&self, backend: BackendId, incarnation: Incarnation) -> bool {
         self.directory.backend(backend).is_some_and(|backend| {
--- a/crates/sim/src/gateway/mod.rs
+++ b/crates/sim/src/gateway/mod.rs
@@ -1,5 +1,5 @@
-//! A gateway process: the cores of membership and routing, and the glue that
-//! carries their outputs out.
+//! A gateway process: the membership and routing cores, and the glue that executes
+//! their outputs.
 
 mod answers;
 mod batch;
@@ -24,23 +24,23 @@
 use crate::node::Node;
 use process::Process;
 
-/// Time after a planned stop at which the process is started again, unless the
+/// Delay after a graceful shutdown before the process is restarted, unless the
 /// schedule keeps it down for longer.
 const RESTART_AFTER: Duration = Duration::from_millis(100);
 
-/// A gateway and what outlives its process.
+/// A gateway and the state that survives restarts of its process.
 #[derive(Debug)]
 pub struct GatewayNode {
     number: u32,
     replicas: u32,
     clock: NodeClock,
     life: u64,
-    /// The configuration on its disk.
+    /// Configuration stored on disk.
     stored: Option<Configuration>,
     process: Option<Process>,
 }
 
-/// Who a gateway process is.
+/// Identity of a gateway process.
 #[derive(Clone, Debug)]
 pub(crate) struct Identity {
     pub number: u32,
@@ -71,7 +71,7 @@
 }
 
 impl GatewayNode {
-    /// A gateway that was never started.
+    /// Creates a gateway that was never started.
     #[must_use]
     pub fn new(number: u32, replicas: u32, clock: NodeClock) -> Self {
         Self {
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Starts its next life.
+    /// Starts the process with the next incarnation number.
     pub fn start(&mut self, context: &mut Context) {
         if self.process.is_some() {
             return;
@@ -103,14 +103,14 @@
         self.process = Some(Process::start(context, identity, self.stored.clone()));
     }
 
-    /// Kills the process; its connections break.
+    /// Kills the process, which breaks its connections.
     pub fn kill(&mut self, context: &mut Context) {
         if let Some(process) = self.process.take() {
             process.break_connections(context, false);
         }
     }
 
-    /// Asks the process to stop as planned.
+    /// Requests a graceful shutdown of the process.
     pub fn stop(&mut self, context: &mut Context) {
         if let Some(process) = &mut self.process {
             process.begin_stop(context);
@@ -118,13 +118,14 @@
         self.settle(context);
     }
 
-    /// Version in force, while it runs.
+    /// Returns the process while it runs.
     #[must_use]
     pub fn process(&self) -> Option<&Process> {
         self.process.as_ref()
     }
 
-    /// Stores what must outlive the process, and ends one that has stopped.
+    /// Persists the configuration that must survive the process, and removes a process that
+    /// has stopped.
     fn settle(&mut self, context: &mut Context) {
         let Some(process) = &mut self.process else {
             return;
--- a/crates/sim/src/gateway/online.rs
+++ b/crates/sim/src/gateway/online.rs
@@ -1,4 +1,4 @@
-//! Online requests: admission, claims, choice of an engine, answers, retries.
+//! Online requests: admission, claims, engine selection, answers, retries.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,16 +21,16 @@
 use crate::scenario::MODEL;
 use crate::workload::OnlinePlan;
 
-/// Time for a claim.
+/// Timeout of a claim.
 const CLAIM_WITHIN: Duration = Duration::from_secs(2);
-/// Time for a settlement, which is sent again until then.
+/// Timeout of a settlement, which is resent until then.
 const SETTLE_WITHIN: Duration = Duration::from_secs(20);
 
-/// Names an online request within a process.
+/// Identifies an online request within a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct OnlineId(u64);
 
-/// An attempt, or a question about it, that is out.
+/// An attempt, or a status query about it, in flight.
 #[derive(Debug)]
 pub(super) struct Exchange {
     pub attempt: AttemptRef,
@@ -51,7 +51,7 @@
     pub ticket: Ticket,
     pub claim: Option<AttemptId>,
     pub exchange: Option<Exchange>,
-    /// The engine that counts this request as in flight, and since when.
+    /// The engine on which this request counts as in flight, and since when.
     pub placed: Option<(BackendId, Timestamp)>,
     pub answered: bool,
     pub text: String,
@@ -194,7 +194,7 @@
             }
             _ => ClaimAnswer::Failed,
         };
-        // Another's claim is not this request's to settle.
+        // A claim held by another request must not be settled by this one.
         if !matches!(answer, ClaimAnswer::Granted | ClaimAnswer::Failed) {
             online.claim = None;
         }
@@ -255,7 +255,7 @@
         self.exchange(context, id, attempt, call, 0);
     }
 
-    /// Tells the batch owner of an engine about online work there.
+    /// Notifies the batch owner of an engine about online work on it.
     pub(super) fn notify_owner(
         &self,
         context: &mut Context,
@@ -325,7 +325,7 @@
         self.exchange(context, id, attempt, call, 0);
     }
 
-    /// Passes the recorded answer of a claimed request on.
+    /// Replays the recorded answer of a claimed request to the caller.
     fn replay(&mut self, context: &mut Context, id: OnlineId, outcome: RunOutcome) {
         let Some(online) = self.online.get(&id) else {
             return;
--- a/crates/sim/src/gateway/process.rs
+++ b/crates/sim/src/gateway/process.rs
@@ -1,4 +1,4 @@
-//! One life of a gateway process.
+//! One incarnation of a gateway process.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -27,23 +27,23 @@
 use crate::replica_node::JOB_GROUPS;
 use crate::scenario::{CURRENCY_BOUND, LEASE, SERVICES};
 
-/// Time between two ticks.
+/// Interval between two ticks.
 const TICK: Duration = Duration::from_millis(10);
-/// Name of the state of a policy until one is configured.
+/// Tail protection until a policy is configured.
 const INITIAL_TAIL_PROTECTION: u8 = 50;
-/// Gateways that an announcement goes to.
+/// Number of gateways; an announcement goes to all others.
 pub(super) const GATEWAYS: u32 = 3;
 
-/// What a call of a group is about.
+/// Purpose of a call to a group.
 #[derive(Debug)]
 pub(super) enum Tag {
     /// A read at any replica.
     Watch,
-    /// A linearizable read; holds the version in force when it was asked.
+    /// A linearizable read, with the version in force when it was sent.
     Confirm(molespan_types::ConfigVersion),
     /// A request of the batch owner.
     Batch(molespan_routing::batch::RequestNumber),
-    /// Something a caller asked for.
+    /// A request of a caller.
     Job(Box<JobCall>),
     /// The claim of a request.
     Claim(OnlineId),
@@ -51,10 +51,10 @@
     Settle,
 }
 
-/// What a connection to an engine is for.
+/// Purpose of a connection to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Use {
-    /// An attempt at an online request, or a question about it.
+    /// An attempt of an online request, or a status query about it.
     Online(OnlineId),
     /// A batch stream.
     Batch(StreamId),
@@ -72,7 +72,7 @@
     pub batch: Option<Timestamp>,
 }
 
-/// One life of a gateway process.
+/// One incarnation of a gateway process.
 #[derive(Debug)]
 pub struct Process {
     pub(super) identity: Identity,
@@ -100,7 +100,7 @@
 }
 
 impl Process {
-    /// Starts with the configuration that was on disk.
+    /// Starts with the configuration stored on disk.
     pub(super) fn start(
         context: &mut Context,
         identity: Identity,
@@ -166,28 +166,28 @@
         process
     }
 
-    /// Time on its clock.
+    /// Returns the time on the gateway's clock.
     pub(super) fn now(&self, context: &Context) -> Timestamp {
         self.identity.clock.local(context.now)
     }
 
-    /// When the next tick is due, on its clock.
+    /// Returns when the next tick is due, on the gateway's clock.
     #[must_use]
     pub(super) fn next_tick(&self) -> Timestamp {
         self.timers.tick
     }
 
-    /// A configuration that must be stored, once.
+    /// Takes the configuration that must be stored, if any.
     pub(super) fn take_to_store(&mut self) -> Option<Configuration> {
         self.to_store.take()
     }
 
-    /// Whether a planned stop came to its end.
+    /// Whether a graceful shutdown has finished.
     pub(super) fn has_stopped(&self) -> bool {
         self.stopped
     }
 
-    /// Does what is due.
+    /// Performs the work that is due.
     pub(super) fn tick(&mut self, context: &mut Context) {
         let now = self.now(context);
         if self.timers.tick > now {
@@ -204,7 +204,7 @@
         self.tick_drain(context);
     }
 
-    /// Takes a message.
+    /// Handles a message.
     pub(super) fn receive(&mut self, context: &mut Context, from: Address, message: Message) {
         let now = self.now(context);
         match message {
@@ -249,7 +249,7 @@
         connection: ConnectionId,
         answer: EngineAnswer,
     ) {
-        // Answers on a connection that was given up find no use any more.
+        // Answers on an abandoned connection are ignored.
         match self.connections.get(&connection).copied() {
             Some(Use::Online(id)) => self.online_answered(context, id, connection, answer),
             Some(Use::Batch(id)) => self.stream_answered(context, id, answer),
@@ -296,7 +296,7 @@
         connection
     }
 
-    /// An attempt that was never named before.
+    /// Returns an attempt identifier that was never used before.
     pub(super) fn next_attempt(&mut self) -> AttemptId {
         self.last_attempt += 1;
         AttemptId {
@@ -305,7 +305,7 @@
         }
     }
 
-    /// Every other gateway.
+    /// Returns every other gateway.
     pub(super) fn others(&self) -> impl Iterator<Item = Address> + use<> {
         let own = self.identity.number;
         (1..=GATEWAYS)
@@ -313,13 +313,13 @@
             .map(Address::Gateway)
     }
 
-    /// The gateway that owns the batch work of an engine, as far as is known.
+    /// Returns the gateway that owns the batch work of an engine, as far as known locally.
     pub(super) fn owner_of(&self, backend: BackendId) -> Option<NodeId> {
         let zone = &self.directory.backend(backend)?.zone;
         self.gateways.owner_of(backend, zone)
     }
 
-    /// Limits of the services in a configuration.
+    /// Returns the limits of the services in a configuration.
     pub(super) fn limits_of(configuration: &Configuration) -> BTreeMap<ServiceName, ServiceLimits> {
         let services = configuration.services.iter().map(|(name, service)| {
             let limits = ServiceLimits {
@@ -332,7 +332,7 @@
         services.collect()
     }
 
-    /// Tells every waiting caller that the connection broke.
+    /// Notifies every waiting caller that the connection broke.
     pub(super) fn break_connections(&self, context: &mut Context, planned_stop: bool) {
         let online = self.online.values();
         let online = online.map(|online| (online.client, online.arrival));
--- a/crates/sim/src/group_client.rs
+++ b/crates/sim/src/group_client.rs
@@ -1,7 +1,7 @@
-//! A client of the replica groups: finds leaders and sends again.
+//! A client of the replica groups, which finds leaders and retries calls.
 //!
-//! Every command that it carries can be sent twice without harm, so that it
-//! sends again after an unknown outcome too.
+//! Every command sent through this client is idempotent, so it retries after
+//! unknown outcomes too.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -14,9 +14,9 @@
 use crate::context::Context;
 use crate::message::{Message, Operation};
 
-/// Time without an answer after which a call goes to the next replica.
+/// Time without an answer after which a call is sent to the next replica.
 const ANSWER_WITHIN: Duration = Duration::from_millis(600);
-/// Wait before a call is sent again after a refusal.
+/// Delay before a call is retried after a refusal.
 const AGAIN_AFTER: Duration = Duration::from_millis(30);
 
 #[derive(Debug)]
@@ -31,14 +31,14 @@
     waits: bool,
 }
 
-/// How a call ended.
+/// The end of a call.
 #[derive(Debug)]
 pub struct Ended<T> {
-    /// What it was about.
+    /// Tag given by the caller.
     pub tag: T,
-    /// When it was begun, on the caller's clock.
+    /// When the call started, on the caller's clock.
     pub started: Timestamp,
-    /// The answer; `None` when its time ran out.
+    /// The answer; `None` after a timeout.
     pub answer: Option<Vec<u8>>,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl<T> GroupClient<T> {
-    /// A client that knows no leader.
+    /// Creates a client that knows no leader.
     #[must_use]
     pub fn new(own: Address, replicas: u32) -> Self {
         Self {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Starts a call that goes to the leader.
+    /// Starts a call to the leader.
     pub fn call(
         &mut self,
         context: &mut Context,
@@ -78,7 +78,7 @@
         self.call_at(context, now, (group, target), operation, within, tag);
     }
 
-    /// Starts a call that goes to any replica.
+    /// Starts a call to a random replica.
     pub fn call_any(
         &mut self,
         context: &mut Context,
@@ -125,7 +125,7 @@
         context.send(self.own, Address::Replica(pending.target), message);
     }
 
-    /// Takes an answer. Returns how the call ended, if it did.
+    /// Handles an answer. Returns the end of the call, if it ended.
     pub fn replied(
         &mut self,
         now: Timestamp,
@@ -169,7 +169,7 @@
         None
     }
 
-    /// Sends again what is due, and gives up what ran out of time.
+    /// Resends calls that are due, and returns those that timed out.
     pub fn tick(&mut self, context: &mut Context, now: Timestamp) -> Vec<Ended<T>> {
         let due: Vec<u64> = self
             .calls
@@ -202,13 +202,13 @@
         ended
     }
 
-    /// When [`GroupClient::tick`] is due.
+    /// Returns when [`GroupClient::tick`] is due.
     #[must_use]
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         self.calls.values().map(|pending| pending.next_send).min()
     }
 
-    /// Calls that are open.
+    /// Returns the tags of the open calls.
     pub fn open(&self) -> impl Iterator<Item = &T> {
         self.calls.values().map(|pending| &pending.tag)
     }
--- a/crates/sim/src/history.rs
+++ b/crates/sim/src/history.rs
@@ -1,8 +1,8 @@
-//! What participants saw, as the checkers read it.
+//! Observations of the participants, as input of the checkers.
 //!
-//! Times are those of the simulation. Records come from outside the cores:
-//! from callers, operators and engines, and from the edges of gateways where
-//! requests are taken in and sent on.
+//! Times are simulation times. Records come from outside the cores: from callers,
+//! operators and engines, and from the points where gateways admit and dispatch
+//! requests.
 
 use std::collections::BTreeMap;
 
@@ -16,24 +16,24 @@
 
 use crate::workload::{JobPlan, OnlinePlan};
 
-/// A broken guarantee.
+/// A violated guarantee.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Display)]
 #[display("{checker}: at {} ms, {message}", at.0 / 1_000)]
 pub struct Violation {
-    /// When it was seen.
+    /// When the violation was observed.
     pub at: Timestamp,
-    /// Checker that saw it.
+    /// Checker that reported the violation.
     pub checker: &'static str,
-    /// What was seen.
+    /// Description.
     pub message: String,
 }
 
 /// An answered confirmation of an intent.
 #[derive(Clone, Debug)]
 pub struct ConfirmRecord {
-    /// When it was first sent.
+    /// When the confirmation was first sent.
     pub sent: Timestamp,
-    /// When the answer came.
+    /// When the answer arrived.
     pub answered: Timestamp,
     /// Number of the intent.
     pub number: u64,
@@ -46,9 +46,9 @@
 /// An answered linearizable read of the configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadRecord {
-    /// When it was asked for.
+    /// When the read was sent.
     pub sent: Timestamp,
-    /// When the answer came.
+    /// When the answer arrived.
     pub answered: Timestamp,
     /// Version that was read.
     pub version: ConfigVersion,
@@ -65,7 +65,7 @@
     pub version: ConfigVersion,
 }
 
-/// New work that a gateway took in.
+/// New work that a gateway admitted.
 #[derive(Clone, Copy, Debug)]
 pub struct AdmissionRecord {
     /// When.
@@ -94,148 +94,149 @@
     pub at: Timestamp,
     /// Gateway.
     pub gateway: u32,
-    /// Life of that gateway.
+    /// Incarnation of that gateway.
     pub gateway_life: u64,
     /// Engine.
     pub backend: BackendId,
-    /// Life that it was meant for.
+    /// Incarnation of the engine that the work was meant for.
     pub incarnation: Incarnation,
     /// Digest of the prompt.
     pub prompt: Digest,
 }
 
-/// A gateway heard that an engine is leaving.
+/// A notification of a gateway that an engine is leaving.
 #[derive(Clone, Copy, Debug)]
 pub struct ToldRecord {
     /// When.
     pub at: Timestamp,
     /// Gateway.
     pub gateway: u32,
-    /// Life of that gateway.
+    /// Incarnation of that gateway.
     pub gateway_life: u64,
     /// Engine.
     pub backend: BackendId,
-    /// Life that is leaving.
+    /// Incarnation that is leaving.
     pub incarnation: Incarnation,
 }
 
-/// An engine began to leave.
+/// The point at which an engine began to leave.
 #[derive(Clone, Copy, Debug)]
 pub struct LeavingRecord {
     /// When.
     pub at: Timestamp,
     /// Engine.
     pub backend: BackendId,
-    /// Life that is leaving.
+    /// Incarnation that is leaving.
     pub incarnation: Incarnation,
 }
 
 /// How an arrival of an online request ended for its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ArrivalEnd {
-    /// With this answer.
+    /// The caller got this answer.
     Answered(String),
-    /// With a refusal.
+    /// The gateway refused the request.
     Refused(RunOutcome),
-    /// The connection broke, at a planned stop or not.
+    /// The connection broke, during a graceful shutdown or otherwise.
     Broken {
-        /// Whether the gateway had been asked to stop.
+        /// Whether the gateway had been asked to shut down.
         planned_stop: bool,
     },
-    /// The caller gave up waiting.
+    /// The caller timed out.
     GivenUp,
 }
 
 /// An online request at one gateway.
 #[derive(Clone, Debug)]
 pub struct ArrivalRecord {
-    /// When it was sent.
+    /// When the request was sent.
     pub sent: Timestamp,
     /// Caller.
     pub client: u32,
     /// Gateway.
     pub gateway: u32,
-    /// What was sent.
+    /// Request.
     pub plan: std::sync::Arc<OnlinePlan>,
-    /// When the first part of the answer came.
+    /// When the first part of the answer arrived.
     pub first_token: Option<Timestamp>,
-    /// How it ended, and when.
+    /// When and how the arrival ended.
     pub end: Option<(Timestamp, ArrivalEnd)>,
 }
 
-/// What a caller saw of a job.
+/// What a caller observed of a job.
 #[derive(Clone, Debug)]
 pub struct JobRecord {
     /// The job.
     pub plan: std::sync::Arc<JobPlan>,
-    /// When it was first known to be accepted.
+    /// When the job was first reported as accepted.
     pub accepted: Option<Timestamp>,
     /// When a cancellation was first acknowledged.
     pub cancel_acknowledged: Option<Timestamp>,
-    /// When it was first reported as cancelled.
+    /// When the job was first reported as cancelled.
     pub cancelled: Option<Timestamp>,
-    /// When it was first reported as completed.
+    /// When the job was first reported as completed.
     pub completed: Option<Timestamp>,
-    /// Reports, in the order in which they were asked for.
+    /// Status reports, in the order of their answers.
     pub phases: Vec<PhaseRecord>,
-    /// Complete readings of its results.
+    /// Complete reads of the results.
     pub readings: Vec<Reading>,
 }
 
 /// A report of a job's phase.
 #[derive(Clone, Copy, Debug)]
 pub struct PhaseRecord {
-    /// When it was asked for.
+    /// When the report was requested.
     pub sent: Timestamp,
-    /// When the answer came.
+    /// When the answer arrived.
     pub answered: Timestamp,
     /// Phase.
     pub phase: JobPhase,
 }
 
-/// All results of a job, read once.
+/// The complete results of a job from one read.
 #[derive(Clone, Debug)]
 pub struct Reading {
-    /// When the last page came.
+    /// When the last page arrived.
     pub at: Timestamp,
     /// Results.
     pub results: Vec<ItemRecord>,
 }
 
-/// An order that an operator got a token for.
+/// An order for which an operator received a token.
 #[derive(Clone, Debug)]
 pub struct OrderRecord {
-    /// When the token came.
+    /// When the token arrived.
     pub at: Timestamp,
     /// Engine.
     pub backend: BackendId,
-    /// Life that it was meant for.
+    /// Incarnation of the engine that the order is meant for.
     pub incarnation: Incarnation,
     /// Token.
     pub token: FencingToken,
-    /// Distinguishes this order from others.
+    /// Identifier of the order.
     pub order: u32,
-    /// The engine's answer, and the highest token that it had seen.
+    /// When the engine answered, whether it accepted the order, and the highest token that
+    /// it had seen.
     pub reply: Option<(Timestamp, bool, FencingToken)>,
 }
 
-/// A model version that an engine took an order for.
+/// An order that an engine accepted.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderTakenRecord {
     /// When.
     pub at: Timestamp,
     /// Engine.
     pub backend: BackendId,
-    /// Its life.
+    /// Incarnation of the engine.
     pub incarnation: Incarnation,
     /// Token.
     pub token: FencingToken,
 }
 
-/// Everything that was seen.
+/// Observations of a whole run.
 #[derive(Debug, Default)]
 pub struct History {
-    /// Who was seen leading a group in a term.
+    /// Node and incarnation first observed as leader, by group and term.
     pub leaders: BTreeMap<(GroupId, u64), (NodeId, u32)>,
     /// Answered confirmations.
     pub confirms: Vec<ConfirmRecord>,
@@ -243,13 +244,13 @@
     pub reads: Vec<ReadRecord>,
     /// Configurations put in force.
     pub in_force: Vec<InForceRecord>,
-    /// Work taken in.
+    /// Admitted work.
     pub admissions: Vec<AdmissionRecord>,
     /// Attempts that entered a running batch.
     pub starts: Vec<StartRecord>,
     /// Work sent to engines.
     pub dispatches: Vec<DispatchRecord>,
-    /// Gateways that heard of a leaving engine.
+    /// Notifications of gateways about leaving engines.
     pub told: Vec<ToldRecord>,
     /// Engines that began to leave.
     pub leaving: Vec<LeavingRecord>,
@@ -257,20 +258,20 @@
     pub arrivals: BTreeMap<u64, ArrivalRecord>,
     /// Jobs.
     pub jobs: BTreeMap<JobId, JobRecord>,
-    /// Orders by number of the order.
+    /// Orders, in the order of their issue.
     pub orders: Vec<OrderRecord>,
-    /// Orders that engines took.
+    /// Orders accepted by engines.
     pub orders_taken: Vec<OrderTakenRecord>,
-    /// Requests that a planned stop reported as cut off.
+    /// Number of requests that graceful shutdowns reported as cut off.
     pub reported_cut_off: u32,
-    /// Violations that are seen at once.
+    /// Violations detected during the run.
     pub violations: Vec<Violation>,
-    /// Noteworthy happenings, for the trace of a failing run.
+    /// Events for the trace of a failing run.
     pub notes: Vec<(Timestamp, String)>,
 }
 
 impl History {
-    /// Notes a violation.
+    /// Records a violation.
     pub fn violate(&mut self, at: Timestamp, checker: &'static str, message: String) {
         self.violations.push(Violation {
             at,
@@ -279,7 +280,7 @@
         });
     }
 
-    /// Notes a happening for the trace.
+    /// Records an event for the trace.
     pub fn note(&mut self, at: Timestamp, text: String) {
         self.notes.push((at, text));
     }
--- a/crates/sim/src/lib.rs
+++ b/crates/sim/src/lib.rs
@@ -1,10 +1,10 @@
-//! The decision cores under virtual time, with a simulated network, simulated
+//! Runs the decision cores under virtual time, with a simulated network, simulated
 //! disks, seeded faults, and checkers for every guarantee.
 //!
-//! A run is decided by its [`scenario::Scenario`] alone, which is drawn from a
-//! seed: participants, clocks, faults and work. [`world::World`] lets events
-//! happen in the order of virtual time. Afterwards [`checkers`] judge what
-//! callers, operators and engines saw.
+//! A run is determined by its [`scenario::Scenario`] alone, which is drawn from a
+//! seed: participants, clocks, faults and work. [`world::World`] processes events
+//! in the order of virtual time. Afterwards [`checkers`] verify what callers,
+//! operators and engines observed.
 
 pub mod address;
 mod apply;
--- a/crates/sim/src/main.rs
+++ b/crates/sim/src/main.rs
@@ -1,4 +1,4 @@
-//! `molespan-sim`: the decision cores under virtual time.
+//! `molespan-sim`: runs the decision cores under virtual time.
 
 mod commands;
 mod explorations;
--- a/crates/sim/src/message.rs
+++ b/crates/sim/src/message.rs
@@ -17,80 +17,80 @@
 
 use crate::workload::{JobPlan, OnlinePlan};
 
-/// How a message travels.
+/// How a message is transported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Transport {
-    /// It may be lost, doubled and overtaken.
+    /// May be lost, duplicated and reordered.
     Datagram,
-    /// On the connection of that number: in order, at most once.
+    /// Delivered in order and at most once on the connection with this number.
     Stream(u64),
 }
 
-/// What a group is asked for.
+/// An operation requested from a group.
 #[derive(Clone, Debug)]
 pub enum Operation {
-    /// To commit a command.
+    /// Commits a command.
     Propose(Arc<[u8]>),
-    /// To answer a query.
+    /// Answers a query.
     Query(Consistency, Arc<[u8]>),
 }
 
-/// A connection from a gateway to an engine; never used again once it ended.
+/// A connection from a gateway to an engine. Identifiers are never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ConnectionId(pub u64);
 
-/// How an engine sends an answer.
+/// The form in which an engine sends an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AnswerForm {
     /// Token by token.
     Chunks,
     /// As a whole.
     Whole,
-    /// As a whole, with a sign of its first token before.
+    /// As a whole, preceded by a notification of the first token.
     FirstThenWhole,
 }
 
-/// A call of an engine.
+/// A call to an engine.
 #[derive(Clone, Debug)]
 pub enum EngineCall {
-    /// Run a completion.
+    /// Runs a completion.
     Submit {
         /// The completion.
         submission: Submission,
-        /// How its answer comes.
+        /// Requested form of the answer.
         form: AnswerForm,
     },
-    /// Send the answer of an attempt from a token on.
+    /// Sends the answer of an attempt, starting at a token.
     Fetch {
         /// Attempt.
         attempt: AttemptId,
         /// First token.
         offset: u32,
-        /// How it comes.
+        /// Requested form of the answer.
         form: AnswerForm,
     },
-    /// Say where an attempt stands.
+    /// Returns the status of an attempt.
     Status(AttemptId),
-    /// Hold an attempt back.
+    /// Pauses an attempt.
     Pause(AttemptId),
-    /// Let it go on.
+    /// Resumes a paused attempt.
     Resume(AttemptId),
-    /// Stop it.
+    /// Cancels an attempt.
     Cancel(AttemptId),
 }
 
-/// What an engine says on a connection.
+/// A message from an engine on a connection.
 #[derive(Clone, Debug)]
 pub enum EngineAnswer {
     /// The call was refused.
     Refused {
-        /// Attempt that it names.
+        /// Attempt that the engine names.
         attempt: String,
-        /// Whether it ran.
+        /// Whether the attempt ran.
         outcome: RunOutcome,
-        /// Whether it is refused for good.
+        /// Whether a retry would be refused as well.
         permanent: bool,
-        /// Whether the engine does not know the attempt, in which life.
+        /// The engine's incarnation, if it does not know the attempt.
         unknown_to: Option<Incarnation>,
     },
     /// The next token of a stream.
@@ -99,58 +99,58 @@
     Terminator,
     /// A whole answer.
     Whole {
-        /// Attempt that it names.
+        /// Attempt that the engine names.
         attempt: String,
-        /// Length that it declares, in bytes.
+        /// Declared length, in bytes.
         declared: u64,
-        /// Text that came.
+        /// Received text.
         text: String,
     },
-    /// To [`EngineCall::Status`].
+    /// Reply to [`EngineCall::Status`].
     Status {
-        /// Where the attempt stands.
+        /// State of the attempt.
         state: RequestState,
-        /// Life that answers.
+        /// Incarnation of the engine that answers.
         incarnation: Incarnation,
     },
     /// The engine closed the connection.
     Closed,
     /// The connection broke.
     Broken,
-    /// Nobody listens there; no byte was sent.
+    /// No process listens at the address; no byte was sent.
     ConnectionRefused,
 }
 
-/// What a caller asks of a gateway.
+/// A request of a caller to a gateway.
 #[derive(Clone, Debug)]
 pub enum ClientRequest {
-    /// To take a job.
+    /// Submits a job.
     Submit(Arc<JobPlan>),
-    /// Where a job stands.
+    /// Queries the status of a job.
     Status(JobId),
-    /// Results from an item on.
+    /// Reads results, starting at an item.
     Results {
         /// Job.
         job: JobId,
         /// First item.
         first: ItemIndex,
     },
-    /// To stop a job.
+    /// Cancels a job.
     Cancel(JobId),
-    /// A completion.
+    /// Runs an online completion.
     Online(Arc<OnlinePlan>),
 }
 
-/// What a gateway answers.
+/// A reply of a gateway to a caller.
 #[derive(Clone, Debug)]
 pub enum ClientReply {
-    /// Where the job stands.
+    /// Status of the job.
     Job(JobStatus),
     /// A page of results.
     Results {
         /// Results.
         results: Vec<ItemRecord>,
-        /// Where to go on.
+        /// First item of the next page, if any.
         next: Option<ItemIndex>,
     },
     /// The next token of a streamed answer.
@@ -164,18 +164,18 @@
     End,
     /// A whole answer.
     Whole(String),
-    /// It failed.
+    /// The request was refused or failed.
     Refused {
-        /// Whether it ran.
+        /// Whether the request ran.
         outcome: RunOutcome,
-        /// Why.
+        /// Reason.
         reason: &'static str,
     },
-    /// Nobody listens there.
+    /// No process listens at the address.
     ConnectionRefused,
     /// The connection broke.
     Broken {
-        /// Whether the gateway had been asked to stop.
+        /// Whether the gateway had been asked to shut down.
         planned_stop: bool,
     },
 }
@@ -190,18 +190,18 @@
         /// Content.
         bytes: Vec<u8>,
     },
-    /// To a replica.
+    /// A call to a replica.
     Call {
-        /// Chosen by the sender.
+        /// Identifier chosen by the sender.
         call: u64,
         /// Group.
         group: GroupId,
-        /// What is asked.
+        /// Requested operation.
         operation: Operation,
     },
     /// Answer to a call.
     CallReply {
-        /// Number of the call.
+        /// Identifier of the call.
         call: u64,
         /// Answer.
         result: Result<Vec<u8>, Refusal>,
@@ -213,43 +213,43 @@
         /// When it was sent, on the gateway's clock.
         sent: Timestamp,
     },
-    /// The live gateways.
+    /// The live gateways, in reply to a heartbeat.
     Gateways {
         /// Copied from the heartbeat.
         sent: Timestamp,
         /// Live gateways.
         records: Vec<GatewayRecord>,
     },
-    /// Between gateways: online work at an engine.
+    /// Between gateways: online work on an engine.
     Notice(OnlineNotice),
     /// Between gateways: the sender no longer owns an engine.
     Released(BackendId),
     /// Between gateways: items of a service were accepted.
     WorkAvailable(ServiceName),
-    /// To the platform.
+    /// Requests the machine list from the platform.
     ListRequest,
     /// The machine list.
     List(MachineList),
-    /// To an engine.
+    /// Requests the load of an engine.
     LoadRequest {
         /// When it was sent, on the gateway's clock.
         sent: Timestamp,
     },
-    /// Its load.
+    /// The load of an engine.
     Load {
         /// Copied from the request.
         sent: Timestamp,
         /// Report.
         report: LoadReport,
     },
-    /// To an engine.
+    /// A call to an engine.
     Engine {
         /// Connection.
         connection: ConnectionId,
         /// Call.
         call: EngineCall,
     },
-    /// From an engine.
+    /// An answer from an engine.
     EngineAnswer {
         /// Connection.
         connection: ConnectionId,
@@ -258,18 +258,18 @@
     },
     /// An order to an engine.
     Order(Order),
-    /// Its reply.
+    /// Reply of an engine to an order.
     OrderReply(OrderReply),
     /// From a caller to a gateway.
     Client {
-        /// Names this arrival.
+        /// Identifies this arrival.
         arrival: u64,
         /// Request.
         request: ClientRequest,
     },
     /// From a gateway to a caller.
     Reply {
-        /// The arrival.
+        /// Arrival that the reply is for.
         arrival: u64,
         /// Reply.
         reply: ClientReply,
@@ -277,7 +277,7 @@
 }
 
 impl Message {
-    /// How it travels.
+    /// Returns how the message is transported.
     #[must_use]
     pub fn transport(&self) -> Transport {
         match self {
--- a/crates/sim/src/mutation.rs
+++ b/crates/sim/src/mutation.rs
@@ -1,8 +1,8 @@
-//! Which checkers should notice that a mechanism is off.
+//! Maps mechanisms to the checkers that detect their absence.
 
 use molespan_types::mechanism::Mechanism;
 
-/// The checkers of the promises that rest on `mechanism`.
+/// Returns the checkers of the guarantees that depend on `mechanism`.
 #[must_use]
 pub fn noticed_by(mechanism: Mechanism) -> &'static [&'static str] {
     match mechanism {
--- a/crates/sim/src/network.rs
+++ b/crates/sim/src/network.rs
@@ -17,21 +17,21 @@
 /// Delay to and from callers, operators and the platform, in microseconds.
 const DELAY_OUTSIDE: std::ops::Range<u64> = 2_000..4_000;
 
-/// Time after which a connection sends lost bytes again, in microseconds.
+/// Delay after which a connection retransmits lost bytes, in microseconds.
 const RESENT_AFTER: u64 = 200_000;
 
-/// Some of the participants.
+/// A set of participants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Endpoint {
-    /// One.
+    /// One participant.
     One(Address),
-    /// Those of a zone.
+    /// The participants in a zone.
     Zone(u32),
-    /// Those outside a zone that are in another one.
+    /// The participants in all other zones; excludes those without a zone.
     OutsideZone(u32),
     /// Every replica.
     Replicas,
-    /// Every one.
+    /// Every participant.
     Any,
 }
 
@@ -47,25 +47,25 @@
     }
 }
 
-/// Messages that do not arrive.
+/// A one-way cut: messages between these endpoints do not arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Cut {
-    /// Their senders.
+    /// Senders.
     pub from: Endpoint,
-    /// Their receivers.
+    /// Receivers.
     pub to: Endpoint,
 }
 
-/// A link that works badly.
+/// A lossy or slow link.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Disturbance {
-    /// Whose messages, sent or received, are hit.
+    /// Participants whose sent and received messages are affected.
     pub at: Endpoint,
-    /// Share of messages lost.
+    /// Share of lost messages.
     pub loss: f64,
     /// Share of datagrams that arrive twice.
     pub duplicates: f64,
-    /// Longest additional delay, which also lets datagrams overtake others.
+    /// Longest additional delay, which also reorders datagrams.
     pub longest_delay: Duration,
 }
 
@@ -77,7 +77,7 @@
     disturbances: BTreeMap<usize, Disturbance>,
     /// Latest arrival on each connection.
     latest: BTreeMap<Direction, Timestamp>,
-    /// Connections on which a message was held up for good.
+    /// Connections on which a message was cut off; they deliver nothing more.
     dead: BTreeSet<Direction>,
 }
 
@@ -85,7 +85,8 @@
 type Direction = (Address, Address, u64);
 
 impl Network {
-    /// A network without faults; who is missing in `zones` is outside.
+    /// Creates a network without faults; participants missing from `zones` are outside
+    /// every zone.
     #[must_use]
     pub fn new(zones: BTreeMap<Address, u32>) -> Self {
         Self {
@@ -94,35 +95,35 @@
         }
     }
 
-    /// Zone of a participant.
+    /// Returns the zone of a participant.
     #[must_use]
     pub fn zone(&self, address: Address) -> Option<u32> {
         self.zones.get(&address).copied()
     }
 
-    /// Begins the cuts of fault `fault`.
+    /// Applies the cuts of fault `fault`.
     pub fn cut(&mut self, fault: usize, cuts: Vec<Cut>) {
         self.cuts.insert(fault, cuts);
     }
 
-    /// Begins the disturbance of fault `fault`.
+    /// Applies the disturbance of fault `fault`.
     pub fn disturb(&mut self, fault: usize, disturbance: Disturbance) {
         self.disturbances.insert(fault, disturbance);
     }
 
-    /// Ends what fault `fault` began.
+    /// Ends the cuts and the disturbance of fault `fault`.
     pub fn heal(&mut self, fault: usize) {
         self.cuts.remove(&fault);
         self.disturbances.remove(&fault);
     }
 
-    /// Whether anyone is cut off from anyone.
+    /// Whether any cut is active.
     #[must_use]
     pub fn has_cuts(&self) -> bool {
         !self.cuts.is_empty()
     }
 
-    /// Whether messages from one to the other are held up.
+    /// Whether messages from `from` to `to` are cut off.
     #[must_use]
     pub fn is_cut(&self, from: Address, to: Address) -> bool {
         let cuts = self.cuts.values().flatten();
@@ -130,8 +131,8 @@
         cuts.any(|cut| self.matches(cut.to, to))
     }
 
-    /// Whether a message that arrives now gets through. On a connection nothing
-    /// follows what did not.
+    /// Whether a message that arrives now is delivered. On a connection, nothing is
+    /// delivered after a message that was cut off.
     pub fn gets_through(&mut self, from: Address, to: Address, transport: Transport) -> bool {
         let cut = self.is_cut(from, to);
         let Transport::Stream(connection) = transport else {
@@ -144,8 +145,8 @@
         !self.dead.contains(&direction)
     }
 
-    /// When copies of a message that is sent now arrive; none when it is lost.
-    /// What is lost on a connection is sent again, later.
+    /// Returns the arrival times of the copies of a message sent now; none if it is lost.
+    /// Messages lost on a connection are retransmitted and arrive later.
     pub fn arrivals(
         &mut self,
         random: &mut ChaCha8Rng,
--- a/crates/sim/src/node.rs
+++ b/crates/sim/src/node.rs
@@ -1,4 +1,4 @@
-//! What every participant has in common.
+//! The interface of all participants.
 
 use molespan_types::Timestamp;
 
@@ -6,14 +6,14 @@
 use crate::context::Context;
 use crate::message::Message;
 
-/// A participant that messages and timers reach.
+/// A participant that receives messages and timer events.
 pub trait Node {
-    /// Takes a message.
+    /// Handles a message.
     fn receive(&mut self, context: &mut Context, from: Address, message: Message);
 
-    /// Does what is due.
+    /// Performs the work that is due.
     fn wake(&mut self, context: &mut Context);
 
-    /// When it wants to be woken next, in simulation time.
+    /// Returns the simulation time of the next wakeup.
     fn next_wakeup(&self) -> Option<Timestamp>;
 }
--- a/crates/sim/src/operator.rs
+++ b/crates/sim/src/operator.rs
@@ -21,25 +21,26 @@
 use crate::scenario::{MODEL, SERVICES};
 use crate::workload::{IntentPlan, OrderPlan};
 
-/// Time for one call of a group; longer than any fault.
+/// Timeout of one call to a group; longer than any fault.
 const CALL_WITHIN: Duration = Duration::from_secs(120);
-/// Longest thought between a plan and its confirmation.
+/// Longest delay before the confirmation that follows a read, and before another
+/// read after the base version moved, in milliseconds.
 const LONGEST_THOUGHT_MS: u64 = 200;
-/// Time after which an order without an answer is sent again.
+/// Delay after which an unanswered order is resent.
 const ORDER_AGAIN_AFTER: Duration = Duration::from_millis(700);
-/// Times that an order is sent.
+/// Maximum number of resends of an order.
 const ORDER_SENDINGS: u32 = 40;
 /// Number of the intent that defines the services.
 pub const FIRST_INTENT: u64 = 0;
 
-/// What an operator wants.
+/// The goal of an operator.
 #[derive(Clone, Debug)]
 pub enum Goal {
-    /// To define the services that everything else needs.
+    /// Defines the services that all other work needs.
     DefineServices,
-    /// To put an intent in force.
+    /// Puts an intent in force.
     Intent(IntentPlan),
-    /// To give an order.
+    /// Issues an order.
     Order(OrderPlan),
 }
 
@@ -54,16 +55,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Step {
     Waiting,
-    /// To confirm at that time.
+    /// Confirm the intent at this time.
     Confirm {
         at: Timestamp,
         base: ConfigVersion,
     },
-    /// To read again at that time.
+    /// Read the configuration again at this time.
     ReadAgain {
         at: Timestamp,
     },
-    /// To send an order at that time.
+    /// Send the order at this time.
     Send {
         at: Timestamp,
         order: Order,
@@ -79,14 +80,14 @@
     goal: Goal,
     groups: GroupClient<Tag>,
     step: Step,
-    /// Confirmation that was in force, to be asked about again later.
+    /// Version created by the confirmed intent, which the audit queries again.
     confirmed: Option<ConfigVersion>,
-    /// Position of its record among the orders.
+    /// Index of the order's record in the history.
     order: Option<usize>,
 }
 
 impl Operator {
-    /// An operator that has not begun.
+    /// Creates an operator that has not started.
     #[must_use]
     pub fn new(number: u32, replicas: u32, goal: Goal) -> Self {
         Self {
@@ -99,19 +100,19 @@
         }
     }
 
-    /// Whether it has its answer.
+    /// Whether the operator has its answer.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.step == Step::Done
     }
 
-    /// What it wants.
+    /// Returns the goal.
     #[must_use]
     pub fn goal(&self) -> &Goal {
         &self.goal
     }
 
-    /// Begins.
+    /// Starts the first call.
     pub fn begin(&mut self, context: &mut Context) {
         match self.goal {
             Goal::Order(_) => self.query(context, &ControlQuery::Orders, Tag::Orders),
@@ -119,7 +120,7 @@
         }
     }
 
-    /// Sends a confirmation again that was in force long ago.
+    /// Resends a confirmation that was answered earlier.
     pub fn ask_again(&mut self, context: &mut Context) {
         if let Some(version) = self.confirmed {
             self.step = Step::Waiting;
@@ -228,7 +229,7 @@
                 self.step = Step::ReadAgain { at };
             }
             ConfirmReply::Confirmed { .. } => {
-                // The base tells which confirmation this was.
+                // The base identifies the confirmation when it is resent.
                 self.confirmed = Some(base.next());
                 self.step = Step::Done;
             }
@@ -257,7 +258,7 @@
             version: plan.version,
         };
         let incarnation = context.engine_life(plan.engine);
-        // The number makes this order differ from others of the same content.
+        // The operator's number distinguishes this order from others with the same content.
         let action = serde_json::to_string(&(action, self.number)).unwrap_or_default();
         let order = IssueOrder {
             backend,
--- a/crates/sim/src/platform_node.rs
+++ b/crates/sim/src/platform_node.rs
@@ -1,4 +1,4 @@
-//! The platform and its lagging list of machines.
+//! The platform and its machine list, which lags.
 
 use std::time::Duration;
 
@@ -12,22 +12,22 @@
 use crate::node::Node;
 use crate::scenario::SERVICES;
 
-/// Least and greatest lag of the list, in milliseconds.
+/// Range of the lag of the list, in milliseconds.
 const LAG_MS: std::ops::Range<u64> = 300..1_500;
-/// Greatest age of a list while old ones are served, in milliseconds.
+/// Maximum age of a list while stale lists are served, in milliseconds.
 const OLD_LAG_MS: u64 = 9_000;
 
 /// The platform.
 #[derive(Debug)]
 pub struct PlatformNode {
-    /// Lists and when each became true.
+    /// Lists and the time from which each is current.
     lists: Vec<(Timestamp, MachineList)>,
-    /// Faults that let it serve old lists.
+    /// Active faults that make the platform serve stale lists.
     old_lists: Vec<usize>,
 }
 
 impl PlatformNode {
-    /// A platform with live engines, spread over zones.
+    /// Creates a platform with live engines, spread over zones.
     #[must_use]
     pub fn new(engines: u32, zones: u32) -> Self {
         let machines = (1..=engines).map(|engine| Machine {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// Puts an engine into a state and life, from now on.
+    /// Sets the state and incarnation of an engine from now on.
     pub fn set(&mut self, now: Timestamp, engine: u32, life: Incarnation, state: MachineState) {
         let Some((_, latest)) = self.lists.last() else {
             return;
@@ -65,12 +65,12 @@
         self.lists.push((now, list));
     }
 
-    /// Begins to serve old lists.
+    /// Starts serving stale lists.
     pub fn go_back(&mut self, fault: usize) {
         self.old_lists.push(fault);
     }
 
-    /// Ends it.
+    /// Stops serving stale lists for this fault.
     pub fn go_on(&mut self, fault: usize) {
         self.old_lists.retain(|one| *one != fault);
     }
@@ -82,13 +82,13 @@
     }
 }
 
-/// Name of a zone.
+/// Returns the name of a zone.
 #[must_use]
 pub fn zone_name(zone: u32) -> String {
     format!("zone {zone}")
 }
 
-/// Service that an engine is meant for: the first engine alone has the last.
+/// Returns the service of an engine: only the first engine has the last service.
 #[must_use]
 pub fn service_of(engine: u32) -> &'static str {
     if engine == 1 {
--- a/crates/sim/src/replica_node.rs
+++ b/crates/sim/src/replica_node.rs
@@ -16,17 +16,17 @@
 use crate::node::Node;
 use crate::scenario::LEASE;
 
-/// Name of the checker of leaders.
+/// Name of the checker for a single leader per term.
 pub const SINGLE_LEADER: &str = "single-leader";
-/// Name of the checker of replicas that stop without a disk fault.
+/// Name of the checker for replicas that stop without a disk fault.
 pub const REPLICA_STOPPED: &str = "replica-stopped";
-/// Job groups of every run.
+/// Number of job groups in every run.
 pub const JOB_GROUPS: u32 = 2;
-/// Named by the error of a replica that cannot empty its full disk.
+/// Substring of the error of a replica that cannot empty its full disk.
 const EMPTYING: &str = "emptying";
-/// Silence after which a gateway is no longer reported.
+/// Idle time after which a gateway is no longer reported as live.
 const GATEWAY_LIVE_FOR: Duration = Duration::from_secs(2);
-/// Time after which a process that stopped by itself is started again.
+/// Delay after which a process that stopped by itself is restarted.
 const RESTART_AFTER: Duration = Duration::from_millis(300);
 
 /// A replica process.
@@ -35,20 +35,20 @@
     number: u32,
     peers: Vec<NodeId>,
     clock: NodeClock,
-    /// Its disk, which outlives the process.
+    /// The disk, which survives the process.
     pub disk: SimulatedDisk,
     core: Option<ReplicaCore<SimulatedDisk>>,
     tickets: BTreeMap<Ticket, (Address, u64)>,
     last_ticket: u64,
     gateways: BTreeMap<NodeId, (GatewayRecord, Timestamp)>,
-    /// Whether a disk fault explains that the process stops.
+    /// Whether a disk fault explains a stop of the process.
     pub may_stop: bool,
-    /// Whether its disk is full, so that a process may not even start.
+    /// Whether the disk is full, in which case the process may fail to start.
     pub disk_full: bool,
 }
 
 impl ReplicaNode {
-    /// A process that was never started, on a blank disk.
+    /// Creates a replica that was never started, with a blank disk.
     #[must_use]
     pub fn new(number: u32, replicas: u32, clock: NodeClock) -> Self {
         Self {
@@ -102,7 +102,7 @@
         settings
     }
 
-    /// Kills the process; the disk loses what was not synced.
+    /// Kills the process; the disk loses data that was not synced.
     pub fn kill(&mut self, context: &mut Context) {
         self.core = None;
         self.tickets.clear();
@@ -110,7 +110,7 @@
         self.disk.crash(context.fresh());
     }
 
-    /// Its view of itself, while it runs.
+    /// Returns the replica's own status while the process runs.
     #[must_use]
     pub fn status(&self) -> Option<ReplicaStatus> {
         self.core.as_ref().map(ReplicaCore::status)
@@ -142,7 +142,7 @@
                 }
             }
             Err(error) => {
-                // Ending the life of a disk takes room for one small file.
+                // Ending the incarnation of a disk requires space for one small file.
                 let text = error.to_string();
                 let expected = self.disk_full && text.contains(EMPTYING);
                 self.stopped(context, &text, expected);
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Checks that nobody else was seen leading in the same term.
+    /// Records leadership and checks that no other replica led the group in the same term.
     fn note_leadership(&mut self, context: &mut Context, group: GroupId) {
         let Some(status) = self.status() else {
             return;
--- a/crates/sim/src/report.rs
+++ b/crates/sim/src/report.rs
@@ -1,4 +1,4 @@
-//! What is printed of runs.
+//! Reports of failed runs.
 
 use std::fmt::Write;
 
@@ -7,19 +7,19 @@
 use crate::scenario::Scenario;
 use crate::shrink::{Shrunk, shrink};
 
-/// Violations of one run that are printed.
+/// Maximum number of violations printed per run.
 const MOST_VIOLATIONS: usize = 5;
-/// Happenings of one run that are printed.
+/// Maximum number of events printed per run.
 const MOST_NOTES: usize = 60;
 
-/// How a run was asked for, to ask for it again.
+/// The options of a run, from which its command line is rebuilt.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Classes of faults.
+    /// Enabled fault classes.
     pub classes: Vec<FaultClass>,
-    /// Mechanism that is off.
+    /// Disabled mechanism.
     pub without: Option<String>,
-    /// Whether a failing run is made small.
+    /// Whether failing runs are shrunk.
     pub shrink: bool,
 }
 
@@ -36,8 +36,8 @@
     }
 }
 
-/// The report of a failed run: its violations, the smallest part of it that
-/// still fails, and how to run that again.
+/// Returns the report of a failed run: its violations, the smallest part found that
+/// still fails, and the command that reproduces it.
 #[must_use]
 pub fn failure(request: &Request, scenario: &Scenario, outcome: &Outcome) -> String {
     let mut text = String::new();
--- a/crates/sim/src/run.rs
+++ b/crates/sim/src/run.rs
@@ -1,4 +1,4 @@
-//! Running seeds on several threads, with results in the order of the seeds.
+//! Runs seeds on several threads and returns results in seed order.
 
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,15 +12,15 @@
 use crate::scenario::Scenario;
 use crate::world::World;
 
-/// Name under which a panic of a core is reported.
+/// Checker name under which a panic of a core is reported.
 pub const PANIC: &str = "panic";
 
-/// What came of a run.
+/// The result of a run.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
-    /// Violations, the earliest first.
+    /// Violations, earliest first.
     pub violations: Vec<Violation>,
-    /// What happened, for a trace.
+    /// Events, for a trace.
     pub notes: Vec<(Timestamp, String)>,
 }
 
@@ -54,8 +54,8 @@
         .unwrap_or_else(|| "a core panicked".to_owned())
 }
 
-/// Lets threads work on `count` tasks and gives their results to `take` in the
-/// order of the tasks, until that returns false.
+/// Runs `count` tasks on several threads and passes their results to `take` in task
+/// order, until `take` returns false.
 pub fn in_order<T: Send>(
     count: usize,
     threads: usize,
@@ -93,19 +93,19 @@
     });
 }
 
-/// Turns one mechanism off on this thread, or every one on again. Without the
-/// `mutants` feature every mechanism is always on.
+/// Disables one mechanism on this thread, or enables all again if `None`. Without
+/// the `mutants` feature, mechanisms are always enabled.
 #[cfg(feature = "mutants")]
 pub fn disable(mechanism: Option<Mechanism>) {
     molespan_types::mechanism::disable(mechanism);
 }
 
-/// Turns one mechanism off on this thread, or every one on again. Without the
-/// `mutants` feature every mechanism is always on.
+/// Disables one mechanism on this thread, or enables all again if `None`. Without
+/// the `mutants` feature, mechanisms are always enabled.
 #[cfg(not(feature = "mutants"))]
 pub fn disable(_mechanism: Option<Mechanism>) {}
 
-/// Whether mechanisms can be turned off in this build.
+/// Whether this build can disable mechanisms.
 #[must_use]
 pub const fn has_mutants() -> bool {
     cfg!(feature = "mutants")
--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -1,4 +1,4 @@
-//! Everything that decides a run: participants, clocks, faults and work.
+//! The scenario that determines a run: participants, clocks, faults and work.
 
 use std::time::Duration;
 
@@ -10,57 +10,59 @@
 use crate::fault::{Fault, FaultClass, Topology, schedule};
 use crate::workload::{PlannedWork, workload};
 
-/// Services of every run. Engine 1 alone serves the second one.
+/// Services of every run. Only engine 1 serves the second one.
 pub const SERVICES: [&str; 2] = ["captions", "hints"];
 /// Model of every engine.
 pub const MODEL: &str = "model";
-/// Length of a lease, as replicas count it.
+/// Duration of a lease, as replicas measure it.
 pub const LEASE: Duration = Duration::from_secs(4);
-/// Currency bound of gateways.
+/// Currency bound of gateways: the maximum lag of the configuration under which
+/// they admit work.
 pub const CURRENCY_BOUND: Duration = Duration::from_secs(3);
-/// Time after the last fault at which the calm job begins.
+/// Delay between the end of the faults and the start of the calm jobs.
 pub const CALM_JOB_AFTER: Duration = Duration::from_secs(10);
-/// Time after the last fault at which the burst over it begins.
+/// Delay between the end of the faults and the start of the burst of online
+/// requests during the calm jobs.
 pub const CALM_BURST_AFTER: Duration = Duration::from_secs(12);
-/// Time after the last fault at which clients and operators read back what was
-/// promised.
+/// Delay between the end of the faults and the audit, in which clients and
+/// operators read acknowledged results again.
 pub const AUDIT_AFTER: Duration = Duration::from_secs(14);
-/// Time after the last fault by which everything must have finished.
+/// Time after the end of the faults by which everything must have finished.
 pub const FINISHED_AFTER: Duration = Duration::from_secs(75);
 
-/// First work and first fault.
+/// Earliest start of work and faults.
 const BEGIN: Timestamp = Timestamp::from_millis(4_000);
-/// Last fault.
+/// End of the last fault.
 const FAULTS_END: Timestamp = Timestamp::from_millis(22_000);
-/// The job with long items is submitted before that.
+/// Time before which the job with long items is submitted.
 const LONG_ITEMS_UNTIL: Timestamp = Timestamp::from_millis(10_000);
-/// Zones.
+/// Number of zones.
 const ZONES: u32 = 3;
-/// Slowest and fastest clock, in thousandths. A lease holder stops at 0.6 of
-/// its lease, so that these stay well within what is tolerated.
+/// Rates of the slowest and the fastest clock, in thousandths. A lease holder stops
+/// at 0.6 of its lease, so these rates stay well within the tolerated range.
 const CLOCK_RATES: std::ops::RangeInclusive<u64> = 850..=1_150;
 
-/// Everything that decides a run.
+/// A scenario, which determines a run completely.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// Seed.
     pub seed: u64,
     /// Participants and times.
     pub topology: Topology,
-    /// Rates of the clocks of replicas, then of gateways, in thousandths.
+    /// Clock rates of replicas, then of gateways, in thousandths.
     pub clock_rates: Vec<u64>,
-    /// Faults; `None` where one was left out.
+    /// Faults; `None` where a fault was removed.
     pub faults: Vec<Option<Fault>>,
-    /// Work; `None` where a piece was left out.
+    /// Work; `None` where a piece was removed.
     pub work: Vec<Option<PlannedWork>>,
 }
 
 impl Scenario {
-    /// The scenario of a seed with faults of `classes`.
+    /// Draws the scenario of a seed, with faults of `classes`.
     #[must_use]
     pub fn of_seed(seed: u64, classes: &[FaultClass]) -> Self {
-        // Work and faults have generators of their own, so that the work of a
-        // seed stays the same when classes are left out.
+        // Work and faults use separate generators, so that the work of a seed does not
+        // depend on the enabled classes.
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let topology = Topology {
             replicas: if random.random_bool(0.7) { 3 } else { 5 },
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Leaves out every fault and piece of work that is not named.
+    /// Removes every fault and piece of work whose index is not listed; `None` keeps all.
     #[must_use]
     pub fn only(mut self, faults: Option<&[usize]>, work: Option<&[usize]>) -> Self {
         if let Some(kept) = faults {
@@ -103,7 +105,7 @@
         self
     }
 
-    /// When the last fault has ended.
+    /// Returns the time at which the last fault has ended.
     #[must_use]
     pub fn faults_end(&self) -> Timestamp {
         self.topology.faults_end
--- a/crates/sim/src/shrink.rs
+++ b/crates/sim/src/shrink.rs
@@ -1,22 +1,22 @@
-//! Making a failing scenario small: faults and work are left out as long as
-//! the same checker still complains.
+//! Shrinks a failing scenario: removes faults and work as long as the same checker
+//! still reports a violation.
 
 use crate::run::run_scenario;
 use crate::scenario::Scenario;
 
-/// Runs that a search may take.
+/// Maximum number of runs per search.
 const MOST_RUNS: usize = 250;
 
-/// A scenario cut down to what is needed, by position in the full schedule.
+/// A reduced scenario, by position in the full schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Shrunk {
-    /// Faults that are needed.
+    /// Remaining faults.
     pub faults: Vec<usize>,
-    /// Work that is needed.
+    /// Remaining work.
     pub work: Vec<usize>,
 }
 
-/// Finds a small part of `scenario` in which `checker` still complains.
+/// Finds a small part of `scenario` in which `checker` still reports a violation.
 #[must_use]
 pub fn shrink(scenario: &Scenario, checker: &str) -> Shrunk {
     let mut search = Search {
@@ -48,7 +48,7 @@
 }
 
 impl Search<'_> {
-    /// Leaves out halves, then quarters, and so on down to single entries.
+    /// Removes halves, then quarters, and so on down to single entries.
     fn reduce(&mut self, part: impl Fn(&mut Shrunk) -> &mut Vec<usize>) {
         let mut size = part(&mut self.best).len().div_ceil(2);
         while size > 0 {
--- a/crates/sim/src/workload.rs
+++ b/crates/sim/src/workload.rs
@@ -13,17 +13,17 @@
 use crate::fault::Topology;
 use crate::scenario::{CALM_BURST_AFTER, CALM_JOB_AFTER, SERVICES};
 
-/// Jobs during the faults.
+/// Number of jobs during the faults.
 const JOBS: Range<usize> = 4..8;
-/// Online requests during the faults.
+/// Number of online requests during the faults.
 const ONLINE: Range<usize> = 40..90;
-/// Intents of operators.
+/// Number of operator intents.
 const INTENTS: Range<u64> = 10..24;
-/// Fenced orders.
+/// Number of fenced orders.
 const ORDERS: Range<usize> = 6..14;
-/// Online requests of the burst after the faults.
+/// Number of online requests in the burst after the faults.
 const BURST: u64 = 12;
-/// Time between two of them.
+/// Interval between two requests of the burst.
 const BURST_GAP: Duration = Duration::from_millis(15);
 
 /// A job that a caller submits.
@@ -37,49 +37,51 @@
     pub service: ServiceName,
     /// Items.
     pub items: u32,
-    /// Tokens of each item.
+    /// Tokens per item.
     pub tokens: u32,
-    /// Whether items may run again.
+    /// Whether items may run more than once.
     pub repeatable: bool,
-    /// Time from the submission to a wish to cancel.
+    /// Delay between the submission and a cancellation request.
     pub cancel_after: Option<Duration>,
-    /// Times from the submission at which it is submitted again elsewhere.
+    /// Delays after the submission at which the job is submitted again, through a random
+    /// gateway.
     pub resubmit_after: Vec<Duration>,
 }
 
 impl JobPlan {
-    /// Its identifier.
+    /// Returns the identifier of the job.
     #[must_use]
     pub fn id(&self) -> JobId {
         JobId::from_key(&self.tenant, &self.key)
     }
 
-    /// Prompt of an item.
+    /// Returns the prompt of an item.
     #[must_use]
     pub fn prompt(&self, item: u32) -> String {
         format!("{} item {item}", self.key)
     }
 
-    /// Request body of an item: tokens, a line break, the prompt.
+    /// Returns the request body of an item: the number of tokens, a line break and the
+    /// prompt.
     #[must_use]
     pub fn input(&self, item: u32) -> Vec<u8> {
         format!("{}\n{}", self.tokens, self.prompt(item)).into_bytes()
     }
 
-    /// The answer that an item must get.
+    /// Returns the expected answer of an item.
     #[must_use]
     pub fn answer(&self, item: u32) -> String {
         expected_answer(&self.prompt(item), self.tokens)
     }
 
-    /// Digest of the whole submission.
+    /// Returns a digest of the submission.
     #[must_use]
     pub fn digest(&self) -> Digest {
         digest_of(format!("{}/{}/{}", self.key, self.items, self.tokens).as_bytes())
     }
 }
 
-/// Tokens and prompt of an item's request body.
+/// Parses the number of tokens and the prompt from an item's request body.
 #[must_use]
 pub fn read_input(input: &[u8]) -> Option<(u32, String)> {
     let text = std::str::from_utf8(input).ok()?;
@@ -87,7 +89,7 @@
     Some((tokens.parse().ok()?, prompt.to_owned()))
 }
 
-/// An online request that a caller makes.
+/// An online request of a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OnlinePlan {
     /// Tenant.
@@ -100,20 +102,21 @@
     pub tokens: u32,
     /// Whether the answer is streamed.
     pub stream: bool,
-    /// Key of a request that may run only once.
+    /// Idempotency key of a non-repeatable request.
     pub key: Option<String>,
-    /// Times after which an impatient caller asks another gateway as well.
+    /// Delay after which an impatient caller sends the request again, through a random
+    /// gateway.
     pub resend_after: Option<Duration>,
 }
 
 /// An intent of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IntentPlan {
-    /// Number, which two operators may pick alike.
+    /// Number; two operators may choose the same one.
     pub number: u64,
     /// Operator.
     pub operator: String,
-    /// What the policy is set to.
+    /// New value of the policy's tail protection.
     pub tail_protection: u8,
 }
 
@@ -124,7 +127,7 @@
     pub engine: u32,
     /// Version of the model to load.
     pub version: u32,
-    /// Time between getting a token and sending the order.
+    /// Delay between the receipt of the token and the sending of the order.
     pub send_after: Duration,
 }
 
@@ -158,13 +161,13 @@
     Order(OrderPlan),
 }
 
-/// A piece of work and when it begins.
+/// A piece of work and its start time.
 #[derive(Clone, Debug, PartialEq, Eq, Display)]
 #[display("{} ms: {work}", begins.0 / 1_000)]
 pub struct PlannedWork {
-    /// When it begins.
+    /// Start time.
     pub begins: Timestamp,
-    /// What is done.
+    /// Work.
     pub work: Work,
 }
 
@@ -233,7 +236,7 @@
     }))
 }
 
-/// Engines take longer for an item of it than a lease lasts.
+/// Draws a job whose items run longer on an engine than a lease lasts.
 fn job_with_long_items(random: &mut ChaCha8Rng) -> Work {
     Work::Job(Arc::new(JobPlan {
         tenant: "tenant 0".into(),
@@ -278,8 +281,8 @@
     })
 }
 
-/// Work in calm times: a job that fills the engines, online requests that must
-/// not wait behind it, an intent, and an order to each engine.
+/// Adds work after the faults: jobs that fill the engines, online requests that
+/// must not wait behind them, an intent, and an order to each engine.
 fn after_the_faults(
     random: &mut ChaCha8Rng,
     end: Timestamp,
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: it lets events happen, one after the other.
+//! The simulated world, which processes events one at a time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,22 +23,22 @@
 use crate::scenario::{AUDIT_AFTER, FINISHED_AFTER, Scenario};
 use crate::workload::Work;
 
-/// Greatest difference between the starts of two clocks, in microseconds.
+/// Maximum difference between the start offsets of two clocks, in microseconds.
 const CLOCK_SPREAD: u64 = 10_000_000;
-/// Time between two looks at whether everything has finished.
+/// Interval between two checks whether everything has finished, in milliseconds.
 const LOOK_INTERVAL_MS: u64 = 500;
 
 /// A caller.
 #[derive(Debug)]
 pub enum Client {
-    /// With a job.
+    /// A caller with a job.
     Job(JobClient),
-    /// With an online request.
+    /// A caller with an online request.
     Online(OnlineClient),
 }
 
 impl Client {
-    /// Whether it got what it wanted.
+    /// Whether the caller has its final outcome.
     #[must_use]
     pub fn is_done(&self) -> bool {
         match self {
@@ -51,9 +51,9 @@
 /// The simulated world.
 #[derive(Debug)]
 pub struct World {
-    /// Time, chance, network and records.
+    /// State shared by all participants: time, randomness, network and records.
     pub context: Context,
-    /// What decides the run.
+    /// The scenario, which determines the run.
     pub scenario: Scenario,
     pub(crate) replicas: BTreeMap<u32, ReplicaNode>,
     pub(crate) gateways: BTreeMap<u32, GatewayNode>,
@@ -62,23 +62,23 @@
     pub(crate) clients: BTreeMap<u32, Client>,
     pub(crate) operators: BTreeMap<u32, Operator>,
     wake_at: BTreeMap<Address, Timestamp>,
-    /// Messages that wait for a process that stands still, and how many faults
-    /// hold it.
+    /// Frozen processes, with the number of faults that freeze each one and the messages
+    /// held for it.
     pub(crate) frozen: BTreeMap<Address, (u32, Vec<Envelope>)>,
-    /// Faults that keep a process down.
+    /// Number of faults that keep each process down.
     pub(crate) down: BTreeMap<Address, u32>,
-    /// Processes that were asked to stop while they stood still.
+    /// Processes that were asked to shut down while frozen.
     pub(crate) stops_at_thaw: BTreeSet<Address>,
-    /// Copies of disks, and when each was taken.
+    /// Disk backups and when each was taken, by fault.
     pub(crate) backups: BTreeMap<usize, (Timestamp, SimulatedDisk)>,
-    /// Until when a rolled back disk may not have been noticed yet.
+    /// Time until which a disk rollback may still be undetected.
     pub(crate) roll_back_noticed_by: Timestamp,
-    /// Latest start of each replica.
+    /// Time of the latest start of each replica.
     pub(crate) replica_starts: BTreeMap<u32, Timestamp>,
 }
 
 impl World {
-    /// A world in which nothing was started yet.
+    /// Creates a world in which no process has started yet.
     #[must_use]
     pub fn new(scenario: Scenario) -> Self {
         let topology = &scenario.topology;
@@ -123,8 +123,8 @@
         }
     }
 
-    /// Starts every process and runs until everything has finished, or until
-    /// it should have.
+    /// Starts every process and runs until everything has finished or the deadline has
+    /// passed.
     pub fn run(&mut self) {
         self.start();
         let audit_at = self.scenario.faults_end() + AUDIT_AFTER;
@@ -173,12 +173,12 @@
         }
     }
 
-    /// Whether every caller and operator got what it wanted.
+    /// Whether every caller and operator has its final outcome.
     fn is_done(&self) -> bool {
         self.clients.values().all(Client::is_done) && self.operators.values().all(Operator::is_done)
     }
 
-    /// Lets everyone ask again for what was promised before.
+    /// Makes callers with jobs and operators repeat their reads and confirmations.
     fn audit(&mut self) {
         for (number, client) in &mut self.clients {
             if let Client::Job(client) = client {
@@ -226,7 +226,7 @@
         self.with(to, |node, context| node.receive(context, from, message));
     }
 
-    /// Lets a participant act and notes when it wants to be woken.
+    /// Lets a participant act and schedules its next wakeup.
     pub(crate) fn with(&mut self, address: Address, act: impl FnOnce(&mut dyn Node, &mut Context)) {
         let node: Option<&mut dyn Node> = match address {
             Address::Replica(number) => self.replicas.get_mut(&number).map(|node| node as _),
@@ -246,13 +246,13 @@
         }
     }
 
-    /// Wakes a participant now, whatever it waited for.
+    /// Wakes a participant now, regardless of its timer.
     pub(crate) fn wake(&mut self, address: Address) {
         self.wake_at.remove(&address);
         self.with(address, |node, context| node.wake(context));
     }
 
-    /// Starts a process, unless some fault keeps it down.
+    /// Starts a process unless a fault keeps it down.
     pub(crate) fn start_process(&mut self, address: Address) {
         if self.down.get(&address).copied().unwrap_or(0) > 0 {
             return;
@@ -314,8 +314,8 @@
         self.wake(Address::Operator(number));
     }
 
-    /// Lets a process that stood still go on. Its connections are served in
-    /// any order.
+    /// Resumes a frozen process. Held messages of different connections are delivered in
+    /// random order.
     pub(crate) fn thaw(&mut self, address: Address) {
         let Some((holders, _)) = self.frozen.get_mut(&address) else {
             return;
@@ -340,7 +340,8 @@
         self.wake(address);
     }
 
-    /// The messages in any order that keeps each connection's own.
+    /// Returns the messages in a random order that preserves the order within each
+    /// connection.
     fn shuffled(&mut self, held: Vec<Envelope>) -> Vec<Envelope> {
         let mut ranks: BTreeMap<u64, u64> = BTreeMap::new();
         let mut ranked: Vec<(u64, Envelope)> = Vec::with_capacity(held.len());
@@ -356,7 +357,7 @@
         ranked.into_iter().map(|(_, envelope)| envelope).collect()
     }
 
-    /// Discards what waits for a process that was killed while it stood still.
+    /// Discards messages held for a frozen process that was killed.
     pub(crate) fn discard_held(&mut self, address: Address) {
         self.stops_at_thaw.remove(&address);
         if let Some((_, held)) = self.frozen.get_mut(&address) {
@@ -365,7 +366,7 @@
     }
 }
 
-/// Notes when a participant wants to be woken.
+/// Schedules the next wakeup of a participant.
 fn schedule(
     context: &mut Context,
     wake_at: &mut BTreeMap<Address, Timestamp>,
