--- a/crates/sim/tests/checkers.rs
+++ b/crates/sim/tests/checkers.rs
@@ -1,4 +1,4 @@
-//! Checkers complain about what they should, on records made up for them.
+//! Checkers report the violations they exist for, on hand-made records.
 
 use std::sync::Arc;
 
@@ -12,12 +12,13 @@
 use molespan_state::control::ConfirmReply;
 use molespan_types::{BackendId, ConfigVersion, FencingToken, Incarnation, Timestamp};
 
-/// A world in which nothing happened.
+/// A world in which no event has happened.
 fn world() -> World {
     World::new(Scenario::of_seed(1, &[]).only(Some(&[]), Some(&[])))
 }
 
-/// The checkers that complain, apart from that of liveness: nothing runs.
+/// Names of the checkers that report a violation. Liveness is excluded, since no
+/// process runs.
 fn complaints(world: &World) -> Vec<&'static str> {
     let found = check_all(world).into_iter().map(|one| one.checker);
     let mut found: Vec<&str> = found.filter(|checker| *checker != "liveness").collect();
--- a/crates/sim/tests/seeds.rs
+++ b/crates/sim/tests/seeds.rs
@@ -1,4 +1,4 @@
-//! A fixed set of seeds under every class of faults, and what a run rests on.
+//! A fixed set of seeds under every fault class, and the properties of runs.
 
 use molespan_sim::fault::FaultClass;
 use molespan_sim::history::Violation;
@@ -6,13 +6,13 @@
 use molespan_sim::scenario::Scenario;
 use molespan_sim::shrink::shrink;
 
-/// Seeds with every class at once.
+/// Number of seeds with all classes at once.
 const SEEDS: u64 = 100;
-/// Seeds with one class alone.
+/// Number of seeds per single class.
 const SEEDS_OF_ONE_CLASS: u64 = 2;
 const THREADS: usize = 4;
 
-/// Violations of seeds from 1 on, each with its seed.
+/// Returns the violations of the seeds from 1 on, each with its seed.
 fn violations(seeds: u64, classes: &[FaultClass]) -> Vec<(u64, Violation)> {
     let mut found = Vec::new();
     let work = |task: usize| {
