--- a/crates/sim/src/apply.rs
+++ b/crates/sim/src/apply.rs
@@ -13,11 +13,11 @@
 use crate::world::World;
 
 /// Delay before a postponed disk fault is attempted again.
-const TRY_AGAIN_AFTER: Duration = Duration::from_millis(100);
+const POSTPONE_DELAY: Duration = Duration::from_millis(100);
 
 /// Time by which the other replicas have detected a disk rollback: two hello
 /// intervals.
-const ROLL_BACK_NOTICED_WITHIN: Duration = Duration::from_secs(6);
+const ROLLBACK_DETECTED_WITHIN: Duration = Duration::from_secs(6);
 
 /// Whether a fault prevents replicas from communicating or removes their state.
 fn touches_replicas(kind: &FaultKind) -> bool {
@@ -40,7 +40,7 @@
             return;
         };
         if self.must_wait(&fault) {
-            let again = self.context.now + TRY_AGAIN_AFTER;
+            let again = self.context.now + POSTPONE_DELAY;
             if again < self.scenario.faults_end() {
                 let event = Event::FaultBegins(position);
                 self.context.queue.push(again, event);
@@ -251,7 +251,7 @@
         if let Some(replica) = self.replicas.get_mut(&number) {
             replica.disk.roll_back(&backup);
         }
-        self.roll_back_noticed_by = self.context.now + ROLL_BACK_NOTICED_WITHIN;
+        self.roll_back_noticed_by = self.context.now + ROLLBACK_DETECTED_WITHIN;
         self.bring_up(address);
     }
 
--- a/crates/sim/src/checkers/online_latency.rs
+++ b/crates/sim/src/checkers/online_latency.rs
@@ -8,7 +8,7 @@
 
 /// Longest time to the first token: the network round trip, one uninterruptible
 /// engine step, and the step of the prompt itself. A batch item alone takes 2 s.
-const FIRST_TOKEN_WITHIN: Duration = Duration::from_millis(100);
+const MAX_FIRST_TOKEN_DELAY: Duration = Duration::from_millis(100);
 
 pub(super) fn check(world: &World, findings: &mut Findings) {
     let calm = world.scenario.faults_end() + CALM_BURST_AFTER;
@@ -21,7 +21,7 @@
             continue;
         };
         let after = first.since(arrival.sent);
-        if after > FIRST_TOKEN_WITHIN {
+        if after > MAX_FIRST_TOKEN_DELAY {
             let message = format!(
                 "{} waited {} ms for its first token",
                 arrival.plan.prompt,
--- a/crates/sim/src/client/job.rs
+++ b/crates/sim/src/client/job.rs
@@ -15,9 +15,9 @@
 use crate::workload::JobPlan;
 
 /// Timeout of a request, after which it is sent to a random gateway again.
-const ANSWER_WITHIN: Duration = Duration::from_secs(6);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
 /// Delay before a retry after a failure.
-const AGAIN_AFTER: Duration = Duration::from_millis(150);
+const RETRY_DELAY: Duration = Duration::from_millis(150);
 /// Interval between two status queries about the job.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
@@ -169,7 +169,7 @@
             return;
         }
         match phase {
-            JobPhase::Submitting => self.next = Some(now + AGAIN_AFTER),
+            JobPhase::Submitting => self.next = Some(now + RETRY_DELAY),
             JobPhase::Running | JobPhase::Cancelling => {
                 if self.step == Step::Cancel {
                     self.cancel_at = None;
@@ -218,7 +218,7 @@
         let now = context.now;
         let mut again = false;
         self.waiting.retain(|_, waiting| {
-            let late = now.since(waiting.sent) >= ANSWER_WITHIN;
+            let late = now.since(waiting.sent) >= ANSWER_TIMEOUT;
             again |= late && !waiting.extra;
             !late
         });
@@ -240,7 +240,7 @@
             ClientReply::Job(status) => self.stands(context, waiting, &status),
             ClientReply::Results { results, next } => self.page(context, results, next),
             _ if waiting.extra => {}
-            _ => self.next = Some(context.now + AGAIN_AFTER),
+            _ => self.next = Some(context.now + RETRY_DELAY),
         }
     }
 
@@ -254,7 +254,7 @@
 
     fn next_wakeup(&self) -> Option<Timestamp> {
         let late = self.waiting.values();
-        let late = late.map(|waiting| waiting.sent + ANSWER_WITHIN);
+        let late = late.map(|waiting| waiting.sent + ANSWER_TIMEOUT);
         late.chain(self.resubmissions.iter().copied())
             .chain(self.next)
             .min()
--- a/crates/sim/src/client/online.rs
+++ b/crates/sim/src/client/online.rs
@@ -14,12 +14,12 @@
 use crate::workload::OnlinePlan;
 
 /// Timeout of a request, after which it is sent to a random gateway again.
-const ANSWER_WITHIN: Duration = Duration::from_secs(15);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
 /// Delay before a retry after a failure.
-const AGAIN_AFTER: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Number of unknown outcomes after which a non-repeatable request counts as
 /// finished.
-const UNKNOWN_IS_FINAL: u32 = 3;
+const MAX_UNKNOWN_OUTCOMES: u32 = 3;
 
 /// A caller with an online request.
 #[derive(Debug)]
@@ -97,12 +97,12 @@
             ArrivalEnd::Answered(_) => self.done = true,
             ArrivalEnd::Refused(RunOutcome::Unknown) if keyed => {
                 self.unknown += 1;
-                self.done |= self.unknown >= UNKNOWN_IS_FINAL;
+                self.done |= self.unknown >= MAX_UNKNOWN_OUTCOMES;
             }
             _ => {}
         }
         if !self.done && self.waiting.is_empty() {
-            self.next = Some(context.now + AGAIN_AFTER);
+            self.next = Some(context.now + RETRY_DELAY);
         }
         let now = context.now;
         if let Some(record) = context.history.arrivals.get_mut(&arrival) {
@@ -165,7 +165,7 @@
         let late: Vec<u64> = self
             .waiting
             .iter()
-            .filter(|(_, (sent, _))| now.since(*sent) >= ANSWER_WITHIN)
+            .filter(|(_, (sent, _))| now.since(*sent) >= ANSWER_TIMEOUT)
             .map(|(arrival, _)| *arrival)
             .collect();
         for arrival in late {
@@ -181,7 +181,7 @@
 
     fn next_wakeup(&self) -> Option<Timestamp> {
         let late = self.waiting.values();
-        late.map(|(sent, _)| *sent + ANSWER_WITHIN)
+        late.map(|(sent, _)| *sent + ANSWER_TIMEOUT)
             .chain(self.next)
             .chain(self.impatient_at)
             .min()
--- a/crates/sim/src/engine_node.rs
+++ b/crates/sim/src/engine_node.rs
@@ -20,11 +20,11 @@
 use crate::scenario::MODEL;
 
 /// Time that the weight store needs to deliver weights.
-const WEIGHTS_AFTER: Duration = Duration::from_millis(300);
+const WEIGHTS_DELAY: Duration = Duration::from_millis(300);
 /// Slowdown of steps under [`AnswerFault::Slow`].
 const SLOW_FACTOR: f64 = 12.0;
 /// Incarnation of every engine at the start.
-const FIRST_LIFE: Incarnation = Incarnation(1);
+const FIRST_INCARNATION: Incarnation = Incarnation(1);
 
 /// A connection that waits for an answer.
 #[derive(Clone, Debug)]
@@ -80,11 +80,11 @@
         };
         let settings = EngineSettings {
             backend: BackendId(number),
-            incarnation: FIRST_LIFE,
+            incarnation: FIRST_INCARNATION,
             model,
             models: vec![MODEL.to_owned()],
         };
-        context.engine_lives.insert(number, FIRST_LIFE);
+        context.engine_lives.insert(number, FIRST_INCARNATION);
         Self {
             number,
             core: EngineCore::new(settings, seed, context.now),
@@ -415,7 +415,7 @@
                 }
                 Output::Cancelled { .. } => {}
                 Output::FetchWeights(weights) => {
-                    self.weights.push((now + WEIGHTS_AFTER, weights));
+                    self.weights.push((now + WEIGHTS_DELAY, weights));
                 }
             }
         }
--- a/crates/sim/src/fault/combination.rs
+++ b/crates/sim/src/fault/combination.rs
@@ -12,7 +12,7 @@
 use crate::network::{Cut, Disturbance, Endpoint};
 
 /// Duration of the longest combination.
-const LONGEST: Duration = Duration::from_secs(9);
+const MAX_COMBINATION_DURATION: Duration = Duration::from_secs(9);
 
 /// A combination and the fault classes that it requires.
 struct Combination {
@@ -55,7 +55,7 @@
         return Vec::new();
     }
     let chosen = possible[random.random_range(0..possible.len())];
-    let last = topology.faults_end.0 - LONGEST.as_micros() as u64;
+    let last = topology.faults_end.0 - MAX_COMBINATION_DURATION.as_micros() as u64;
     let begin = Timestamp(random.random_range(topology.faults_begin.0..last));
     let mut replicas: Vec<Address> = (1..=topology.replicas).map(Address::Replica).collect();
     replicas.shuffle(random);
--- a/crates/sim/src/gateway/answers.rs
+++ b/crates/sim/src/gateway/answers.rs
@@ -18,9 +18,9 @@
 use crate::message::{ClientReply, ConnectionId, EngineAnswer};
 
 /// Idle time after which the connection of an attempt is abandoned.
-const SILENCE: Duration = Duration::from_millis(1_500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Timeout of a status query about an attempt.
-const QUESTION_WITHIN: Duration = Duration::from_millis(500);
+const STATUS_TIMEOUT: Duration = Duration::from_millis(500);
 
 impl Process {
     pub(super) fn online_answered(
@@ -199,9 +199,9 @@
             .filter_map(|(id, online)| {
                 let exchange = online.exchange.as_ref()?;
                 let limit = if exchange.question {
-                    QUESTION_WITHIN
+                    STATUS_TIMEOUT
                 } else {
-                    SILENCE
+                    IDLE_TIMEOUT
                 };
                 let silent = now.since(exchange.active) >= limit;
                 silent.then_some((*id, exchange.question))
--- a/crates/sim/src/gateway/batch.rs
+++ b/crates/sim/src/gateway/batch.rs
@@ -20,11 +20,11 @@
 use crate::workload::read_input;
 
 /// Timeout of one request to a job group.
-const REQUEST_WITHIN: Duration = Duration::from_millis(1_500);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Idle time of a stream after which its answer is fetched again.
-const SILENCE: Duration = Duration::from_secs(3);
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
 /// Maximum number of fetches of the answer of a stream.
-const MOST_FETCHES: u32 = 6;
+const MAX_FETCHES: u32 = 6;
 
 /// A batch stream in flight.
 #[derive(Debug)]
@@ -192,7 +192,7 @@
             _ => return,
         };
         let tag = Tag::Batch(request);
-        self.propose(context, group, &command, REQUEST_WITHIN, tag);
+        self.propose(context, group, &command, REQUEST_TIMEOUT, tag);
     }
 
     /// Proposes a command to a job group.
@@ -308,7 +308,7 @@
         let Some(stream) = self.streams.get(&id) else {
             return;
         };
-        if stream.fetches >= MOST_FETCHES {
+        if stream.fetches >= MAX_FETCHES {
             return self.end_stream(context, id, ItemEnd::Unknown);
         }
         let (attempt, old) = (stream.attempt, stream.connection);
@@ -333,7 +333,7 @@
         let silent: Vec<StreamId> = self
             .streams
             .iter()
-            .filter(|(_, stream)| !stream.paused && now.since(stream.active) >= SILENCE)
+            .filter(|(_, stream)| !stream.paused && now.since(stream.active) >= IDLE_TIMEOUT)
             .map(|(id, _)| *id)
             .collect();
         for id in silent {
--- a/crates/sim/src/gateway/configuration.rs
+++ b/crates/sim/src/gateway/configuration.rs
@@ -17,7 +17,7 @@
 /// Interval between two rounds of reads.
 const WATCH_INTERVAL: Duration = Duration::from_millis(250);
 /// Timeout of one read.
-const READ_WITHIN: Duration = Duration::from_secs(2);
+const READ_TIMEOUT: Duration = Duration::from_secs(2);
 
 impl Process {
     /// Requests the configuration: its content from any replica, and from the leader
@@ -31,7 +31,7 @@
         let group = GroupId::CONTROL;
         let local = query(Consistency::Local, &ControlQuery::Configuration);
         self.groups
-            .call_any(context, now, group, local, READ_WITHIN, Tag::Watch);
+            .call_any(context, now, group, local, READ_TIMEOUT, Tag::Watch);
         let after = self.holder.version();
         let newer = query(
             Consistency::Linearizable,
@@ -39,7 +39,7 @@
         );
         let tag = Tag::Confirm(after);
         self.groups
-            .call(context, now, group, newer, READ_WITHIN, tag);
+            .call(context, now, group, newer, READ_TIMEOUT, tag);
     }
 
     pub(super) fn configuration_seen(&mut self, context: &mut Context, answer: Option<&[u8]>) {
--- a/crates/sim/src/gateway/jobs.rs
+++ b/crates/sim/src/gateway/jobs.rs
@@ -17,11 +17,11 @@
 use crate::workload::JobPlan;
 
 /// Timeout of each call to a group.
-const CALL_WITHIN: Duration = Duration::from_secs(4);
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 /// Items per append.
-const ITEMS_AT_ONCE: u32 = 50;
+const ITEMS_PER_APPEND: u32 = 50;
 /// Results per page.
-const RESULTS_AT_ONCE: u32 = 64;
+const RESULTS_PER_PAGE: u32 = 64;
 
 /// The step of a job request that a caller waits for.
 #[derive(Clone, Debug)]
@@ -67,7 +67,7 @@
                 self.query_job(context, (client, arrival, job), &query, JobStep::Status);
             }
             ClientRequest::Results { job, first } => {
-                let limit = RESULTS_AT_ONCE;
+                let limit = RESULTS_PER_PAGE;
                 let query = JobQuery::Results { job, first, limit };
                 self.query_job(context, (client, arrival, job), &query, JobStep::Results);
             }
@@ -113,7 +113,7 @@
     fn job_command(&mut self, context: &mut Context, call: JobCall, command: &JobCommand) {
         let group = call.job.group(JOB_GROUPS);
         let tag = Tag::Job(Box::new(call));
-        self.propose(context, group, command, CALL_WITHIN, tag);
+        self.propose(context, group, command, CALL_TIMEOUT, tag);
     }
 
     fn query_job(
@@ -135,7 +135,7 @@
         let group = job.group(JOB_GROUPS);
         let tag = Tag::Job(Box::new(call));
         self.groups
-            .call(context, now, group, operation, CALL_WITHIN, tag);
+            .call(context, now, group, operation, CALL_TIMEOUT, tag);
     }
 
     pub(super) fn job_replied(
@@ -199,7 +199,7 @@
                 &JobCommand::Accept { job },
             );
         }
-        let end = plan.items.min(received + ITEMS_AT_ONCE);
+        let end = plan.items.min(received + ITEMS_PER_APPEND);
         let inputs = (received..end).map(|item| plan.input(item).into());
         let append = AppendItems {
             job,
--- a/crates/sim/src/gateway/mod.rs
+++ b/crates/sim/src/gateway/mod.rs
@@ -26,7 +26,7 @@
 
 /// Delay after a graceful shutdown before the process is restarted, unless the
 /// schedule keeps it down for longer.
-const RESTART_AFTER: Duration = Duration::from_millis(100);
+const RESTART_DELAY: Duration = Duration::from_millis(100);
 
 /// A gateway and the state that survives restarts of its process.
 #[derive(Debug)]
@@ -140,7 +140,7 @@
             let text = format!("gateway {} has stopped", self.number);
             context.history.note(context.now, text);
             let address = Address::Gateway(self.number);
-            let at = context.now + RESTART_AFTER;
+            let at = context.now + RESTART_DELAY;
             context.queue.push(at, Event::Restart(address));
         }
     }
--- a/crates/sim/src/gateway/online.rs
+++ b/crates/sim/src/gateway/online.rs
@@ -22,9 +22,9 @@
 use crate::workload::OnlinePlan;
 
 /// Timeout of a claim.
-const CLAIM_WITHIN: Duration = Duration::from_secs(2);
+const CLAIM_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout of a settlement, which is resent until then.
-const SETTLE_WITHIN: Duration = Duration::from_secs(20);
+const SETTLE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Identifies an online request within a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -171,7 +171,7 @@
         };
         let group = JobId::from_key(&plan.tenant, &key).group(JOB_GROUPS);
         let command = JobCommand::Claim(request);
-        self.propose(context, group, &command, CLAIM_WITHIN, Tag::Claim(id));
+        self.propose(context, group, &command, CLAIM_TIMEOUT, Tag::Claim(id));
     }
 
     pub(super) fn claim_replied(
@@ -382,7 +382,7 @@
             answer: answer.into(),
         };
         let command = JobCommand::Settle(settle);
-        self.propose(context, group, &command, SETTLE_WITHIN, Tag::Settle);
+        self.propose(context, group, &command, SETTLE_TIMEOUT, Tag::Settle);
     }
 }
 
--- a/crates/sim/src/group_client.rs
+++ b/crates/sim/src/group_client.rs
@@ -15,9 +15,9 @@
 use crate::message::{Message, Operation};
 
 /// Time without an answer after which a call is sent to the next replica.
-const ANSWER_WITHIN: Duration = Duration::from_millis(600);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
 /// Delay before a call is retried after a refusal.
-const AGAIN_AFTER: Duration = Duration::from_millis(30);
+const RETRY_DELAY: Duration = Duration::from_millis(30);
 
 #[derive(Debug)]
 struct Pending<T> {
@@ -109,7 +109,7 @@
             target,
             started: now,
             deadline: now + within,
-            next_send: now + ANSWER_WITHIN,
+            next_send: now + ANSWER_TIMEOUT,
             waits: true,
         };
         self.send(context, call, &pending);
@@ -147,7 +147,7 @@
         let replicas = self.replicas;
         let pending = self.calls.get_mut(&call)?;
         pending.waits = false;
-        pending.next_send = now + AGAIN_AFTER;
+        pending.next_send = now + RETRY_DELAY;
         match refusal {
             Refusal::NotLeader { leader } => {
                 let next = 1 + pending.target % replicas;
@@ -161,7 +161,7 @@
             } => {
                 if outcome == RunOutcome::NotRun {
                     let after = Duration::from_millis(u64::from(retry_after_ms));
-                    pending.next_send = now + after.min(ANSWER_WITHIN);
+                    pending.next_send = now + after.min(ANSWER_TIMEOUT);
                 }
                 pending.target = 1 + pending.target % replicas;
             }
@@ -195,7 +195,7 @@
                 self.leaders.insert(pending.group, pending.target);
             }
             pending.waits = true;
-            pending.next_send = now + ANSWER_WITHIN;
+            pending.next_send = now + ANSWER_TIMEOUT;
             self.send(context, call, &pending);
             self.calls.insert(call, pending);
         }
--- a/crates/sim/src/network.rs
+++ b/crates/sim/src/network.rs
@@ -18,7 +18,7 @@
 const DELAY_OUTSIDE: std::ops::Range<u64> = 2_000..4_000;
 
 /// Delay after which a connection retransmits lost bytes, in microseconds.
-const RESENT_AFTER: u64 = 200_000;
+const RETRANSMIT_DELAY: u64 = 200_000;
 
 /// A set of participants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -169,7 +169,7 @@
                 if transport == Transport::Datagram {
                     return Vec::new();
                 }
-                delay += RESENT_AFTER;
+                delay += RETRANSMIT_DELAY;
             }
             delay += random.random_range(0..=disturbance.longest_delay.as_micros() as u64);
             let doubled = random.random_bool(disturbance.duplicates);
--- a/crates/sim/src/operator.rs
+++ b/crates/sim/src/operator.rs
@@ -22,14 +22,14 @@
 use crate::workload::{IntentPlan, OrderPlan};
 
 /// Timeout of one call to a group; longer than any fault.
-const CALL_WITHIN: Duration = Duration::from_secs(120);
+const CALL_TIMEOUT: Duration = Duration::from_secs(120);
 /// Longest delay before the confirmation that follows a read, and before another
 /// read after the base version moved, in milliseconds.
-const LONGEST_THOUGHT_MS: u64 = 200;
+const MAX_THINK_TIME_MS: u64 = 200;
 /// Delay after which an unanswered order is resent.
-const ORDER_AGAIN_AFTER: Duration = Duration::from_millis(700);
+const ORDER_RESEND_DELAY: Duration = Duration::from_millis(700);
 /// Maximum number of resends of an order.
-const ORDER_SENDINGS: u32 = 40;
+const ORDER_RESENDS: u32 = 40;
 /// Number of the intent that defines the services.
 pub const FIRST_INTENT: u64 = 0;
 
@@ -148,7 +148,7 @@
         let now = context.now;
         let group = GroupId::CONTROL;
         self.groups
-            .call(context, now, group, operation, CALL_WITHIN, tag);
+            .call(context, now, group, operation, CALL_TIMEOUT, tag);
     }
 
     fn confirm(&mut self, context: &mut Context, base: ConfigVersion) {
@@ -197,9 +197,9 @@
             answered: context.now,
             version,
         });
-        let thought = context.random.random_range(0..LONGEST_THOUGHT_MS);
+        let think_time = context.random.random_range(0..MAX_THINK_TIME_MS);
         self.step = Step::Confirm {
-            at: context.now + Duration::from_millis(thought),
+            at: context.now + Duration::from_millis(think_time),
             base: version,
         };
     }
@@ -224,7 +224,7 @@
         });
         match reply {
             ConfirmReply::BaseMoved { .. } if self.confirmed.is_none() => {
-                let wait = context.random.random_range(0..LONGEST_THOUGHT_MS);
+                let wait = context.random.random_range(0..MAX_THINK_TIME_MS);
                 let at = context.now + Duration::from_millis(wait);
                 self.step = Step::ReadAgain { at };
             }
@@ -306,9 +306,9 @@
         let own = Address::Operator(self.number);
         let engine = Address::Engine(plan.engine);
         context.send(own, engine, Message::Order(order.clone()));
-        self.step = if sendings < ORDER_SENDINGS {
+        self.step = if sendings < ORDER_RESENDS {
             Step::Send {
-                at: context.now + ORDER_AGAIN_AFTER,
+                at: context.now + ORDER_RESEND_DELAY,
                 order,
                 sendings: sendings + 1,
             }
--- a/crates/sim/src/replica_node.rs
+++ b/crates/sim/src/replica_node.rs
@@ -27,7 +27,7 @@
 /// Idle time after which a gateway is no longer reported as live.
 const GATEWAY_LIVE_FOR: Duration = Duration::from_secs(2);
 /// Delay after which a process that stopped by itself is restarted.
-const RESTART_AFTER: Duration = Duration::from_millis(300);
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 
 /// A replica process.
 #[derive(Debug)]
@@ -125,7 +125,7 @@
         if !self.may_stop && !expected {
             context.history.violate(context.now, REPLICA_STOPPED, text);
         }
-        let at = context.now + RESTART_AFTER;
+        let at = context.now + RESTART_DELAY;
         let address = self.address();
         context.queue.push(at, Event::Restart(address));
     }
--- a/crates/sim/src/report.rs
+++ b/crates/sim/src/report.rs
@@ -8,9 +8,9 @@
 use crate::shrink::{Shrunk, shrink};
 
 /// Maximum number of violations printed per run.
-const MOST_VIOLATIONS: usize = 5;
+const MAX_VIOLATIONS: usize = 5;
 /// Maximum number of events printed per run.
-const MOST_NOTES: usize = 60;
+const MAX_NOTES: usize = 60;
 
 /// The options of a run, from which its command line is rebuilt.
 #[derive(Clone, Debug)]
@@ -43,7 +43,7 @@
     let mut text = String::new();
     // Writing to a string cannot fail.
     let _ = writeln!(text, "seed {} failed", scenario.seed);
-    for violation in outcome.violations.iter().take(MOST_VIOLATIONS) {
+    for violation in outcome.violations.iter().take(MAX_VIOLATIONS) {
         let _ = writeln!(text, "  {violation}");
     }
     let Some(first) = outcome.violations.first() else {
@@ -78,7 +78,7 @@
     let _ = writeln!(text, "  what happens there:");
     let before = outcome.notes.iter().filter(|(at, _)| *at <= violation.at);
     let before: Vec<_> = before.collect();
-    let skipped = before.len().saturating_sub(MOST_NOTES);
+    let skipped = before.len().saturating_sub(MAX_NOTES);
     for (at, note) in &before[skipped..] {
         let _ = writeln!(text, "    {} ms {note}", at.0 / 1_000);
     }
--- a/crates/sim/src/shrink.rs
+++ b/crates/sim/src/shrink.rs
@@ -5,7 +5,7 @@
 use crate::scenario::Scenario;
 
 /// Maximum number of runs per search.
-const MOST_RUNS: usize = 250;
+const MAX_RUNS: usize = 250;
 
 /// A reduced scenario, by position in the full schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -69,7 +69,7 @@
     }
 
     fn still_fails(&mut self, smaller: &Shrunk) -> bool {
-        if self.runs >= MOST_RUNS {
+        if self.runs >= MAX_RUNS {
             return false;
         }
         self.runs += 1;
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -24,9 +24,9 @@
 use crate::workload::Work;
 
 /// Maximum difference between the start offsets of two clocks, in microseconds.
-const CLOCK_SPREAD: u64 = 10_000_000;
+const MAX_CLOCK_OFFSET_MICROS: u64 = 10_000_000;
 /// Interval between two checks whether everything has finished, in milliseconds.
-const LOOK_INTERVAL_MS: u64 = 500;
+const DONE_CHECK_INTERVAL_MS: u64 = 500;
 
 /// A caller.
 #[derive(Debug)]
@@ -89,7 +89,7 @@
         let network = Network::new(replicas.chain(gateways).chain(engines).collect());
         let mut context = Context::new(scenario.seed, network);
         let mut clock = |position: u32| {
-            let offset = context.random.random_range(0..CLOCK_SPREAD);
+            let offset = context.random.random_range(0..MAX_CLOCK_OFFSET_MICROS);
             NodeClock::new(offset, scenario.clock_rates[position as usize])
         };
         let count = topology.replicas;
@@ -167,7 +167,7 @@
 
     fn run_until_done(&mut self, deadline: Timestamp) {
         while self.context.now < deadline && !self.is_done() {
-            let look = Timestamp::from_millis(LOOK_INTERVAL_MS).0;
+            let look = Timestamp::from_millis(DONE_CHECK_INTERVAL_MS).0;
             let next = Timestamp(self.context.now.0 + look);
             self.run_until(next.min(deadline));
         }
