--- a/crates/sim/src/apply.rs
+++ b/crates/sim/src/apply.rs
@@ -20,7 +20,7 @@
 const ROLLBACK_DETECTED_WITHIN: Duration = Duration::from_secs(6);
 
 /// Whether a fault prevents replicas from communicating or removes their state.
-fn touches_replicas(kind: &FaultKind) -> bool {
+fn affects_replicas(kind: &FaultKind) -> bool {
     match kind {
         FaultKind::Kill(addresses) => addresses
             .iter()
@@ -39,7 +39,7 @@
         let Some(fault) = self.scenario.faults[position].clone() else {
             return;
         };
-        if self.must_wait(&fault) {
+        if self.must_postpone(&fault) {
             let again = self.context.now + POSTPONE_DELAY;
             if again < self.scenario.faults_end() {
                 let event = Event::FaultBegins(position);
@@ -60,15 +60,15 @@
     /// recovered. A disk rollback is detected only by processes that received messages
     /// about the lost state; until they had time to report it, faults must not affect any
     /// replica.
-    fn must_wait(&self, fault: &Fault) -> bool {
-        if self.context.now < self.roll_back_noticed_by && touches_replicas(&fault.kind) {
+    fn must_postpone(&self, fault: &Fault) -> bool {
+        if self.context.now < self.rollback_detected_by && affects_replicas(&fault.kind) {
             return true;
         }
-        matches!(fault.kind, FaultKind::LoseDisk(_)) && !self.replicas_are_whole()
+        matches!(fault.kind, FaultKind::LoseDisk(_)) && !self.every_replica_votes()
     }
 
     /// Whether every replica runs and votes with its current incarnation.
-    pub(crate) fn replicas_are_whole(&self) -> bool {
+    pub(crate) fn every_replica_votes(&self) -> bool {
         let statuses: Vec<_> = self.replicas.values().map(|one| one.status()).collect();
         let running: Vec<_> = statuses.iter().flatten().collect();
         if running.len() < statuses.len() {
@@ -121,7 +121,7 @@
             FaultKind::FailSync(replica) => {
                 if let Some(replica) = self.replicas.get_mut(replica) {
                     replica.disk.fail_syncs(1);
-                    replica.may_stop = true;
+                    replica.stop_expected = true;
                 }
             }
             FaultKind::Answers {
@@ -130,16 +130,16 @@
                 percent,
             } => {
                 if let Some(engine) = self.engines.get_mut(engine) {
-                    engine.spoil(context, position, *fault, *percent);
+                    engine.start_fault(context, position, *fault, *percent);
                 }
             }
             FaultKind::Leave(engine) => self.leave(*engine),
-            FaultKind::OldLists => self.platform.go_back(position),
+            FaultKind::OldLists => self.platform.start_stale_lists(position),
             FaultKind::PlannedStop(gateway) => {
                 let address = Address::Gateway(*gateway);
                 *self.down.entry(address).or_default() += 1;
                 if self.frozen.contains_key(&address) {
-                    self.stops_at_thaw.insert(address);
+                    self.stop_after_thaw.insert(address);
                 } else {
                     self.stop(address);
                 }
@@ -174,12 +174,12 @@
             FaultKind::FailSync(replica) => {
                 if let Some(replica) = self.replicas.get_mut(replica) {
                     replica.disk.fail_syncs(0);
-                    replica.may_stop = false;
+                    replica.stop_expected = false;
                 }
             }
             FaultKind::Answers { engine, .. } => {
                 if let Some(engine) = self.engines.get_mut(engine) {
-                    engine.spare(&mut self.context, position);
+                    engine.stop_fault(&mut self.context, position);
                 }
             }
             FaultKind::Leave(engine) => {
@@ -187,7 +187,7 @@
                 self.kill(address);
                 self.bring_up(address);
             }
-            FaultKind::OldLists => self.platform.go_on(position),
+            FaultKind::OldLists => self.platform.stop_stale_lists(position),
             FaultKind::PlannedStop(gateway) => self.bring_up(Address::Gateway(*gateway)),
         }
     }
@@ -243,7 +243,7 @@
         // can be detected only by processes that received messages about the lost state.
         let heard = self.replica_starts.values().all(|start| *start < taken);
         let silent = self.context.network.has_cuts() || !self.frozen.is_empty();
-        if !heard || silent || !self.replicas_are_whole() {
+        if !heard || silent || !self.every_replica_votes() {
             return;
         }
         let address = Address::Replica(number);
@@ -251,7 +251,7 @@
         if let Some(replica) = self.replicas.get_mut(&number) {
             replica.disk.roll_back(&backup);
         }
-        self.roll_back_noticed_by = self.context.now + ROLLBACK_DETECTED_WITHIN;
+        self.rollback_detected_by = self.context.now + ROLLBACK_DETECTED_WITHIN;
         self.bring_up(address);
     }
 
--- a/crates/sim/src/client/mod.rs
+++ b/crates/sim/src/client/mod.rs
@@ -16,7 +16,7 @@
 /// Sends a request to a random gateway. Returns the arrival identifier and the
 /// gateway.
 fn send(context: &mut Context, client: u32, gateways: u32, request: ClientRequest) -> (u64, u32) {
-    let arrival = context.fresh();
+    let arrival = context.random_id();
     let gateway = context.random.random_range(1..=gateways);
     let own = Address::Client(client);
     let message = Message::Client { arrival, request };
--- a/crates/sim/src/commands.rs
+++ b/crates/sim/src/commands.rs
@@ -7,7 +7,7 @@
 use molespan_sim::checkers::CHECKERS;
 use molespan_sim::fault::FaultClass;
 use molespan_sim::history::Violation;
-use molespan_sim::mutation::noticed_by;
+use molespan_sim::mutation::detecting_checkers;
 use molespan_sim::report::{Request, failure};
 use molespan_sim::run::{disable, has_mutants, in_order, run_scenario};
 use molespan_sim::scenario::Scenario;
@@ -143,7 +143,7 @@
     };
     let first = flags.seed.unwrap_or(1);
     let scenario = |task: usize| {
-        let scenario = Scenario::of_seed(first + task as u64, &classes);
+        let scenario = Scenario::from_seed(first + task as u64, &classes);
         scenario.only(keep_faults.as_deref(), keep_work.as_deref())
     };
     let seeds = flags.seeds.unwrap_or(SEEDS) as usize;
@@ -225,11 +225,12 @@
     let mut found = None;
     let work = |task: usize| {
         let seed = task as u64 + 1;
-        let scenario = Scenario::of_seed(seed, FaultClass::ALL);
+        let scenario = Scenario::from_seed(seed, FaultClass::ALL);
         disable(Some(mechanism));
         let outcome = run_scenario(scenario.clone());
         let mut violations = outcome.violations.into_iter();
-        let violation = violations.find(|one| noticed_by(mechanism).contains(&one.checker))?;
+        let violation =
+            violations.find(|one| detecting_checkers(mechanism).contains(&one.checker))?;
         disable(None);
         let passes = run_scenario(scenario).violations.is_empty();
         passes.then_some((seed, violation))
--- a/crates/sim/src/context.rs
+++ b/crates/sim/src/context.rs
@@ -26,7 +26,7 @@
     /// Observations of the participants, for the checkers.
     pub history: History,
     /// Current incarnation of each engine, as operators see it.
-    pub engine_lives: BTreeMap<u32, Incarnation>,
+    pub engine_incarnations: BTreeMap<u32, Incarnation>,
 }
 
 impl Context {
@@ -39,7 +39,7 @@
             queue: EventQueue::default(),
             network,
             history: History::default(),
-            engine_lives: BTreeMap::new(),
+            engine_incarnations: BTreeMap::new(),
         }
     }
 
@@ -58,12 +58,15 @@
 
     /// Returns the current incarnation of an engine.
     #[must_use]
-    pub fn engine_life(&self, engine: u32) -> Incarnation {
-        self.engine_lives.get(&engine).copied().unwrap_or_default()
+    pub fn engine_incarnation(&self, engine: u32) -> Incarnation {
+        self.engine_incarnations
+            .get(&engine)
+            .copied()
+            .unwrap_or_default()
     }
 
     /// Returns a random number for identifiers and seeds, unique in practice.
-    pub fn fresh(&mut self) -> u64 {
+    pub fn random_id(&mut self) -> u64 {
         self.random.random()
     }
 }
--- a/crates/sim/src/engine_node.rs
+++ b/crates/sim/src/engine_node.rs
@@ -47,7 +47,7 @@
 
 /// An active fault in the answers of an engine.
 #[derive(Clone, Copy, Debug)]
-struct Spoiling {
+struct ActiveFault {
     fault: AnswerFault,
     percent: u32,
 }
@@ -59,7 +59,7 @@
     core: EngineCore,
     alive: bool,
     attempts: BTreeMap<String, Attempt>,
-    spoiling: BTreeMap<usize, Spoiling>,
+    active_faults: BTreeMap<usize, ActiveFault>,
     /// Whether the engine reports that it is leaving.
     leaving: bool,
     weights: Vec<(Timestamp, molespan_emulator::engine::WeightsNeeded)>,
@@ -84,13 +84,15 @@
             model,
             models: vec![MODEL.to_owned()],
         };
-        context.engine_lives.insert(number, FIRST_INCARNATION);
+        context
+            .engine_incarnations
+            .insert(number, FIRST_INCARNATION);
         Self {
             number,
             core: EngineCore::new(settings, seed, context.now),
             alive: true,
             attempts: BTreeMap::new(),
-            spoiling: BTreeMap::new(),
+            active_faults: BTreeMap::new(),
             leaving: false,
             weights: Vec::new(),
         }
@@ -113,20 +115,27 @@
     }
 
     /// Starts injecting a fault into answers.
-    pub fn spoil(&mut self, context: &mut Context, id: usize, fault: AnswerFault, percent: u32) {
-        self.spoiling.insert(id, Spoiling { fault, percent });
+    pub fn start_fault(
+        &mut self,
+        context: &mut Context,
+        id: usize,
+        fault: AnswerFault,
+        percent: u32,
+    ) {
+        self.active_faults
+            .insert(id, ActiveFault { fault, percent });
         self.set_speed(context);
     }
 
     /// Stops injecting a fault into answers.
-    pub fn spare(&mut self, context: &mut Context, id: usize) {
-        self.spoiling.remove(&id);
+    pub fn stop_fault(&mut self, context: &mut Context, id: usize) {
+        self.active_faults.remove(&id);
         self.set_speed(context);
     }
 
     fn set_speed(&mut self, context: &mut Context) {
-        let slow = |spoiling: &Spoiling| spoiling.fault == AnswerFault::Slow;
-        let slow = self.spoiling.values().any(slow);
+        let slow = |active: &ActiveFault| active.fault == AnswerFault::Slow;
+        let slow = self.active_faults.values().any(slow);
         let faults = EngineFaults {
             slow_factor: if slow { SLOW_FACTOR } else { 1.0 },
             ..EngineFaults::default()
@@ -162,7 +171,7 @@
         self.alive = true;
         self.leaving = false;
         let life = self.core.incarnation();
-        context.engine_lives.insert(self.number, life);
+        context.engine_incarnations.insert(self.number, life);
     }
 
     fn answer(&self, context: &mut Context, listener: &Listener, answer: EngineAnswer) {
@@ -175,10 +184,10 @@
 
     fn draw_fault(&self, context: &mut Context) -> Option<AnswerFault> {
         let mut drawn = None;
-        for spoiling in self.spoiling.values() {
-            let hit = context.random.random_range(0..100) < spoiling.percent;
-            if hit && spoiling.fault != AnswerFault::Slow {
-                drawn = Some(spoiling.fault);
+        for active in self.active_faults.values() {
+            let hit = context.random.random_range(0..100) < active.percent;
+            if hit && active.fault != AnswerFault::Slow {
+                drawn = Some(active.fault);
             }
         }
         drawn
@@ -348,7 +357,7 @@
         if (first_only && offset > 0) || (cut && !first_only) {
             return;
         }
-        let (id, text) = spoil_identity(listener, attempt, text);
+        let (id, text) = cross_identity(listener, attempt, text);
         let last = offset + 1 == tokens;
         let chunk = CompletionChunk {
             id,
@@ -380,7 +389,7 @@
             };
             return self.answer(context, listener, end);
         }
-        let (id, text) = spoil_identity(listener, attempt, text);
+        let (id, text) = cross_identity(listener, attempt, text);
         let whole = text.first(tokens);
         let declared = whole.len() as u64;
         let sent = if truncated {
@@ -407,7 +416,7 @@
                 Output::Token { attempt, text, .. } => self.token(context, &attempt, text),
                 Output::Completed { attempt, text, .. } => {
                     if let Some(ended) = self.attempts.remove(&*attempt) {
-                        self.note_start(context, &ended);
+                        self.record_start(context, &ended);
                         for listener in &ended.listeners {
                             self.finish(context, listener, &attempt, text, ended.tokens);
                         }
@@ -419,7 +428,7 @@
                 }
             }
         }
-        self.note_starts(context);
+        self.record_starts(context);
     }
 
     fn take_weights(&mut self, now: Timestamp) {
@@ -447,18 +456,18 @@
     }
 
     /// Records which attempts have entered the running batch.
-    fn note_starts(&mut self, context: &mut Context) {
+    fn record_starts(&mut self, context: &mut Context) {
         let mut attempts = std::mem::take(&mut self.attempts);
         for (key, attempt) in &mut attempts {
             if !attempt.started && self.core.executions().of_attempt(key).started > 0 {
-                self.note_start(context, attempt);
+                self.record_start(context, attempt);
                 attempt.started = true;
             }
         }
         self.attempts = attempts;
     }
 
-    fn note_start(&self, context: &mut Context, attempt: &Attempt) {
+    fn record_start(&self, context: &mut Context, attempt: &Attempt) {
         if !attempt.started {
             context.history.starts.push(StartRecord {
                 at: context.now,
@@ -478,7 +487,7 @@
 
 /// Returns the attempt identifier and text of an answer, replaced by those of
 /// another request under [`AnswerFault::Crossed`].
-fn spoil_identity(listener: &Listener, attempt: &str, text: AnswerText) -> (String, AnswerText) {
+fn cross_identity(listener: &Listener, attempt: &str, text: AnswerText) -> (String, AnswerText) {
     if listener.fault == Some(AnswerFault::Crossed) {
         let other = format!("{attempt}0");
         return (other, AnswerText::of_prompt("another request"));
--- a/crates/sim/src/gateway/process.rs
+++ b/crates/sim/src/gateway/process.rs
@@ -109,7 +109,7 @@
         let now = identity.clock.local(context.now);
         let zone = zone_name(identity.zone);
         let pickers = SERVICES.iter().map(|service| {
-            let seed = context.fresh();
+            let seed = context.random_id();
             let picker = Picker::new(zone.as_str().into(), PickSettings::default(), seed);
             ((*service).into(), picker)
         });
@@ -289,7 +289,7 @@
         backend: BackendId,
         call: EngineCall,
     ) -> ConnectionId {
-        let connection = ConnectionId(context.fresh());
+        let connection = ConnectionId(context.random_id());
         let own = self.identity.address();
         let engine = Address::of_backend(backend);
         context.send(own, engine, Message::Engine { connection, call });
--- a/crates/sim/src/group_client.rs
+++ b/crates/sim/src/group_client.rs
@@ -101,7 +101,7 @@
         within: Duration,
         tag: T,
     ) {
-        let call = context.fresh();
+        let call = context.random_id();
         let pending = Pending {
             tag,
             group,
--- a/crates/sim/src/history.rs
+++ b/crates/sim/src/history.rs
@@ -272,7 +272,7 @@
 
 impl History {
     /// Records a violation.
-    pub fn violate(&mut self, at: Timestamp, checker: &'static str, message: String) {
+    pub fn record_violation(&mut self, at: Timestamp, checker: &'static str, message: String) {
         self.violations.push(Violation {
             at,
             checker,
--- a/crates/sim/src/mutation.rs
+++ b/crates/sim/src/mutation.rs
@@ -4,7 +4,7 @@
 
 /// Returns the checkers of the guarantees that depend on `mechanism`.
 #[must_use]
-pub fn noticed_by(mechanism: Mechanism) -> &'static [&'static str] {
+pub fn detecting_checkers(mechanism: Mechanism) -> &'static [&'static str] {
     match mechanism {
         Mechanism::SyncBeforeReply | Mechanism::NewIncarnation => &[
             "committed",
--- a/crates/sim/src/network.rs
+++ b/crates/sim/src/network.rs
@@ -78,7 +78,7 @@
     /// Latest arrival on each connection.
     latest: BTreeMap<Direction, Timestamp>,
     /// Connections on which a message was cut off; they deliver nothing more.
-    dead: BTreeSet<Direction>,
+    broken: BTreeSet<Direction>,
 }
 
 /// One direction of a connection.
@@ -133,16 +133,16 @@
 
     /// Whether a message that arrives now is delivered. On a connection, nothing is
     /// delivered after a message that was cut off.
-    pub fn gets_through(&mut self, from: Address, to: Address, transport: Transport) -> bool {
+    pub fn is_delivered(&mut self, from: Address, to: Address, transport: Transport) -> bool {
         let cut = self.is_cut(from, to);
         let Transport::Stream(connection) = transport else {
             return !cut;
         };
         let direction = (from, to, connection);
         if cut {
-            self.dead.insert(direction);
+            self.broken.insert(direction);
         }
-        !self.dead.contains(&direction)
+        !self.broken.contains(&direction)
     }
 
     /// Returns the arrival times of the copies of a message sent now; none if it is lost.
@@ -155,7 +155,7 @@
         transport: Transport,
     ) -> Vec<Timestamp> {
         let (from, to) = link;
-        if !self.gets_through(from, to, transport) {
+        if !self.is_delivered(from, to, transport) {
             return Vec::new();
         }
         let mut delay = random.random_range(self.usual_delay(from, to));
--- a/crates/sim/src/operator.rs
+++ b/crates/sim/src/operator.rs
@@ -257,7 +257,7 @@
             model: MODEL.to_owned(),
             version: plan.version,
         };
-        let incarnation = context.engine_life(plan.engine);
+        let incarnation = context.engine_incarnation(plan.engine);
         // The operator's number distinguishes this order from others with the same content.
         let action = serde_json::to_string(&(action, self.number)).unwrap_or_default();
         let order = IssueOrder {
@@ -275,7 +275,7 @@
         };
         match molespan_state::decode(answer) {
             Ok(ControlReply::OrderIssued { token }) => {
-                let incarnation = context.engine_life(plan.engine);
+                let incarnation = context.engine_incarnation(plan.engine);
                 let order = order(plan, token, incarnation);
                 self.order = Some(context.history.orders.len());
                 context.history.orders.push(OrderRecord {
--- a/crates/sim/src/platform_node.rs
+++ b/crates/sim/src/platform_node.rs
@@ -66,12 +66,12 @@
     }
 
     /// Starts serving stale lists.
-    pub fn go_back(&mut self, fault: usize) {
+    pub fn start_stale_lists(&mut self, fault: usize) {
         self.old_lists.push(fault);
     }
 
     /// Stops serving stale lists for this fault.
-    pub fn go_on(&mut self, fault: usize) {
+    pub fn stop_stale_lists(&mut self, fault: usize) {
         self.old_lists.retain(|one| *one != fault);
     }
 
--- a/crates/sim/src/replica_node.rs
+++ b/crates/sim/src/replica_node.rs
@@ -42,7 +42,7 @@
     last_ticket: u64,
     gateways: BTreeMap<NodeId, (GatewayRecord, Timestamp)>,
     /// Whether a disk fault explains a stop of the process.
-    pub may_stop: bool,
+    pub stop_expected: bool,
     /// Whether the disk is full, in which case the process may fail to start.
     pub disk_full: bool,
 }
@@ -60,7 +60,7 @@
             tickets: BTreeMap::new(),
             last_ticket: 0,
             gateways: BTreeMap::new(),
-            may_stop: false,
+            stop_expected: false,
             disk_full: false,
         }
     }
@@ -75,7 +75,7 @@
             return;
         }
         let now = self.clock.local(context.now);
-        let settings = self.settings(context.fresh());
+        let settings = self.settings(context.random_id());
         match ReplicaCore::open(self.disk.clone(), settings, now) {
             Ok(core) => {
                 self.core = Some(core);
@@ -107,7 +107,7 @@
         self.core = None;
         self.tickets.clear();
         self.gateways.clear();
-        self.disk.crash(context.fresh());
+        self.disk.crash(context.random_id());
     }
 
     /// Returns the replica's own status while the process runs.
@@ -119,11 +119,13 @@
     fn stopped(&mut self, context: &mut Context, error: &str, expected: bool) {
         self.core = None;
         self.tickets.clear();
-        self.disk.crash(context.fresh());
+        self.disk.crash(context.random_id());
         let text = format!("replica {} stops: {error}", self.number);
         context.history.note(context.now, text.clone());
-        if !self.may_stop && !expected {
-            context.history.violate(context.now, REPLICA_STOPPED, text);
+        if !self.stop_expected && !expected {
+            context
+                .history
+                .record_violation(context.now, REPLICA_STOPPED, text);
         }
         let at = context.now + RESTART_DELAY;
         let address = self.address();
@@ -164,7 +166,7 @@
             }
             Output::LeaderChanged { group, leader } => {
                 if leader == Some(replica_node(self.number)) {
-                    self.note_leadership(context, group);
+                    self.record_leadership(context, group);
                 }
             }
             Output::ConfigurationChanged { .. } | Output::StateChanged { .. } => {}
@@ -176,7 +178,7 @@
     }
 
     /// Records leadership and checks that no other replica led the group in the same term.
-    fn note_leadership(&mut self, context: &mut Context, group: GroupId) {
+    fn record_leadership(&mut self, context: &mut Context, group: GroupId) {
         let Some(status) = self.status() else {
             return;
         };
@@ -197,7 +199,9 @@
                 "group {group} has two leaders in term {}: nodes {} and {}",
                 led.term, first.0, own.0
             );
-            context.history.violate(context.now, SINGLE_LEADER, message);
+            context
+                .history
+                .record_violation(context.now, SINGLE_LEADER, message);
         }
     }
 
--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -60,7 +60,7 @@
 impl Scenario {
     /// Draws the scenario of a seed, with faults of `classes`.
     #[must_use]
-    pub fn of_seed(seed: u64, classes: &[FaultClass]) -> Self {
+    pub fn from_seed(seed: u64, classes: &[FaultClass]) -> Self {
         // Work and faults use separate generators, so that the work of a seed does not
         // depend on the enabled classes.
         let mut random = ChaCha8Rng::seed_from_u64(seed);
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -68,11 +68,11 @@
     /// Number of faults that keep each process down.
     pub(crate) down: BTreeMap<Address, u32>,
     /// Processes that were asked to shut down while frozen.
-    pub(crate) stops_at_thaw: BTreeSet<Address>,
+    pub(crate) stop_after_thaw: BTreeSet<Address>,
     /// Disk backups and when each was taken, by fault.
     pub(crate) backups: BTreeMap<usize, (Timestamp, SimulatedDisk)>,
     /// Time until which a disk rollback may still be undetected.
-    pub(crate) roll_back_noticed_by: Timestamp,
+    pub(crate) rollback_detected_by: Timestamp,
     /// Time of the latest start of each replica.
     pub(crate) replica_starts: BTreeMap<u32, Timestamp>,
 }
@@ -101,7 +101,7 @@
         });
         let gateways = gateways.collect();
         let engines = (1..=topology.engines).map(|one| {
-            let seed = context.fresh();
+            let seed = context.random_id();
             (one, EngineNode::new(one, seed, &mut context))
         });
         Self {
@@ -114,9 +114,9 @@
             wake_at: BTreeMap::new(),
             frozen: BTreeMap::new(),
             down: BTreeMap::new(),
-            stops_at_thaw: BTreeSet::new(),
+            stop_after_thaw: BTreeSet::new(),
             backups: BTreeMap::new(),
-            roll_back_noticed_by: Timestamp::ZERO,
+            rollback_detected_by: Timestamp::ZERO,
             replica_starts: BTreeMap::new(),
             context,
             scenario,
@@ -160,7 +160,7 @@
     fn run_until(&mut self, end: Timestamp) {
         while let Some((at, event)) = self.context.queue.pop(end) {
             self.context.now = at;
-            self.happen(event);
+            self.process_event(event);
         }
         self.context.now = end;
     }
@@ -194,7 +194,7 @@
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn process_event(&mut self, event: Event) {
         match event {
             Event::Deliver(envelope) => self.deliver(envelope),
             Event::Wake(address) => {
@@ -215,7 +215,7 @@
     fn deliver(&mut self, envelope: Envelope) {
         let transport = envelope.message.transport();
         let network = &mut self.context.network;
-        if !network.gets_through(envelope.from, envelope.to, transport) {
+        if !network.is_delivered(envelope.from, envelope.to, transport) {
             return;
         }
         if let Some((_, held)) = self.frozen.get_mut(&envelope.to) {
@@ -334,7 +334,7 @@
         for envelope in self.shuffled(held) {
             self.deliver(envelope);
         }
-        if self.stops_at_thaw.remove(&address) {
+        if self.stop_after_thaw.remove(&address) {
             self.stop(address);
         }
         self.wake(address);
@@ -346,7 +346,7 @@
         let mut ranks: BTreeMap<u64, u64> = BTreeMap::new();
         let mut ranked: Vec<(u64, Envelope)> = Vec::with_capacity(held.len());
         for envelope in held {
-            let fresh = self.context.fresh();
+            let fresh = self.context.random_id();
             let rank = match envelope.message.transport() {
                 Transport::Stream(connection) => *ranks.entry(connection).or_insert(fresh),
                 Transport::Datagram => fresh,
@@ -359,7 +359,7 @@
 
     /// Discards messages held for a frozen process that was killed.
     pub(crate) fn discard_held(&mut self, address: Address) {
-        self.stops_at_thaw.remove(&address);
+        self.stop_after_thaw.remove(&address);
         if let Some((_, held)) = self.frozen.get_mut(&address) {
             held.clear();
         }
--- a/crates/sim/tests/checkers.rs
+++ b/crates/sim/tests/checkers.rs
@@ -14,7 +14,7 @@
 
 /// A world in which no event has happened.
 fn world() -> World {
-    World::new(Scenario::of_seed(1, &[]).only(Some(&[]), Some(&[])))
+    World::new(Scenario::from_seed(1, &[]).only(Some(&[]), Some(&[])))
 }
 
 /// Names of the checkers that report a violation. Liveness is excluded, since no
--- a/crates/sim/tests/seeds.rs
+++ b/crates/sim/tests/seeds.rs
@@ -17,7 +17,7 @@
     let mut found = Vec::new();
     let work = |task: usize| {
         let seed = task as u64 + 1;
-        (seed, run_scenario(Scenario::of_seed(seed, classes)))
+        (seed, run_scenario(Scenario::from_seed(seed, classes)))
     };
     in_order(seeds as usize, THREADS, work, |_, (seed, outcome)| {
         found.extend(outcome.violations.into_iter().map(|one| (seed, one)));
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_seed_decides_a_run() {
-    let run = || run_scenario(Scenario::of_seed(7, FaultClass::ALL));
+    let run = || run_scenario(Scenario::from_seed(7, FaultClass::ALL));
     let first = run();
     assert!(!first.notes.is_empty());
     assert_eq!(first, run());
@@ -54,7 +54,7 @@
 
 #[test]
 fn a_run_that_passes_shrinks_to_itself() {
-    let scenario = Scenario::of_seed(3, &[]);
+    let scenario = Scenario::from_seed(3, &[]);
     let mut small = scenario.clone().only(Some(&[]), Some(&[0, 1]));
     small.work.truncate(2);
     let shrunk = shrink(&small, "exactly-once");
