--- a/crates/sim/src/checkers/leaving.rs
+++ b/crates/sim/src/checkers/leaving.rs
@@ -23,13 +23,13 @@
             if !same || dispatch.at <= leaving.at + KNOWN_WITHIN {
                 continue;
             }
-            let knew = knew(history, leaving, dispatch);
-            if knew || is_calm(&world.scenario, dispatch) {
+            let was_notified = was_notified(history, leaving, dispatch);
+            if was_notified || is_calm(&world.scenario, dispatch) {
                 let message = format!(
                     "gateway {} sent new work to engine {}, which {}",
                     dispatch.gateway,
                     dispatch.backend,
-                    if knew {
+                    if was_notified {
                         "it knew to be leaving"
                     } else {
                         "has been leaving for a long time"
@@ -42,11 +42,12 @@
 }
 
 /// Whether the gateway had been told that the engine is leaving.
-fn knew(history: &History, leaving: &LeavingRecord, dispatch: &DispatchRecord) -> bool {
-    history.told.iter().any(|told| {
-        (told.gateway, told.gateway_life) == (dispatch.gateway, dispatch.gateway_life)
-            && (told.backend, told.incarnation) == (leaving.backend, leaving.incarnation)
-            && told.at < dispatch.at
+fn was_notified(history: &History, leaving: &LeavingRecord, dispatch: &DispatchRecord) -> bool {
+    history.leaving_notices.iter().any(|notice| {
+        (notice.gateway, notice.gateway_incarnation)
+            == (dispatch.gateway, dispatch.gateway_incarnation)
+            && (notice.backend, notice.incarnation) == (leaving.backend, leaving.incarnation)
+            && notice.at < dispatch.at
     })
 }
 
--- a/crates/sim/src/client/job.rs
+++ b/crates/sim/src/client/job.rs
@@ -35,7 +35,7 @@
 struct Waiting {
     sent: Timestamp,
     /// Whether this is a concurrent resubmission, whose failure is ignored.
-    extra: bool,
+    is_resubmission: bool,
 }
 
 /// A caller with a job.
@@ -129,16 +129,16 @@
         self.send(context, request, false);
     }
 
-    fn send(&mut self, context: &mut Context, request: ClientRequest, extra: bool) {
+    fn send(&mut self, context: &mut Context, request: ClientRequest, is_resubmission: bool) {
         let (arrival, _) = super::send(context, self.number, self.gateways, request);
         let waiting = Waiting {
             sent: context.now,
-            extra,
+            is_resubmission,
         };
         self.waiting.insert(arrival, waiting);
     }
 
-    fn stands(&mut self, context: &mut Context, waiting: Waiting, status: &JobStatus) {
+    fn record_status(&mut self, context: &mut Context, waiting: Waiting, status: &JobStatus) {
         let Some(record) = context.history.jobs.get_mut(&self.plan.id()) else {
             return;
         };
@@ -165,7 +165,7 @@
             }
             JobPhase::Submitting | JobPhase::Running => {}
         }
-        if waiting.extra {
+        if waiting.is_resubmission {
             return;
         }
         match phase {
@@ -214,12 +214,12 @@
         }
     }
 
-    fn give_up_waiting(&mut self, context: &mut Context) {
+    fn time_out_requests(&mut self, context: &mut Context) {
         let now = context.now;
         let mut again = false;
         self.waiting.retain(|_, waiting| {
             let late = now.since(waiting.sent) >= ANSWER_TIMEOUT;
-            again |= late && !waiting.extra;
+            again |= late && !waiting.is_resubmission;
             !late
         });
         if again {
@@ -237,16 +237,16 @@
             return;
         };
         match reply {
-            ClientReply::Job(status) => self.stands(context, waiting, &status),
+            ClientReply::Job(status) => self.record_status(context, waiting, &status),
             ClientReply::Results { results, next } => self.page(context, results, next),
-            _ if waiting.extra => {}
+            _ if waiting.is_resubmission => {}
             _ => self.next = Some(context.now + RETRY_DELAY),
         }
     }
 
     fn wake(&mut self, context: &mut Context) {
         self.resubmit(context);
-        self.give_up_waiting(context);
+        self.time_out_requests(context);
         if self.next.is_some_and(|next| next <= context.now) {
             self.act(context);
         }
--- a/crates/sim/src/client/online.rs
+++ b/crates/sim/src/client/online.rs
@@ -33,7 +33,7 @@
     next: Option<Timestamp>,
     /// Time of sending and text received so far, by arrival.
     waiting: BTreeMap<u64, (Timestamp, String)>,
-    impatient_at: Option<Timestamp>,
+    resend_at: Option<Timestamp>,
 }
 
 impl OnlineClient {
@@ -49,7 +49,7 @@
             arrivals: 0,
             next: None,
             waiting: BTreeMap::new(),
-            impatient_at: None,
+            resend_at: None,
         }
     }
 
@@ -62,7 +62,7 @@
     /// Sends the first request.
     pub fn begin(&mut self, context: &mut Context) {
         let resend_after = self.plan.resend_after;
-        self.impatient_at = resend_after.map(|after| context.now + after);
+        self.resend_at = resend_after.map(|after| context.now + after);
         self.send(context);
     }
 
@@ -110,7 +110,7 @@
         }
     }
 
-    fn saw_token(&self, context: &mut Context, arrival: u64) {
+    fn record_first_token(&self, context: &mut Context, arrival: u64) {
         let now = context.now;
         if let Some(record) = context.history.arrivals.get_mut(&arrival) {
             record.first_token.get_or_insert(now);
@@ -129,14 +129,14 @@
         match reply {
             ClientReply::Chunk { text: more, .. } => {
                 text.push_str(&more);
-                self.saw_token(context, arrival);
+                self.record_first_token(context, arrival);
             }
             ClientReply::End => {
                 let text = std::mem::take(text);
                 self.ended(context, arrival, ArrivalEnd::Answered(text));
             }
             ClientReply::Whole(text) => {
-                self.saw_token(context, arrival);
+                self.record_first_token(context, arrival);
                 self.ended(context, arrival, ArrivalEnd::Answered(text));
             }
             ClientReply::Refused { outcome, .. } => {
@@ -156,8 +156,8 @@
 
     fn wake(&mut self, context: &mut Context) {
         let now = context.now;
-        if self.impatient_at.is_some_and(|at| at <= now) {
-            self.impatient_at = None;
+        if self.resend_at.is_some_and(|at| at <= now) {
+            self.resend_at = None;
             if !self.done {
                 self.send(context);
             }
@@ -183,7 +183,7 @@
         let late = self.waiting.values();
         late.map(|(sent, _)| *sent + ANSWER_TIMEOUT)
             .chain(self.next)
-            .chain(self.impatient_at)
+            .chain(self.resend_at)
             .min()
     }
 }
--- a/crates/sim/src/commands.rs
+++ b/crates/sim/src/commands.rs
@@ -9,7 +9,7 @@
 use molespan_sim::history::Violation;
 use molespan_sim::mutation::detecting_checkers;
 use molespan_sim::report::{Request, failure};
-use molespan_sim::run::{disable, has_mutants, in_order, run_scenario};
+use molespan_sim::run::{disable, has_mutants, run_in_order, run_scenario};
 use molespan_sim::scenario::Scenario;
 use molespan_types::mechanism::Mechanism;
 
@@ -158,7 +158,7 @@
         }
         Some(failure(&request, &scenario, &outcome))
     };
-    in_order(seeds, threads(flags.threads), work, |_, report| {
+    run_in_order(seeds, threads(flags.threads), work, |_, report| {
         match report {
             None => passed += 1,
             Some(report) => {
@@ -235,7 +235,7 @@
         let passes = run_scenario(scenario).violations.is_empty();
         passes.then_some((seed, violation))
     };
-    in_order(seeds as usize, threads, work, |_, result| {
+    run_in_order(seeds as usize, threads, work, |_, result| {
         found = result;
         found.is_none()
     });
--- a/crates/sim/src/explorations.rs
+++ b/crates/sim/src/explorations.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use molespan_consensus::explore::{Bounds, Start, explore as explore_group};
-use molespan_sim::run::in_order;
+use molespan_sim::run::run_in_order;
 use molespan_state::explore::{ClaimModel, LeaseModel, Model, explore as explore_machine};
 
 /// Result of a search.
@@ -92,7 +92,7 @@
             holds: found.holds,
         }
     };
-    in_order(EXPLORATIONS.len(), threads, work, |_, explored| {
+    run_in_order(EXPLORATIONS.len(), threads, work, |_, explored| {
         take(explored);
         true
     });
--- a/crates/sim/src/gateway/answers.rs
+++ b/crates/sim/src/gateway/answers.rs
@@ -41,7 +41,7 @@
             return;
         }
         exchange.active = now;
-        if exchange.question {
+        if exchange.status_query {
             let attempt = exchange.attempt;
             let status = status_answer(attempt, &answer);
             return self.status_answered(context, id, status);
@@ -75,7 +75,7 @@
                     text: chunk.text,
                 };
                 self.reply(context, client, arrival, reply);
-                self.first_answer(context, id);
+                self.record_first_answer(context, id);
                 None
             }
             EngineAnswer::Terminator => {
@@ -94,7 +94,7 @@
                     return Some(AttemptEnd::Broken);
                 }
                 online.text = text;
-                self.first_answer(context, id);
+                self.record_first_answer(context, id);
                 Some(AttemptEnd::Completed)
             }
             EngineAnswer::Refused {
@@ -115,20 +115,20 @@
     }
 
     /// Records the first part of an answer.
-    fn first_answer(&mut self, context: &mut Context, id: OnlineId) {
+    fn record_first_answer(&mut self, context: &mut Context, id: OnlineId) {
         let now = self.now(context);
         let Some(online) = self.online.get_mut(&id) else {
             return;
         };
         let first = !std::mem::replace(&mut online.answered, true);
-        let Some((backend, since)) = online.placed.filter(|_| first) else {
+        let Some((backend, since)) = online.in_flight_on.filter(|_| first) else {
             return;
         };
         let incarnation = online.exchange.as_ref().map(|one| one.attempt.incarnation);
         let after = now.since(since);
         self.batch_input(context, BatchInput::OnlineFirstToken { backend, after });
         if let Some(incarnation) = incarnation {
-            self.worked(context, backend, incarnation, WorkResult::Answered(after));
+            self.report_work(context, backend, incarnation, WorkResult::Answered(after));
         }
     }
 
@@ -147,23 +147,23 @@
                     incarnation,
                     ..
                 } = exchange.attempt;
-                self.worked(context, backend, incarnation, WorkResult::Failed);
+                self.report_work(context, backend, incarnation, WorkResult::Failed);
             }
         }
         if !matches!(step, NextStep::Resume { .. } | NextStep::AskStatus { .. }) {
-            self.leave_engine(context, id);
+            self.release_engine(context, id);
         }
-        self.go_on(context, id, step);
+        self.apply_step(context, id, step);
     }
 
     /// Stops counting the request as in flight on its engine.
-    fn leave_engine(&mut self, context: &mut Context, id: OnlineId) {
+    fn release_engine(&mut self, context: &mut Context, id: OnlineId) {
         let now = self.now(context);
         let Some(online) = self.online.get_mut(&id) else {
             return;
         };
         online.answered = false;
-        let Some((backend, since)) = online.placed.take() else {
+        let Some((backend, since)) = online.in_flight_on.take() else {
             return;
         };
         let plan = Arc::clone(&online.plan);
@@ -184,9 +184,9 @@
         }
         let step = online.state.status(now, answer, &mut self.budget);
         if !matches!(step, NextStep::Resume { .. } | NextStep::AskStatus { .. }) {
-            self.leave_engine(context, id);
+            self.release_engine(context, id);
         }
-        self.go_on(context, id, step);
+        self.apply_step(context, id, step);
     }
 
     pub(super) fn tick_online(&mut self, context: &mut Context) {
@@ -198,17 +198,17 @@
             .iter()
             .filter_map(|(id, online)| {
                 let exchange = online.exchange.as_ref()?;
-                let limit = if exchange.question {
+                let limit = if exchange.status_query {
                     STATUS_TIMEOUT
                 } else {
                     IDLE_TIMEOUT
                 };
                 let silent = now.since(exchange.active) >= limit;
-                silent.then_some((*id, exchange.question))
+                silent.then_some((*id, exchange.status_query))
             })
             .collect();
-        for (id, question) in silent {
-            if question {
+        for (id, status_query) in silent {
+            if status_query {
                 self.status_answered(context, id, StatusAnswer::NoAnswer);
             } else {
                 self.attempt_ended(context, id, AttemptEnd::Broken);
--- a/crates/sim/src/gateway/batch.rs
+++ b/crates/sim/src/gateway/batch.rs
@@ -12,7 +12,7 @@
 use molespan_state::job::{JobCommand, JobReply, LeaseRequest};
 use molespan_types::{GroupId, Priority, RunOutcome, ServiceName, Timestamp};
 
-use super::process::{Process, Tag, Use};
+use super::process::{ConnectionUse, Process, Tag};
 use crate::context::Context;
 use crate::history::DispatchRecord;
 use crate::message::{AnswerForm, ConnectionId, EngineAnswer, EngineCall, Operation};
@@ -43,7 +43,7 @@
         let outputs = self.batch.handle(now, input);
         self.timers.batch = self.batch.next_wakeup(now);
         for output in outputs {
-            self.carry_out(context, output);
+            self.execute_output(context, output);
         }
     }
 
@@ -62,10 +62,10 @@
         self.fetch_silent_streams(context);
     }
 
-    fn carry_out(&mut self, context: &mut Context, output: BatchOutput) {
+    fn execute_output(&mut self, context: &mut Context, output: BatchOutput) {
         match output {
-            BatchOutput::Pause(id) => self.hold_back(context, id, true),
-            BatchOutput::Resume(id) => self.hold_back(context, id, false),
+            BatchOutput::Pause(id) => self.set_paused(context, id, true),
+            BatchOutput::Resume(id) => self.set_paused(context, id, false),
             BatchOutput::Cancel(id) => {
                 if let Some(stream) = self.streams.remove(&id) {
                     self.connections.remove(&stream.connection);
@@ -79,7 +79,7 @@
         }
     }
 
-    fn hold_back(&mut self, context: &mut Context, id: StreamId, paused: bool) {
+    fn set_paused(&mut self, context: &mut Context, id: StreamId, paused: bool) {
         let now = self.now(context);
         let Some(stream) = self.streams.get_mut(&id) else {
             return;
@@ -116,7 +116,7 @@
             backend,
             incarnation,
         };
-        self.note_dispatch(context, attempt, &prompt);
+        self.record_dispatch(context, attempt, &prompt);
         let submission = Submission {
             attempt: attempt.attempt.to_string().into(),
             priority: Priority::Batch,
@@ -131,7 +131,8 @@
             form: AnswerForm::FirstThenWhole,
         };
         let connection = self.call_engine(context, backend, call);
-        self.connections.insert(connection, Use::Batch(stream));
+        self.connections
+            .insert(connection, ConnectionUse::Batch(stream));
         let dispatched = BatchStream {
             attempt,
             connection,
@@ -142,11 +143,11 @@
         self.streams.insert(stream, dispatched);
     }
 
-    pub(super) fn note_dispatch(&self, context: &mut Context, attempt: AttemptRef, prompt: &str) {
+    pub(super) fn record_dispatch(&self, context: &mut Context, attempt: AttemptRef, prompt: &str) {
         context.history.dispatches.push(DispatchRecord {
             at: context.now,
             gateway: self.identity.number,
-            gateway_life: self.identity.life,
+            gateway_incarnation: self.identity.life,
             backend: attempt.backend,
             incarnation: attempt.incarnation,
             prompt: molespan_types::digest_of(prompt.as_bytes()),
@@ -298,7 +299,7 @@
         let attempt = stream.attempt;
         if end == ItemEnd::Unknown || end == ItemEnd::NotRun {
             let (backend, incarnation) = (attempt.backend, attempt.incarnation);
-            self.worked(context, backend, incarnation, WorkResult::Failed);
+            self.report_work(context, backend, incarnation, WorkResult::Failed);
         }
         self.batch_input(context, BatchInput::Ended { stream: id, end });
     }
@@ -319,7 +320,8 @@
             form: AnswerForm::Whole,
         };
         let connection = self.call_engine(context, attempt.backend, call);
-        self.connections.insert(connection, Use::Batch(id));
+        self.connections
+            .insert(connection, ConnectionUse::Batch(id));
         let now = self.now(context);
         if let Some(stream) = self.streams.get_mut(&id) {
             stream.connection = connection;
@@ -341,7 +343,7 @@
         }
     }
 
-    pub(super) fn take_notice(&mut self, context: &mut Context, notice: OnlineNotice) {
+    pub(super) fn handle_notice(&mut self, context: &mut Context, notice: OnlineNotice) {
         self.batch_input(context, BatchInput::OnlineNotice(notice));
     }
 
--- a/crates/sim/src/gateway/configuration.rs
+++ b/crates/sim/src/gateway/configuration.rs
@@ -31,7 +31,7 @@
         let group = GroupId::CONTROL;
         let local = query(Consistency::Local, &ControlQuery::Configuration);
         self.groups
-            .call_any(context, now, group, local, READ_TIMEOUT, Tag::Watch);
+            .call_random(context, now, group, local, READ_TIMEOUT, Tag::Watch);
         let after = self.holder.version();
         let newer = query(
             Consistency::Linearizable,
@@ -42,7 +42,7 @@
             .call(context, now, group, newer, READ_TIMEOUT, tag);
     }
 
-    pub(super) fn configuration_seen(&mut self, context: &mut Context, answer: Option<&[u8]>) {
+    pub(super) fn handle_configuration(&mut self, context: &mut Context, answer: Option<&[u8]>) {
         if let Some(Ok(ControlAnswer::Configuration(Some(configuration)))) =
             answer.map(molespan_state::decode)
             // A replica that has not applied any entry yet has no services.
@@ -53,7 +53,7 @@
         }
     }
 
-    pub(super) fn configuration_confirmed(
+    pub(super) fn handle_confirmation(
         &mut self,
         context: &mut Context,
         sent: Timestamp,
@@ -93,7 +93,7 @@
             gateway: self.identity.number,
             version: to,
         });
-        self.to_store = Some((*configuration).clone());
+        self.unsaved_configuration = Some((*configuration).clone());
         let now = self.now(context);
         let limits = Self::limits_of(&configuration);
         let outputs = self.admission.configure(now, limits, Default::default());
@@ -103,7 +103,7 @@
     }
 
     /// Whether the gateway accepts new work now; records the admission if so.
-    pub(super) fn takes_new_work(&self, context: &mut Context) -> bool {
+    pub(super) fn admits_new_work(&self, context: &mut Context) -> bool {
         let ready = self.holder.readiness(self.now(context)) == Readiness::Ready;
         if !ready || self.refuses_new {
             return false;
--- a/crates/sim/src/gateway/jobs.rs
+++ b/crates/sim/src/gateway/jobs.rs
@@ -44,7 +44,7 @@
 }
 
 impl Process {
-    pub(super) fn take_job_request(
+    pub(super) fn handle_job_request(
         &mut self,
         context: &mut Context,
         client: Address,
@@ -53,7 +53,7 @@
     ) {
         match request {
             ClientRequest::Submit(plan) => {
-                if !self.takes_new_work(context) {
+                if !self.admits_new_work(context) {
                     let reply = ClientReply::Refused {
                         outcome: RunOutcome::NotRun,
                         reason: "not ready",
@@ -151,7 +151,7 @@
             return self.job_answered(context, &call, answer);
         }
         match molespan_state::decode(answer) {
-            Ok(JobReply::Job(status)) => self.job_stands(context, call, status),
+            Ok(JobReply::Job(status)) => self.handle_job_status(context, call, status),
             Ok(JobReply::WrongPhase { received, .. }) => {
                 // Another gateway is submitting the same job concurrently.
                 self.append(context, call, received);
@@ -163,7 +163,7 @@
         }
     }
 
-    fn job_stands(&mut self, context: &mut Context, call: JobCall, status: JobStatus) {
+    fn handle_job_status(&mut self, context: &mut Context, call: JobCall, status: JobStatus) {
         let submitting = status.phase == JobPhase::Submitting;
         match &call.step {
             JobStep::Begin(_) | JobStep::Append(_) if submitting => {
--- a/crates/sim/src/gateway/machines.rs
+++ b/crates/sim/src/gateway/machines.rs
@@ -14,7 +14,7 @@
 use super::process::Process;
 use crate::address::Address;
 use crate::context::Context;
-use crate::history::ToldRecord;
+use crate::history::LeavingNoticeRecord;
 use crate::message::Message;
 use crate::platform_node::zone_name;
 
@@ -100,7 +100,7 @@
     ) {
         for change in changes {
             match change {
-                OwnershipChange::Acquired(backend) => self.open_engine(context, backend),
+                OwnershipChange::Acquired(backend) => self.offer_engine(context, backend),
                 OwnershipChange::Released { backend, next } => {
                     self.batch_input(context, BatchInput::Released(backend));
                     let own = self.identity.address();
@@ -117,7 +117,7 @@
     }
 
     /// Lets batch work use an owned engine if the engine accepts new work.
-    fn open_engine(&mut self, context: &mut Context, backend: BackendId) {
+    fn offer_engine(&mut self, context: &mut Context, backend: BackendId) {
         let Some(found) = self.directory.backend(backend) else {
             return;
         };
@@ -132,26 +132,31 @@
         self.batch_input(context, BatchInput::Acquired(owned));
     }
 
-    pub(super) fn take_list(&mut self, context: &mut Context, list: MachineList) {
+    pub(super) fn handle_list(&mut self, context: &mut Context, list: MachineList) {
         for machine in &list.machines {
             if machine.state == MachineState::Leaving {
-                self.told(context, machine.id, machine.incarnation);
+                self.record_leaving_notice(context, machine.id, machine.incarnation);
             }
         }
         self.directory_input(context, DirectoryInput::List(list));
     }
 
-    fn told(&self, context: &mut Context, backend: BackendId, incarnation: Incarnation) {
-        context.history.told.push(ToldRecord {
+    fn record_leaving_notice(
+        &self,
+        context: &mut Context,
+        backend: BackendId,
+        incarnation: Incarnation,
+    ) {
+        context.history.leaving_notices.push(LeavingNoticeRecord {
             at: context.now,
             gateway: self.identity.number,
-            gateway_life: self.identity.life,
+            gateway_incarnation: self.identity.life,
             backend,
             incarnation,
         });
     }
 
-    pub(super) fn take_load(
+    pub(super) fn handle_load(
         &mut self,
         context: &mut Context,
         sent: Timestamp,
@@ -159,7 +164,7 @@
     ) {
         let now = self.now(context);
         if report.leaving {
-            self.told(context, report.backend, report.incarnation);
+            self.record_leaving_notice(context, report.backend, report.incarnation);
         }
         let round_trip = now.since(sent);
         let probed = DirectoryInput::Probe {
@@ -189,7 +194,7 @@
             };
             changed = true;
             if change.to.accepts_new_work() {
-                self.open_engine(context, change.backend);
+                self.offer_engine(context, change.backend);
             } else if change.to == BackendState::Gone {
                 self.batch_input(context, BatchInput::Released(change.backend));
             } else {
@@ -214,7 +219,7 @@
     }
 
     /// Reports the result of work on an engine to the directory.
-    pub(super) fn worked(
+    pub(super) fn report_work(
         &mut self,
         context: &mut Context,
         backend: BackendId,
--- a/crates/sim/src/gateway/mod.rs
+++ b/crates/sim/src/gateway/mod.rs
@@ -130,7 +130,7 @@
         let Some(process) = &mut self.process else {
             return;
         };
-        if let Some(newer) = process.take_to_store() {
+        if let Some(newer) = process.take_unsaved_configuration() {
             self.stored = Some(newer);
         }
         if process.has_stopped()
--- a/crates/sim/src/gateway/online.rs
+++ b/crates/sim/src/gateway/online.rs
@@ -13,7 +13,7 @@
 use molespan_state::job::{ClaimReply, ClaimRequest, JobCommand, JobReply, SettleClaim};
 use molespan_types::{AttemptId, BackendId, JobId, Priority, RunOutcome, Timestamp, digest_of};
 
-use super::process::{Process, Tag, Use};
+use super::process::{ConnectionUse, Process, Tag};
 use crate::address::Address;
 use crate::context::Context;
 use crate::message::{AnswerForm, ClientReply, ConnectionId, EngineCall, Message};
@@ -36,7 +36,7 @@
     pub attempt: AttemptRef,
     pub connection: ConnectionId,
     pub check: StreamCheck,
-    pub question: bool,
+    pub status_query: bool,
     pub resumed: bool,
     pub active: Timestamp,
 }
@@ -52,13 +52,13 @@
     pub claim: Option<AttemptId>,
     pub exchange: Option<Exchange>,
     /// The engine on which this request counts as in flight, and since when.
-    pub placed: Option<(BackendId, Timestamp)>,
+    pub in_flight_on: Option<(BackendId, Timestamp)>,
     pub answered: bool,
     pub text: String,
 }
 
 impl Process {
-    pub(super) fn take_online(
+    pub(super) fn handle_online(
         &mut self,
         context: &mut Context,
         client: Address,
@@ -69,7 +69,7 @@
             outcome: RunOutcome::NotRun,
             reason,
         };
-        if !self.takes_new_work(context) {
+        if !self.admits_new_work(context) {
             return self.reply(context, client, arrival, refusal("not ready"));
         }
         let now = self.now(context);
@@ -95,7 +95,7 @@
             ticket,
             claim: None,
             exchange: None,
-            placed: None,
+            in_flight_on: None,
             answered: false,
             text: String::new(),
         };
@@ -110,7 +110,7 @@
         self.budget.earn();
         if let Some(online) = self.online.get_mut(&id) {
             let step = online.state.begin();
-            self.go_on(context, id, step);
+            self.apply_step(context, id, step);
         }
     }
 
@@ -140,13 +140,13 @@
         }
     }
 
-    pub(super) fn go_on(&mut self, context: &mut Context, id: OnlineId, step: NextStep) {
+    pub(super) fn apply_step(&mut self, context: &mut Context, id: OnlineId, step: NextStep) {
         match step {
             NextStep::Claim => self.claim(context, id),
             NextStep::Dispatch => self.dispatch(context, id, &[]),
             NextStep::Retry { exclude } => self.dispatch(context, id, &exclude),
             NextStep::Resume { attempt, offset } => self.resume(context, id, attempt, offset),
-            NextStep::AskStatus { attempt } => self.ask(context, id, attempt),
+            NextStep::AskStatus { attempt } => self.query_status(context, id, attempt),
             NextStep::Replay { outcome } => self.replay(context, id, outcome),
             NextStep::Done => self.finish(context, id, RunOutcome::Completed),
             NextStep::Fail { outcome } => self.finish(context, id, outcome),
@@ -199,7 +199,7 @@
             online.claim = None;
         }
         let step = online.state.claim_answered(answer);
-        self.go_on(context, id, step);
+        self.apply_step(context, id, step);
     }
 
     fn dispatch(&mut self, context: &mut Context, id: OnlineId, exclude: &[BackendId]) {
@@ -217,7 +217,7 @@
         let found = pick.and_then(|pick| self.directory.backend(pick.backend));
         let Some(found) = found else {
             let step = online.state.no_backend();
-            return self.go_on(context, id, step);
+            return self.apply_step(context, id, step);
         };
         let (backend, incarnation) = (found.id, found.incarnation);
         let attempt = AttemptRef {
@@ -231,14 +231,14 @@
         if !online.state.dispatched(attempt) {
             return;
         }
-        online.placed = Some((backend, now));
+        online.in_flight_on = Some((backend, now));
         if let Some(picker) = self.pickers.get_mut(&plan.service) {
             picker.started(now, backend, &[]);
         }
         self.batch_input(context, BatchInput::OnlineStarted { backend });
         let prompt_tokens = plan.prompt.len() as u32;
         self.notify_owner(context, &plan, backend, prompt_tokens);
-        self.note_dispatch(context, attempt, &plan.prompt);
+        self.record_dispatch(context, attempt, &plan.prompt);
         let submission = Submission {
             attempt: attempt.attempt.to_string().into(),
             priority: Priority::Online,
@@ -286,7 +286,7 @@
         call: EngineCall,
         offset: u32,
     ) {
-        let question = matches!(call, EngineCall::Status(_));
+        let status_query = matches!(call, EngineCall::Status(_));
         let resumed = matches!(call, EngineCall::Fetch { .. });
         let connection = self.call_engine(context, attempt.backend, call);
         let now = self.now(context);
@@ -297,14 +297,15 @@
             attempt,
             connection,
             check: StreamCheck::new(attempt.attempt, offset),
-            question,
+            status_query,
             resumed,
             active: now,
         };
         if let Some(old) = online.exchange.replace(exchange) {
             self.connections.remove(&old.connection);
         }
-        self.connections.insert(connection, Use::Online(id));
+        self.connections
+            .insert(connection, ConnectionUse::Online(id));
     }
 
     fn resume(&mut self, context: &mut Context, id: OnlineId, attempt: AttemptRef, offset: u32) {
@@ -320,7 +321,7 @@
         self.exchange(context, id, attempt, call, offset);
     }
 
-    fn ask(&mut self, context: &mut Context, id: OnlineId, attempt: AttemptRef) {
+    fn query_status(&mut self, context: &mut Context, id: OnlineId, attempt: AttemptRef) {
         let call = EngineCall::Status(attempt.attempt);
         self.exchange(context, id, attempt, call, 0);
     }
--- a/crates/sim/src/gateway/process.rs
+++ b/crates/sim/src/gateway/process.rs
@@ -53,7 +53,7 @@
 
 /// Purpose of a connection to an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Use {
+pub(super) enum ConnectionUse {
     /// An attempt of an online request, or a status query about it.
     Online(OnlineId),
     /// A batch stream.
@@ -79,7 +79,7 @@
     pub(super) groups: GroupClient<Tag>,
     pub(super) timers: Timers,
     pub(super) holder: ConfigurationHolder,
-    pub(super) to_store: Option<Configuration>,
+    pub(super) unsaved_configuration: Option<Configuration>,
     pub(super) directory: Directory,
     pub(super) gateways: GatewaySet,
     pub(super) ownership: Ownership,
@@ -90,7 +90,7 @@
     pub(super) budget: RetryBudget,
     pub(super) online: BTreeMap<OnlineId, Online>,
     pub(super) tickets: BTreeMap<Ticket, OnlineId>,
-    pub(super) connections: BTreeMap<ConnectionId, Use>,
+    pub(super) connections: BTreeMap<ConnectionId, ConnectionUse>,
     pub(super) drain: DrainPlan,
     pub(super) draining: bool,
     pub(super) refuses_new: bool,
@@ -139,7 +139,7 @@
                 ..Timers::default()
             },
             holder: ConfigurationHolder::new(CURRENCY_BOUND),
-            to_store: None,
+            unsaved_configuration: None,
             directory: Directory::new(DirectorySettings::default()),
             gateways: GatewaySet::new(gateways),
             ownership: Ownership::new(identity.node(), ownership),
@@ -178,8 +178,8 @@
     }
 
     /// Takes the configuration that must be stored, if any.
-    pub(super) fn take_to_store(&mut self) -> Option<Configuration> {
-        self.to_store.take()
+    pub(super) fn take_unsaved_configuration(&mut self) -> Option<Configuration> {
+        self.unsaved_configuration.take()
     }
 
     /// Whether a graceful shutdown has finished.
@@ -214,16 +214,16 @@
                 }
             }
             Message::Gateways { sent, records } => self.heartbeat_answered(context, sent, records),
-            Message::List(list) => self.take_list(context, list),
-            Message::Load { sent, report } => self.take_load(context, sent, &report),
-            Message::Notice(notice) => self.take_notice(context, notice),
+            Message::List(list) => self.handle_list(context, list),
+            Message::Load { sent, report } => self.handle_load(context, sent, &report),
+            Message::Notice(notice) => self.handle_notice(context, notice),
             Message::Released(backend) => self.ownership.released_elsewhere(now, backend),
             Message::WorkAvailable(service) => self.work_available(context, service),
             Message::EngineAnswer { connection, answer } => {
                 self.engine_answered(context, connection, answer);
             }
             Message::Client { arrival, request } => {
-                self.take_request(context, from, arrival, request);
+                self.handle_request(context, from, arrival, request);
             }
             _ => {}
         }
@@ -232,9 +232,9 @@
     fn call_ended(&mut self, context: &mut Context, ended: crate::group_client::Ended<Tag>) {
         let answer = ended.answer;
         match ended.tag {
-            Tag::Watch => self.configuration_seen(context, answer.as_deref()),
+            Tag::Watch => self.handle_configuration(context, answer.as_deref()),
             Tag::Confirm(known) => {
-                self.configuration_confirmed(context, ended.started, known, answer.as_deref());
+                self.handle_confirmation(context, ended.started, known, answer.as_deref());
             }
             Tag::Batch(request) => self.batch_replied(context, request, answer.as_deref()),
             Tag::Job(call) => self.job_replied(context, *call, answer.as_deref()),
@@ -251,13 +251,15 @@
     ) {
         // Answers on an abandoned connection are ignored.
         match self.connections.get(&connection).copied() {
-            Some(Use::Online(id)) => self.online_answered(context, id, connection, answer),
-            Some(Use::Batch(id)) => self.stream_answered(context, id, answer),
+            Some(ConnectionUse::Online(id)) => {
+                self.online_answered(context, id, connection, answer)
+            }
+            Some(ConnectionUse::Batch(id)) => self.stream_answered(context, id, answer),
             None => {}
         }
     }
 
-    fn take_request(
+    fn handle_request(
         &mut self,
         context: &mut Context,
         client: Address,
@@ -265,8 +267,8 @@
         request: ClientRequest,
     ) {
         match request {
-            ClientRequest::Online(plan) => self.take_online(context, client, arrival, plan),
-            other => self.take_job_request(context, client, arrival, other),
+            ClientRequest::Online(plan) => self.handle_online(context, client, arrival, plan),
+            other => self.handle_job_request(context, client, arrival, other),
         }
     }
 
--- a/crates/sim/src/group_client.rs
+++ b/crates/sim/src/group_client.rs
@@ -79,7 +79,7 @@
     }
 
     /// Starts a call to a random replica.
-    pub fn call_any(
+    pub fn call_random(
         &mut self,
         context: &mut Context,
         now: Timestamp,
--- a/crates/sim/src/history.rs
+++ b/crates/sim/src/history.rs
@@ -95,7 +95,7 @@
     /// Gateway.
     pub gateway: u32,
     /// Incarnation of that gateway.
-    pub gateway_life: u64,
+    pub gateway_incarnation: u64,
     /// Engine.
     pub backend: BackendId,
     /// Incarnation of the engine that the work was meant for.
@@ -106,13 +106,13 @@
 
 /// A notification of a gateway that an engine is leaving.
 #[derive(Clone, Copy, Debug)]
-pub struct ToldRecord {
+pub struct LeavingNoticeRecord {
     /// When.
     pub at: Timestamp,
     /// Gateway.
     pub gateway: u32,
     /// Incarnation of that gateway.
-    pub gateway_life: u64,
+    pub gateway_incarnation: u64,
     /// Engine.
     pub backend: BackendId,
     /// Incarnation that is leaving.
@@ -251,7 +251,7 @@
     /// Work sent to engines.
     pub dispatches: Vec<DispatchRecord>,
     /// Notifications of gateways about leaving engines.
-    pub told: Vec<ToldRecord>,
+    pub leaving_notices: Vec<LeavingNoticeRecord>,
     /// Engines that began to leave.
     pub leaving: Vec<LeavingRecord>,
     /// Online requests by arrival.
--- a/crates/sim/src/network.rs
+++ b/crates/sim/src/network.rs
@@ -178,12 +178,12 @@
         let mut arrivals = Vec::with_capacity(copies);
         for copy in 0..copies as u64 {
             let at = Timestamp(now.0 + delay * (copy + 1));
-            arrivals.push(self.in_order(at, link, transport));
+            arrivals.push(self.keep_order(at, link, transport));
         }
         arrivals
     }
 
-    fn in_order(
+    fn keep_order(
         &mut self,
         at: Timestamp,
         link: (Address, Address),
--- a/crates/sim/src/operator.rs
+++ b/crates/sim/src/operator.rs
@@ -121,7 +121,7 @@
     }
 
     /// Resends a confirmation that was answered earlier.
-    pub fn ask_again(&mut self, context: &mut Context) {
+    pub fn resend_confirmation(&mut self, context: &mut Context) {
         if let Some(version) = self.confirmed {
             self.step = Step::Waiting;
             let base = ConfigVersion(version.0 - 1);
@@ -179,14 +179,14 @@
             return;
         };
         match ended.tag {
-            Tag::Read => self.was_read(context, ended.started, &answer),
-            Tag::Confirm { base } => self.was_confirmed(context, ended.started, base, &answer),
-            Tag::Orders => self.saw_orders(context, &answer),
-            Tag::Issue => self.was_issued(context, &answer),
+            Tag::Read => self.handle_read(context, ended.started, &answer),
+            Tag::Confirm { base } => self.handle_confirmed(context, ended.started, base, &answer),
+            Tag::Orders => self.handle_orders(context, &answer),
+            Tag::Issue => self.handle_issued(context, &answer),
         }
     }
 
-    fn was_read(&mut self, context: &mut Context, sent: Timestamp, answer: &[u8]) {
+    fn handle_read(&mut self, context: &mut Context, sent: Timestamp, answer: &[u8]) {
         let Ok(ControlAnswer::Configuration(Some(configuration))) = molespan_state::decode(answer)
         else {
             return;
@@ -204,7 +204,7 @@
         };
     }
 
-    fn was_confirmed(
+    fn handle_confirmed(
         &mut self,
         context: &mut Context,
         sent: Timestamp,
@@ -244,7 +244,7 @@
         }
     }
 
-    fn saw_orders(&mut self, context: &mut Context, answer: &[u8]) {
+    fn handle_orders(&mut self, context: &mut Context, answer: &[u8]) {
         let Goal::Order(plan) = &self.goal else {
             return;
         };
@@ -269,7 +269,7 @@
         self.propose(context, &ControlCommand::Issue(order), Tag::Issue);
     }
 
-    fn was_issued(&mut self, context: &mut Context, answer: &[u8]) {
+    fn handle_issued(&mut self, context: &mut Context, answer: &[u8]) {
         let Goal::Order(plan) = &self.goal else {
             return;
         };
--- a/crates/sim/src/replica_node.rs
+++ b/crates/sim/src/replica_node.rs
@@ -140,7 +140,7 @@
         match core.poll(now) {
             Ok(outputs) => {
                 for output in outputs {
-                    self.carry_out(context, output);
+                    self.execute_output(context, output);
                 }
             }
             Err(error) => {
@@ -152,7 +152,7 @@
         }
     }
 
-    fn carry_out(&mut self, context: &mut Context, output: Output) {
+    fn execute_output(&mut self, context: &mut Context, output: Output) {
         let from = self.address();
         match output {
             Output::Send { to, group, bytes } => {
--- a/crates/sim/src/run.rs
+++ b/crates/sim/src/run.rs
@@ -56,7 +56,7 @@
 
 /// Runs `count` tasks on several threads and passes their results to `take` in task
 /// order, until `take` returns false.
-pub fn in_order<T: Send>(
+pub fn run_in_order<T: Send>(
     count: usize,
     threads: usize,
     work: impl Fn(usize) -> T + Sync,
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -188,7 +188,7 @@
             }
         }
         for (number, operator) in &mut self.operators {
-            operator.ask_again(&mut self.context);
+            operator.resend_confirmation(&mut self.context);
             let address = Address::Operator(*number);
             schedule(&mut self.context, &mut self.wake_at, address, operator);
         }
--- a/crates/sim/tests/seeds.rs
+++ b/crates/sim/tests/seeds.rs
@@ -2,7 +2,7 @@
 
 use molespan_sim::fault::FaultClass;
 use molespan_sim::history::Violation;
-use molespan_sim::run::{in_order, run_scenario};
+use molespan_sim::run::{run_in_order, run_scenario};
 use molespan_sim::scenario::Scenario;
 use molespan_sim::shrink::shrink;
 
@@ -19,7 +19,7 @@
         let seed = task as u64 + 1;
         (seed, run_scenario(Scenario::from_seed(seed, classes)))
     };
-    in_order(seeds as usize, THREADS, work, |_, (seed, outcome)| {
+    run_in_order(seeds as usize, THREADS, work, |_, (seed, outcome)| {
         found.extend(outcome.violations.into_iter().map(|one| (seed, one)));
         true
     });
