--- a/crates/sim/src/checkers/mod.rs
+++ b/crates/sim/src/checkers/mod.rs
@@ -21,7 +21,7 @@
     /// Name.
     pub name: &'static str,
     /// The guarantee, in one sentence.
-    pub promise: &'static str,
+    pub guarantee: &'static str,
     /// Checks a finished run; `None` if the checker runs during the simulation.
     pub check: Option<fn(&World, &mut Findings)>,
 }
@@ -49,76 +49,76 @@
 pub const CHECKERS: &[Checker] = &[
     Checker {
         name: "exactly-once",
-        promise: "every accepted item has one complete result that stays readable",
+        guarantee: "every accepted item has one complete result that stays readable",
         check: Some(exactly_once::check),
     },
     Checker {
         name: "cancel-stops",
-        promise: "no item is sent out once its job is reported cancelled, nor long after the \
-                  cancellation is acknowledged",
+        guarantee: "no item is sent out once its job is reported cancelled, nor long after the \
+                    cancellation is acknowledged",
         check: Some(cancel::check),
     },
     Checker {
         name: "at-most-once",
-        promise: "a non-repeatable request or item runs at most once",
+        guarantee: "a non-repeatable request or item runs at most once",
         check: Some(once::check),
     },
     Checker {
         name: "true-not-run",
-        promise: "what is refused as not run never runs",
+        guarantee: "what is refused as not run never runs",
         check: Some(truth::check_not_run),
     },
     Checker {
         name: "whole-answer",
-        promise: "an answer is the complete answer to its own request",
+        guarantee: "an answer is the complete answer to its own request",
         check: Some(truth::check_answers),
     },
     Checker {
         name: "configuration",
-        promise: "the configuration in force never goes back to an older version and lags by no more than the \
-                  currency bound where work is admitted",
+        guarantee: "the configuration in force never goes back to an older version and lags by \
+                    no more than the currency bound where work is admitted",
         check: Some(configuration::check),
     },
     Checker {
         name: "committed",
-        promise: "what was confirmed stays confirmed, with one winner per intent number, and \
-                  every later read observes it",
+        guarantee: "what was confirmed stays confirmed, with one winner per intent number, and \
+                    every later read observes it",
         check: Some(configuration::check_committed),
     },
     Checker {
         name: SINGLE_LEADER,
-        promise: "a group has one leader per term",
+        guarantee: "a group has one leader per term",
         check: None,
     },
     Checker {
         name: REPLICA_STOPPED,
-        promise: "a replica stops by itself only after a disk fault",
+        guarantee: "a replica stops by itself only after a disk fault",
         check: None,
     },
     Checker {
         name: "fencing",
-        promise: "orders to an engine have increasing tokens and never go back",
+        guarantee: "orders to an engine have increasing tokens and never go back",
         check: Some(fencing::check),
     },
     Checker {
         name: "leaving",
-        promise: "a leaving engine gets no new work from a gateway that was told, and from none in calm \
-                  times, after its bound",
+        guarantee: "a leaving engine gets no new work from a gateway that was told, and from \
+                    none in calm times, after its bound",
         check: Some(leaving::check),
     },
     Checker {
         name: "planned-stop",
-        promise: "a planned stop cuts off no request without reporting it",
+        guarantee: "a planned stop cuts off no request without reporting it",
         check: Some(stops::check),
     },
     Checker {
         name: "online-latency",
-        promise: "in calm times an online request does not wait behind batch work",
+        guarantee: "in calm times an online request does not wait behind batch work",
         check: Some(online_latency::check),
     },
     Checker {
         name: "liveness",
-        promise: "after the faults all accepted work finishes and every machine is used again",
+        guarantee: "after the faults all accepted work finishes and every machine is used again",
         check: Some(liveness::check),
     },
 ];
--- a/crates/sim/src/commands.rs
+++ b/crates/sim/src/commands.rs
@@ -77,7 +77,7 @@
     }
     text.push_str("checkers:\n");
     for checker in CHECKERS {
-        let _ = writeln!(text, "  {}: {}", checker.name, checker.promise);
+        let _ = writeln!(text, "  {}: {}", checker.name, checker.guarantee);
     }
     text.push_str("mechanisms:\n");
     for mechanism in Mechanism::ALL {
--- a/crates/sim/tests/checkers.rs
+++ b/crates/sim/tests/checkers.rs
@@ -19,7 +19,7 @@
 
 /// Names of the checkers that report a violation. Liveness is excluded, since no
 /// process runs.
-fn complaints(world: &World) -> Vec<&'static str> {
+fn violated_checkers(world: &World) -> Vec<&'static str> {
     let found = check_all(world).into_iter().map(|one| one.checker);
     let mut found: Vec<&str> = found.filter(|checker| *checker != "liveness").collect();
     found.dedup();
@@ -74,30 +74,30 @@
 }
 
 #[test]
-fn nothing_is_wrong_where_nothing_happened() {
-    assert_eq!(complaints(&world()), Vec::<&str>::new());
+fn empty_history_has_no_violations() {
+    assert_eq!(violated_checkers(&world()), Vec::<&str>::new());
 }
 
 #[test]
-fn half_an_answer_is_noticed() {
+fn incomplete_answer_is_reported() {
     let mut world = world();
     let end = ArrivalEnd::Answered("abc".to_owned());
     world.context.history.arrivals.insert(1, arrival(end));
-    assert_eq!(complaints(&world), ["whole-answer"]);
+    assert_eq!(violated_checkers(&world), ["whole-answer"]);
 }
 
 #[test]
-fn cut_by_a_planned_stop_is_noticed_unless_it_was_reported() {
+fn request_cut_by_a_planned_stop_is_reported_unless_counted() {
     let mut world = world();
     let end = ArrivalEnd::Broken { planned_stop: true };
     world.context.history.arrivals.insert(1, arrival(end));
-    assert_eq!(complaints(&world), ["planned-stop"]);
+    assert_eq!(violated_checkers(&world), ["planned-stop"]);
     world.context.history.reported_cut_off = 1;
-    assert_eq!(complaints(&world), Vec::<&str>::new());
+    assert_eq!(violated_checkers(&world), Vec::<&str>::new());
 }
 
 #[test]
-fn version_that_goes_back_is_noticed() {
+fn decreasing_version_is_reported() {
     let mut world = world();
     for (millis, version) in [(1, 5), (2, 4)] {
         world.context.history.in_force.push(InForceRecord {
@@ -106,20 +106,20 @@
             version: ConfigVersion(version),
         });
     }
-    assert_eq!(complaints(&world), ["configuration"]);
+    assert_eq!(violated_checkers(&world), ["configuration"]);
 }
 
 #[test]
-fn two_winners_of_one_number_are_noticed() {
+fn two_winners_of_one_intent_are_reported() {
     let mut world = world();
     let confirms = &mut world.context.history.confirms;
     confirms.push(confirm(1, "first", 1, 10));
     confirms.push(confirm(1, "second", 2, 20));
-    assert_eq!(complaints(&world), ["committed"]);
+    assert_eq!(violated_checkers(&world), ["committed"]);
 }
 
 #[test]
-fn stale_read_is_noticed() {
+fn stale_read_is_reported() {
     let mut world = world();
     let history = &mut world.context.history;
     history.confirms.push(confirm(1, "first", 1, 10));
@@ -128,13 +128,13 @@
         answered: at(12),
         version: ConfigVersion(0),
     });
-    assert_eq!(complaints(&world), ["committed"]);
+    assert_eq!(violated_checkers(&world), ["committed"]);
 }
 
 #[test]
-fn token_given_twice_is_noticed() {
+fn reused_fencing_token_is_reported() {
     let mut world = world();
     world.context.history.orders.push(order(1, 4));
     world.context.history.orders.push(order(2, 4));
-    assert_eq!(complaints(&world), ["fencing"]);
+    assert_eq!(violated_checkers(&world), ["fencing"]);
 }
--- a/crates/sim/tests/seeds.rs
+++ b/crates/sim/tests/seeds.rs
@@ -27,12 +27,12 @@
 }
 
 #[test]
-fn every_promise_holds_under_all_faults() {
+fn every_guarantee_holds_under_all_faults() {
     assert_eq!(violations(SEEDS, FaultClass::ALL), Vec::new());
 }
 
 #[test]
-fn every_promise_holds_under_each_class_alone() {
+fn every_guarantee_holds_under_each_class_alone() {
     for class in FaultClass::ALL {
         let found = violations(SEEDS_OF_ONE_CLASS, &[*class]);
         assert_eq!(found, Vec::new(), "faults of class {class}");
@@ -40,12 +40,12 @@
 }
 
 #[test]
-fn every_promise_holds_without_faults() {
+fn every_guarantee_holds_without_faults() {
     assert_eq!(violations(SEEDS_OF_ONE_CLASS, &[]), Vec::new());
 }
 
 #[test]
-fn a_seed_decides_a_run() {
+fn seed_determines_the_run() {
     let run = || run_scenario(Scenario::from_seed(7, FaultClass::ALL));
     let first = run();
     assert!(!first.notes.is_empty());
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_run_that_passes_shrinks_to_itself() {
+fn passing_run_is_not_shrunk() {
     let scenario = Scenario::from_seed(3, &[]);
     let mut small = scenario.clone().only(Some(&[]), Some(&[0, 1]));
     small.work.truncate(2);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn classes_are_known_by_their_names() {
+fn fault_classes_parse_from_their_names() {
     for class in FaultClass::ALL {
         assert_eq!(FaultClass::parse(&class.to_string()), Some(*class));
     }
