--- a/crates/sim/src/apply.rs
+++ b/crates/sim/src/apply.rs
@@ -1,4 +1,4 @@
-//! Making faults of the schedule begin and end in the world.
+//! Begins and ends the faults of the schedule in the simulated world.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,14 +12,15 @@
 use crate::history::LeavingRecord;
 use crate::world::World;
 
-/// Time after which a disk fault that has to wait is tried again.
-const TRY_AGAIN_AFTER: Duration = Duration::from_millis(100);
+/// Delay before a postponed disk fault is attempted again.
+const POSTPONE_DELAY: Duration = Duration::from_millis(100);
 
-/// Time after which a rolled back disk was told by the others, at two hellos.
-const ROLL_BACK_NOTICED_WITHIN: Duration = Duration::from_secs(6);
+/// Time by which the other replicas have detected a disk rollback: two hello
+/// intervals.
+const ROLLBACK_DETECTED_WITHIN: Duration = Duration::from_secs(6);
 
-/// Whether a fault keeps replicas from hearing or remembering each other.
-fn touches_replicas(kind: &FaultKind) -> bool {
+/// Whether a fault prevents replicas from communicating or removes their state.
+fn affects_replicas(kind: &FaultKind) -> bool {
     match kind {
         FaultKind::Kill(addresses) => addresses
             .iter()
@@ -38,8 +39,8 @@
         let Some(fault) = self.scenario.faults[position].clone() else {
             return;
         };
-        if self.must_wait(&fault) {
-            let again = self.context.now + TRY_AGAIN_AFTER;
+        if self.must_postpone(&fault) {
+            let again = self.context.now + POSTPONE_DELAY;
             if again < self.scenario.faults_end() {
                 let event = Event::FaultBegins(position);
                 self.context.queue.push(again, event);
@@ -54,19 +55,20 @@
         self.apply(position, &fault);
     }
 
-    /// Whether a fault has to wait. Before a disk is taken away, every replica
-    /// must vote with its present disk, since what a majority of disks lost
-    /// cannot be kept. And a disk that was rolled back is told by processes that
-    /// heard of what it lost: until they had time to say so, none is harmed.
-    fn must_wait(&self, fault: &Fault) -> bool {
-        if self.context.now < self.roll_back_noticed_by && touches_replicas(&fault.kind) {
+    /// Whether a fault must be postponed. Before a disk is lost, every replica must vote
+    /// with its current disk, since state lost with a majority of disks cannot be
+    /// recovered. A disk rollback is detected only by processes that received messages
+    /// about the lost state; until they had time to report it, faults must not affect any
+    /// replica.
+    fn must_postpone(&self, fault: &Fault) -> bool {
+        if self.context.now < self.rollback_detected_by && affects_replicas(&fault.kind) {
             return true;
         }
-        matches!(fault.kind, FaultKind::LoseDisk(_)) && !self.replicas_are_whole()
+        matches!(fault.kind, FaultKind::LoseDisk(_)) && !self.every_replica_votes()
     }
 
-    /// Whether every replica runs and votes with its present life.
-    pub(crate) fn replicas_are_whole(&self) -> bool {
+    /// Whether every replica runs and votes with its current incarnation.
+    pub(crate) fn every_replica_votes(&self) -> bool {
         let statuses: Vec<_> = self.replicas.values().map(|one| one.status()).collect();
         let running: Vec<_> = statuses.iter().flatten().collect();
         if running.len() < statuses.len() {
@@ -119,7 +121,7 @@
             FaultKind::FailSync(replica) => {
                 if let Some(replica) = self.replicas.get_mut(replica) {
                     replica.disk.fail_syncs(1);
-                    replica.may_stop = true;
+                    replica.stop_expected = true;
                 }
             }
             FaultKind::Answers {
@@ -128,16 +130,16 @@
                 percent,
             } => {
                 if let Some(engine) = self.engines.get_mut(engine) {
-                    engine.spoil(context, position, *fault, *percent);
+                    engine.start_fault(context, position, *fault, *percent);
                 }
             }
             FaultKind::Leave(engine) => self.leave(*engine),
-            FaultKind::OldLists => self.platform.go_back(position),
+            FaultKind::OldLists => self.platform.start_stale_lists(position),
             FaultKind::PlannedStop(gateway) => {
                 let address = Address::Gateway(*gateway);
                 *self.down.entry(address).or_default() += 1;
                 if self.frozen.contains_key(&address) {
-                    self.stops_at_thaw.insert(address);
+                    self.stop_after_thaw.insert(address);
                 } else {
                     self.stop(address);
                 }
@@ -172,12 +174,12 @@
             FaultKind::FailSync(replica) => {
                 if let Some(replica) = self.replicas.get_mut(replica) {
                     replica.disk.fail_syncs(0);
-                    replica.may_stop = false;
+                    replica.stop_expected = false;
                 }
             }
             FaultKind::Answers { engine, .. } => {
                 if let Some(engine) = self.engines.get_mut(engine) {
-                    engine.spare(&mut self.context, position);
+                    engine.stop_fault(&mut self.context, position);
                 }
             }
             FaultKind::Leave(engine) => {
@@ -185,12 +187,12 @@
                 self.kill(address);
                 self.bring_up(address);
             }
-            FaultKind::OldLists => self.platform.go_on(position),
+            FaultKind::OldLists => self.platform.stop_stale_lists(position),
             FaultKind::PlannedStop(gateway) => self.bring_up(Address::Gateway(*gateway)),
         }
     }
 
-    /// Asks a gateway to stop as planned.
+    /// Requests a graceful shutdown of a gateway.
     pub(crate) fn stop(&mut self, address: Address) {
         if let Address::Gateway(number) = address
             && let Some(gateway) = self.gateways.get_mut(&number)
@@ -225,7 +227,8 @@
         }
     }
 
-    /// Ends what kept a process down, and starts it unless something else does.
+    /// Removes one cause that keeps a process down, and starts the process unless another
+    /// cause remains.
     fn bring_up(&mut self, address: Address) {
         let holders = self.down.entry(address).or_default();
         *holders = holders.saturating_sub(1);
@@ -236,11 +239,11 @@
         let Some((taken, backup)) = self.backups.remove(&position) else {
             return;
         };
-        // A rolled back disk is a lost one, and bound by the same rule. It can
-        // be told only by others that heard of what it lost.
+        // A rolled back disk counts as a lost one and the same rule applies. The rollback
+        // can be detected only by processes that received messages about the lost state.
         let heard = self.replica_starts.values().all(|start| *start < taken);
         let silent = self.context.network.has_cuts() || !self.frozen.is_empty();
-        if !heard || silent || !self.replicas_are_whole() {
+        if !heard || silent || !self.every_replica_votes() {
             return;
         }
         let address = Address::Replica(number);
@@ -248,7 +251,7 @@
         if let Some(replica) = self.replicas.get_mut(&number) {
             replica.disk.roll_back(&backup);
         }
-        self.roll_back_noticed_by = self.context.now + ROLL_BACK_NOTICED_WITHIN;
+        self.rollback_detected_by = self.context.now + ROLLBACK_DETECTED_WITHIN;
         self.bring_up(address);
     }
 
--- a/crates/sim/src/client/job.rs
+++ b/crates/sim/src/client/job.rs
@@ -14,11 +14,11 @@
 use crate::node::Node;
 use crate::workload::JobPlan;
 
-/// Time for an answer, after which the request is sent elsewhere.
-const ANSWER_WITHIN: Duration = Duration::from_secs(6);
-/// Wait after a failure.
-const AGAIN_AFTER: Duration = Duration::from_millis(150);
-/// Time between two questions about the job.
+/// Timeout of a request, after which it is sent to a random gateway again.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(6);
+/// Delay before a retry after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(150);
+/// Interval between two status queries about the job.
 const POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -30,12 +30,12 @@
     Done,
 }
 
-/// A request that is out.
+/// A request in flight.
 #[derive(Clone, Copy, Debug)]
 struct Waiting {
     sent: Timestamp,
-    /// Whether it is a resubmission, whose failure matters to nobody.
-    extra: bool,
+    /// Whether this is a concurrent resubmission, whose failure is ignored.
+    is_resubmission: bool,
 }
 
 /// A caller with a job.
@@ -55,7 +55,7 @@
 }
 
 impl JobClient {
-    /// A caller that has not begun.
+    /// Creates a caller that has not started.
     #[must_use]
     pub fn new(number: u32, gateways: u32, plan: Arc<JobPlan>) -> Self {
         Self {
@@ -73,13 +73,13 @@
         }
     }
 
-    /// Whether the job came to its end and its results were read.
+    /// Whether the job was cancelled, or completed and its results were read.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.step == Step::Done
     }
 
-    /// Begins.
+    /// Starts the job.
     pub fn begin(&mut self, context: &mut Context) {
         self.begun = context.now;
         let after = |wait: &Duration| context.now + *wait;
@@ -98,7 +98,7 @@
         self.act(context);
     }
 
-    /// Asks for the job and its results once more.
+    /// Reads the state of the job and its results once more.
     pub fn audit(&mut self, context: &mut Context) {
         if self.step == Step::Done {
             self.step = Step::Follow;
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Sends what the present step asks for.
+    /// Sends the request of the current step.
     fn act(&mut self, context: &mut Context) {
         let job = self.plan.id();
         let due = self.cancel_at.is_some_and(|at| at <= context.now);
@@ -129,16 +129,16 @@
         self.send(context, request, false);
     }
 
-    fn send(&mut self, context: &mut Context, request: ClientRequest, extra: bool) {
+    fn send(&mut self, context: &mut Context, request: ClientRequest, is_resubmission: bool) {
         let (arrival, _) = super::send(context, self.number, self.gateways, request);
         let waiting = Waiting {
             sent: context.now,
-            extra,
+            is_resubmission,
         };
         self.waiting.insert(arrival, waiting);
     }
 
-    fn stands(&mut self, context: &mut Context, waiting: Waiting, status: &JobStatus) {
+    fn record_status(&mut self, context: &mut Context, waiting: Waiting, status: &JobStatus) {
         let Some(record) = context.history.jobs.get_mut(&self.plan.id()) else {
             return;
         };
@@ -165,11 +165,11 @@
             }
             JobPhase::Submitting | JobPhase::Running => {}
         }
-        if waiting.extra {
+        if waiting.is_resubmission {
             return;
         }
         match phase {
-            JobPhase::Submitting => self.next = Some(now + AGAIN_AFTER),
+            JobPhase::Submitting => self.next = Some(now + RETRY_DELAY),
             JobPhase::Running | JobPhase::Cancelling => {
                 if self.step == Step::Cancel {
                     self.cancel_at = None;
@@ -214,12 +214,12 @@
         }
     }
 
-    fn give_up_waiting(&mut self, context: &mut Context) {
+    fn time_out_requests(&mut self, context: &mut Context) {
         let now = context.now;
         let mut again = false;
         self.waiting.retain(|_, waiting| {
-            let late = now.since(waiting.sent) >= ANSWER_WITHIN;
-            again |= late && !waiting.extra;
+            let late = now.since(waiting.sent) >= ANSWER_TIMEOUT;
+            again |= late && !waiting.is_resubmission;
             !late
         });
         if again {
@@ -237,16 +237,16 @@
             return;
         };
         match reply {
-            ClientReply::Job(status) => self.stands(context, waiting, &status),
+            ClientReply::Job(status) => self.record_status(context, waiting, &status),
             ClientReply::Results { results, next } => self.page(context, results, next),
-            _ if waiting.extra => {}
-            _ => self.next = Some(context.now + AGAIN_AFTER),
+            _ if waiting.is_resubmission => {}
+            _ => self.next = Some(context.now + RETRY_DELAY),
         }
     }
 
     fn wake(&mut self, context: &mut Context) {
         self.resubmit(context);
-        self.give_up_waiting(context);
+        self.time_out_requests(context);
         if self.next.is_some_and(|next| next <= context.now) {
             self.act(context);
         }
@@ -254,7 +254,7 @@
 
     fn next_wakeup(&self) -> Option<Timestamp> {
         let late = self.waiting.values();
-        let late = late.map(|waiting| waiting.sent + ANSWER_WITHIN);
+        let late = late.map(|waiting| waiting.sent + ANSWER_TIMEOUT);
         late.chain(self.resubmissions.iter().copied())
             .chain(self.next)
             .min()
--- a/crates/sim/src/client/online.rs
+++ b/crates/sim/src/client/online.rs
@@ -13,12 +13,13 @@
 use crate::node::Node;
 use crate::workload::OnlinePlan;
 
-/// Time for an answer, after which the request is sent elsewhere.
-const ANSWER_WITHIN: Duration = Duration::from_secs(15);
-/// Wait after a failure.
-const AGAIN_AFTER: Duration = Duration::from_millis(200);
-/// Unknown outcomes of a non-repeatable request that are taken as final.
-const UNKNOWN_IS_FINAL: u32 = 3;
+/// Timeout of a request, after which it is sent to a random gateway again.
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(15);
+/// Delay before a retry after a failure.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Number of unknown outcomes after which a non-repeatable request counts as
+/// finished.
+const MAX_UNKNOWN_OUTCOMES: u32 = 3;
 
 /// A caller with an online request.
 #[derive(Debug)]
@@ -30,13 +31,13 @@
     unknown: u32,
     arrivals: u32,
     next: Option<Timestamp>,
-    /// Text that came so far, by arrival, and when it was sent.
+    /// Time of sending and text received so far, by arrival.
     waiting: BTreeMap<u64, (Timestamp, String)>,
-    impatient_at: Option<Timestamp>,
+    resend_at: Option<Timestamp>,
 }
 
 impl OnlineClient {
-    /// A caller that has not begun.
+    /// Creates a caller that has not started.
     #[must_use]
     pub fn new(number: u32, gateways: u32, plan: Arc<OnlinePlan>) -> Self {
         Self {
@@ -48,20 +49,20 @@
             arrivals: 0,
             next: None,
             waiting: BTreeMap::new(),
-            impatient_at: None,
+            resend_at: None,
         }
     }
 
-    /// Whether it has an answer, or knows that none can be had.
+    /// Whether the request has a final outcome and none of its arrivals is open.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.done && self.waiting.is_empty()
     }
 
-    /// Begins.
+    /// Sends the first request.
     pub fn begin(&mut self, context: &mut Context) {
         let resend_after = self.plan.resend_after;
-        self.impatient_at = resend_after.map(|after| context.now + after);
+        self.resend_at = resend_after.map(|after| context.now + after);
         self.send(context);
     }
 
@@ -70,8 +71,8 @@
         self.arrivals += 1;
         let mut plan = (*self.plan).clone();
         if plan.key.is_none() {
-            // Each sending of a repeatable request has a prompt of its own, so
-            // that what engines ran tells the sendings apart.
+            // Each submission of a repeatable request gets its own prompt, so that engine
+            // executions can be attributed to a submission.
             plan.prompt = format!("{} sending {}", plan.prompt, self.arrivals);
         }
         let plan = Arc::new(plan);
@@ -96,12 +97,12 @@
             ArrivalEnd::Answered(_) => self.done = true,
             ArrivalEnd::Refused(RunOutcome::Unknown) if keyed => {
                 self.unknown += 1;
-                self.done |= self.unknown >= UNKNOWN_IS_FINAL;
+                self.done |= self.unknown >= MAX_UNKNOWN_OUTCOMES;
             }
             _ => {}
         }
         if !self.done && self.waiting.is_empty() {
-            self.next = Some(context.now + AGAIN_AFTER);
+            self.next = Some(context.now + RETRY_DELAY);
         }
         let now = context.now;
         if let Some(record) = context.history.arrivals.get_mut(&arrival) {
@@ -109,7 +110,7 @@
         }
     }
 
-    fn saw_token(&self, context: &mut Context, arrival: u64) {
+    fn record_first_token(&self, context: &mut Context, arrival: u64) {
         let now = context.now;
         if let Some(record) = context.history.arrivals.get_mut(&arrival) {
             record.first_token.get_or_insert(now);
@@ -128,21 +129,22 @@
         match reply {
             ClientReply::Chunk { text: more, .. } => {
                 text.push_str(&more);
-                self.saw_token(context, arrival);
+                self.record_first_token(context, arrival);
             }
             ClientReply::End => {
                 let text = std::mem::take(text);
                 self.ended(context, arrival, ArrivalEnd::Answered(text));
             }
             ClientReply::Whole(text) => {
-                self.saw_token(context, arrival);
+                self.record_first_token(context, arrival);
                 self.ended(context, arrival, ArrivalEnd::Answered(text));
             }
             ClientReply::Refused { outcome, .. } => {
                 self.ended(context, arrival, ArrivalEnd::Refused(outcome));
             }
             ClientReply::ConnectionRefused => {
-                // Nobody took it, which is as good as said by the other side.
+                // No gateway accepted the request, which is equivalent to a refusal as not
+                // run.
                 self.ended(context, arrival, ArrivalEnd::Refused(RunOutcome::NotRun));
             }
             ClientReply::Broken { planned_stop } => {
@@ -154,8 +156,8 @@
 
     fn wake(&mut self, context: &mut Context) {
         let now = context.now;
-        if self.impatient_at.is_some_and(|at| at <= now) {
-            self.impatient_at = None;
+        if self.resend_at.is_some_and(|at| at <= now) {
+            self.resend_at = None;
             if !self.done {
                 self.send(context);
             }
@@ -163,7 +165,7 @@
         let late: Vec<u64> = self
             .waiting
             .iter()
-            .filter(|(_, (sent, _))| now.since(*sent) >= ANSWER_WITHIN)
+            .filter(|(_, (sent, _))| now.since(*sent) >= ANSWER_TIMEOUT)
             .map(|(arrival, _)| *arrival)
             .collect();
         for arrival in late {
@@ -179,9 +181,9 @@
 
     fn next_wakeup(&self) -> Option<Timestamp> {
         let late = self.waiting.values();
-        late.map(|(sent, _)| *sent + ANSWER_WITHIN)
+        late.map(|(sent, _)| *sent + ANSWER_TIMEOUT)
             .chain(self.next)
-            .chain(self.impatient_at)
+            .chain(self.resend_at)
             .min()
     }
 }
--- a/crates/sim/src/commands.rs
+++ b/crates/sim/src/commands.rs
@@ -1,4 +1,4 @@
-//! What each command does.
+//! Implementation of the commands.
 
 use std::fmt::Write as _;
 use std::io::{self, Write};
@@ -7,58 +7,58 @@
 use molespan_sim::checkers::CHECKERS;
 use molespan_sim::fault::FaultClass;
 use molespan_sim::history::Violation;
-use molespan_sim::mutation::noticed_by;
+use molespan_sim::mutation::detecting_checkers;
 use molespan_sim::report::{Request, failure};
-use molespan_sim::run::{disable, has_mutants, in_order, run_scenario};
+use molespan_sim::run::{disable, has_mutants, run_in_order, run_scenario};
 use molespan_sim::scenario::Scenario;
 use molespan_types::mechanism::Mechanism;
 
 use crate::explorations::explore_all;
 use crate::flags::{Explore, MolespanSim, MolespanSimCmd, Mutants, Run};
 
-/// Seeds when not given.
+/// Default number of seeds.
 const SEEDS: u64 = 200;
-/// Seeds tried for each mechanism when not given.
+/// Default number of seeds per mechanism.
 const MUTANT_SEEDS: u64 = 2_000;
-/// States of each explored model when not given.
+/// Default limit on the states of each explored model.
 const STATES: usize = 1_000_000;
 
-/// Why a command cannot be carried out.
+/// An error that prevents a command from running.
 #[derive(Debug, Display, Error, From)]
 pub enum CommandError {
-    /// Standard output.
+    /// Writing to standard output failed.
     #[display("{_0}")]
     Io(io::Error),
-    /// A class of faults.
+    /// The fault class does not exist.
     #[display("there is no class of faults {name}; see molespan-sim list")]
     #[from(skip)]
     UnknownClass {
-        /// As given.
+        /// The given name.
         name: String,
     },
-    /// A mechanism.
+    /// The mechanism does not exist.
     #[display("there is no mechanism {name}; see molespan-sim list")]
     #[from(skip)]
     UnknownMechanism {
-        /// As given.
+        /// The given name.
         name: String,
     },
-    /// A number.
+    /// The text is not a list of numbers.
     #[display("not a list of numbers: {text}")]
     #[from(skip)]
     NotNumbers {
-        /// As given.
+        /// The given text.
         text: String,
     },
-    /// A build without the feature.
-    #[display("this build cannot switch mechanisms off; build it with --features mutants")]
+    /// The build lacks the `mutants` feature.
+    #[display("this build cannot disable mechanisms; build with --features mutants")]
     NoMutants,
 }
 
-/// Carries a command out. Returns whether everything passed.
+/// Runs a command. Returns whether everything passed.
 ///
 /// # Errors
-/// When the command line makes no sense or nothing can be printed.
+/// Returns an error when the command line is invalid or output cannot be written.
 pub fn run(flags: MolespanSim) -> Result<bool, CommandError> {
     match flags.subcommand {
         MolespanSimCmd::Run(flags) if flags.list => list(),
@@ -77,7 +77,7 @@
     }
     text.push_str("checkers:\n");
     for checker in CHECKERS {
-        let _ = writeln!(text, "  {}: {}", checker.name, checker.promise);
+        let _ = writeln!(text, "  {}: {}", checker.name, checker.guarantee);
     }
     text.push_str("mechanisms:\n");
     for mechanism in Mechanism::ALL {
@@ -143,7 +143,7 @@
     };
     let first = flags.seed.unwrap_or(1);
     let scenario = |task: usize| {
-        let scenario = Scenario::of_seed(first + task as u64, &classes);
+        let scenario = Scenario::from_seed(first + task as u64, &classes);
         scenario.only(keep_faults.as_deref(), keep_work.as_deref())
     };
     let seeds = flags.seeds.unwrap_or(SEEDS) as usize;
@@ -158,7 +158,7 @@
         }
         Some(failure(&request, &scenario, &outcome))
     };
-    in_order(seeds, threads(flags.threads), work, |_, report| {
+    run_in_order(seeds, threads(flags.threads), work, |_, report| {
         match report {
             None => passed += 1,
             Some(report) => {
@@ -219,22 +219,23 @@
     Ok(failed == 0)
 }
 
-/// The first seed that passes with every mechanism on, and without `mechanism`
-/// breaks a promise that rests on it.
+/// Returns the first seed that passes with every mechanism enabled, and violates a
+/// guarantee of `mechanism` without it.
 fn find_violation(mechanism: Mechanism, seeds: u64, threads: usize) -> Option<(u64, Violation)> {
     let mut found = None;
     let work = |task: usize| {
         let seed = task as u64 + 1;
-        let scenario = Scenario::of_seed(seed, FaultClass::ALL);
+        let scenario = Scenario::from_seed(seed, FaultClass::ALL);
         disable(Some(mechanism));
         let outcome = run_scenario(scenario.clone());
         let mut violations = outcome.violations.into_iter();
-        let violation = violations.find(|one| noticed_by(mechanism).contains(&one.checker))?;
+        let violation =
+            violations.find(|one| detecting_checkers(mechanism).contains(&one.checker))?;
         disable(None);
         let passes = run_scenario(scenario).violations.is_empty();
         passes.then_some((seed, violation))
     };
-    in_order(seeds as usize, threads, work, |_, result| {
+    run_in_order(seeds as usize, threads, work, |_, result| {
         found = result;
         found.is_none()
     });
--- a/crates/sim/src/engine_node.rs
+++ b/crates/sim/src/engine_node.rs
@@ -19,14 +19,14 @@
 use crate::node::Node;
 use crate::scenario::MODEL;
 
-/// Time that the weight store takes.
-const WEIGHTS_AFTER: Duration = Duration::from_millis(300);
-/// How much slower steps are under [`AnswerFault::Slow`].
+/// Time that the weight store needs to deliver weights.
+const WEIGHTS_DELAY: Duration = Duration::from_millis(300);
+/// Slowdown of steps under [`AnswerFault::Slow`].
 const SLOW_FACTOR: f64 = 12.0;
-/// Life of every engine at the start.
-const FIRST_LIFE: Incarnation = Incarnation(1);
+/// Incarnation of every engine at the start.
+const FIRST_INCARNATION: Incarnation = Incarnation(1);
 
-/// A connection on which an answer is awaited.
+/// A connection that waits for an answer.
 #[derive(Clone, Debug)]
 struct Listener {
     connection: ConnectionId,
@@ -45,9 +45,9 @@
     started: bool,
 }
 
-/// A fault of its answers while it is in force.
+/// An active fault in the answers of an engine.
 #[derive(Clone, Copy, Debug)]
-struct Spoiling {
+struct ActiveFault {
     fault: AnswerFault,
     percent: u32,
 }
@@ -59,37 +59,40 @@
     core: EngineCore,
     alive: bool,
     attempts: BTreeMap<String, Attempt>,
-    spoiling: BTreeMap<usize, Spoiling>,
-    /// Whether it knows that it is leaving, and reports it.
+    active_faults: BTreeMap<usize, ActiveFault>,
+    /// Whether the engine reports that it is leaving.
     leaving: bool,
     weights: Vec<(Timestamp, molespan_emulator::engine::WeightsNeeded)>,
 }
 
 impl EngineNode {
-    /// An idle engine.
+    /// Creates an idle engine.
     #[must_use]
     pub fn new(number: u32, seed: u64, context: &mut Context) -> Self {
         let model = EngineModel {
             step_base_micros: 5_000,
             max_running: 6,
             max_waiting: 32,
-            // The owner's preemption must do without the engine's help.
+            // Disabled so that the owner's preemption is tested without help from the
+            // engine.
             priority: false,
             ..EngineModel::lab()
         };
         let settings = EngineSettings {
             backend: BackendId(number),
-            incarnation: FIRST_LIFE,
+            incarnation: FIRST_INCARNATION,
             model,
             models: vec![MODEL.to_owned()],
         };
-        context.engine_lives.insert(number, FIRST_LIFE);
+        context
+            .engine_incarnations
+            .insert(number, FIRST_INCARNATION);
         Self {
             number,
             core: EngineCore::new(settings, seed, context.now),
             alive: true,
             attempts: BTreeMap::new(),
-            spoiling: BTreeMap::new(),
+            active_faults: BTreeMap::new(),
             leaving: false,
             weights: Vec::new(),
         }
@@ -99,33 +102,40 @@
         Address::Engine(self.number)
     }
 
-    /// Its present life.
+    /// Returns the current incarnation.
     #[must_use]
     pub fn incarnation(&self) -> Incarnation {
         self.core.incarnation()
     }
 
-    /// Whether it runs.
+    /// Whether the process runs.
     #[must_use]
     pub fn is_alive(&self) -> bool {
         self.alive
     }
 
-    /// Begins to spoil answers.
-    pub fn spoil(&mut self, context: &mut Context, id: usize, fault: AnswerFault, percent: u32) {
-        self.spoiling.insert(id, Spoiling { fault, percent });
+    /// Starts injecting a fault into answers.
+    pub fn start_fault(
+        &mut self,
+        context: &mut Context,
+        id: usize,
+        fault: AnswerFault,
+        percent: u32,
+    ) {
+        self.active_faults
+            .insert(id, ActiveFault { fault, percent });
         self.set_speed(context);
     }
 
-    /// Stops spoiling answers.
-    pub fn spare(&mut self, context: &mut Context, id: usize) {
-        self.spoiling.remove(&id);
+    /// Stops injecting a fault into answers.
+    pub fn stop_fault(&mut self, context: &mut Context, id: usize) {
+        self.active_faults.remove(&id);
         self.set_speed(context);
     }
 
     fn set_speed(&mut self, context: &mut Context) {
-        let slow = |spoiling: &Spoiling| spoiling.fault == AnswerFault::Slow;
-        let slow = self.spoiling.values().any(slow);
+        let slow = |active: &ActiveFault| active.fault == AnswerFault::Slow;
+        let slow = self.active_faults.values().any(slow);
         let faults = EngineFaults {
             slow_factor: if slow { SLOW_FACTOR } else { 1.0 },
             ..EngineFaults::default()
@@ -133,12 +143,12 @@
         self.core.set_faults(context.now, faults);
     }
 
-    /// Learns that it has to leave.
+    /// Makes the engine report that it is leaving.
     pub fn leave(&mut self) {
         self.leaving = true;
     }
 
-    /// Kills the process: its connections break.
+    /// Kills the process, which breaks its connections.
     pub fn kill(&mut self, context: &mut Context) {
         if !self.alive {
             return;
@@ -152,7 +162,7 @@
         self.weights.clear();
     }
 
-    /// Starts its next life.
+    /// Starts the process with its next incarnation.
     pub fn start(&mut self, context: &mut Context) {
         if self.alive {
             return;
@@ -161,7 +171,7 @@
         self.alive = true;
         self.leaving = false;
         let life = self.core.incarnation();
-        context.engine_lives.insert(self.number, life);
+        context.engine_incarnations.insert(self.number, life);
     }
 
     fn answer(&self, context: &mut Context, listener: &Listener, answer: EngineAnswer) {
@@ -174,10 +184,10 @@
 
     fn draw_fault(&self, context: &mut Context) -> Option<AnswerFault> {
         let mut drawn = None;
-        for spoiling in self.spoiling.values() {
-            let hit = context.random.random_range(0..100) < spoiling.percent;
-            if hit && spoiling.fault != AnswerFault::Slow {
-                drawn = Some(spoiling.fault);
+        for active in self.active_faults.values() {
+            let hit = context.random.random_range(0..100) < active.percent;
+            if hit && active.fault != AnswerFault::Slow {
+                drawn = Some(active.fault);
             }
         }
         drawn
@@ -314,8 +324,8 @@
         }
     }
 
-    /// Sends the tokens from the listener's next one up to the first of
-    /// `(generated, tokens)`.
+    /// Sends the tokens from the listener's next one up to `generated`; the second field is
+    /// the total number of tokens.
     fn send_tokens(
         &self,
         context: &mut Context,
@@ -347,7 +357,7 @@
         if (first_only && offset > 0) || (cut && !first_only) {
             return;
         }
-        let (id, text) = spoil_identity(listener, attempt, text);
+        let (id, text) = cross_identity(listener, attempt, text);
         let last = offset + 1 == tokens;
         let chunk = CompletionChunk {
             id,
@@ -379,7 +389,7 @@
             };
             return self.answer(context, listener, end);
         }
-        let (id, text) = spoil_identity(listener, attempt, text);
+        let (id, text) = cross_identity(listener, attempt, text);
         let whole = text.first(tokens);
         let declared = whole.len() as u64;
         let sent = if truncated {
@@ -406,7 +416,7 @@
                 Output::Token { attempt, text, .. } => self.token(context, &attempt, text),
                 Output::Completed { attempt, text, .. } => {
                     if let Some(ended) = self.attempts.remove(&*attempt) {
-                        self.note_start(context, &ended);
+                        self.record_start(context, &ended);
                         for listener in &ended.listeners {
                             self.finish(context, listener, &attempt, text, ended.tokens);
                         }
@@ -414,11 +424,11 @@
                 }
                 Output::Cancelled { .. } => {}
                 Output::FetchWeights(weights) => {
-                    self.weights.push((now + WEIGHTS_AFTER, weights));
+                    self.weights.push((now + WEIGHTS_DELAY, weights));
                 }
             }
         }
-        self.note_starts(context);
+        self.record_starts(context);
     }
 
     fn take_weights(&mut self, now: Timestamp) {
@@ -446,18 +456,18 @@
     }
 
     /// Records which attempts have entered the running batch.
-    fn note_starts(&mut self, context: &mut Context) {
+    fn record_starts(&mut self, context: &mut Context) {
         let mut attempts = std::mem::take(&mut self.attempts);
         for (key, attempt) in &mut attempts {
             if !attempt.started && self.core.executions().of_attempt(key).started > 0 {
-                self.note_start(context, attempt);
+                self.record_start(context, attempt);
                 attempt.started = true;
             }
         }
         self.attempts = attempts;
     }
 
-    fn note_start(&self, context: &mut Context, attempt: &Attempt) {
+    fn record_start(&self, context: &mut Context, attempt: &Attempt) {
         if !attempt.started {
             context.history.starts.push(StartRecord {
                 at: context.now,
@@ -467,16 +477,17 @@
         }
     }
 
-    /// How often a prompt entered the running batch here, in every life.
+    /// Returns how many times a prompt entered the running batch of this engine, over all
+    /// incarnations.
     #[must_use]
     pub fn started(&self, prompt: Digest) -> u32 {
         self.core.executions().of_prompt(prompt).started
     }
 }
 
-/// The attempt and text that an answer names, crossed with another one when
-/// that fault hits it.
-fn spoil_identity(listener: &Listener, attempt: &str, text: AnswerText) -> (String, AnswerText) {
+/// Returns the attempt identifier and text of an answer, replaced by those of
+/// another request under [`AnswerFault::Crossed`].
+fn cross_identity(listener: &Listener, attempt: &str, text: AnswerText) -> (String, AnswerText) {
     if listener.fault == Some(AnswerFault::Crossed) {
         let other = format!("{attempt}0");
         return (other, AnswerText::of_prompt("another request"));
--- a/crates/sim/src/gateway/batch.rs
+++ b/crates/sim/src/gateway/batch.rs
@@ -12,21 +12,21 @@
 use molespan_state::job::{JobCommand, JobReply, LeaseRequest};
 use molespan_types::{GroupId, Priority, RunOutcome, ServiceName, Timestamp};
 
-use super::process::{Process, Tag, Use};
+use super::process::{ConnectionUse, Process, Tag};
 use crate::context::Context;
 use crate::history::DispatchRecord;
 use crate::message::{AnswerForm, ConnectionId, EngineAnswer, EngineCall, Operation};
 use crate::scenario::MODEL;
 use crate::workload::read_input;
 
-/// Time for one request to a job group.
-const REQUEST_WITHIN: Duration = Duration::from_millis(1_500);
-/// Silence of a stream after which its answer is fetched anew.
-const SILENCE: Duration = Duration::from_secs(3);
-/// Times that the answer of a stream is fetched.
-const MOST_FETCHES: u32 = 6;
+/// Timeout of one request to a job group.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Idle time of a stream after which its answer is fetched again.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum number of fetches of the answer of a stream.
+const MAX_FETCHES: u32 = 6;
 
-/// A batch stream that is out.
+/// A batch stream in flight.
 #[derive(Debug)]
 pub(super) struct BatchStream {
     attempt: AttemptRef,
@@ -37,21 +37,21 @@
 }
 
 impl Process {
-    /// Gives the batch owner an input and carries its outputs out.
+    /// Passes an input to the batch owner and executes its outputs.
     pub(super) fn batch_input(&mut self, context: &mut Context, input: BatchInput) {
         let now = self.now(context);
         let outputs = self.batch.handle(now, input);
         self.timers.batch = self.batch.next_wakeup(now);
         for output in outputs {
-            self.carry_out(context, output);
+            self.execute_output(context, output);
         }
     }
 
     pub(super) fn tick_batch(&mut self, context: &mut Context) {
         let changes = self.ownership.tick(self.now(context));
         self.ownership_changed(context, changes);
-        // Only when it asked for it: that it acts on what arrives must not be
-        // hidden by a tick that comes soon anyway.
+        // The owner is ticked only when its own timer is due: a periodic tick would hide a
+        // failure to act on inputs as they arrive.
         if self
             .timers
             .batch
@@ -62,10 +62,10 @@
         self.fetch_silent_streams(context);
     }
 
-    fn carry_out(&mut self, context: &mut Context, output: BatchOutput) {
+    fn execute_output(&mut self, context: &mut Context, output: BatchOutput) {
         match output {
-            BatchOutput::Pause(id) => self.hold_back(context, id, true),
-            BatchOutput::Resume(id) => self.hold_back(context, id, false),
+            BatchOutput::Pause(id) => self.set_paused(context, id, true),
+            BatchOutput::Resume(id) => self.set_paused(context, id, false),
             BatchOutput::Cancel(id) => {
                 if let Some(stream) = self.streams.remove(&id) {
                     self.connections.remove(&stream.connection);
@@ -79,7 +79,7 @@
         }
     }
 
-    fn hold_back(&mut self, context: &mut Context, id: StreamId, paused: bool) {
+    fn set_paused(&mut self, context: &mut Context, id: StreamId, paused: bool) {
         let now = self.now(context);
         let Some(stream) = self.streams.get_mut(&id) else {
             return;
@@ -116,7 +116,7 @@
             backend,
             incarnation,
         };
-        self.note_dispatch(context, attempt, &prompt);
+        self.record_dispatch(context, attempt, &prompt);
         let submission = Submission {
             attempt: attempt.attempt.to_string().into(),
             priority: Priority::Batch,
@@ -131,7 +131,8 @@
             form: AnswerForm::FirstThenWhole,
         };
         let connection = self.call_engine(context, backend, call);
-        self.connections.insert(connection, Use::Batch(stream));
+        self.connections
+            .insert(connection, ConnectionUse::Batch(stream));
         let dispatched = BatchStream {
             attempt,
             connection,
@@ -142,11 +143,11 @@
         self.streams.insert(stream, dispatched);
     }
 
-    pub(super) fn note_dispatch(&self, context: &mut Context, attempt: AttemptRef, prompt: &str) {
+    pub(super) fn record_dispatch(&self, context: &mut Context, attempt: AttemptRef, prompt: &str) {
         context.history.dispatches.push(DispatchRecord {
             at: context.now,
             gateway: self.identity.number,
-            gateway_life: self.identity.life,
+            gateway_incarnation: self.identity.life,
             backend: attempt.backend,
             incarnation: attempt.incarnation,
             prompt: molespan_types::digest_of(prompt.as_bytes()),
@@ -192,7 +193,7 @@
             _ => return,
         };
         let tag = Tag::Batch(request);
-        self.propose(context, group, &command, REQUEST_WITHIN, tag);
+        self.propose(context, group, &command, REQUEST_TIMEOUT, tag);
     }
 
     /// Proposes a command to a job group.
@@ -273,7 +274,8 @@
             } => {
                 let end = match outcome {
                     _ if permanent => ItemEnd::Refused(b"refused".to_vec().into()),
-                    // Said of a first sending, this is the engine's own word.
+                    // In reply to the first submission, the engine itself vouches that the
+                    // attempt did not run.
                     RunOutcome::NotRun if first_fetch && unknown_to.is_none() => ItemEnd::NotRun,
                     _ => ItemEnd::Unknown,
                 };
@@ -297,17 +299,17 @@
         let attempt = stream.attempt;
         if end == ItemEnd::Unknown || end == ItemEnd::NotRun {
             let (backend, incarnation) = (attempt.backend, attempt.incarnation);
-            self.worked(context, backend, incarnation, WorkResult::Failed);
+            self.report_work(context, backend, incarnation, WorkResult::Failed);
         }
         self.batch_input(context, BatchInput::Ended { stream: id, end });
     }
 
-    /// Fetches the answer of a stream whose connection broke.
+    /// Fetches the answer of a stream whose connection broke or stayed silent.
     fn fetch_stream(&mut self, context: &mut Context, id: StreamId) {
         let Some(stream) = self.streams.get(&id) else {
             return;
         };
-        if stream.fetches >= MOST_FETCHES {
+        if stream.fetches >= MAX_FETCHES {
             return self.end_stream(context, id, ItemEnd::Unknown);
         }
         let (attempt, old) = (stream.attempt, stream.connection);
@@ -318,7 +320,8 @@
             form: AnswerForm::Whole,
         };
         let connection = self.call_engine(context, attempt.backend, call);
-        self.connections.insert(connection, Use::Batch(id));
+        self.connections
+            .insert(connection, ConnectionUse::Batch(id));
         let now = self.now(context);
         if let Some(stream) = self.streams.get_mut(&id) {
             stream.connection = connection;
@@ -332,7 +335,7 @@
         let silent: Vec<StreamId> = self
             .streams
             .iter()
-            .filter(|(_, stream)| !stream.paused && now.since(stream.active) >= SILENCE)
+            .filter(|(_, stream)| !stream.paused && now.since(stream.active) >= IDLE_TIMEOUT)
             .map(|(id, _)| *id)
             .collect();
         for id in silent {
@@ -340,7 +343,7 @@
         }
     }
 
-    pub(super) fn take_notice(&mut self, context: &mut Context, notice: OnlineNotice) {
+    pub(super) fn handle_notice(&mut self, context: &mut Context, notice: OnlineNotice) {
         self.batch_input(context, BatchInput::OnlineNotice(notice));
     }
 
--- a/crates/sim/src/gateway/jobs.rs
+++ b/crates/sim/src/gateway/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs as callers submit, follow, read and cancel them.
+//! Submission, status, results and cancellation of jobs for callers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,14 +16,14 @@
 use crate::replica_node::JOB_GROUPS;
 use crate::workload::JobPlan;
 
-/// Time for each call of a group.
-const CALL_WITHIN: Duration = Duration::from_secs(4);
-/// Items of one append.
-const ITEMS_AT_ONCE: u32 = 50;
-/// Results of one page.
-const RESULTS_AT_ONCE: u32 = 64;
+/// Timeout of each call to a group.
+const CALL_TIMEOUT: Duration = Duration::from_secs(4);
+/// Items per append.
+const ITEMS_PER_APPEND: u32 = 50;
+/// Results per page.
+const RESULTS_PER_PAGE: u32 = 64;
 
-/// What a caller waits for.
+/// The step of a job request that a caller waits for.
 #[derive(Clone, Debug)]
 pub(super) enum JobStep {
     Begin(Arc<JobPlan>),
@@ -34,7 +34,7 @@
     Cancel,
 }
 
-/// A call of a group on behalf of a caller.
+/// A call to a group on behalf of a caller.
 #[derive(Clone, Debug)]
 pub(super) struct JobCall {
     pub client: Address,
@@ -44,7 +44,7 @@
 }
 
 impl Process {
-    pub(super) fn take_job_request(
+    pub(super) fn handle_job_request(
         &mut self,
         context: &mut Context,
         client: Address,
@@ -53,7 +53,7 @@
     ) {
         match request {
             ClientRequest::Submit(plan) => {
-                if !self.takes_new_work(context) {
+                if !self.admits_new_work(context) {
                     let reply = ClientReply::Refused {
                         outcome: RunOutcome::NotRun,
                         reason: "not ready",
@@ -67,7 +67,7 @@
                 self.query_job(context, (client, arrival, job), &query, JobStep::Status);
             }
             ClientRequest::Results { job, first } => {
-                let limit = RESULTS_AT_ONCE;
+                let limit = RESULTS_PER_PAGE;
                 let query = JobQuery::Results { job, first, limit };
                 self.query_job(context, (client, arrival, job), &query, JobStep::Results);
             }
@@ -113,7 +113,7 @@
     fn job_command(&mut self, context: &mut Context, call: JobCall, command: &JobCommand) {
         let group = call.job.group(JOB_GROUPS);
         let tag = Tag::Job(Box::new(call));
-        self.propose(context, group, command, CALL_WITHIN, tag);
+        self.propose(context, group, command, CALL_TIMEOUT, tag);
     }
 
     fn query_job(
@@ -135,7 +135,7 @@
         let group = job.group(JOB_GROUPS);
         let tag = Tag::Job(Box::new(call));
         self.groups
-            .call(context, now, group, operation, CALL_WITHIN, tag);
+            .call(context, now, group, operation, CALL_TIMEOUT, tag);
     }
 
     pub(super) fn job_replied(
@@ -151,9 +151,9 @@
             return self.job_answered(context, &call, answer);
         }
         match molespan_state::decode(answer) {
-            Ok(JobReply::Job(status)) => self.job_stands(context, call, status),
+            Ok(JobReply::Job(status)) => self.handle_job_status(context, call, status),
             Ok(JobReply::WrongPhase { received, .. }) => {
-                // Another gateway submits the same job at the same time.
+                // Another gateway is submitting the same job concurrently.
                 self.append(context, call, received);
             }
             Ok(JobReply::KeyConflict { .. }) => {
@@ -163,7 +163,7 @@
         }
     }
 
-    fn job_stands(&mut self, context: &mut Context, call: JobCall, status: JobStatus) {
+    fn handle_job_status(&mut self, context: &mut Context, call: JobCall, status: JobStatus) {
         let submitting = status.phase == JobPhase::Submitting;
         match &call.step {
             JobStep::Begin(_) | JobStep::Append(_) if submitting => {
@@ -183,8 +183,7 @@
         }
     }
 
-    /// Sends the items from `received` on, or accepts the job when all are
-    /// there.
+    /// Appends the items from `received` on, or accepts the job once all items are present.
     fn append(&mut self, context: &mut Context, call: JobCall, received: u32) {
         let (JobStep::Begin(plan) | JobStep::Append(plan) | JobStep::Accept(plan)) = &call.step
         else {
@@ -200,7 +199,7 @@
                 &JobCommand::Accept { job },
             );
         }
-        let end = plan.items.min(received + ITEMS_AT_ONCE);
+        let end = plan.items.min(received + ITEMS_PER_APPEND);
         let inputs = (received..end).map(|item| plan.input(item).into());
         let append = AppendItems {
             job,
--- a/crates/sim/src/gateway/machines.rs
+++ b/crates/sim/src/gateway/machines.rs
@@ -1,4 +1,4 @@
-//! The machine list, load reports, heartbeats and who owns which engine.
+//! The machine list, load reports, heartbeats and engine ownership.
 
 use std::time::Duration;
 
@@ -14,21 +14,21 @@
 use super::process::Process;
 use crate::address::Address;
 use crate::context::Context;
-use crate::history::ToldRecord;
+use crate::history::LeavingNoticeRecord;
 use crate::message::Message;
 use crate::platform_node::zone_name;
 
-/// Time between two heartbeats.
+/// Interval between two heartbeats.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(400);
-/// Time between two requests for load.
+/// Interval between two load requests.
 const LOAD_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two requests for the list.
+/// Interval between two requests for the machine list.
 const LIST_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two ticks of the directory.
+/// Interval between two ticks of the directory.
 const DIRECTORY_INTERVAL: Duration = Duration::from_millis(100);
 
 impl Process {
-    /// Asks for what is due and lets time pass in the directory.
+    /// Sends the requests that are due and ticks the directory.
     pub(super) fn poll_machines(&mut self, context: &mut Context) {
         let now = self.now(context);
         let own = self.identity.address();
@@ -100,7 +100,7 @@
     ) {
         for change in changes {
             match change {
-                OwnershipChange::Acquired(backend) => self.open_engine(context, backend),
+                OwnershipChange::Acquired(backend) => self.offer_engine(context, backend),
                 OwnershipChange::Released { backend, next } => {
                     self.batch_input(context, BatchInput::Released(backend));
                     let own = self.identity.address();
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Lets batch work use an owned engine, if it may get new work.
-    fn open_engine(&mut self, context: &mut Context, backend: BackendId) {
+    /// Lets batch work use an owned engine if the engine accepts new work.
+    fn offer_engine(&mut self, context: &mut Context, backend: BackendId) {
         let Some(found) = self.directory.backend(backend) else {
             return;
         };
@@ -132,26 +132,31 @@
         self.batch_input(context, BatchInput::Acquired(owned));
     }
 
-    pub(super) fn take_list(&mut self, context: &mut Context, list: MachineList) {
+    pub(super) fn handle_list(&mut self, context: &mut Context, list: MachineList) {
         for machine in &list.machines {
             if machine.state == MachineState::Leaving {
-                self.told(context, machine.id, machine.incarnation);
+                self.record_leaving_notice(context, machine.id, machine.incarnation);
             }
         }
         self.directory_input(context, DirectoryInput::List(list));
     }
 
-    fn told(&self, context: &mut Context, backend: BackendId, incarnation: Incarnation) {
-        context.history.told.push(ToldRecord {
+    fn record_leaving_notice(
+        &self,
+        context: &mut Context,
+        backend: BackendId,
+        incarnation: Incarnation,
+    ) {
+        context.history.leaving_notices.push(LeavingNoticeRecord {
             at: context.now,
             gateway: self.identity.number,
-            gateway_life: self.identity.life,
+            gateway_incarnation: self.identity.life,
             backend,
             incarnation,
         });
     }
 
-    pub(super) fn take_load(
+    pub(super) fn handle_load(
         &mut self,
         context: &mut Context,
         sent: Timestamp,
@@ -159,7 +164,7 @@
     ) {
         let now = self.now(context);
         if report.leaving {
-            self.told(context, report.backend, report.incarnation);
+            self.record_leaving_notice(context, report.backend, report.incarnation);
         }
         let round_trip = now.since(sent);
         let probed = DirectoryInput::Probe {
@@ -178,18 +183,18 @@
         self.batch_input(context, BatchInput::Load(sample));
     }
 
-    /// Gives the directory an input and acts on what changed.
+    /// Passes an input to the directory and applies the resulting changes.
     pub(super) fn directory_input(&mut self, context: &mut Context, input: DirectoryInput) {
         let now = self.now(context);
         let mut changed = false;
         for output in self.directory.handle(now, input) {
             let DirectoryOutput::Changed(change) = output else {
-                // Load requests go to every engine anyway, as its probes.
+                // Load requests are sent to every engine anyway and serve as its probes.
                 continue;
             };
             changed = true;
             if change.to.accepts_new_work() {
-                self.open_engine(context, change.backend);
+                self.offer_engine(context, change.backend);
             } else if change.to == BackendState::Gone {
                 self.batch_input(context, BatchInput::Released(change.backend));
             } else {
@@ -213,8 +218,8 @@
         }
     }
 
-    /// Notes how work on an engine went.
-    pub(super) fn worked(
+    /// Reports the result of work on an engine to the directory.
+    pub(super) fn report_work(
         &mut self,
         context: &mut Context,
         backend: BackendId,
@@ -229,7 +234,7 @@
         self.directory_input(context, input);
     }
 
-    /// Whether it sends new work to an engine of this life.
+    /// Whether the gateway sends new work to this incarnation of an engine.
     #[must_use]
     pub fn uses(&self, backend: BackendId, incarnation: Incarnation) -> bool {
         self.directory.backend(backend).is_some_and(|backend| {
--- a/crates/sim/src/operator.rs
+++ b/crates/sim/src/operator.rs
@@ -21,25 +21,26 @@
 use crate::scenario::{MODEL, SERVICES};
 use crate::workload::{IntentPlan, OrderPlan};
 
-/// Time for one call of a group; longer than any fault.
-const CALL_WITHIN: Duration = Duration::from_secs(120);
-/// Longest thought between a plan and its confirmation.
-const LONGEST_THOUGHT_MS: u64 = 200;
-/// Time after which an order without an answer is sent again.
-const ORDER_AGAIN_AFTER: Duration = Duration::from_millis(700);
-/// Times that an order is sent.
-const ORDER_SENDINGS: u32 = 40;
+/// Timeout of one call to a group; longer than any fault.
+const CALL_TIMEOUT: Duration = Duration::from_secs(120);
+/// Longest delay before the confirmation that follows a read, and before another
+/// read after the base version moved, in milliseconds.
+const MAX_THINK_TIME_MS: u64 = 200;
+/// Delay after which an unanswered order is resent.
+const ORDER_RESEND_DELAY: Duration = Duration::from_millis(700);
+/// Maximum number of resends of an order.
+const ORDER_RESENDS: u32 = 40;
 /// Number of the intent that defines the services.
 pub const FIRST_INTENT: u64 = 0;
 
-/// What an operator wants.
+/// The goal of an operator.
 #[derive(Clone, Debug)]
 pub enum Goal {
-    /// To define the services that everything else needs.
+    /// Defines the services that all other work needs.
     DefineServices,
-    /// To put an intent in force.
+    /// Puts an intent in force.
     Intent(IntentPlan),
-    /// To give an order.
+    /// Issues an order.
     Order(OrderPlan),
 }
 
@@ -54,16 +55,16 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Step {
     Waiting,
-    /// To confirm at that time.
+    /// Confirm the intent at this time.
     Confirm {
         at: Timestamp,
         base: ConfigVersion,
     },
-    /// To read again at that time.
+    /// Read the configuration again at this time.
     ReadAgain {
         at: Timestamp,
     },
-    /// To send an order at that time.
+    /// Send the order at this time.
     Send {
         at: Timestamp,
         order: Order,
@@ -79,14 +80,14 @@
     goal: Goal,
     groups: GroupClient<Tag>,
     step: Step,
-    /// Confirmation that was in force, to be asked about again later.
+    /// Version created by the confirmed intent, which the audit queries again.
     confirmed: Option<ConfigVersion>,
-    /// Position of its record among the orders.
+    /// Index of the order's record in the history.
     order: Option<usize>,
 }
 
 impl Operator {
-    /// An operator that has not begun.
+    /// Creates an operator that has not started.
     #[must_use]
     pub fn new(number: u32, replicas: u32, goal: Goal) -> Self {
         Self {
@@ -99,19 +100,19 @@
         }
     }
 
-    /// Whether it has its answer.
+    /// Whether the operator has its answer.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.step == Step::Done
     }
 
-    /// What it wants.
+    /// Returns the goal.
     #[must_use]
     pub fn goal(&self) -> &Goal {
         &self.goal
     }
 
-    /// Begins.
+    /// Starts the first call.
     pub fn begin(&mut self, context: &mut Context) {
         match self.goal {
             Goal::Order(_) => self.query(context, &ControlQuery::Orders, Tag::Orders),
@@ -119,8 +120,8 @@
         }
     }
 
-    /// Sends a confirmation again that was in force long ago.
-    pub fn ask_again(&mut self, context: &mut Context) {
+    /// Resends a confirmation that was answered earlier.
+    pub fn resend_confirmation(&mut self, context: &mut Context) {
         if let Some(version) = self.confirmed {
             self.step = Step::Waiting;
             let base = ConfigVersion(version.0 - 1);
@@ -147,7 +148,7 @@
         let now = context.now;
         let group = GroupId::CONTROL;
         self.groups
-            .call(context, now, group, operation, CALL_WITHIN, tag);
+            .call(context, now, group, operation, CALL_TIMEOUT, tag);
     }
 
     fn confirm(&mut self, context: &mut Context, base: ConfigVersion) {
@@ -178,14 +179,14 @@
             return;
         };
         match ended.tag {
-            Tag::Read => self.was_read(context, ended.started, &answer),
-            Tag::Confirm { base } => self.was_confirmed(context, ended.started, base, &answer),
-            Tag::Orders => self.saw_orders(context, &answer),
-            Tag::Issue => self.was_issued(context, &answer),
+            Tag::Read => self.handle_read(context, ended.started, &answer),
+            Tag::Confirm { base } => self.handle_confirmed(context, ended.started, base, &answer),
+            Tag::Orders => self.handle_orders(context, &answer),
+            Tag::Issue => self.handle_issued(context, &answer),
         }
     }
 
-    fn was_read(&mut self, context: &mut Context, sent: Timestamp, answer: &[u8]) {
+    fn handle_read(&mut self, context: &mut Context, sent: Timestamp, answer: &[u8]) {
         let Ok(ControlAnswer::Configuration(Some(configuration))) = molespan_state::decode(answer)
         else {
             return;
@@ -196,14 +197,14 @@
             answered: context.now,
             version,
         });
-        let thought = context.random.random_range(0..LONGEST_THOUGHT_MS);
+        let think_time = context.random.random_range(0..MAX_THINK_TIME_MS);
         self.step = Step::Confirm {
-            at: context.now + Duration::from_millis(thought),
+            at: context.now + Duration::from_millis(think_time),
             base: version,
         };
     }
 
-    fn was_confirmed(
+    fn handle_confirmed(
         &mut self,
         context: &mut Context,
         sent: Timestamp,
@@ -223,12 +224,12 @@
         });
         match reply {
             ConfirmReply::BaseMoved { .. } if self.confirmed.is_none() => {
-                let wait = context.random.random_range(0..LONGEST_THOUGHT_MS);
+                let wait = context.random.random_range(0..MAX_THINK_TIME_MS);
                 let at = context.now + Duration::from_millis(wait);
                 self.step = Step::ReadAgain { at };
             }
             ConfirmReply::Confirmed { .. } => {
-                // The base tells which confirmation this was.
+                // The base identifies the confirmation when it is resent.
                 self.confirmed = Some(base.next());
                 self.step = Step::Done;
             }
@@ -243,7 +244,7 @@
         }
     }
 
-    fn saw_orders(&mut self, context: &mut Context, answer: &[u8]) {
+    fn handle_orders(&mut self, context: &mut Context, answer: &[u8]) {
         let Goal::Order(plan) = &self.goal else {
             return;
         };
@@ -256,8 +257,8 @@
             model: MODEL.to_owned(),
             version: plan.version,
         };
-        let incarnation = context.engine_life(plan.engine);
-        // The number makes this order differ from others of the same content.
+        let incarnation = context.engine_incarnation(plan.engine);
+        // The operator's number distinguishes this order from others with the same content.
         let action = serde_json::to_string(&(action, self.number)).unwrap_or_default();
         let order = IssueOrder {
             backend,
@@ -268,13 +269,13 @@
         self.propose(context, &ControlCommand::Issue(order), Tag::Issue);
     }
 
-    fn was_issued(&mut self, context: &mut Context, answer: &[u8]) {
+    fn handle_issued(&mut self, context: &mut Context, answer: &[u8]) {
         let Goal::Order(plan) = &self.goal else {
             return;
         };
         match molespan_state::decode(answer) {
             Ok(ControlReply::OrderIssued { token }) => {
-                let incarnation = context.engine_life(plan.engine);
+                let incarnation = context.engine_incarnation(plan.engine);
                 let order = order(plan, token, incarnation);
                 self.order = Some(context.history.orders.len());
                 context.history.orders.push(OrderRecord {
@@ -305,9 +306,9 @@
         let own = Address::Operator(self.number);
         let engine = Address::Engine(plan.engine);
         context.send(own, engine, Message::Order(order.clone()));
-        self.step = if sendings < ORDER_SENDINGS {
+        self.step = if sendings < ORDER_RESENDS {
             Step::Send {
-                at: context.now + ORDER_AGAIN_AFTER,
+                at: context.now + ORDER_RESEND_DELAY,
                 order,
                 sendings: sendings + 1,
             }
--- a/crates/sim/src/replica_node.rs
+++ b/crates/sim/src/replica_node.rs
@@ -16,18 +16,18 @@
 use crate::node::Node;
 use crate::scenario::LEASE;
 
-/// Name of the checker of leaders.
+/// Name of the checker for a single leader per term.
 pub const SINGLE_LEADER: &str = "single-leader";
-/// Name of the checker of replicas that stop without a disk fault.
+/// Name of the checker for replicas that stop without a disk fault.
 pub const REPLICA_STOPPED: &str = "replica-stopped";
-/// Job groups of every run.
+/// Number of job groups in every run.
 pub const JOB_GROUPS: u32 = 2;
-/// Named by the error of a replica that cannot empty its full disk.
+/// Substring of the error of a replica that cannot empty its full disk.
 const EMPTYING: &str = "emptying";
-/// Silence after which a gateway is no longer reported.
+/// Idle time after which a gateway is no longer reported as live.
 const GATEWAY_LIVE_FOR: Duration = Duration::from_secs(2);
-/// Time after which a process that stopped by itself is started again.
-const RESTART_AFTER: Duration = Duration::from_millis(300);
+/// Delay after which a process that stopped by itself is restarted.
+const RESTART_DELAY: Duration = Duration::from_millis(300);
 
 /// A replica process.
 #[derive(Debug)]
@@ -35,20 +35,20 @@
     number: u32,
     peers: Vec<NodeId>,
     clock: NodeClock,
-    /// Its disk, which outlives the process.
+    /// The disk, which survives the process.
     pub disk: SimulatedDisk,
     core: Option<ReplicaCore<SimulatedDisk>>,
     tickets: BTreeMap<Ticket, (Address, u64)>,
     last_ticket: u64,
     gateways: BTreeMap<NodeId, (GatewayRecord, Timestamp)>,
-    /// Whether a disk fault explains that the process stops.
-    pub may_stop: bool,
-    /// Whether its disk is full, so that a process may not even start.
+    /// Whether a disk fault explains a stop of the process.
+    pub stop_expected: bool,
+    /// Whether the disk is full, in which case the process may fail to start.
     pub disk_full: bool,
 }
 
 impl ReplicaNode {
-    /// A process that was never started, on a blank disk.
+    /// Creates a replica that was never started, with a blank disk.
     #[must_use]
     pub fn new(number: u32, replicas: u32, clock: NodeClock) -> Self {
         Self {
@@ -60,7 +60,7 @@
             tickets: BTreeMap::new(),
             last_ticket: 0,
             gateways: BTreeMap::new(),
-            may_stop: false,
+            stop_expected: false,
             disk_full: false,
         }
     }
@@ -75,7 +75,7 @@
             return;
         }
         let now = self.clock.local(context.now);
-        let settings = self.settings(context.fresh());
+        let settings = self.settings(context.random_id());
         match ReplicaCore::open(self.disk.clone(), settings, now) {
             Ok(core) => {
                 self.core = Some(core);
@@ -102,15 +102,15 @@
         settings
     }
 
-    /// Kills the process; the disk loses what was not synced.
+    /// Kills the process; the disk loses data that was not synced.
     pub fn kill(&mut self, context: &mut Context) {
         self.core = None;
         self.tickets.clear();
         self.gateways.clear();
-        self.disk.crash(context.fresh());
+        self.disk.crash(context.random_id());
     }
 
-    /// Its view of itself, while it runs.
+    /// Returns the replica's own status while the process runs.
     #[must_use]
     pub fn status(&self) -> Option<ReplicaStatus> {
         self.core.as_ref().map(ReplicaCore::status)
@@ -119,13 +119,15 @@
     fn stopped(&mut self, context: &mut Context, error: &str, expected: bool) {
         self.core = None;
         self.tickets.clear();
-        self.disk.crash(context.fresh());
+        self.disk.crash(context.random_id());
         let text = format!("replica {} stops: {error}", self.number);
         context.history.note(context.now, text.clone());
-        if !self.may_stop && !expected {
-            context.history.violate(context.now, REPLICA_STOPPED, text);
+        if !self.stop_expected && !expected {
+            context
+                .history
+                .record_violation(context.now, REPLICA_STOPPED, text);
         }
-        let at = context.now + RESTART_AFTER;
+        let at = context.now + RESTART_DELAY;
         let address = self.address();
         context.queue.push(at, Event::Restart(address));
     }
@@ -138,11 +140,11 @@
         match core.poll(now) {
             Ok(outputs) => {
                 for output in outputs {
-                    self.carry_out(context, output);
+                    self.execute_output(context, output);
                 }
             }
             Err(error) => {
-                // Ending the life of a disk takes room for one small file.
+                // Ending the incarnation of a disk requires space for one small file.
                 let text = error.to_string();
                 let expected = self.disk_full && text.contains(EMPTYING);
                 self.stopped(context, &text, expected);
@@ -150,7 +152,7 @@
         }
     }
 
-    fn carry_out(&mut self, context: &mut Context, output: Output) {
+    fn execute_output(&mut self, context: &mut Context, output: Output) {
         let from = self.address();
         match output {
             Output::Send { to, group, bytes } => {
@@ -164,7 +166,7 @@
             }
             Output::LeaderChanged { group, leader } => {
                 if leader == Some(replica_node(self.number)) {
-                    self.note_leadership(context, group);
+                    self.record_leadership(context, group);
                 }
             }
             Output::ConfigurationChanged { .. } | Output::StateChanged { .. } => {}
@@ -175,8 +177,8 @@
         }
     }
 
-    /// Checks that nobody else was seen leading in the same term.
-    fn note_leadership(&mut self, context: &mut Context, group: GroupId) {
+    /// Records leadership and checks that no other replica led the group in the same term.
+    fn record_leadership(&mut self, context: &mut Context, group: GroupId) {
         let Some(status) = self.status() else {
             return;
         };
@@ -197,7 +199,9 @@
                 "group {group} has two leaders in term {}: nodes {} and {}",
                 led.term, first.0, own.0
             );
-            context.history.violate(context.now, SINGLE_LEADER, message);
+            context
+                .history
+                .record_violation(context.now, SINGLE_LEADER, message);
         }
     }
 
--- a/crates/sim/src/report.rs
+++ b/crates/sim/src/report.rs
@@ -1,4 +1,4 @@
-//! What is printed of runs.
+//! Reports of failed runs.
 
 use std::fmt::Write;
 
@@ -7,19 +7,19 @@
 use crate::scenario::Scenario;
 use crate::shrink::{Shrunk, shrink};
 
-/// Violations of one run that are printed.
-const MOST_VIOLATIONS: usize = 5;
-/// Happenings of one run that are printed.
-const MOST_NOTES: usize = 60;
+/// Maximum number of violations printed per run.
+const MAX_VIOLATIONS: usize = 5;
+/// Maximum number of events printed per run.
+const MAX_NOTES: usize = 60;
 
-/// How a run was asked for, to ask for it again.
+/// The options of a run, from which its command line is rebuilt.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Classes of faults.
+    /// Enabled fault classes.
     pub classes: Vec<FaultClass>,
-    /// Mechanism that is off.
+    /// Disabled mechanism.
     pub without: Option<String>,
-    /// Whether a failing run is made small.
+    /// Whether failing runs are shrunk.
     pub shrink: bool,
 }
 
@@ -36,14 +36,14 @@
     }
 }
 
-/// The report of a failed run: its violations, the smallest part of it that
-/// still fails, and how to run that again.
+/// Returns the report of a failed run: its violations, the smallest part found that
+/// still fails, and the command that reproduces it.
 #[must_use]
 pub fn failure(request: &Request, scenario: &Scenario, outcome: &Outcome) -> String {
     let mut text = String::new();
     // Writing to a string cannot fail.
     let _ = writeln!(text, "seed {} failed", scenario.seed);
-    for violation in outcome.violations.iter().take(MOST_VIOLATIONS) {
+    for violation in outcome.violations.iter().take(MAX_VIOLATIONS) {
         let _ = writeln!(text, "  {violation}");
     }
     let Some(first) = outcome.violations.first() else {
@@ -78,7 +78,7 @@
     let _ = writeln!(text, "  what happens there:");
     let before = outcome.notes.iter().filter(|(at, _)| *at <= violation.at);
     let before: Vec<_> = before.collect();
-    let skipped = before.len().saturating_sub(MOST_NOTES);
+    let skipped = before.len().saturating_sub(MAX_NOTES);
     for (at, note) in &before[skipped..] {
         let _ = writeln!(text, "    {} ms {note}", at.0 / 1_000);
     }
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -1,4 +1,4 @@
-//! The simulated world: it lets events happen, one after the other.
+//! The simulated world, which processes events one at a time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -23,22 +23,22 @@
 use crate::scenario::{AUDIT_AFTER, FINISHED_AFTER, Scenario};
 use crate::workload::Work;
 
-/// Greatest difference between the starts of two clocks, in microseconds.
-const CLOCK_SPREAD: u64 = 10_000_000;
-/// Time between two looks at whether everything has finished.
-const LOOK_INTERVAL_MS: u64 = 500;
+/// Maximum difference between the start offsets of two clocks, in microseconds.
+const MAX_CLOCK_OFFSET_MICROS: u64 = 10_000_000;
+/// Interval between two checks whether everything has finished, in milliseconds.
+const DONE_CHECK_INTERVAL_MS: u64 = 500;
 
 /// A caller.
 #[derive(Debug)]
 pub enum Client {
-    /// With a job.
+    /// A caller with a job.
     Job(JobClient),
-    /// With an online request.
+    /// A caller with an online request.
     Online(OnlineClient),
 }
 
 impl Client {
-    /// Whether it got what it wanted.
+    /// Whether the caller has its final outcome.
     #[must_use]
     pub fn is_done(&self) -> bool {
         match self {
@@ -51,9 +51,9 @@
 /// The simulated world.
 #[derive(Debug)]
 pub struct World {
-    /// Time, chance, network and records.
+    /// State shared by all participants: time, randomness, network and records.
     pub context: Context,
-    /// What decides the run.
+    /// The scenario, which determines the run.
     pub scenario: Scenario,
     pub(crate) replicas: BTreeMap<u32, ReplicaNode>,
     pub(crate) gateways: BTreeMap<u32, GatewayNode>,
@@ -62,23 +62,23 @@
     pub(crate) clients: BTreeMap<u32, Client>,
     pub(crate) operators: BTreeMap<u32, Operator>,
     wake_at: BTreeMap<Address, Timestamp>,
-    /// Messages that wait for a process that stands still, and how many faults
-    /// hold it.
+    /// Frozen processes, with the number of faults that freeze each one and the messages
+    /// held for it.
     pub(crate) frozen: BTreeMap<Address, (u32, Vec<Envelope>)>,
-    /// Faults that keep a process down.
+    /// Number of faults that keep each process down.
     pub(crate) down: BTreeMap<Address, u32>,
-    /// Processes that were asked to stop while they stood still.
-    pub(crate) stops_at_thaw: BTreeSet<Address>,
-    /// Copies of disks, and when each was taken.
+    /// Processes that were asked to shut down while frozen.
+    pub(crate) stop_after_thaw: BTreeSet<Address>,
+    /// Disk backups and when each was taken, by fault.
     pub(crate) backups: BTreeMap<usize, (Timestamp, SimulatedDisk)>,
-    /// Until when a rolled back disk may not have been noticed yet.
-    pub(crate) roll_back_noticed_by: Timestamp,
-    /// Latest start of each replica.
+    /// Time until which a disk rollback may still be undetected.
+    pub(crate) rollback_detected_by: Timestamp,
+    /// Time of the latest start of each replica.
     pub(crate) replica_starts: BTreeMap<u32, Timestamp>,
 }
 
 impl World {
-    /// A world in which nothing was started yet.
+    /// Creates a world in which no process has started yet.
     #[must_use]
     pub fn new(scenario: Scenario) -> Self {
         let topology = &scenario.topology;
@@ -89,7 +89,7 @@
         let network = Network::new(replicas.chain(gateways).chain(engines).collect());
         let mut context = Context::new(scenario.seed, network);
         let mut clock = |position: u32| {
-            let offset = context.random.random_range(0..CLOCK_SPREAD);
+            let offset = context.random.random_range(0..MAX_CLOCK_OFFSET_MICROS);
             NodeClock::new(offset, scenario.clock_rates[position as usize])
         };
         let count = topology.replicas;
@@ -101,7 +101,7 @@
         });
         let gateways = gateways.collect();
         let engines = (1..=topology.engines).map(|one| {
-            let seed = context.fresh();
+            let seed = context.random_id();
             (one, EngineNode::new(one, seed, &mut context))
         });
         Self {
@@ -114,17 +114,17 @@
             wake_at: BTreeMap::new(),
             frozen: BTreeMap::new(),
             down: BTreeMap::new(),
-            stops_at_thaw: BTreeSet::new(),
+            stop_after_thaw: BTreeSet::new(),
             backups: BTreeMap::new(),
-            roll_back_noticed_by: Timestamp::ZERO,
+            rollback_detected_by: Timestamp::ZERO,
             replica_starts: BTreeMap::new(),
             context,
             scenario,
         }
     }
 
-    /// Starts every process and runs until everything has finished, or until
-    /// it should have.
+    /// Starts every process and runs until everything has finished or the deadline has
+    /// passed.
     pub fn run(&mut self) {
         self.start();
         let audit_at = self.scenario.faults_end() + AUDIT_AFTER;
@@ -160,25 +160,25 @@
     fn run_until(&mut self, end: Timestamp) {
         while let Some((at, event)) = self.context.queue.pop(end) {
             self.context.now = at;
-            self.happen(event);
+            self.process_event(event);
         }
         self.context.now = end;
     }
 
     fn run_until_done(&mut self, deadline: Timestamp) {
         while self.context.now < deadline && !self.is_done() {
-            let look = Timestamp::from_millis(LOOK_INTERVAL_MS).0;
+            let look = Timestamp::from_millis(DONE_CHECK_INTERVAL_MS).0;
             let next = Timestamp(self.context.now.0 + look);
             self.run_until(next.min(deadline));
         }
     }
 
-    /// Whether every caller and operator got what it wanted.
+    /// Whether every caller and operator has its final outcome.
     fn is_done(&self) -> bool {
         self.clients.values().all(Client::is_done) && self.operators.values().all(Operator::is_done)
     }
 
-    /// Lets everyone ask again for what was promised before.
+    /// Makes callers with jobs and operators repeat their reads and confirmations.
     fn audit(&mut self) {
         for (number, client) in &mut self.clients {
             if let Client::Job(client) = client {
@@ -188,13 +188,13 @@
             }
         }
         for (number, operator) in &mut self.operators {
-            operator.ask_again(&mut self.context);
+            operator.resend_confirmation(&mut self.context);
             let address = Address::Operator(*number);
             schedule(&mut self.context, &mut self.wake_at, address, operator);
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn process_event(&mut self, event: Event) {
         match event {
             Event::Deliver(envelope) => self.deliver(envelope),
             Event::Wake(address) => {
@@ -215,7 +215,7 @@
     fn deliver(&mut self, envelope: Envelope) {
         let transport = envelope.message.transport();
         let network = &mut self.context.network;
-        if !network.gets_through(envelope.from, envelope.to, transport) {
+        if !network.is_delivered(envelope.from, envelope.to, transport) {
             return;
         }
         if let Some((_, held)) = self.frozen.get_mut(&envelope.to) {
@@ -226,7 +226,7 @@
         self.with(to, |node, context| node.receive(context, from, message));
     }
 
-    /// Lets a participant act and notes when it wants to be woken.
+    /// Lets a participant act and schedules its next wakeup.
     pub(crate) fn with(&mut self, address: Address, act: impl FnOnce(&mut dyn Node, &mut Context)) {
         let node: Option<&mut dyn Node> = match address {
             Address::Replica(number) => self.replicas.get_mut(&number).map(|node| node as _),
@@ -246,13 +246,13 @@
         }
     }
 
-    /// Wakes a participant now, whatever it waited for.
+    /// Wakes a participant now, regardless of its timer.
     pub(crate) fn wake(&mut self, address: Address) {
         self.wake_at.remove(&address);
         self.with(address, |node, context| node.wake(context));
     }
 
-    /// Starts a process, unless some fault keeps it down.
+    /// Starts a process unless a fault keeps it down.
     pub(crate) fn start_process(&mut self, address: Address) {
         if self.down.get(&address).copied().unwrap_or(0) > 0 {
             return;
@@ -314,8 +314,8 @@
         self.wake(Address::Operator(number));
     }
 
-    /// Lets a process that stood still go on. Its connections are served in
-    /// any order.
+    /// Resumes a frozen process. Held messages of different connections are delivered in
+    /// random order.
     pub(crate) fn thaw(&mut self, address: Address) {
         let Some((holders, _)) = self.frozen.get_mut(&address) else {
             return;
@@ -334,18 +334,19 @@
         for envelope in self.shuffled(held) {
             self.deliver(envelope);
         }
-        if self.stops_at_thaw.remove(&address) {
+        if self.stop_after_thaw.remove(&address) {
             self.stop(address);
         }
         self.wake(address);
     }
 
-    /// The messages in any order that keeps each connection's own.
+    /// Returns the messages in a random order that preserves the order within each
+    /// connection.
     fn shuffled(&mut self, held: Vec<Envelope>) -> Vec<Envelope> {
         let mut ranks: BTreeMap<u64, u64> = BTreeMap::new();
         let mut ranked: Vec<(u64, Envelope)> = Vec::with_capacity(held.len());
         for envelope in held {
-            let fresh = self.context.fresh();
+            let fresh = self.context.random_id();
             let rank = match envelope.message.transport() {
                 Transport::Stream(connection) => *ranks.entry(connection).or_insert(fresh),
                 Transport::Datagram => fresh,
@@ -356,16 +357,16 @@
         ranked.into_iter().map(|(_, envelope)| envelope).collect()
     }
 
-    /// Discards what waits for a process that was killed while it stood still.
+    /// Discards messages held for a frozen process that was killed.
     pub(crate) fn discard_held(&mut self, address: Address) {
-        self.stops_at_thaw.remove(&address);
+        self.stop_after_thaw.remove(&address);
         if let Some((_, held)) = self.frozen.get_mut(&address) {
             held.clear();
         }
     }
 }
 
-/// Notes when a participant wants to be woken.
+/// Schedules the next wakeup of a participant.
 fn schedule(
     context: &mut Context,
     wake_at: &mut BTreeMap<Address, Timestamp>,
