--- a/crates/sim/src/apply.rs
+++ b/crates/sim/src/apply.rs
@@ -230,8 +230,8 @@
     /// Removes one cause that keeps a process down, and starts the process unless another
     /// cause remains.
     fn bring_up(&mut self, address: Address) {
-        let holders = self.down.entry(address).or_default();
-        *holders = holders.saturating_sub(1);
+        let causes = self.down.entry(address).or_default();
+        *causes = causes.saturating_sub(1);
         self.start_process(address);
     }
 
@@ -241,9 +241,9 @@
         };
         // A rolled back disk counts as a lost one and the same rule applies. The rollback
         // can be detected only by processes that received messages about the lost state.
-        let heard = self.replica_starts.values().all(|start| *start < taken);
-        let silent = self.context.network.has_cuts() || !self.frozen.is_empty();
-        if !heard || silent || !self.every_replica_votes() {
+        let running_since_backup = self.replica_starts.values().all(|start| *start < taken);
+        let unreachable = self.context.network.has_cuts() || !self.frozen.is_empty();
+        if !running_since_backup || unreachable || !self.every_replica_votes() {
             return;
         }
         let address = Address::Replica(number);
--- a/crates/sim/src/client/job.rs
+++ b/crates/sim/src/client/job.rs
@@ -218,9 +218,9 @@
         let now = context.now;
         let mut again = false;
         self.waiting.retain(|_, waiting| {
-            let late = now.since(waiting.sent) >= ANSWER_TIMEOUT;
-            again |= late && !waiting.is_resubmission;
-            !late
+            let timed_out = now.since(waiting.sent) >= ANSWER_TIMEOUT;
+            again |= timed_out && !waiting.is_resubmission;
+            !timed_out
         });
         if again {
             self.act(context);
@@ -253,9 +253,10 @@
     }
 
     fn next_wakeup(&self) -> Option<Timestamp> {
-        let late = self.waiting.values();
-        let late = late.map(|waiting| waiting.sent + ANSWER_TIMEOUT);
-        late.chain(self.resubmissions.iter().copied())
+        let timeouts = self.waiting.values();
+        let timeouts = timeouts.map(|waiting| waiting.sent + ANSWER_TIMEOUT);
+        timeouts
+            .chain(self.resubmissions.iter().copied())
             .chain(self.next)
             .min()
     }
--- a/crates/sim/src/client/online.rs
+++ b/crates/sim/src/client/online.rs
@@ -162,13 +162,13 @@
                 self.send(context);
             }
         }
-        let late: Vec<u64> = self
+        let timed_out: Vec<u64> = self
             .waiting
             .iter()
             .filter(|(_, (sent, _))| now.since(*sent) >= ANSWER_TIMEOUT)
             .map(|(arrival, _)| *arrival)
             .collect();
-        for arrival in late {
+        for arrival in timed_out {
             self.ended(context, arrival, ArrivalEnd::GivenUp);
         }
         if self.next.is_some_and(|next| next <= now) {
@@ -180,8 +180,9 @@
     }
 
     fn next_wakeup(&self) -> Option<Timestamp> {
-        let late = self.waiting.values();
-        late.map(|(sent, _)| *sent + ANSWER_TIMEOUT)
+        let timeouts = self.waiting.values();
+        timeouts
+            .map(|(sent, _)| *sent + ANSWER_TIMEOUT)
             .chain(self.next)
             .chain(self.resend_at)
             .min()
--- a/crates/sim/src/fault/mod.rs
+++ b/crates/sim/src/fault/mod.rs
@@ -109,7 +109,7 @@
     /// Refuses new work.
     #[display("refuses work")]
     Refuse,
-    /// Takes many times as long for each step.
+    /// Makes each step many times slower.
     #[display("slow steps")]
     Slow,
 }
--- a/crates/sim/src/gateway/answers.rs
+++ b/crates/sim/src/gateway/answers.rs
@@ -193,7 +193,7 @@
         let now = self.now(context);
         let outputs = self.admission.tick(now);
         self.admission_changed(context, outputs);
-        let silent: Vec<(OnlineId, bool)> = self
+        let idle: Vec<(OnlineId, bool)> = self
             .online
             .iter()
             .filter_map(|(id, online)| {
@@ -203,11 +203,11 @@
                 } else {
                     IDLE_TIMEOUT
                 };
-                let silent = now.since(exchange.active) >= limit;
-                silent.then_some((*id, exchange.status_query))
+                let idle = now.since(exchange.active) >= limit;
+                idle.then_some((*id, exchange.status_query))
             })
             .collect();
-        for (id, status_query) in silent {
+        for (id, status_query) in idle {
             if status_query {
                 self.status_answered(context, id, StatusAnswer::NoAnswer);
             } else {
--- a/crates/sim/src/gateway/batch.rs
+++ b/crates/sim/src/gateway/batch.rs
@@ -59,7 +59,7 @@
         {
             self.batch_input(context, BatchInput::Tick);
         }
-        self.fetch_silent_streams(context);
+        self.fetch_idle_streams(context);
     }
 
     fn execute_output(&mut self, context: &mut Context, output: BatchOutput) {
@@ -147,7 +147,7 @@
         context.history.dispatches.push(DispatchRecord {
             at: context.now,
             gateway: self.identity.number,
-            gateway_incarnation: self.identity.life,
+            gateway_incarnation: self.identity.incarnation_number,
             backend: attempt.backend,
             incarnation: attempt.incarnation,
             prompt: molespan_types::digest_of(prompt.as_bytes()),
@@ -165,7 +165,7 @@
             } => {
                 let wanted = LeaseRequest {
                     owner: self.identity.node(),
-                    owner_incarnation: self.identity.life,
+                    owner_incarnation: self.identity.incarnation_number,
                     sequence: request.0,
                     service,
                     backend,
@@ -304,7 +304,7 @@
         self.batch_input(context, BatchInput::Ended { stream: id, end });
     }
 
-    /// Fetches the answer of a stream whose connection broke or stayed silent.
+    /// Fetches the answer of a stream whose connection broke or stayed idle.
     fn fetch_stream(&mut self, context: &mut Context, id: StreamId) {
         let Some(stream) = self.streams.get(&id) else {
             return;
@@ -330,15 +330,15 @@
         }
     }
 
-    fn fetch_silent_streams(&mut self, context: &mut Context) {
+    fn fetch_idle_streams(&mut self, context: &mut Context) {
         let now = self.now(context);
-        let silent: Vec<StreamId> = self
+        let idle: Vec<StreamId> = self
             .streams
             .iter()
             .filter(|(_, stream)| !stream.paused && now.since(stream.active) >= IDLE_TIMEOUT)
             .map(|(id, _)| *id)
             .collect();
-        for id in silent {
+        for id in idle {
             self.fetch_stream(context, id);
         }
     }
--- a/crates/sim/src/gateway/machines.rs
+++ b/crates/sim/src/gateway/machines.rs
@@ -150,7 +150,7 @@
         context.history.leaving_notices.push(LeavingNoticeRecord {
             at: context.now,
             gateway: self.identity.number,
-            gateway_incarnation: self.identity.life,
+            gateway_incarnation: self.identity.incarnation_number,
             backend,
             incarnation,
         });
--- a/crates/sim/src/gateway/mod.rs
+++ b/crates/sim/src/gateway/mod.rs
@@ -34,7 +34,7 @@
     number: u32,
     replicas: u32,
     clock: NodeClock,
-    life: u64,
+    incarnation_number: u64,
     /// Configuration stored on disk.
     stored: Option<Configuration>,
     process: Option<Process>,
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Identity {
     pub number: u32,
-    pub life: u64,
+    pub incarnation_number: u64,
     pub replicas: u32,
     pub zone: u32,
     pub clock: NodeClock,
@@ -60,13 +60,17 @@
     }
 
     pub fn incarnation(&self) -> Incarnation {
-        Incarnation(self.life)
+        Incarnation(self.incarnation_number)
     }
 }
 
 impl fmt::Display for Identity {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "gateway {} (life {})", self.number, self.life)
+        write!(
+            formatter,
+            "gateway {} (life {})",
+            self.number, self.incarnation_number
+        )
     }
 }
 
@@ -78,7 +82,7 @@
             number,
             replicas,
             clock,
-            life: 0,
+            incarnation_number: 0,
             stored: None,
             process: None,
         }
@@ -89,10 +93,10 @@
         if self.process.is_some() {
             return;
         }
-        self.life += 1;
+        self.incarnation_number += 1;
         let identity = Identity {
             number: self.number,
-            life: self.life,
+            incarnation_number: self.incarnation_number,
             replicas: self.replicas,
             zone: context
                 .network
--- a/crates/sim/src/gateway/process.rs
+++ b/crates/sim/src/gateway/process.rs
@@ -302,7 +302,7 @@
     pub(super) fn next_attempt(&mut self) -> AttemptId {
         self.last_attempt += 1;
         AttemptId {
-            node: u64::from(self.identity.number) << 32 | self.identity.life,
+            node: u64::from(self.identity.number) << 32 | self.identity.incarnation_number,
             sequence: self.last_attempt,
         }
     }
--- a/crates/sim/src/world.rs
+++ b/crates/sim/src/world.rs
@@ -317,11 +317,11 @@
     /// Resumes a frozen process. Held messages of different connections are delivered in
     /// random order.
     pub(crate) fn thaw(&mut self, address: Address) {
-        let Some((holders, _)) = self.frozen.get_mut(&address) else {
+        let Some((causes, _)) = self.frozen.get_mut(&address) else {
             return;
         };
-        *holders -= 1;
-        if *holders > 0 {
+        *causes -= 1;
+        if *causes > 0 {
             return;
         }
         let Some((_, held)) = self.frozen.remove(&address) else {
