--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a gateway.
+//! HTTP client for gateways.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 
 use crate::error::CliError;
 
-/// Longest answer that is read at once, in bytes.
+/// Maximum size of a response body that is buffered, in bytes.
 const MAX_ANSWER_BYTES: usize = 256 * 1024 * 1024;
-/// Longest time to connect to a gateway.
+/// Timeout for connecting to a gateway.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time to hand over a job's items.
+/// Timeout for uploading a job's items.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(120);
-/// Longest time until an answer begins.
+/// Timeout for the start of a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One call, which may be sent again.
+/// A request that is safe to retry.
 #[derive(Clone, Debug)]
 pub struct Call {
     method: Method,
@@ -32,7 +32,7 @@
 }
 
 impl Call {
-    /// Reads `path`.
+    /// Creates a GET request for `path`.
     #[must_use]
     pub fn get(path: impl Into<String>) -> Self {
         Self {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Posts `body` to `path`.
+    /// Creates a POST request of `body` to `path`.
     #[must_use]
     pub fn post(path: impl Into<String>, body: Vec<u8>) -> Self {
         Self {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Adds a parameter to the query.
+    /// Adds a query parameter.
     #[must_use]
     pub fn query(mut self, name: &'static str, value: impl ToString) -> Self {
         self.query.push((name, value.to_string()));
@@ -70,21 +70,21 @@
         self
     }
 
-    /// Sets the type of the body.
+    /// Sets the content type of the body.
     #[must_use]
     pub fn content_type(mut self, content_type: &'static str) -> Self {
         self.content_type = content_type;
         self
     }
 
-    /// Statuses besides success that come with a whole answer.
+    /// Sets the status codes besides 2xx that count as a regular response.
     #[must_use]
     pub fn answered_with(mut self, answers: &'static [StatusCode]) -> Self {
         self.answers = answers;
         self
     }
 
-    /// The request of this call at `gateway`.
+    /// Builds the HTTP request to `gateway`.
     fn request(&self, gateway: SocketAddr) -> Result<Request, SendError> {
         let invalid = |what: String| SendError::NotSent(FailureCause::Invalid(what));
         let url = Url::parse(&format!("http://{gateway}{}", self.path));
@@ -107,7 +107,7 @@
     }
 }
 
-/// A client of several gateways, any of which will do.
+/// HTTP client with a list of interchangeable gateways.
 #[derive(Clone, Debug)]
 pub struct Client {
     pool: Pool,
@@ -116,7 +116,7 @@
 }
 
 impl Client {
-    /// A client of `gateways`, tried in this order.
+    /// Creates a client that tries `gateways` in the given order.
     #[must_use]
     pub fn new(gateways: Vec<SocketAddr>) -> Self {
         let limits = PoolLimits {
@@ -133,14 +133,14 @@
         }
     }
 
-    /// The same client in the name of `tenant`.
+    /// Returns the client with requests attributed to `tenant`.
     #[must_use]
     pub fn with_tenant(mut self, tenant: Option<String>) -> Self {
         self.tenant = tenant;
         self
     }
 
-    /// The same client of one gateway only.
+    /// Returns a copy of the client that uses only `gateway`.
     #[must_use]
     pub fn only(&self, gateway: SocketAddr) -> Self {
         Self {
@@ -149,16 +149,16 @@
         }
     }
 
-    /// The gateways in the order in which they are tried.
+    /// Returns the gateways in the order in which they are tried.
     #[must_use]
     pub fn gateways(&self) -> &[SocketAddr] {
         &self.gateways
     }
 
-    /// Sends `call` to the gateways in turn until one answers.
+    /// Sends `call` to the gateways in order until one responds.
     ///
     /// # Errors
-    /// When none answers, or the one that does refuses.
+    /// Fails if no gateway responds or the responding gateway returns an error.
     pub async fn send(&self, call: &Call) -> Result<ClientResponse, CliError> {
         let mut worst = SendError::NotSent(FailureCause::Invalid("no gateway given".to_owned()));
         for gateway in &self.gateways {
@@ -173,7 +173,7 @@
     /// Sends `call` to one gateway.
     ///
     /// # Errors
-    /// When it does not answer, or refuses.
+    /// Fails if the gateway does not respond or returns an error.
     pub async fn send_to(
         &self,
         gateway: SocketAddr,
@@ -192,20 +192,20 @@
         Err(refusal(gateway, response).await)
     }
 
-    /// Sends `call` and reads the answer as JSON.
+    /// Sends `call` and parses the response body as JSON.
     ///
     /// # Errors
-    /// As [`Client::send`], and when the answer is not what the interface says.
+    /// Fails as [`Client::send`] does, or if the body does not match the API.
     pub async fn json<T: DeserializeOwned>(&self, call: &Call) -> Result<T, CliError> {
         let response = self.send(call).await?;
         let answer = response.json(MAX_ANSWER_BYTES).await;
         answer.map_err(|error| unexpected("the gateway", &error))
     }
 
-    /// Sends `call` and reads the answer as text.
+    /// Sends `call` and returns the response body as text.
     ///
     /// # Errors
-    /// As [`Client::send`], and when the answer is cut short or no text.
+    /// Fails as [`Client::send`] does, or if the body is truncated or not UTF-8.
     pub async fn text(&self, call: &Call) -> Result<String, CliError> {
         let response = self.send(call).await?;
         let bytes = response.bytes(MAX_ANSWER_BYTES).await;
@@ -214,7 +214,7 @@
     }
 }
 
-/// The error that leaves more in doubt.
+/// Returns the ambiguous error if there is one: the request may have run.
 fn worse(first: SendError, second: SendError) -> SendError {
     match first {
         SendError::Ambiguous(_) => first,
@@ -229,7 +229,7 @@
     }
 }
 
-/// The error that a refusal carries.
+/// Converts an error response to a `CliError`.
 async fn refusal(gateway: SocketAddr, response: ClientResponse) -> CliError {
     let status = response.status();
     let body: Result<ErrorBody, BodyError> = response.json(MAX_ANSWER_BYTES).await;
--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -13,9 +13,9 @@
 use crate::flags;
 use crate::intent::parse_intent;
 
-/// Code of a refusal because the configuration moved on.
+/// Error code: the configuration changed since the base version.
 const BASE_MOVED: &str = "base_moved";
-/// Code of a refusal because the number was not planned at this gateway.
+/// Error code: no plan with this number was made at this gateway.
 const UNKNOWN_PLAN: &str = "unknown_plan";
 
 /// Confirms a plan by its number, or plans and confirms an intent file.
@@ -46,7 +46,7 @@
     })
 }
 
-/// Plans the intent of a file and asks whether to confirm it. `None` when the
+/// Plans the intent in a file and asks for confirmation. Returns `None` if the
 /// plan has problems.
 async fn plan_file(
     client: &Client,
@@ -70,8 +70,9 @@
             }
             Ok(Some(intent))
         }
-        // It may be this very intent, confirmed before, that moved the
-        // configuration on. The confirmation tells, and changes nothing if not.
+        // This intent may already have been confirmed and so have changed the
+        // configuration. Confirming it again returns that outcome, or is rejected
+        // without a change.
         Err(CliError::Refused(detail)) if detail.code == BASE_MOVED && is_whole => {
             console.progress(format!("{}; asking for the outcome", detail.message));
             Ok(Some(intent))
@@ -80,7 +81,7 @@
     }
 }
 
-/// Asks on the terminal; without one, only `--yes` confirms.
+/// Asks for confirmation on the terminal. Without a terminal, `--yes` is required.
 fn ask(console: &mut Console) -> Result<(), CliError> {
     if !io::stdin().is_terminal() {
         return Err(CliError::Declined);
@@ -95,7 +96,7 @@
     }
 }
 
-/// Confirms an intent at any gateway. A resend gets the first answer again.
+/// Confirms an intent at any gateway. A retry returns the original reply.
 pub(crate) async fn confirm(
     client: &Client,
     intent: &ConfirmIntent,
@@ -104,7 +105,7 @@
     client.json(&confirmation(intent.number, body)).await
 }
 
-/// Confirms what was planned under a number, at the gateway that knows it.
+/// Confirms the plan with this number at the gateway that holds it.
 async fn confirm_planned(client: &Client, number: IntentNumber) -> Result<ConfirmReply, CliError> {
     let call = confirmation(number, Vec::new());
     let mut last = None;
@@ -126,7 +127,7 @@
     Call::post(format!("/admin/plans/{number}/confirm"), body)
 }
 
-/// A reply for people.
+/// Formats a reply for people.
 pub(crate) fn reply_text(number: IntentNumber, reply: &ConfirmReply) -> String {
     match reply {
         ConfirmReply::Confirmed { version } => {
--- a/crates/cli/src/commands/bars.rs
+++ b/crates/cli/src/commands/bars.rs
@@ -1,4 +1,4 @@
-//! `molespan bars`: requests that no engine gets any more.
+//! `molespan bars`: lists and lifts bars on requests that crashed engines.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,10 +19,10 @@
 use crate::gateways::addresses;
 use crate::table::Table;
 
-/// Time for the control group to answer: longer than an election takes.
+/// Timeout for the control group; longer than a leader election takes.
 const DEADLINE: Duration = Duration::from_secs(5);
 
-/// Lists bars, or lifts one.
+/// Runs a subcommand of `bars`.
 pub(crate) async fn run(flags: &Bars, console: &mut Console) -> Result<ExitStatus, CliError> {
     let nodes = addresses("control node", &flags.control)?;
     let executor = Arc::new(Executor::new());
@@ -36,7 +36,7 @@
     executor.run(work).await
 }
 
-/// A client of the control group on these nodes, which share a port.
+/// Creates a client of the control group on these nodes, which must share a port.
 fn control(
     nodes: &[SocketAddr],
     executor: &Arc<Executor<'static>>,
@@ -46,14 +46,14 @@
         match node {
             SocketAddr::V4(address) => seeds.push(NodeId::of_address(*address.ip())),
             SocketAddr::V6(_) => {
-                let message = format!("control node {node} has no address of four numbers");
+                let message = format!("control node {node} does not have an IPv4 address");
                 return Err(CliError::Usage(message));
             }
         }
     }
     let port = nodes.first().map_or(0, SocketAddr::port);
     if let Some(other) = nodes.iter().find(|node| node.port() != port) {
-        let message = format!("control node {other} has another port than the first");
+        let message = format!("control node {other} has a different port than the first");
         return Err(CliError::Usage(message));
     }
     let own = seeds.first().copied().unwrap_or(NodeId(0));
@@ -109,7 +109,7 @@
     console: &mut Console,
 ) -> Result<ExitStatus, CliError> {
     let Some(request) = RequestDigest::parse(digest) else {
-        let message = format!("{digest:?} is no digest: 32 hexadecimal digits");
+        let message = format!("{digest:?} is not a digest of 32 hexadecimal digits");
         return Err(CliError::Usage(message));
     };
     let command = DeclaredCommand::LiftBar { request };
--- a/crates/cli/src/commands/get.rs
+++ b/crates/cli/src/commands/get.rs
@@ -7,7 +7,7 @@
 use crate::error::{CliError, ExitStatus};
 use crate::rows::table_of;
 
-/// What can be shown.
+/// Kinds of objects that can be shown.
 const KINDS: [&str; 12] = [
     "services",
     "models",
@@ -23,7 +23,7 @@
     "configuration",
 ];
 
-/// Shows one kind, as a table or as JSON.
+/// Prints the objects of one kind as a table or as JSON.
 pub(crate) async fn run(
     client: &Client,
     kind: &str,
--- a/crates/cli/src/commands/jobs/follow.rs
+++ b/crates/cli/src/commands/jobs/follow.rs
@@ -1,4 +1,4 @@
-//! Waiting for a job.
+//! Waits for a job to end.
 
 use std::time::{Duration, Instant};
 
@@ -9,17 +9,17 @@
 use crate::console::Console;
 use crate::error::CliError;
 
-/// Time between two looks at a job.
+/// Interval between polls of a job.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two lines of progress.
+/// Minimum interval between progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
-/// For how long gateways may be away before waiting is given up.
+/// How long polling may fail before the command gives up.
 const PATIENCE: Duration = Duration::from_secs(60);
 
-/// Waits until a job has ended, with its progress on the way.
+/// Waits until a job has ended and prints its progress.
 ///
 /// # Errors
-/// When the job is unknown, or no gateway answers for too long.
+/// Fails on a permanent error, such as an unknown job, or if polling fails for too long.
 pub(crate) async fn follow(
     client: &Client,
     id: &str,
@@ -46,7 +46,7 @@
     }
 }
 
-/// Whether asking again would give the same error.
+/// Whether a retry would return the same error.
 fn is_lasting(error: &CliError) -> bool {
     match error {
         CliError::Unanswered(_) => false,
@@ -55,7 +55,7 @@
     }
 }
 
-/// What was last said about the progress.
+/// State of the progress output.
 struct Progress {
     started: Instant,
     items_at_start: Option<u32>,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Says how far the job is, if that is news.
+    /// Prints the progress of the job if it changed, at most once per interval.
     fn report(&mut self, job: &JobView, console: &mut Console) {
         let ended = job.ended_items();
         let at_start = *self.items_at_start.get_or_insert(ended);
@@ -97,7 +97,7 @@
         console.progress(text);
     }
 
-    /// Says why there is no news, at most as often as progress.
+    /// Prints why the poll failed, at most once per interval.
     fn trouble(&mut self, error: &CliError, console: &mut Console) {
         let recent = self
             .last_line
--- a/crates/cli/src/commands/jobs/mod.rs
+++ b/crates/cli/src/commands/jobs/mod.rs
@@ -20,14 +20,14 @@
 pub(crate) use follow::follow;
 pub(crate) use view::JobView;
 
-/// Path of batch jobs.
+/// URL path of batch jobs.
 pub(crate) const JOBS_PATH: &str = "/v1/batches";
-/// Environment variable that names the tenant when no flag does.
+/// Environment variable with the tenant to use if the flag is not given.
 const TENANT_VARIABLE: &str = "MOLESPAN_TENANT";
-/// Bytes of results that are read at once.
+/// Size of the buffer for reading results, in bytes.
 const RESULT_CHUNK_BYTES: usize = 64 * 1024;
 
-/// Runs one command on jobs.
+/// Runs a subcommand of `jobs`.
 pub(crate) async fn run(
     client: Client,
     flags: Jobs,
@@ -44,7 +44,7 @@
     }
 }
 
-/// Shows where a job stands, at once or when it has ended.
+/// Prints the state of a job, immediately or after it has ended.
 async fn status(
     client: &Client,
     id: &str,
@@ -62,7 +62,7 @@
     Ok(ExitStatus::Success)
 }
 
-/// Cancels a job. Cancelling again is safe.
+/// Cancels a job. Idempotent.
 async fn cancel(client: &Client, id: &str, console: &mut Console) -> Result<ExitStatus, CliError> {
     let call = Call::post(format!("{JOBS_PATH}/{id}/cancel"), Vec::new());
     let job: JobView = client.json(&call).await?;
@@ -81,7 +81,7 @@
     Ok(ExitStatus::Success)
 }
 
-/// Copies the results of a job, a part at a time, to a file or the output.
+/// Streams the results of a job to a file or to standard output.
 async fn results(
     client: &Client,
     flags: &Results,
@@ -102,7 +102,7 @@
         let read = body.read(&mut chunk).await;
         let read = read.map_err(|error| CliError::Unexpected {
             gateway: "the gateway".to_owned(),
-            what: format!("the results are cut short after {lines} lines: {error}"),
+            what: format!("the results were truncated after {lines} lines: {error}"),
         })?;
         if read == 0 {
             break;
--- a/crates/cli/src/commands/jobs/submit.rs
+++ b/crates/cli/src/commands/jobs/submit.rs
@@ -12,10 +12,10 @@
 use crate::error::{CliError, ExitStatus};
 use crate::flags::Submit;
 
-/// Findings about a file that are printed; the rest is counted.
+/// Maximum number of findings printed; the rest are only counted.
 const MAX_FINDINGS: usize = 20;
 
-/// Submits a job, and waits for it where asked to.
+/// Submits a job and, with `--wait`, waits until it has ended.
 pub(crate) async fn run(
     client: &Client,
     flags: &Submit,
@@ -36,7 +36,7 @@
     Ok(job.exit_status())
 }
 
-/// The call that submits the job.
+/// Builds the request that submits the job.
 fn submission(flags: &Submit, body: String) -> Result<Call, CliError> {
     let mut call = Call::post(JOBS_PATH, body.into_bytes())
         .content_type("application/x-ndjson")
@@ -53,7 +53,7 @@
     Ok(call)
 }
 
-/// Checks that each line is an item, and counts them.
+/// Checks that each line is a valid item and returns the number of items.
 fn check_items(file: &Path, text: &str) -> Result<usize, CliError> {
     let lines: Vec<&str> = text.lines().collect();
     let mut findings: Vec<String> = Vec::new();
@@ -63,7 +63,7 @@
         }
     }
     if lines.is_empty() {
-        findings.push(format!("{}: there are no items", file.display()));
+        findings.push(format!("{}: the file has no items", file.display()));
     }
     if findings.is_empty() {
         return Ok(lines.len());
@@ -76,12 +76,12 @@
     Err(CliError::Findings(findings))
 }
 
-/// What is wrong with a line that should be an item.
+/// Returns the error in an item line, if there is one.
 fn item_fault(line: &str) -> Option<String> {
     let item: Value = match serde_json::from_str(line) {
         Ok(item) => item,
-        Err(error) => return Some(format!("is no JSON: {error}")),
+        Err(error) => return Some(format!("invalid JSON: {error}")),
     };
     let has_prompt = item.get("prompt").is_some_and(Value::is_string);
-    (!has_prompt).then(|| "an item needs a text under \"prompt\"".to_owned())
+    (!has_prompt).then(|| "\"prompt\" must be a string".to_owned())
 }
--- a/crates/cli/src/commands/jobs/view.rs
+++ b/crates/cli/src/commands/jobs/view.rs
@@ -1,4 +1,4 @@
-//! A job as a gateway shows it.
+//! Job status as returned by a gateway.
 
 use molespan_state::job::JobPhase;
 use serde::{Deserialize, Serialize};
@@ -7,44 +7,44 @@
 use crate::console::Console;
 use crate::error::{CliError, ExitStatus};
 
-/// A job as a gateway shows it.
+/// Status of a job as returned by a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct JobView {
-    /// Job.
+    /// Identifier of the job.
     pub(crate) id: String,
-    /// Where it stands.
+    /// Current phase of the job.
     pub(crate) state: JobPhase,
-    /// Items it has.
+    /// Number of items.
     pub(crate) items: u32,
-    /// Items with an answer.
+    /// Items with a result.
     #[serde(default)]
     pub(crate) completed: u32,
-    /// Items refused for good.
+    /// Items that were permanently rejected.
     #[serde(default)]
     pub(crate) failed: u32,
-    /// Non-repeatable items whose answer is lost.
+    /// Non-repeatable items whose result was lost.
     #[serde(default)]
     pub(crate) unknown: u32,
-    /// Items that engines hold now.
+    /// Items currently leased to engines.
     #[serde(default)]
     pub(crate) leased: u32,
-    /// Whatever else the gateway says.
+    /// Other fields of the response.
     #[serde(flatten)]
     rest: Map<String, Value>,
 }
 
 impl JobView {
-    /// Items that have ended in one way or another.
+    /// Returns the number of items that have ended, with any outcome.
     pub(crate) fn ended_items(&self) -> u32 {
         self.completed + self.failed + self.unknown
     }
 
-    /// Whether nothing of the job runs any more.
+    /// Whether the job has ended.
     pub(crate) fn has_ended(&self) -> bool {
         matches!(self.state, JobPhase::Completed | JobPhase::Cancelled)
     }
 
-    /// The exit code of waiting for a job that ended so.
+    /// Returns the exit code of a command that waited for this job.
     pub(crate) fn exit_status(&self) -> ExitStatus {
         if self.completed == self.items {
             ExitStatus::Success
@@ -53,7 +53,7 @@
         }
     }
 
-    /// One line on where it stands.
+    /// Formats the state of the job on one line.
     pub(crate) fn summary(&self) -> String {
         let mut text = format!(
             "{}: {}, {} of {} items completed",
@@ -70,7 +70,7 @@
         text
     }
 
-    /// Shows it, as one line or as JSON.
+    /// Prints the job as one line or as JSON.
     pub(crate) fn show(&self, console: &mut Console) -> Result<(), CliError> {
         if console.is_json() {
             console.json_line(self)
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -17,15 +17,15 @@
 use crate::flags::{Molespan, MolespanCmd, SettingsCmd};
 use crate::gateways::{GATEWAY_VARIABLE, gateway_addresses};
 
-/// Environment variable that names the operator when no flag does.
+/// Environment variable with the operator's name if the flag is not given.
 const USER_VARIABLE: &str = "USER";
-/// Name of an operator whom nothing names.
+/// Operator name used if neither the flag nor the variable is set.
 const UNNAMED_OPERATOR: &str = "operator";
 
 /// Runs one command.
 ///
 /// # Errors
-/// Why it did not do its work.
+/// Returns the error of the command.
 pub async fn run(flags: Molespan, console: &mut Console) -> Result<ExitStatus, CliError> {
     let gateway = flags.gateway;
     let client = || connect(gateway.as_deref());
@@ -43,14 +43,14 @@
     }
 }
 
-/// A client of the gateways that the flag or the environment names.
+/// Creates a client of the gateways given by the flag or the environment.
 fn connect(flag: Option<&str>) -> Result<Client, CliError> {
     let variable = env::var(GATEWAY_VARIABLE).ok();
     let gateways = gateway_addresses(flag, variable.as_deref())?;
     Ok(Client::new(gateways))
 }
 
-/// The operator that the flag or the environment names.
+/// Returns the operator's name from the flag or the environment.
 fn operator(flag: Option<String>) -> String {
     flag.or_else(|| env::var(USER_VARIABLE).ok())
         .unwrap_or_else(|| UNNAMED_OPERATOR.to_owned())
--- a/crates/cli/src/commands/plan.rs
+++ b/crates/cli/src/commands/plan.rs
@@ -11,7 +11,7 @@
 use crate::flags;
 use crate::intent::{Edit, Intent, apply_edits, parse_intent};
 
-/// Plans an intent and shows what it would do.
+/// Plans an intent and prints its effects.
 pub(crate) async fn run(
     client: &Client,
     flags: flags::Plan,
@@ -40,7 +40,7 @@
     Ok(ExitStatus::Success)
 }
 
-/// The intent of the file with the edits of the command line.
+/// Reads the intent file, if given, and adds the edits from the command line.
 fn read_intent(configuration: &Configuration, flags: &flags::Plan) -> Result<Intent, CliError> {
     let mut intent = match &flags.file {
         Some(file) => parse_intent(&fs::read_to_string(file)?)?,
@@ -57,7 +57,7 @@
     Ok(intent)
 }
 
-/// Fills in what the operator left open.
+/// Fills in missing fields of the intent from the configuration.
 pub(crate) fn complete(configuration: &Configuration, intent: Intent) -> ConfirmIntent {
     let next = configuration.version.next().0;
     ConfirmIntent {
@@ -68,7 +68,7 @@
     }
 }
 
-/// Asks a gateway for the plan of an intent.
+/// Requests the plan of an intent from a gateway.
 pub(crate) async fn request_plan(
     client: &Client,
     intent: &ConfirmIntent,
@@ -77,7 +77,7 @@
     client.json(&Call::post("/admin/plans", body)).await
 }
 
-/// Shows a plan.
+/// Prints a plan as text or as JSON.
 pub(super) fn show(plan: &Plan, console: &mut Console) -> Result<(), CliError> {
     if console.is_json() {
         return console.json_line(plan);
@@ -85,7 +85,7 @@
     console.line(plan_text(plan))
 }
 
-/// A plan for people.
+/// Formats a plan for people.
 pub(crate) fn plan_text(plan: &Plan) -> String {
     let mut text = format!("Plan {} against version {}", plan.number, plan.base_version);
     for line in &plan.lines {
--- a/crates/cli/src/commands/settings.rs
+++ b/crates/cli/src/commands/settings.rs
@@ -8,7 +8,7 @@
 use crate::console::Console;
 use crate::error::{CliError, ExitStatus};
 
-/// Checks a settings file and prints every finding with its place.
+/// Checks a settings file and prints every finding with its location.
 pub(crate) fn check(file: &Path, console: &mut Console) -> Result<ExitStatus, CliError> {
     let findings = match Settings::load(file) {
         Ok(_) => Findings::default(),
@@ -34,7 +34,7 @@
     json!({ "line": finding.line, "key": finding.key, "message": finding.message })
 }
 
-/// A finding as compilers write theirs, so that editors find the place.
+/// Formats a finding like a compiler message, so that editors can jump to it.
 fn finding_text(file: &Path, finding: &Finding) -> String {
     let mut text = file.display().to_string();
     if let Some(line) = finding.line {
--- a/crates/cli/src/commands/watch.rs
+++ b/crates/cli/src/commands/watch.rs
@@ -15,28 +15,28 @@
 use crate::error::{CliError, ExitStatus};
 use crate::flags::Watch;
 
-/// Path of the event stream.
+/// URL path of the event stream.
 pub(crate) const EVENTS_PATH: &str = "/admin/events";
-/// First wait before a lost stream is opened again.
+/// Initial backoff before a broken stream is reopened.
 const FIRST_RETRY: Duration = Duration::from_millis(250);
-/// Longest such wait.
+/// Maximum backoff before a broken stream is reopened.
 const LONGEST_RETRY: Duration = Duration::from_secs(5);
-/// Events that wait for the output; a slower output shows as a gap, because
-/// the stream is then read more slowly than events arise.
+/// Capacity of the event queue for the output. If the output is too slow, the
+/// stream is read more slowly than events occur, which shows as a gap.
 const QUEUED: usize = 256;
 
-/// What the stream of one gateway brings.
+/// Update from the stream of one gateway.
 #[derive(Debug)]
 enum News {
     /// An event or a gap.
     Watched(SocketAddr, Watched),
-    /// The stream broke and is opened again. Events may be missing.
+    /// The stream broke and is being reopened. Events may be missing.
     Lost(SocketAddr, String),
     /// The stream is open.
     Following(SocketAddr),
 }
 
-/// Follows the decisions of every given gateway.
+/// Prints the events of all given gateways as they occur.
 pub(crate) async fn run(
     client: &Client,
     flags: Watch,
@@ -53,7 +53,7 @@
     executor.run(print(receiver, flags.count, console)).await
 }
 
-/// The call that opens the stream.
+/// Builds the request that opens the stream.
 fn subscription(flags: &Watch) -> Result<Call, CliError> {
     let unknown: Vec<&str> = flags
         .kind
@@ -83,7 +83,7 @@
     Ok(call)
 }
 
-/// Keeps the stream of one gateway open until nobody listens.
+/// Keeps the stream of one gateway open until the receiver is dropped.
 async fn follow(client: Client, gateway: SocketAddr, call: Call, news: Sender<News>) {
     let mut wait = FIRST_RETRY;
     while !news.is_closed() {
@@ -99,7 +99,7 @@
     }
 }
 
-/// Reads one stream to its end.
+/// Forwards the events of one stream until it ends.
 async fn read_stream(
     client: &Client,
     gateway: SocketAddr,
@@ -128,12 +128,12 @@
     }
 }
 
-/// An event of the stream, or a gap in it.
+/// Parses an event or a gap from a server-sent event.
 pub(crate) fn read_event(event: &ServerEvent) -> Result<Watched, serde_json::Error> {
     serde_json::from_str(&event.data)
 }
 
-/// Prints news until enough events were seen.
+/// Prints updates until `count` events were printed.
 async fn print(
     news: Receiver<News>,
     count: Option<u64>,
@@ -193,7 +193,7 @@
     }
 }
 
-/// One event on one line.
+/// Formats an event on one line.
 pub(crate) fn event_text(event: &Event) -> String {
     let inputs: Vec<String> = event
         .inputs
@@ -214,7 +214,7 @@
     text
 }
 
-/// Time of day in UTC.
+/// Formats the time of day in UTC.
 fn clock_text(at_unix_ms: u64) -> String {
     const DAY: u64 = 86_400_000;
     let millis = at_unix_ms % DAY;
--- a/crates/cli/src/console.rs
+++ b/crates/cli/src/console.rs
@@ -1,4 +1,4 @@
-//! Where a command writes.
+//! Output of a command.
 
 use std::io::{self, Write};
 
@@ -6,7 +6,7 @@
 
 use crate::error::CliError;
 
-/// The output of a command: results on one writer, progress on another.
+/// Writers for the results and the progress messages of a command.
 pub struct Console {
     results: Box<dyn Write + Send>,
     progress: Box<dyn Write + Send>,
@@ -23,13 +23,13 @@
 }
 
 impl Console {
-    /// Results on standard output, progress on standard error.
+    /// Creates a console with results on standard output and progress on standard error.
     #[must_use]
     pub fn standard(json: bool) -> Self {
         Self::new(Box::new(io::stdout()), Box::new(io::stderr()), json)
     }
 
-    /// Results and progress on writers of the caller.
+    /// Creates a console with the given writers.
     #[must_use]
     pub fn new(
         results: Box<dyn Write + Send>,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Whether results are JSON for programs.
+    /// Whether results are printed as JSON.
     #[must_use]
     pub fn is_json(&self) -> bool {
         self.json
@@ -68,7 +68,7 @@
         self.line(text)
     }
 
-    /// Writes one line of progress, for people. A closed output is no error.
+    /// Writes one line of progress for people. Write errors, such as a closed output, are ignored.
     pub fn progress(&mut self, text: impl std::fmt::Display) {
         let _ = writeln!(self.progress, "{text}");
     }
--- a/crates/cli/src/demo/batch.rs
+++ b/crates/cli/src/demo/batch.rs
@@ -1,4 +1,4 @@
-//! A batch job: submission, replay, online work beside it, results.
+//! Batch step of the demo: submission, resubmission, concurrent online requests, results.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -17,21 +17,21 @@
 use crate::commands::jobs::{JOBS_PATH, JobView, follow};
 use crate::error::CliError;
 
-/// Items of the job.
+/// Number of items in the job.
 const ITEMS: u32 = 200;
-/// Tokens of each item's answer.
+/// Number of tokens generated per item.
 const TOKENS: u32 = 128;
-/// Key of the job.
+/// Idempotency key of the job.
 const KEY: &str = "memorial-display";
-/// Tenant that submits it.
+/// Tenant that submits the job.
 const TENANT: &str = "hall-1";
-/// Code of a refusal because the key names another job.
+/// Error code: the key belongs to a different job.
 const KEY_CONFLICT: &str = "key_conflict";
-/// Longest time until engines run items.
+/// Timeout for engines to start running items.
 const START_LIMIT: Duration = Duration::from_secs(30);
-/// Time between two looks.
+/// Polling interval.
 const LOOK_INTERVAL: Duration = Duration::from_millis(20);
-/// Online requests that are sent while it runs.
+/// Number of online requests sent while the job runs.
 const ONLINE_REQUESTS: u32 = 20;
 
 /// One line of the results.
@@ -42,7 +42,7 @@
     text: String,
 }
 
-/// Runs a job and reads its results at another gateway.
+/// Runs a job and reads its results from another gateway.
 pub(super) async fn run_job(
     fleet: &DemoFleet,
     guide: &mut Guide<'_>,
@@ -114,8 +114,8 @@
         .query("key", KEY)
 }
 
-/// Submits the job, submits it again elsewhere, and submits another one under
-/// its key.
+/// Submits the job, resubmits it at another gateway, and submits a different job
+/// under the same key.
 async fn submit(
     fleet: &DemoFleet,
     guide: &mut Guide<'_>,
@@ -144,7 +144,7 @@
     Ok(job)
 }
 
-/// Reads the results at the second gateway and checks every line.
+/// Reads the results from the second gateway and checks every line.
 async fn read_results(
     fleet: &DemoFleet,
     job: &str,
--- a/crates/cli/src/demo/fleet.rs
+++ b/crates/cli/src/demo/fleet.rs
@@ -1,4 +1,4 @@
-//! The fleet of the tour: emulated back ends, replicas and gateways.
+//! Fleet of the demo: emulated back ends, replicas and gateways.
 
 use std::fs;
 use std::io;
@@ -25,21 +25,21 @@
 use crate::client::Client;
 use crate::error::CliError;
 
-/// Nodes of each role: one in each zone.
+/// Number of nodes per role: one per zone.
 const NODES_A_ROLE: usize = 3;
-/// Groups that jobs are divided over.
+/// Number of groups that jobs are sharded over.
 const JOB_GROUPS: u32 = 2;
-/// Threads that run the whole fleet.
+/// Number of threads that run the fleet.
 const THREADS: usize = 4;
-/// Time between two heartbeats, and length of the ownership of an engine. Both
-/// are shorter than the defaults, because a new cluster waits for one such
-/// length before its gateways own engines, lest an earlier owner is still there.
+/// Heartbeat interval and duration of the ownership lease of an engine. Both are
+/// shorter than the defaults: a new cluster waits for one lease duration before its
+/// gateways own engines, because an earlier owner may still hold a lease.
 const HEARTBEAT: Duration = Duration::from_millis(250);
 const OWNER_LEASE: Duration = Duration::from_secs(1);
-/// Delay of the platform's machine list.
+/// Lag of the platform's machine list, in milliseconds.
 const PLATFORM_LAG_MS: u64 = 500;
 
-/// Threads that run an executor until this is dropped.
+/// Threads that run an executor until this value is dropped.
 struct Threads {
     _stop: Sender<()>,
 }
@@ -51,7 +51,7 @@
             let executor = executor.clone();
             let stopped = stopped.clone();
             let serve = move || {
-                // Ends with an error once the sender is dropped.
+                // `recv` returns an error once the sender is dropped.
                 let _ = block_on(executor.run(stopped.recv()));
             };
             let name = format!("demo-{number}");
@@ -61,15 +61,15 @@
     }
 }
 
-/// One running node.
+/// A running node.
 #[derive(Debug)]
 pub(super) struct DemoNode {
     pub(super) name: String,
     pub(super) node: Node,
 }
 
-/// A whole fleet in this process, on the loopback interface. Its files are
-/// removed when it is dropped.
+/// A fleet that runs in this process on the loopback interface. Its files are
+/// removed on drop.
 pub struct DemoFleet {
     pub(super) executor: Arc<Executor<'static>>,
     pub(super) gateways: Vec<DemoNode>,
@@ -92,11 +92,11 @@
 }
 
 impl DemoFleet {
-    /// Starts emulated back ends, replicas and gateways. The nodes listen once
-    /// this returns.
+    /// Starts emulated back ends, replicas and gateways. The nodes are listening
+    /// when this returns.
     ///
     /// # Errors
-    /// When a file, address or thread cannot be had, or a node does not start.
+    /// Fails if a file, address or thread cannot be created, or a node does not start.
     pub fn start() -> Result<Self, CliError> {
         let started = Instant::now();
         let executor = Arc::new(Executor::new());
@@ -123,7 +123,7 @@
         })
     }
 
-    /// Says what runs where.
+    /// Prints the members of the fleet and their addresses.
     pub(super) fn describe(&self, guide: &mut Guide<'_>) {
         let members = &self.back_ends.members;
         let engines = members
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Where the gateways listen.
+    /// Returns the HTTP addresses of the gateways.
     #[must_use]
     pub fn gateway_addresses(&self) -> Vec<SocketAddr> {
         let gateways = self.gateways.iter();
@@ -157,26 +157,26 @@
             .collect()
     }
 
-    /// Where every node serves its status, replicas first.
+    /// Returns the HTTP addresses of all nodes, replicas first.
     #[must_use]
     pub fn node_addresses(&self) -> Vec<SocketAddr> {
         let nodes = self.replicas.iter().chain(&self.gateways);
         nodes.map(|node| node.node.http_address()).collect()
     }
 
-    /// A client of every gateway.
+    /// Creates a client of all gateways.
     pub(super) fn client(&self) -> Client {
         Client::new(self.gateway_addresses())
     }
 
-    /// A client of one gateway; numbers beyond the last start again.
+    /// Creates a client of one gateway; `number` wraps around.
     pub(super) fn client_of(&self, number: usize) -> Client {
         let addresses = self.gateway_addresses();
         Client::new(vec![addresses[number % addresses.len()]])
     }
 }
 
-/// Starts the next nodes of the plan.
+/// Starts the nodes of one role: the next `NODES_A_ROLE` settings.
 fn start_nodes(
     plans: &mut impl Iterator<Item = Settings>,
     executor: &Arc<Executor<'static>>,
@@ -193,8 +193,8 @@
     Ok(nodes)
 }
 
-/// Settings of the replicas, then of the gateways, as read from the files that
-/// were written for them.
+/// Writes the settings files and returns the settings read back from them, first
+/// of the replicas, then of the gateways.
 fn node_settings(folder: &Path, back_ends: &Fleet) -> Result<Vec<Settings>, CliError> {
     let zones = FleetSettings::archive().zones;
     let addresses = free_addresses(2 * NODES_A_ROLE)?;
--- a/crates/cli/src/demo/guide.rs
+++ b/crates/cli/src/demo/guide.rs
@@ -1,11 +1,11 @@
-//! What the tour says.
+//! Narration of the demo.
 
 use std::fmt::Display;
 use std::time::Instant;
 
 use crate::console::Console;
 
-/// Says what happens: as the output for people, as progress beside JSON.
+/// Prints the narration: as output for people, as progress if the output is JSON.
 #[derive(Debug)]
 pub(super) struct Guide<'c> {
     console: &'c mut Console,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Begins a chapter.
+    /// Prints the title of the next chapter.
     pub(super) fn chapter(&mut self, title: &str) {
         self.chapters += 1;
         let seconds = self.started.elapsed().as_secs_f64();
@@ -30,7 +30,7 @@
         self.write(format!("\n{chapter}. {title}  ({seconds:.1} s)"));
     }
 
-    /// Says one thing, on one line or more.
+    /// Prints a text, which may have several lines.
     pub(super) fn say(&mut self, text: impl Display) {
         for line in text.to_string().lines() {
             self.write(format!("   {line}"));
@@ -41,12 +41,12 @@
         if self.console.is_json() {
             self.console.progress(line);
         } else {
-            // A reader who has gone away does not end the tour.
+            // A closed output does not end the demo.
             let _ = self.console.line(line);
         }
     }
 
-    /// The console, for commands that write to it themselves.
+    /// Returns the console, for commands that write to it directly.
     pub(super) fn console(&mut self) -> &mut Console {
         self.console
     }
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -1,8 +1,8 @@
-//! A small fleet in one process, as a tour of the system.
+//! The demo: runs a small fleet in one process and shows the main features.
 //!
-//! Replicas, gateways and emulated back ends run on the loopback interface and
-//! in a temporary folder, with synced disks, and everything the tour does goes
-//! through the same HTTP interfaces that callers and operators use.
+//! Replicas, gateways and emulated back ends run on the loopback interface, with
+//! synced writes to a temporary folder. Every step uses the same HTTP API as
+//! callers and operators.
 
 mod batch;
 mod fleet;
@@ -26,10 +26,10 @@
 pub use ports::free_addresses;
 use report::DemoReport;
 
-/// Longest time of the whole tour.
+/// Timeout for the whole demo.
 const TIME_LIMIT: Duration = Duration::from_secs(55);
 
-/// Runs the tour. The last line of the output is its report.
+/// Runs the demo. The last line of the output is its report.
 pub(crate) async fn run(console: &mut Console) -> Result<ExitStatus, CliError> {
     let tour = tour(console);
     let limit = async {
--- a/crates/cli/src/demo/online.rs
+++ b/crates/cli/src/demo/online.rs
@@ -1,4 +1,4 @@
-//! Online requests: plain, streamed, chat and to the application.
+//! Online step of the demo: plain, streamed, chat and application requests.
 
 use std::time::{Duration, Instant};
 
@@ -19,38 +19,38 @@
 use crate::client::{Call, Client};
 use crate::error::CliError;
 
-/// Requests of each form.
+/// Number of requests per form.
 const REQUESTS_A_FORM: u32 = 10;
-/// Tokens of each answer.
+/// Number of tokens per response.
 const TOKENS: u32 = 32;
-/// For how long a request that was refused as not run is sent again.
+/// How long a request that was rejected without being run is retried.
 const PATIENCE: Duration = Duration::from_secs(20);
-/// Wait before another try when the refusal names none.
+/// Delay before a retry if the rejection gives none.
 const RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// Form of a request.
+/// API form of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Form {
-    /// A completion in one piece.
+    /// A completion without streaming.
     Plain,
-    /// A completion as server-sent events.
+    /// A completion streamed as server-sent events.
     Streamed,
-    /// A chat completion in one piece.
+    /// A chat completion without streaming.
     Chat,
 }
 
-/// What became of one request.
+/// Outcome of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Outcome {
     form: Form,
-    /// Refusals before the answer.
+    /// Rejections before the response.
     refusals: u32,
-    /// Whether the answer is whole and the request's own.
+    /// Whether the response is complete and matches the request.
     right: bool,
 }
 
 impl Outcome {
-    /// Whether the answer is whole and the request's own.
+    /// Whether the response is complete and matches the request.
     pub(super) fn is_right(&self) -> bool {
         self.right
     }
@@ -86,7 +86,7 @@
     Ok(())
 }
 
-/// Sends `number` requests at once, spread over the gateways.
+/// Sends `number` concurrent requests, spread over the gateways.
 pub(super) fn send_all(
     fleet: &DemoFleet,
     form: Form,
@@ -101,7 +101,7 @@
     (0..number).map(send).collect()
 }
 
-/// Waits for the outcomes and counts them. Gives how many were right.
+/// Waits for the outcomes and adds them to the report. Returns the number of correct responses.
 pub(super) async fn count(
     tasks: Vec<Task<Result<Outcome, CliError>>>,
     report: &mut DemoReport,
@@ -124,7 +124,7 @@
     Ok(right)
 }
 
-/// Asks once, and again as long as the request is refused as not run.
+/// Sends a request and retries it while it is rejected without being run.
 pub(super) async fn ask(
     client: Client,
     form: Form,
@@ -154,7 +154,7 @@
     }
 }
 
-/// Sends one request and compares the answer with the one it must be.
+/// Sends one request and compares the response with the expected one.
 async fn ask_once(
     client: &Client,
     form: Form,
@@ -229,7 +229,7 @@
     Ok(message.is_some_and(|message| message.content == expected))
 }
 
-/// Reads from the application service through every gateway.
+/// Sends a request to the application service through every gateway.
 async fn ask_application(fleet: &DemoFleet, report: &mut DemoReport) -> Result<(), CliError> {
     for number in 0..fleet.gateways.len() {
         let path = format!("/services/{ALBUM_SERVICE}/albums/{number}");
--- a/crates/cli/src/demo/operator.rs
+++ b/crates/cli/src/demo/operator.rs
@@ -1,4 +1,4 @@
-//! An operator creates the services: intent, plan, confirmation.
+//! Operator step of the demo: creates the services by intent, plan and confirmation.
 
 use std::time::{Duration, Instant};
 
@@ -15,15 +15,15 @@
 use crate::error::CliError;
 use crate::intent::{Edit, Intent, apply_edits};
 
-/// Service that the engines serve.
+/// Service run by the engines.
 pub(super) const CAPTION_SERVICE: &str = "caption";
-/// Service that the application back ends serve.
+/// Service run by the application back ends.
 pub(super) const ALBUM_SERVICE: &str = "albums";
-/// Longest time until every gateway is ready or has a version in force.
+/// Timeout for every gateway to be ready or to apply a version.
 const SETTLE_LIMIT: Duration = Duration::from_secs(30);
-/// Time between two looks.
+/// Polling interval.
 const LOOK_INTERVAL: Duration = Duration::from_millis(50);
-/// What the operator types.
+/// Edits made by the operator.
 const EDITS: [&str; 5] = [
     "model.caption.version=1",
     "service.caption.model=caption",
@@ -32,7 +32,7 @@
     "tenant.hall-1.batch_weight=2",
 ];
 
-/// Answer of `GET /ready`.
+/// Response of `GET /ready`.
 #[derive(Clone, Debug, Deserialize)]
 struct Ready {
     ready: bool,
@@ -89,8 +89,8 @@
     ))
 }
 
-/// Confirms, and confirms again through another gateway as if the answer had
-/// been lost.
+/// Confirms the intent twice, the second time through another gateway, as a client
+/// does whose first response was lost.
 async fn confirm_twice(
     fleet: &DemoFleet,
     guide: &mut Guide<'_>,
@@ -112,7 +112,7 @@
     }
 }
 
-/// Another operator uses the same number for something else.
+/// Shows that an intent of another operator with the same number is rejected.
 async fn show_rival(
     fleet: &DemoFleet,
     guide: &mut Guide<'_>,
@@ -134,8 +134,8 @@
     Ok(())
 }
 
-/// Waits until every gateway reads the configuration of the new cluster. None
-/// is ready yet: there is nothing to serve before the first change.
+/// Waits until every gateway returns the configuration of the new cluster. Doesn't
+/// wait for readiness: there is nothing to serve before the first change.
 async fn wait_until_founded(fleet: &DemoFleet) -> Result<(), CliError> {
     let started = Instant::now();
     let call = Call::get("/admin/configuration");
--- a/crates/cli/src/demo/report.rs
+++ b/crates/cli/src/demo/report.rs
@@ -1,45 +1,45 @@
-//! What the tour found out.
+//! Report of the demo.
 
 use serde::Serialize;
 
 use crate::console::Console;
 use crate::error::{CliError, ExitStatus};
 
-/// Counts of the tour, seen from the callers' side.
+/// Counts of the demo as observed by callers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub(super) struct DemoReport {
     /// Online requests sent.
     pub(super) online_requests: u32,
-    /// Online requests whose whole own answer arrived.
+    /// Online requests with a complete and correct response.
     pub(super) online_completed: u32,
-    /// Those of them that were streamed.
+    /// Completed online requests that were streamed.
     pub(super) online_streamed: u32,
-    /// Those of them that were sent while batch items ran.
+    /// Completed online requests that were sent while batch items ran.
     pub(super) online_during_batch: u32,
-    /// Refusals on the way, each followed by another try at the time it named.
+    /// Rejections of online requests, each retried after the given delay.
     pub(super) online_refusals: u32,
-    /// Answers that were wrong, cut or somebody else's.
+    /// Responses that were wrong, truncated or meant for another request.
     pub(super) online_wrong: u32,
-    /// Requests to the application service that were answered.
+    /// Requests to the application service that succeeded.
     pub(super) application_completed: u32,
-    /// Items of the job.
+    /// Number of items in the job.
     pub(super) batch_items: u32,
     /// Items with a result.
     pub(super) batch_completed: u32,
-    /// Items with more than one result, and second jobs made by a replay.
+    /// Surplus results of items, plus additional jobs created by a resubmission.
     pub(super) batch_duplicates: u32,
-    /// Results that were read at another gateway and have the right text.
+    /// Results read from another gateway that have the expected text.
     pub(super) results_readable: u32,
-    /// Decisions that were watched.
+    /// Number of decisions read from the event streams.
     pub(super) decisions_watched: u32,
-    /// Requests that a planned stop cut off.
+    /// Requests that failed because of a planned stop.
     pub(super) cut_off_by_stop: u32,
-    /// Time of the whole tour, in milliseconds.
+    /// Duration of the demo, in milliseconds.
     pub(super) elapsed_ms: u64,
 }
 
 impl DemoReport {
-    /// Whether everything came out as it must.
+    /// Whether every count has its expected value.
     fn is_good(&self) -> bool {
         self.online_completed == self.online_requests
             && self.batch_completed == self.batch_items
@@ -47,7 +47,7 @@
             && self.batch_duplicates + self.online_wrong + self.cut_off_by_stop == 0
     }
 
-    /// The exit code of the tour.
+    /// Returns the exit code of the demo.
     pub(super) fn exit_status(&self) -> ExitStatus {
         if self.is_good() {
             ExitStatus::Success
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Shows it as the last line.
+    /// Prints the report as the last line.
     pub(super) fn show(&self, console: &mut Console) -> Result<(), CliError> {
         if console.is_json() {
             return console.json_line(self);
--- a/crates/cli/src/demo/stop.rs
+++ b/crates/cli/src/demo/stop.rs
@@ -1,4 +1,4 @@
-//! Planned stops: one gateway under load, then everything.
+//! Planned stops: one gateway under load, then the whole fleet.
 
 use std::time::{Duration, Instant};
 
@@ -11,14 +11,14 @@
 use crate::client::Client;
 use crate::error::CliError;
 
-/// Streams in flight when the gateway is told to stop.
+/// Number of streams in flight when the gateway is stopped.
 const STREAMS: u32 = 8;
-/// Tokens of each of them: about a second.
+/// Tokens per stream, which take about one second.
 const TOKENS: u32 = 200;
-/// Time for the streams to begin.
+/// Delay for the streams to start.
 const HEAD_START: Duration = Duration::from_millis(200);
 
-/// Stops one gateway as planned while streams run through it.
+/// Stops one gateway gracefully while it serves streams.
 pub(super) async fn stop_gateway_under_load(
     fleet: &mut DemoFleet,
     guide: &mut Guide<'_>,
--- a/crates/cli/src/demo/watching.rs
+++ b/crates/cli/src/demo/watching.rs
@@ -1,4 +1,4 @@
-//! What was decided so far, as `molespan watch` would have shown it.
+//! Shows the decisions made so far, as `molespan watch` prints them.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -15,11 +15,11 @@
 use crate::commands::watch::{EVENTS_PATH, event_text, read_event};
 use crate::error::CliError;
 
-/// Earlier events that are asked for.
+/// Number of earlier events requested.
 const HISTORY: u32 = 100_000;
-/// Silence after which the history counts as read.
+/// Time without an event after which the history counts as fully read.
 const SILENCE: Duration = Duration::from_millis(300);
-/// Longest time of reading; decisions go on being made.
+/// Timeout for reading, because new decisions keep arriving.
 const LIMIT: Duration = Duration::from_secs(3);
 
 /// Counts the decisions of every node by kind, with an example of each.
@@ -46,7 +46,7 @@
     Ok(())
 }
 
-/// The events that a node still has.
+/// Returns the events that a node still holds.
 async fn read_history(client: &Client, node: SocketAddr) -> Result<Vec<Event>, CliError> {
     let call = Call::get(EVENTS_PATH).query("history", HISTORY);
     let mut stream = client.send_to(node, &call).await?.events();
--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -9,20 +9,20 @@
 use molespan_http::SendError;
 use molespan_types::RunOutcome;
 
-/// What the process ends with.
+/// Exit code of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExitStatus {
-    /// Done.
+    /// The command succeeded.
     Success = 0,
-    /// The system refused, or the command failed; the message says which.
+    /// The system rejected the request, or the command failed; the message gives the reason.
     Refused = 1,
-    /// The command line is wrong.
+    /// The command line is invalid.
     Usage = 2,
     /// A file has findings, or a plan has problems.
     Findings = 3,
-    /// No gateway answered and nothing was sent.
+    /// No gateway was reachable and no request was sent.
     Unreachable = 4,
-    /// The answer was lost or makes no sense; sending the same command again is safe and tells.
+    /// The response was lost or invalid. Repeating the command is safe and returns the outcome.
     Unknown = 5,
     /// The job ended with items that did not complete.
     Incomplete = 6,
@@ -34,42 +34,42 @@
     }
 }
 
-/// Why a command did not do its work.
+/// Error of a command.
 #[derive(Debug, Display, Error, From)]
 pub enum CliError {
-    /// The command line makes no sense.
+    /// The command line is invalid.
     #[display("{_0}")]
     #[from(skip)]
     Usage(#[error(not(source))] String),
-    /// A file or a list of edits has faults.
+    /// A file or a list of edits has errors.
     #[display("{}", _0.join("\n"))]
     #[from(skip)]
     Findings(#[error(not(source))] Vec<String>),
-    /// The gateway refused.
+    /// The gateway rejected the request.
     #[display("{} (code {}, outcome {}){}", _0.message, _0.code, _0.outcome, retry_text(_0))]
     #[from(skip)]
     Refused(#[error(not(source))] ErrorDetail),
-    /// The gateway answered with something else than the interface says.
+    /// The response of the gateway does not match the API.
     #[display("unexpected answer from {gateway}: {what}")]
     #[from(skip)]
     Unexpected {
-        /// Gateway.
+        /// Address of the gateway.
         gateway: String,
-        /// What is wrong with it.
+        /// Description of the mismatch.
         what: String,
     },
-    /// No gateway answered.
+    /// No gateway responded.
     #[display("no gateway answered: {_0}")]
     #[from(skip)]
     Unanswered(SendError),
-    /// The control nodes did not answer in time.
+    /// The request to the control nodes failed or timed out.
     #[display("{_0}")]
     #[from(skip)]
     Control(ClusterError),
     /// The operator did not confirm.
     #[display("not confirmed, nothing has changed")]
     Declined,
-    /// A step of the demo did not do what it should.
+    /// A step of the demo failed.
     #[display("{_0}")]
     #[from(skip)]
     Failed(#[error(not(source))] String),
@@ -85,13 +85,13 @@
 }
 
 impl CliError {
-    /// Whether the reader of the output has gone away.
+    /// Whether the reader closed the output (broken pipe).
     #[must_use]
     pub fn is_closed_output(&self) -> bool {
         matches!(self, Self::Io(error) if error.kind() == io::ErrorKind::BrokenPipe)
     }
 
-    /// The exit code of this error.
+    /// Returns the exit code for this error.
     #[must_use]
     pub fn status(&self) -> ExitStatus {
         match self {
--- a/crates/cli/src/flags.rs
+++ b/crates/cli/src/flags.rs
@@ -8,21 +8,21 @@
 use std::path::PathBuf;
 
 xflags::xflags! {
-    /// Operates molespan and hands it batch jobs.
+    /// Operates molespan and submits batch jobs.
     ///
     /// Exit codes: 0 done, 1 refused or failed, 2 wrong command line,
     /// 3 findings or problems, 4 no gateway answered, 5 outcome unknown,
     /// 6 the job ended with items that did not complete.
     cmd molespan {
-        /// Gateways as IP:PORT, separated by commas; the first that answers is
+        /// Gateways as IP:PORT, separated by commas; the first that responds is
         /// used. Default: $MOLESPAN_GATEWAY, else 127.0.0.1:7780.
         optional -g, --gateway addresses: String
-        /// Prints JSON for programs in place of text for people.
+        /// Prints JSON instead of text.
         optional --json
 
-        /// Shows what an intent would do. Nothing changes.
+        /// Shows the effects of an intent without changing anything.
         cmd plan {
-            /// JSON file of the intent: changes, and if you like number,
+            /// JSON file of the intent: changes, and optionally number,
             /// operator and base_version.
             optional file: PathBuf
             /// Sets one field, such as service.captions.replicas=6,
@@ -32,20 +32,20 @@
             repeated --delete subject: String
             /// Number of the intent; default: the version in force plus one.
             optional --number number: u64
-            /// Who intends it; default: $USER.
+            /// Name of the operator; default: $USER.
             optional --operator name: String
             /// File to write the whole intent to, for molespan apply FILE.
             optional --save target: PathBuf
         }
 
-        /// Confirms a plan. Sending it again is safe.
+        /// Confirms a plan. Repeating the command is safe.
         cmd apply {
             /// Number of a plan made at one of the gateways, or the JSON file
             /// of an intent, which is planned, shown and confirmed.
             required plan: String
             /// Confirms without asking.
             optional -y, --yes
-            /// Who confirms; default: $USER.
+            /// Name of the operator; default: $USER.
             optional --operator name: String
         }
 
@@ -61,27 +61,27 @@
             /// Tenant that the job belongs to; default: $MOLESPAN_TENANT.
             optional --tenant tenant: String
 
-            /// Submits a job. Submitting it again under its key is safe.
+            /// Submits a job. Submitting it again with the same key is safe.
             cmd submit {
                 /// JSON lines, each {"prompt": …, "max_tokens": …}.
                 required file: PathBuf
                 /// Service that runs it.
                 required --service service: String
-                /// Names the job; the same key gives the same job.
+                /// Idempotency key; the same key returns the same job.
                 required --key key: String
-                /// Time until it should be done, such as 30min.
+                /// Time within which the job should be done, such as 30min.
                 optional --deadline duration: String
-                /// Each item runs at most once.
+                /// Runs each item at most once.
                 optional --not-repeatable
-                /// Waits until it has ended, with its progress on standard error.
+                /// Waits until the job has ended; prints its progress to standard error.
                 optional --wait
             }
 
-            /// Shows where a job stands.
+            /// Shows the state of a job.
             cmd status {
                 /// Job, as job-….
                 required id: String
-                /// Waits until it has ended.
+                /// Waits until the job has ended.
                 optional --wait
             }
 
@@ -89,9 +89,9 @@
             cmd results {
                 /// Job, as job-….
                 required id: String
-                /// First item.
+                /// First item to print.
                 optional --from item: u32
-                /// File to write to in place of standard output.
+                /// File to write to instead of standard output.
                 optional -o, --output file: PathBuf
             }
 
@@ -106,21 +106,21 @@
             }
         }
 
-        /// Follows the decisions of every given node as they are made. Replicas
-        /// tell of leaders and repairs, gateways of everything else.
+        /// Prints the decisions of every given node as they are made. Replicas
+        /// report leaders and repairs, gateways everything else.
         cmd watch {
-            /// Only this kind, such as route, refuse, preempt or place.
+            /// Shows only this kind, such as route, refuse, preempt or place.
             repeated --kind kind: String
-            /// Only subjects that contain this text.
+            /// Shows only subjects that contain this text.
             optional --subject text: String
-            /// Starts with so many earlier events of each gateway.
+            /// Number of earlier events of each gateway to start with.
             optional --history events: u64
-            /// Ends after so many events.
+            /// Number of events after which to exit.
             optional --count events: u64
         }
 
-        /// Requests that no engine gets any more, since engines ended under them.
-        /// For clusters that find their members.
+        /// Requests that are barred from all engines because they crashed engines.
+        /// For clusters with member discovery.
         cmd bars {
             /// Control nodes as IP:PORT of their internal port, separated by commas.
             required --control addresses: String
@@ -129,24 +129,24 @@
             cmd show {
             }
 
-            /// Lets a request through again; it may end engines again. Sending it
-            /// again is safe.
+            /// Lifts the bar on a request, which may crash engines again. Repeating
+            /// the command is safe.
             cmd lift {
-                /// Digest of the request, as the list and the logs show it.
+                /// Digest of the request, as shown in the list and the logs.
                 required digest: String
             }
         }
 
         /// Settings files of molespand.
         cmd settings {
-            /// Checks a file and prints every finding with its place.
+            /// Checks a file and prints every finding with its location.
             cmd check {
                 /// TOML file.
                 required file: PathBuf
             }
         }
 
-        /// Runs a small fleet in this process and shows what it does.
+        /// Runs a small fleet in this process as a demonstration.
         cmd demo {
         }
     }
--- a/crates/cli/src/gateways.rs
+++ b/crates/cli/src/gateways.rs
@@ -1,18 +1,18 @@
-//! Which gateways a command talks to.
+//! Addresses of the gateways that a command contacts.
 
 use std::net::SocketAddr;
 
 use crate::error::CliError;
 
-/// Environment variable that names gateways when no flag does.
+/// Environment variable with the gateways to use if the flag is not given.
 pub const GATEWAY_VARIABLE: &str = "MOLESPAN_GATEWAY";
-/// Gateway that is used when nothing names one.
+/// Gateway used if neither the flag nor the variable is set.
 const DEFAULT_GATEWAY: &str = "127.0.0.1:7780";
 
-/// The gateways of the flag, else of the environment, else the default one.
+/// Returns the gateways from the flag, else from the environment, else the default.
 ///
 /// # Errors
-/// When one of them is no IP number with a port; each is named.
+/// Lists every entry that is not an IP address with a port.
 pub fn gateway_addresses(
     flag: Option<&str>,
     variable: Option<&str>,
@@ -20,10 +20,10 @@
     addresses("gateway", flag.or(variable).unwrap_or(DEFAULT_GATEWAY))
 }
 
-/// The addresses in a list, separated by commas.
+/// Parses a comma-separated list of addresses.
 ///
 /// # Errors
-/// When one of them is no IP number with a port; each is named.
+/// Lists every entry that is not an IP address with a port.
 pub(crate) fn addresses(what: &str, list: &str) -> Result<Vec<SocketAddr>, CliError> {
     let mut addresses = Vec::new();
     let mut faults = Vec::new();
--- a/crates/cli/src/intent.rs
+++ b/crates/cli/src/intent.rs
@@ -1,4 +1,4 @@
-//! Intents: from a file or from edits on the command line.
+//! Parses intents from files and builds them from edits on the command line.
 
 use std::collections::BTreeMap;
 
@@ -9,27 +9,27 @@
 
 use crate::error::CliError;
 
-/// What an operator wants to change. What is missing is filled in from the
-/// configuration in force.
+/// Configuration changes requested by an operator. Missing fields are filled in
+/// from the configuration in force.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Intent {
-    /// Number by which the intent is known to all operators.
+    /// Number that identifies the intent to all operators.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub number: Option<u64>,
-    /// Who intends it.
+    /// Name of the operator.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub operator: Option<String>,
-    /// Version that it starts from.
+    /// Configuration version that the intent is based on.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub base_version: Option<ConfigVersion>,
-    /// What to change.
+    /// Requested changes.
     pub changes: Vec<Change>,
 }
 
-/// Reads an intent's JSON. A field that nobody knows is a finding.
+/// Parses an intent from JSON. Unknown fields are findings.
 ///
 /// # Errors
-/// Every unknown field, or why the text is no intent.
+/// Returns every unknown field, or the parse error.
 pub fn parse_intent(text: &str) -> Result<Intent, CliError> {
     let finding = |error: serde_json::Error| CliError::Findings(vec![error.to_string()]);
     let written: Value = serde_json::from_str(text).map_err(finding)?;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Finds fields of `written` that were not understood.
+/// Collects the fields of `written` that are missing from `understood`.
 fn find_unknown(written: &Value, understood: &Value, path: &str, unknown: &mut Vec<String>) {
     match (written, understood) {
         (Value::Object(written), Value::Object(understood)) => {
@@ -69,7 +69,7 @@
     }
 }
 
-/// One edit of the command line.
+/// An edit given on the command line.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Edit {
     /// `KIND.NAME.FIELD=VALUE`, or `policy.FIELD=VALUE`.
@@ -78,17 +78,17 @@
     Delete(String),
 }
 
-/// What an edit is about, such as service `captions`.
+/// Object that an edit applies to, such as service `captions`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Subject {
     kind: String,
     name: String,
 }
 
-/// The changes that `edits` make to `configuration`, one a subject.
+/// Returns the changes that `edits` make to `configuration`, one per subject.
 ///
 /// # Errors
-/// Every edit that makes no sense.
+/// Returns a finding for every invalid edit.
 pub fn apply_edits(configuration: &Configuration, edits: &[Edit]) -> Result<Vec<Change>, CliError> {
     let mut objects: BTreeMap<Subject, Value> = BTreeMap::new();
     let mut changes = Vec::new();
@@ -113,7 +113,7 @@
     }
 }
 
-/// Makes one assignment on the JSON of its subject.
+/// Applies one assignment to the JSON of its subject.
 fn set(
     configuration: &Configuration,
     edits: &[Edit],
@@ -168,7 +168,7 @@
     }
 }
 
-/// The JSON of a subject as it is, or what a new one starts from.
+/// Returns the current JSON of a subject, or the defaults of a new one.
 fn current(
     configuration: &Configuration,
     edits: &[Edit],
@@ -189,8 +189,8 @@
     Ok(template(&subject.kind))
 }
 
-/// What a new application service starts from: it runs no batch items and
-/// holds no model.
+/// Returns the defaults of a new application service, which runs no batch items
+/// and loads no model.
 fn application_template() -> Value {
     let mut service = template("service");
     service["batch"] = Value::Bool(false);
@@ -198,7 +198,7 @@
     service
 }
 
-/// What a new subject starts from.
+/// Returns the defaults of a new subject.
 fn template(kind: &str) -> Value {
     match kind {
         "service" => json!({
@@ -212,7 +212,7 @@
     }
 }
 
-/// The change that puts an edited object.
+/// Returns the change that stores an edited object.
 fn put(subject: &Subject, object: Value) -> Result<Change, String> {
     let change = match subject.kind.as_str() {
         "service" => json!({"change": "put_service", "name": subject.name, "service": object}),
@@ -225,7 +225,7 @@
         .map_err(|error| format!("{} {}: {error}", subject.kind, subject.name))
 }
 
-/// The change that removes a subject.
+/// Returns the change that removes a subject.
 fn delete(text: &str) -> Result<Change, String> {
     let subject = parse_subject(text)?;
     let name = subject.name.as_str();
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -1,10 +1,10 @@
 //! The `molespan` command line, for operators and callers.
 //!
-//! Every command talks to the HTTP interface of a gateway. Nothing it sends is
-//! harmed by sending it again: plans change nothing, confirmations are known
-//! by their number and jobs by their key. So a call whose answer is lost goes
-//! to the next gateway of the list. `bars` alone talks to control nodes of clusters
-//! that find their members, over the protocol between nodes.
+//! Commands use the HTTP API of a gateway. Every request is idempotent: plans
+//! change nothing, confirmations are identified by their number and jobs by their
+//! key. A request whose response is lost is therefore retried at the next gateway
+//! in the list. Only `bars` contacts the control nodes, in clusters with member
+//! discovery, over the internal protocol between nodes.
 
 mod client;
 mod commands;
@@ -32,7 +32,7 @@
 pub use rows::{kind_columns, table_of};
 pub use table::Table;
 
-/// Runs the command that the process was started with.
+/// Runs the command given by the process arguments.
 #[must_use]
 pub fn run_from_environment() -> ExitCode {
     let mut console = Console::standard(false);
@@ -44,7 +44,7 @@
         }
         Err(error) => {
             console.progress(format!("molespan: {error}"));
-            console.progress("molespan --help names every command");
+            console.progress("run molespan --help for a list of commands");
             return ExitStatus::Usage.into();
         }
     };
@@ -53,11 +53,11 @@
     end(result, &mut console)
 }
 
-/// Says what went wrong, if anything did, and gives the exit code.
+/// Prints an error, if there is one, and returns the exit code.
 fn end(result: Result<ExitStatus, CliError>, console: &mut Console) -> ExitCode {
     match result {
         Ok(status) => status.into(),
-        // Whoever read the output has seen enough, as `head` does.
+        // The reader of the output closed it, as `head` does; this is not a failure.
         Err(error) if error.is_closed_output() => ExitStatus::Success.into(),
         Err(error) => {
             console.progress(format!("molespan: {error}"));
--- a/crates/cli/src/rows.rs
+++ b/crates/cli/src/rows.rs
@@ -1,4 +1,4 @@
-//! From the JSON of a listing to a table.
+//! Converts the JSON of a listing to a table.
 
 use std::collections::BTreeSet;
 
@@ -6,8 +6,8 @@
 
 use crate::table::Table;
 
-/// Columns that come first, by kind. Further fields follow in the order of the
-/// alphabet, so that a newer gateway's fields are shown as well.
+/// Leading columns by kind. Other fields follow in alphabetical order, so that
+/// fields added by newer gateways are shown too.
 const COLUMNS: [(&str, &[&str]); 10] = [
     (
         "services",
@@ -62,14 +62,14 @@
     ),
 ];
 
-/// The columns that come first for `kind`.
+/// Returns the leading columns for `kind`.
 #[must_use]
 pub fn kind_columns(kind: &str) -> &'static [&'static str] {
     let known = COLUMNS.iter().find(|(name, _)| *name == kind);
     known.map_or(&[], |(_, columns)| columns)
 }
 
-/// The table of a listing: a list of objects, or objects by name.
+/// Builds a table from a list of objects or a map of objects by name.
 #[must_use]
 pub fn table_of(kind: &str, listing: &Value) -> Table {
     let rows: Vec<Map<String, Value>> = rows(kind, listing);
@@ -93,7 +93,7 @@
     table
 }
 
-/// The rows of a listing, each flattened to dotted fields.
+/// Returns the rows of a listing, each flattened to dotted fields.
 fn rows(kind: &str, listing: &Value) -> Vec<Map<String, Value>> {
     match listing {
         Value::Array(elements) => elements.iter().map(flat).collect(),
@@ -106,7 +106,7 @@
     }
 }
 
-/// Objects by name as rows with that name.
+/// Converts a map of objects to rows with a `name` field.
 fn named_rows(fields: &Map<String, Value>) -> Vec<Map<String, Value>> {
     let row = |(name, value): (&String, &Value)| {
         let mut row = flat(value);
@@ -116,7 +116,7 @@
     fields.iter().map(row).collect()
 }
 
-/// Nested objects as dotted fields.
+/// Flattens nested objects to dotted fields.
 fn flat(value: &Value) -> Map<String, Value> {
     let mut fields = Map::new();
     flatten(value, "", &mut fields);
@@ -142,7 +142,7 @@
     }
 }
 
-/// One value as people read it.
+/// Formats one value for people.
 fn cell(value: &Value) -> String {
     match value {
         Value::Null => String::new(),
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,13 +1,13 @@
-//! Tables for people.
+//! Plain-text tables.
 
 use std::fmt;
 
-/// Space between two columns.
+/// Separator between columns.
 const GAP: &str = "  ";
-/// Shown where a cell has nothing.
+/// Placeholder for an empty cell.
 const NOTHING: &str = "-";
 
-/// Rows under titles; columns are as wide as their widest cell.
+/// A table with a title row. Each column is as wide as its widest cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
     titles: Vec<String>,
@@ -15,7 +15,7 @@
 }
 
 impl Table {
-    /// A table without rows.
+    /// Creates a table without rows.
     #[must_use]
     pub fn new(titles: Vec<String>) -> Self {
         Self {
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Adds a row. Missing cells stay empty; line breaks become spaces.
+    /// Adds a row. Missing cells are left empty; line breaks and tabs become spaces.
     pub fn push(&mut self, mut cells: Vec<String>) {
         cells.resize(self.titles.len(), String::new());
         for cell in &mut cells {
--- a/crates/cli/tests/binary.rs
+++ b/crates/cli/tests/binary.rs
@@ -1,4 +1,4 @@
-//! The binary: exit codes, and where it writes what.
+//! Exit codes and output streams of the binary.
 
 mod support;
 
@@ -66,7 +66,7 @@
         (&["get", "secrets"], 2),
         (&["watch", "--kind", "gossip"], 2),
         (&submit, 3),
-        // Nobody listens on port 1.
+        // No process listens on port 1.
         (&["get", "nodes", "--gateway", "127.0.0.1:1"], 4),
     ];
     for (arguments, code) in cases {
--- a/crates/cli/tests/command_line.rs
+++ b/crates/cli/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The grammar of the command line.
+//! Parsing of the command line.
 
 use std::ffi::OsString;
 
--- a/crates/cli/tests/demo.rs
+++ b/crates/cli/tests/demo.rs
@@ -1,4 +1,4 @@
-//! The demo, as a newcomer and as a program run it.
+//! The demo, run with JSON output.
 
 mod support;
 
--- a/crates/cli/tests/fleet_contract.rs
+++ b/crates/cli/tests/fleet_contract.rs
@@ -1,4 +1,4 @@
-//! The command line against a whole fleet: every command, end to end.
+//! End-to-end tests of every command against a fleet.
 
 mod support;
 
@@ -11,9 +11,9 @@
 use support::{molespan, text};
 use tempfile::TempDir;
 
-/// Longest wait for anything.
+/// Timeout for every wait.
 const LIMIT: Duration = Duration::from_secs(30);
-/// Kinds that `get` shows.
+/// Kinds accepted by `get`.
 const KINDS: [&str; 12] = [
     "services",
     "models",
@@ -29,14 +29,14 @@
     "configuration",
 ];
 
-/// Runs of the binary against one fleet.
+/// Runs the binary against one fleet.
 struct Session<'a> {
     folder: &'a Path,
     gateways: String,
 }
 
 impl Session<'_> {
-    /// Exit code and standard output of one command.
+    /// Returns the exit code and standard output of one command.
     fn run(&self, line: &str) -> (Option<i32>, String) {
         let mut arguments: Vec<&str> = line.split_whitespace().collect();
         arguments.extend(["--gateway", &self.gateways]);
@@ -48,14 +48,14 @@
         )
     }
 
-    /// Standard output of a command that must succeed.
+    /// Returns the standard output of a command that must succeed.
     fn succeed(&self, line: &str) -> String {
         let (code, printed) = self.run(line);
         assert_eq!(code, Some(0), "{line}: {printed}");
         printed
     }
 
-    /// Runs a command until it succeeds: the fleet may still be settling.
+    /// Retries a command until it succeeds, because the fleet may still be starting.
     fn eventually(&self, line: &str) -> String {
         let started = Instant::now();
         loop {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The JSON of a command that must succeed.
+    /// Returns the JSON output of a command that must succeed.
     fn json(&self, line: &str) -> Value {
         let printed = self.succeed(&format!("{line} --json"));
         let first = printed.lines().next().expect("a line");
@@ -93,7 +93,7 @@
     check_metrics(&fleet);
 }
 
-/// Every metric of every node is explained to operators.
+/// Checks that every metric of every node is documented for operators.
 fn check_metrics(fleet: &DemoFleet) {
     let page = include_str!("../../../docs/OPERATIONS.md");
     for address in fleet.node_addresses() {
@@ -115,7 +115,7 @@
     gateways.join(",")
 }
 
-/// A plan changes nothing, its confirmation does, and again gives the same.
+/// Checks that a plan changes nothing, and that confirming it twice returns the same result.
 fn plan_and_apply(session: &Session<'_>) {
     session.eventually("get configuration");
     let (code, printed) = session.run("plan --set service.caption.model=missing");
@@ -182,7 +182,7 @@
     );
 }
 
-/// A replica tells who leads.
+/// Checks that the event stream of a replica reports the leader.
 fn watch_a_replica(fleet: &DemoFleet, folder: &Path) {
     let replica = fleet.node_addresses()[0].to_string();
     let line = [
--- a/crates/cli/tests/gateway_contract.rs
+++ b/crates/cli/tests/gateway_contract.rs
@@ -1,4 +1,4 @@
-//! What the command line sends to a gateway, and what it makes of each answer.
+//! Requests sent to a gateway and the handling of each response.
 
 mod support;
 
@@ -23,7 +23,7 @@
     "completed":0,"failed":0,"unknown":0,"leased":0,"tenant":"hall-1","key":"k",
     "service":"caption","deadline_unix_seconds":9}"#;
 
-/// A gateway that answers each path with one status and body.
+/// Starts a gateway that returns a fixed status and body per path.
 fn gateway(answers: &'static [(&'static str, u16, &'static str)]) -> PreparedGateway {
     PreparedGateway::start(move |request, _| {
         let path = request.url().path();
@@ -34,7 +34,7 @@
     })
 }
 
-/// Takes a request and closes without an answer.
+/// Starts a gateway that reads a request and closes the connection without a response.
 fn silent_gateway() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
     let address = listener.local_addr().expect("an address");
@@ -106,7 +106,7 @@
     .assert_eq(&stdout);
 }
 
-/// One answer to a confirmation, the exit code and what is printed.
+/// Checks the exit code and the output for one response to a confirmation.
 fn check_confirmation(status: u16, body: &'static str, code: i32, expected: &Expect) {
     let gateway = PreparedGateway::start(move |_, _| {
         text_response(StatusCode::try_from(status).expect("a status"), body)
@@ -239,7 +239,7 @@
     .assert_eq(&gateway.asked().join("\n"));
 }
 
-/// Waits for a job whose state changes from one look to the next.
+/// Checks the exit code of waiting for a job whose state changes between polls.
 fn check_wait(last_state: &'static str, completed: u32, code: i32) {
     let looks = AtomicU32::new(0);
     let gateway = PreparedGateway::start(move |_, _| {
@@ -256,7 +256,7 @@
     let (found, stdout, stderr) = run(&[gateway.address], &line);
     assert_eq!(found, Some(code), "{stdout}{stderr}");
     assert!(stdout.contains(last_state), "{stdout}");
-    assert!(stderr.contains("running"), "progress is told: {stderr}");
+    assert!(stderr.contains("running"), "progress is printed: {stderr}");
 }
 
 #[test]
@@ -271,7 +271,7 @@
     let gateway = PreparedGateway::start(|_, _| {
         let (writer, response) = event_response(4);
         let line = b"{\"item\":0,\"outcome\":\"completed\",\"text\":\"a\"}\n".to_vec();
-        // Dropping the writer cuts the response.
+        // Dropping the writer truncates the response.
         async_io::block_on(writer.send_bytes(line)).expect("room for one line");
         response
     });
@@ -282,7 +282,7 @@
     assert_eq!(code, Some(5), "{stderr}");
 }
 
-/// A watch of which each opening brings one event and then breaks.
+/// Starts a gateway whose event stream breaks after one event per connection.
 fn breaking_watch() -> PreparedGateway {
     let opened = AtomicU32::new(0);
     PreparedGateway::start(move |_, _| -> Response {
--- a/crates/cli/tests/intents.rs
+++ b/crates/cli/tests/intents.rs
@@ -1,4 +1,4 @@
-//! Intents from files and from edits.
+//! Parsing of intent files and edits.
 
 use expect_test::{Expect, expect};
 use molespan_cli::{Edit, apply_edits, parse_intent};
--- a/crates/cli/tests/ports.rs
+++ b/crates/cli/tests/ports.rs
@@ -1,4 +1,4 @@
-//! Ports of the processes of a demo fleet.
+//! Port selection for the processes of a fleet.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
     let addresses = free_addresses(12).expect("free ports");
     let ports: BTreeSet<u16> = addresses.iter().map(|address| address.port()).collect();
     assert_eq!(ports.len(), 12);
-    // A connection gets one of these as soon as it is made.
+    // Ephemeral ports, which the system assigns to outgoing connections.
     let range = std::fs::read_to_string("/proc/sys/net/ipv4/ip_local_port_range");
     let range = range.expect("the range of ports for connections");
     let first: u16 = range
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway with prepared answers, and runs of the binary against it.
+//! A fake gateway with canned responses, and helpers that run the binary.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -13,16 +13,16 @@
 use async_io::block_on;
 use molespan_http::{Request, Response, Server, ServerLimits};
 
-/// A server that answers as a test says and notes what it was asked.
+/// HTTP server with test-defined responses that records its requests.
 pub struct PreparedGateway {
-    /// Where it listens.
+    /// Address of the server.
     pub address: SocketAddr,
     asked: Arc<Mutex<Vec<String>>>,
     _stop: Sender<()>,
 }
 
 impl PreparedGateway {
-    /// Serves until it is dropped. `answer` gets the request and its body.
+    /// Starts a server that runs until drop. `answer` receives the request and its body.
     pub fn start(answer: impl Fn(&Request, &str) -> Response + Send + Sync + 'static) -> Self {
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
         let server = Server::bind(address, ServerLimits::default()).expect("an address");
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Method, path and query of each request so far.
+    /// Returns the method, path and query of each request so far.
     pub fn asked(&self) -> Vec<String> {
         self.asked
             .lock()
@@ -81,7 +81,7 @@
         .expect("the binary runs")
 }
 
-/// Output as text.
+/// Converts output to text.
 pub fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
--- a/crates/cli/tests/tables.rs
+++ b/crates/cli/tests/tables.rs
@@ -1,4 +1,4 @@
-//! Tables out of the JSON of listings.
+//! Conversion of JSON listings to tables.
 
 use expect_test::{Expect, expect};
 use molespan_cli::table_of;
