--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -11,7 +11,7 @@
 use crate::error::CliError;
 
 /// Maximum size of a response body that is buffered, in bytes.
-const MAX_ANSWER_BYTES: usize = 256 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 256 * 1024 * 1024;
 /// Timeout for connecting to a gateway.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 /// Timeout for uploading a job's items.
@@ -28,7 +28,7 @@
     body: Vec<u8>,
     content_type: &'static str,
     headers: Vec<(&'static str, String)>,
-    answers: &'static [StatusCode],
+    accepted_statuses: &'static [StatusCode],
 }
 
 impl Call {
@@ -42,7 +42,7 @@
             body: Vec::new(),
             content_type: "application/json",
             headers: Vec::new(),
-            answers: &[],
+            accepted_statuses: &[],
         }
     }
 
@@ -79,8 +79,8 @@
 
     /// Sets the status codes besides 2xx that count as a regular response.
     #[must_use]
-    pub fn answered_with(mut self, answers: &'static [StatusCode]) -> Self {
-        self.answers = answers;
+    pub fn accept_statuses(mut self, accepted_statuses: &'static [StatusCode]) -> Self {
+        self.accepted_statuses = accepted_statuses;
         self
     }
 
@@ -160,14 +160,14 @@
     /// # Errors
     /// Fails if no gateway responds or the responding gateway returns an error.
     pub async fn send(&self, call: &Call) -> Result<ClientResponse, CliError> {
-        let mut worst = SendError::NotSent(FailureCause::Invalid("no gateway given".to_owned()));
+        let mut last = SendError::NotSent(FailureCause::Invalid("no gateway given".to_owned()));
         for gateway in &self.gateways {
             match self.send_to(*gateway, call).await {
-                Err(CliError::Unanswered(error)) => worst = worse(worst, error),
+                Err(CliError::Unanswered(error)) => last = prefer_ambiguous(last, error),
                 answer => return answer,
             }
         }
-        Err(CliError::Unanswered(worst))
+        Err(CliError::Unanswered(last))
     }
 
     /// Sends `call` to one gateway.
@@ -186,10 +186,10 @@
         let response = self.pool.send(gateway, request).await;
         let response = response.map_err(CliError::Unanswered)?;
         let status = response.status();
-        if status.is_success() || call.answers.contains(&status) {
+        if status.is_success() || call.accepted_statuses.contains(&status) {
             return Ok(response);
         }
-        Err(refusal(gateway, response).await)
+        Err(error_of_response(gateway, response).await)
     }
 
     /// Sends `call` and parses the response body as JSON.
@@ -198,7 +198,7 @@
     /// Fails as [`Client::send`] does, or if the body does not match the API.
     pub async fn json<T: DeserializeOwned>(&self, call: &Call) -> Result<T, CliError> {
         let response = self.send(call).await?;
-        let answer = response.json(MAX_ANSWER_BYTES).await;
+        let answer = response.json(MAX_RESPONSE_BYTES).await;
         answer.map_err(|error| unexpected("the gateway", &error))
     }
 
@@ -208,14 +208,14 @@
     /// Fails as [`Client::send`] does, or if the body is truncated or not UTF-8.
     pub async fn text(&self, call: &Call) -> Result<String, CliError> {
         let response = self.send(call).await?;
-        let bytes = response.bytes(MAX_ANSWER_BYTES).await;
+        let bytes = response.bytes(MAX_RESPONSE_BYTES).await;
         let bytes = bytes.map_err(|error| unexpected("the gateway", &error))?;
         String::from_utf8(bytes).map_err(|error| unexpected("the gateway", &error))
     }
 }
 
 /// Returns the ambiguous error if there is one: the request may have run.
-fn worse(first: SendError, second: SendError) -> SendError {
+fn prefer_ambiguous(first: SendError, second: SendError) -> SendError {
     match first {
         SendError::Ambiguous(_) => first,
         SendError::NotSent(_) => second,
@@ -230,9 +230,9 @@
 }
 
 /// Converts an error response to a `CliError`.
-async fn refusal(gateway: SocketAddr, response: ClientResponse) -> CliError {
+async fn error_of_response(gateway: SocketAddr, response: ClientResponse) -> CliError {
     let status = response.status();
-    let body: Result<ErrorBody, BodyError> = response.json(MAX_ANSWER_BYTES).await;
+    let body: Result<ErrorBody, BodyError> = response.json(MAX_RESPONSE_BYTES).await;
     match body {
         Ok(body) => CliError::Refused(body.error),
         Err(error) => unexpected(
--- a/crates/cli/src/commands/apply.rs
+++ b/crates/cli/src/commands/apply.rs
@@ -56,7 +56,7 @@
     let file = Path::new(&flags.plan);
     let mut intent = parse_intent(&fs::read_to_string(file)?)?;
     intent.operator = flags.operator.clone().or(intent.operator);
-    let is_whole = intent.number.is_some() && intent.base_version.is_some();
+    let has_number_and_base = intent.number.is_some() && intent.base_version.is_some();
     let configuration: Configuration = client.json(&Call::get("/admin/configuration")).await?;
     let intent = complete(&configuration, intent);
     match request_plan(client, &intent).await {
@@ -66,14 +66,14 @@
                 return Ok(None);
             }
             if !flags.yes {
-                ask(console)?;
+                ask_confirmation(console)?;
             }
             Ok(Some(intent))
         }
         // This intent may already have been confirmed and so have changed the
         // configuration. Confirming it again returns that outcome, or is rejected
         // without a change.
-        Err(CliError::Refused(detail)) if detail.code == BASE_MOVED && is_whole => {
+        Err(CliError::Refused(detail)) if detail.code == BASE_MOVED && has_number_and_base => {
             console.progress(format!("{}; asking for the outcome", detail.message));
             Ok(Some(intent))
         }
@@ -82,7 +82,7 @@
 }
 
 /// Asks for confirmation on the terminal. Without a terminal, `--yes` is required.
-fn ask(console: &mut Console) -> Result<(), CliError> {
+fn ask_confirmation(console: &mut Console) -> Result<(), CliError> {
     if !io::stdin().is_terminal() {
         return Err(CliError::Declined);
     }
--- a/crates/cli/src/commands/jobs/follow.rs
+++ b/crates/cli/src/commands/jobs/follow.rs
@@ -14,7 +14,7 @@
 /// Minimum interval between progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
 /// How long polling may fail before the command gives up.
-const PATIENCE: Duration = Duration::from_secs(60);
+const POLL_FAILURE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Waits until a job has ended and prints its progress.
 ///
@@ -27,27 +27,29 @@
 ) -> Result<JobView, CliError> {
     let call = Call::get(format!("{JOBS_PATH}/{id}"));
     let mut progress = Progress::start();
-    let mut answered = Instant::now();
+    let mut last_response = Instant::now();
     loop {
         match client.json::<JobView>(&call).await {
             Ok(job) => {
-                answered = Instant::now();
+                last_response = Instant::now();
                 progress.report(&job, console);
                 if job.has_ended() {
                     return Ok(job);
                 }
             }
-            Err(error) if is_lasting(&error) || answered.elapsed() > PATIENCE => {
+            Err(error)
+                if is_permanent(&error) || last_response.elapsed() > POLL_FAILURE_TIMEOUT =>
+            {
                 return Err(error);
             }
-            Err(error) => progress.trouble(&error, console),
+            Err(error) => progress.report_failure(&error, console),
         }
         Timer::after(POLL_INTERVAL).await;
     }
 }
 
 /// Whether a retry would return the same error.
-fn is_lasting(error: &CliError) -> bool {
+fn is_permanent(error: &CliError) -> bool {
     match error {
         CliError::Unanswered(_) => false,
         CliError::Refused(detail) => detail.retry_after_ms.is_none(),
@@ -81,8 +83,8 @@
             .last_line
             .is_some_and(|line| line.elapsed() < PROGRESS_INTERVAL);
         let first = self.last_line.is_none();
-        let news = first || ended != self.last_ended || job.has_ended();
-        if !news || (recent && !job.has_ended()) {
+        let changed = first || ended != self.last_ended || job.has_ended();
+        if !changed || (recent && !job.has_ended()) {
             return;
         }
         self.last_line = Some(Instant::now());
@@ -98,7 +100,7 @@
     }
 
     /// Prints why the poll failed, at most once per interval.
-    fn trouble(&mut self, error: &CliError, console: &mut Console) {
+    fn report_failure(&mut self, error: &CliError, console: &mut Console) {
         let recent = self
             .last_line
             .is_some_and(|line| line.elapsed() < PROGRESS_INTERVAL);
--- a/crates/cli/src/commands/jobs/submit.rs
+++ b/crates/cli/src/commands/jobs/submit.rs
@@ -58,7 +58,7 @@
     let lines: Vec<&str> = text.lines().collect();
     let mut findings: Vec<String> = Vec::new();
     for (position, line) in lines.iter().enumerate() {
-        if let Some(fault) = item_fault(line) {
+        if let Some(fault) = item_error(line) {
             findings.push(format!("{}:{}: {fault}", file.display(), position + 1));
         }
     }
@@ -77,11 +77,11 @@
 }
 
 /// Returns the error in an item line, if there is one.
-fn item_fault(line: &str) -> Option<String> {
+fn item_error(line: &str) -> Option<String> {
     let item: Value = match serde_json::from_str(line) {
         Ok(item) => item,
         Err(error) => return Some(format!("invalid JSON: {error}")),
     };
     let has_prompt = item.get("prompt").is_some_and(Value::is_string);
-    (!has_prompt).then(|| "\"prompt\" must be a string".to_owned())
+    (!has_prompt).then(|| "an item must have a text under \"prompt\"".to_owned())
 }
--- a/crates/cli/src/commands/mod.rs
+++ b/crates/cli/src/commands/mod.rs
@@ -20,7 +20,7 @@
 /// Environment variable with the operator's name if the flag is not given.
 const USER_VARIABLE: &str = "USER";
 /// Operator name used if neither the flag nor the variable is set.
-const UNNAMED_OPERATOR: &str = "operator";
+const DEFAULT_OPERATOR: &str = "operator";
 
 /// Runs one command.
 ///
@@ -53,5 +53,5 @@
 /// Returns the operator's name from the flag or the environment.
 fn operator(flag: Option<String>) -> String {
     flag.or_else(|| env::var(USER_VARIABLE).ok())
-        .unwrap_or_else(|| UNNAMED_OPERATOR.to_owned())
+        .unwrap_or_else(|| DEFAULT_OPERATOR.to_owned())
 }
--- a/crates/cli/src/commands/watch.rs
+++ b/crates/cli/src/commands/watch.rs
@@ -18,16 +18,16 @@
 /// URL path of the event stream.
 pub(crate) const EVENTS_PATH: &str = "/admin/events";
 /// Initial backoff before a broken stream is reopened.
-const FIRST_RETRY: Duration = Duration::from_millis(250);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 /// Maximum backoff before a broken stream is reopened.
-const LONGEST_RETRY: Duration = Duration::from_secs(5);
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
 /// Capacity of the event queue for the output. If the output is too slow, the
 /// stream is read more slowly than events occur, which shows as a gap.
-const QUEUED: usize = 256;
+const QUEUE_CAPACITY: usize = 256;
 
 /// Update from the stream of one gateway.
 #[derive(Debug)]
-enum News {
+enum StreamUpdate {
     /// An event or a gap.
     Watched(SocketAddr, Watched),
     /// The stream broke and is being reopened. Events may be missing.
@@ -43,7 +43,7 @@
     console: &mut Console,
 ) -> Result<ExitStatus, CliError> {
     let call = subscription(&flags)?;
-    let (sender, receiver) = async_channel::bounded(QUEUED);
+    let (sender, receiver) = async_channel::bounded(QUEUE_CAPACITY);
     let executor = LocalExecutor::new();
     for gateway in client.gateways() {
         let follower = follow(client.clone(), *gateway, call.clone(), sender.clone());
@@ -84,18 +84,22 @@
 }
 
 /// Keeps the stream of one gateway open until the receiver is dropped.
-async fn follow(client: Client, gateway: SocketAddr, call: Call, news: Sender<News>) {
-    let mut wait = FIRST_RETRY;
-    while !news.is_closed() {
-        let reason = match read_stream(&client, gateway, &call, &news, &mut wait).await {
+async fn follow(client: Client, gateway: SocketAddr, call: Call, updates: Sender<StreamUpdate>) {
+    let mut backoff = INITIAL_BACKOFF;
+    while !updates.is_closed() {
+        let reason = match read_stream(&client, gateway, &call, &updates, &mut backoff).await {
             Ok(()) => "the gateway ended the stream".to_owned(),
             Err(error) => error.to_string(),
         };
-        if news.send(News::Lost(gateway, reason)).await.is_err() {
+        if updates
+            .send(StreamUpdate::Lost(gateway, reason))
+            .await
+            .is_err()
+        {
             return;
         }
-        Timer::after(wait).await;
-        wait = (wait * 2).min(LONGEST_RETRY);
+        Timer::after(backoff).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
@@ -104,12 +108,16 @@
     client: &Client,
     gateway: SocketAddr,
     call: &Call,
-    news: &Sender<News>,
-    wait: &mut Duration,
+    updates: &Sender<StreamUpdate>,
+    backoff: &mut Duration,
 ) -> Result<(), CliError> {
     let mut stream = client.send_to(gateway, call).await?.events();
-    *wait = FIRST_RETRY;
-    if news.send(News::Following(gateway)).await.is_err() {
+    *backoff = INITIAL_BACKOFF;
+    if updates
+        .send(StreamUpdate::Following(gateway))
+        .await
+        .is_err()
+    {
         return Ok(());
     }
     let broken = |what: String| CliError::Unexpected {
@@ -122,7 +130,11 @@
             return Ok(());
         };
         let watched = read_event(&event).map_err(|error| broken(error.to_string()))?;
-        if news.send(News::Watched(gateway, watched)).await.is_err() {
+        if updates
+            .send(StreamUpdate::Watched(gateway, watched))
+            .await
+            .is_err()
+        {
             return Ok(());
         }
     }
@@ -135,19 +147,19 @@
 
 /// Prints updates until `count` events were printed.
 async fn print(
-    news: Receiver<News>,
+    updates: Receiver<StreamUpdate>,
     count: Option<u64>,
     console: &mut Console,
 ) -> Result<ExitStatus, CliError> {
     let mut seen = 0;
-    while let Ok(item) = news.recv().await {
-        if matches!(item, News::Watched(_, Watched::Event(_))) {
+    while let Ok(update) = updates.recv().await {
+        if matches!(update, StreamUpdate::Watched(_, Watched::Event(_))) {
             seen += 1;
         }
         if console.is_json() {
-            print_json(item, console)?;
+            print_json(update, console)?;
         } else {
-            print_text(item, console)?;
+            print_text(update, console)?;
         }
         if count.is_some_and(|count| seen >= count) {
             break;
@@ -156,37 +168,37 @@
     Ok(ExitStatus::Success)
 }
 
-fn print_json(news: News, console: &mut Console) -> Result<(), CliError> {
-    match news {
-        News::Watched(gateway, Watched::Event(event)) => {
+fn print_json(update: StreamUpdate, console: &mut Console) -> Result<(), CliError> {
+    match update {
+        StreamUpdate::Watched(gateway, Watched::Event(event)) => {
             console.json_line(&json!({ "gateway": gateway, "event": event }))
         }
-        News::Watched(gateway, Watched::Gap(gap)) => {
+        StreamUpdate::Watched(gateway, Watched::Gap(gap)) => {
             console.json_line(&json!({ "gateway": gateway, "gap": gap, "lost": gap.lost() }))
         }
-        News::Lost(gateway, reason) => {
+        StreamUpdate::Lost(gateway, reason) => {
             console.json_line(&json!({ "gateway": gateway, "disconnected": reason }))
         }
-        News::Following(gateway) => {
+        StreamUpdate::Following(gateway) => {
             console.json_line(&json!({ "gateway": gateway, "connected": true }))
         }
     }
 }
 
-fn print_text(news: News, console: &mut Console) -> Result<(), CliError> {
-    match news {
-        News::Watched(_, Watched::Event(event)) => console.line(event_text(&event)),
-        News::Watched(gateway, Watched::Gap(gap)) => console.line(format!(
+fn print_text(update: StreamUpdate, console: &mut Console) -> Result<(), CliError> {
+    match update {
+        StreamUpdate::Watched(_, Watched::Event(event)) => console.line(event_text(&event)),
+        StreamUpdate::Watched(gateway, Watched::Gap(gap)) => console.line(format!(
             "---- gap: {} events of {gateway} were lost ----",
             gap.lost()
         )),
-        News::Lost(gateway, reason) => {
+        StreamUpdate::Lost(gateway, reason) => {
             console.progress(format!(
                 "---- {gateway}: {reason}; events may be missing, connecting again ----"
             ));
             Ok(())
         }
-        News::Following(gateway) => {
+        StreamUpdate::Following(gateway) => {
             console.progress(format!("---- following {gateway} ----"));
             Ok(())
         }
--- a/crates/cli/src/demo/batch.rs
+++ b/crates/cli/src/demo/batch.rs
@@ -28,9 +28,9 @@
 /// Error code: the key belongs to a different job.
 const KEY_CONFLICT: &str = "key_conflict";
 /// Timeout for engines to start running items.
-const START_LIMIT: Duration = Duration::from_secs(30);
+const START_TIMEOUT: Duration = Duration::from_secs(30);
 /// Polling interval.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Number of online requests sent while the job runs.
 const ONLINE_REQUESTS: u32 = 20;
 
@@ -51,7 +51,7 @@
     guide.chapter("A clerk submits a batch job, and callers keep coming");
     let started = Instant::now();
     let job = submit(fleet, guide, report).await?;
-    wait_until_it_runs(&tenant_client(fleet, 0), &job.id).await?;
+    wait_until_running(&tenant_client(fleet, 0), &job.id).await?;
     let tasks = send_all(
         fleet,
         Form::Streamed,
@@ -59,19 +59,19 @@
         "the counter's picture",
     );
     report.online_during_batch = count(tasks, report).await?;
-    guide.say(format!(
+    guide.print(format!(
         "{} online requests completed, sent while engines ran items of the job",
         report.online_during_batch
     ));
     let ended = follow(&tenant_client(fleet, 2), &job.id, guide.console()).await?;
     report.batch_completed = ended.completed;
-    guide.say(format!(
+    guide.print(format!(
         "{} after {} ms, as a third gateway tells",
         ended.summary(),
         started.elapsed().as_millis()
     ));
     read_results(fleet, &job.id, report).await?;
-    guide.say(format!(
+    guide.print(format!(
         "{} results read at another gateway, {} duplicates; each text is the one it must be",
         report.results_readable, report.batch_duplicates
     ));
@@ -79,7 +79,7 @@
 }
 
 /// Waits until engines run items of the job.
-async fn wait_until_it_runs(client: &Client, job: &str) -> Result<(), CliError> {
+async fn wait_until_running(client: &Client, job: &str) -> Result<(), CliError> {
     let started = Instant::now();
     let call = Call::get(format!("{JOBS_PATH}/{job}"));
     loop {
@@ -87,10 +87,10 @@
         if view.leased > 0 || view.ended_items() > 0 {
             return Ok(());
         }
-        if started.elapsed() > START_LIMIT {
+        if started.elapsed() > START_TIMEOUT {
             return Err(CliError::Failed(format!("no engine ran an item of {job}")));
         }
-        Timer::after(LOOK_INTERVAL).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
@@ -123,18 +123,18 @@
 ) -> Result<JobView, CliError> {
     let job: JobView = tenant_client(fleet, 0).json(&submission(ITEMS)).await?;
     report.batch_items = job.items;
-    guide.say(format!("{} with {} items was accepted", job.id, job.items));
+    guide.print(format!("{} with {} items was accepted", job.id, job.items));
     let replay: JobView = tenant_client(fleet, 1).json(&submission(ITEMS)).await?;
     if replay.id != job.id || replay.items != job.items {
         report.batch_duplicates += 1;
     }
-    guide.say("submitted again at another gateway, as after a lost answer: the same job");
+    guide.print("submitted again at another gateway, as after a lost answer: the same job");
     match tenant_client(fleet, 1)
         .json::<JobView>(&submission(ITEMS - 1))
         .await
     {
         Err(CliError::Refused(detail)) if detail.code == KEY_CONFLICT => {
-            guide.say("other items under the same key: refused, nothing was run");
+            guide.print("other items under the same key: refused, nothing was run");
         }
         other => {
             let message = format!("other items under the same key gave {other:?}");
--- a/crates/cli/src/demo/fleet.rs
+++ b/crates/cli/src/demo/fleet.rs
@@ -26,7 +26,7 @@
 use crate::error::CliError;
 
 /// Number of nodes per role: one per zone.
-const NODES_A_ROLE: usize = 3;
+const NODES_PER_ROLE: usize = 3;
 /// Number of groups that jobs are sharded over.
 const JOB_GROUPS: u32 = 2;
 /// Number of threads that run the fleet.
@@ -130,17 +130,17 @@
             .iter()
             .filter(|member| member.machine.kind == MachineKind::Engine)
             .count();
-        guide.say(format!(
-            "{engines} emulated engines and {} application back ends stand in {NODES_A_ROLE} zones",
+        guide.print(format!(
+            "{engines} emulated engines and {} application back ends stand in {NODES_PER_ROLE} zones",
             members.len() - engines
         ));
-        guide.say(format!(
+        guide.print(format!(
             "{} replicas hold the state on synced disks below {}",
             self.replicas.len(),
             self.folder.path().display()
         ));
         for gateway in &self.gateways {
-            guide.say(format!(
+            guide.print(format!(
                 "{} takes requests at http://{}",
                 gateway.name,
                 gateway.node.http_address()
@@ -176,14 +176,14 @@
     }
 }
 
-/// Starts the nodes of one role: the next `NODES_A_ROLE` settings.
+/// Starts the nodes of one role: the next `NODES_PER_ROLE` settings.
 fn start_nodes(
     plans: &mut impl Iterator<Item = Settings>,
     executor: &Arc<Executor<'static>>,
     logger: &Logger,
 ) -> Result<Vec<DemoNode>, CliError> {
     let mut nodes = Vec::new();
-    for settings in plans.take(NODES_A_ROLE) {
+    for settings in plans.take(NODES_PER_ROLE) {
         let node = Node::start(&settings, executor, logger);
         let name = settings.node.name;
         let node =
@@ -197,11 +197,11 @@
 /// of the replicas, then of the gateways.
 fn node_settings(folder: &Path, back_ends: &Fleet) -> Result<Vec<Settings>, CliError> {
     let zones = FleetSettings::archive().zones;
-    let addresses = free_addresses(2 * NODES_A_ROLE)?;
+    let addresses = free_addresses(2 * NODES_PER_ROLE)?;
     let roles = [Role::Replica, Role::Gateway];
     let mut nodes = Vec::new();
     for (number, internal_address) in addresses.into_iter().enumerate() {
-        let role = roles[number / NODES_A_ROLE];
+        let role = roles[number / NODES_PER_ROLE];
         let zone = zones[number % zones.len()].clone();
         nodes.push(node(folder, number, role, zone, internal_address));
     }
--- a/crates/cli/src/demo/guide.rs
+++ b/crates/cli/src/demo/guide.rs
@@ -31,7 +31,7 @@
     }
 
     /// Prints a text, which may have several lines.
-    pub(super) fn say(&mut self, text: impl Display) {
+    pub(super) fn print(&mut self, text: impl Display) {
         for line in text.to_string().lines() {
             self.write(format!("   {line}"));
         }
--- a/crates/cli/src/demo/mod.rs
+++ b/crates/cli/src/demo/mod.rs
@@ -27,14 +27,14 @@
 use report::DemoReport;
 
 /// Timeout for the whole demo.
-const TIME_LIMIT: Duration = Duration::from_secs(55);
+const DEMO_TIMEOUT: Duration = Duration::from_secs(55);
 
 /// Runs the demo. The last line of the output is its report.
 pub(crate) async fn run(console: &mut Console) -> Result<ExitStatus, CliError> {
     let tour = tour(console);
     let limit = async {
-        Timer::after(TIME_LIMIT).await;
-        let seconds = TIME_LIMIT.as_secs();
+        Timer::after(DEMO_TIMEOUT).await;
+        let seconds = DEMO_TIMEOUT.as_secs();
         Err(CliError::Failed(format!(
             "the demo took longer than {seconds} s"
         )))
--- a/crates/cli/src/demo/online.rs
+++ b/crates/cli/src/demo/online.rs
@@ -20,13 +20,13 @@
 use crate::error::CliError;
 
 /// Number of requests per form.
-const REQUESTS_A_FORM: u32 = 10;
+const REQUESTS_PER_FORM: u32 = 10;
 /// Number of tokens per response.
 const TOKENS: u32 = 32;
 /// How long a request that was rejected without being run is retried.
-const PATIENCE: Duration = Duration::from_secs(20);
+const RETRY_TIMEOUT: Duration = Duration::from_secs(20);
 /// Delay before a retry if the rejection gives none.
-const RETRY_AFTER: Duration = Duration::from_millis(200);
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
 /// API form of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -46,13 +46,13 @@
     /// Rejections before the response.
     refusals: u32,
     /// Whether the response is complete and matches the request.
-    right: bool,
+    correct: bool,
 }
 
 impl Outcome {
     /// Whether the response is complete and matches the request.
-    pub(super) fn is_right(&self) -> bool {
-        self.right
+    pub(super) fn is_correct(&self) -> bool {
+        self.correct
     }
 }
 
@@ -66,10 +66,10 @@
     let started = Instant::now();
     let mut tasks = Vec::new();
     for form in [Form::Plain, Form::Streamed, Form::Chat] {
-        tasks.extend(send_all(fleet, form, REQUESTS_A_FORM, "photograph"));
+        tasks.extend(send_all(fleet, form, REQUESTS_PER_FORM, "photograph"));
     }
     count(tasks, report).await?;
-    guide.say(format!(
+    guide.print(format!(
         "{} of {} completed through {} gateways in {} ms, {} of them streamed; each answer was \
          compared with the one it must be",
         report.online_completed,
@@ -78,8 +78,8 @@
         started.elapsed().as_millis(),
         report.online_streamed
     ));
-    ask_application(fleet, report).await?;
-    guide.say(format!(
+    send_application_requests(fleet, report).await?;
+    guide.print(format!(
         "{} requests went through to the application service {ALBUM_SERVICE}",
         report.application_completed
     ));
@@ -96,7 +96,9 @@
     let send = |position: u32| {
         let client = fleet.client_of(position as usize);
         let prompt = format!("{form:?} request about {subject} {position} of the family archive");
-        fleet.executor.spawn(ask(client, form, prompt, TOKENS))
+        fleet
+            .executor
+            .spawn(send_with_retries(client, form, prompt, TOKENS))
     };
     (0..number).map(send).collect()
 }
@@ -106,26 +108,26 @@
     tasks: Vec<Task<Result<Outcome, CliError>>>,
     report: &mut DemoReport,
 ) -> Result<u32, CliError> {
-    let mut right = 0;
+    let mut correct = 0;
     for task in tasks {
         report.online_requests += 1;
         let outcome = task.await?;
         report.online_refusals += outcome.refusals;
-        if !outcome.right {
+        if !outcome.correct {
             report.online_wrong += 1;
             continue;
         }
-        right += 1;
+        correct += 1;
         report.online_completed += 1;
         if outcome.form == Form::Streamed {
             report.online_streamed += 1;
         }
     }
-    Ok(right)
+    Ok(correct)
 }
 
 /// Sends a request and retries it while it is rejected without being run.
-pub(super) async fn ask(
+pub(super) async fn send_with_retries(
     client: Client,
     form: Form,
     prompt: String,
@@ -134,20 +136,20 @@
     let started = Instant::now();
     let mut refusals = 0;
     loop {
-        match ask_once(&client, form, &prompt, tokens).await {
-            Ok(right) => {
+        match send_once(&client, form, &prompt, tokens).await {
+            Ok(correct) => {
                 return Ok(Outcome {
                     form,
                     refusals,
-                    right,
+                    correct,
                 });
             }
             Err(CliError::Refused(detail))
-                if detail.outcome == RunOutcome::NotRun && started.elapsed() < PATIENCE =>
+                if detail.outcome == RunOutcome::NotRun && started.elapsed() < RETRY_TIMEOUT =>
             {
                 refusals += 1;
                 let wait = detail.retry_after_ms.map(Duration::from_millis);
-                Timer::after(wait.unwrap_or(RETRY_AFTER)).await;
+                Timer::after(wait.unwrap_or(DEFAULT_RETRY_DELAY)).await;
             }
             Err(error) => return Err(error),
         }
@@ -155,16 +157,16 @@
 }
 
 /// Sends one request and compares the response with the expected one.
-async fn ask_once(
+async fn send_once(
     client: &Client,
     form: Form,
     prompt: &str,
     tokens: u32,
 ) -> Result<bool, CliError> {
     match form {
-        Form::Plain => ask_plain(client, prompt, tokens).await,
-        Form::Streamed => ask_streamed(client, prompt, tokens).await,
-        Form::Chat => ask_chat(client, prompt, tokens).await,
+        Form::Plain => send_plain(client, prompt, tokens).await,
+        Form::Streamed => send_streamed(client, prompt, tokens).await,
+        Form::Chat => send_chat(client, prompt, tokens).await,
     }
 }
 
@@ -180,7 +182,7 @@
     Ok(Call::post(COMPLETIONS_PATH, body))
 }
 
-async fn ask_plain(client: &Client, prompt: &str, tokens: u32) -> Result<bool, CliError> {
+async fn send_plain(client: &Client, prompt: &str, tokens: u32) -> Result<bool, CliError> {
     let call = completion(prompt, tokens, false)?;
     let response: CompletionResponse = client.json(&call).await?;
     let text = response
@@ -190,7 +192,7 @@
     Ok(text == Some(expected_answer(prompt, tokens).as_str()))
 }
 
-async fn ask_streamed(client: &Client, prompt: &str, tokens: u32) -> Result<bool, CliError> {
+async fn send_streamed(client: &Client, prompt: &str, tokens: u32) -> Result<bool, CliError> {
     let call = completion(prompt, tokens, true)?;
     let mut events = client.send(&call).await?.events();
     let broken = |what: String| CliError::Unexpected {
@@ -210,7 +212,7 @@
     Ok(text == expected_answer(prompt, tokens))
 }
 
-async fn ask_chat(client: &Client, prompt: &str, tokens: u32) -> Result<bool, CliError> {
+async fn send_chat(client: &Client, prompt: &str, tokens: u32) -> Result<bool, CliError> {
     let request = ChatCompletionRequest {
         model: CAPTION_SERVICE.to_owned(),
         messages: vec![ChatMessage {
@@ -230,7 +232,10 @@
 }
 
 /// Sends a request to the application service through every gateway.
-async fn ask_application(fleet: &DemoFleet, report: &mut DemoReport) -> Result<(), CliError> {
+async fn send_application_requests(
+    fleet: &DemoFleet,
+    report: &mut DemoReport,
+) -> Result<(), CliError> {
     for number in 0..fleet.gateways.len() {
         let path = format!("/services/{ALBUM_SERVICE}/albums/{number}");
         fleet.client_of(number).text(&Call::get(path)).await?;
--- a/crates/cli/src/demo/operator.rs
+++ b/crates/cli/src/demo/operator.rs
@@ -20,9 +20,9 @@
 /// Service run by the application back ends.
 pub(super) const ALBUM_SERVICE: &str = "albums";
 /// Timeout for every gateway to be ready or to apply a version.
-const SETTLE_LIMIT: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Polling interval.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Edits made by the operator.
 const EDITS: [&str; 5] = [
     "model.caption.version=1",
@@ -45,24 +45,24 @@
     fleet: &DemoFleet,
     guide: &mut Guide<'_>,
 ) -> Result<(), CliError> {
-    wait_until_founded(fleet).await?;
-    guide.say("the replicas have met, and every gateway reaches their leader");
+    wait_for_configuration(fleet).await?;
+    guide.print("the replicas have met, and every gateway reaches their leader");
     guide.chapter("An operator states an intent, reads the plan and confirms it");
     let client = fleet.client();
     let before: Configuration = client.json(&Call::get("/admin/configuration")).await?;
     let intent = intent(&before, "ana")?;
     let plan = plan::request_plan(&client, &intent).await?;
-    guide.say(plan::plan_text(&plan));
+    guide.print(plan::plan_text(&plan));
     if !plan.problems.is_empty() {
         return Err(CliError::Failed("the plan has problems".to_owned()));
     }
     check_unchanged(&client, &before).await?;
-    guide.say("so far nothing has changed");
+    guide.print("so far nothing has changed");
     let version = confirm_twice(fleet, guide, &intent).await?;
-    show_rival(fleet, guide, &before, &intent).await?;
+    show_number_conflict(fleet, guide, &before, &intent).await?;
     let confirmed = Instant::now();
     wait_until_in_force(fleet, version).await?;
-    guide.say(format!(
+    guide.print(format!(
         "version {version} is in force at every gateway, seen {} ms after the confirmation",
         confirmed.elapsed().as_millis()
     ));
@@ -97,9 +97,9 @@
     intent: &ConfirmIntent,
 ) -> Result<ConfigVersion, CliError> {
     let first = apply::confirm(&fleet.client_of(0), intent).await?;
-    guide.say(apply::reply_text(intent.number, &first));
+    guide.print(apply::reply_text(intent.number, &first));
     let again = apply::confirm(&fleet.client_of(1), intent).await?;
-    guide.say("confirmed again at another gateway, as after a lost answer: the same reply");
+    guide.print("confirmed again at another gateway, as after a lost answer: the same reply");
     match (first, again) {
         (ConfirmReply::Confirmed { version }, ConfirmReply::Confirmed { version: second })
             if version == second =>
@@ -113,7 +113,7 @@
 }
 
 /// Shows that an intent of another operator with the same number is rejected.
-async fn show_rival(
+async fn show_number_conflict(
     fleet: &DemoFleet,
     guide: &mut Guide<'_>,
     before: &Configuration,
@@ -129,23 +129,23 @@
     if !matches!(reply, ConfirmReply::NumberTaken { .. }) {
         return Err(CliError::Failed(format!("a rival's intent gave {reply:?}")));
     }
-    guide.say("a rival with the same number:");
-    guide.say(apply::reply_text(rival.number, &reply));
+    guide.print("a rival with the same number:");
+    guide.print(apply::reply_text(rival.number, &reply));
     Ok(())
 }
 
 /// Waits until every gateway returns the configuration of the new cluster. Doesn't
 /// wait for readiness: there is nothing to serve before the first change.
-async fn wait_until_founded(fleet: &DemoFleet) -> Result<(), CliError> {
+async fn wait_for_configuration(fleet: &DemoFleet) -> Result<(), CliError> {
     let started = Instant::now();
     let call = Call::get("/admin/configuration");
     for gateway in fleet.gateway_addresses() {
         let client = Client::new(vec![gateway]);
         while let Err(error) = client.json::<Configuration>(&call).await {
-            if started.elapsed() > SETTLE_LIMIT {
+            if started.elapsed() > READY_TIMEOUT {
                 return Err(error);
             }
-            Timer::after(LOOK_INTERVAL).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
     Ok(())
@@ -154,7 +154,7 @@
 /// Waits until every gateway is ready with at least `version`.
 async fn wait_until_in_force(fleet: &DemoFleet, version: ConfigVersion) -> Result<(), CliError> {
     let started = Instant::now();
-    let call = Call::get("/ready").answered_with(&[StatusCode::ServiceUnavailable]);
+    let call = Call::get("/ready").accept_statuses(&[StatusCode::ServiceUnavailable]);
     for gateway in fleet.gateway_addresses() {
         let client = Client::new(vec![gateway]);
         loop {
@@ -162,14 +162,14 @@
             if ready.ready && ready.version >= version {
                 break;
             }
-            if started.elapsed() > SETTLE_LIMIT {
+            if started.elapsed() > READY_TIMEOUT {
                 let message = format!(
                     "gateway {gateway} is at version {} and not ready for {version}: {}",
                     ready.version, ready.reason
                 );
                 return Err(CliError::Failed(message));
             }
-            Timer::after(LOOK_INTERVAL).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
     Ok(())
--- a/crates/cli/src/demo/report.rs
+++ b/crates/cli/src/demo/report.rs
@@ -40,7 +40,7 @@
 
 impl DemoReport {
     /// Whether every count has its expected value.
-    fn is_good(&self) -> bool {
+    fn has_passed(&self) -> bool {
         self.online_completed == self.online_requests
             && self.batch_completed == self.batch_items
             && self.results_readable == self.batch_items
@@ -49,7 +49,7 @@
 
     /// Returns the exit code of the demo.
     pub(super) fn exit_status(&self) -> ExitStatus {
-        if self.is_good() {
+        if self.has_passed() {
             ExitStatus::Success
         } else {
             ExitStatus::Refused
--- a/crates/cli/src/demo/stop.rs
+++ b/crates/cli/src/demo/stop.rs
@@ -6,7 +6,7 @@
 
 use super::fleet::{DemoFleet, DemoNode};
 use super::guide::Guide;
-use super::online::{Form, ask};
+use super::online::{Form, send_with_retries};
 use super::report::DemoReport;
 use crate::client::Client;
 use crate::error::CliError;
@@ -16,7 +16,7 @@
 /// Tokens per stream, which take about one second.
 const TOKENS: u32 = 200;
 /// Delay for the streams to start.
-const HEAD_START: Duration = Duration::from_millis(200);
+const STREAM_START_DELAY: Duration = Duration::from_millis(200);
 
 /// Stops one gateway gracefully while it serves streams.
 pub(super) async fn stop_gateway_under_load(
@@ -32,31 +32,31 @@
     let mut streams = Vec::new();
     for number in 0..STREAMS {
         let prompt = format!("A long walk through album {number}");
-        let stream = ask(client.clone(), Form::Streamed, prompt, TOKENS);
+        let stream = send_with_retries(client.clone(), Form::Streamed, prompt, TOKENS);
         streams.push(fleet.executor.spawn(stream));
     }
-    Timer::after(HEAD_START).await;
+    Timer::after(STREAM_START_DELAY).await;
     let name = gateway.name.clone();
-    guide.say(format!(
+    guide.print(format!(
         "{name} is told to stop with {STREAMS} streams in flight"
     ));
     let started = Instant::now();
     stop_node(fleet, gateway).await;
-    guide.say(format!(
+    guide.print(format!(
         "{name} stopped after {} ms",
         started.elapsed().as_millis()
     ));
     for stream in streams {
         report.online_requests += 1;
         match stream.await {
-            Ok(outcome) if outcome.is_right() => {
+            Ok(outcome) if outcome.is_correct() => {
                 report.online_completed += 1;
                 report.online_streamed += 1;
             }
             _ => report.cut_off_by_stop += 1,
         }
     }
-    guide.say(format!(
+    guide.print(format!(
         "{} of {STREAMS} streams were cut off",
         report.cut_off_by_stop
     ));
@@ -78,7 +78,7 @@
     }
     fleet.back_ends.stop();
     report.elapsed_ms = fleet.started.elapsed().as_millis() as u64;
-    guide.say("all nodes have stopped and their files are removed");
+    guide.print("all nodes have stopped and their files are removed");
     Ok(())
 }
 
--- a/crates/cli/src/demo/watching.rs
+++ b/crates/cli/src/demo/watching.rs
@@ -18,9 +18,9 @@
 /// Number of earlier events requested.
 const HISTORY: u32 = 100_000;
 /// Time without an event after which the history counts as fully read.
-const SILENCE: Duration = Duration::from_millis(300);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Timeout for reading, because new decisions keep arriving.
-const LIMIT: Duration = Duration::from_secs(3);
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// Counts the decisions of every node by kind, with an example of each.
 pub(super) async fn show_decisions(
@@ -37,12 +37,12 @@
         }
     }
     for (kind, events) in &by_kind {
-        guide.say(format!("{:>5} of kind {kind}, such as", events.len()));
+        guide.print(format!("{:>5} of kind {kind}, such as", events.len()));
         if let Some(event) = events.last() {
-            guide.say(format!("      {}", event_text(event)));
+            guide.print(format!("      {}", event_text(event)));
         }
     }
-    guide.say("molespan watch --kind route follows them as they are made");
+    guide.print("molespan watch --kind route follows them as they are made");
     Ok(())
 }
 
@@ -51,14 +51,14 @@
     let call = Call::get(EVENTS_PATH).query("history", HISTORY);
     let mut stream = client.send_to(node, &call).await?.events();
     let mut events = Vec::new();
-    let mut limit = Timer::after(LIMIT);
+    let mut limit = Timer::after(READ_TIMEOUT);
     loop {
         let next = async { stream.next_raw().await.ok().flatten() };
-        let silence = async {
-            future::or(async { Timer::after(SILENCE).await }, &mut limit).await;
+        let timeout = async {
+            future::or(async { Timer::after(IDLE_TIMEOUT).await }, &mut limit).await;
             None
         };
-        let Some(event) = future::or(next, silence).await else {
+        let Some(event) = future::or(next, timeout).await else {
             return Ok(events);
         };
         if let Ok(Watched::Event(event)) = read_event(&event) {
--- a/crates/cli/src/gateways.rs
+++ b/crates/cli/src/gateways.rs
@@ -26,16 +26,16 @@
 /// Lists every entry that is not an IP address with a port.
 pub(crate) fn addresses(what: &str, list: &str) -> Result<Vec<SocketAddr>, CliError> {
     let mut addresses = Vec::new();
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for text in list.split(',').map(str::trim) {
         match text.parse() {
             Ok(address) => addresses.push(address),
-            Err(_) => faults.push(format!("{what} {text:?} is no IP:PORT")),
+            Err(_) => errors.push(format!("{what} {text:?} is no IP:PORT")),
         }
     }
-    if faults.is_empty() {
+    if errors.is_empty() {
         Ok(addresses)
     } else {
-        Err(CliError::Usage(faults.join("\n")))
+        Err(CliError::Usage(errors.join("\n")))
     }
 }
--- a/crates/cli/src/intent.rs
+++ b/crates/cli/src/intent.rs
@@ -32,11 +32,11 @@
 /// Returns every unknown field, or the parse error.
 pub fn parse_intent(text: &str) -> Result<Intent, CliError> {
     let finding = |error: serde_json::Error| CliError::Findings(vec![error.to_string()]);
-    let written: Value = serde_json::from_str(text).map_err(finding)?;
+    let input: Value = serde_json::from_str(text).map_err(finding)?;
     let intent: Intent = serde_json::from_str(text).map_err(finding)?;
-    let understood = serde_json::to_value(&intent).map_err(finding)?;
+    let parsed = serde_json::to_value(&intent).map_err(finding)?;
     let mut unknown = Vec::new();
-    find_unknown(&written, &understood, "", &mut unknown);
+    find_unknown(&input, &parsed, "", &mut unknown);
     if unknown.is_empty() {
         Ok(intent)
     } else {
@@ -44,13 +44,13 @@
     }
 }
 
-/// Collects the fields of `written` that are missing from `understood`.
-fn find_unknown(written: &Value, understood: &Value, path: &str, unknown: &mut Vec<String>) {
-    match (written, understood) {
-        (Value::Object(written), Value::Object(understood)) => {
-            for (name, value) in written {
+/// Collects the fields of `input` that are missing from `parsed`.
+fn find_unknown(input: &Value, parsed: &Value, path: &str, unknown: &mut Vec<String>) {
+    match (input, parsed) {
+        (Value::Object(input), Value::Object(parsed)) => {
+            for (name, value) in input {
                 let path = format!("{path}.{name}");
-                match understood.get(name) {
+                match parsed.get(name) {
                     Some(inner) => find_unknown(value, inner, &path, unknown),
                     None if value.is_null() => {}
                     None => unknown.push(format!(
@@ -60,8 +60,8 @@
                 }
             }
         }
-        (Value::Array(written), Value::Array(understood)) => {
-            for (position, pair) in written.iter().zip(understood).enumerate() {
+        (Value::Array(input), Value::Array(parsed)) => {
+            for (position, pair) in input.iter().zip(parsed).enumerate() {
                 find_unknown(pair.0, pair.1, &format!("{path}[{position}]"), unknown);
             }
         }
--- a/crates/cli/src/lib.rs
+++ b/crates/cli/src/lib.rs
@@ -40,7 +40,7 @@
         Ok(flags) => flags,
         Err(error) if error.is_help() => {
             let shown = console.line(error).map(|()| ExitStatus::Success);
-            return end(shown, &mut console);
+            return exit_code(shown, &mut console);
         }
         Err(error) => {
             console.progress(format!("molespan: {error}"));
@@ -50,11 +50,11 @@
     };
     let mut console = Console::standard(flags.json);
     let result = block_on(commands::run(flags, &mut console));
-    end(result, &mut console)
+    exit_code(result, &mut console)
 }
 
 /// Prints an error, if there is one, and returns the exit code.
-fn end(result: Result<ExitStatus, CliError>, console: &mut Console) -> ExitCode {
+fn exit_code(result: Result<ExitStatus, CliError>, console: &mut Console) -> ExitCode {
     match result {
         Ok(status) => status.into(),
         // The reader of the output closed it, as `head` does; this is not a failure.
--- a/crates/cli/src/rows.rs
+++ b/crates/cli/src/rows.rs
@@ -96,20 +96,20 @@
 /// Returns the rows of a listing, each flattened to dotted fields.
 fn rows(kind: &str, listing: &Value) -> Vec<Map<String, Value>> {
     match listing {
-        Value::Array(elements) => elements.iter().map(flat).collect(),
+        Value::Array(elements) => elements.iter().map(flattened).collect(),
         Value::Object(fields) => match fields.get(kind) {
             Some(inner) => rows(kind, inner),
             None if fields.values().all(Value::is_object) => named_rows(fields),
-            None => vec![flat(listing)],
+            None => vec![flattened(listing)],
         },
-        _ => vec![flat(listing)],
+        _ => vec![flattened(listing)],
     }
 }
 
 /// Converts a map of objects to rows with a `name` field.
 fn named_rows(fields: &Map<String, Value>) -> Vec<Map<String, Value>> {
     let row = |(name, value): (&String, &Value)| {
-        let mut row = flat(value);
+        let mut row = flattened(value);
         row.insert("name".to_owned(), Value::String(name.clone()));
         row
     };
@@ -117,7 +117,7 @@
 }
 
 /// Flattens nested objects to dotted fields.
-fn flat(value: &Value) -> Map<String, Value> {
+fn flattened(value: &Value) -> Map<String, Value> {
     let mut fields = Map::new();
     flatten(value, "", &mut fields);
     fields
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -3,9 +3,9 @@
 use std::fmt;
 
 /// Separator between columns.
-const GAP: &str = "  ";
+const COLUMN_SEPARATOR: &str = "  ";
 /// Placeholder for an empty cell.
-const NOTHING: &str = "-";
+const EMPTY_CELL: &str = "-";
 
 /// A table with a title row. Each column is as wide as its widest cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -29,7 +29,7 @@
         cells.resize(self.titles.len(), String::new());
         for cell in &mut cells {
             if cell.is_empty() {
-                NOTHING.clone_into(cell);
+                EMPTY_CELL.clone_into(cell);
             }
             *cell = cell.replace(['\n', '\r', '\t'], " ");
         }
@@ -57,7 +57,7 @@
         .zip(widths)
         .map(|(cell, widest)| format!("{cell}{}", " ".repeat(widest - width(cell))))
         .collect();
-    padded.join(GAP).trim_end().to_owned()
+    padded.join(COLUMN_SEPARATOR).trim_end().to_owned()
 }
 
 impl fmt::Display for Table {
--- a/crates/cli/tests/fleet_contract.rs
+++ b/crates/cli/tests/fleet_contract.rs
@@ -12,7 +12,7 @@
 use tempfile::TempDir;
 
 /// Timeout for every wait.
-const LIMIT: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 /// Kinds accepted by `get`.
 const KINDS: [&str; 12] = [
     "services",
@@ -63,7 +63,7 @@
             if code == Some(0) {
                 return printed;
             }
-            assert!(started.elapsed() < LIMIT, "{line}: {code:?}: {printed}");
+            assert!(started.elapsed() < TIMEOUT, "{line}: {code:?}: {printed}");
             std::thread::sleep(Duration::from_millis(50));
         }
     }
--- a/crates/cli/tests/gateway_contract.rs
+++ b/crates/cli/tests/gateway_contract.rs
@@ -9,7 +9,7 @@
 
 use expect_test::{Expect, expect};
 use molespan_http::{Response, ServerEvent, StatusCode, event_response, text_response};
-use support::{PreparedGateway, molespan, text};
+use support::{FakeGateway, molespan, text};
 use tempfile::TempDir;
 
 const CONFIGURATION: &str = r#"{"version":12,"services":{},"models":{"caption":{"version":1}},
@@ -24,8 +24,8 @@
     "service":"caption","deadline_unix_seconds":9}"#;
 
 /// Starts a gateway that returns a fixed status and body per path.
-fn gateway(answers: &'static [(&'static str, u16, &'static str)]) -> PreparedGateway {
-    PreparedGateway::start(move |request, _| {
+fn gateway(answers: &'static [(&'static str, u16, &'static str)]) -> FakeGateway {
+    FakeGateway::start(move |request, _| {
         let path = request.url().path();
         let found = answers.iter().find(|(known, _, _)| *known == path);
         let (_, status, body) = found.copied().unwrap_or(("", 404, "no such path"));
@@ -35,7 +35,7 @@
 }
 
 /// Starts a gateway that reads a request and closes the connection without a response.
-fn silent_gateway() -> SocketAddr {
+fn unresponsive_gateway() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("an address");
     let address = listener.local_addr().expect("an address");
     thread::spawn(move || {
@@ -88,7 +88,7 @@
     expect![[r#"
         GET /admin/configuration
         POST /admin/plans"#]]
-    .assert_eq(&gateway.asked().join("\n"));
+    .assert_eq(&gateway.requests().join("\n"));
 }
 
 #[test]
@@ -108,14 +108,14 @@
 
 /// Checks the exit code and the output for one response to a confirmation.
 fn check_confirmation(status: u16, body: &'static str, code: i32, expected: &Expect) {
-    let gateway = PreparedGateway::start(move |_, _| {
+    let gateway = FakeGateway::start(move |_, _| {
         text_response(StatusCode::try_from(status).expect("a status"), body)
     });
     let (found, stdout, stderr) = run(&[gateway.address], &["apply", "13"]);
     let printed = format!("{stdout}{stderr}");
     expected.assert_eq(&printed.replace(&gateway.address.to_string(), "GATEWAY"));
     assert_eq!(found, Some(code), "{body}");
-    assert_eq!(gateway.asked(), ["POST /admin/plans/13/confirm"]);
+    assert_eq!(gateway.requests(), ["POST /admin/plans/13/confirm"]);
 }
 
 #[test]
@@ -192,7 +192,7 @@
     let closed = TcpListener::bind("127.0.0.1:0").expect("an address");
     let away = closed.local_addr().expect("an address");
     drop(closed);
-    let silent = silent_gateway();
+    let silent = unresponsive_gateway();
     let gateway = gateway(&[("/admin/models", 200, r#"{"caption":{"version":1}}"#)]);
     let (code, stdout, _) = run(&[away, silent, gateway.address], &["get", "models"]);
     assert_eq!(code, Some(0));
@@ -205,7 +205,7 @@
 
 #[test]
 fn a_job_is_submitted_with_its_key_and_items() {
-    let gateway = PreparedGateway::start(|request, body| {
+    let gateway = FakeGateway::start(|request, body| {
         assert_eq!(body, "{\"prompt\":\"a\"}\n{\"prompt\":\"b\"}\n");
         let tenant = request
             .header("x-tenant")
@@ -236,13 +236,13 @@
     expect![
         "POST /v1/batches?service=caption&key=display+%26+more&deadline_ms=1800000&repeatable=false"
     ]
-    .assert_eq(&gateway.asked().join("\n"));
+    .assert_eq(&gateway.requests().join("\n"));
 }
 
 /// Checks the exit code of waiting for a job whose state changes between polls.
 fn check_wait(last_state: &'static str, completed: u32, code: i32) {
     let looks = AtomicU32::new(0);
-    let gateway = PreparedGateway::start(move |_, _| {
+    let gateway = FakeGateway::start(move |_, _| {
         let ended = looks.fetch_add(1, Ordering::Relaxed) >= 2;
         let state = if ended { last_state } else { "running" };
         let done = if ended { completed } else { 0 };
@@ -256,7 +256,7 @@
     let (found, stdout, stderr) = run(&[gateway.address], &line);
     assert_eq!(found, Some(code), "{stdout}{stderr}");
     assert!(stdout.contains(last_state), "{stdout}");
-    assert!(stderr.contains("running"), "progress is printed: {stderr}");
+    assert!(stderr.contains("running"), "progress is told: {stderr}");
 }
 
 #[test]
@@ -268,7 +268,7 @@
 
 #[test]
 fn results_that_are_cut_short_are_an_error() {
-    let gateway = PreparedGateway::start(|_, _| {
+    let gateway = FakeGateway::start(|_, _| {
         let (writer, response) = event_response(4);
         let line = b"{\"item\":0,\"outcome\":\"completed\",\"text\":\"a\"}\n".to_vec();
         // Dropping the writer truncates the response.
@@ -283,9 +283,9 @@
 }
 
 /// Starts a gateway whose event stream breaks after one event per connection.
-fn breaking_watch() -> PreparedGateway {
+fn gateway_with_breaking_stream() -> FakeGateway {
     let opened = AtomicU32::new(0);
-    PreparedGateway::start(move |_, _| -> Response {
+    FakeGateway::start(move |_, _| -> Response {
         let sequence = 3 * opened.fetch_add(1, Ordering::Relaxed);
         let (writer, response) = event_response(4);
         let event = ServerEvent {
@@ -316,7 +316,7 @@
 
 #[test]
 fn a_watch_shows_gaps_and_goes_on_after_a_break() {
-    let gateway = breaking_watch();
+    let gateway = gateway_with_breaking_stream();
     let line = [
         "watch",
         "--kind",
@@ -342,12 +342,12 @@
     expect![[r#"
         GET /admin/events?kind=route%2Crefuse&subject=a+b&history=9
         GET /admin/events?kind=route%2Crefuse&subject=a+b&history=9"#]]
-    .assert_eq(&gateway.asked().join("\n"));
+    .assert_eq(&gateway.requests().join("\n"));
 }
 
 #[test]
 fn a_watch_as_json_has_an_object_a_line() {
-    let gateway = breaking_watch();
+    let gateway = gateway_with_breaking_stream();
     let (code, stdout, stderr) = run(&[gateway.address], &["watch", "--count", "2", "--json"]);
     assert_eq!(code, Some(0), "{stderr}");
     let mut keys = Vec::new();
--- a/crates/cli/tests/ports.rs
+++ b/crates/cli/tests/ports.rs
@@ -5,7 +5,7 @@
 use molespan_cli::free_addresses;
 
 #[test]
-fn ports_are_not_those_that_connections_get() {
+fn ports_lie_below_the_ephemeral_range() {
     let addresses = free_addresses(12).expect("free ports");
     let ports: BTreeSet<u16> = addresses.iter().map(|address| address.port()).collect();
     assert_eq!(ports.len(), 12);
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -14,32 +14,32 @@
 use molespan_http::{Request, Response, Server, ServerLimits};
 
 /// HTTP server with test-defined responses that records its requests.
-pub struct PreparedGateway {
+pub struct FakeGateway {
     /// Address of the server.
     pub address: SocketAddr,
-    asked: Arc<Mutex<Vec<String>>>,
+    requests: Arc<Mutex<Vec<String>>>,
     _stop: Sender<()>,
 }
 
-impl PreparedGateway {
+impl FakeGateway {
     /// Starts a server that runs until drop. `answer` receives the request and its body.
     pub fn start(answer: impl Fn(&Request, &str) -> Response + Send + Sync + 'static) -> Self {
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
         let server = Server::bind(address, ServerLimits::default()).expect("an address");
         let address = server.local_address();
-        let asked: Arc<Mutex<Vec<String>>> = Arc::default();
+        let requests: Arc<Mutex<Vec<String>>> = Arc::default();
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        let noted = asked.clone();
+        let recorded = requests.clone();
         let answer = Arc::new(answer);
         let handler = move |mut request: Request| {
-            let (noted, answer) = (noted.clone(), answer.clone());
+            let (recorded, answer) = (recorded.clone(), answer.clone());
             async move {
                 let body = request.body_string().await.unwrap_or_default();
                 let mut line = format!("{} {}", request.method(), request.url().path());
                 if let Some(query) = request.url().query() {
                     line.push_str(&format!("?{query}"));
                 }
-                noted
+                recorded
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .push(line);
@@ -55,14 +55,14 @@
         });
         Self {
             address,
-            asked,
+            requests,
             _stop: stop,
         }
     }
 
     /// Returns the method, path and query of each request so far.
-    pub fn asked(&self) -> Vec<String> {
-        self.asked
+    pub fn requests(&self) -> Vec<String> {
+        self.requests
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
