--- a/crates/bench/src/error.rs
+++ b/crates/bench/src/error.rs
@@ -1,77 +1,77 @@
-//! Errors of the bench.
+//! Errors of the benchmark runner.
 
 use std::path::PathBuf;
 
-/// Why a run of the bench could not end with a report.
+/// Error that prevents a run from producing a report.
 #[derive(Debug, derive_more::Display, derive_more::Error)]
 pub enum BenchError {
-    /// A flag holds a value the bench does not know.
+    /// A flag has an unknown value.
     #[display("--{flag} {value} is unknown; known are {known}")]
     UnknownValue {
         /// Name of the flag.
         flag: &'static str,
-        /// Value that was given.
+        /// Given value.
         value: String,
-        /// Values that would do.
+        /// Accepted values, separated by commas.
         known: String,
     },
     /// A file or folder could not be read or written.
     #[display("cannot use {}: {source}", path.display())]
     File {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// What the operating system said.
+        /// Error from the operating system.
         source: std::io::Error,
     },
     /// A program of the workspace is not built.
     #[display("{} is missing; build it with `{command}`", path.display())]
     ProgramMissing {
-        /// Where it should be.
+        /// Expected path of the program.
         path: PathBuf,
-        /// Command that builds it.
+        /// Command that builds the program.
         command: String,
     },
     /// A program could not be started.
     #[display("cannot start {program}: {source}")]
     Start {
-        /// The program.
+        /// Name of the program.
         program: String,
-        /// What the operating system said.
+        /// Error from the operating system.
         source: std::io::Error,
     },
     /// The programs of the fleet could not be built.
     #[display("`{command}` failed")]
     BuildFailed {
-        /// The command.
+        /// Build command that failed.
         command: String,
     },
-    /// A process did not say that it listens.
+    /// A process did not report that it is listening.
     #[display("{name} did not become ready; its log is {}", log.display())]
     NotReady {
         /// Name of the process.
         name: String,
-        /// Its log.
+        /// Path of its log.
         log: PathBuf,
     },
     /// No address could be bound.
     #[display("cannot bind an address: {source}")]
     Address {
-        /// What the operating system said.
+        /// Error from the operating system.
         source: std::io::Error,
     },
-    /// The fleet did not take its configuration.
+    /// The initial configuration of the fleet failed.
     #[display("the fleet cannot be set up: {reason}")]
     SetUp {
-        /// What the last try met.
+        /// Error of the last attempt.
         #[error(not(source))]
         reason: String,
     },
     /// A plot could not be drawn.
     #[display("cannot draw {}: {reason}", path.display())]
     Plot {
-        /// File of the plot.
+        /// Path of the plot.
         path: PathBuf,
-        /// What the plotter said.
+        /// Error from the plotting library.
         reason: String,
     },
 }
--- a/crates/bench/src/flags.rs
+++ b/crates/bench/src/flags.rs
@@ -10,13 +10,13 @@
         /// Run a fleet of real processes under load and account for each
         /// request and item.
         cmd run {
-            /// Fleet of today: archive or lab.
+            /// Profile of the fleet and its load: archive or lab.
             required --profile profile: String
             /// Folder for report.json, report.md and the plots.
             required --out out: PathBuf
-            /// Measured seconds of each arm.
+            /// Measured time of each arm, in seconds.
             optional --seconds seconds: u64
-            /// Seed of arrival times, prompts and choices.
+            /// Seed for arrival times, prompts and random choices.
             optional --seed seed: u64
             /// Arms to run, separated by commas.
             optional --arms arms: String
--- a/crates/bench/src/run/account/executions.rs
+++ b/crates/bench/src/run/account/executions.rs
@@ -1,11 +1,11 @@
-//! What the back ends themselves recorded about runs.
+//! Executions as recorded by the back ends.
 
 use std::collections::BTreeMap;
 
 use molespan_emulator::engine::{ExecutionCount, ExecutionLog};
 use molespan_types::Digest;
 
-/// Executions by digest of the prompt or body, over all back ends.
+/// Execution counts over all back ends, by digest of the prompt or body.
 #[derive(Clone, Debug, Default)]
 pub struct Executions {
     prompts: BTreeMap<Digest, ExecutionCount>,
@@ -13,7 +13,7 @@
 }
 
 impl Executions {
-    /// Adds the record of one back end.
+    /// Adds the execution log of one back end.
     pub fn add(&mut self, log: &ExecutionLog) {
         for (prompt, count) in &log.prompts {
             let total = self.prompts.entry(*prompt).or_default();
@@ -23,14 +23,14 @@
         self.forgotten += log.forgotten;
     }
 
-    /// How often the prompt ran.
+    /// Returns the execution count of a prompt.
     #[must_use]
     pub fn of(&self, prompt: Digest) -> ExecutionCount {
         self.prompts.get(&prompt).copied().unwrap_or_default()
     }
 
-    /// Runs that a back end no longer knows; with any, the counts are lower
-    /// bounds.
+    /// Returns the number of executions evicted from the back ends' logs. If it is
+    /// not 0, the counts are lower bounds.
     #[must_use]
     pub fn forgotten(&self) -> u64 {
         self.forgotten
--- a/crates/bench/src/run/account/job.rs
+++ b/crates/bench/src/run/account/job.rs
@@ -1,4 +1,4 @@
-//! The results of one job against its items.
+//! Checks the results of a job against its items.
 
 use std::collections::BTreeMap;
 
@@ -6,52 +6,52 @@
 use molespan_types::{Digest, digest_of};
 use serde::Deserialize;
 
-/// One line of a job's results.
+/// A line of a job's results.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct ResultLine {
-    /// Item.
+    /// Index of the item.
     pub item: u32,
-    /// How it ended.
+    /// Outcome of the item.
     pub outcome: String,
-    /// Generated text.
+    /// Generated text, if the item completed.
     #[serde(default)]
     pub text: Option<String>,
 }
 
-/// What is wrong with the result of an item.
+/// Error in the results of a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResultFault {
-    /// The job ended, or had time to end, and the item has no result.
+    /// The item has no result although the job was not cancelled.
     Missing {
-        /// Item.
+        /// Index of the item.
         item: u32,
     },
     /// The item has more than one result.
     Repeated {
-        /// Item.
+        /// Index of the item.
         item: u32,
     },
-    /// The text is not the answer to the item's prompt.
+    /// The text is not the expected text for the item's prompt.
     Wrong {
-        /// Item.
+        /// Index of the item.
         item: u32,
     },
     /// The job has no such item.
     Foreign {
-        /// Item.
+        /// Index of the item.
         item: u32,
     },
-    /// The result says that the item has no answer.
+    /// The item ended without completing.
     Failed {
-        /// Item.
+        /// Index of the item.
         item: u32,
-        /// How it ended.
+        /// Outcome of the item.
         outcome: String,
     },
 }
 
 impl ResultFault {
-    /// A short text that groups equal faults.
+    /// Returns a short label that is equal for faults of the same kind.
     #[must_use]
     pub fn label(&self) -> String {
         match self {
@@ -64,21 +64,21 @@
     }
 }
 
-/// How results name an item that has its answer.
+/// Outcome of a completed item in the results.
 const COMPLETED: &str = "completed";
 
-/// A job as its submitter knows it.
+/// Items of a submitted job.
 #[derive(Clone, Debug)]
 pub struct JobItems {
     /// Prompt of each item.
     pub prompts: Vec<String>,
-    /// Tokens of each answer.
+    /// Number of tokens generated per item.
     pub answer_tokens: u32,
-    /// Whether items may be repeated.
+    /// Whether items are repeatable.
     pub repeatable: bool,
 }
 
-/// The results of one job, checked.
+/// Checked results of a job.
 #[derive(Clone, Debug)]
 pub struct JobResults {
     items: JobItems,
@@ -89,8 +89,8 @@
 }
 
 impl JobResults {
-    /// Checks `lines`, all results of a job. Of a job that was `cancelled`,
-    /// items may be missing.
+    /// Checks `lines`, which are all results of a job. Missing items are no fault if
+    /// the job was `cancelled`.
     #[must_use]
     pub fn check(items: JobItems, lines: &[ResultLine], cancelled: bool) -> Self {
         let mut by_item: BTreeMap<u32, Vec<&ResultLine>> = BTreeMap::new();
@@ -140,37 +140,37 @@
         }
     }
 
-    /// Items of the job.
+    /// Returns the number of items in the job.
     #[must_use]
     pub fn items(&self) -> u32 {
         u32::try_from(self.items.prompts.len()).unwrap_or(u32::MAX)
     }
 
-    /// Items with the right result.
+    /// Returns the number of items with the expected result.
     #[must_use]
     pub fn right(&self) -> u64 {
         self.right
     }
 
-    /// Items without a result because the job was cancelled.
+    /// Returns the number of items without a result in a cancelled job, else 0.
     #[must_use]
     pub fn missing_by_cancel(&self) -> u64 {
         if self.cancelled { self.missing } else { 0 }
     }
 
-    /// What is wrong.
+    /// Returns the faults in the results.
     #[must_use]
     pub fn faults(&self) -> &[ResultFault] {
         &self.faults
     }
 
-    /// Whether items may be repeated.
+    /// Whether items are repeatable.
     #[must_use]
     pub fn is_repeatable(&self) -> bool {
         self.items.repeatable
     }
 
-    /// Digests under which the engines record the runs of the items.
+    /// Returns the digests under which the engines record the items' executions.
     pub fn prompts(&self) -> impl Iterator<Item = Digest> + '_ {
         let prompts = self.items.prompts.iter();
         prompts.map(|prompt| digest_of(prompt.as_bytes()))
--- a/crates/bench/src/run/account/ledger.rs
+++ b/crates/bench/src/run/account/ledger.rs
@@ -1,4 +1,4 @@
-//! Counts of what befell requests and items.
+//! Counts of the outcomes of requests and items.
 
 use std::collections::BTreeMap;
 
@@ -7,38 +7,38 @@
 
 use super::{CallOutcome, Executions, JobResults, ResultFault};
 
-/// A call whose end is known.
+/// A finished call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EndedCall {
-    /// Digest under which the back ends record its runs.
+    /// Digest under which the back ends record its executions.
     pub prompt: Digest,
-    /// Whether it may be repeated.
+    /// Whether the call is repeatable.
     pub repeatable: bool,
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: CallOutcome,
 }
 
-/// The four counts that must be 0, and what they are out of.
+/// Counts by outcome. The last four count errors and must be 0.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Calls or accepted items.
+    /// Calls made or items accepted.
     pub offered: u64,
-    /// Whole and right answers or results.
+    /// Complete and correct responses or results.
     pub completed: u64,
-    /// Calls that were refused as not run, or could not be sent.
+    /// Calls that were rejected as not run or could not be sent.
     pub refused: u64,
-    /// Calls whose final answer is that the outcome is unknown.
+    /// Calls whose response states that the outcome is unknown, and failed items.
     pub unknown: u64,
-    /// Items of jobs that were cancelled before they ran.
+    /// Items without a result in cancelled jobs.
     pub cancelled: u64,
-    /// Calls without a final answer, or items without a result.
+    /// Calls without a final response, or items without a result.
     pub lost: u64,
-    /// Runs of work that may not be repeated beyond the first, and results
-    /// that came more than once.
+    /// Executions of non-repeatable work beyond the first, and items with more than
+    /// one result.
     pub duplicated: u64,
-    /// Answers or results that belong to another prompt or are not whole.
+    /// Responses or results that are incomplete or belong to another prompt.
     pub corrupted: u64,
-    /// Refusals as not run of work that ran.
+    /// Rejections as not run of work that did run.
     pub false_not_run: u64,
 }
 
@@ -56,7 +56,7 @@
         self.false_not_run += other.false_not_run;
     }
 
-    /// Whether each of the four counts is 0.
+    /// Whether the four error counts are 0.
     #[must_use]
     pub fn is_clean(&self) -> bool {
         self.lost + self.duplicated + self.corrupted + self.false_not_run == 0
@@ -74,23 +74,23 @@
     }
 }
 
-/// Counts of one arm, with the texts behind those that went wrong.
+/// Counts of one arm, with a description of each failure.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Account {
-    /// Online completions.
+    /// Counts of online completions.
     pub online: Counts,
-    /// Application calls.
+    /// Counts of application calls.
     pub application: Counts,
-    /// Batch items.
+    /// Counts of batch items.
     pub batch: Counts,
-    /// How often each outcome other than success occurred.
+    /// Number of occurrences of each outcome other than success.
     pub incidents: BTreeMap<String, u64>,
-    /// Runs that the back ends no longer know.
+    /// Number of executions evicted from the back ends' logs.
     pub forgotten_runs: u64,
 }
 
 impl Account {
-    /// The sum over the classes.
+    /// Returns the sum over all classes.
     #[must_use]
     pub fn total(&self) -> Counts {
         let mut total = self.online.clone();
@@ -99,19 +99,19 @@
         total
     }
 
-    /// Counts online completions.
+    /// Adds online completions.
     pub fn add_online(&mut self, calls: &[EndedCall], executions: &Executions) {
         let counts = self.count_calls("online", calls, executions);
         self.online.add(&counts);
     }
 
-    /// Counts application calls.
+    /// Adds application calls.
     pub fn add_application(&mut self, calls: &[EndedCall], executions: &Executions) {
         let counts = self.count_calls("application", calls, executions);
         self.application.add(&counts);
     }
 
-    /// Counts the items of a job.
+    /// Adds the items of a job.
     pub fn add_job(&mut self, job: &JobResults, executions: &Executions) {
         let counts = &mut self.batch;
         counts.offered += u64::from(job.items());
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Notes something that went wrong outside of single calls.
+    /// Records an incident.
     pub fn note(&mut self, incident: impl Into<String>) {
         *self.incidents.entry(incident.into()).or_default() += 1;
     }
@@ -156,7 +156,7 @@
     }
 }
 
-/// Runs of a prompt beyond the first.
+/// Returns the number of executions of a prompt beyond the first.
 fn extra_runs(executions: &Executions, prompt: Digest) -> u64 {
     u64::from(executions.of(prompt).started.saturating_sub(1))
 }
--- a/crates/bench/src/run/account/mod.rs
+++ b/crates/bench/src/run/account/mod.rs
@@ -1,5 +1,5 @@
-//! What befell each request and item, from the caller's side and from the
-//! back ends' records.
+//! Outcomes of requests and items, as observed by callers and as recorded by the
+//! back ends.
 
 mod executions;
 mod job;
--- a/crates/bench/src/run/account/outcome.rs
+++ b/crates/bench/src/run/account/outcome.rs
@@ -1,38 +1,38 @@
-//! How one call ended, as its caller saw it.
+//! Outcome of a call.
 
 use molespan_types::RunOutcome;
 
-/// How one call ended, as its caller saw it.
+/// Outcome of a call as observed by its caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The whole answer came and was checked against the prompt.
+    /// The complete response arrived and matches the prompt.
     Completed,
-    /// A typed error said whether the request ran.
+    /// A typed error stated whether the request ran.
     Refused {
         /// Code of the error.
         code: String,
-        /// What it said about the run.
+        /// Whether the request ran, according to the error.
         outcome: RunOutcome,
     },
     /// No byte of the request left the caller.
     NotSent {
-        /// What happened on the connection.
+        /// Error of the connection.
         cause: String,
     },
-    /// An answer that passed for whole was not the answer to this request.
+    /// A seemingly complete response did not match the request.
     Corrupted {
-        /// What was wrong with it.
+        /// Description of the mismatch.
         detail: String,
     },
-    /// The request was sent and no final answer came.
+    /// The request was sent and no final response arrived.
     Lost {
-        /// What happened instead.
+        /// Error or timeout that occurred.
         cause: String,
     },
 }
 
 impl CallOutcome {
-    /// Whether the caller was told that the request did not run.
+    /// Whether the outcome states that the request did not run.
     #[must_use]
     pub fn claims_not_run(&self) -> bool {
         match self {
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A short text that groups equal outcomes.
+    /// Returns a short label that is equal for outcomes of the same kind.
     #[must_use]
     pub fn label(&self) -> String {
         match self {
--- a/crates/bench/src/run/arm_figures.rs
+++ b/crates/bench/src/run/arm_figures.rs
@@ -12,10 +12,10 @@
 use super::load::online::LoadRecord;
 use super::measure::latency::Durations;
 
-/// Points of a plotted distribution.
+/// Number of points in a plotted distribution.
 const CURVE_POINTS: u32 = 200;
 
-/// The ends of calls, for the account.
+/// Converts records to finished calls for the account.
 pub(super) fn ended(records: &[LoadRecord]) -> Vec<EndedCall> {
     let ended = records.iter().map(|record| EndedCall {
         prompt: record.call.prompt,
@@ -25,7 +25,7 @@
     ended.collect()
 }
 
-/// Times of the calls that were due within the measured time.
+/// Returns the times of the calls scheduled within the measured time.
 pub(super) fn latency_figures(online: &[LoadRecord], application: &[LoadRecord]) -> ArmFigures {
     let measured = |record: &&LoadRecord| record.at >= WARM_UP;
     let online: Vec<&LoadRecord> = online.iter().filter(measured).collect();
@@ -45,7 +45,7 @@
     }
 }
 
-/// Writes every call with its intended time, for a closer look.
+/// Writes all calls with their scheduled times as CSV, for analysis.
 pub(super) fn write_calls(path: &Path, records: &[LoadRecord]) {
     let mut text = "intended_ms,first_token_ms,whole_ms,outcome\n".to_owned();
     for record in records {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Progress of batch work, for plots.
+/// Converts progress samples to points for plots.
 pub(super) fn progress_points(batch: &BatchReport) -> Vec<ProgressPoint> {
     let points = batch.samples.iter().map(|sample| ProgressPoint {
         at_s: sample.at.as_secs_f64(),
--- a/crates/bench/src/run/arm_run.rs
+++ b/crates/bench/src/run/arm_run.rs
@@ -1,4 +1,4 @@
-//! One arm that runs on a fleet of its own.
+//! Execution of one arm on its fleet.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -27,37 +27,37 @@
 use super::measure::engines::{EngineSampler, batch_sequences, execution_log};
 use super::measure::machine::{LatenessProbe, processor_seconds_of};
 
-/// Time for jobs to end after the load, before they are cancelled.
+/// Time for jobs to end after the load before they are cancelled.
 const DRAIN: Duration = Duration::from_secs(2);
-/// The same in the arm with faults, whose jobs are smaller.
+/// Like `DRAIN`, for the arm with faults, whose jobs are smaller.
 const FAULTS_DRAIN: Duration = Duration::from_secs(30);
-/// Time for cancelled jobs to stop.
+/// Timeout for cancelled jobs to end.
 const CANCEL_PATIENCE: Duration = Duration::from_secs(20);
-/// Time for engines to hold no batch work once every job has ended.
+/// Timeout for engines to hold no batch work once every job has ended.
 const STOP_PATIENCE: Duration = Duration::from_secs(5);
-/// Pause between two looks at that.
+/// Interval between checks for remaining batch work.
 const STOP_POLL: Duration = Duration::from_millis(200);
 
-/// One arm that runs.
+/// A running arm.
 pub(super) struct ArmRun<'a> {
-    /// What all arms share.
+    /// Configuration and resources shared by all arms.
     pub(super) experiment: &'a Experiment,
-    /// Which arm.
+    /// Arm that is run.
     pub(super) arm: Arm,
-    /// The fleet, shared with the faults.
+    /// Fleet, shared with the fault driver.
     pub(super) fleet: Arc<Mutex<Fleet>>,
-    /// What its calls share.
+    /// State shared by the calls.
     pub(super) context: Arc<LoadContext>,
-    /// Makes prompts of direct calls.
+    /// Prompt generator for direct calls.
     pub(super) prompts: Prompts,
-    /// Measured time.
+    /// Duration of the measurement.
     pub(super) length: Duration,
-    /// Folder of its files.
+    /// Folder for the files of the arm.
     pub(super) folder: PathBuf,
 }
 
 impl ArmRun<'_> {
-    /// The arm of direct calls.
+    /// Runs the arm `direct`.
     pub(super) async fn direct(&self) -> ArmFigures {
         let probe = LatenessProbe::default();
         let probing = self.spawn_probe(&probe);
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Any other arm.
+    /// Runs any other arm.
     pub(super) async fn load(&self, load: PreparedLoad) -> ArmFigures {
         let whole = WARM_UP + self.length;
         let probe = LatenessProbe::default();
@@ -191,8 +191,8 @@
         self.experiment.executor.spawn(driving)
     }
 
-    /// Waits for the end of the measured time and returns the processor time
-    /// that was used within it.
+    /// Waits for the end of the measured time and returns the processor time used
+    /// within it.
     async fn processors_in_window(&self, whole: Duration) -> ProcessorSeconds {
         Timer::at(self.context.start + WARM_UP).await;
         let before = self.processors();
@@ -246,7 +246,7 @@
         account
     }
 
-    /// Notes when engines still hold batch work although every job has ended.
+    /// Records an incident if engines still hold batch work after every job has ended.
     async fn check_batch_stopped(&self, account: &mut Account) {
         let engines = self.engine_addresses();
         let deadline = Instant::now() + STOP_PATIENCE;
@@ -287,7 +287,7 @@
     }
 }
 
-/// Processor time by role.
+/// Processor time by role, in seconds.
 struct ProcessorSeconds {
     gateways: f64,
     replicas: f64,
--- a/crates/bench/src/run/arms.rs
+++ b/crates/bench/src/run/arms.rs
@@ -1,36 +1,36 @@
-//! The arms of a run: which load runs, under which policies.
+//! Arms of a run: the load and the policies of each.
 
 use molespan_settings::{EngineChoice, Preemption, Settings};
 
 use super::profile::Profile;
 use crate::BenchError;
 
-/// Knob value that fills engines with batch work.
+/// Tail protection value that favours throughput: engines are filled with batch work.
 const THROUGHPUT_END: u8 = 0;
-/// Knob value that guards the online tail above all.
+/// Tail protection value that favours online tail latency.
 const TAIL_END: u8 = 100;
 
-/// Policies that an arm runs under.
+/// Policies of an arm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Variant {
-    /// molespan as it is meant.
+    /// molespan with its regular policies.
     Molespan,
-    /// molespan with its knob at the end of throughput.
+    /// molespan with the tail protection setting that favours throughput.
     ThroughputEnd,
-    /// molespan with its knob at the end of tail protection.
+    /// molespan with the maximum tail protection setting.
     TailEnd,
-    /// Baseline: engines are chosen one after the other.
+    /// Baseline: engines are chosen round-robin.
     RoundRobin,
-    /// Baseline: batch work is never held back, and engines take it for online
-    /// work.
+    /// Baseline: no preemption. Gateways never hold batch work back, and engines
+    /// treat it like online work.
     NoPreemption,
-    /// Baseline: only the engines honour priorities; gateways never hold
-    /// batch work back.
+    /// Baseline: only the engines apply priorities; gateways never hold batch work
+    /// back.
     EnginePriority,
 }
 
 impl Variant {
-    /// Puts the policies into the settings of a node.
+    /// Applies the policies to the settings of a node.
     pub fn apply(self, settings: &mut Settings, profile: &Profile) {
         settings.policy.tail_protection = Some(match self {
             Self::ThroughputEnd => THROUGHPUT_END,
@@ -49,33 +49,33 @@
     }
 }
 
-/// One arm.
+/// An arm of the experiment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Arm {
-    /// Calls through a gateway beside direct calls of the same back ends.
+    /// Calls through a gateway, compared with direct calls to the same back ends.
     Direct,
-    /// Online load alone.
+    /// Only online load.
     Online,
-    /// Batch load alone.
+    /// Only batch load.
     Batch,
-    /// Both loads under molespan's policies.
+    /// Both loads with molespan's regular policies.
     Both,
-    /// Both loads, the knob at the end of throughput.
+    /// Both loads with the tail protection setting that favours throughput.
     ThroughputEnd,
-    /// Both loads, the knob at the end of tail protection.
+    /// Both loads with the maximum tail protection setting.
     TailEnd,
-    /// Both loads, engines chosen one after the other.
+    /// Both loads with engines chosen round-robin.
     RoundRobin,
-    /// Both loads, no preemption at all.
+    /// Both loads without preemption.
     NoPreemption,
-    /// Both loads, only engine priority.
+    /// Both loads with priorities applied only by engines.
     EnginePriority,
-    /// Both loads under a schedule of faults.
+    /// Both loads with scheduled faults.
     Faults,
 }
 
 impl Arm {
-    /// Every arm, in the order in which they run.
+    /// All arms in execution order.
     pub const ALL: [Self; 10] = [
         Self::Direct,
         Self::Online,
@@ -88,13 +88,13 @@
         Self::EnginePriority,
         Self::Faults,
     ];
-    /// The arms that `both` is compared with.
+    /// Arms with which `both` is compared.
     pub const BASELINES: [Self; 3] = [Self::RoundRobin, Self::NoPreemption, Self::EnginePriority];
 
-    /// The two ends of the policy knob, beside the profile's own value.
+    /// Arms with the extreme values of the tail protection setting.
     pub const KNOB_ENDS: [Self; 2] = [Self::ThroughputEnd, Self::TailEnd];
 
-    /// Its name on the command line and in reports.
+    /// Returns the arm's name on the command line and in reports.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The policies it runs under.
+    /// Returns the policies of the arm.
     #[must_use]
     pub fn variant(self) -> Variant {
         match self {
@@ -136,11 +136,11 @@
         !matches!(self, Self::Direct | Self::Online)
     }
 
-    /// The arms of a list separated by commas, in the order in which they run.
+    /// Parses a comma-separated list of arms and returns them in execution order.
     ///
     /// # Errors
     ///
-    /// When a name is unknown.
+    /// Fails if a name is unknown.
     pub fn parse_list(list: &str) -> Result<Vec<Self>, BenchError> {
         let parse = |name: &str| {
             let mut all = Self::ALL.into_iter();
--- a/crates/bench/src/run/direct.rs
+++ b/crates/bench/src/run/direct.rs
@@ -1,4 +1,4 @@
-//! What a gateway adds: the same calls made directly and through it, in turn.
+//! Overhead of a gateway: compares calls made directly and through a gateway, in turn.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -19,26 +19,26 @@
 use super::measure::machine::processor_seconds;
 use super::profile::Profile;
 
-/// Zone, by position, whose gateway and back ends are measured.
+/// Index of the zone whose gateway and back ends are measured.
 const ZONE: usize = 0;
-/// Share of the time for pairs of completions, then of application calls.
+/// Share of the time for pairs of completions, and again for pairs of application calls.
 const PAIRS_SHARE: f64 = 0.35;
-/// Share of the time in which the gateway is kept busy.
+/// Share of the time for the saturation measurement.
 const BUSY_SHARE: f64 = 0.3;
-/// Calls kept in flight while the gateway is kept busy; fewer than a gateway
-/// allows in the beginning, so that none is refused.
+/// Calls kept in flight during the saturation measurement. Fewer than a gateway
+/// allows initially, so that none is rejected.
 const BUSY_LANES: usize = 32;
-/// Tokens of a completion's prompt.
+/// Number of tokens in each prompt or body.
 const PROMPT_TOKENS: u32 = 8;
-/// Tenant of these calls.
+/// Tenant of the calls.
 const TENANT: &str = "residents";
 
-/// Times of the same call, direct and through a gateway.
+/// Times of the same kind of call, direct and through a gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PairFigures {
-    /// Direct calls.
+    /// Times of direct calls.
     pub direct: Quantiles,
-    /// Calls through the gateway.
+    /// Times of calls through the gateway.
     pub through: Quantiles,
     /// Difference of the medians, in milliseconds.
     pub added_p50_ms: f64,
@@ -46,45 +46,45 @@
     pub added_p99_ms: f64,
 }
 
-/// What a gateway adds and how much it carries.
+/// Overhead and throughput of a gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DirectFigures {
-    /// Time to the first token.
+    /// Time to first token of completions.
     pub completion: PairFigures,
-    /// Time to the whole answer.
+    /// Time to the complete response of application calls.
     pub application: PairFigures,
-    /// Calls a second while the gateway is kept busy.
+    /// Calls per second while the gateway is saturated.
     pub busy_requests_per_second: f64,
-    /// Calls in a second of its processor time.
+    /// Calls per second of the gateway's processor time.
     pub requests_per_core_second: f64,
 }
 
-/// What the direct arm needs.
+/// Resources of the direct arm.
 #[derive(Clone)]
 pub struct DirectContext {
-    /// Runs the calls.
+    /// Executor that runs the calls.
     pub executor: Arc<Executor<'static>>,
-    /// Makes them.
+    /// Client that makes the calls.
     pub caller: Caller,
-    /// Makes the prompts.
+    /// Prompt generator.
     pub prompts: Prompts,
-    /// Sizes.
+    /// Fleet and load profile.
     pub profile: Profile,
-    /// Calls made so far.
+    /// Number of calls made so far.
     pub numbers: Arc<AtomicU64>,
 }
 
-/// Direct figures and the calls behind them.
+/// Figures of the direct arm with the underlying calls.
 pub struct DirectReport {
-    /// Figures.
+    /// Computed figures.
     pub figures: DirectFigures,
-    /// Calls of completions.
+    /// Completion calls.
     pub completions: Vec<EndedCall>,
     /// Application calls.
     pub applications: Vec<EndedCall>,
 }
 
-/// What is measured.
+/// Addresses of the measured gateway and back ends.
 #[derive(Clone, Copy, Debug)]
 pub struct Targets {
     gateway: SocketAddr,
@@ -93,7 +93,7 @@
     application: SocketAddr,
 }
 
-/// Measures for `length`; nothing without targets.
+/// Runs the measurement for `length`. Returns empty figures without targets.
 pub async fn measure(
     context: &DirectContext,
     targets: Option<Targets>,
@@ -121,7 +121,7 @@
     report
 }
 
-/// A gateway and back ends of one zone.
+/// Returns a gateway and back ends of the measured zone.
 #[must_use]
 pub fn targets(fleet: &Fleet) -> Option<Targets> {
     let mut gateways = fleet.nodes_of(Role::Gateway);
@@ -138,8 +138,8 @@
     })
 }
 
-/// Makes the first calls of a gateway. Returns how one of them ended, unless
-/// both completed.
+/// Makes the first calls through a gateway. Returns the label of a failed outcome, or
+/// `None` if both calls completed.
 pub async fn first_calls(
     caller: &Caller,
     gateway: SocketAddr,
@@ -259,7 +259,7 @@
     }
 }
 
-/// What came of keeping the gateway busy.
+/// Result of the saturation measurement.
 struct Busy {
     per_second: f64,
     per_core_second: f64,
@@ -290,7 +290,7 @@
     }
 }
 
-/// Makes one call after the other until `end`.
+/// Makes successive calls until `end`.
 async fn busy_lane(context: DirectContext, gateway: SocketAddr, end: Instant) -> Vec<EndedCall> {
     let mut calls = Vec::new();
     while Instant::now() < end {
--- a/crates/bench/src/run/experiment.rs
+++ b/crates/bench/src/run/experiment.rs
@@ -1,4 +1,4 @@
-//! Runs one arm on a fleet of its own.
+//! Runs each arm on a separate fleet.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -26,38 +26,38 @@
 use super::profile::Profile;
 use crate::BenchError;
 
-/// Load before the measured time, which fills caches and learns step costs.
+/// Warm-up before the measured time, which fills caches and step cost estimates.
 pub const WARM_UP: Duration = Duration::from_secs(4);
-/// Time for the load to start after its drivers.
+/// Delay of the load's start, in which its drivers are started.
 const LEAD: Duration = Duration::from_millis(200);
-/// Time for every gateway to become ready.
+/// Timeout for every gateway to become ready.
 const READY_PATIENCE: Duration = Duration::from_secs(30);
-/// Time for each gateway to answer its first requests.
+/// Timeout for each gateway to complete its first requests.
 const FIRST_ANSWER_PATIENCE: Duration = Duration::from_secs(20);
-/// Pause before a first request is made again.
+/// Delay before readiness or a first request is checked again.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Share of a usual job's items in the arm with faults.
+/// Size of a job in the arm with faults, as a share of the usual number of items.
 const FAULTS_JOB_SHARE: f64 = 0.3;
-/// Measured time of the arm with faults, as a multiple of the others'.
+/// Measured time of the arm with faults, as a multiple of the other arms'.
 const FAULTS_LENGTH: f64 = 1.6;
 
-/// What every arm of a run shares.
+/// Configuration and resources shared by all arms of a run.
 pub struct Experiment {
-    /// Programs of the fleet.
+    /// Paths of the fleet's programs.
     pub programs: Programs,
-    /// Sizes.
+    /// Fleet and load profile.
     pub profile: Profile,
-    /// Measured time of an arm.
+    /// Measured time per arm.
     pub length: Duration,
-    /// Seed.
+    /// Seed for arrival times, prompts and random choices.
     pub seed: u64,
-    /// Runs the load.
+    /// Executor that runs the load.
     pub executor: Arc<Executor<'static>>,
-    /// Connections of the load.
+    /// Connection pool of the load.
     pub pool: Pool,
 }
 
-/// The load of one arm.
+/// Load of one arm, generated before it starts.
 #[derive(Default)]
 pub(super) struct PreparedLoad {
     pub(super) online: Vec<PreparedCompletion>,
@@ -66,11 +66,11 @@
 }
 
 impl Experiment {
-    /// Runs one arm; files and logs of its fleet go to `folder`.
+    /// Runs one arm. Files and logs of its fleet are written to `folder`.
     ///
     /// # Errors
     ///
-    /// When the fleet cannot be started or set up.
+    /// Fails if the fleet cannot be started or configured.
     pub async fn run_arm(&self, arm: Arm, folder: &Path) -> Result<ArmFigures, BenchError> {
         let variant = arm.variant();
         let fleet = Fleet::start(&self.programs, &self.profile, variant, self.seed, folder)?;
@@ -105,7 +105,7 @@
         })
     }
 
-    /// The load of an arm that lasts for `whole`, made up before it starts.
+    /// Generates the load of an arm that lasts for `whole`.
     fn prepare(&self, arm: Arm, prompts: &Prompts, whole: Duration) -> PreparedLoad {
         let profile = &self.profile;
         let zones = profile.fleet.zones.len();
@@ -127,7 +127,7 @@
         load
     }
 
-    /// Waits until every gateway says that it is ready and answers.
+    /// Waits until every gateway reports that it is ready and serves requests.
     async fn wait_until_ready(
         &self,
         steering: &Steering,
@@ -152,7 +152,7 @@
         Ok(())
     }
 
-    /// Waits until a gateway answers a completion and an application call.
+    /// Waits until a gateway completes a completion and an application call.
     async fn wait_for_first_answer(&self, gateway: SocketAddr) -> Result<(), BenchError> {
         let deadline = Instant::now() + FIRST_ANSWER_PATIENCE;
         let caller = Caller::new(self.pool.clone());
--- a/crates/bench/src/run/faults.rs
+++ b/crates/bench/src/run/faults.rs
@@ -1,4 +1,4 @@
-//! A schedule of faults under load.
+//! Injects scheduled faults under load.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,47 +15,47 @@
 use super::fleet::Fleet;
 use super::measure::engines::{execution_log, post_switch};
 
-/// Moments of the faults, as shares of the measured time.
+/// Times of the faults, as shares of the measured time.
 const ENGINE_KILLED_AT: f64 = 0.10;
 const ENGINE_LEAVES_AT: f64 = 0.25;
 const GATEWAY_STOPS_AT: f64 = 0.45;
 const ZONE_CUT_AT: f64 = 0.70;
-/// Time until a killed engine is started again.
+/// Time until a killed engine restarts.
 const ENGINE_DOWN: Duration = Duration::from_secs(3);
-/// Length of the cut of a zone.
+/// Duration of the partition of a zone.
 const ZONE_CUT_FOR: Duration = Duration::from_secs(4);
-/// Zones, by position, that the faults hit.
+/// Indexes of the zones affected by the faults.
 const KILLED_ENGINE_ZONE: usize = 0;
 const LEAVING_ENGINE_ZONE: usize = 1;
 const STOPPED_GATEWAY_ZONE: usize = 1;
 const CUT_ZONE: usize = 2;
-/// Longest wait for a gateway that was asked to stop.
+/// Timeout for a gateway to stop after SIGTERM.
 const STOP_PATIENCE: Duration = Duration::from_secs(75);
-/// Time between two readings of what a leaving engine has started.
+/// Interval between polls of a leaving engine's executions.
 const LEAVING_POLL: Duration = Duration::from_millis(100);
-/// How long a leaving engine is watched.
+/// Time for which a leaving engine is polled.
 const LEAVING_WATCH: Duration = Duration::from_secs(8);
-/// Time between two looks at whether a gateway has ended.
+/// Interval between checks whether a gateway has ended.
 const EXIT_POLL: Duration = Duration::from_millis(50);
 
-/// What the faults showed.
+/// Figures of the injected faults.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FaultFigures {
-    /// Time from the platform's note that an engine leaves to the last request
-    /// that it started, in seconds. The note is visible in the list only after
-    /// the list's own lag.
+    /// Time from the platform's notice that an engine is leaving to the last request
+    /// that the engine started, in seconds. The notice is visible in the list only
+    /// after the lag of the list.
     pub leaving_last_request_s: Option<f64>,
-    /// Requests that the leaving engine started in the time it was watched.
+    /// Requests that the leaving engine started while it was polled.
     pub leaving_requests: u64,
-    /// Time that the planned stop of a gateway took, in seconds.
+    /// Duration of the planned stop of a gateway, in seconds.
     pub gateway_stop_s: Option<f64>,
-    /// Whether the gateway ended by itself and without an error.
+    /// Whether the gateway exited in time and successfully.
     pub gateway_stop_clean: bool,
-    /// Faults that could not be made.
+    /// Faults that could not be injected.
     pub problems: Vec<String>,
 }
 
-/// Makes the faults.
+/// Injects the faults.
 pub struct FaultDriver {
     fleet: Arc<Mutex<Fleet>>,
     pool: Pool,
@@ -65,7 +65,7 @@
 }
 
 impl FaultDriver {
-    /// Faults within `length` from `start` on.
+    /// Creates a driver that injects the faults within `length` from `start`.
     #[must_use]
     pub fn new(fleet: Arc<Mutex<Fleet>>, pool: Pool, start: Instant, length: Duration) -> Self {
         Self {
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Makes every fault at its time and waits for its end.
+    /// Injects every fault at its time and waits for its end.
     pub async fn run(&self) -> FaultFigures {
         let engines = futures_lite::future::zip(self.kill_engine(), self.leave_engine());
         let nodes = futures_lite::future::zip(self.stop_gateway(), self.cut_zone());
@@ -90,7 +90,7 @@
         Timer::at(self.start + self.length.mul_f64(share)).await;
     }
 
-    /// Kills an engine; its record of executions outlives it.
+    /// Crashes an engine. Its execution log survives the restart.
     async fn kill_engine(&self) {
         self.until(ENGINE_KILLED_AT).await;
         let Some((_, engine)) = self.engine_in(KILLED_ENGINE_ZONE, 0) else {
@@ -99,11 +99,11 @@
         let crash = CrashRequest {
             down_ms: ENGINE_DOWN.as_millis() as u64,
         };
-        // The answer is lost with the connection.
+        // The response is lost with the connection.
         post_switch(&self.pool, engine, CRASH_PATH, &crash).await;
     }
 
-    /// Marks an engine as leaving in every list and watches what it starts.
+    /// Marks an engine as leaving in every platform list and polls its executions.
     async fn leave_engine(&self) {
         self.until(ENGINE_LEAVES_AT).await;
         let Some((id, engine)) = self.engine_in(LEAVING_ENGINE_ZONE, 0) else {
@@ -142,7 +142,7 @@
         figures.leaving_requests = last - first.unwrap_or(last);
     }
 
-    /// Stops a gateway in plan, waits for its end and starts it again.
+    /// Stops a gateway gracefully, waits for its end and restarts it.
     async fn stop_gateway(&self) {
         self.until(GATEWAY_STOPS_AT).await;
         let asked = Instant::now();
@@ -166,7 +166,7 @@
         }
     }
 
-    /// Cuts a zone off from the others for a while.
+    /// Partitions a zone from the others for [`ZONE_CUT_FOR`].
     async fn cut_zone(&self) {
         self.until(ZONE_CUT_AT).await;
         self.with_fleet(|fleet| fleet.network.set_cut(CUT_ZONE, true));
@@ -174,7 +174,7 @@
         self.with_fleet(|fleet| fleet.network.set_cut(CUT_ZONE, false));
     }
 
-    /// The engine of that position within a zone.
+    /// Returns the engine at `position` within a zone.
     fn engine_in(&self, zone: usize, position: usize) -> Option<(BackendId, SocketAddr)> {
         self.with_fleet(|fleet| {
             let engines = fleet.engines().filter(|engine| engine.zone == zone);
--- a/crates/bench/src/run/figures.rs
+++ b/crates/bench/src/run/figures.rs
@@ -1,4 +1,4 @@
-//! The figures of a run.
+//! Figures of a run.
 
 use std::collections::BTreeMap;
 
@@ -17,116 +17,116 @@
 pub struct ArmFigures {
     /// Measured time, in seconds.
     pub measured_s: f64,
-    /// From the intended time of an online request to its first token.
+    /// Time from the scheduled start of an online request to its first token.
     pub first_token: Quantiles,
-    /// The same at evenly spaced shares of the requests, for plots.
+    /// Time to first token at evenly spaced quantiles, for plots.
     pub first_token_curve_ms: Vec<f64>,
-    /// From the intended time of an online request to its end.
+    /// Time from the scheduled start of an online request to its end.
     pub online_whole: Quantiles,
-    /// Between two tokens of an answer.
+    /// Time between successive tokens of a response.
     pub token_gap: Quantiles,
-    /// From the intended time of an application call to its end.
+    /// Time from the scheduled start of an application call to its end.
     pub application_whole: Quantiles,
-    /// Batch items completed a second within the measured time.
+    /// Batch items completed per second within the measured time.
     pub batch_items_per_second: f64,
-    /// Batch items completed by each moment of the load, for plots.
+    /// Batch items completed over the time of the load, for plots.
     pub batch_progress: Vec<ProgressPoint>,
-    /// Use of the engines within the measured time.
+    /// Utilization of the engines within the measured time.
     pub engines: EngineUse,
-    /// Processors that all gateways used.
+    /// Mean number of processors used by all gateways.
     pub gateway_cores: f64,
-    /// Processors that all replicas used.
+    /// Mean number of processors used by all replicas.
     pub replica_cores: f64,
-    /// How busy the machine was.
+    /// Load of the machine.
     pub machine: MachineLoad,
-    /// What befell each request and item.
+    /// Counts of the outcomes of requests and items.
     pub account: Account,
-    /// Direct calls, in that arm.
+    /// Figures of direct calls, in the arm `direct`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub direct: Option<DirectFigures>,
-    /// Faults, in that arm.
+    /// Figures of faults, in the arm `faults`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub faults: Option<FaultFigures>,
 }
 
-/// Batch items completed by a moment.
+/// Completed batch items at a point in time.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProgressPoint {
     /// Seconds since the start of the load.
     pub at_s: f64,
-    /// Items.
+    /// Number of completed items.
     pub completed: u64,
 }
 
-/// A whole run.
+/// Figures of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RunFigures {
     /// Name of the profile.
     pub profile: String,
-    /// Seed.
+    /// Seed of the run.
     pub seed: u64,
     /// Weight of throughput in the users' score.
     pub throughput_weight: f64,
-    /// Figures by name of the arm.
+    /// Figures by arm name.
     pub arms: BTreeMap<String, ArmFigures>,
 }
 
-/// How batch and online work got on with each other in one arm.
+/// How batch and online work affect each other in one arm.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Sharing {
-    /// Online p99 of the first token with batch work, divided by without.
+    /// Online p99 time to first token with batch work, divided by that without.
     pub interference: Option<f64>,
-    /// Batch items a second with online work, divided by those without times
-    /// the share of engine time without online work.
+    /// Batch items per second with online work, divided by the product of the rate
+    /// without online work and the share of engine time without online work.
     pub idle_utilization: Option<f64>,
-    /// The same with the share of engine slots without online work: stricter,
-    /// since an engine with one online request has the other slots idle.
+    /// Like `idle_utilization`, but with the share of engine slots without online
+    /// work. Stricter, since an engine with one online request has idle slots.
     pub idle_utilization_by_slots: Option<f64>,
-    /// Score on the users' weighting: the geometric mean of idle utilization
-    /// and the inverse of interference, weighted by the profile.
+    /// Score of the users: the geometric mean of idle utilization and inverse
+    /// interference, with the weights of the profile.
     pub score: Option<f64>,
 }
 
-/// The last line that a run prints.
+/// Summary that a run prints as its last line.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RunSummary {
     /// Name of the profile.
     pub profile: String,
-    /// molespan itself.
+    /// Figures of molespan with the profile's policies.
     #[serde(flatten)]
     pub molespan: Sharing,
-    /// The ends of the policy knob by name.
+    /// Figures with the extreme values of the tail protection setting, by arm name.
     pub knob_ends: BTreeMap<String, Sharing>,
-    /// Baselines by name.
+    /// Figures of the baselines by arm name.
     pub baselines: BTreeMap<String, Sharing>,
-    /// Calls without a final answer, and items without a result.
+    /// Calls without a final response, and items without a result.
     pub lost: u64,
-    /// Second runs of what may run once, and results that came twice.
+    /// Repeated executions of non-repeatable work, and repeated results.
     pub duplicated: u64,
-    /// Answers and results that are wrong, crossed or not whole.
+    /// Responses and results that are wrong, incomplete or belong to another request.
     pub corrupted: u64,
-    /// Refusals as not run of work that ran.
+    /// Rejections as not run of work that did run.
     pub false_not_run: u64,
-    /// Calls refused as not run.
+    /// Calls rejected as not run.
     pub refused: u64,
     /// Calls and items whose final outcome is unknown.
     pub unknown: u64,
-    /// 99th percentile of the first token through a gateway less that of a
-    /// direct call.
+    /// 99th percentile of the time to first token through a gateway minus that of
+    /// direct calls.
     pub gateway_added_p99_ms: Option<f64>,
-    /// Calls in a second of a gateway's processor time.
+    /// Calls per second of a gateway's processor time.
     pub requests_per_core_second: Option<f64>,
-    /// Last new request of a leaving back end after the note, in seconds.
+    /// Time from the leaving notice of a back end to its last new request, in seconds.
     pub leaving_last_request_s: Option<f64>,
-    /// Time that a planned stop of a gateway took under load, in seconds.
+    /// Duration of a planned stop of a gateway under load, in seconds.
     pub gateway_stop_s: Option<f64>,
-    /// Largest 99th percentile of the lateness of the bench's timers over the
-    /// arms; some milliseconds tell of a busy machine.
+    /// Largest 99th percentile over the arms of the benchmark's timer lateness.
+    /// Values of some milliseconds indicate a busy machine.
     pub timer_lateness_p99_ms: f64,
 }
 
 impl RunFigures {
-    /// How `arm` shares the engines; the references are the arms `online` and
+    /// Returns how `arm` shares the engines, relative to the arms `online` and
     /// `batch` of the same run.
     #[must_use]
     pub fn sharing(&self, arm: &str) -> Sharing {
@@ -153,7 +153,7 @@
         }
     }
 
-    /// The figures that are printed last.
+    /// Returns the summary of the run.
     #[must_use]
     pub fn summary(&self) -> RunSummary {
         let mut total = super::account::Counts::default();
@@ -182,7 +182,7 @@
         }
     }
 
-    /// How those of `arms` that ran share the engines, by name.
+    /// Returns the sharing figures of those of `arms` that ran, by name.
     fn sharing_of(&self, arms: &[Arm]) -> BTreeMap<String, Sharing> {
         let names = arms.iter().map(|arm| arm.name());
         names
@@ -199,7 +199,7 @@
     }
 }
 
-/// `part / whole`, unless that says nothing.
+/// Returns `part / whole`, or `None` if `whole` is not positive.
 fn ratio(part: f64, whole: f64) -> Option<f64> {
     (whole > 0.0).then(|| part / whole)
 }
--- a/crates/bench/src/run/fleet/backends.rs
+++ b/crates/bench/src/run/fleet/backends.rs
@@ -1,4 +1,4 @@
-//! Engines, application back ends, platform lists and the weight store.
+//! Starts engines, application back ends, platform lists and the weight store.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -12,37 +12,37 @@
 use crate::BenchError;
 use crate::run::profile::Profile;
 
-/// First life of every back end.
+/// Initial incarnation of every back end.
 const FIRST_LIFE: u64 = 1;
 
-/// A back end that runs.
+/// A running back end.
 #[derive(Debug)]
 pub struct Backend {
-    /// As its own zone sees it.
+    /// Machine entry as listed in its own zone.
     pub machine: Machine,
-    /// Zone by position.
+    /// Index of the zone.
     pub zone: usize,
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// The process.
+    /// Process of the back end.
     pub process: Process,
 }
 
-/// What a stand-in prints once it listens.
+/// Line that the emulator prints once it is listening.
 #[derive(Deserialize)]
 struct Ready {
     address: SocketAddr,
 }
 
-/// Starts stand-ins.
+/// Starts emulator processes.
 pub struct BackendStarter<'a> {
-    /// Program of the stand-ins.
+    /// Path of the emulator.
     pub program: &'a Path,
-    /// Folder of the logs.
+    /// Folder for logs.
     pub folder: &'a Path,
-    /// Sizes.
+    /// Fleet and load profile.
     pub profile: &'a Profile,
-    /// Seed of their random choices.
+    /// Seed for random choices of the back ends.
     pub seed: u64,
 }
 
@@ -51,18 +51,18 @@
     ///
     /// # Errors
     ///
-    /// When it cannot be started.
+    /// Fails if the process cannot be started.
     pub fn weight_store(&self) -> Result<(Process, SocketAddr), BenchError> {
         let mut command = self.command("weights");
         command.args(["--profile", self.profile.name]);
         self.start("weights", command)
     }
 
-    /// Starts every engine and application back end, in turn over the zones.
+    /// Starts all engines and application back ends, distributed over the zones in turn.
     ///
     /// # Errors
     ///
-    /// When one cannot be started.
+    /// Fails if a process cannot be started.
     pub fn backends(&self, weights: SocketAddr) -> Result<Vec<Backend>, BenchError> {
         let fleet = &self.profile.fleet;
         let engines = (0..fleet.engines).map(|position| (MachineKind::Engine, position));
@@ -75,11 +75,11 @@
             .collect()
     }
 
-    /// Starts the platform list of a zone with the machines as it sees them.
+    /// Starts the platform list of a zone, with the machine addresses as seen from there.
     ///
     /// # Errors
     ///
-    /// When it cannot be started.
+    /// Fails if the process cannot be started.
     pub fn platform(
         &self,
         zone: usize,
--- a/crates/bench/src/run/fleet/layout.rs
+++ b/crates/bench/src/run/fleet/layout.rs
@@ -1,4 +1,4 @@
-//! Which node stands where, and its settings.
+//! Placement and settings of the nodes.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -10,50 +10,50 @@
 use crate::run::arms::Variant;
 use crate::run::profile::Profile;
 
-/// Number of the first replica; the others follow, one in each zone.
+/// Id of the first replica; the others follow, one per zone.
 const FIRST_REPLICA: u32 = 1;
-/// Number of the first gateway; the others follow, one in each zone.
+/// Id of the first gateway; the others follow, one per zone.
 const FIRST_GATEWAY: u32 = 11;
-/// Ports of nodes.
+/// Port range of the nodes.
 const PORTS: std::ops::Range<u16> = 12_000..32_000;
-/// Distance between the first ports that processes with neighbouring numbers
-/// try, so that runs side by side seldom meet.
+/// Distance between the first ports that processes with consecutive ids try, so that
+/// concurrent runs seldom conflict.
 const PORT_STRIDE: usize = 97;
-/// Requests a second that the one tenant of the load may send.
+/// Rate in requests per second, burst and concurrency limit of a tenant.
 const TENANT_RATE: u32 = 100_000;
 
-/// A node of the fleet.
+/// Placement of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct NodePlace {
-    /// Number.
+    /// Id of the node.
     pub id: NodeId,
-    /// Name.
+    /// Name of the node.
     pub name: String,
-    /// Zone by position.
+    /// Index of the zone.
     pub zone: usize,
-    /// Role; each node has one, so that each can be stopped alone.
+    /// Role of the node. Each node has only one, so that roles can be stopped separately.
     pub role: Role,
-    /// Where it listens for callers and operators.
+    /// Listening address for callers and operators.
     pub http: SocketAddr,
-    /// Where it listens for other nodes.
+    /// Listening address for other nodes.
     pub internal: SocketAddr,
 }
 
-/// Addresses that are held until they are given up to the nodes.
+/// Addresses that stay bound until they are released for the nodes.
 ///
-/// The ports lie below those that the system gives to outgoing connections, so
-/// that a node which is started again finds its own free.
+/// The ports are below the system's ephemeral ports, so that the port of a node is
+/// still free when the node restarts.
 #[derive(Debug)]
 pub struct ReservedAddresses {
     listeners: Vec<TcpListener>,
 }
 
 impl ReservedAddresses {
-    /// Reserves `count` addresses of the loopback.
+    /// Reserves `count` addresses of the loopback interface.
     ///
     /// # Errors
     ///
-    /// When there are not so many free ports.
+    /// Fails if there are fewer than `count` free ports.
     pub fn new(count: usize) -> io::Result<Self> {
         let ports = PORTS.len();
         let first = std::process::id() as usize * PORT_STRIDE % ports;
@@ -66,17 +66,17 @@
         }
     }
 
-    /// The addresses.
+    /// Returns the reserved addresses.
     ///
     /// # Errors
     ///
-    /// When the system does not tell one.
+    /// Fails if the system does not return the address of a listener.
     pub fn addresses(&self) -> io::Result<Vec<SocketAddr>> {
         self.listeners.iter().map(TcpListener::local_addr).collect()
     }
 }
 
-/// A replica and a gateway in each zone, at `addresses`, two for each node.
+/// Places a replica and a gateway in each zone. Each node uses two of `addresses`.
 #[must_use]
 pub fn node_places(zones: usize, addresses: &[SocketAddr]) -> Vec<NodePlace> {
     let roles = [
@@ -103,22 +103,22 @@
     places
 }
 
-/// What the settings of a node depend on besides its place.
+/// Inputs of a node's settings besides its placement.
 pub struct SettingsContext<'a> {
-    /// Sizes.
+    /// Fleet and load profile.
     pub profile: &'a Profile,
     /// Policies of the arm.
     pub variant: Variant,
-    /// Folder that holds the data folders.
+    /// Parent of the data folders.
     pub folder: &'a Path,
-    /// Platform list of each zone.
+    /// Address of the platform list of each zone.
     pub platforms: &'a [SocketAddr],
-    /// Weight store.
+    /// Address of the weight store.
     pub weights: SocketAddr,
 }
 
-/// The settings of `place`. `seen` tells where the node reaches another one:
-/// itself, or the relay of its zone.
+/// Returns the settings of `place`. `seen` returns the address at which the node
+/// reaches another node: the node's own address or that of a relay.
 pub fn node_settings(
     context: &SettingsContext<'_>,
     place: &NodePlace,
--- a/crates/bench/src/run/fleet/mod.rs
+++ b/crates/bench/src/run/fleet/mod.rs
@@ -24,44 +24,44 @@
 use super::profile::Profile;
 use crate::BenchError;
 
-/// Nodes of one zone: a replica and a gateway.
+/// Number of nodes per zone: a replica and a gateway.
 const NODES_PER_ZONE: usize = 2;
-/// Addresses of one node: for callers and for other nodes.
+/// Number of addresses per node: one for callers and one for other nodes.
 const ADDRESSES_PER_NODE: usize = 2;
 
-/// A node that runs.
+/// A running node.
 pub struct RunningNode {
-    /// Where it stands.
+    /// Placement of the node.
     pub place: NodePlace,
-    /// Its settings file.
+    /// Path of the settings file.
     pub settings: PathBuf,
-    /// The process.
+    /// Process of the node.
     pub process: Process,
 }
 
-/// A fleet that runs until it is dropped.
+/// A running fleet, stopped on drop.
 pub struct Fleet {
-    /// Engines, then application back ends, in the order of their numbers.
+    /// Engines, then application back ends, ordered by id.
     pub backends: Vec<Backend>,
     /// Replicas, then gateways, by zone.
     pub nodes: Vec<RunningNode>,
-    /// The links between the zones.
+    /// Network between the zones.
     pub network: ZoneNetwork,
-    /// Platform list of each zone.
+    /// Address of the platform list of each zone.
     pub platforms: Vec<SocketAddr>,
     programs: Programs,
     folder: PathBuf,
-    /// Held to end them with the fleet.
+    /// Kept so that these processes end with the fleet.
     _stores: Vec<Process>,
 }
 
 impl Fleet {
-    /// Starts every process of `profile`, with files and logs in `folder`,
-    /// which is emptied first.
+    /// Starts all processes of `profile`, with files and logs in `folder`. Existing
+    /// contents of the folder are removed.
     ///
     /// # Errors
     ///
-    /// When one cannot be started.
+    /// Fails if a process cannot be started.
     pub fn start(
         programs: &Programs,
         profile: &Profile,
@@ -104,37 +104,37 @@
         Ok(fleet)
     }
 
-    /// Where callers reach the gateway of each zone.
+    /// Returns the HTTP address of each zone's gateway.
     #[must_use]
     pub fn gateways(&self) -> Vec<SocketAddr> {
         let gateways = self.nodes_of(Role::Gateway);
         gateways.map(|node| node.place.http).collect()
     }
 
-    /// The nodes of one role, by zone.
+    /// Returns the nodes with `role`, by zone.
     pub fn nodes_of(&self, role: Role) -> impl Iterator<Item = &RunningNode> {
         self.nodes
             .iter()
             .filter(move |node| node.place.role == role)
     }
 
-    /// Engines, in the order of their numbers.
+    /// Returns the engines, ordered by id.
     pub fn engines(&self) -> impl Iterator<Item = &Backend> {
         let engine = |backend: &&Backend| backend.machine.kind == MachineKind::Engine;
         self.backends.iter().filter(engine)
     }
 
-    /// The back ends as `zone` sees them.
+    /// Returns the back ends with their addresses as seen from `zone`.
     #[must_use]
     pub fn machines_seen_from(&self, zone: usize) -> Vec<Machine> {
         machines_seen_from(zone, &self.backends, &self.network)
     }
 
-    /// Asks the gateway of `zone` to stop.
+    /// Sends SIGTERM to the gateway of `zone`.
     ///
     /// # Errors
     ///
-    /// When the signal cannot be sent.
+    /// Fails if the signal cannot be sent.
     pub fn ask_gateway_to_stop(&self, zone: usize) -> Result<(), BenchError> {
         let mut gateways = self.nodes_of(Role::Gateway);
         match gateways.find(|node| node.place.zone == zone) {
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Whether the gateway of `zone` has ended, and whether without an error.
+    /// Returns whether the gateway of `zone` exited successfully, or `None` while it runs.
     pub fn gateway_exit(&mut self, zone: usize) -> Option<bool> {
         let is_gateway =
             |node: &&mut RunningNode| node.place.role == Role::Gateway && node.place.zone == zone;
@@ -152,11 +152,11 @@
         Some(status.success())
     }
 
-    /// Starts the gateway of `zone` again, with the same settings and data.
+    /// Restarts the gateway of `zone` with the same settings and data.
     ///
     /// # Errors
     ///
-    /// When it cannot be started.
+    /// Fails if the process cannot be started.
     pub fn restart_gateway(&mut self, zone: usize) -> Result<(), BenchError> {
         for node in &mut self.nodes {
             if node.place.role == Role::Gateway && node.place.zone == zone {
@@ -209,7 +209,7 @@
     }
 }
 
-/// The back ends as `zone` sees them: those of other zones through relays.
+/// Returns the back ends as seen from `zone`: those of other zones through relays.
 fn machines_seen_from(zone: usize, backends: &[Backend], network: &ZoneNetwork) -> Vec<Machine> {
     let seen = |backend: &Backend| Machine {
         address: network.seen_from(zone, backend.address).to_string(),
@@ -224,8 +224,7 @@
     command
 }
 
-/// Removes what an earlier run left in a folder, so that nodes begin with
-/// blank disks.
+/// Empties a folder, so that nodes start without data of an earlier run.
 fn clear_folder(path: &Path) -> Result<(), BenchError> {
     match std::fs::remove_dir_all(path) {
         Ok(()) => {}
@@ -240,11 +239,11 @@
     create_folder(path)
 }
 
-/// Creates a folder and those above it.
+/// Creates a folder and its parents.
 ///
 /// # Errors
 ///
-/// When it cannot be created.
+/// Fails if the folder cannot be created.
 pub fn create_folder(path: &Path) -> Result<(), BenchError> {
     std::fs::create_dir_all(path).map_err(|source| BenchError::File {
         path: path.to_owned(),
@@ -256,7 +255,7 @@
 ///
 /// # Errors
 ///
-/// When it cannot be written.
+/// Fails if the file cannot be written.
 pub fn write_file(path: &Path, text: &str) -> Result<(), BenchError> {
     std::fs::write(path, text).map_err(|source| BenchError::File {
         path: path.to_owned(),
--- a/crates/bench/src/run/fleet/network.rs
+++ b/crates/bench/src/run/fleet/network.rs
@@ -1,4 +1,4 @@
-//! The links between zones: a relay for each address and foreign zone.
+//! Emulated network between zones, with a relay per address and remote zone.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -11,17 +11,17 @@
 use super::relay::{RelayLink, ZoneLink, start_relay};
 use crate::BenchError;
 
-/// The links between the zones of one fleet.
+/// Network between the zones of a fleet.
 pub struct ZoneNetwork {
     executor: Arc<Executor<'static>>,
     one_way: Duration,
     links: Vec<ZoneLink>,
     relays: HashMap<RelayKey, SocketAddr>,
-    /// Ends the relays' thread when dropped.
+    /// Stops the relays' thread on drop.
     _running: async_channel::Sender<()>,
 }
 
-/// A foreign zone and what it reaches.
+/// A zone and an address of another zone that it connects to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct RelayKey {
     from_zone: usize,
@@ -29,14 +29,14 @@
 }
 
 impl ZoneNetwork {
-    /// A network of `zones` with a thread of its own.
+    /// Creates a network of `zones` with its own thread.
     #[must_use]
     pub fn new(zones: usize, one_way: Duration) -> Self {
         let executor = Arc::new(Executor::new());
         let (running, ended) = async_channel::bounded::<()>(1);
         let relays = executor.clone();
         std::thread::spawn(move || {
-            // The channel closes with the network.
+            // `recv` returns once the network is dropped.
             let _ = future::block_on(relays.run(ended.recv()));
         });
         Self {
@@ -48,11 +48,11 @@
         }
     }
 
-    /// Makes `target`, which stands in `zone`, reachable from every other zone.
+    /// Makes `target`, which is in `zone`, reachable from every other zone.
     ///
     /// # Errors
     ///
-    /// When no address can be bound for a relay.
+    /// Fails if no address can be bound for a relay.
     pub fn expose(&mut self, target: SocketAddr, zone: usize) -> Result<(), BenchError> {
         for from_zone in 0..self.links.len() {
             if from_zone == zone {
@@ -70,14 +70,14 @@
         Ok(())
     }
 
-    /// Where `from_zone` reaches `target`.
+    /// Returns the address at which `from_zone` reaches `target`.
     #[must_use]
     pub fn seen_from(&self, from_zone: usize, target: SocketAddr) -> SocketAddr {
         let key = RelayKey { from_zone, target };
         self.relays.get(&key).copied().unwrap_or(target)
     }
 
-    /// Cuts a zone off from all others, or joins it again.
+    /// Partitions a zone from all others, or reconnects it.
     pub fn set_cut(&self, zone: usize, cut: bool) {
         if let Some(link) = self.links.get(zone) {
             link.set_cut(cut);
--- a/crates/bench/src/run/fleet/operator.rs
+++ b/crates/bench/src/run/fleet/operator.rs
@@ -1,4 +1,4 @@
-//! What an operator does to a new fleet: one intent, planned and confirmed.
+//! Configures a new fleet: plans and confirms one intent, as an operator does.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,28 +14,28 @@
 use crate::BenchError;
 use crate::run::profile::Profile;
 
-/// Path of plans.
+/// URL path of plans.
 const PLANS_PATH: &str = "/admin/plans";
-/// Number of the intent that sets the fleet up.
+/// Number of the intent that configures the fleet.
 const SET_UP_INTENT: u64 = 1;
-/// Time for a new fleet to elect its leaders and take the intent.
+/// Timeout for a new fleet to elect its leaders and accept the intent.
 const SET_UP_PATIENCE: Duration = Duration::from_secs(30);
-/// Pause before a call is made again.
+/// Delay before a retry.
 const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Requests of a service in flight at one gateway.
+/// Maximum number of in-flight requests of a service per gateway.
 const MAX_CONCURRENCY: u32 = 4_096;
-/// Requests of a service that wait at one gateway.
+/// Maximum number of queued requests of a service per gateway.
 const MAX_QUEUE: u32 = 4_096;
-/// Longest wait there.
+/// Maximum time in the queue, in milliseconds.
 const QUEUE_TIMEOUT_MS: u32 = 10_000;
-/// Rate and burst of the tenants of the load.
+/// Rate in requests per second, and burst, of the load's tenants.
 const TENANT_RATE: u32 = 100_000;
-/// Tenants of the load.
+/// Names of the load's tenants.
 const TENANTS: [&str; 2] = ["residents", "clerks"];
-/// Longest answer that is read, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
 
-/// The intent that creates the services of `profile`.
+/// Returns the intent that creates the services of `profile`.
 #[must_use]
 pub fn set_up_intent(profile: &Profile) -> ConfirmIntent {
     let fleet = &profile.fleet;
@@ -88,12 +88,12 @@
     }
 }
 
-/// Plans and confirms the intent at a gateway; both are made again until the
-/// fleet takes them.
+/// Plans and confirms the intent at a gateway. Both calls are retried until they
+/// succeed.
 ///
 /// # Errors
 ///
-/// When the fleet does not take them in time, or refuses them.
+/// Fails on a timeout or if the intent is rejected.
 pub async fn set_up(pool: &Pool, gateway: SocketAddr, profile: &Profile) -> Result<(), BenchError> {
     let intent = set_up_intent(profile);
     let deadline = Instant::now() + SET_UP_PATIENCE;
@@ -126,7 +126,7 @@
     serde_json::from_slice(&answer).map_err(|error| format!("{path}: {error}"))
 }
 
-/// Posts to `path` and returns the body of a successful answer.
+/// Sends a POST request and returns the body of a successful response.
 async fn post(
     pool: &Pool,
     gateway: SocketAddr,
--- a/crates/bench/src/run/fleet/process.rs
+++ b/crates/bench/src/run/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One process that the bench started.
+//! Child processes of the benchmark.
 
 use std::fs::File;
 use std::io::{BufRead, BufReader};
@@ -9,19 +9,19 @@
 
 use crate::BenchError;
 
-/// Time for a process to say that it listens.
+/// Timeout for a process to report that it is listening.
 const READY_PATIENCE: Duration = Duration::from_secs(30);
-/// Time between two looks at whether a process has ended.
+/// Interval between checks whether a process has ended.
 const EXIT_POLL: Duration = Duration::from_millis(20);
 
-/// A signal that the bench sends.
+/// A signal sent to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Planned stop.
+    /// SIGTERM: stops gracefully.
     Terminate,
-    /// Freeze.
+    /// SIGSTOP: suspends.
     Stop,
-    /// Thaw.
+    /// SIGCONT: resumes.
     Continue,
 }
 
@@ -35,7 +35,7 @@
     }
 }
 
-/// A running process; dropping it kills it.
+/// A running process, killed on drop.
 #[derive(Debug)]
 pub struct Process {
     name: String,
@@ -44,12 +44,12 @@
 }
 
 impl Process {
-    /// Starts `command`, with its log in `folder`, and waits for its first
-    /// line.
+    /// Starts `command`, with its log in `folder`, and waits for its first line of
+    /// output.
     ///
     /// # Errors
     ///
-    /// When it cannot be started, or ends or stays silent before that line.
+    /// Fails if the process cannot be started, or exits or times out before that line.
     pub fn start(name: &str, mut command: Command, folder: &Path) -> Result<Self, BenchError> {
         let log = folder.join(format!("{name}.log"));
         let file = File::create(&log).map_err(|source| BenchError::File {
@@ -77,29 +77,29 @@
         Ok(process)
     }
 
-    /// Its name.
+    /// Returns the name of the process.
     #[must_use]
     pub fn name(&self) -> &str {
         &self.name
     }
 
-    /// What it printed once it listened.
+    /// Returns the line that the process printed once it was listening.
     #[must_use]
     pub fn ready_line(&self) -> &str {
         &self.ready_line
     }
 
-    /// Its number.
+    /// Returns the process id.
     #[must_use]
     pub fn id(&self) -> u32 {
         self.child.id()
     }
 
-    /// Sends it a signal by its number.
+    /// Sends a signal to the process.
     ///
     /// # Errors
     ///
-    /// When the system's `kill` cannot be run.
+    /// Fails if the `kill` program cannot be run.
     pub fn signal(&self, signal: Signal) -> Result<(), BenchError> {
         let mut command = Command::new("kill");
         command.arg("-s").arg(signal.name());
@@ -111,12 +111,12 @@
         })
     }
 
-    /// How it ended, or `None` while it runs.
+    /// Returns the exit status, or `None` while the process runs.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Waits for its end, at most for `patience`.
+    /// Waits at most `patience` for the process to end and returns its exit status.
     pub fn wait(&mut self, patience: Duration) -> Option<ExitStatus> {
         let deadline = Instant::now() + patience;
         loop {
@@ -132,21 +132,21 @@
 impl Drop for Process {
     fn drop(&mut self) {
         if self.exit_status().is_none() {
-            // It may have ended meanwhile; there is nothing left to do then.
+            // The process may have ended meanwhile, in which case errors are expected.
             let _ = self.child.kill();
             let _ = self.child.wait();
         }
     }
 }
 
-/// The first line of a process; later ones are read and dropped, so that the
-/// process never waits for its reader.
+/// Returns the first line of output. Later lines are read and discarded, so that the
+/// process never blocks on a full pipe.
 fn first_line(output: ChildStdout) -> Option<String> {
     let (sender, receiver) = mpsc::channel();
     std::thread::spawn(move || {
         for line in BufReader::new(output).lines() {
             let Ok(line) = line else { return };
-            // The receiver is gone after the first line.
+            // The receiver is dropped after the first line.
             let _ = sender.send(line);
         }
     });
--- a/crates/bench/src/run/fleet/programs.rs
+++ b/crates/bench/src/run/fleet/programs.rs
@@ -1,17 +1,17 @@
-//! Finds the programs that a run starts.
+//! Finds the programs of the fleet.
 
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
 use crate::BenchError;
 
-/// The daemon.
+/// File name of the daemon.
 pub const DAEMON: &str = "molespand";
-/// The stand-ins.
+/// File name of the emulator of back ends.
 pub const EMULATOR: &str = "molespan-emulator";
-/// Variable in which cargo names itself to what it runs.
+/// Environment variable with cargo's path, set for programs that cargo runs.
 const CARGO_VARIABLE: &str = "CARGO";
-/// Packages and binaries that are built when a program is missing.
+/// Arguments for cargo to build missing programs.
 const BUILD_ARGUMENTS: [&str; 10] = [
     "build",
     "--release",
@@ -28,19 +28,19 @@
 /// Paths of the programs.
 #[derive(Clone, Debug)]
 pub struct Programs {
-    /// The daemon.
+    /// Path of the daemon.
     pub daemon: PathBuf,
-    /// The stand-ins.
+    /// Path of the emulator.
     pub emulator: PathBuf,
 }
 
 impl Programs {
-    /// The programs beside this one, built first when one is missing and
-    /// cargo runs the bench.
+    /// Finds the programs in the folder of the running program. Missing programs are
+    /// built first if the benchmark runs under cargo.
     ///
     /// # Errors
     ///
-    /// When one is missing and cannot be built.
+    /// Fails if a program is missing and cannot be built.
     pub fn find() -> Result<Self, BenchError> {
         let folder = own_folder()?;
         let programs = Self::beside(&folder);
@@ -82,7 +82,7 @@
     format!("cargo {}", BUILD_ARGUMENTS.join(" "))
 }
 
-/// Builds both programs where cargo runs the bench.
+/// Builds both programs if the benchmark runs under cargo.
 fn build() -> Result<(), BenchError> {
     let Some(cargo) = std::env::var_os(CARGO_VARIABLE) else {
         return Ok(());
--- a/crates/bench/src/run/fleet/relay.rs
+++ b/crates/bench/src/run/fleet/relay.rs
@@ -1,9 +1,9 @@
-//! Relays on the loopback that stand for the network between zones.
+//! Relays on the loopback interface that emulate the network between zones.
 //!
-//! A relay listens for the nodes of one zone and forwards to one address of
-//! another zone. It delays every byte by the one-way time, and while the link
-//! is cut it forwards nothing and says nothing, like a network that drops
-//! packets. Links between nodes of one zone have no relay.
+//! A relay listens for connections from one zone and forwards them to one address of
+//! another zone. It delays every byte by the one-way delay. While the link is cut it
+//! forwards nothing and keeps connections open, like a network that drops packets.
+//! Connections within a zone do not use a relay.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -17,21 +17,21 @@
 use futures_lite::future;
 use futures_lite::io::{AsyncReadExt, AsyncWriteExt};
 
-/// Bytes read at once.
+/// Size of the read buffer in bytes.
 const READ_BYTES: usize = 64 * 1024;
-/// Pieces on their way in one direction of one connection.
+/// Maximum number of chunks in flight per direction of a connection.
 const IN_FLIGHT: usize = 256;
-/// Time between two looks at whether a cut link is whole again.
+/// Interval between checks whether a cut link is restored.
 const CUT_POLL: Duration = Duration::from_millis(10);
 
-/// A switch of the links of one zone.
+/// Switch for the links of one zone.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneLink {
     cut: Arc<AtomicBool>,
 }
 
 impl ZoneLink {
-    /// Cuts the zone off, or joins it again.
+    /// Partitions the zone, or reconnects it.
     pub fn set_cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::Relaxed);
     }
@@ -41,12 +41,12 @@
     }
 }
 
-/// How a relay carries bytes.
+/// Properties of the link that a relay emulates.
 #[derive(Clone, Debug)]
 pub struct RelayLink {
-    /// Delay of every byte, one way.
+    /// One-way delay of every byte.
     pub one_way: Duration,
-    /// The zones at both ends; cutting either cuts the relay.
+    /// Switches of the zones at both ends; cutting either cuts the relay.
     pub ends: [ZoneLink; 2],
 }
 
@@ -58,11 +58,11 @@
     }
 }
 
-/// Starts a relay to `target` and returns where it listens.
+/// Starts a relay to `target` and returns its listening address.
 ///
 /// # Errors
 ///
-/// When no address can be bound.
+/// Fails if no address can be bound.
 pub fn start_relay(
     executor: &Arc<Executor<'static>>,
     target: SocketAddr,
@@ -81,14 +81,14 @@
     Ok(address)
 }
 
-/// Carries one connection until either side ends it.
+/// Relays one connection until both directions have ended.
 async fn relay(near: Async<TcpStream>, target: SocketAddr, link: RelayLink) {
     link.until_whole().await;
     let Ok(far) = Async::<TcpStream>::connect(target).await else {
         return;
     };
     for stream in [&near, &far] {
-        // Without it small messages wait for acknowledgements.
+        // Disables Nagle's algorithm, which delays small messages until acknowledgements.
         let _ = stream.get_ref().set_nodelay(true);
     }
     let there = carry(&near, &far, &link);
@@ -96,13 +96,13 @@
     future::zip(there, back).await;
 }
 
-/// Bytes and the time at which they arrive.
+/// A chunk of bytes with its arrival time at the receiver.
 struct Piece {
     arrives: Instant,
     bytes: Vec<u8>,
 }
 
-/// Carries one direction until its sender ends it, then ends it at the
+/// Forwards one direction until the sender closes it, then closes it towards the
 /// receiver.
 async fn carry(from: &Async<TcpStream>, to: &Async<TcpStream>, link: &RelayLink) {
     let (sender, receiver) = async_channel::bounded(IN_FLIGHT);
--- a/crates/bench/src/run/load/batch.rs
+++ b/crates/bench/src/run/load/batch.rs
@@ -1,4 +1,4 @@
-//! Submits heaps of batch jobs and follows their progress.
+//! Submits waves of batch jobs and tracks their progress.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
@@ -12,36 +12,36 @@
 use crate::run::account::{CallOutcome, JobItems, JobResults, ResultLine};
 use crate::run::profile::Profile;
 
-/// Time between two looks at the progress of all jobs.
+/// Interval between polls of the progress of all jobs.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
-/// Pause before a submission or read is made again.
+/// Delay before a submission or read is retried.
 const RETRY_PAUSE: Duration = Duration::from_millis(300);
-/// Times that a submission or read is made.
+/// Maximum number of attempts for a submission or read.
 const MAX_TRIES: u32 = 40;
 
-/// Items completed by a moment.
+/// Total of completed items at a point in time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProgressSample {
-    /// Moment since the start of the load.
+    /// Time since the start of the load.
     pub at: Duration,
-    /// Items of all jobs that have their answer.
+    /// Completed items of all jobs.
     pub completed: u64,
 }
 
-/// A job that is ready to be submitted.
+/// A job generated before the load starts.
 #[derive(Clone, Debug)]
 pub struct PreparedJob {
-    /// Intended time since the start of the load.
+    /// Scheduled time since the start of the load.
     pub at: Duration,
-    /// Zone of the submitter, by position.
+    /// Index of the submitter's zone.
     pub zone: usize,
-    /// The submission.
+    /// Request that submits the job.
     pub submission: JobSubmission,
-    /// Its items.
+    /// Items of the job.
     pub items: Arc<JobItems>,
 }
 
-/// The jobs of `arrivals`, made up before the load starts.
+/// Generates the jobs of `arrivals`, before the load starts.
 #[must_use]
 pub fn prepare_jobs(
     profile: &Profile,
@@ -77,7 +77,7 @@
     }
 }
 
-/// A job that was accepted.
+/// A job that a gateway accepted.
 #[derive(Clone)]
 struct SubmittedJob {
     id: String,
@@ -95,26 +95,26 @@
     incidents: Vec<String>,
 }
 
-/// All batch jobs of an arm.
+/// Submits and tracks all batch jobs of an arm.
 pub struct BatchLoad {
     context: Arc<LoadContext>,
     client: JobClient,
     state: Mutex<BatchState>,
 }
 
-/// What remains of a batch load at its end.
+/// Outcome of a batch load.
 #[derive(Default)]
 pub struct BatchReport {
-    /// Results of each job, checked.
+    /// Checked results of each job.
     pub jobs: Vec<JobResults>,
-    /// Progress over time.
+    /// Progress samples over time.
     pub samples: Vec<ProgressSample>,
-    /// What went wrong outside of single items.
+    /// Errors that concern no single item, such as retried submissions.
     pub incidents: Vec<String>,
 }
 
 impl BatchLoad {
-    /// A load without jobs.
+    /// Creates a load without jobs.
     #[must_use]
     pub fn new(context: Arc<LoadContext>, client: JobClient) -> Self {
         Self {
@@ -124,8 +124,8 @@
         }
     }
 
-    /// Submits jobs at their times, without waiting for earlier ones, and
-    /// returns once every job was accepted.
+    /// Submits jobs at their scheduled times, without waiting for earlier ones, and
+    /// returns once every submission has succeeded or given up.
     pub async fn submit_all(self: Arc<Self>, jobs: Vec<PreparedJob>) {
         let mut submissions = Vec::with_capacity(jobs.len());
         for job in jobs {
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Looks at the progress of all jobs for ever.
+    /// Polls the progress of all jobs, without end.
     pub async fn keep_watching(&self) {
         loop {
             self.look().await;
@@ -147,9 +147,9 @@
         }
     }
 
-    /// Waits until every job has ended, at most until `deadline`; then cancels
-    /// those that are left and waits for the cancellations. Reads and checks
-    /// all results.
+    /// Waits until every job has ended, at most until `deadline`, then cancels the
+    /// remaining jobs and waits for the cancellations, at most until
+    /// `cancel_deadline`. Reads and checks all results.
     pub async fn finish(&self, deadline: Instant, cancel_deadline: Instant) -> BatchReport {
         self.wait_for_end(deadline).await;
         for position in self.open_jobs() {
@@ -172,7 +172,7 @@
         report
     }
 
-    /// Submits one job until a gateway accepts it, always under the same key.
+    /// Submits one job, with retries under the same key until a gateway accepts it.
     async fn submit(&self, job: PreparedJob) {
         for attempt in 0..MAX_TRIES {
             let gateway = self.context.steering.gateway(job.zone + attempt as usize);
@@ -198,7 +198,7 @@
         });
     }
 
-    /// Reads the progress of every open job and records the sum.
+    /// Polls the progress of every open job and records the total.
     async fn look(&self) {
         for position in self.open_jobs() {
             let (id, zone) = self.job(position);
@@ -241,8 +241,8 @@
         }
     }
 
-    /// All results of a job, read from another gateway than it was submitted
-    /// to.
+    /// Returns all results of a job, read first from the gateway of the zone after
+    /// the submitter's.
     async fn results(&self, job: &SubmittedJob) -> Vec<ResultLine> {
         for attempt in 0..MAX_TRIES {
             let zone = job.zone + 1 + attempt as usize;
@@ -280,8 +280,8 @@
     }
 }
 
-/// Items completed a second between `from` and `until`, interpolated between
-/// the samples around both.
+/// Returns the items completed per second between `from` and `until`, with linear
+/// interpolation between samples.
 #[must_use]
 pub fn items_per_second(samples: &[ProgressSample], from: Duration, until: Duration) -> f64 {
     let length = until.saturating_sub(from).as_secs_f64();
--- a/crates/bench/src/run/load/call.rs
+++ b/crates/bench/src/run/load/call.rs
@@ -1,4 +1,4 @@
-//! Calls and what is recorded of them.
+//! Calls and their records.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,58 +12,58 @@
 
 use crate::run::account::CallOutcome;
 
-/// A streamed completion to ask for.
+/// A streamed completion request.
 #[derive(Clone, Debug)]
 pub struct CompletionCall {
-    /// Service towards a gateway, or model towards an engine.
+    /// Service name for a gateway, or model name for an engine.
     pub model: String,
-    /// Prompt.
+    /// Text of the prompt.
     pub prompt: String,
-    /// Tokens of the answer.
+    /// Number of tokens to generate.
     pub max_tokens: u32,
     /// Tenant of the caller.
     pub tenant: String,
-    /// Key of a request that may not be repeated.
+    /// Idempotency key of a request that is not repeatable.
     pub once_key: Option<String>,
 }
 
 /// An application call.
 #[derive(Clone, Debug)]
 pub struct ApplicationCall {
-    /// What stands before the application's own path; empty for a direct call.
+    /// Prefix of the application's path; empty for a direct call.
     pub prefix: String,
-    /// The application's own path.
+    /// Path within the application.
     pub path: String,
-    /// Body.
+    /// Request body.
     pub body: String,
     /// Tenant of the caller.
     pub tenant: String,
 }
 
 impl ApplicationCall {
-    /// Digest under which the back end records the run.
+    /// Returns the digest under which the back end records the execution.
     #[must_use]
     pub fn digest(&self) -> Digest {
         echo_digest("POST", &self.path, self.body.as_bytes())
     }
 }
 
-/// A call that ended. Times count from the intended time of the call.
+/// A finished call. Times are measured from the scheduled time of the call.
 #[derive(Clone, Debug)]
 pub struct CallRecord {
-    /// Digest under which the back ends record the run.
+    /// Digest under which the back ends record the execution.
     pub prompt: Digest,
-    /// When the first token came, for completions.
+    /// Time to first token, for completions.
     pub first_token: Option<Duration>,
-    /// When the end came.
+    /// Time to the end of the call.
     pub whole: Duration,
-    /// Gaps between tokens.
+    /// Times between successive tokens.
     pub token_gaps: Vec<Duration>,
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: CallOutcome,
 }
 
-/// The HTTP request of a completion.
+/// Builds the HTTP request of a completion.
 pub(super) fn completion_request(
     address: SocketAddr,
     call: &CompletionCall,
--- a/crates/bench/src/run/load/caller.rs
+++ b/crates/bench/src/run/load/caller.rs
@@ -1,4 +1,4 @@
-//! One call over HTTP, timed and checked.
+//! Makes single calls over HTTP, measures their times and checks the responses.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,12 +14,12 @@
 use super::call::{ApplicationCall, CallRecord, CompletionCall, completion_request};
 use crate::run::account::CallOutcome;
 
-/// Longest answer that is read, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_ANSWER_BYTES: usize = 1024 * 1024;
-/// A caller that has no final answer by then counts its request as lost.
+/// Timeout after which a call without a final response counts as lost.
 const CALLER_PATIENCE: Duration = Duration::from_secs(60);
 
-/// What a stream brought so far.
+/// State of a stream that is being read.
 #[derive(Default)]
 struct StreamProgress {
     first_token: Option<Duration>,
@@ -28,21 +28,21 @@
     next_offset: u32,
 }
 
-/// Makes calls over a pool of connections.
+/// Makes calls over a connection pool.
 #[derive(Clone, Debug)]
 pub struct Caller {
     pool: Pool,
 }
 
 impl Caller {
-    /// A caller over `pool`.
+    /// Creates a caller that uses `pool`.
     #[must_use]
     pub fn new(pool: Pool) -> Self {
         Self { pool }
     }
 
-    /// Streams a completion from `address`; `intended` is when the call should
-    /// have begun.
+    /// Streams a completion from `address`. `intended` is the scheduled start of the
+    /// call.
     pub async fn stream(
         &self,
         address: SocketAddr,
@@ -157,8 +157,8 @@
     }
 }
 
-/// Checks one event of a stream: the next token of the right answer, or a
-/// typed error that ends the stream.
+/// Checks one event of a stream: the next token of the expected text, or a typed
+/// error that ends the stream.
 fn check_event(
     data: &str,
     answer: AnswerText,
@@ -183,7 +183,7 @@
     Ok(())
 }
 
-/// The outcome behind a response that is not a success.
+/// Returns the outcome of a response without a success status.
 pub(super) async fn refusal(response: ClientResponse) -> CallOutcome {
     let status = u16::from(response.status());
     match response.json::<ErrorBody>(MAX_ANSWER_BYTES).await {
@@ -199,7 +199,7 @@
     }
 }
 
-/// The outcome behind a request without a response.
+/// Returns the outcome of a request without a response.
 pub(super) fn unsent(error: &SendError) -> CallOutcome {
     match error {
         SendError::NotSent(cause) => CallOutcome::NotSent {
@@ -228,7 +228,7 @@
     }
 }
 
-/// The outcome of `call`, or `Lost` when the caller's patience ends first.
+/// Returns the outcome of `call`, or `Lost` after [`CALLER_PATIENCE`].
 async fn patiently(call: impl Future<Output = CallOutcome>) -> CallOutcome {
     let patience = async {
         Timer::after(CALLER_PATIENCE).await;
--- a/crates/bench/src/run/load/job_client.rs
+++ b/crates/bench/src/run/load/job_client.rs
@@ -1,4 +1,4 @@
-//! Calls on batch jobs, as a submitter makes them.
+//! HTTP client for batch jobs.
 
 use std::fmt::Write;
 use std::net::SocketAddr;
@@ -13,43 +13,43 @@
 use super::caller::{refusal, unsent};
 use crate::run::account::{CallOutcome, JobItems, ResultLine};
 
-/// Longest answer that is read, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_ANSWER_BYTES: usize = 256 * 1024 * 1024;
-/// A call that has no answer by then is given up and made again.
+/// Timeout after which a call without a response is abandoned and retried.
 const CALL_PATIENCE: Duration = Duration::from_secs(30);
 /// Tenant of batch jobs.
 const TENANT: &str = "clerks";
 
-/// Where a job stands, as far as the bench reads it.
+/// Job status, with the fields that the benchmark uses.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct JobSummary {
-    /// Identifier.
+    /// Identifier of the job.
     #[serde(alias = "job")]
     pub id: String,
-    /// `submitting`, `running`, `cancelling`, `cancelled` or `completed`.
+    /// Phase: `submitting`, `running`, `cancelling`, `cancelled` or `completed`.
     #[serde(alias = "phase")]
     pub state: String,
-    /// Items that have their answer.
+    /// Number of completed items.
     #[serde(default)]
     pub completed: u64,
 }
 
 impl JobSummary {
-    /// Whether nothing of the job will run any more.
+    /// Whether the job has ended.
     #[must_use]
     pub fn has_ended(&self) -> bool {
         matches!(self.state.as_str(), "completed" | "cancelled")
     }
 }
 
-/// One line of a job's body.
+/// An item as a line of a job's body.
 #[derive(Serialize)]
 struct ItemLine<'a> {
     prompt: &'a str,
     max_tokens: u32,
 }
 
-/// A job in the form in which it is submitted.
+/// Encoded submission of a job.
 #[derive(Clone, Debug)]
 pub struct JobSubmission {
     path: String,
@@ -57,7 +57,7 @@
 }
 
 impl JobSubmission {
-    /// Items for `service`, known by `key`.
+    /// Encodes `items` for `service` under the idempotency key `key`.
     #[must_use]
     pub fn new(service: &str, key: &str, items: &JobItems) -> Self {
         let repeatable = items.repeatable;
@@ -68,24 +68,24 @@
     }
 }
 
-/// Submits jobs and asks about them.
+/// Submits, polls and cancels jobs.
 #[derive(Clone, Debug)]
 pub struct JobClient {
     pool: Pool,
 }
 
 impl JobClient {
-    /// A client over `pool`.
+    /// Creates a client that uses `pool`.
     #[must_use]
     pub fn new(pool: Pool) -> Self {
         Self { pool }
     }
 
-    /// Submits a job; the same submission may be sent again.
+    /// Submits a job. Submitting it again is safe.
     ///
     /// # Errors
     ///
-    /// How the call ended otherwise.
+    /// Returns the outcome of a failed call.
     pub async fn submit(
         &self,
         gateway: SocketAddr,
@@ -96,11 +96,11 @@
             .await
     }
 
-    /// Where a job stands.
+    /// Returns the status of a job.
     ///
     /// # Errors
     ///
-    /// How the call ended otherwise.
+    /// Returns the outcome of a failed call.
     pub async fn status(&self, gateway: SocketAddr, id: &str) -> Result<JobSummary, CallOutcome> {
         let path = format!("/v1/batches/{id}");
         self.call(Method::Get, gateway, &path, None).await
@@ -110,17 +110,17 @@
     ///
     /// # Errors
     ///
-    /// How the call ended otherwise.
+    /// Returns the outcome of a failed call.
     pub async fn cancel(&self, gateway: SocketAddr, id: &str) -> Result<JobSummary, CallOutcome> {
         let path = format!("/v1/batches/{id}/cancel");
         self.call(Method::Post, gateway, &path, None).await
     }
 
-    /// All results of a job.
+    /// Returns all results of a job.
     ///
     /// # Errors
     ///
-    /// How the call ended otherwise.
+    /// Returns the outcome of a failed call.
     pub async fn results(
         &self,
         gateway: SocketAddr,
@@ -187,7 +187,7 @@
     Ok(request)
 }
 
-/// The items as JSON lines.
+/// Encodes the items as JSON lines.
 fn job_body(items: &JobItems) -> String {
     let mut body = String::new();
     for prompt in &items.prompts {
@@ -195,7 +195,7 @@
             prompt,
             max_tokens: items.answer_tokens,
         };
-        // Neither a line of plain fields nor writing to a string can fail.
+        // Serializing plain fields and writing to a string cannot fail.
         let line = serde_json::to_string(&line).unwrap_or_default();
         let _ = writeln!(body, "{line}");
     }
--- a/crates/bench/src/run/load/mod.rs
+++ b/crates/bench/src/run/load/mod.rs
@@ -1,4 +1,4 @@
-//! The load: arrival times, prompts and the callers.
+//! Load generator: arrival times, prompts and callers.
 
 pub mod batch;
 pub mod call;
--- a/crates/bench/src/run/load/online.rs
+++ b/crates/bench/src/run/load/online.rs
@@ -1,4 +1,4 @@
-//! Drives online completions and application calls as an open loop.
+//! Open-loop load of online completions and application calls.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -15,58 +15,58 @@
 
 /// Tenant of online callers.
 const TENANT: &str = "residents";
-/// Tokens of an application call's body.
+/// Number of tokens in the body of an application call.
 const APPLICATION_TOKENS: u32 = 8;
 
-/// A call of the load with what it was.
+/// Record of a call with its scheduled time.
 #[derive(Clone, Debug)]
 pub struct LoadRecord {
-    /// Intended time since the start of the load.
+    /// Scheduled time since the start of the load.
     pub at: Duration,
-    /// Whether it may be repeated.
+    /// Whether the call is repeatable.
     pub repeatable: bool,
-    /// How it went.
+    /// Times and outcome of the call.
     pub call: CallRecord,
 }
 
-/// An online request that is ready to be sent.
+/// An online request generated before the load starts.
 #[derive(Clone, Debug)]
 pub struct PreparedCompletion {
-    /// Intended time since the start of the load.
+    /// Scheduled time since the start of the load.
     pub at: Duration,
-    /// Zone of the caller, by position.
+    /// Index of the caller's zone.
     pub zone: usize,
-    /// The call.
+    /// Request to send.
     pub call: CompletionCall,
 }
 
-/// An application call that is ready to be made.
+/// An application call generated before the load starts.
 #[derive(Clone, Debug)]
 pub struct PreparedApplication {
-    /// Intended time since the start of the load.
+    /// Scheduled time since the start of the load.
     pub at: Duration,
-    /// Zone of the caller, by position.
+    /// Index of the caller's zone.
     pub zone: usize,
-    /// The call.
+    /// Request to send.
     pub call: ApplicationCall,
 }
 
-/// What all calls of a load share.
+/// State shared by all calls of a load.
 pub struct LoadContext {
-    /// Runs the calls.
+    /// Executor that runs the calls.
     pub executor: Arc<Executor<'static>>,
-    /// Makes them.
+    /// Client that makes the calls.
     pub caller: Caller,
-    /// Chooses the gateway.
+    /// Gateway selection.
     pub steering: Arc<Steering>,
-    /// Time zero of the arrivals.
+    /// Start of the load, to which arrival times are relative.
     pub start: Instant,
 }
 
 type Records = Arc<Mutex<Vec<LoadRecord>>>;
 
-/// The calls of `arrivals`. They are made up before the load starts, so that
-/// making them up takes no time of the load.
+/// Generates the calls of `arrivals`, before the load starts so that this takes no
+/// time during the load.
 #[must_use]
 pub fn prepare_online(
     profile: &Profile,
@@ -82,7 +82,7 @@
     prepared.collect()
 }
 
-/// The application calls of `arrivals`, made up before the load starts.
+/// Generates the application calls of `arrivals`, before the load starts.
 #[must_use]
 pub fn prepare_application(
     profile: &Profile,
@@ -104,7 +104,7 @@
     prepared.collect()
 }
 
-/// Sends online completions at their times and waits for all answers.
+/// Sends online completions at their scheduled times and waits for all responses.
 pub async fn drive_online(
     context: &Arc<LoadContext>,
     prepared: Vec<PreparedCompletion>,
@@ -122,7 +122,7 @@
     take(&records)
 }
 
-/// Makes application calls at their times and waits for all answers.
+/// Makes application calls at their scheduled times and waits for all responses.
 pub async fn drive_application(
     context: &Arc<LoadContext>,
     prepared: Vec<PreparedApplication>,
@@ -159,8 +159,8 @@
         .caller
         .application(gateway, &call, context.start + at);
     let record = calling.await;
-    // A gateway may run a call again unless it is marked as one that may not
-    // be repeated.
+    // A gateway may retry application calls: the load does not mark them as not
+    // repeatable.
     push(&records, at, true, record);
 }
 
@@ -200,7 +200,7 @@
     });
 }
 
-/// The records, in the order of their intended times.
+/// Takes the records, ordered by scheduled time.
 fn take(records: &Records) -> Vec<LoadRecord> {
     let mut records = records.lock().unwrap_or_else(PoisonError::into_inner);
     let mut taken = std::mem::take(&mut *records);
--- a/crates/bench/src/run/load/prompts.rs
+++ b/crates/bench/src/run/load/prompts.rs
@@ -1,10 +1,10 @@
-//! Prompts whose length in tokens and shared prefix are known.
+//! Generates prompts with a known token count and shared prefix.
 
 use molespan_types::digest_of;
 use std::fmt::Write;
 
-/// Appends `tokens` tokens that depend on `name` alone: words of four
-/// hexadecimal digits, each of which counts as one token.
+/// Appends `tokens` words of four hexadecimal digits that depend only on `name`.
+/// Each word counts as one token.
 fn push_tokens(text: &mut String, name: &str, tokens: u32) {
     for position in 0..tokens {
         let word = digest_of(format!("{name} {position}").as_bytes());
@@ -13,15 +13,15 @@
     }
 }
 
-/// Makes prompts of one arm; no two of them are equal.
+/// Generates the prompts of one arm, all of which are distinct.
 #[derive(Clone, Debug)]
 pub struct Prompts {
-    /// Names the run and arm, so that the engines' records tell them apart.
+    /// Identifies the run and arm, so that their prompts differ in the engines' records.
     label: String,
 }
 
 impl Prompts {
-    /// Prompts that carry `label`, one word.
+    /// Creates a generator of prompts that start with `label`, a single word.
     #[must_use]
     pub fn new(label: &str) -> Self {
         Self {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// A prompt of its own.
+    /// Returns a prompt without a shared prefix.
     #[must_use]
     pub fn single(&self, kind: &str, number: u64, tokens: u32) -> String {
         let name = format!("{} {kind} {number}", self.label);
@@ -38,13 +38,13 @@
         prompt
     }
 
-    /// A key, one word, for a request or job that is known by it.
+    /// Returns an idempotency key for a request or job, a single word.
     #[must_use]
     pub fn key(&self, kind: &str, number: u64) -> String {
         format!("{}-{kind}-{number}", self.label)
     }
 
-    /// A prompt that begins with the prefix of an album.
+    /// Returns a prompt that starts with the prefix of an album.
     #[must_use]
     pub fn album(&self, album: u32, prefix_tokens: u32, number: u64, tokens: u32) -> String {
         let name = format!("{} album {album}", self.label);
--- a/crates/bench/src/run/load/schedule.rs
+++ b/crates/bench/src/run/load/schedule.rs
@@ -1,8 +1,8 @@
-//! Arrival times, fixed before the load starts.
+//! Arrival times, computed before the load starts.
 //!
-//! The load is an open loop: an arrival waits for no answer. Each latency is
-//! measured from the intended time of the arrival, so that a generator or
-//! server that falls behind shows in the figures (coordinated omission).
+//! The load is an open loop: an arrival does not wait for earlier responses. Each
+//! latency is measured from the scheduled time of the arrival, so that delays of
+//! the generator or server are not hidden (coordinated omission).
 
 use std::time::Duration;
 
@@ -11,57 +11,57 @@
 
 use crate::run::profile::{ApplicationLoad, BatchLoad, OnlineLoad};
 
-/// Offset of the seeds of the separate streams, so that a change of one does
-/// not move the others.
+/// Seed offsets of the separate random streams, so that a change to one stream does
+/// not affect the others.
 const APPLICATION_STREAM: u64 = 1;
 const BATCH_STREAM: u64 = 2;
 
 /// Kind of an online request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OnlineKind {
-    /// One picture or hint: a short prompt.
+    /// A short prompt, for one picture or hint.
     Short,
-    /// A whole album or practical: a prompt that begins with the prefix of
-    /// that number.
+    /// A long prompt, for a whole album or practical, that starts with the prefix
+    /// of this number.
     Album(u32),
 }
 
-/// One online request.
+/// Arrival of an online request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OnlineArrival {
-    /// Intended time since the start of the load.
+    /// Scheduled time since the start of the load.
     pub at: Duration,
-    /// Kind.
+    /// Kind of the request.
     pub kind: OnlineKind,
-    /// Zone of the caller, by position.
+    /// Index of the caller's zone.
     pub zone: usize,
-    /// Whether it may be repeated.
+    /// Whether the request is repeatable.
     pub repeatable: bool,
 }
 
-/// One application call.
+/// Arrival of an application call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApplicationArrival {
-    /// Intended time since the start of the load.
+    /// Scheduled time since the start of the load.
     pub at: Duration,
-    /// Zone of the caller, by position.
+    /// Index of the caller's zone.
     pub zone: usize,
 }
 
-/// One batch job.
+/// Arrival of a batch job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobArrival {
-    /// Intended time since the start of the load.
+    /// Scheduled time since the start of the load.
     pub at: Duration,
-    /// Zone of the submitter, by position.
+    /// Index of the submitter's zone.
     pub zone: usize,
-    /// Items.
+    /// Number of items.
     pub items: u32,
-    /// Whether its items may be repeated.
+    /// Whether the items are repeatable.
     pub repeatable: bool,
 }
 
-/// The online requests of `length`, in the order of their times.
+/// Returns the online requests within `length`, ordered by time.
 #[must_use]
 pub fn online_arrivals(
     load: &OnlineLoad,
@@ -84,7 +84,7 @@
         .collect()
 }
 
-/// The application calls of `length`, in the order of their times.
+/// Returns the application calls within `length`, ordered by time.
 #[must_use]
 pub fn application_arrivals(
     load: &ApplicationLoad,
@@ -102,7 +102,7 @@
         .collect()
 }
 
-/// The batch jobs of `length`: a heap at once, then one every interval.
+/// Returns the batch jobs within `length`: a wave at the start, then one per interval.
 #[must_use]
 pub fn job_arrivals(
     load: &BatchLoad,
@@ -128,7 +128,7 @@
     jobs
 }
 
-/// Times of a Poisson process.
+/// Returns arrival times of a Poisson process.
 fn poisson_times(per_second: f64, length: Duration, random: &mut ChaCha8Rng) -> Vec<Duration> {
     let mut times = Vec::new();
     if per_second <= 0.0 {
@@ -145,7 +145,7 @@
     }
 }
 
-/// Times within bursts.
+/// Returns arrival times within bursts.
 fn burst_times(load: &OnlineLoad, length: Duration, random: &mut ChaCha8Rng) -> Vec<Duration> {
     let mut times = Vec::new();
     let mut start = load.burst_every.mul_f64(random.random_range(0.2..0.7));
--- a/crates/bench/src/run/load/steering.rs
+++ b/crates/bench/src/run/load/steering.rs
@@ -1,7 +1,7 @@
-//! Which gateway a caller asks: that of its zone while it is ready.
+//! Gateway selection: a caller uses the gateway of its zone while that is ready.
 //!
-//! It stands for the load balancer or name service in front of gateways, which
-//! follows their readiness with a lag.
+//! This emulates the load balancer or name service in front of gateways, which
+//! tracks their readiness with a lag.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,9 +11,9 @@
 use futures_lite::future;
 use molespan_http::{Method, Pool, new_request};
 
-/// Time between two looks at a gateway's readiness.
+/// Interval between readiness probes of a gateway.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// A gateway that is silent for this long counts as unready.
+/// Probe timeout, after which a gateway counts as not ready.
 const PROBE_PATIENCE: Duration = Duration::from_millis(500);
 /// Path of the readiness check.
 const READY_PATH: &str = "/ready";
@@ -29,7 +29,7 @@
 }
 
 impl Steering {
-    /// Steers between gateways, one of each zone, all taken as ready.
+    /// Creates a selection of gateways, one per zone, that are all assumed ready.
     #[must_use]
     pub fn new(addresses: &[SocketAddr]) -> Self {
         let gateways = addresses.iter().map(|address| Gateway {
@@ -41,8 +41,8 @@
         }
     }
 
-    /// The gateway for a caller in `zone`: its own, else the next ready one,
-    /// else its own all the same.
+    /// Returns the gateway for a caller in `zone`: the one of the zone if ready, else
+    /// the next ready one, else the one of the zone although it is not ready.
     #[must_use]
     pub fn gateway(&self, zone: usize) -> SocketAddr {
         let count = self.gateways.len();
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Probes for ever.
+    /// Probes all gateways periodically, without end.
     pub async fn keep_probing(&self, pool: &Pool) {
         loop {
             self.probe(pool).await;
--- a/crates/bench/src/run/measure/engines.rs
+++ b/crates/bench/src/run/measure/engines.rs
@@ -1,4 +1,4 @@
-//! Samples of the engines' own load reports.
+//! Samples the load reports of engines.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -13,14 +13,14 @@
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// Time between two readings of one engine.
+/// Sampling interval per engine.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest wait for one answer of a back end.
+/// Timeout for a response of a back end.
 const ANSWER_PATIENCE: Duration = Duration::from_secs(5);
-/// Longest answer that is read, in bytes.
+/// Maximum size of a response body, in bytes.
 const MAX_ANSWER_BYTES: usize = 256 * 1024 * 1024;
 
-/// One reading of one engine.
+/// A load sample of one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct LoadSample {
     taken: Instant,
@@ -31,10 +31,10 @@
     max_running: u32,
 }
 
-/// Mean use of the engines over a time.
+/// Mean utilization of the engines over a period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineUse {
-    /// Readings.
+    /// Number of samples.
     pub samples: u64,
     /// Share of engine time in which online work ran or waited.
     pub online_time: f64,
@@ -46,14 +46,14 @@
     pub batch_slots: f64,
 }
 
-/// Reads the load reports of all engines.
+/// Collects load samples of all engines.
 #[derive(Clone, Debug, Default)]
 pub struct EngineSampler {
     samples: Arc<Mutex<Vec<LoadSample>>>,
 }
 
 impl EngineSampler {
-    /// Reads one engine for ever.
+    /// Samples one engine periodically, without end.
     pub async fn watch(&self, pool: &Pool, engine: SocketAddr) {
         let mut due = Instant::now();
         loop {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Mean use between two moments.
+    /// Returns the mean utilization from `from` until `until`.
     #[must_use]
     pub fn mean(&self, from: Instant, until: Instant) -> EngineUse {
         let samples = self.samples.lock().unwrap_or_else(PoisonError::into_inner);
@@ -115,8 +115,8 @@
     }
 }
 
-/// Batch sequences that the engines hold now, as they report it; `None` when
-/// one does not answer.
+/// Returns the number of batch sequences that the engines report, or `None` if an
+/// engine does not respond.
 pub async fn batch_sequences(pool: &Pool, engines: &[SocketAddr]) -> Option<u32> {
     let mut total = 0;
     for engine in engines {
@@ -126,12 +126,12 @@
     Some(total)
 }
 
-/// The record of executions of a back end; `None` when it does not answer.
+/// Returns the execution log of a back end, or `None` if it does not respond.
 pub async fn execution_log(pool: &Pool, backend: SocketAddr) -> Option<ExecutionLog> {
     get(pool, backend, switch_api::EXECUTIONS_PATH).await
 }
 
-/// Posts a switch of a stand-in; `false` when it does not take it.
+/// Posts a control request to an emulator. Returns `false` if it is not accepted.
 pub async fn post_switch(
     pool: &Pool,
     address: SocketAddr,
--- a/crates/bench/src/run/measure/latency.rs
+++ b/crates/bench/src/run/measure/latency.rs
@@ -5,9 +5,9 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
-/// Longest duration that is told apart, in microseconds: ten minutes.
+/// Largest recorded duration, in microseconds: ten minutes. Longer ones are capped.
 const HIGHEST_MICROS: u64 = 600_000_000;
-/// Significant digits of recorded durations.
+/// Precision of recorded durations, in significant digits.
 const DIGITS: u8 = 3;
 
 /// Key values of a distribution, in milliseconds.
@@ -19,9 +19,9 @@
     pub mean_ms: f64,
     /// Median.
     pub p50_ms: f64,
-    /// 95 of 100 values are at most this.
+    /// 95th percentile.
     pub p95_ms: f64,
-    /// 99 of 100 values are at most this.
+    /// 99th percentile.
     pub p99_ms: f64,
     /// Largest value.
     pub max_ms: f64,
@@ -34,9 +34,9 @@
 }
 
 impl Durations {
-    /// The distribution of `values`.
+    /// Creates the distribution of `values`.
     pub fn of(values: impl IntoIterator<Item = Duration>) -> Self {
-        // These bounds are valid, so that creation does not fail.
+        // The bounds are valid, so creation does not fail.
         let mut histogram = Histogram::new_with_bounds(1, HIGHEST_MICROS, DIGITS).ok();
         for value in values {
             if let Some(histogram) = &mut histogram {
@@ -47,7 +47,7 @@
         Self { histogram }
     }
 
-    /// Key values.
+    /// Returns the key values.
     #[must_use]
     pub fn quantiles(&self) -> Quantiles {
         let Some(histogram) = &self.histogram else {
@@ -67,7 +67,7 @@
         }
     }
 
-    /// The value in milliseconds at each of `shares`, 0.0 to 1.0.
+    /// Returns the value in milliseconds at each of the quantiles `shares`, 0.0 to 1.0.
     #[must_use]
     pub fn curve(&self, shares: &[f64]) -> Vec<f64> {
         let Some(histogram) = &self.histogram else {
--- a/crates/bench/src/run/measure/machine.rs
+++ b/crates/bench/src/run/measure/machine.rs
@@ -1,4 +1,4 @@
-//! Processor time of processes, and how busy the machine is.
+//! Processor time of processes and load of the machine.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -8,19 +8,19 @@
 
 use super::latency::{Durations, Quantiles};
 
-/// Clock ticks a second in `/proc/PID/stat`; Linux fixes it for user space.
+/// Clock ticks per second in `/proc/PID/stat`, which Linux fixes for user space.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Position of the user time among the fields behind the command name.
+/// Index of the user time among the fields after the command name.
 const USER_TIME_FIELD: usize = 11;
-/// Sleep whose lateness tells how long a runnable thread waits.
+/// Length of the sleeps whose lateness measures how long a runnable thread waits.
 const PROBE_SLEEP: Duration = Duration::from_millis(5);
 
-/// Processor time that a process has used so far, in seconds; 0 where it
-/// cannot be read.
+/// Returns the processor time used by a process, in seconds, or 0 if it cannot be
+/// read.
 #[must_use]
 pub fn processor_seconds(process: u32) -> f64 {
     let text = std::fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
-    // The command name is in parentheses and may contain anything.
+    // The command name is in parentheses and may contain any character.
     let fields = text.rsplit_once(')').map_or("", |(_, fields)| fields);
     let ticks = |position| {
         let field = fields.split_whitespace().nth(position);
@@ -30,21 +30,20 @@
     total / TICKS_PER_SECOND
 }
 
-/// Processor time of several processes, in seconds.
+/// Returns the processor time used by several processes, in seconds.
 #[must_use]
 pub fn processor_seconds_of(processes: &[u32]) -> f64 {
     processes.iter().copied().map(processor_seconds).sum()
 }
 
-/// How busy the machine was.
+/// Load of the machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MachineLoad {
-    /// Processors.
+    /// Number of available processors.
     pub processors: usize,
-    /// Threads that wanted a processor, averaged over the last minute, at the
-    /// end of the arm.
+    /// One-minute load average at the end of the arm.
     pub load_average: f64,
-    /// How late the bench's own timers fired.
+    /// Lateness of the benchmark's timers.
     pub timer_lateness: Quantiles,
 }
 
@@ -55,7 +54,7 @@
 }
 
 impl LatenessProbe {
-    /// Sleeps for ever and records how late each sleep ends.
+    /// Sleeps repeatedly, without end, and records how late each sleep ends.
     pub async fn run(&self) {
         loop {
             let due = Instant::now() + PROBE_SLEEP;
@@ -66,7 +65,7 @@
         }
     }
 
-    /// What was recorded, with the machine's own figure.
+    /// Returns the recorded lateness with the machine's load average.
     #[must_use]
     pub fn machine_load(&self) -> MachineLoad {
         let values = self.values.lock().unwrap_or_else(PoisonError::into_inner);
--- a/crates/bench/src/run/measure/mod.rs
+++ b/crates/bench/src/run/measure/mod.rs
@@ -1,4 +1,4 @@
-//! What is measured beside the callers' own times.
+//! Measurements other than the callers' times: engines, latency statistics and the machine.
 
 pub mod engines;
 pub mod latency;
--- a/crates/bench/src/run/mod.rs
+++ b/crates/bench/src/run/mod.rs
@@ -1,7 +1,7 @@
 //! The experiment: a fleet of real processes under load, in several arms.
 //!
-//! Each arm runs on a fresh fleet under the same arrivals, drawn from the seed;
-//! all arms of a run are run one after the other on the same machine.
+//! Each arm runs on a new fleet with the same arrivals, drawn from the seed. The arms
+//! of a run are executed one after another on the same machine.
 
 pub mod account;
 mod arm_figures;
@@ -34,28 +34,28 @@
 use self::threads::run_on_threads;
 use crate::BenchError;
 
-/// Measured seconds of an arm when not given; a whole run then takes about
-/// four minutes.
+/// Default measured time per arm in seconds, with which a full run takes about four
+/// minutes.
 const DEFAULT_SECONDS: u64 = 16;
-/// Seed when not given.
+/// Default seed.
 const DEFAULT_SEED: u64 = 1;
-/// Threads that run the load, besides the first.
+/// Number of threads that run the load, besides the main thread.
 const LOAD_THREADS: usize = 3;
-/// Most connections of the load to one address.
+/// Maximum number of connections of the load per address.
 const MAX_CONNECTIONS: usize = 4_096;
-/// Longest wait of a caller for the head of an answer.
+/// Timeout of a caller for the head of a response, and for its body.
 const RESPONSE_PATIENCE: Duration = Duration::from_secs(60);
 
-/// What the command line asks of a run.
+/// Command-line options of a run.
 #[derive(Clone, Debug)]
 pub struct RunOptions {
-    /// Name of the fleet.
+    /// Name of the profile.
     pub profile: String,
-    /// Folder of the report.
+    /// Output folder of the report.
     pub out: PathBuf,
-    /// Measured seconds of each arm.
+    /// Measured time per arm, in seconds.
     pub seconds: Option<u64>,
-    /// Seed of arrival times, prompts and choices.
+    /// Seed for arrival times, prompts and random choices.
     pub seed: Option<u64>,
     /// Arms to run, separated by commas.
     pub arms: Option<String>,
@@ -66,7 +66,7 @@
 ///
 /// # Errors
 ///
-/// When a flag is unknown, the fleet cannot be started, or the report cannot
+/// Fails if an option is invalid, the fleet cannot be started, or the report cannot
 /// be written.
 pub fn run(options: &RunOptions) -> Result<(), BenchError> {
     let profile = Profile::named(&options.profile)?;
--- a/crates/bench/src/run/profile.rs
+++ b/crates/bench/src/run/profile.rs
@@ -1,4 +1,4 @@
-//! The fleets of today and the load that their users put on them.
+//! Profiles: fleets and the load that their users generate.
 
 use std::time::Duration;
 
@@ -10,84 +10,84 @@
 /// Names of the profiles.
 const PROFILES: [&str; 2] = ["archive", "lab"];
 
-/// Online completions: a steady stream with bursts on top of it.
+/// Load of online completions: a steady stream with additional bursts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OnlineLoad {
-    /// Mean requests a second of the steady stream; arrivals are Poisson.
+    /// Mean rate of the steady stream, in requests per second. Arrivals are a Poisson process.
     pub steady_per_second: f64,
-    /// Mean time between two bursts; each gap is drawn from 0.5 to 1.5 of it.
+    /// Mean time between bursts; each gap is drawn from 0.5 to 1.5 times this value.
     pub burst_every: Duration,
-    /// Requests of one burst.
+    /// Number of requests per burst.
     pub burst_requests: u32,
     /// Time over which the requests of a burst arrive.
     pub burst_within: Duration,
     /// Share of requests with an album-sized prompt, 0.0 to 1.0.
     pub album_share: f64,
-    /// Albums, each of which is a prefix that requests share.
+    /// Number of albums, each of which is a prompt prefix shared by requests.
     pub albums: u32,
-    /// Tokens of the shared prefix of an album.
+    /// Number of tokens in the shared prefix of an album.
     pub album_prefix_tokens: u32,
-    /// Tokens of every prompt that are its own.
+    /// Number of tokens unique to each prompt.
     pub own_tokens: u32,
-    /// Tokens that are generated for a short request.
+    /// Number of tokens generated for a short request.
     pub short_answer_tokens: u32,
-    /// Tokens that are generated for an album request.
+    /// Number of tokens generated for an album request.
     pub album_answer_tokens: u32,
-    /// Share of requests that may not be repeated, 0.0 to 1.0.
+    /// Share of requests that are not repeatable, 0.0 to 1.0.
     pub unrepeatable_share: f64,
 }
 
-/// Calls of the application service.
+/// Load of application calls.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ApplicationLoad {
-    /// Mean calls a second; arrivals are Poisson.
+    /// Mean rate in calls per second. Arrivals are a Poisson process.
     pub per_second: f64,
 }
 
-/// Batch jobs, which arrive in heaps.
+/// Load of batch jobs, which arrive several at a time in waves.
 #[derive(Clone, Debug, PartialEq)]
 pub struct BatchLoad {
-    /// Time between two heaps.
+    /// Interval between waves of jobs.
     pub heap_every: Duration,
-    /// Jobs of one heap.
+    /// Number of jobs per wave.
     pub jobs_per_heap: u32,
-    /// Tokens of each item's prompt.
+    /// Number of tokens in each item's prompt.
     pub prompt_tokens: u32,
-    /// Tokens that are generated for each item.
+    /// Number of tokens generated for each item.
     pub answer_tokens: u32,
-    /// Share of jobs whose items may not be repeated, 0.0 to 1.0.
+    /// Share of jobs whose items are not repeatable, 0.0 to 1.0.
     pub unrepeatable_share: f64,
 }
 
-/// One fleet with its load.
+/// A fleet and its load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Profile {
-    /// `archive` or `lab`.
+    /// Name of the profile: `archive` or `lab`.
     pub name: &'static str,
-    /// Engines, application back ends, zones and their names.
+    /// Settings of the fleet: engines, application back ends, zones and names.
     pub fleet: FleetSettings,
-    /// Network delay between two zones, one way.
+    /// One-way network delay between zones.
     pub one_way: Duration,
-    /// Online completions.
+    /// Load of online completions.
     pub online: OnlineLoad,
-    /// Application calls.
+    /// Load of application calls.
     pub application: ApplicationLoad,
-    /// Batch jobs.
+    /// Load of batch jobs.
     pub batch: BatchLoad,
-    /// The users' setting of the knob from throughput (0) to tail protection
-    /// (100).
+    /// The users' tail protection setting, from 0 (favours throughput) to 100
+    /// (protects tail latency).
     pub tail_protection: u8,
-    /// Weight of throughput in the users' score, 0.0 to 1.0; the rest is the
-    /// weight of the online tail.
+    /// Weight of throughput in the users' score, 0.0 to 1.0; the remainder is the
+    /// weight of online tail latency.
     pub throughput_weight: f64,
 }
 
 impl Profile {
-    /// The profile of that name.
+    /// Returns the profile with the given name.
     ///
     /// # Errors
     ///
-    /// When there is none.
+    /// Fails if there is no such profile.
     pub fn named(name: &str) -> Result<Self, BenchError> {
         match name {
             "archive" => Ok(Self::archive()),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Captions and album summaries of the municipal archive.
+    /// Returns the profile of the municipal archive: captions and album summaries.
     #[must_use]
     pub fn archive() -> Self {
         Self {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Hints, marking and safety-lock signals of the lab library.
+    /// Returns the profile of the lab library: hints, marking and safety-lock signals.
     #[must_use]
     pub fn lab() -> Self {
         Self {
@@ -166,15 +166,15 @@
         }
     }
 
-    /// Names of the zones.
+    /// Returns the names of the zones.
     #[must_use]
     pub fn zones(&self) -> Vec<String> {
         let zones = self.fleet.zones.iter();
         zones.map(|zone| zone.as_str().to_owned()).collect()
     }
 
-    /// Batch items that one engine can complete in a second when it does
-    /// nothing else, computed from its costs.
+    /// Returns the batch items per second that one engine completes when it runs
+    /// nothing else, computed from the engine's cost model.
     #[must_use]
     pub fn engine_items_per_second(&self) -> f64 {
         let engine: &EngineModel = &self.fleet.engine;
@@ -187,8 +187,8 @@
         1.0 / per_item
     }
 
-    /// Items of each job of a heap, so that one heap keeps all engines busy
-    /// until the next.
+    /// Returns the items per job, chosen so that the jobs of one wave keep all
+    /// engines busy until the next.
     #[must_use]
     pub fn items_per_job(&self) -> u32 {
         let fleet_rate = self.engine_items_per_second() * f64::from(self.fleet.engines);
--- a/crates/bench/src/run/report/lettering.rs
+++ b/crates/bench/src/run/report/lettering.rs
@@ -1,22 +1,22 @@
-//! Text on plots from a small table of pixels, so that the bench needs no font
-//! file. Letters are drawn as capitals; unknown characters as a space.
+//! Bitmap font for the text on plots, so that no font file is needed. Letters are
+//! drawn as capitals, unknown characters as a space.
 
 use plotters::prelude::*;
 
 use super::plots::{Area, DrawError};
 
-/// Pixels of a character across.
+/// Width of a character in pixels.
 const ACROSS: i32 = 5;
-/// Pixels of a character down.
+/// Height of a character in pixels.
 const DOWN: i32 = 7;
-/// Pixels between two characters.
+/// Space between characters in pixels.
 const GAP: i32 = 1;
 
-/// Writes `text` with its upper left corner at `corner`.
+/// Draws `text` with its upper left corner at `corner`.
 ///
 /// # Errors
 ///
-/// When the plot cannot be drawn.
+/// Fails if the plot cannot be drawn.
 pub fn write_text(
     area: &Area<'_>,
     text: &str,
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-/// The rows of a character from above, five bits each.
+/// Returns the rows of a character from top to bottom, five bits each.
 #[rustfmt::skip]
 fn pixels(character: char) -> [u8; DOWN as usize] {
     match character.to_ascii_uppercase() {
--- a/crates/bench/src/run/report/mod.rs
+++ b/crates/bench/src/run/report/mod.rs
@@ -10,11 +10,11 @@
 use super::fleet::write_file;
 use crate::BenchError;
 
-/// Writes all files of a report into `folder`.
+/// Writes all files of a report to `folder`.
 ///
 /// # Errors
 ///
-/// When one cannot be written or drawn.
+/// Fails if a file cannot be written or a plot cannot be drawn.
 pub fn write(figures: &RunFigures, folder: &Path) -> Result<(), BenchError> {
     let document = serde_json::json!({
         "summary": figures.summary(),
--- a/crates/bench/src/run/report/page.rs
+++ b/crates/bench/src/run/report/page.rs
@@ -1,4 +1,4 @@
-//! The report as a page in Markdown.
+//! Markdown report.
 
 use std::fmt::Write;
 
@@ -8,12 +8,12 @@
 use crate::run::figures::{ArmFigures, RunFigures, RunSummary, Sharing};
 use crate::run::measure::latency::Quantiles;
 
-/// Text in place of a figure that the run does not give.
+/// Placeholder for a missing figure.
 const NONE: &str = "–";
-/// Lateness of the bench's timers above which a run is called busy.
+/// Timer lateness in milliseconds above which the machine is reported as busy.
 const BUSY_LATENESS_MS: f64 = 3.0;
 
-/// The page of a run.
+/// Renders the report of a run.
 #[must_use]
 pub fn page(figures: &RunFigures) -> String {
     let summary = figures.summary();
@@ -36,7 +36,7 @@
     page
 }
 
-// Writing to a string cannot fail, so that results are dropped below.
+// Writing to a string cannot fail, so errors are ignored.
 
 fn line(page: &mut String, text: impl AsRef<str>) {
     let _ = writeln!(page, "{}", text.as_ref());
--- a/crates/bench/src/run/report/plots.rs
+++ b/crates/bench/src/run/report/plots.rs
@@ -1,7 +1,7 @@
 //! Plots as PNG files.
 //!
-//! The plotting library draws text only with a font file, and the bench carries
-//! none; see [`super::lettering`].
+//! The plotting library needs a font file to draw text, and the benchmark has none;
+//! see [`super::lettering`].
 
 use std::path::Path;
 
@@ -11,26 +11,26 @@
 use crate::BenchError;
 use crate::run::figures::{ArmFigures, RunFigures};
 
-/// Size of a plot in pixels.
+/// Width and height of a plot in pixels.
 const SIZE: (u32, u32) = (1_000, 640);
-/// Pixels around the drawing area: left, right, top, bottom.
+/// Margins around the drawing area in pixels.
 const LEFT: i32 = 90;
 const RIGHT: i32 = 210;
 const TOP: i32 = 50;
 const BOTTOM: i32 = 60;
-/// Lines of the grid in each direction.
+/// Number of grid intervals in each direction.
 const GRID: i32 = 5;
-/// Height of text in pixels.
+/// Text heights in pixels.
 const TITLE_HEIGHT: i32 = 18;
 const TEXT_HEIGHT: i32 = 12;
 
-/// One line of a plot.
+/// A named line of a plot.
 struct Series<'a> {
     name: &'a str,
     points: Vec<(f64, f64)>,
 }
 
-/// A plot before it is drawn.
+/// Contents of a plot.
 struct Plot<'a> {
     title: String,
     across: &'a str,
@@ -39,11 +39,11 @@
     series: Vec<Series<'a>>,
 }
 
-/// How values go up.
+/// Scale of the vertical axis.
 #[derive(Clone, Copy)]
 enum Scale {
     Linear,
-    /// From 1 on; smaller values are drawn as 1.
+    /// Logarithmic from 1; smaller values are drawn as 1.
     Logarithmic,
 }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The value at a height.
+    /// Returns the value at a height.
     fn value(self, height: f64) -> f64 {
         match self {
             Self::Linear => height,
@@ -64,11 +64,11 @@
     }
 }
 
-/// The distribution of the time to the first token in each arm.
+/// Plots the distribution of the time to first token per arm.
 ///
 /// # Errors
 ///
-/// When the file cannot be written.
+/// Fails if the file cannot be written.
 pub fn first_token(figures: &RunFigures, path: &Path) -> Result<(), BenchError> {
     let points = |arm: &ArmFigures| {
         let curve = &arm.first_token_curve_ms;
@@ -89,11 +89,11 @@
     plot.draw(path)
 }
 
-/// Batch items completed over time in each arm.
+/// Plots the completed batch items over time per arm.
 ///
 /// # Errors
 ///
-/// When the file cannot be written.
+/// Fails if the file cannot be written.
 pub fn batch_progress(figures: &RunFigures, path: &Path) -> Result<(), BenchError> {
     let points = |arm: &ArmFigures| {
         let progress = arm.batch_progress.iter();
@@ -111,7 +111,7 @@
     plot.draw(path)
 }
 
-/// A line for each arm that has points.
+/// Returns a line for each arm that has data.
 fn series(
     figures: &RunFigures,
     points: impl Fn(&ArmFigures) -> Vec<(f64, f64)>,
@@ -125,7 +125,7 @@
 }
 
 impl Series<'_> {
-    /// The largest value in both directions.
+    /// Returns the largest x and the largest y value.
     fn largest(&self) -> (f64, f64) {
         let larger =
             |so_far: (f64, f64), point: &(f64, f64)| (so_far.0.max(point.0), so_far.1.max(point.1));
@@ -209,12 +209,12 @@
     }
 }
 
-/// What plots are drawn on.
+/// Drawing area of a plot.
 pub type Area<'a> = DrawingArea<BitMapBackend<'a>, plotters::coord::Shift>;
-/// Why a plot could not be drawn.
+/// Error of the plotting library.
 pub type DrawError = DrawingAreaErrorKind<<BitMapBackend<'static> as DrawingBackend>::ErrorType>;
 
-/// The pixel of a point.
+/// Returns the pixel of a point.
 fn place(point: (f64, f64), largest: (f64, f64)) -> (i32, i32) {
     let width = f64::from(SIZE.0 as i32 - LEFT - RIGHT);
     let height = f64::from(SIZE.1 as i32 - TOP - BOTTOM);
@@ -223,7 +223,7 @@
     (x.round() as i32, y.round() as i32)
 }
 
-/// A value beside the grid.
+/// Formats the label of a grid line.
 fn tick(value: f64) -> String {
     match value {
         value if value >= 100.0 => format!("{value:.0}"),
--- a/crates/bench/src/run/threads.rs
+++ b/crates/bench/src/run/threads.rs
@@ -5,7 +5,7 @@
 use async_executor::Executor;
 use futures_lite::future;
 
-/// Runs `task` on `executor` with threads of its own until it ends.
+/// Runs `task` on `executor`, with additional threads until the task ends.
 pub fn run_on_threads<T>(
     executor: &Arc<Executor<'static>>,
     threads: usize,
@@ -16,7 +16,7 @@
         let executor = executor.clone();
         let ended = ended.clone();
         std::thread::spawn(move || {
-            // The channel closes with the run.
+            // `recv` returns once the sender is dropped at the end of the task.
             let _ = future::block_on(executor.run(ended.recv()));
         });
     }
--- a/crates/bench/tests/account.rs
+++ b/crates/bench/tests/account.rs
@@ -1,4 +1,4 @@
-//! Accounting from the caller's side, in tables of cases.
+//! Counts of outcomes, in table-driven tests.
 
 use molespan_bench::run::account::{
     Account, CallOutcome, Counts, EndedCall, Executions, JobItems, JobResults, ResultLine,
--- a/crates/bench/tests/fleet.rs
+++ b/crates/bench/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Settings files that the bench writes.
+//! Placement and settings of the fleet's nodes.
 
 use std::net::SocketAddr;
 use std::path::Path;
--- a/crates/bench/tests/relay.rs
+++ b/crates/bench/tests/relay.rs
@@ -1,4 +1,4 @@
-//! Relays between zones carry bytes, and hold them while a zone is cut off.
+//! Relays between zones forward bytes and hold them while a zone is partitioned.
 
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -6,12 +6,12 @@
 
 use molespan_bench::run::fleet::network::ZoneNetwork;
 
-/// Longest wait for bytes that must come.
+/// Timeout for expected bytes.
 const PATIENCE: Duration = Duration::from_secs(30);
-/// Wait for bytes that must not come.
+/// Time in which no bytes may arrive.
 const SILENCE: Duration = Duration::from_millis(100);
 
-/// A server that sends back what it gets, one connection after the other.
+/// Starts a server that echoes the bytes of each connection.
 fn echo_server() -> SocketAddr {
     let listener = TcpListener::bind(("127.0.0.1", 0)).expect("a free port");
     let address = listener.local_addr().expect("a bound address");
--- a/crates/bench/tests/report.rs
+++ b/crates/bench/tests/report.rs
@@ -1,4 +1,4 @@
-//! Figures, the page and the plots of a made-up run.
+//! Figures, Markdown report and plots of a synthetic run.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
--- a/crates/bench/tests/schedule.rs
+++ b/crates/bench/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! The open-loop schedule is fixed by its seed.
+//! The open-loop schedule is determined by its seed.
 
 use std::time::Duration;
 
