--- a/crates/bench/src/run/account/job.rs
+++ b/crates/bench/src/run/account/job.rs
@@ -83,7 +83,7 @@
 pub struct JobResults {
     items: JobItems,
     cancelled: bool,
-    right: u64,
+    correct: u64,
     missing: u64,
     faults: Vec<ResultFault>,
 }
@@ -99,7 +99,7 @@
         }
         let mut results = Self {
             cancelled,
-            right: 0,
+            correct: 0,
             missing: 0,
             faults: Vec::new(),
             items,
@@ -134,7 +134,7 @@
         let prompt = &self.items.prompts[item as usize];
         let expected = expected_answer(prompt, self.items.answer_tokens);
         if first.text.as_deref() == Some(expected.as_str()) {
-            self.right += 1;
+            self.correct += 1;
         } else {
             self.faults.push(ResultFault::Wrong { item });
         }
@@ -148,8 +148,8 @@
 
     /// Returns the number of items with the expected result.
     #[must_use]
-    pub fn right(&self) -> u64 {
-        self.right
+    pub fn correct(&self) -> u64 {
+        self.correct
     }
 
     /// Returns the number of items without a result in a cancelled job, else 0.
--- a/crates/bench/src/run/account/ledger.rs
+++ b/crates/bench/src/run/account/ledger.rs
@@ -9,7 +9,7 @@
 
 /// A finished call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct EndedCall {
+pub struct FinishedCall {
     /// Digest under which the back ends record its executions.
     pub prompt: Digest,
     /// Whether the call is repeatable.
@@ -100,13 +100,13 @@
     }
 
     /// Adds online completions.
-    pub fn add_online(&mut self, calls: &[EndedCall], executions: &Executions) {
+    pub fn add_online(&mut self, calls: &[FinishedCall], executions: &Executions) {
         let counts = self.count_calls("online", calls, executions);
         self.online.add(&counts);
     }
 
     /// Adds application calls.
-    pub fn add_application(&mut self, calls: &[EndedCall], executions: &Executions) {
+    pub fn add_application(&mut self, calls: &[FinishedCall], executions: &Executions) {
         let counts = self.count_calls("application", calls, executions);
         self.application.add(&counts);
     }
@@ -115,7 +115,7 @@
     pub fn add_job(&mut self, job: &JobResults, executions: &Executions) {
         let counts = &mut self.batch;
         counts.offered += u64::from(job.items());
-        counts.completed += job.right();
+        counts.completed += job.correct();
         counts.cancelled += job.missing_by_cancel();
         for fault in job.faults() {
             match fault {
@@ -133,20 +133,25 @@
     }
 
     /// Records an incident.
-    pub fn note(&mut self, incident: impl Into<String>) {
+    pub fn record_incident(&mut self, incident: impl Into<String>) {
         *self.incidents.entry(incident.into()).or_default() += 1;
     }
 
-    fn count_calls(&mut self, class: &str, calls: &[EndedCall], executions: &Executions) -> Counts {
+    fn count_calls(
+        &mut self,
+        class: &str,
+        calls: &[FinishedCall],
+        executions: &Executions,
+    ) -> Counts {
         let mut counts = Counts::default();
         for call in calls {
             counts.count_call(&call.outcome);
             if call.outcome != CallOutcome::Completed {
-                self.note(format!("{class} {}", call.outcome.label()));
+                self.record_incident(format!("{class} {}", call.outcome.label()));
             }
             if call.outcome.claims_not_run() && executions.of(call.prompt).started > 0 {
                 counts.false_not_run += 1;
-                self.note(format!("{class} ran although {}", call.outcome.label()));
+                self.record_incident(format!("{class} ran although {}", call.outcome.label()));
             }
             if !call.repeatable {
                 counts.duplicated += extra_runs(executions, call.prompt);
--- a/crates/bench/src/run/account/mod.rs
+++ b/crates/bench/src/run/account/mod.rs
@@ -8,5 +8,5 @@
 
 pub use executions::Executions;
 pub use job::{JobItems, JobResults, ResultFault, ResultLine};
-pub use ledger::{Account, Counts, EndedCall};
+pub use ledger::{Account, Counts, FinishedCall};
 pub use outcome::CallOutcome;
--- a/crates/bench/src/run/arm_figures.rs
+++ b/crates/bench/src/run/arm_figures.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use super::account::EndedCall;
+use super::account::FinishedCall;
 use super::experiment::WARM_UP;
 use super::figures::{ArmFigures, ProgressPoint};
 use super::fleet::write_file;
@@ -16,13 +16,13 @@
 const CURVE_POINTS: u32 = 200;
 
 /// Converts records to finished calls for the account.
-pub(super) fn ended(records: &[LoadRecord]) -> Vec<EndedCall> {
-    let ended = records.iter().map(|record| EndedCall {
+pub(super) fn finished_calls(records: &[LoadRecord]) -> Vec<FinishedCall> {
+    let finished = records.iter().map(|record| FinishedCall {
         prompt: record.call.prompt,
         repeatable: record.repeatable,
         outcome: record.call.outcome.clone(),
     });
-    ended.collect()
+    finished.collect()
 }
 
 /// Returns the times of the calls scheduled within the measured time.
--- a/crates/bench/src/run/arm_run.rs
+++ b/crates/bench/src/run/arm_run.rs
@@ -10,7 +10,7 @@
 use molespan_settings::Role;
 
 use super::account::{Account, Executions};
-use super::arm_figures::{ended, latency_figures, progress_points, write_calls};
+use super::arm_figures::{finished_calls, latency_figures, progress_points, write_calls};
 use super::arms::Arm;
 use super::direct::{self, DirectContext};
 use super::experiment::{Experiment, PreparedLoad, WARM_UP};
@@ -28,15 +28,15 @@
 use super::measure::machine::{LatenessProbe, processor_seconds_of};
 
 /// Time for jobs to end after the load before they are cancelled.
-const DRAIN: Duration = Duration::from_secs(2);
-/// Like `DRAIN`, for the arm with faults, whose jobs are smaller.
-const FAULTS_DRAIN: Duration = Duration::from_secs(30);
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(2);
+/// Like `DRAIN_TIMEOUT`, for the arm with faults, whose jobs are smaller.
+const FAULTS_DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout for cancelled jobs to end.
-const CANCEL_PATIENCE: Duration = Duration::from_secs(20);
+const CANCEL_TIMEOUT: Duration = Duration::from_secs(20);
 /// Timeout for engines to hold no batch work once every job has ended.
-const STOP_PATIENCE: Duration = Duration::from_secs(5);
+const STOP_TIMEOUT: Duration = Duration::from_secs(5);
 /// Interval between checks for remaining batch work.
-const STOP_POLL: Duration = Duration::from_millis(200);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A running arm.
 pub(super) struct ArmRun<'a> {
@@ -66,7 +66,7 @@
             caller: self.context.caller.clone(),
             prompts: self.prompts.clone(),
             profile: self.experiment.profile.clone(),
-            numbers: Arc::default(),
+            next_number: Arc::default(),
         };
         let targets = direct::targets(&self.lock());
         let report = direct::measure(&context, targets, self.length).await;
@@ -89,7 +89,7 @@
         let whole = WARM_UP + self.length;
         let probe = LatenessProbe::default();
         let sampler = EngineSampler::default();
-        let mut watchers = vec![self.spawn_probe(&probe), self.spawn_steering()];
+        let mut watchers = vec![self.spawn_probe(&probe), self.spawn_readiness_probes()];
         watchers.extend(self.spawn_samplers(&sampler));
         let batch = Arc::new(BatchLoad::new(
             self.context.clone(),
@@ -136,10 +136,10 @@
         self.spawn(async move { probe.run().await })
     }
 
-    fn spawn_steering(&self) -> Task<()> {
-        let steering = self.context.steering.clone();
+    fn spawn_readiness_probes(&self) -> Task<()> {
+        let selector = self.context.selector.clone();
         let pool = self.experiment.pool.clone();
-        self.spawn(async move { steering.keep_probing(&pool).await })
+        self.spawn(async move { selector.keep_probing(&pool).await })
     }
 
     fn spawn_samplers(&self, sampler: &EngineSampler) -> Vec<Task<()>> {
@@ -171,7 +171,7 @@
 
     fn spawn_progress(&self, batch: &Arc<BatchLoad>) -> Task<()> {
         let batch = batch.clone();
-        self.spawn(async move { batch.keep_watching().await })
+        self.spawn(async move { batch.poll_forever().await })
     }
 
     fn spawn_faults(&self) -> Task<Option<FaultFigures>> {
@@ -219,11 +219,11 @@
 
     async fn finish_batch(&self, batch: Arc<BatchLoad>) -> BatchReport {
         let drain = match self.arm {
-            Arm::Faults => FAULTS_DRAIN,
-            _ => DRAIN,
+            Arm::Faults => FAULTS_DRAIN_TIMEOUT,
+            _ => DRAIN_TIMEOUT,
         };
         let deadline = Instant::now() + drain;
-        batch.finish(deadline, deadline + CANCEL_PATIENCE).await
+        batch.finish(deadline, deadline + CANCEL_TIMEOUT).await
     }
 
     async fn account(
@@ -234,13 +234,13 @@
     ) -> Account {
         let executions = self.executions().await;
         let mut account = Account::default();
-        account.add_online(&ended(online), &executions);
-        account.add_application(&ended(application), &executions);
+        account.add_online(&finished_calls(online), &executions);
+        account.add_application(&finished_calls(application), &executions);
         for job in &batch.jobs {
             account.add_job(job, &executions);
         }
         for incident in &batch.incidents {
-            account.note(incident.clone());
+            account.record_incident(incident.clone());
         }
         account.forgotten_runs = executions.forgotten();
         account
@@ -249,16 +249,16 @@
     /// Records an incident if engines still hold batch work after every job has ended.
     async fn check_batch_stopped(&self, account: &mut Account) {
         let engines = self.engine_addresses();
-        let deadline = Instant::now() + STOP_PATIENCE;
+        let deadline = Instant::now() + STOP_TIMEOUT;
         loop {
             let left = batch_sequences(&self.experiment.pool, &engines).await;
             if left == Some(0) {
                 return;
             }
             if Instant::now() >= deadline {
-                return account.note("batch work runs on after every job has ended");
+                return account.record_incident("batch work runs on after every job has ended");
             }
-            Timer::after(STOP_POLL).await;
+            Timer::after(STOP_POLL_INTERVAL).await;
         }
     }
 
--- a/crates/bench/src/run/arms.rs
+++ b/crates/bench/src/run/arms.rs
@@ -92,7 +92,7 @@
     pub const BASELINES: [Self; 3] = [Self::RoundRobin, Self::NoPreemption, Self::EnginePriority];
 
     /// Arms with the extreme values of the tail protection setting.
-    pub const KNOB_ENDS: [Self; 2] = [Self::ThroughputEnd, Self::TailEnd];
+    pub const TAIL_PROTECTION_EXTREMES: [Self; 2] = [Self::ThroughputEnd, Self::TailEnd];
 
     /// Returns the arm's name on the command line and in reports.
     #[must_use]
--- a/crates/bench/src/run/direct.rs
+++ b/crates/bench/src/run/direct.rs
@@ -10,7 +10,7 @@
 use molespan_settings::Role;
 use serde::{Deserialize, Serialize};
 
-use super::account::{CallOutcome, EndedCall};
+use super::account::{CallOutcome, FinishedCall};
 use super::fleet::Fleet;
 use super::load::call::{ApplicationCall, CallRecord, CompletionCall};
 use super::load::caller::Caller;
@@ -20,14 +20,14 @@
 use super::profile::Profile;
 
 /// Index of the zone whose gateway and back ends are measured.
-const ZONE: usize = 0;
+const MEASURED_ZONE: usize = 0;
 /// Share of the time for pairs of completions, and again for pairs of application calls.
 const PAIRS_SHARE: f64 = 0.35;
 /// Share of the time for the saturation measurement.
-const BUSY_SHARE: f64 = 0.3;
+const SATURATION_SHARE: f64 = 0.3;
 /// Calls kept in flight during the saturation measurement. Fewer than a gateway
 /// allows initially, so that none is rejected.
-const BUSY_LANES: usize = 32;
+const SATURATION_CONCURRENCY: usize = 32;
 /// Number of tokens in each prompt or body.
 const PROMPT_TOKENS: u32 = 8;
 /// Tenant of the calls.
@@ -71,7 +71,7 @@
     /// Fleet and load profile.
     pub profile: Profile,
     /// Number of calls made so far.
-    pub numbers: Arc<AtomicU64>,
+    pub next_number: Arc<AtomicU64>,
 }
 
 /// Figures of the direct arm with the underlying calls.
@@ -79,9 +79,9 @@
     /// Computed figures.
     pub figures: DirectFigures,
     /// Completion calls.
-    pub completions: Vec<EndedCall>,
+    pub completions: Vec<FinishedCall>,
     /// Application calls.
-    pub applications: Vec<EndedCall>,
+    pub applications: Vec<FinishedCall>,
 }
 
 /// Addresses of the measured gateway and back ends.
@@ -110,14 +110,14 @@
     let pairs = length.mul_f64(PAIRS_SHARE);
     let calls = completion_pairs(context, &targets, pairs).await;
     report.figures.completion = pair_figures(&calls, |call| call.first_token);
-    report.completions = ended(calls);
+    report.completions = finished_calls(calls);
     let calls = application_pairs(context, &targets, pairs).await;
     report.figures.application = pair_figures(&calls, |call| Some(call.whole));
-    report.applications = ended(calls);
-    let busy = keep_busy(context, &targets, length.mul_f64(BUSY_SHARE)).await;
-    report.figures.busy_requests_per_second = busy.per_second;
-    report.figures.requests_per_core_second = busy.per_core_second;
-    report.applications.extend(busy.calls);
+    report.applications = finished_calls(calls);
+    let saturation = saturate_gateway(context, &targets, length.mul_f64(SATURATION_SHARE)).await;
+    report.figures.busy_requests_per_second = saturation.per_second;
+    report.figures.requests_per_core_second = saturation.per_core_second;
+    report.applications.extend(saturation.calls);
     report
 }
 
@@ -125,10 +125,10 @@
 #[must_use]
 pub fn targets(fleet: &Fleet) -> Option<Targets> {
     let mut gateways = fleet.nodes_of(Role::Gateway);
-    let gateway = gateways.find(|node| node.place.zone == ZONE)?;
+    let gateway = gateways.find(|node| node.place.zone == MEASURED_ZONE)?;
     let backend = |kind| {
         let mut backends = fleet.backends.iter();
-        backends.find(|backend| backend.machine.kind == kind && backend.zone == ZONE)
+        backends.find(|backend| backend.machine.kind == kind && backend.zone == MEASURED_ZONE)
     };
     Some(Targets {
         gateway: gateway.place.http,
@@ -153,7 +153,7 @@
         prompt: prompts.single("completion", number, PROMPT_TOKENS),
         max_tokens: 1,
         tenant: TENANT.to_owned(),
-        once_key: None,
+        idempotency_key: None,
     };
     let application = ApplicationCall {
         prefix: format!("/services/{}", fleet.application_service),
@@ -186,7 +186,7 @@
     let mut calls = Vec::new();
     while Instant::now() < end {
         for through in [false, true] {
-            let number = context.numbers.fetch_add(1, Ordering::Relaxed);
+            let number = context.next_number.fetch_add(1, Ordering::Relaxed);
             let (address, model) = match through {
                 true => (targets.gateway, fleet.service.as_str()),
                 false => (targets.engine, fleet.model.as_str()),
@@ -196,7 +196,7 @@
                 prompt: context.prompts.single("pair", number, PROMPT_TOKENS),
                 max_tokens: 1,
                 tenant: TENANT.to_owned(),
-                once_key: None,
+                idempotency_key: None,
             };
             let record = context.caller.stream(address, &call, Instant::now()).await;
             calls.push(PairedCall { through, record });
@@ -228,7 +228,7 @@
 }
 
 fn application_call(context: &DirectContext, through: bool) -> ApplicationCall {
-    let number = context.numbers.fetch_add(1, Ordering::Relaxed);
+    let number = context.next_number.fetch_add(1, Ordering::Relaxed);
     let service = context.profile.fleet.application_service.as_str();
     ApplicationCall {
         prefix: match through {
@@ -260,19 +260,23 @@
 }
 
 /// Result of the saturation measurement.
-struct Busy {
+struct Saturation {
     per_second: f64,
     per_core_second: f64,
-    calls: Vec<EndedCall>,
+    calls: Vec<FinishedCall>,
 }
 
-async fn keep_busy(context: &DirectContext, targets: &Targets, length: Duration) -> Busy {
+async fn saturate_gateway(
+    context: &DirectContext,
+    targets: &Targets,
+    length: Duration,
+) -> Saturation {
     let start = Instant::now();
     let processor = processor_seconds(targets.gateway_process);
     let end = start + length;
-    let mut lanes = Vec::with_capacity(BUSY_LANES);
-    for _ in 0..BUSY_LANES {
-        let lane = busy_lane(context.clone(), targets.gateway, end);
+    let mut lanes = Vec::with_capacity(SATURATION_CONCURRENCY);
+    for _ in 0..SATURATION_CONCURRENCY {
+        let lane = call_until(context.clone(), targets.gateway, end);
         lanes.push(context.executor.spawn(lane));
     }
     let mut calls = Vec::new();
@@ -283,7 +287,7 @@
     let completed = calls.iter();
     let completed = completed.filter(|call| call.outcome == CallOutcome::Completed);
     let completed = completed.count() as f64;
-    Busy {
+    Saturation {
         per_second: completed / start.elapsed().as_secs_f64(),
         per_core_second: if used > 0.0 { completed / used } else { 0.0 },
         calls,
@@ -291,25 +295,29 @@
 }
 
 /// Makes successive calls until `end`.
-async fn busy_lane(context: DirectContext, gateway: SocketAddr, end: Instant) -> Vec<EndedCall> {
+async fn call_until(
+    context: DirectContext,
+    gateway: SocketAddr,
+    end: Instant,
+) -> Vec<FinishedCall> {
     let mut calls = Vec::new();
     while Instant::now() < end {
         let call = application_call(&context, true);
         let calling = context.caller.application(gateway, &call, Instant::now());
-        calls.push(ended_call(calling.await));
+        calls.push(finished_call(calling.await));
     }
     calls
 }
 
-fn ended(calls: Vec<PairedCall>) -> Vec<EndedCall> {
+fn finished_calls(calls: Vec<PairedCall>) -> Vec<FinishedCall> {
     calls
         .into_iter()
-        .map(|call| ended_call(call.record))
+        .map(|call| finished_call(call.record))
         .collect()
 }
 
-fn ended_call(record: CallRecord) -> EndedCall {
-    EndedCall {
+fn finished_call(record: CallRecord) -> FinishedCall {
+    FinishedCall {
         prompt: record.prompt,
         repeatable: true,
         outcome: record.outcome,
--- a/crates/bench/src/run/experiment.rs
+++ b/crates/bench/src/run/experiment.rs
@@ -22,24 +22,24 @@
 };
 use super::load::prompts::Prompts;
 use super::load::schedule::{application_arrivals, job_arrivals, online_arrivals};
-use super::load::steering::Steering;
+use super::load::steering::GatewaySelector;
 use super::profile::Profile;
 use crate::BenchError;
 
 /// Warm-up before the measured time, which fills caches and step cost estimates.
 pub const WARM_UP: Duration = Duration::from_secs(4);
 /// Delay of the load's start, in which its drivers are started.
-const LEAD: Duration = Duration::from_millis(200);
+const START_DELAY: Duration = Duration::from_millis(200);
 /// Timeout for every gateway to become ready.
-const READY_PATIENCE: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Timeout for each gateway to complete its first requests.
-const FIRST_ANSWER_PATIENCE: Duration = Duration::from_secs(20);
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Delay before readiness or a first request is checked again.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Size of a job in the arm with faults, as a share of the usual number of items.
 const FAULTS_JOB_SHARE: f64 = 0.3;
 /// Measured time of the arm with faults, as a multiple of the other arms'.
-const FAULTS_LENGTH: f64 = 1.6;
+const FAULTS_LENGTH_FACTOR: f64 = 1.6;
 
 /// Configuration and resources shared by all arms of a run.
 pub struct Experiment {
@@ -76,10 +76,10 @@
         let fleet = Fleet::start(&self.programs, &self.profile, variant, self.seed, folder)?;
         let gateways = fleet.gateways();
         operator::set_up(&self.pool, gateways[0], &self.profile).await?;
-        let steering = Arc::new(Steering::new(&gateways));
-        self.wait_until_ready(&steering, &gateways).await?;
+        let selector = Arc::new(GatewaySelector::new(&gateways));
+        self.wait_until_ready(&selector, &gateways).await?;
         let length = match arm {
-            Arm::Faults => self.length.mul_f64(FAULTS_LENGTH),
+            Arm::Faults => self.length.mul_f64(FAULTS_LENGTH_FACTOR),
             _ => self.length,
         };
         let prompts = Prompts::new(&format!("{}-{}", self.seed, arm.name()));
@@ -87,8 +87,8 @@
         let context = Arc::new(LoadContext {
             executor: self.executor.clone(),
             caller: Caller::new(self.pool.clone()),
-            steering,
-            start: Instant::now() + LEAD,
+            selector,
+            start: Instant::now() + START_DELAY,
         });
         let run = ArmRun {
             experiment: self,
@@ -130,13 +130,13 @@
     /// Waits until every gateway reports that it is ready and serves requests.
     async fn wait_until_ready(
         &self,
-        steering: &Steering,
+        selector: &GatewaySelector,
         gateways: &[SocketAddr],
     ) -> Result<(), BenchError> {
-        let deadline = Instant::now() + READY_PATIENCE;
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
-            steering.probe(&self.pool).await;
-            if steering.all_ready() {
+            selector.probe(&self.pool).await;
+            if selector.all_ready() {
                 break;
             }
             if Instant::now() >= deadline {
@@ -144,17 +144,17 @@
                     reason: "a gateway does not become ready".to_owned(),
                 });
             }
-            Timer::after(RETRY_PAUSE).await;
+            Timer::after(RETRY_DELAY).await;
         }
         for gateway in gateways {
-            self.wait_for_first_answer(*gateway).await?;
+            self.wait_for_first_response(*gateway).await?;
         }
         Ok(())
     }
 
     /// Waits until a gateway completes a completion and an application call.
-    async fn wait_for_first_answer(&self, gateway: SocketAddr) -> Result<(), BenchError> {
-        let deadline = Instant::now() + FIRST_ANSWER_PATIENCE;
+    async fn wait_for_first_response(&self, gateway: SocketAddr) -> Result<(), BenchError> {
+        let deadline = Instant::now() + FIRST_RESPONSE_TIMEOUT;
         let caller = Caller::new(self.pool.clone());
         let mut number = 0;
         loop {
@@ -170,7 +170,7 @@
                 });
             }
             number += 1;
-            Timer::after(RETRY_PAUSE).await;
+            Timer::after(RETRY_DELAY).await;
         }
     }
 }
--- a/crates/bench/src/run/faults.rs
+++ b/crates/bench/src/run/faults.rs
@@ -13,7 +13,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::fleet::Fleet;
-use super::measure::engines::{execution_log, post_switch};
+use super::measure::engines::{execution_log, post_control_request};
 
 /// Times of the faults, as shares of the measured time.
 const ENGINE_KILLED_AT: f64 = 0.10;
@@ -23,20 +23,20 @@
 /// Time until a killed engine restarts.
 const ENGINE_DOWN: Duration = Duration::from_secs(3);
 /// Duration of the partition of a zone.
-const ZONE_CUT_FOR: Duration = Duration::from_secs(4);
+const ZONE_CUT_DURATION: Duration = Duration::from_secs(4);
 /// Indexes of the zones affected by the faults.
 const KILLED_ENGINE_ZONE: usize = 0;
 const LEAVING_ENGINE_ZONE: usize = 1;
 const STOPPED_GATEWAY_ZONE: usize = 1;
 const CUT_ZONE: usize = 2;
 /// Timeout for a gateway to stop after SIGTERM.
-const STOP_PATIENCE: Duration = Duration::from_secs(75);
+const STOP_TIMEOUT: Duration = Duration::from_secs(75);
 /// Interval between polls of a leaving engine's executions.
-const LEAVING_POLL: Duration = Duration::from_millis(100);
+const LEAVING_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Time for which a leaving engine is polled.
-const LEAVING_WATCH: Duration = Duration::from_secs(8);
+const LEAVING_POLL_DURATION: Duration = Duration::from_secs(8);
 /// Interval between checks whether a gateway has ended.
-const EXIT_POLL: Duration = Duration::from_millis(50);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Figures of the injected faults.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -79,35 +79,35 @@
 
     /// Injects every fault at its time and waits for its end.
     pub async fn run(&self) -> FaultFigures {
-        let engines = futures_lite::future::zip(self.kill_engine(), self.leave_engine());
+        let engines = futures_lite::future::zip(self.kill_engine(), self.mark_engine_leaving());
         let nodes = futures_lite::future::zip(self.stop_gateway(), self.cut_zone());
         futures_lite::future::zip(engines, nodes).await;
         let figures = self.figures.lock().unwrap_or_else(PoisonError::into_inner);
         figures.clone()
     }
 
-    async fn until(&self, share: f64) {
+    async fn wait_until(&self, share: f64) {
         Timer::at(self.start + self.length.mul_f64(share)).await;
     }
 
     /// Crashes an engine. Its execution log survives the restart.
     async fn kill_engine(&self) {
-        self.until(ENGINE_KILLED_AT).await;
+        self.wait_until(ENGINE_KILLED_AT).await;
         let Some((_, engine)) = self.engine_in(KILLED_ENGINE_ZONE, 0) else {
-            return self.problem("no engine to kill");
+            return self.record_problem("no engine to kill");
         };
         let crash = CrashRequest {
             down_ms: ENGINE_DOWN.as_millis() as u64,
         };
         // The response is lost with the connection.
-        post_switch(&self.pool, engine, CRASH_PATH, &crash).await;
+        post_control_request(&self.pool, engine, CRASH_PATH, &crash).await;
     }
 
     /// Marks an engine as leaving in every platform list and polls its executions.
-    async fn leave_engine(&self) {
-        self.until(ENGINE_LEAVES_AT).await;
+    async fn mark_engine_leaving(&self) {
+        self.wait_until(ENGINE_LEAVES_AT).await;
         let Some((id, engine)) = self.engine_in(LEAVING_ENGINE_ZONE, 0) else {
-            return self.problem("no engine to leave");
+            return self.record_problem("no engine to leave");
         };
         let change = StateChange {
             id,
@@ -115,18 +115,18 @@
         };
         let marked = Instant::now();
         for platform in self.platforms() {
-            if !post_switch(&self.pool, platform, SET_STATE_PATH, &change).await {
-                self.problem("a platform list did not take the change");
+            if !post_control_request(&self.pool, platform, SET_STATE_PATH, &change).await {
+                self.record_problem("a platform list did not take the change");
             }
         }
-        self.watch_leaving(engine, marked).await;
+        self.poll_leaving_engine(engine, marked).await;
     }
 
-    async fn watch_leaving(&self, engine: SocketAddr, marked: Instant) {
+    async fn poll_leaving_engine(&self, engine: SocketAddr, marked: Instant) {
         let mut first = None;
         let mut last = 0;
         let mut last_at = Duration::ZERO;
-        while marked.elapsed() < LEAVING_WATCH {
+        while marked.elapsed() < LEAVING_POLL_DURATION {
             if let Some(log) = execution_log(&self.pool, engine).await {
                 let started = log.attempts.len() as u64;
                 first.get_or_insert(started);
@@ -135,7 +135,7 @@
                     last_at = marked.elapsed();
                 }
             }
-            Timer::after(LEAVING_POLL).await;
+            Timer::after(LEAVING_POLL_INTERVAL).await;
         }
         let mut figures = self.lock();
         figures.leaving_last_request_s = first.map(|_| last_at.as_secs_f64());
@@ -144,13 +144,13 @@
 
     /// Stops a gateway gracefully, waits for its end and restarts it.
     async fn stop_gateway(&self) {
-        self.until(GATEWAY_STOPS_AT).await;
+        self.wait_until(GATEWAY_STOPS_AT).await;
         let asked = Instant::now();
-        let sent = self.with_fleet(|fleet| fleet.ask_gateway_to_stop(STOPPED_GATEWAY_ZONE));
+        let sent = self.with_fleet(|fleet| fleet.terminate_gateway(STOPPED_GATEWAY_ZONE));
         if let Err(error) = sent {
-            return self.problem(&error.to_string());
+            return self.record_problem(&error.to_string());
         }
-        while asked.elapsed() < STOP_PATIENCE {
+        while asked.elapsed() < STOP_TIMEOUT {
             let exit = self.with_fleet(|fleet| fleet.gateway_exit(STOPPED_GATEWAY_ZONE));
             if let Some(clean) = exit {
                 let mut figures = self.lock();
@@ -158,19 +158,19 @@
                 figures.gateway_stop_clean = clean;
                 break;
             }
-            Timer::after(EXIT_POLL).await;
+            Timer::after(EXIT_POLL_INTERVAL).await;
         }
         let restarted = self.with_fleet(|fleet| fleet.restart_gateway(STOPPED_GATEWAY_ZONE));
         if let Err(error) = restarted {
-            self.problem(&error.to_string());
+            self.record_problem(&error.to_string());
         }
     }
 
-    /// Partitions a zone from the others for [`ZONE_CUT_FOR`].
+    /// Partitions a zone from the others for [`ZONE_CUT_DURATION`].
     async fn cut_zone(&self) {
-        self.until(ZONE_CUT_AT).await;
+        self.wait_until(ZONE_CUT_AT).await;
         self.with_fleet(|fleet| fleet.network.set_cut(CUT_ZONE, true));
-        Timer::after(ZONE_CUT_FOR).await;
+        Timer::after(ZONE_CUT_DURATION).await;
         self.with_fleet(|fleet| fleet.network.set_cut(CUT_ZONE, false));
     }
 
@@ -192,7 +192,7 @@
         call(&mut fleet)
     }
 
-    fn problem(&self, text: &str) {
+    fn record_problem(&self, text: &str) {
         self.lock().problems.push(text.to_owned());
     }
 
--- a/crates/bench/src/run/figures.rs
+++ b/crates/bench/src/run/figures.rs
@@ -166,7 +166,7 @@
         RunSummary {
             profile: self.profile.clone(),
             molespan: self.sharing("both"),
-            knob_ends: self.sharing_of(&Arm::KNOB_ENDS),
+            knob_ends: self.sharing_of(&Arm::TAIL_PROTECTION_EXTREMES),
             baselines: self.sharing_of(&Arm::BASELINES),
             lost: total.lost,
             duplicated: total.duplicated,
--- a/crates/bench/src/run/fleet/backends.rs
+++ b/crates/bench/src/run/fleet/backends.rs
@@ -13,7 +13,7 @@
 use crate::run::profile::Profile;
 
 /// Initial incarnation of every back end.
-const FIRST_LIFE: u64 = 1;
+const FIRST_INCARNATION: u64 = 1;
 
 /// A running back end.
 #[derive(Debug)]
@@ -109,7 +109,7 @@
         };
         let mut command = self.command(what);
         command.args(["--backend", &id.to_string()]);
-        command.args(["--incarnation", &FIRST_LIFE.to_string()]);
+        command.args(["--incarnation", &FIRST_INCARNATION.to_string()]);
         command.args(["--profile", self.profile.name]);
         command.args(["--seed", &(self.seed + u64::from(id.0)).to_string()]);
         if kind == MachineKind::Engine {
@@ -119,7 +119,7 @@
         let zone = position as usize % fleet.zones.len();
         let machine = Machine {
             id,
-            incarnation: Incarnation(FIRST_LIFE),
+            incarnation: Incarnation(FIRST_INCARNATION),
             kind,
             address: address.to_string(),
             zone: fleet.zones[zone].clone(),
--- a/crates/bench/src/run/fleet/layout.rs
+++ b/crates/bench/src/run/fleet/layout.rs
@@ -24,7 +24,7 @@
 
 /// Placement of a node.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct NodePlace {
+pub struct NodePlacement {
     /// Id of the node.
     pub id: NodeId,
     /// Name of the node.
@@ -78,7 +78,7 @@
 
 /// Places a replica and a gateway in each zone. Each node uses two of `addresses`.
 #[must_use]
-pub fn node_places(zones: usize, addresses: &[SocketAddr]) -> Vec<NodePlace> {
+pub fn node_places(zones: usize, addresses: &[SocketAddr]) -> Vec<NodePlacement> {
     let roles = [
         (Role::Replica, FIRST_REPLICA),
         (Role::Gateway, FIRST_GATEWAY),
@@ -90,7 +90,7 @@
             let Some([http, internal]) = addresses.next() else {
                 return places;
             };
-            places.push(NodePlace {
+            places.push(NodePlacement {
                 id: NodeId(first + zone as u32),
                 name: format!("{role}-{}", zone + 1),
                 zone,
@@ -121,9 +121,9 @@
 /// reaches another node: the node's own address or that of a relay.
 pub fn node_settings(
     context: &SettingsContext<'_>,
-    place: &NodePlace,
-    places: &[NodePlace],
-    seen: impl Fn(&NodePlace) -> SocketAddr,
+    place: &NodePlacement,
+    places: &[NodePlacement],
+    seen: impl Fn(&NodePlacement) -> SocketAddr,
 ) -> Settings {
     let zones = &context.profile.fleet.zones;
     let mut settings = Settings::new(NodeSettings {
@@ -148,7 +148,7 @@
     settings
 }
 
-fn peer(place: &NodePlace, zone: &ZoneName, address: SocketAddr) -> Peer {
+fn peer(place: &NodePlacement, zone: &ZoneName, address: SocketAddr) -> Peer {
     Peer {
         id: place.id,
         name: place.name.clone(),
--- a/crates/bench/src/run/fleet/mod.rs
+++ b/crates/bench/src/run/fleet/mod.rs
@@ -16,7 +16,7 @@
 use molespan_settings::Role;
 
 use self::backends::{Backend, BackendStarter};
-use self::layout::{NodePlace, ReservedAddresses, SettingsContext, node_places, node_settings};
+use self::layout::{NodePlacement, ReservedAddresses, SettingsContext, node_places, node_settings};
 use self::network::ZoneNetwork;
 use self::process::{Process, Signal};
 use self::programs::Programs;
@@ -32,7 +32,7 @@
 /// A running node.
 pub struct RunningNode {
     /// Placement of the node.
-    pub place: NodePlace,
+    pub place: NodePlacement,
     /// Path of the settings file.
     pub settings: PathBuf,
     /// Process of the node.
@@ -135,7 +135,7 @@
     /// # Errors
     ///
     /// Fails if the signal cannot be sent.
-    pub fn ask_gateway_to_stop(&self, zone: usize) -> Result<(), BenchError> {
+    pub fn terminate_gateway(&self, zone: usize) -> Result<(), BenchError> {
         let mut gateways = self.nodes_of(Role::Gateway);
         match gateways.find(|node| node.place.zone == zone) {
             Some(node) => node.process.signal(Signal::Terminate),
@@ -193,7 +193,8 @@
             weights,
         };
         for place in &places {
-            let seen = |other: &NodePlace| self.network.seen_from(place.zone, other.internal);
+            let seen =
+                |other: &NodePlacement| self.network.address_from(place.zone, other.internal);
             let settings = node_settings(&context, place, &places, seen);
             let path = folder.join(format!("{}.toml", place.name));
             write_file(&path, &settings.to_toml())?;
@@ -212,7 +213,7 @@
 /// Returns the back ends as seen from `zone`: those of other zones through relays.
 fn machines_seen_from(zone: usize, backends: &[Backend], network: &ZoneNetwork) -> Vec<Machine> {
     let seen = |backend: &Backend| Machine {
-        address: network.seen_from(zone, backend.address).to_string(),
+        address: network.address_from(zone, backend.address).to_string(),
         ..backend.machine.clone()
     };
     backends.iter().map(seen).collect()
--- a/crates/bench/src/run/fleet/network.rs
+++ b/crates/bench/src/run/fleet/network.rs
@@ -72,7 +72,7 @@
 
     /// Returns the address at which `from_zone` reaches `target`.
     #[must_use]
-    pub fn seen_from(&self, from_zone: usize, target: SocketAddr) -> SocketAddr {
+    pub fn address_from(&self, from_zone: usize, target: SocketAddr) -> SocketAddr {
         let key = RelayKey { from_zone, target };
         self.relays.get(&key).copied().unwrap_or(target)
     }
--- a/crates/bench/src/run/fleet/operator.rs
+++ b/crates/bench/src/run/fleet/operator.rs
@@ -19,9 +19,9 @@
 /// Number of the intent that configures the fleet.
 const SET_UP_INTENT: u64 = 1;
 /// Timeout for a new fleet to elect its leaders and accept the intent.
-const SET_UP_PATIENCE: Duration = Duration::from_secs(30);
+const SET_UP_TIMEOUT: Duration = Duration::from_secs(30);
 /// Delay before a retry.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Maximum number of in-flight requests of a service per gateway.
 const MAX_CONCURRENCY: u32 = 4_096;
 /// Maximum number of queued requests of a service per gateway.
@@ -33,7 +33,7 @@
 /// Names of the load's tenants.
 const TENANTS: [&str; 2] = ["residents", "clerks"];
 /// Maximum size of a response body, in bytes.
-const MAX_ANSWER_BYTES: usize = 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
 
 /// Returns the intent that creates the services of `profile`.
 #[must_use]
@@ -96,7 +96,7 @@
 /// Fails on a timeout or if the intent is rejected.
 pub async fn set_up(pool: &Pool, gateway: SocketAddr, profile: &Profile) -> Result<(), BenchError> {
     let intent = set_up_intent(profile);
-    let deadline = Instant::now() + SET_UP_PATIENCE;
+    let deadline = Instant::now() + SET_UP_TIMEOUT;
     loop {
         match plan_and_confirm(pool, gateway, &intent).await {
             Ok(ConfirmReply::Confirmed { .. }) => return Ok(()),
@@ -109,7 +109,7 @@
                 return Err(BenchError::SetUp { reason });
             }
             Err(_) => {
-                Timer::after(RETRY_PAUSE).await;
+                Timer::after(RETRY_DELAY).await;
             }
         }
     }
@@ -141,7 +141,7 @@
     let response = pool.send(gateway, request).await;
     let response = response.map_err(|error| error.to_string())?;
     let status = response.status();
-    let answer = response.bytes(MAX_ANSWER_BYTES).await;
+    let answer = response.bytes(MAX_RESPONSE_BYTES).await;
     let answer = answer.map_err(|error| error.to_string())?;
     if status.is_success() {
         return Ok(answer);
--- a/crates/bench/src/run/fleet/process.rs
+++ b/crates/bench/src/run/fleet/process.rs
@@ -10,9 +10,9 @@
 use crate::BenchError;
 
 /// Timeout for a process to report that it is listening.
-const READY_PATIENCE: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interval between checks whether a process has ended.
-const EXIT_POLL: Duration = Duration::from_millis(20);
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A signal sent to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -116,15 +116,15 @@
         self.child.try_wait().ok().flatten()
     }
 
-    /// Waits at most `patience` for the process to end and returns its exit status.
-    pub fn wait(&mut self, patience: Duration) -> Option<ExitStatus> {
-        let deadline = Instant::now() + patience;
+    /// Waits at most `timeout` for the process to end and returns its exit status.
+    pub fn wait(&mut self, timeout: Duration) -> Option<ExitStatus> {
+        let deadline = Instant::now() + timeout;
         loop {
             let status = self.exit_status();
             if status.is_some() || Instant::now() >= deadline {
                 return status;
             }
-            std::thread::sleep(EXIT_POLL);
+            std::thread::sleep(EXIT_POLL_INTERVAL);
         }
     }
 }
@@ -150,5 +150,5 @@
             let _ = sender.send(line);
         }
     });
-    receiver.recv_timeout(READY_PATIENCE).ok()
+    receiver.recv_timeout(READY_TIMEOUT).ok()
 }
--- a/crates/bench/src/run/fleet/relay.rs
+++ b/crates/bench/src/run/fleet/relay.rs
@@ -20,9 +20,9 @@
 /// Size of the read buffer in bytes.
 const READ_BYTES: usize = 64 * 1024;
 /// Maximum number of chunks in flight per direction of a connection.
-const IN_FLIGHT: usize = 256;
+const MAX_CHUNKS_IN_FLIGHT: usize = 256;
 /// Interval between checks whether a cut link is restored.
-const CUT_POLL: Duration = Duration::from_millis(10);
+const CUT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Switch for the links of one zone.
 #[derive(Clone, Debug, Default)]
@@ -51,9 +51,9 @@
 }
 
 impl RelayLink {
-    async fn until_whole(&self) {
+    async fn wait_until_connected(&self) {
         while self.ends.iter().any(ZoneLink::is_cut) {
-            Timer::after(CUT_POLL).await;
+            Timer::after(CUT_POLL_INTERVAL).await;
         }
     }
 }
@@ -83,7 +83,7 @@
 
 /// Relays one connection until both directions have ended.
 async fn relay(near: Async<TcpStream>, target: SocketAddr, link: RelayLink) {
-    link.until_whole().await;
+    link.wait_until_connected().await;
     let Ok(far) = Async::<TcpStream>::connect(target).await else {
         return;
     };
@@ -91,49 +91,49 @@
         // Disables Nagle's algorithm, which delays small messages until acknowledgements.
         let _ = stream.get_ref().set_nodelay(true);
     }
-    let there = carry(&near, &far, &link);
-    let back = carry(&far, &near, &link);
+    let there = forward(&near, &far, &link);
+    let back = forward(&far, &near, &link);
     future::zip(there, back).await;
 }
 
 /// A chunk of bytes with its arrival time at the receiver.
-struct Piece {
+struct Chunk {
     arrives: Instant,
     bytes: Vec<u8>,
 }
 
 /// Forwards one direction until the sender closes it, then closes it towards the
 /// receiver.
-async fn carry(from: &Async<TcpStream>, to: &Async<TcpStream>, link: &RelayLink) {
-    let (sender, receiver) = async_channel::bounded(IN_FLIGHT);
-    let reading = read_pieces(from, sender, link);
-    let writing = write_pieces(to, receiver, link);
+async fn forward(from: &Async<TcpStream>, to: &Async<TcpStream>, link: &RelayLink) {
+    let (sender, receiver) = async_channel::bounded(MAX_CHUNKS_IN_FLIGHT);
+    let reading = read_chunks(from, sender, link);
+    let writing = write_chunks(to, receiver, link);
     future::zip(reading, writing).await;
     // The peer may have closed both directions already.
     let _ = to.get_ref().shutdown(std::net::Shutdown::Write);
 }
 
-async fn read_pieces(mut from: &Async<TcpStream>, sender: Sender<Piece>, link: &RelayLink) {
+async fn read_chunks(mut from: &Async<TcpStream>, sender: Sender<Chunk>, link: &RelayLink) {
     let mut buffer = vec![0; READ_BYTES];
     while let Ok(count) = from.read(&mut buffer).await {
         if count == 0 {
             return;
         }
-        let piece = Piece {
+        let chunk = Chunk {
             arrives: Instant::now() + link.one_way,
             bytes: buffer[..count].to_vec(),
         };
-        if sender.send(piece).await.is_err() {
+        if sender.send(chunk).await.is_err() {
             return;
         }
     }
 }
 
-async fn write_pieces(mut to: &Async<TcpStream>, receiver: Receiver<Piece>, link: &RelayLink) {
-    while let Ok(piece) = receiver.recv().await {
-        Timer::at(piece.arrives).await;
-        link.until_whole().await;
-        if to.write_all(&piece.bytes).await.is_err() {
+async fn write_chunks(mut to: &Async<TcpStream>, receiver: Receiver<Chunk>, link: &RelayLink) {
+    while let Ok(chunk) = receiver.recv().await {
+        Timer::at(chunk.arrives).await;
+        link.wait_until_connected().await;
+        if to.write_all(&chunk.bytes).await.is_err() {
             return;
         }
     }
--- a/crates/bench/src/run/load/batch.rs
+++ b/crates/bench/src/run/load/batch.rs
@@ -13,11 +13,11 @@
 use crate::run::profile::Profile;
 
 /// Interval between polls of the progress of all jobs.
-const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// Delay before a submission or read is retried.
-const RETRY_PAUSE: Duration = Duration::from_millis(300);
+const RETRY_DELAY: Duration = Duration::from_millis(300);
 /// Maximum number of attempts for a submission or read.
-const MAX_TRIES: u32 = 40;
+const MAX_ATTEMPTS: u32 = 40;
 
 /// Total of completed items at a point in time.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -140,10 +140,10 @@
     }
 
     /// Polls the progress of all jobs, without end.
-    pub async fn keep_watching(&self) {
+    pub async fn poll_forever(&self) {
         loop {
-            self.look().await;
-            Timer::after(PROGRESS_INTERVAL).await;
+            self.poll().await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 
@@ -174,13 +174,13 @@
 
     /// Submits one job, with retries under the same key until a gateway accepts it.
     async fn submit(&self, job: PreparedJob) {
-        for attempt in 0..MAX_TRIES {
-            let gateway = self.context.steering.gateway(job.zone + attempt as usize);
+        for attempt in 0..MAX_ATTEMPTS {
+            let gateway = self.context.selector.gateway(job.zone + attempt as usize);
             match self.client.submit(gateway, &job.submission).await {
                 Ok(summary) => return self.accepted(summary, job.zone, job.items),
                 Err(outcome) => self.incident("job submission", &outcome),
             }
-            Timer::after(RETRY_PAUSE).await;
+            Timer::after(RETRY_DELAY).await;
         }
         self.lock()
             .incidents
@@ -199,10 +199,10 @@
     }
 
     /// Polls the progress of every open job and records the total.
-    async fn look(&self) {
+    async fn poll(&self) {
         for position in self.open_jobs() {
             let (id, zone) = self.job(position);
-            let gateway = self.context.steering.gateway(zone);
+            let gateway = self.context.selector.gateway(zone);
             if let Ok(summary) = self.client.status(gateway, &id).await {
                 let mut state = self.lock();
                 let job = &mut state.jobs[position];
@@ -218,18 +218,18 @@
 
     async fn wait_for_end(&self, deadline: Instant) {
         loop {
-            self.look().await;
+            self.poll().await;
             if self.open_jobs().is_empty() || Instant::now() >= deadline {
                 return;
             }
-            Timer::after(PROGRESS_INTERVAL).await;
+            Timer::after(POLL_INTERVAL).await;
         }
     }
 
     async fn cancel(&self, position: usize) {
         let (id, zone) = self.job(position);
-        for attempt in 0..MAX_TRIES {
-            let gateway = self.context.steering.gateway(zone + attempt as usize);
+        for attempt in 0..MAX_ATTEMPTS {
+            let gateway = self.context.selector.gateway(zone + attempt as usize);
             match self.client.cancel(gateway, &id).await {
                 Ok(_) => {
                     self.lock().jobs[position].cancelled = true;
@@ -237,21 +237,21 @@
                 }
                 Err(outcome) => self.incident("job cancellation", &outcome),
             }
-            Timer::after(RETRY_PAUSE).await;
+            Timer::after(RETRY_DELAY).await;
         }
     }
 
     /// Returns all results of a job, read first from the gateway of the zone after
     /// the submitter's.
     async fn results(&self, job: &SubmittedJob) -> Vec<ResultLine> {
-        for attempt in 0..MAX_TRIES {
+        for attempt in 0..MAX_ATTEMPTS {
             let zone = job.zone + 1 + attempt as usize;
-            let gateway = self.context.steering.gateway(zone);
+            let gateway = self.context.selector.gateway(zone);
             match self.client.results(gateway, &job.id).await {
                 Ok(lines) => return lines,
                 Err(outcome) => self.incident("job results", &outcome),
             }
-            Timer::after(RETRY_PAUSE).await;
+            Timer::after(RETRY_DELAY).await;
         }
         Vec::new()
     }
--- a/crates/bench/src/run/load/call.rs
+++ b/crates/bench/src/run/load/call.rs
@@ -24,7 +24,7 @@
     /// Tenant of the caller.
     pub tenant: String,
     /// Idempotency key of a request that is not repeatable.
-    pub once_key: Option<String>,
+    pub idempotency_key: Option<String>,
 }
 
 /// An application call.
@@ -70,7 +70,7 @@
 ) -> Result<Request, SendError> {
     let mut request = new_request(Method::Post, address, COMPLETIONS_PATH)?;
     request.insert_header(TENANT_HEADER, &call.tenant);
-    if let Some(key) = &call.once_key {
+    if let Some(key) = &call.idempotency_key {
         request.insert_header(REPEATABLE_HEADER, "false");
         request.insert_header(IDEMPOTENCY_KEY_HEADER, key);
     }
--- a/crates/bench/src/run/load/caller.rs
+++ b/crates/bench/src/run/load/caller.rs
@@ -15,9 +15,9 @@
 use crate::run::account::CallOutcome;
 
 /// Maximum size of a response body, in bytes.
-const MAX_ANSWER_BYTES: usize = 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
 /// Timeout after which a call without a final response counts as lost.
-const CALLER_PATIENCE: Duration = Duration::from_secs(60);
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// State of a stream that is being read.
 #[derive(Default)]
@@ -51,7 +51,7 @@
     ) -> CallRecord {
         let mut progress = StreamProgress::default();
         let streaming = self.stream_into(address, call, intended, &mut progress);
-        let outcome = patiently(streaming).await;
+        let outcome = with_timeout(streaming).await;
         CallRecord {
             prompt: digest_of(call.prompt.as_bytes()),
             first_token: progress.first_token,
@@ -68,7 +68,7 @@
         call: &ApplicationCall,
         intended: Instant,
     ) -> CallRecord {
-        let outcome = patiently(self.application_outcome(address, call)).await;
+        let outcome = with_timeout(self.application_outcome(address, call)).await;
         CallRecord {
             prompt: call.digest(),
             first_token: None,
@@ -87,14 +87,14 @@
     ) -> CallOutcome {
         let request = match completion_request(address, call) {
             Ok(request) => request,
-            Err(error) => return unsent(&error),
+            Err(error) => return send_error_outcome(&error),
         };
         let response = match self.pool.send(address, request).await {
             Ok(response) => response,
-            Err(error) => return unsent(&error),
+            Err(error) => return send_error_outcome(&error),
         };
         if !response.status().is_success() {
-            return refusal(response).await;
+            return error_response_outcome(response).await;
         }
         let answer = AnswerText::of_prompt(&call.prompt);
         let mut events = response.events();
@@ -125,18 +125,18 @@
         let path = format!("{}{}", call.prefix, call.path);
         let mut request = match new_request(Method::Post, address, &path) {
             Ok(request) => request,
-            Err(error) => return unsent(&error),
+            Err(error) => return send_error_outcome(&error),
         };
         request.insert_header(TENANT_HEADER, &call.tenant);
         request.set_body(call.body.as_str());
         let response = match self.pool.send(address, request).await {
             Ok(response) => response,
-            Err(error) => return unsent(&error),
+            Err(error) => return send_error_outcome(&error),
         };
         if !response.status().is_success() {
-            return refusal(response).await;
+            return error_response_outcome(response).await;
         }
-        match response.json::<EchoBody>(MAX_ANSWER_BYTES).await {
+        match response.json::<EchoBody>(MAX_RESPONSE_BYTES).await {
             Ok(echo) if echo.digest == call.digest() => CallOutcome::Completed,
             Ok(_) => corrupted("the answer echoes another request"),
             Err(BodyError::Json(_)) => corrupted("the answer is not an echo"),
@@ -184,9 +184,9 @@
 }
 
 /// Returns the outcome of a response without a success status.
-pub(super) async fn refusal(response: ClientResponse) -> CallOutcome {
+pub(super) async fn error_response_outcome(response: ClientResponse) -> CallOutcome {
     let status = u16::from(response.status());
-    match response.json::<ErrorBody>(MAX_ANSWER_BYTES).await {
+    match response.json::<ErrorBody>(MAX_RESPONSE_BYTES).await {
         Ok(body) => CallOutcome::Refused {
             code: body.error.code,
             outcome: body.error.outcome,
@@ -200,7 +200,7 @@
 }
 
 /// Returns the outcome of a request without a response.
-pub(super) fn unsent(error: &SendError) -> CallOutcome {
+pub(super) fn send_error_outcome(error: &SendError) -> CallOutcome {
     match error {
         SendError::NotSent(cause) => CallOutcome::NotSent {
             cause: cause.to_string(),
@@ -228,11 +228,11 @@
     }
 }
 
-/// Returns the outcome of `call`, or `Lost` after [`CALLER_PATIENCE`].
-async fn patiently(call: impl Future<Output = CallOutcome>) -> CallOutcome {
-    let patience = async {
-        Timer::after(CALLER_PATIENCE).await;
+/// Returns the outcome of `call`, or `Lost` after [`CALL_TIMEOUT`].
+async fn with_timeout(call: impl Future<Output = CallOutcome>) -> CallOutcome {
+    let timeout = async {
+        Timer::after(CALL_TIMEOUT).await;
         lost(&"no final answer within the caller's patience")
     };
-    future::or(call, patience).await
+    future::or(call, timeout).await
 }
--- a/crates/bench/src/run/load/job_client.rs
+++ b/crates/bench/src/run/load/job_client.rs
@@ -10,13 +10,13 @@
 use molespan_http::{ClientResponse, Method, Pool, Request, new_request};
 use serde::{Deserialize, Serialize};
 
-use super::caller::{refusal, unsent};
+use super::caller::{error_response_outcome, send_error_outcome};
 use crate::run::account::{CallOutcome, JobItems, ResultLine};
 
 /// Maximum size of a response body, in bytes.
-const MAX_ANSWER_BYTES: usize = 256 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 256 * 1024 * 1024;
 /// Timeout after which a call without a response is abandoned and retried.
-const CALL_PATIENCE: Duration = Duration::from_secs(30);
+const CALL_TIMEOUT: Duration = Duration::from_secs(30);
 /// Tenant of batch jobs.
 const TENANT: &str = "clerks";
 
@@ -128,7 +128,7 @@
     ) -> Result<Vec<ResultLine>, CallOutcome> {
         let path = format!("/v1/batches/{id}/results");
         let response = self.send(Method::Get, gateway, &path, None).await?;
-        let body = response.bytes(MAX_ANSWER_BYTES).await;
+        let body = response.bytes(MAX_RESPONSE_BYTES).await;
         let body = body.map_err(|error| lost(&error))?;
         let lines = body.split(|byte| *byte == b'\n');
         lines
@@ -145,7 +145,7 @@
         body: Option<String>,
     ) -> Result<JobSummary, CallOutcome> {
         let response = self.send(method, gateway, path, body).await?;
-        let summary = response.json(MAX_ANSWER_BYTES).await;
+        let summary = response.json(MAX_RESPONSE_BYTES).await;
         summary.map_err(|error| malformed(&error))
     }
 
@@ -156,20 +156,21 @@
         path: &str,
         body: Option<String>,
     ) -> Result<ClientResponse, CallOutcome> {
-        let request = job_request(method, gateway, path, body).map_err(|error| unsent(&error))?;
+        let request =
+            job_request(method, gateway, path, body).map_err(|error| send_error_outcome(&error))?;
         let sending = async {
             let sent = self.pool.send(gateway, request).await;
-            sent.map_err(|error| unsent(&error))
+            sent.map_err(|error| send_error_outcome(&error))
         };
-        let patience = async {
-            Timer::after(CALL_PATIENCE).await;
+        let timeout = async {
+            Timer::after(CALL_TIMEOUT).await;
             Err(lost(&"no answer within the submitter's patience"))
         };
-        let response = future::or(sending, patience).await?;
+        let response = future::or(sending, timeout).await?;
         if response.status().is_success() {
             return Ok(response);
         }
-        Err(refusal(response).await)
+        Err(error_response_outcome(response).await)
     }
 }
 
--- a/crates/bench/src/run/load/online.rs
+++ b/crates/bench/src/run/load/online.rs
@@ -10,7 +10,7 @@
 use super::caller::Caller;
 use super::prompts::Prompts;
 use super::schedule::{ApplicationArrival, OnlineArrival, OnlineKind};
-use super::steering::Steering;
+use super::steering::GatewaySelector;
 use crate::run::profile::Profile;
 
 /// Tenant of online callers.
@@ -58,7 +58,7 @@
     /// Client that makes the calls.
     pub caller: Caller,
     /// Gateway selection.
-    pub steering: Arc<Steering>,
+    pub selector: Arc<GatewaySelector>,
     /// Start of the load, to which arrival times are relative.
     pub start: Instant,
 }
@@ -142,10 +142,10 @@
 
 async fn one_online(context: Arc<LoadContext>, prepared: PreparedCompletion, records: Records) {
     let PreparedCompletion { at, zone, call } = prepared;
-    let gateway = context.steering.gateway(zone);
+    let gateway = context.selector.gateway(zone);
     let calling = context.caller.stream(gateway, &call, context.start + at);
     let record = calling.await;
-    push(&records, at, call.once_key.is_none(), record);
+    push(&records, at, call.idempotency_key.is_none(), record);
 }
 
 async fn one_application(
@@ -154,7 +154,7 @@
     records: Records,
 ) {
     let PreparedApplication { at, zone, call } = prepared;
-    let gateway = context.steering.gateway(zone);
+    let gateway = context.selector.gateway(zone);
     let calling = context
         .caller
         .application(gateway, &call, context.start + at);
@@ -173,21 +173,21 @@
     let load = &profile.online;
     let (prompt, max_tokens) = match arrival.kind {
         OnlineKind::Short => (
-            prompts.single("online", number, load.own_tokens),
+            prompts.single("online", number, load.unique_tokens),
             load.short_answer_tokens,
         ),
         OnlineKind::Album(album) => (
-            prompts.album(album, load.album_prefix_tokens, number, load.own_tokens),
+            prompts.album(album, load.album_prefix_tokens, number, load.unique_tokens),
             load.album_answer_tokens,
         ),
     };
-    let once_key = (!arrival.repeatable).then(|| prompts.key("online", number));
+    let idempotency_key = (!arrival.repeatable).then(|| prompts.key("online", number));
     CompletionCall {
         model: profile.fleet.service.as_str().to_owned(),
         prompt,
         max_tokens,
         tenant: TENANT.to_owned(),
-        once_key,
+        idempotency_key,
     }
 }
 
--- a/crates/bench/src/run/load/schedule.rs
+++ b/crates/bench/src/run/load/schedule.rs
@@ -79,7 +79,7 @@
             at,
             kind: online_kind(load, &mut random),
             zone: random.random_range(0..zones),
-            repeatable: !random.random_bool(load.unrepeatable_share),
+            repeatable: !random.random_bool(load.non_repeatable_share),
         })
         .collect()
 }
@@ -115,15 +115,15 @@
     let mut jobs = Vec::new();
     let mut at = Duration::ZERO;
     while at < length {
-        for _ in 0..load.jobs_per_heap {
+        for _ in 0..load.jobs_per_wave {
             jobs.push(JobArrival {
                 at,
                 zone: random.random_range(0..zones),
                 items: items_per_job,
-                repeatable: !random.random_bool(load.unrepeatable_share),
+                repeatable: !random.random_bool(load.non_repeatable_share),
             });
         }
-        at += load.heap_every;
+        at += load.wave_interval;
     }
     jobs
 }
@@ -148,15 +148,19 @@
 /// Returns arrival times within bursts.
 fn burst_times(load: &OnlineLoad, length: Duration, random: &mut ChaCha8Rng) -> Vec<Duration> {
     let mut times = Vec::new();
-    let mut start = load.burst_every.mul_f64(random.random_range(0.2..0.7));
+    let mut start = load
+        .mean_burst_interval
+        .mul_f64(random.random_range(0.2..0.7));
     while start < length {
         for _ in 0..load.burst_requests {
-            let at = start + load.burst_within.mul_f64(random.random());
+            let at = start + load.burst_duration.mul_f64(random.random());
             if at < length {
                 times.push(at);
             }
         }
-        start += load.burst_every.mul_f64(random.random_range(0.5..1.5));
+        start += load
+            .mean_burst_interval
+            .mul_f64(random.random_range(0.5..1.5));
     }
     times
 }
--- a/crates/bench/src/run/load/steering.rs
+++ b/crates/bench/src/run/load/steering.rs
@@ -14,7 +14,7 @@
 /// Interval between readiness probes of a gateway.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 /// Probe timeout, after which a gateway counts as not ready.
-const PROBE_PATIENCE: Duration = Duration::from_millis(500);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Path of the readiness check.
 const READY_PATH: &str = "/ready";
 
@@ -24,11 +24,11 @@
 }
 
 /// The gateways by zone, and which of them are ready.
-pub struct Steering {
+pub struct GatewaySelector {
     gateways: Vec<Gateway>,
 }
 
-impl Steering {
+impl GatewaySelector {
     /// Creates a selection of gateways, one per zone, that are all assumed ready.
     #[must_use]
     pub fn new(addresses: &[SocketAddr]) -> Self {
@@ -84,9 +84,9 @@
         response.bytes(64 * 1024).await.ok()?;
         Some(ready)
     };
-    let patience = async {
-        Timer::after(PROBE_PATIENCE).await;
+    let timeout = async {
+        Timer::after(PROBE_TIMEOUT).await;
         None
     };
-    future::or(asking, patience).await.unwrap_or(false)
+    future::or(asking, timeout).await.unwrap_or(false)
 }
--- a/crates/bench/src/run/measure/engines.rs
+++ b/crates/bench/src/run/measure/engines.rs
@@ -16,9 +16,9 @@
 /// Sampling interval per engine.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
 /// Timeout for a response of a back end.
-const ANSWER_PATIENCE: Duration = Duration::from_secs(5);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Maximum size of a response body, in bytes.
-const MAX_ANSWER_BYTES: usize = 256 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 256 * 1024 * 1024;
 
 /// A load sample of one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -132,7 +132,7 @@
 }
 
 /// Posts a control request to an emulator. Returns `false` if it is not accepted.
-pub async fn post_switch(
+pub async fn post_control_request(
     pool: &Pool,
     address: SocketAddr,
     path: &str,
@@ -143,25 +143,25 @@
         request.set_body(json_body(body));
         let response = pool.send(address, request).await.ok()?;
         let taken = response.status().is_success();
-        response.bytes(MAX_ANSWER_BYTES).await.ok()?;
+        response.bytes(MAX_RESPONSE_BYTES).await.ok()?;
         Some(taken)
     };
-    within_patience(posting).await.unwrap_or(false)
+    with_timeout(posting).await.unwrap_or(false)
 }
 
 async fn get<T: DeserializeOwned>(pool: &Pool, address: SocketAddr, path: &str) -> Option<T> {
     let getting = async {
         let request = new_request(Method::Get, address, path).ok()?;
         let response = pool.send(address, request).await.ok()?;
-        response.json(MAX_ANSWER_BYTES).await.ok()
+        response.json(MAX_RESPONSE_BYTES).await.ok()
     };
-    within_patience(getting).await
+    with_timeout(getting).await
 }
 
-async fn within_patience<T>(call: impl Future<Output = Option<T>>) -> Option<T> {
-    let patience = async {
-        Timer::after(ANSWER_PATIENCE).await;
+async fn with_timeout<T>(call: impl Future<Output = Option<T>>) -> Option<T> {
+    let timeout = async {
+        Timer::after(RESPONSE_TIMEOUT).await;
         None
     };
-    future::or(call, patience).await
+    future::or(call, timeout).await
 }
--- a/crates/bench/src/run/mod.rs
+++ b/crates/bench/src/run/mod.rs
@@ -44,7 +44,7 @@
 /// Maximum number of connections of the load per address.
 const MAX_CONNECTIONS: usize = 4_096;
 /// Timeout of a caller for the head of a response, and for its body.
-const RESPONSE_PATIENCE: Duration = Duration::from_secs(60);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// Command-line options of a run.
 #[derive(Clone, Debug)]
@@ -115,8 +115,8 @@
 fn load_pool() -> Pool {
     Pool::new(PoolLimits {
         max_connections_per_address: MAX_CONNECTIONS,
-        response_timeout: RESPONSE_PATIENCE,
-        body_timeout: RESPONSE_PATIENCE,
+        response_timeout: RESPONSE_TIMEOUT,
+        body_timeout: RESPONSE_TIMEOUT,
         ..PoolLimits::default()
     })
 }
--- a/crates/bench/src/run/profile.rs
+++ b/crates/bench/src/run/profile.rs
@@ -16,11 +16,11 @@
     /// Mean rate of the steady stream, in requests per second. Arrivals are a Poisson process.
     pub steady_per_second: f64,
     /// Mean time between bursts; each gap is drawn from 0.5 to 1.5 times this value.
-    pub burst_every: Duration,
+    pub mean_burst_interval: Duration,
     /// Number of requests per burst.
     pub burst_requests: u32,
     /// Time over which the requests of a burst arrive.
-    pub burst_within: Duration,
+    pub burst_duration: Duration,
     /// Share of requests with an album-sized prompt, 0.0 to 1.0.
     pub album_share: f64,
     /// Number of albums, each of which is a prompt prefix shared by requests.
@@ -28,13 +28,13 @@
     /// Number of tokens in the shared prefix of an album.
     pub album_prefix_tokens: u32,
     /// Number of tokens unique to each prompt.
-    pub own_tokens: u32,
+    pub unique_tokens: u32,
     /// Number of tokens generated for a short request.
     pub short_answer_tokens: u32,
     /// Number of tokens generated for an album request.
     pub album_answer_tokens: u32,
     /// Share of requests that are not repeatable, 0.0 to 1.0.
-    pub unrepeatable_share: f64,
+    pub non_repeatable_share: f64,
 }
 
 /// Load of application calls.
@@ -48,15 +48,15 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct BatchLoad {
     /// Interval between waves of jobs.
-    pub heap_every: Duration,
+    pub wave_interval: Duration,
     /// Number of jobs per wave.
-    pub jobs_per_heap: u32,
+    pub jobs_per_wave: u32,
     /// Number of tokens in each item's prompt.
     pub prompt_tokens: u32,
     /// Number of tokens generated for each item.
     pub answer_tokens: u32,
     /// Share of jobs whose items are not repeatable, 0.0 to 1.0.
-    pub unrepeatable_share: f64,
+    pub non_repeatable_share: f64,
 }
 
 /// A fleet and its load.
@@ -109,24 +109,24 @@
             one_way: Duration::from_millis(1),
             online: OnlineLoad {
                 steady_per_second: 12.0,
-                burst_every: Duration::from_secs(3),
+                mean_burst_interval: Duration::from_secs(3),
                 burst_requests: 90,
-                burst_within: Duration::from_millis(500),
+                burst_duration: Duration::from_millis(500),
                 album_share: 0.2,
                 albums: 12,
                 album_prefix_tokens: 1_200,
-                own_tokens: 96,
+                unique_tokens: 96,
                 short_answer_tokens: 24,
                 album_answer_tokens: 48,
-                unrepeatable_share: 0.05,
+                non_repeatable_share: 0.05,
             },
             application: ApplicationLoad { per_second: 30.0 },
             batch: BatchLoad {
-                heap_every: Duration::from_secs(10),
-                jobs_per_heap: 4,
+                wave_interval: Duration::from_secs(10),
+                jobs_per_wave: 4,
                 prompt_tokens: 96,
                 answer_tokens: 64,
-                unrepeatable_share: 0.1,
+                non_repeatable_share: 0.1,
             },
             tail_protection: 50,
             throughput_weight: 0.6,
@@ -142,24 +142,24 @@
             one_way: Duration::from_micros(500),
             online: OnlineLoad {
                 steady_per_second: 24.0,
-                burst_every: Duration::from_millis(2_500),
+                mean_burst_interval: Duration::from_millis(2_500),
                 burst_requests: 80,
-                burst_within: Duration::from_millis(300),
+                burst_duration: Duration::from_millis(300),
                 album_share: 0.3,
                 albums: 10,
                 album_prefix_tokens: 480,
-                own_tokens: 64,
+                unique_tokens: 64,
                 short_answer_tokens: 24,
                 album_answer_tokens: 40,
-                unrepeatable_share: 0.1,
+                non_repeatable_share: 0.1,
             },
             application: ApplicationLoad { per_second: 60.0 },
             batch: BatchLoad {
-                heap_every: Duration::from_secs(10),
-                jobs_per_heap: 3,
+                wave_interval: Duration::from_secs(10),
+                jobs_per_wave: 3,
                 prompt_tokens: 160,
                 answer_tokens: 64,
-                unrepeatable_share: 0.2,
+                non_repeatable_share: 0.2,
             },
             tail_protection: 70,
             throughput_weight: 0.4,
@@ -192,7 +192,7 @@
     #[must_use]
     pub fn items_per_job(&self) -> u32 {
         let fleet_rate = self.engine_items_per_second() * f64::from(self.fleet.engines);
-        let heap = fleet_rate * self.batch.heap_every.as_secs_f64();
-        (heap / f64::from(self.batch.jobs_per_heap)).ceil() as u32
+        let wave_items = fleet_rate * self.batch.wave_interval.as_secs_f64();
+        (wave_items / f64::from(self.batch.jobs_per_wave)).ceil() as u32
     }
 }
--- a/crates/bench/src/run/report/lettering.rs
+++ b/crates/bench/src/run/report/lettering.rs
@@ -6,11 +6,11 @@
 use super::plots::{Area, DrawError};
 
 /// Width of a character in pixels.
-const ACROSS: i32 = 5;
+const CHARACTER_WIDTH: i32 = 5;
 /// Height of a character in pixels.
-const DOWN: i32 = 7;
+const CHARACTER_HEIGHT: i32 = 7;
 /// Space between characters in pixels.
-const GAP: i32 = 1;
+const CHARACTER_SPACING: i32 = 1;
 
 /// Draws `text` with its upper left corner at `corner`.
 ///
@@ -23,11 +23,11 @@
     corner: (i32, i32),
     height: i32,
 ) -> Result<(), DrawError> {
-    let scale = (height / DOWN).max(1);
+    let scale = (height / CHARACTER_HEIGHT).max(1);
     let mut left = corner.0;
     for character in text.chars() {
         write_character(area, character, (left, corner.1), scale)?;
-        left += (ACROSS + GAP) * scale;
+        left += (CHARACTER_WIDTH + CHARACTER_SPACING) * scale;
     }
     Ok(())
 }
@@ -38,9 +38,9 @@
     corner: (i32, i32),
     scale: i32,
 ) -> Result<(), DrawError> {
-    for (row, bits) in (0..DOWN).zip(pixels(character)) {
-        for column in 0..ACROSS {
-            let is_set = bits & (1 << (ACROSS - 1 - column)) != 0;
+    for (row, bits) in (0..CHARACTER_HEIGHT).zip(pixels(character)) {
+        for column in 0..CHARACTER_WIDTH {
+            let is_set = bits & (1 << (CHARACTER_WIDTH - 1 - column)) != 0;
             if is_set {
                 let left = corner.0 + column * scale;
                 let top = corner.1 + row * scale;
@@ -54,7 +54,7 @@
 
 /// Returns the rows of a character from top to bottom, five bits each.
 #[rustfmt::skip]
-fn pixels(character: char) -> [u8; DOWN as usize] {
+fn pixels(character: char) -> [u8; CHARACTER_HEIGHT as usize] {
     match character.to_ascii_uppercase() {
         '0' => [0b01110, 0b10001, 0b10011, 0b10101, 0b11001, 0b10001, 0b01110],
         '1' => [0b00100, 0b01100, 0b00100, 0b00100, 0b00100, 0b00100, 0b01110],
@@ -96,6 +96,6 @@
         ':' => [0b00000, 0b01100, 0b01100, 0b00000, 0b01100, 0b01100, 0b00000],
         '-' => [0b00000, 0b00000, 0b00000, 0b11111, 0b00000, 0b00000, 0b00000],
         '/' => [0b00001, 0b00001, 0b00010, 0b00100, 0b01000, 0b10000, 0b10000],
-        _ => [0; DOWN as usize],
+        _ => [0; CHARACTER_HEIGHT as usize],
     }
 }
--- a/crates/bench/src/run/report/page.rs
+++ b/crates/bench/src/run/report/page.rs
@@ -9,7 +9,7 @@
 use crate::run::measure::latency::Quantiles;
 
 /// Placeholder for a missing figure.
-const NONE: &str = "–";
+const MISSING: &str = "–";
 /// Timer lateness in milliseconds above which the machine is reported as busy.
 const BUSY_LATENESS_MS: f64 = 3.0;
 
@@ -295,5 +295,5 @@
 }
 
 fn number(value: Option<f64>) -> String {
-    value.map_or_else(|| NONE.to_owned(), |value| format!("{value:.3}"))
+    value.map_or_else(|| MISSING.to_owned(), |value| format!("{value:.3}"))
 }
--- a/crates/bench/src/run/report/plots.rs
+++ b/crates/bench/src/run/report/plots.rs
@@ -33,8 +33,8 @@
 /// Contents of a plot.
 struct Plot<'a> {
     title: String,
-    across: &'a str,
-    up: &'a str,
+    x_label: &'a str,
+    y_label: &'a str,
     scale: Scale,
     series: Vec<Series<'a>>,
 }
@@ -81,8 +81,8 @@
     };
     let plot = Plot {
         title: format!("{}: time to first token", figures.profile),
-        across: "percent of requests",
-        up: "ms",
+        x_label: "percent of requests",
+        y_label: "ms",
         scale: Scale::Logarithmic,
         series: series(figures, points),
     };
@@ -103,8 +103,8 @@
     };
     let plot = Plot {
         title: format!("{}: batch items completed", figures.profile),
-        across: "seconds",
-        up: "items",
+        x_label: "seconds",
+        y_label: "items",
         scale: Scale::Linear,
         series: series(figures, points),
     };
@@ -152,7 +152,7 @@
             let color = Palette99::pick(position).to_rgba();
             let heights = series.points.iter();
             let heights = heights.map(|point| (point.0, self.scale.height(point.1)));
-            let points = heights.map(|point| place(point, largest));
+            let points = heights.map(|point| to_pixel(point, largest));
             area.draw(&PathElement::new(
                 points.collect::<Vec<_>>(),
                 color.stroke_width(2),
@@ -161,8 +161,8 @@
         }
         write_text(area, &self.title, (LEFT, 16), TITLE_HEIGHT)?;
         let bottom = SIZE.1 as i32 - 22;
-        write_text(area, self.across, (LEFT, bottom), TEXT_HEIGHT)?;
-        write_text(area, self.up, (10, TOP - 26), TEXT_HEIGHT)
+        write_text(area, self.x_label, (LEFT, bottom), TEXT_HEIGHT)?;
+        write_text(area, self.y_label, (10, TOP - 26), TEXT_HEIGHT)
     }
 
     fn draw_grid(&self, area: &Area<'_>, largest: (f64, f64)) -> Result<(), DrawError> {
@@ -170,11 +170,17 @@
         for step in 0..=GRID {
             let share = f64::from(step) / f64::from(GRID);
             let (x, y) = (largest.0 * share, largest.1 * share);
-            let across = vec![place((0.0, y), largest), place((largest.0, y), largest)];
-            let up = vec![place((x, 0.0), largest), place((x, largest.1), largest)];
-            area.draw(&PathElement::new(across, grey))?;
-            area.draw(&PathElement::new(up, grey))?;
-            let (left, bottom) = (place((0.0, y), largest), place((x, 0.0), largest));
+            let horizontal = vec![
+                to_pixel((0.0, y), largest),
+                to_pixel((largest.0, y), largest),
+            ];
+            let vertical = vec![
+                to_pixel((x, 0.0), largest),
+                to_pixel((x, largest.1), largest),
+            ];
+            area.draw(&PathElement::new(horizontal, grey))?;
+            area.draw(&PathElement::new(vertical, grey))?;
+            let (left, bottom) = (to_pixel((0.0, y), largest), to_pixel((x, 0.0), largest));
             write_text(
                 area,
                 &tick(self.scale.value(y)),
@@ -215,7 +221,7 @@
 pub type DrawError = DrawingAreaErrorKind<<BitMapBackend<'static> as DrawingBackend>::ErrorType>;
 
 /// Returns the pixel of a point.
-fn place(point: (f64, f64), largest: (f64, f64)) -> (i32, i32) {
+fn to_pixel(point: (f64, f64), largest: (f64, f64)) -> (i32, i32) {
     let width = f64::from(SIZE.0 as i32 - LEFT - RIGHT);
     let height = f64::from(SIZE.1 as i32 - TOP - BOTTOM);
     let x = f64::from(LEFT) + point.0 / largest.0 * width;
--- a/crates/bench/tests/account.rs
+++ b/crates/bench/tests/account.rs
@@ -1,7 +1,7 @@
 //! Counts of outcomes, in table-driven tests.
 
 use molespan_bench::run::account::{
-    Account, CallOutcome, Counts, EndedCall, Executions, JobItems, JobResults, ResultLine,
+    Account, CallOutcome, Counts, Executions, FinishedCall, JobItems, JobResults, ResultLine,
 };
 use molespan_emulator::engine::{ExecutionCount, ExecutionLog};
 use molespan_emulator::expected_answer;
@@ -23,8 +23,8 @@
     executions
 }
 
-fn call(outcome: CallOutcome, repeatable: bool) -> EndedCall {
-    EndedCall {
+fn call(outcome: CallOutcome, repeatable: bool) -> FinishedCall {
+    FinishedCall {
         prompt: Digest(1),
         repeatable,
         outcome,
@@ -38,7 +38,7 @@
     }
 }
 
-fn account_of(call: EndedCall, runs: u32) -> Counts {
+fn account_of(call: FinishedCall, runs: u32) -> Counts {
     let mut account = Account::default();
     account.add_online(&[call], &executions(&[(Digest(1), runs)]));
     account.online
--- a/crates/bench/tests/fleet.rs
+++ b/crates/bench/tests/fleet.rs
@@ -6,7 +6,7 @@
 use expect_test::expect;
 use molespan_bench::run::arms::{Arm, Variant};
 use molespan_bench::run::fleet::layout::{
-    NodePlace, ReservedAddresses, SettingsContext, node_places, node_settings,
+    NodePlacement, ReservedAddresses, SettingsContext, node_places, node_settings,
 };
 use molespan_bench::run::fleet::operator::set_up_intent;
 use molespan_bench::run::profile::Profile;
@@ -18,7 +18,7 @@
     SocketAddr::from(([127, 0, 0, 1], port))
 }
 
-fn places() -> Vec<NodePlace> {
+fn places() -> Vec<NodePlacement> {
     let addresses: Vec<_> = (9_001..9_013).map(address).collect();
     node_places(ZONES, &addresses)
 }
--- a/crates/bench/tests/relay.rs
+++ b/crates/bench/tests/relay.rs
@@ -7,9 +7,9 @@
 use molespan_bench::run::fleet::network::ZoneNetwork;
 
 /// Timeout for expected bytes.
-const PATIENCE: Duration = Duration::from_secs(30);
+const RECEIVE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time in which no bytes may arrive.
-const SILENCE: Duration = Duration::from_millis(100);
+const QUIET_PERIOD: Duration = Duration::from_millis(100);
 
 /// Starts a server that echoes the bytes of each connection.
 fn echo_server() -> SocketAddr {
@@ -35,13 +35,13 @@
 fn network_to(target: SocketAddr) -> (ZoneNetwork, TcpStream) {
     let mut network = ZoneNetwork::new(2, Duration::from_millis(1));
     network.expose(target, 0).expect("a relay");
-    let stream = TcpStream::connect(network.seen_from(1, target)).expect("a connection");
+    let stream = TcpStream::connect(network.address_from(1, target)).expect("a connection");
     (network, stream)
 }
 
 fn expect_echo(stream: &mut TcpStream, text: &[u8]) {
     stream
-        .set_read_timeout(Some(PATIENCE))
+        .set_read_timeout(Some(RECEIVE_TIMEOUT))
         .expect("a read timeout");
     let mut answer = vec![0; text.len()];
     stream.read_exact(&mut answer).expect("an answer");
@@ -52,8 +52,8 @@
 fn only_foreign_zones_go_through_a_relay() {
     let target = echo_server();
     let (network, mut stream) = network_to(target);
-    assert_eq!(network.seen_from(0, target), target);
-    assert_ne!(network.seen_from(1, target), target);
+    assert_eq!(network.address_from(0, target), target);
+    assert_ne!(network.address_from(1, target), target);
     stream.write_all(b"hello").expect("bytes are taken");
     expect_echo(&mut stream, b"hello");
 }
@@ -65,7 +65,7 @@
         network.set_cut(cut_zone, true);
         stream.write_all(b"held").expect("bytes are taken");
         stream
-            .set_read_timeout(Some(SILENCE))
+            .set_read_timeout(Some(QUIET_PERIOD))
             .expect("a read timeout");
         let error = stream.read(&mut [0; 4]).expect_err("nothing comes");
         assert!(matches!(
--- a/crates/bench/tests/report.rs
+++ b/crates/bench/tests/report.rs
@@ -34,7 +34,7 @@
         },
         ..Account::default()
     };
-    account.note("online refused busy (not-run)");
+    account.record_incident("online refused busy (not-run)");
     ArmFigures {
         measured_s: 16.0,
         first_token: quantiles(p99_ms),
--- a/crates/bench/tests/schedule.rs
+++ b/crates/bench/tests/schedule.rs
@@ -38,7 +38,7 @@
     let load = Profile::archive().online;
     let arrivals = online_arrivals(&load, ZONES, LENGTH, 1);
     let busiest = arrivals.iter().map(|first| {
-        let end = first.at + load.burst_within;
+        let end = first.at + load.burst_duration;
         let within = |other: &&_| -> bool {
             let other: &molespan_bench::run::load::schedule::OnlineArrival = other;
             other.at >= first.at && other.at < end
@@ -49,18 +49,18 @@
 }
 
 #[test]
-fn jobs_come_in_heaps_that_keep_the_engines_busy() {
+fn jobs_come_in_waves_that_keep_the_engines_busy() {
     let profile = Profile::archive();
     let items = profile.items_per_job();
     let jobs = job_arrivals(&profile.batch, items, ZONES, LENGTH, 1);
-    let heaps = [0, 10, 20].map(Duration::from_secs);
-    let at = |heap| jobs.iter().filter(|job| job.at == heap).count();
-    let per_heap = profile.batch.jobs_per_heap as usize;
-    assert_eq!(heaps.map(at), [per_heap; 3]);
-    assert_eq!(jobs.len(), 3 * per_heap);
+    let waves = [0, 10, 20].map(Duration::from_secs);
+    let at = |wave| jobs.iter().filter(|job| job.at == wave).count();
+    let per_wave = profile.batch.jobs_per_wave as usize;
+    assert_eq!(waves.map(at), [per_wave; 3]);
+    assert_eq!(jobs.len(), 3 * per_wave);
     let fleet_rate = profile.engine_items_per_second() * f64::from(profile.fleet.engines);
-    let heap_items = f64::from(items * profile.batch.jobs_per_heap);
-    assert!(heap_items >= fleet_rate * profile.batch.heap_every.as_secs_f64());
+    let wave_items = f64::from(items * profile.batch.jobs_per_wave);
+    assert!(wave_items >= fleet_rate * profile.batch.wave_interval.as_secs_f64());
 }
 
 #[test]
