--- a/crates/bench/src/run/account/mod.rs
+++ b/crates/bench/src/run/account/mod.rs
@@ -1,5 +1,5 @@
-//! What befell each request and item, from the caller's side and from the
-//! back ends' records.
+//! Outcomes of requests and items, as observed by callers and as recorded by the
+//! back ends.
 
 mod executions;
 mod job;
@@ -8,5 +8,5 @@
 
 pub use executions::Executions;
 pub use job::{JobItems, JobResults, ResultFault, ResultLine};
-pub use ledger::{Account, Counts, EndedCall};
+pub use ledger::{Account, Counts, FinishedCall};
 pub use outcome::CallOutcome;
--- a/crates/bench/src/run/direct.rs
+++ b/crates/bench/src/run/direct.rs
@@ -1,4 +1,4 @@
-//! What a gateway adds: the same calls made directly and through it, in turn.
+//! Overhead of a gateway: compares calls made directly and through a gateway, in turn.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,7 +10,7 @@
 use molespan_settings::Role;
 use serde::{Deserialize, Serialize};
 
-use super::account::{CallOutcome, EndedCall};
+use super::account::{CallOutcome, FinishedCall};
 use super::fleet::Fleet;
 use super::load::call::{ApplicationCall, CallRecord, CompletionCall};
 use super::load::caller::Caller;
@@ -19,26 +19,26 @@
 use super::measure::machine::processor_seconds;
 use super::profile::Profile;
 
-/// Zone, by position, whose gateway and back ends are measured.
-const ZONE: usize = 0;
-/// Share of the time for pairs of completions, then of application calls.
+/// Index of the zone whose gateway and back ends are measured.
+const MEASURED_ZONE: usize = 0;
+/// Share of the time for pairs of completions, and again for pairs of application calls.
 const PAIRS_SHARE: f64 = 0.35;
-/// Share of the time in which the gateway is kept busy.
-const BUSY_SHARE: f64 = 0.3;
-/// Calls kept in flight while the gateway is kept busy; fewer than a gateway
-/// allows in the beginning, so that none is refused.
-const BUSY_LANES: usize = 32;
-/// Tokens of a completion's prompt.
+/// Share of the time for the saturation measurement.
+const SATURATION_SHARE: f64 = 0.3;
+/// Calls kept in flight during the saturation measurement. Fewer than a gateway
+/// allows initially, so that none is rejected.
+const SATURATION_CONCURRENCY: usize = 32;
+/// Number of tokens in each prompt or body.
 const PROMPT_TOKENS: u32 = 8;
-/// Tenant of these calls.
+/// Tenant of the calls.
 const TENANT: &str = "residents";
 
-/// Times of the same call, direct and through a gateway.
+/// Times of the same kind of call, direct and through a gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct PairFigures {
-    /// Direct calls.
+    /// Times of direct calls.
     pub direct: Quantiles,
-    /// Calls through the gateway.
+    /// Times of calls through the gateway.
     pub through: Quantiles,
     /// Difference of the medians, in milliseconds.
     pub added_p50_ms: f64,
@@ -46,45 +46,45 @@
     pub added_p99_ms: f64,
 }
 
-/// What a gateway adds and how much it carries.
+/// Overhead and throughput of a gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct DirectFigures {
-    /// Time to the first token.
+    /// Time to first token of completions.
     pub completion: PairFigures,
-    /// Time to the whole answer.
+    /// Time to the complete response of application calls.
     pub application: PairFigures,
-    /// Calls a second while the gateway is kept busy.
+    /// Calls per second while the gateway is saturated.
     pub busy_requests_per_second: f64,
-    /// Calls in a second of its processor time.
+    /// Calls per second of the gateway's processor time.
     pub requests_per_core_second: f64,
 }
 
-/// What the direct arm needs.
+/// Resources of the direct arm.
 #[derive(Clone)]
 pub struct DirectContext {
-    /// Runs the calls.
+    /// Executor that runs the calls.
     pub executor: Arc<Executor<'static>>,
-    /// Makes them.
+    /// Client that makes the calls.
     pub caller: Caller,
-    /// Makes the prompts.
+    /// Prompt generator.
     pub prompts: Prompts,
-    /// Sizes.
+    /// Fleet and load profile.
     pub profile: Profile,
-    /// Calls made so far.
-    pub numbers: Arc<AtomicU64>,
+    /// Number of calls made so far.
+    pub next_number: Arc<AtomicU64>,
 }
 
-/// Direct figures and the calls behind them.
+/// Figures of the direct arm with the underlying calls.
 pub struct DirectReport {
-    /// Figures.
+    /// Computed figures.
     pub figures: DirectFigures,
-    /// Calls of completions.
-    pub completions: Vec<EndedCall>,
+    /// Completion calls.
+    pub completions: Vec<FinishedCall>,
     /// Application calls.
-    pub applications: Vec<EndedCall>,
+    pub applications: Vec<FinishedCall>,
 }
 
-/// What is measured.
+/// Addresses of the measured gateway and back ends.
 #[derive(Clone, Copy, Debug)]
 pub struct Targets {
     gateway: SocketAddr,
@@ -93,7 +93,7 @@
     application: SocketAddr,
 }
 
-/// Measures for `length`; nothing without targets.
+/// Runs the measurement for `length`. Returns empty figures without targets.
 pub async fn measure(
     context: &DirectContext,
     targets: Option<Targets>,
@@ -110,25 +110,25 @@
     let pairs = length.mul_f64(PAIRS_SHARE);
     let calls = completion_pairs(context, &targets, pairs).await;
     report.figures.completion = pair_figures(&calls, |call| call.first_token);
-    report.completions = ended(calls);
+    report.completions = finished_calls(calls);
     let calls = application_pairs(context, &targets, pairs).await;
     report.figures.application = pair_figures(&calls, |call| Some(call.whole));
-    report.applications = ended(calls);
-    let busy = keep_busy(context, &targets, length.mul_f64(BUSY_SHARE)).await;
-    report.figures.busy_requests_per_second = busy.per_second;
-    report.figures.requests_per_core_second = busy.per_core_second;
-    report.applications.extend(busy.calls);
+    report.applications = finished_calls(calls);
+    let saturation = saturate_gateway(context, &targets, length.mul_f64(SATURATION_SHARE)).await;
+    report.figures.busy_requests_per_second = saturation.per_second;
+    report.figures.requests_per_core_second = saturation.per_core_second;
+    report.applications.extend(saturation.calls);
     report
 }
 
-/// A gateway and back ends of one zone.
+/// Returns a gateway and back ends of the measured zone.
 #[must_use]
 pub fn targets(fleet: &Fleet) -> Option<Targets> {
     let mut gateways = fleet.nodes_of(Role::Gateway);
-    let gateway = gateways.find(|node| node.place.zone == ZONE)?;
+    let gateway = gateways.find(|node| node.place.zone == MEASURED_ZONE)?;
     let backend = |kind| {
         let mut backends = fleet.backends.iter();
-        backends.find(|backend| backend.machine.kind == kind && backend.zone == ZONE)
+        backends.find(|backend| backend.machine.kind == kind && backend.zone == MEASURED_ZONE)
     };
     Some(Targets {
         gateway: gateway.place.http,
@@ -138,8 +138,8 @@
     })
 }
 
-/// Makes the first calls of a gateway. Returns how one of them ended, unless
-/// both completed.
+/// Makes the first calls through a gateway. Returns the label of a failed outcome, or
+/// `None` if both calls completed.
 pub async fn first_calls(
     caller: &Caller,
     gateway: SocketAddr,
@@ -153,7 +153,7 @@
         prompt: prompts.single("completion", number, PROMPT_TOKENS),
         max_tokens: 1,
         tenant: TENANT.to_owned(),
-        once_key: None,
+        idempotency_key: None,
     };
     let application = ApplicationCall {
         prefix: format!("/services/{}", fleet.application_service),
@@ -186,7 +186,7 @@
     let mut calls = Vec::new();
     while Instant::now() < end {
         for through in [false, true] {
-            let number = context.numbers.fetch_add(1, Ordering::Relaxed);
+            let number = context.next_number.fetch_add(1, Ordering::Relaxed);
             let (address, model) = match through {
                 true => (targets.gateway, fleet.service.as_str()),
                 false => (targets.engine, fleet.model.as_str()),
@@ -196,7 +196,7 @@
                 prompt: context.prompts.single("pair", number, PROMPT_TOKENS),
                 max_tokens: 1,
                 tenant: TENANT.to_owned(),
-                once_key: None,
+                idempotency_key: None,
             };
             let record = context.caller.stream(address, &call, Instant::now()).await;
             calls.push(PairedCall { through, record });
@@ -228,7 +228,7 @@
 }
 
 fn application_call(context: &DirectContext, through: bool) -> ApplicationCall {
-    let number = context.numbers.fetch_add(1, Ordering::Relaxed);
+    let number = context.next_number.fetch_add(1, Ordering::Relaxed);
     let service = context.profile.fleet.application_service.as_str();
     ApplicationCall {
         prefix: match through {
@@ -259,20 +259,24 @@
     }
 }
 
-/// What came of keeping the gateway busy.
-struct Busy {
+/// Result of the saturation measurement.
+struct Saturation {
     per_second: f64,
     per_core_second: f64,
-    calls: Vec<EndedCall>,
+    calls: Vec<FinishedCall>,
 }
 
-async fn keep_busy(context: &DirectContext, targets: &Targets, length: Duration) -> Busy {
+async fn saturate_gateway(
+    context: &DirectContext,
+    targets: &Targets,
+    length: Duration,
+) -> Saturation {
     let start = Instant::now();
     let processor = processor_seconds(targets.gateway_process);
     let end = start + length;
-    let mut lanes = Vec::with_capacity(BUSY_LANES);
-    for _ in 0..BUSY_LANES {
-        let lane = busy_lane(context.clone(), targets.gateway, end);
+    let mut lanes = Vec::with_capacity(SATURATION_CONCURRENCY);
+    for _ in 0..SATURATION_CONCURRENCY {
+        let lane = call_until(context.clone(), targets.gateway, end);
         lanes.push(context.executor.spawn(lane));
     }
     let mut calls = Vec::new();
@@ -283,33 +287,37 @@
     let completed = calls.iter();
     let completed = completed.filter(|call| call.outcome == CallOutcome::Completed);
     let completed = completed.count() as f64;
-    Busy {
+    Saturation {
         per_second: completed / start.elapsed().as_secs_f64(),
         per_core_second: if used > 0.0 { completed / used } else { 0.0 },
         calls,
     }
 }
 
-/// Makes one call after the other until `end`.
-async fn busy_lane(context: DirectContext, gateway: SocketAddr, end: Instant) -> Vec<EndedCall> {
+/// Makes successive calls until `end`.
+async fn call_until(
+    context: DirectContext,
+    gateway: SocketAddr,
+    end: Instant,
+) -> Vec<FinishedCall> {
     let mut calls = Vec::new();
     while Instant::now() < end {
         let call = application_call(&context, true);
         let calling = context.caller.application(gateway, &call, Instant::now());
-        calls.push(ended_call(calling.await));
+        calls.push(finished_call(calling.await));
     }
     calls
 }
 
-fn ended(calls: Vec<PairedCall>) -> Vec<EndedCall> {
+fn finished_calls(calls: Vec<PairedCall>) -> Vec<FinishedCall> {
     calls
         .into_iter()
-        .map(|call| ended_call(call.record))
+        .map(|call| finished_call(call.record))
         .collect()
 }
 
-fn ended_call(record: CallRecord) -> EndedCall {
-    EndedCall {
+fn finished_call(record: CallRecord) -> FinishedCall {
+    FinishedCall {
         prompt: record.prompt,
         repeatable: true,
         outcome: record.outcome,
--- a/crates/bench/src/run/experiment.rs
+++ b/crates/bench/src/run/experiment.rs
@@ -1,4 +1,4 @@
-//! Runs one arm on a fleet of its own.
+//! Runs each arm on a separate fleet.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -22,42 +22,42 @@
 };
 use super::load::prompts::Prompts;
 use super::load::schedule::{application_arrivals, job_arrivals, online_arrivals};
-use super::load::steering::Steering;
+use super::load::steering::GatewaySelector;
 use super::profile::Profile;
 use crate::BenchError;
 
-/// Load before the measured time, which fills caches and learns step costs.
+/// Warm-up before the measured time, which fills caches and step cost estimates.
 pub const WARM_UP: Duration = Duration::from_secs(4);
-/// Time for the load to start after its drivers.
-const LEAD: Duration = Duration::from_millis(200);
-/// Time for every gateway to become ready.
-const READY_PATIENCE: Duration = Duration::from_secs(30);
-/// Time for each gateway to answer its first requests.
-const FIRST_ANSWER_PATIENCE: Duration = Duration::from_secs(20);
-/// Pause before a first request is made again.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
-/// Share of a usual job's items in the arm with faults.
+/// Delay of the load's start, in which its drivers are started.
+const START_DELAY: Duration = Duration::from_millis(200);
+/// Timeout for every gateway to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// Timeout for each gateway to complete its first requests.
+const FIRST_RESPONSE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Delay before readiness or a first request is checked again.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+/// Size of a job in the arm with faults, as a share of the usual number of items.
 const FAULTS_JOB_SHARE: f64 = 0.3;
-/// Measured time of the arm with faults, as a multiple of the others'.
-const FAULTS_LENGTH: f64 = 1.6;
+/// Measured time of the arm with faults, as a multiple of the other arms'.
+const FAULTS_LENGTH_FACTOR: f64 = 1.6;
 
-/// What every arm of a run shares.
+/// Configuration and resources shared by all arms of a run.
 pub struct Experiment {
-    /// Programs of the fleet.
+    /// Paths of the fleet's programs.
     pub programs: Programs,
-    /// Sizes.
+    /// Fleet and load profile.
     pub profile: Profile,
-    /// Measured time of an arm.
+    /// Measured time per arm.
     pub length: Duration,
-    /// Seed.
+    /// Seed for arrival times, prompts and random choices.
     pub seed: u64,
-    /// Runs the load.
+    /// Executor that runs the load.
     pub executor: Arc<Executor<'static>>,
-    /// Connections of the load.
+    /// Connection pool of the load.
     pub pool: Pool,
 }
 
-/// The load of one arm.
+/// Load of one arm, generated before it starts.
 #[derive(Default)]
 pub(super) struct PreparedLoad {
     pub(super) online: Vec<PreparedCompletion>,
@@ -66,20 +66,20 @@
 }
 
 impl Experiment {
-    /// Runs one arm; files and logs of its fleet go to `folder`.
+    /// Runs one arm. Files and logs of its fleet are written to `folder`.
     ///
     /// # Errors
     ///
-    /// When the fleet cannot be started or set up.
+    /// Fails if the fleet cannot be started or configured.
     pub async fn run_arm(&self, arm: Arm, folder: &Path) -> Result<ArmFigures, BenchError> {
         let variant = arm.variant();
         let fleet = Fleet::start(&self.programs, &self.profile, variant, self.seed, folder)?;
         let gateways = fleet.gateways();
         operator::set_up(&self.pool, gateways[0], &self.profile).await?;
-        let steering = Arc::new(Steering::new(&gateways));
-        self.wait_until_ready(&steering, &gateways).await?;
+        let selector = Arc::new(GatewaySelector::new(&gateways));
+        self.wait_until_ready(&selector, &gateways).await?;
         let length = match arm {
-            Arm::Faults => self.length.mul_f64(FAULTS_LENGTH),
+            Arm::Faults => self.length.mul_f64(FAULTS_LENGTH_FACTOR),
             _ => self.length,
         };
         let prompts = Prompts::new(&format!("{}-{}", self.seed, arm.name()));
@@ -87,8 +87,8 @@
         let context = Arc::new(LoadContext {
             executor: self.executor.clone(),
             caller: Caller::new(self.pool.clone()),
-            steering,
-            start: Instant::now() + LEAD,
+            selector,
+            start: Instant::now() + START_DELAY,
         });
         let run = ArmRun {
             experiment: self,
@@ -105,7 +105,7 @@
         })
     }
 
-    /// The load of an arm that lasts for `whole`, made up before it starts.
+    /// Generates the load of an arm that lasts for `whole`.
     fn prepare(&self, arm: Arm, prompts: &Prompts, whole: Duration) -> PreparedLoad {
         let profile = &self.profile;
         let zones = profile.fleet.zones.len();
@@ -127,16 +127,16 @@
         load
     }
 
-    /// Waits until every gateway says that it is ready and answers.
+    /// Waits until every gateway reports that it is ready and serves requests.
     async fn wait_until_ready(
         &self,
-        steering: &Steering,
+        selector: &GatewaySelector,
         gateways: &[SocketAddr],
     ) -> Result<(), BenchError> {
-        let deadline = Instant::now() + READY_PATIENCE;
+        let deadline = Instant::now() + READY_TIMEOUT;
         loop {
-            steering.probe(&self.pool).await;
-            if steering.all_ready() {
+            selector.probe(&self.pool).await;
+            if selector.all_ready() {
                 break;
             }
             if Instant::now() >= deadline {
@@ -144,17 +144,17 @@
                     reason: "a gateway does not become ready".to_owned(),
                 });
             }
-            Timer::after(RETRY_PAUSE).await;
+            Timer::after(RETRY_DELAY).await;
         }
         for gateway in gateways {
-            self.wait_for_first_answer(*gateway).await?;
+            self.wait_for_first_response(*gateway).await?;
         }
         Ok(())
     }
 
-    /// Waits until a gateway answers a completion and an application call.
-    async fn wait_for_first_answer(&self, gateway: SocketAddr) -> Result<(), BenchError> {
-        let deadline = Instant::now() + FIRST_ANSWER_PATIENCE;
+    /// Waits until a gateway completes a completion and an application call.
+    async fn wait_for_first_response(&self, gateway: SocketAddr) -> Result<(), BenchError> {
+        let deadline = Instant::now() + FIRST_RESPONSE_TIMEOUT;
         let caller = Caller::new(self.pool.clone());
         let mut number = 0;
         loop {
@@ -170,7 +170,7 @@
                 });
             }
             number += 1;
-            Timer::after(RETRY_PAUSE).await;
+            Timer::after(RETRY_DELAY).await;
         }
     }
 }
--- a/crates/bench/src/run/load/caller.rs
+++ b/crates/bench/src/run/load/caller.rs
@@ -1,4 +1,4 @@
-//! One call over HTTP, timed and checked.
+//! Makes single calls over HTTP, measures their times and checks the responses.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -14,12 +14,12 @@
 use super::call::{ApplicationCall, CallRecord, CompletionCall, completion_request};
 use crate::run::account::CallOutcome;
 
-/// Longest answer that is read, in bytes.
-const MAX_ANSWER_BYTES: usize = 1024 * 1024;
-/// A caller that has no final answer by then counts its request as lost.
-const CALLER_PATIENCE: Duration = Duration::from_secs(60);
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
+/// Timeout after which a call without a final response counts as lost.
+const CALL_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// What a stream brought so far.
+/// State of a stream that is being read.
 #[derive(Default)]
 struct StreamProgress {
     first_token: Option<Duration>,
@@ -28,21 +28,21 @@
     next_offset: u32,
 }
 
-/// Makes calls over a pool of connections.
+/// Makes calls over a connection pool.
 #[derive(Clone, Debug)]
 pub struct Caller {
     pool: Pool,
 }
 
 impl Caller {
-    /// A caller over `pool`.
+    /// Creates a caller that uses `pool`.
     #[must_use]
     pub fn new(pool: Pool) -> Self {
         Self { pool }
     }
 
-    /// Streams a completion from `address`; `intended` is when the call should
-    /// have begun.
+    /// Streams a completion from `address`. `intended` is the scheduled start of the
+    /// call.
     pub async fn stream(
         &self,
         address: SocketAddr,
@@ -51,7 +51,7 @@
     ) -> CallRecord {
         let mut progress = StreamProgress::default();
         let streaming = self.stream_into(address, call, intended, &mut progress);
-        let outcome = patiently(streaming).await;
+        let outcome = with_timeout(streaming).await;
         CallRecord {
             prompt: digest_of(call.prompt.as_bytes()),
             first_token: progress.first_token,
@@ -68,7 +68,7 @@
         call: &ApplicationCall,
         intended: Instant,
     ) -> CallRecord {
-        let outcome = patiently(self.application_outcome(address, call)).await;
+        let outcome = with_timeout(self.application_outcome(address, call)).await;
         CallRecord {
             prompt: call.digest(),
             first_token: None,
@@ -87,14 +87,14 @@
     ) -> CallOutcome {
         let request = match completion_request(address, call) {
             Ok(request) => request,
-            Err(error) => return unsent(&error),
+            Err(error) => return send_error_outcome(&error),
         };
         let response = match self.pool.send(address, request).await {
             Ok(response) => response,
-            Err(error) => return unsent(&error),
+            Err(error) => return send_error_outcome(&error),
         };
         if !response.status().is_success() {
-            return refusal(response).await;
+            return error_response_outcome(response).await;
         }
         let answer = AnswerText::of_prompt(&call.prompt);
         let mut events = response.events();
@@ -125,18 +125,18 @@
         let path = format!("{}{}", call.prefix, call.path);
         let mut request = match new_request(Method::Post, address, &path) {
             Ok(request) => request,
-            Err(error) => return unsent(&error),
+            Err(error) => return send_error_outcome(&error),
         };
         request.insert_header(TENANT_HEADER, &call.tenant);
         request.set_body(call.body.as_str());
         let response = match self.pool.send(address, request).await {
             Ok(response) => response,
-            Err(error) => return unsent(&error),
+            Err(error) => return send_error_outcome(&error),
         };
         if !response.status().is_success() {
-            return refusal(response).await;
+            return error_response_outcome(response).await;
         }
-        match response.json::<EchoBody>(MAX_ANSWER_BYTES).await {
+        match response.json::<EchoBody>(MAX_RESPONSE_BYTES).await {
             Ok(echo) if echo.digest == call.digest() => CallOutcome::Completed,
             Ok(_) => corrupted("the answer echoes another request"),
             Err(BodyError::Json(_)) => corrupted("the answer is not an echo"),
@@ -157,8 +157,8 @@
     }
 }
 
-/// Checks one event of a stream: the next token of the right answer, or a
-/// typed error that ends the stream.
+/// Checks one event of a stream: the next token of the expected text, or a typed
+/// error that ends the stream.
 fn check_event(
     data: &str,
     answer: AnswerText,
@@ -183,10 +183,10 @@
     Ok(())
 }
 
-/// The outcome behind a response that is not a success.
-pub(super) async fn refusal(response: ClientResponse) -> CallOutcome {
+/// Returns the outcome of a response without a success status.
+pub(super) async fn error_response_outcome(response: ClientResponse) -> CallOutcome {
     let status = u16::from(response.status());
-    match response.json::<ErrorBody>(MAX_ANSWER_BYTES).await {
+    match response.json::<ErrorBody>(MAX_RESPONSE_BYTES).await {
         Ok(body) => CallOutcome::Refused {
             code: body.error.code,
             outcome: body.error.outcome,
@@ -199,8 +199,8 @@
     }
 }
 
-/// The outcome behind a request without a response.
-pub(super) fn unsent(error: &SendError) -> CallOutcome {
+/// Returns the outcome of a request without a response.
+pub(super) fn send_error_outcome(error: &SendError) -> CallOutcome {
     match error {
         SendError::NotSent(cause) => CallOutcome::NotSent {
             cause: cause.to_string(),
@@ -228,11 +228,11 @@
     }
 }
 
-/// The outcome of `call`, or `Lost` when the caller's patience ends first.
-async fn patiently(call: impl Future<Output = CallOutcome>) -> CallOutcome {
-    let patience = async {
-        Timer::after(CALLER_PATIENCE).await;
+/// Returns the outcome of `call`, or `Lost` after [`CALL_TIMEOUT`].
+async fn with_timeout(call: impl Future<Output = CallOutcome>) -> CallOutcome {
+    let timeout = async {
+        Timer::after(CALL_TIMEOUT).await;
         lost(&"no final answer within the caller's patience")
     };
-    future::or(call, patience).await
+    future::or(call, timeout).await
 }
--- a/crates/bench/src/run/report/plots.rs
+++ b/crates/bench/src/run/report/plots.rs
@@ -1,7 +1,7 @@
 //! Plots as PNG files.
 //!
-//! The plotting library draws text only with a font file, and the bench carries
-//! none; see [`super::lettering`].
+//! The plotting library needs a font file to draw text, and the benchmark has none;
+//! see [`super::lettering`].
 
 use std::path::Path;
 
@@ -11,39 +11,39 @@
 use crate::BenchError;
 use crate::run::figures::{ArmFigures, RunFigures};
 
-/// Size of a plot in pixels.
+/// Width and height of a plot in pixels.
 const SIZE: (u32, u32) = (1_000, 640);
-/// Pixels around the drawing area: left, right, top, bottom.
+/// Margins around the drawing area in pixels.
 const LEFT: i32 = 90;
 const RIGHT: i32 = 210;
 const TOP: i32 = 50;
 const BOTTOM: i32 = 60;
-/// Lines of the grid in each direction.
+/// Number of grid intervals in each direction.
 const GRID: i32 = 5;
-/// Height of text in pixels.
+/// Text heights in pixels.
 const TITLE_HEIGHT: i32 = 18;
 const TEXT_HEIGHT: i32 = 12;
 
-/// One line of a plot.
+/// A named line of a plot.
 struct Series<'a> {
     name: &'a str,
     points: Vec<(f64, f64)>,
 }
 
-/// A plot before it is drawn.
+/// Contents of a plot.
 struct Plot<'a> {
     title: String,
-    across: &'a str,
-    up: &'a str,
+    x_label: &'a str,
+    y_label: &'a str,
     scale: Scale,
     series: Vec<Series<'a>>,
 }
 
-/// How values go up.
+/// Scale of the vertical axis.
 #[derive(Clone, Copy)]
 enum Scale {
     Linear,
-    /// From 1 on; smaller values are drawn as 1.
+    /// Logarithmic from 1; smaller values are drawn as 1.
     Logarithmic,
 }
 
@@ -55,7 +55,7 @@
         }
     }
 
-    /// The value at a height.
+    /// Returns the value at a height.
     fn value(self, height: f64) -> f64 {
         match self {
             Self::Linear => height,
@@ -64,11 +64,11 @@
     }
 }
 
-/// The distribution of the time to the first token in each arm.
+/// Plots the distribution of the time to first token per arm.
 ///
 /// # Errors
 ///
-/// When the file cannot be written.
+/// Fails if the file cannot be written.
 pub fn first_token(figures: &RunFigures, path: &Path) -> Result<(), BenchError> {
     let points = |arm: &ArmFigures| {
         let curve = &arm.first_token_curve_ms;
@@ -81,19 +81,19 @@
     };
     let plot = Plot {
         title: format!("{}: time to first token", figures.profile),
-        across: "percent of requests",
-        up: "ms",
+        x_label: "percent of requests",
+        y_label: "ms",
         scale: Scale::Logarithmic,
         series: series(figures, points),
     };
     plot.draw(path)
 }
 
-/// Batch items completed over time in each arm.
+/// Plots the completed batch items over time per arm.
 ///
 /// # Errors
 ///
-/// When the file cannot be written.
+/// Fails if the file cannot be written.
 pub fn batch_progress(figures: &RunFigures, path: &Path) -> Result<(), BenchError> {
     let points = |arm: &ArmFigures| {
         let progress = arm.batch_progress.iter();
@@ -103,15 +103,15 @@
     };
     let plot = Plot {
         title: format!("{}: batch items completed", figures.profile),
-        across: "seconds",
-        up: "items",
+        x_label: "seconds",
+        y_label: "items",
         scale: Scale::Linear,
         series: series(figures, points),
     };
     plot.draw(path)
 }
 
-/// A line for each arm that has points.
+/// Returns a line for each arm that has data.
 fn series(
     figures: &RunFigures,
     points: impl Fn(&ArmFigures) -> Vec<(f64, f64)>,
@@ -125,7 +125,7 @@
 }
 
 impl Series<'_> {
-    /// The largest value in both directions.
+    /// Returns the largest x and the largest y value.
     fn largest(&self) -> (f64, f64) {
         let larger =
             |so_far: (f64, f64), point: &(f64, f64)| (so_far.0.max(point.0), so_far.1.max(point.1));
@@ -152,7 +152,7 @@
             let color = Palette99::pick(position).to_rgba();
             let heights = series.points.iter();
             let heights = heights.map(|point| (point.0, self.scale.height(point.1)));
-            let points = heights.map(|point| place(point, largest));
+            let points = heights.map(|point| to_pixel(point, largest));
             area.draw(&PathElement::new(
                 points.collect::<Vec<_>>(),
                 color.stroke_width(2),
@@ -161,8 +161,8 @@
         }
         write_text(area, &self.title, (LEFT, 16), TITLE_HEIGHT)?;
         let bottom = SIZE.1 as i32 - 22;
-        write_text(area, self.across, (LEFT, bottom), TEXT_HEIGHT)?;
-        write_text(area, self.up, (10, TOP - 26), TEXT_HEIGHT)
+        write_text(area, self.x_label, (LEFT, bottom), TEXT_HEIGHT)?;
+        write_text(area, self.y_label, (10, TOP - 26), TEXT_HEIGHT)
     }
 
     fn draw_grid(&self, area: &Area<'_>, largest: (f64, f64)) -> Result<(), DrawError> {
@@ -170,11 +170,17 @@
         for step in 0..=GRID {
             let share = f64::from(step) / f64::from(GRID);
             let (x, y) = (largest.0 * share, largest.1 * share);
-            let across = vec![place((0.0, y), largest), place((largest.0, y), largest)];
-            let up = vec![place((x, 0.0), largest), place((x, largest.1), largest)];
-            area.draw(&PathElement::new(across, grey))?;
-            area.draw(&PathElement::new(up, grey))?;
-            let (left, bottom) = (place((0.0, y), largest), place((x, 0.0), largest));
+            let horizontal = vec![
+                to_pixel((0.0, y), largest),
+                to_pixel((largest.0, y), largest),
+            ];
+            let vertical = vec![
+                to_pixel((x, 0.0), largest),
+                to_pixel((x, largest.1), largest),
+            ];
+            area.draw(&PathElement::new(horizontal, grey))?;
+            area.draw(&PathElement::new(vertical, grey))?;
+            let (left, bottom) = (to_pixel((0.0, y), largest), to_pixel((x, 0.0), largest));
             write_text(
                 area,
                 &tick(self.scale.value(y)),
@@ -209,13 +215,13 @@
     }
 }
 
-/// What plots are drawn on.
+/// Drawing area of a plot.
 pub type Area<'a> = DrawingArea<BitMapBackend<'a>, plotters::coord::Shift>;
-/// Why a plot could not be drawn.
+/// Error of the plotting library.
 pub type DrawError = DrawingAreaErrorKind<<BitMapBackend<'static> as DrawingBackend>::ErrorType>;
 
-/// The pixel of a point.
-fn place(point: (f64, f64), largest: (f64, f64)) -> (i32, i32) {
+/// Returns the pixel of a point.
+fn to_pixel(point: (f64, f64), largest: (f64, f64)) -> (i32, i32) {
     let width = f64::from(SIZE.0 as i32 - LEFT - RIGHT);
     let height = f64::from(SIZE.1 as i32 - TOP - BOTTOM);
     let x = f64::from(LEFT) + point.0 / largest.0 * width;
@@ -223,7 +229,7 @@
     (x.round() as i32, y.round() as i32)
 }
 
-/// A value beside the grid.
+/// Formats the label of a grid line.
 fn tick(value: f64) -> String {
     match value {
         value if value >= 100.0 => format!("{value:.0}"),
--- a/crates/cli/src/client.rs
+++ b/crates/cli/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to a gateway.
+//! HTTP client for gateways.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 
 use crate::error::CliError;
 
-/// Longest answer that is read at once, in bytes.
-const MAX_ANSWER_BYTES: usize = 256 * 1024 * 1024;
-/// Longest time to connect to a gateway.
+/// Maximum size of a response body that is buffered, in bytes.
+const MAX_RESPONSE_BYTES: usize = 256 * 1024 * 1024;
+/// Timeout for connecting to a gateway.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time to hand over a job's items.
+/// Timeout for uploading a job's items.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(120);
-/// Longest time until an answer begins.
+/// Timeout for the start of a response.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// One call, which may be sent again.
+/// A request that is safe to retry.
 #[derive(Clone, Debug)]
 pub struct Call {
     method: Method,
@@ -28,11 +28,11 @@
     body: Vec<u8>,
     content_type: &'static str,
     headers: Vec<(&'static str, String)>,
-    answers: &'static [StatusCode],
+    accepted_statuses: &'static [StatusCode],
 }
 
 impl Call {
-    /// Reads `path`.
+    /// Creates a GET request for `path`.
     #[must_use]
     pub fn get(path: impl Into<String>) -> Self {
         Self {
@@ -42,11 +42,11 @@
             body: Vec::new(),
             content_type: "application/json",
             headers: Vec::new(),
-            answers: &[],
+            accepted_statuses: &[],
         }
     }
 
-    /// Posts `body` to `path`.
+    /// Creates a POST request of `body` to `path`.
     #[must_use]
     pub fn post(path: impl Into<String>, body: Vec<u8>) -> Self {
         Self {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Adds a parameter to the query.
+    /// Adds a query parameter.
     #[must_use]
     pub fn query(mut self, name: &'static str, value: impl ToString) -> Self {
         self.query.push((name, value.to_string()));
@@ -70,21 +70,21 @@
         self
     }
 
-    /// Sets the type of the body.
+    /// Sets the content type of the body.
     #[must_use]
     pub fn content_type(mut self, content_type: &'static str) -> Self {
         self.content_type = content_type;
         self
     }
 
-    /// Statuses besides success that come with a whole answer.
+    /// Sets the status codes besides 2xx that count as a regular response.
     #[must_use]
-    pub fn answered_with(mut self, answers: &'static [StatusCode]) -> Self {
-        self.answers = answers;
+    pub fn accept_statuses(mut self, accepted_statuses: &'static [StatusCode]) -> Self {
+        self.accepted_statuses = accepted_statuses;
         self
     }
 
-    /// The request of this call at `gateway`.
+    /// Builds the HTTP request to `gateway`.
     fn request(&self, gateway: SocketAddr) -> Result<Request, SendError> {
         let invalid = |what: String| SendError::NotSent(FailureCause::Invalid(what));
         let url = Url::parse(&format!("http://{gateway}{}", self.path));
@@ -107,7 +107,7 @@
     }
 }
 
-/// A client of several gateways, any of which will do.
+/// HTTP client with a list of interchangeable gateways.
 #[derive(Clone, Debug)]
 pub struct Client {
     pool: Pool,
@@ -116,7 +116,7 @@
 }
 
 impl Client {
-    /// A client of `gateways`, tried in this order.
+    /// Creates a client that tries `gateways` in the given order.
     #[must_use]
     pub fn new(gateways: Vec<SocketAddr>) -> Self {
         let limits = PoolLimits {
@@ -133,14 +133,14 @@
         }
     }
 
-    /// The same client in the name of `tenant`.
+    /// Returns the client with requests attributed to `tenant`.
     #[must_use]
     pub fn with_tenant(mut self, tenant: Option<String>) -> Self {
         self.tenant = tenant;
         self
     }
 
-    /// The same client of one gateway only.
+    /// Returns a copy of the client that uses only `gateway`.
     #[must_use]
     pub fn only(&self, gateway: SocketAddr) -> Self {
         Self {
@@ -149,31 +149,31 @@
         }
     }
 
-    /// The gateways in the order in which they are tried.
+    /// Returns the gateways in the order in which they are tried.
     #[must_use]
     pub fn gateways(&self) -> &[SocketAddr] {
         &self.gateways
     }
 
-    /// Sends `call` to the gateways in turn until one answers.
+    /// Sends `call` to the gateways in order until one responds.
     ///
     /// # Errors
-    /// When none answers, or the one that does refuses.
+    /// Fails if no gateway responds or the responding gateway returns an error.
     pub async fn send(&self, call: &Call) -> Result<ClientResponse, CliError> {
-        let mut worst = SendError::NotSent(FailureCause::Invalid("no gateway given".to_owned()));
+        let mut last = SendError::NotSent(FailureCause::Invalid("no gateway given".to_owned()));
         for gateway in &self.gateways {
             match self.send_to(*gateway, call).await {
-                Err(CliError::Unanswered(error)) => worst = worse(worst, error),
+                Err(CliError::Unanswered(error)) => last = prefer_ambiguous(last, error),
                 answer => return answer,
             }
         }
-        Err(CliError::Unanswered(worst))
+        Err(CliError::Unanswered(last))
     }
 
     /// Sends `call` to one gateway.
     ///
     /// # Errors
-    /// When it does not answer, or refuses.
+    /// Fails if the gateway does not respond or returns an error.
     pub async fn send_to(
         &self,
         gateway: SocketAddr,
@@ -186,36 +186,36 @@
         let response = self.pool.send(gateway, request).await;
         let response = response.map_err(CliError::Unanswered)?;
         let status = response.status();
-        if status.is_success() || call.answers.contains(&status) {
+        if status.is_success() || call.accepted_statuses.contains(&status) {
             return Ok(response);
         }
-        Err(refusal(gateway, response).await)
+        Err(error_of_response(gateway, response).await)
     }
 
-    /// Sends `call` and reads the answer as JSON.
+    /// Sends `call` and parses the response body as JSON.
     ///
     /// # Errors
-    /// As [`Client::send`], and when the answer is not what the interface says.
+    /// Fails as [`Client::send`] does, or if the body does not match the API.
     pub async fn json<T: DeserializeOwned>(&self, call: &Call) -> Result<T, CliError> {
         let response = self.send(call).await?;
-        let answer = response.json(MAX_ANSWER_BYTES).await;
+        let answer = response.json(MAX_RESPONSE_BYTES).await;
         answer.map_err(|error| unexpected("the gateway", &error))
     }
 
-    /// Sends `call` and reads the answer as text.
+    /// Sends `call` and returns the response body as text.
     ///
     /// # Errors
-    /// As [`Client::send`], and when the answer is cut short or no text.
+    /// Fails as [`Client::send`] does, or if the body is truncated or not UTF-8.
     pub async fn text(&self, call: &Call) -> Result<String, CliError> {
         let response = self.send(call).await?;
-        let bytes = response.bytes(MAX_ANSWER_BYTES).await;
+        let bytes = response.bytes(MAX_RESPONSE_BYTES).await;
         let bytes = bytes.map_err(|error| unexpected("the gateway", &error))?;
         String::from_utf8(bytes).map_err(|error| unexpected("the gateway", &error))
     }
 }
 
-/// The error that leaves more in doubt.
-fn worse(first: SendError, second: SendError) -> SendError {
+/// Returns the ambiguous error if there is one: the request may have run.
+fn prefer_ambiguous(first: SendError, second: SendError) -> SendError {
     match first {
         SendError::Ambiguous(_) => first,
         SendError::NotSent(_) => second,
@@ -229,10 +229,10 @@
     }
 }
 
-/// The error that a refusal carries.
-async fn refusal(gateway: SocketAddr, response: ClientResponse) -> CliError {
+/// Converts an error response to a `CliError`.
+async fn error_of_response(gateway: SocketAddr, response: ClientResponse) -> CliError {
     let status = response.status();
-    let body: Result<ErrorBody, BodyError> = response.json(MAX_ANSWER_BYTES).await;
+    let body: Result<ErrorBody, BodyError> = response.json(MAX_RESPONSE_BYTES).await;
     match body {
         Ok(body) => CliError::Refused(body.error),
         Err(error) => unexpected(
--- a/crates/cli/src/commands/jobs/follow.rs
+++ b/crates/cli/src/commands/jobs/follow.rs
@@ -1,4 +1,4 @@
-//! Waiting for a job.
+//! Waits for a job to end.
 
 use std::time::{Duration, Instant};
 
@@ -9,17 +9,17 @@
 use crate::console::Console;
 use crate::error::CliError;
 
-/// Time between two looks at a job.
+/// Interval between polls of a job.
 const POLL_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two lines of progress.
+/// Minimum interval between progress lines.
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(2);
-/// For how long gateways may be away before waiting is given up.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// How long polling may fail before the command gives up.
+const POLL_FAILURE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Waits until a job has ended, with its progress on the way.
+/// Waits until a job has ended and prints its progress.
 ///
 /// # Errors
-/// When the job is unknown, or no gateway answers for too long.
+/// Fails on a permanent error, such as an unknown job, or if polling fails for too long.
 pub(crate) async fn follow(
     client: &Client,
     id: &str,
@@ -27,27 +27,29 @@
 ) -> Result<JobView, CliError> {
     let call = Call::get(format!("{JOBS_PATH}/{id}"));
     let mut progress = Progress::start();
-    let mut answered = Instant::now();
+    let mut last_response = Instant::now();
     loop {
         match client.json::<JobView>(&call).await {
             Ok(job) => {
-                answered = Instant::now();
+                last_response = Instant::now();
                 progress.report(&job, console);
                 if job.has_ended() {
                     return Ok(job);
                 }
             }
-            Err(error) if is_lasting(&error) || answered.elapsed() > PATIENCE => {
+            Err(error)
+                if is_permanent(&error) || last_response.elapsed() > POLL_FAILURE_TIMEOUT =>
+            {
                 return Err(error);
             }
-            Err(error) => progress.trouble(&error, console),
+            Err(error) => progress.report_failure(&error, console),
         }
         Timer::after(POLL_INTERVAL).await;
     }
 }
 
-/// Whether asking again would give the same error.
-fn is_lasting(error: &CliError) -> bool {
+/// Whether a retry would return the same error.
+fn is_permanent(error: &CliError) -> bool {
     match error {
         CliError::Unanswered(_) => false,
         CliError::Refused(detail) => detail.retry_after_ms.is_none(),
@@ -55,7 +57,7 @@
     }
 }
 
-/// What was last said about the progress.
+/// State of the progress output.
 struct Progress {
     started: Instant,
     items_at_start: Option<u32>,
@@ -73,7 +75,7 @@
         }
     }
 
-    /// Says how far the job is, if that is news.
+    /// Prints the progress of the job if it changed, at most once per interval.
     fn report(&mut self, job: &JobView, console: &mut Console) {
         let ended = job.ended_items();
         let at_start = *self.items_at_start.get_or_insert(ended);
@@ -81,8 +83,8 @@
             .last_line
             .is_some_and(|line| line.elapsed() < PROGRESS_INTERVAL);
         let first = self.last_line.is_none();
-        let news = first || ended != self.last_ended || job.has_ended();
-        if !news || (recent && !job.has_ended()) {
+        let changed = first || ended != self.last_ended || job.has_ended();
+        if !changed || (recent && !job.has_ended()) {
             return;
         }
         self.last_line = Some(Instant::now());
@@ -97,8 +99,8 @@
         console.progress(text);
     }
 
-    /// Says why there is no news, at most as often as progress.
-    fn trouble(&mut self, error: &CliError, console: &mut Console) {
+    /// Prints why the poll failed, at most once per interval.
+    fn report_failure(&mut self, error: &CliError, console: &mut Console) {
         let recent = self
             .last_line
             .is_some_and(|line| line.elapsed() < PROGRESS_INTERVAL);
--- a/crates/cli/src/commands/watch.rs
+++ b/crates/cli/src/commands/watch.rs
@@ -15,35 +15,35 @@
 use crate::error::{CliError, ExitStatus};
 use crate::flags::Watch;
 
-/// Path of the event stream.
+/// URL path of the event stream.
 pub(crate) const EVENTS_PATH: &str = "/admin/events";
-/// First wait before a lost stream is opened again.
-const FIRST_RETRY: Duration = Duration::from_millis(250);
-/// Longest such wait.
-const LONGEST_RETRY: Duration = Duration::from_secs(5);
-/// Events that wait for the output; a slower output shows as a gap, because
-/// the stream is then read more slowly than events arise.
-const QUEUED: usize = 256;
+/// Initial backoff before a broken stream is reopened.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+/// Maximum backoff before a broken stream is reopened.
+const MAX_BACKOFF: Duration = Duration::from_secs(5);
+/// Capacity of the event queue for the output. If the output is too slow, the
+/// stream is read more slowly than events occur, which shows as a gap.
+const QUEUE_CAPACITY: usize = 256;
 
-/// What the stream of one gateway brings.
+/// Update from the stream of one gateway.
 #[derive(Debug)]
-enum News {
+enum StreamUpdate {
     /// An event or a gap.
     Watched(SocketAddr, Watched),
-    /// The stream broke and is opened again. Events may be missing.
+    /// The stream broke and is being reopened. Events may be missing.
     Lost(SocketAddr, String),
     /// The stream is open.
     Following(SocketAddr),
 }
 
-/// Follows the decisions of every given gateway.
+/// Prints the events of all given gateways as they occur.
 pub(crate) async fn run(
     client: &Client,
     flags: Watch,
     console: &mut Console,
 ) -> Result<ExitStatus, CliError> {
     let call = subscription(&flags)?;
-    let (sender, receiver) = async_channel::bounded(QUEUED);
+    let (sender, receiver) = async_channel::bounded(QUEUE_CAPACITY);
     let executor = LocalExecutor::new();
     for gateway in client.gateways() {
         let follower = follow(client.clone(), *gateway, call.clone(), sender.clone());
@@ -53,7 +53,7 @@
     executor.run(print(receiver, flags.count, console)).await
 }
 
-/// The call that opens the stream.
+/// Builds the request that opens the stream.
 fn subscription(flags: &Watch) -> Result<Call, CliError> {
     let unknown: Vec<&str> = flags
         .kind
@@ -83,33 +83,41 @@
     Ok(call)
 }
 
-/// Keeps the stream of one gateway open until nobody listens.
-async fn follow(client: Client, gateway: SocketAddr, call: Call, news: Sender<News>) {
-    let mut wait = FIRST_RETRY;
-    while !news.is_closed() {
-        let reason = match read_stream(&client, gateway, &call, &news, &mut wait).await {
+/// Keeps the stream of one gateway open until the receiver is dropped.
+async fn follow(client: Client, gateway: SocketAddr, call: Call, updates: Sender<StreamUpdate>) {
+    let mut backoff = INITIAL_BACKOFF;
+    while !updates.is_closed() {
+        let reason = match read_stream(&client, gateway, &call, &updates, &mut backoff).await {
             Ok(()) => "the gateway ended the stream".to_owned(),
             Err(error) => error.to_string(),
         };
-        if news.send(News::Lost(gateway, reason)).await.is_err() {
+        if updates
+            .send(StreamUpdate::Lost(gateway, reason))
+            .await
+            .is_err()
+        {
             return;
         }
-        Timer::after(wait).await;
-        wait = (wait * 2).min(LONGEST_RETRY);
+        Timer::after(backoff).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
-/// Reads one stream to its end.
+/// Forwards the events of one stream until it ends.
 async fn read_stream(
     client: &Client,
     gateway: SocketAddr,
     call: &Call,
-    news: &Sender<News>,
-    wait: &mut Duration,
+    updates: &Sender<StreamUpdate>,
+    backoff: &mut Duration,
 ) -> Result<(), CliError> {
     let mut stream = client.send_to(gateway, call).await?.events();
-    *wait = FIRST_RETRY;
-    if news.send(News::Following(gateway)).await.is_err() {
+    *backoff = INITIAL_BACKOFF;
+    if updates
+        .send(StreamUpdate::Following(gateway))
+        .await
+        .is_err()
+    {
         return Ok(());
     }
     let broken = |what: String| CliError::Unexpected {
@@ -122,32 +130,36 @@
             return Ok(());
         };
         let watched = read_event(&event).map_err(|error| broken(error.to_string()))?;
-        if news.send(News::Watched(gateway, watched)).await.is_err() {
+        if updates
+            .send(StreamUpdate::Watched(gateway, watched))
+            .await
+            .is_err()
+        {
             return Ok(());
         }
     }
 }
 
-/// An event of the stream, or a gap in it.
+/// Parses an event or a gap from a server-sent event.
 pub(crate) fn read_event(event: &ServerEvent) -> Result<Watched, serde_json::Error> {
     serde_json::from_str(&event.data)
 }
 
-/// Prints news until enough events were seen.
+/// Prints updates until `count` events were printed.
 async fn print(
-    news: Receiver<News>,
+    updates: Receiver<StreamUpdate>,
     count: Option<u64>,
     console: &mut Console,
 ) -> Result<ExitStatus, CliError> {
     let mut seen = 0;
-    while let Ok(item) = news.recv().await {
-        if matches!(item, News::Watched(_, Watched::Event(_))) {
+    while let Ok(update) = updates.recv().await {
+        if matches!(update, StreamUpdate::Watched(_, Watched::Event(_))) {
             seen += 1;
         }
         if console.is_json() {
-            print_json(item, console)?;
+            print_json(update, console)?;
         } else {
-            print_text(item, console)?;
+            print_text(update, console)?;
         }
         if count.is_some_and(|count| seen >= count) {
             break;
@@ -156,44 +168,44 @@
     Ok(ExitStatus::Success)
 }
 
-fn print_json(news: News, console: &mut Console) -> Result<(), CliError> {
-    match news {
-        News::Watched(gateway, Watched::Event(event)) => {
+fn print_json(update: StreamUpdate, console: &mut Console) -> Result<(), CliError> {
+    match update {
+        StreamUpdate::Watched(gateway, Watched::Event(event)) => {
             console.json_line(&json!({ "gateway": gateway, "event": event }))
         }
-        News::Watched(gateway, Watched::Gap(gap)) => {
+        StreamUpdate::Watched(gateway, Watched::Gap(gap)) => {
             console.json_line(&json!({ "gateway": gateway, "gap": gap, "lost": gap.lost() }))
         }
-        News::Lost(gateway, reason) => {
+        StreamUpdate::Lost(gateway, reason) => {
             console.json_line(&json!({ "gateway": gateway, "disconnected": reason }))
         }
-        News::Following(gateway) => {
+        StreamUpdate::Following(gateway) => {
             console.json_line(&json!({ "gateway": gateway, "connected": true }))
         }
     }
 }
 
-fn print_text(news: News, console: &mut Console) -> Result<(), CliError> {
-    match news {
-        News::Watched(_, Watched::Event(event)) => console.line(event_text(&event)),
-        News::Watched(gateway, Watched::Gap(gap)) => console.line(format!(
+fn print_text(update: StreamUpdate, console: &mut Console) -> Result<(), CliError> {
+    match update {
+        StreamUpdate::Watched(_, Watched::Event(event)) => console.line(event_text(&event)),
+        StreamUpdate::Watched(gateway, Watched::Gap(gap)) => console.line(format!(
             "---- gap: {} events of {gateway} were lost ----",
             gap.lost()
         )),
-        News::Lost(gateway, reason) => {
+        StreamUpdate::Lost(gateway, reason) => {
             console.progress(format!(
                 "---- {gateway}: {reason}; events may be missing, connecting again ----"
             ));
             Ok(())
         }
-        News::Following(gateway) => {
+        StreamUpdate::Following(gateway) => {
             console.progress(format!("---- following {gateway} ----"));
             Ok(())
         }
     }
 }
 
-/// One event on one line.
+/// Formats an event on one line.
 pub(crate) fn event_text(event: &Event) -> String {
     let inputs: Vec<String> = event
         .inputs
@@ -214,7 +226,7 @@
     text
 }
 
-/// Time of day in UTC.
+/// Formats the time of day in UTC.
 fn clock_text(at_unix_ms: u64) -> String {
     const DAY: u64 = 86_400_000;
     let millis = at_unix_ms % DAY;
--- a/crates/cli/src/demo/batch.rs
+++ b/crates/cli/src/demo/batch.rs
@@ -1,4 +1,4 @@
-//! A batch job: submission, replay, online work beside it, results.
+//! Batch step of the demo: submission, resubmission, concurrent online requests, results.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -17,21 +17,21 @@
 use crate::commands::jobs::{JOBS_PATH, JobView, follow};
 use crate::error::CliError;
 
-/// Items of the job.
+/// Number of items in the job.
 const ITEMS: u32 = 200;
-/// Tokens of each item's answer.
+/// Number of tokens generated per item.
 const TOKENS: u32 = 128;
-/// Key of the job.
+/// Idempotency key of the job.
 const KEY: &str = "memorial-display";
-/// Tenant that submits it.
+/// Tenant that submits the job.
 const TENANT: &str = "hall-1";
-/// Code of a refusal because the key names another job.
+/// Error code: the key belongs to a different job.
 const KEY_CONFLICT: &str = "key_conflict";
-/// Longest time until engines run items.
-const START_LIMIT: Duration = Duration::from_secs(30);
-/// Time between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(20);
-/// Online requests that are sent while it runs.
+/// Timeout for engines to start running items.
+const START_TIMEOUT: Duration = Duration::from_secs(30);
+/// Polling interval.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of online requests sent while the job runs.
 const ONLINE_REQUESTS: u32 = 20;
 
 /// One line of the results.
@@ -42,7 +42,7 @@
     text: String,
 }
 
-/// Runs a job and reads its results at another gateway.
+/// Runs a job and reads its results from another gateway.
 pub(super) async fn run_job(
     fleet: &DemoFleet,
     guide: &mut Guide<'_>,
@@ -51,7 +51,7 @@
     guide.chapter("A clerk submits a batch job, and callers keep coming");
     let started = Instant::now();
     let job = submit(fleet, guide, report).await?;
-    wait_until_it_runs(&tenant_client(fleet, 0), &job.id).await?;
+    wait_until_running(&tenant_client(fleet, 0), &job.id).await?;
     let tasks = send_all(
         fleet,
         Form::Streamed,
@@ -59,19 +59,19 @@
         "the counter's picture",
     );
     report.online_during_batch = count(tasks, report).await?;
-    guide.say(format!(
+    guide.print(format!(
         "{} online requests completed, sent while engines ran items of the job",
         report.online_during_batch
     ));
     let ended = follow(&tenant_client(fleet, 2), &job.id, guide.console()).await?;
     report.batch_completed = ended.completed;
-    guide.say(format!(
+    guide.print(format!(
         "{} after {} ms, as a third gateway tells",
         ended.summary(),
         started.elapsed().as_millis()
     ));
     read_results(fleet, &job.id, report).await?;
-    guide.say(format!(
+    guide.print(format!(
         "{} results read at another gateway, {} duplicates; each text is the one it must be",
         report.results_readable, report.batch_duplicates
     ));
@@ -79,7 +79,7 @@
 }
 
 /// Waits until engines run items of the job.
-async fn wait_until_it_runs(client: &Client, job: &str) -> Result<(), CliError> {
+async fn wait_until_running(client: &Client, job: &str) -> Result<(), CliError> {
     let started = Instant::now();
     let call = Call::get(format!("{JOBS_PATH}/{job}"));
     loop {
@@ -87,10 +87,10 @@
         if view.leased > 0 || view.ended_items() > 0 {
             return Ok(());
         }
-        if started.elapsed() > START_LIMIT {
+        if started.elapsed() > START_TIMEOUT {
             return Err(CliError::Failed(format!("no engine ran an item of {job}")));
         }
-        Timer::after(LOOK_INTERVAL).await;
+        Timer::after(POLL_INTERVAL).await;
     }
 }
 
@@ -114,8 +114,8 @@
         .query("key", KEY)
 }
 
-/// Submits the job, submits it again elsewhere, and submits another one under
-/// its key.
+/// Submits the job, resubmits it at another gateway, and submits a different job
+/// under the same key.
 async fn submit(
     fleet: &DemoFleet,
     guide: &mut Guide<'_>,
@@ -123,18 +123,18 @@
 ) -> Result<JobView, CliError> {
     let job: JobView = tenant_client(fleet, 0).json(&submission(ITEMS)).await?;
     report.batch_items = job.items;
-    guide.say(format!("{} with {} items was accepted", job.id, job.items));
+    guide.print(format!("{} with {} items was accepted", job.id, job.items));
     let replay: JobView = tenant_client(fleet, 1).json(&submission(ITEMS)).await?;
     if replay.id != job.id || replay.items != job.items {
         report.batch_duplicates += 1;
     }
-    guide.say("submitted again at another gateway, as after a lost answer: the same job");
+    guide.print("submitted again at another gateway, as after a lost answer: the same job");
     match tenant_client(fleet, 1)
         .json::<JobView>(&submission(ITEMS - 1))
         .await
     {
         Err(CliError::Refused(detail)) if detail.code == KEY_CONFLICT => {
-            guide.say("other items under the same key: refused, nothing was run");
+            guide.print("other items under the same key: refused, nothing was run");
         }
         other => {
             let message = format!("other items under the same key gave {other:?}");
@@ -144,7 +144,7 @@
     Ok(job)
 }
 
-/// Reads the results at the second gateway and checks every line.
+/// Reads the results from the second gateway and checks every line.
 async fn read_results(
     fleet: &DemoFleet,
     job: &str,
--- a/crates/cli/src/demo/online.rs
+++ b/crates/cli/src/demo/online.rs
@@ -1,4 +1,4 @@
-//! Online requests: plain, streamed, chat and to the application.
+//! Online step of the demo: plain, streamed, chat and application requests.
 
 use std::time::{Duration, Instant};
 
@@ -19,40 +19,40 @@
 use crate::client::{Call, Client};
 use crate::error::CliError;
 
-/// Requests of each form.
-const REQUESTS_A_FORM: u32 = 10;
-/// Tokens of each answer.
+/// Number of requests per form.
+const REQUESTS_PER_FORM: u32 = 10;
+/// Number of tokens per response.
 const TOKENS: u32 = 32;
-/// For how long a request that was refused as not run is sent again.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// Wait before another try when the refusal names none.
-const RETRY_AFTER: Duration = Duration::from_millis(200);
+/// How long a request that was rejected without being run is retried.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(20);
+/// Delay before a retry if the rejection gives none.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Form of a request.
+/// API form of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Form {
-    /// A completion in one piece.
+    /// A completion without streaming.
     Plain,
-    /// A completion as server-sent events.
+    /// A completion streamed as server-sent events.
     Streamed,
-    /// A chat completion in one piece.
+    /// A chat completion without streaming.
     Chat,
 }
 
-/// What became of one request.
+/// Outcome of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Outcome {
     form: Form,
-    /// Refusals before the answer.
+    /// Rejections before the response.
     refusals: u32,
-    /// Whether the answer is whole and the request's own.
-    right: bool,
+    /// Whether the response is complete and matches the request.
+    correct: bool,
 }
 
 impl Outcome {
-    /// Whether the answer is whole and the request's own.
-    pub(super) fn is_right(&self) -> bool {
-        self.right
+    /// Whether the response is complete and matches the request.
+    pub(super) fn is_correct(&self) -> bool {
+        self.correct
     }
 }
 
@@ -66,10 +66,10 @@
     let started = Instant::now();
     let mut tasks = Vec::new();
     for form in [Form::Plain, Form::Streamed, Form::Chat] {
-        tasks.extend(send_all(fleet, form, REQUESTS_A_FORM, "photograph"));
+        tasks.extend(send_all(fleet, form, REQUESTS_PER_FORM, "photograph"));
     }
     count(tasks, report).await?;
-    guide.say(format!(
+    guide.print(format!(
         "{} of {} completed through {} gateways in {} ms, {} of them streamed; each answer was \
          compared with the one it must be",
         report.online_completed,
@@ -78,15 +78,15 @@
         started.elapsed().as_millis(),
         report.online_streamed
     ));
-    ask_application(fleet, report).await?;
-    guide.say(format!(
+    send_application_requests(fleet, report).await?;
+    guide.print(format!(
         "{} requests went through to the application service {ALBUM_SERVICE}",
         report.application_completed
     ));
     Ok(())
 }
 
-/// Sends `number` requests at once, spread over the gateways.
+/// Sends `number` concurrent requests, spread over the gateways.
 pub(super) fn send_all(
     fleet: &DemoFleet,
     form: Form,
@@ -96,36 +96,38 @@
     let send = |position: u32| {
         let client = fleet.client_of(position as usize);
         let prompt = format!("{form:?} request about {subject} {position} of the family archive");
-        fleet.executor.spawn(ask(client, form, prompt, TOKENS))
+        fleet
+            .executor
+            .spawn(send_with_retries(client, form, prompt, TOKENS))
     };
     (0..number).map(send).collect()
 }
 
-/// Waits for the outcomes and counts them. Gives how many were right.
+/// Waits for the outcomes and adds them to the report. Returns the number of correct responses.
 pub(super) async fn count(
     tasks: Vec<Task<Result<Outcome, CliError>>>,
     report: &mut DemoReport,
 ) -> Result<u32, CliError> {
-    let mut right = 0;
+    let mut correct = 0;
     for task in tasks {
         report.online_requests += 1;
         let outcome = task.await?;
         report.online_refusals += outcome.refusals;
-        if !outcome.right {
+        if !outcome.correct {
             report.online_wrong += 1;
             continue;
         }
-        right += 1;
+        correct += 1;
         report.online_completed += 1;
         if outcome.form == Form::Streamed {
             report.online_streamed += 1;
         }
     }
-    Ok(right)
+    Ok(correct)
 }
 
-/// Asks once, and again as long as the request is refused as not run.
-pub(super) async fn ask(
+/// Sends a request and retries it while it is rejected without being run.
+pub(super) async fn send_with_retries(
     client: Client,
     form: Form,
     prompt: String,
@@ -134,37 +136,37 @@
     let started = Instant::now();
     let mut refusals = 0;
     loop {
-        match ask_once(&client, form, &prompt, tokens).await {
-            Ok(right) => {
+        match send_once(&client, form, &prompt, tokens).await {
+            Ok(correct) => {
                 return Ok(Outcome {
                     form,
                     refusals,
-                    right,
+                    correct,
                 });
             }
             Err(CliError::Refused(detail))
-                if detail.outcome == RunOutcome::NotRun && started.elapsed() < PATIENCE =>
+                if detail.outcome == RunOutcome::NotRun && started.elapsed() < RETRY_TIMEOUT =>
             {
                 refusals += 1;
                 let wait = detail.retry_after_ms.map(Duration::from_millis);
-                Timer::after(wait.unwrap_or(RETRY_AFTER)).await;
+                Timer::after(wait.unwrap_or(DEFAULT_RETRY_DELAY)).await;
             }
             Err(error) => return Err(error),
         }
     }
 }
 
-/// Sends one request and compares the answer with the one it must be.
-async fn ask_once(
+/// Sends one request and compares the response with the expected one.
+async fn send_once(
     client: &Client,
     form: Form,
     prompt: &str,
     tokens: u32,
 ) -> Result<bool, CliError> {
     match form {
-        Form::Plain => ask_plain(client, prompt, tokens).await,
-        Form::Streamed => ask_streamed(client, prompt, tokens).await,
-        Form::Chat => ask_chat(client, prompt, tokens).await,
+        Form::Plain => send_plain(client, prompt, tokens).await,
+        Form::Streamed => send_streamed(client, prompt, tokens).await,
+        Form::Chat => send_chat(client, prompt, tokens).await,
     }
 }
 
@@ -180,7 +182,7 @@
     Ok(Call::post(COMPLETIONS_PATH, body))
 }
 
-async fn ask_plain(client: &Client, prompt: &str, tokens: u32) -> Result<bool, CliError> {
+async fn send_plain(client: &Client, prompt: &str, tokens: u32) -> Result<bool, CliError> {
     let call = completion(prompt, tokens, false)?;
     let response: CompletionResponse = client.json(&call).await?;
     let text = response
@@ -190,7 +192,7 @@
     Ok(text == Some(expected_answer(prompt, tokens).as_str()))
 }
 
-async fn ask_streamed(client: &Client, prompt: &str, tokens: u32) -> Result<bool, CliError> {
+async fn send_streamed(client: &Client, prompt: &str, tokens: u32) -> Result<bool, CliError> {
     let call = completion(prompt, tokens, true)?;
     let mut events = client.send(&call).await?.events();
     let broken = |what: String| CliError::Unexpected {
@@ -210,7 +212,7 @@
     Ok(text == expected_answer(prompt, tokens))
 }
 
-async fn ask_chat(client: &Client, prompt: &str, tokens: u32) -> Result<bool, CliError> {
+async fn send_chat(client: &Client, prompt: &str, tokens: u32) -> Result<bool, CliError> {
     let request = ChatCompletionRequest {
         model: CAPTION_SERVICE.to_owned(),
         messages: vec![ChatMessage {
@@ -229,8 +231,11 @@
     Ok(message.is_some_and(|message| message.content == expected))
 }
 
-/// Reads from the application service through every gateway.
-async fn ask_application(fleet: &DemoFleet, report: &mut DemoReport) -> Result<(), CliError> {
+/// Sends a request to the application service through every gateway.
+async fn send_application_requests(
+    fleet: &DemoFleet,
+    report: &mut DemoReport,
+) -> Result<(), CliError> {
     for number in 0..fleet.gateways.len() {
         let path = format!("/services/{ALBUM_SERVICE}/albums/{number}");
         fleet.client_of(number).text(&Call::get(path)).await?;
--- a/crates/cli/src/table.rs
+++ b/crates/cli/src/table.rs
@@ -1,13 +1,13 @@
-//! Tables for people.
+//! Plain-text tables.
 
 use std::fmt;
 
-/// Space between two columns.
-const GAP: &str = "  ";
-/// Shown where a cell has nothing.
-const NOTHING: &str = "-";
+/// Separator between columns.
+const COLUMN_SEPARATOR: &str = "  ";
+/// Placeholder for an empty cell.
+const EMPTY_CELL: &str = "-";
 
-/// Rows under titles; columns are as wide as their widest cell.
+/// A table with a title row. Each column is as wide as its widest cell.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Table {
     titles: Vec<String>,
@@ -15,7 +15,7 @@
 }
 
 impl Table {
-    /// A table without rows.
+    /// Creates a table without rows.
     #[must_use]
     pub fn new(titles: Vec<String>) -> Self {
         Self {
@@ -24,12 +24,12 @@
         }
     }
 
-    /// Adds a row. Missing cells stay empty; line breaks become spaces.
+    /// Adds a row. Missing cells are left empty; line breaks and tabs become spaces.
     pub fn push(&mut self, mut cells: Vec<String>) {
         cells.resize(self.titles.len(), String::new());
         for cell in &mut cells {
             if cell.is_empty() {
-                NOTHING.clone_into(cell);
+                EMPTY_CELL.clone_into(cell);
             }
             *cell = cell.replace(['\n', '\r', '\t'], " ");
         }
@@ -57,7 +57,7 @@
         .zip(widths)
         .map(|(cell, widest)| format!("{cell}{}", " ".repeat(widest - width(cell))))
         .collect();
-    padded.join(GAP).trim_end().to_owned()
+    padded.join(COLUMN_SEPARATOR).trim_end().to_owned()
 }
 
 impl fmt::Display for Table {
--- a/crates/cli/tests/support/mod.rs
+++ b/crates/cli/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway with prepared answers, and runs of the binary against it.
+//! A fake gateway with canned responses, and helpers that run the binary.
 
 #![allow(dead_code, reason = "each test file uses a part of it")]
 
@@ -13,33 +13,33 @@
 use async_io::block_on;
 use molespan_http::{Request, Response, Server, ServerLimits};
 
-/// A server that answers as a test says and notes what it was asked.
-pub struct PreparedGateway {
-    /// Where it listens.
+/// HTTP server with test-defined responses that records its requests.
+pub struct FakeGateway {
+    /// Address of the server.
     pub address: SocketAddr,
-    asked: Arc<Mutex<Vec<String>>>,
+    requests: Arc<Mutex<Vec<String>>>,
     _stop: Sender<()>,
 }
 
-impl PreparedGateway {
-    /// Serves until it is dropped. `answer` gets the request and its body.
+impl FakeGateway {
+    /// Starts a server that runs until drop. `answer` receives the request and its body.
     pub fn start(answer: impl Fn(&Request, &str) -> Response + Send + Sync + 'static) -> Self {
         let address = SocketAddr::from(([127, 0, 0, 1], 0));
         let server = Server::bind(address, ServerLimits::default()).expect("an address");
         let address = server.local_address();
-        let asked: Arc<Mutex<Vec<String>>> = Arc::default();
+        let requests: Arc<Mutex<Vec<String>>> = Arc::default();
         let (stop, stopped) = async_channel::bounded::<()>(1);
-        let noted = asked.clone();
+        let recorded = requests.clone();
         let answer = Arc::new(answer);
         let handler = move |mut request: Request| {
-            let (noted, answer) = (noted.clone(), answer.clone());
+            let (recorded, answer) = (recorded.clone(), answer.clone());
             async move {
                 let body = request.body_string().await.unwrap_or_default();
                 let mut line = format!("{} {}", request.method(), request.url().path());
                 if let Some(query) = request.url().query() {
                     line.push_str(&format!("?{query}"));
                 }
-                noted
+                recorded
                     .lock()
                     .unwrap_or_else(PoisonError::into_inner)
                     .push(line);
@@ -55,14 +55,14 @@
         });
         Self {
             address,
-            asked,
+            requests,
             _stop: stop,
         }
     }
 
-    /// Method, path and query of each request so far.
-    pub fn asked(&self) -> Vec<String> {
-        self.asked
+    /// Returns the method, path and query of each request so far.
+    pub fn requests(&self) -> Vec<String> {
+        self.requests
             .lock()
             .unwrap_or_else(PoisonError::into_inner)
             .clone()
@@ -81,7 +81,7 @@
         .expect("the binary runs")
 }
 
-/// Output as text.
+/// Converts output to text.
 pub fn text(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
